--- a/src/brain.rs
+++ b/src/brain.rs
@@ -2,6 +2,7 @@
 //! came in; decisions go straight into the `Orders` passed along. Both are defined in `interface`.
 //! A round takes in the news. Once a second it is also a turn, which judges hosts and moves slices.
 //! List news and health verdicts act at once. What changed leaves as one delta at the end.
+use crate::channel::{Channel, Update};
 use crate::interface::*;
 use crate::sums::{at_share, Rate, Sum};
 use std::collections::{BTreeMap, BTreeSet};
@@ -93,6 +94,9 @@
 /// Seconds after which a delta that nobody confirmed does not count as waiting: confirmations get lost, and a
 /// full backlog takes some two seconds, on a channel at an eighth of its pace under this.
 const MARK_LOST: Seconds = 20.0;
+/// Seconds without an acknowledgement of the oldest update after which it has left the channel: longer than the
+/// largest part of one proxy, or the gap that lost ones leave, takes on a channel at an eighth of its pace.
+const STALLED: Seconds = 5.0;
 /// Share of the backlog limit that deltas may fill, and ordinary ones: what is urgent must not wait long.
 const BACKLOG_USE: f64 = 0.9;
 const ORDINARY_USE: f64 = 0.75;
@@ -283,16 +287,6 @@
     }
 }
 
-/// A delta on its way: lines for each proxy, and the proxies that have not confirmed it.
-struct Delta {
-    mark: MarkId,
-    sent_at: Seconds,
-    lines: f64,
-    awaited: BTreeSet<ProxyId>,
-    /// Slices whose tables are known to be empty once it is confirmed.
-    emptied: Vec<SliceId>,
-}
-
 /// What a turn goes by: each usable host's demand, speed and present capacity.
 #[derive(Clone, Copy)]
 struct Load {
@@ -339,7 +333,7 @@
     moves: f64,
     moves_at: Seconds,
     sent: Vec<Seconds>,
-    deltas: Vec<Delta>,
+    channel: Channel,
     /// Confirmations may have gone unheard: one more mark asks for them, as it confirms all before it.
     unsure: bool,
     mark: u16,
@@ -387,7 +381,7 @@
             // What waits for one that stood all along still does, or was confirmed unheard.
             self.unsure |= change.up && stood;
             if !(change.up && stood) {
-                self.deltas.iter_mut().for_each(|delta| _ = delta.awaited.remove(&change.proxy));
+                self.channel.remove_proxy(change.proxy);
             }
         }
         round.confirmed.iter().for_each(|confirmed| self.hear_confirmed(now, confirmed));
@@ -468,7 +462,7 @@
     fn take_charge(&mut self, now: Seconds, charge: &Charge, presumed: f64) {
         self.charged_at = if self.slices.is_empty() { now } else { self.charged_at };
         self.slices.remove(&charge.slice);
-        self.deltas.iter_mut().for_each(|delta| delta.emptied.retain(|id| *id != charge.slice));
+        self.channel.forget_slice(charge.slice);
         if charge.given {
             for (id, _) in &charge.lines {
                 let unheard = self.hosts.get_mut(id).filter(|host| host.last_good == 0.0);
@@ -562,25 +556,18 @@
     }
 
     fn hear_confirmed(&mut self, now: Seconds, confirmed: &Confirmed) {
-        let known = self.deltas.iter().position(|delta| delta.mark == confirmed.mark);
-        let upto = known.map_or(0, |place| place + 1);
-        self.deltas[..upto].iter_mut().for_each(|delta| _ = delta.awaited.remove(&confirmed.proxy));
+        self.channel.acknowledge(now, confirmed.proxy, confirmed.mark);
         self.end_deltas(now);
     }
 
     /// Guards single owners: all proxies that stand know that a table is empty, those that left write for a
     /// lease at most; the last write to the former owner ends a life after that.
     fn end_deltas(&mut self, now: Seconds) {
-        let (slices, left_at, terms) = (&mut self.slices, self.left_at, &self.terms);
-        self.deltas.retain(|delta| {
-            let ended = delta.awaited.is_empty();
-            for id in delta.emptied.iter().filter(|_| ended) {
-                let Some(slice) = slices.get_mut(id) else { continue };
-                let stopped = now.max(left_at.max(slice.given_at) + terms.write_lease);
-                slice.free_at = Some(stopped + terms.write_life);
-            }
-            !ended
-        });
+        for id in self.channel.take_acknowledged().iter().flat_map(|update| &update.emptied) {
+            let Some(slice) = self.slices.get_mut(id) else { continue };
+            let stopped = now.max(self.left_at.max(slice.given_at) + self.terms.write_lease);
+            slice.free_at = Some(stopped + self.terms.write_life);
+        }
     }
 
     /// Guards hosts where slices come from another steward: until its first report, each counts as the mean
@@ -875,8 +862,9 @@
             return;
         }
         let proxies = self.proxies.len().max(1) as f64;
-        self.deltas.retain(|delta| now - delta.sent_at < MARK_LOST);
-        let waiting: f64 = self.deltas.iter().map(|delta| delta.lines * delta.awaited.len() as f64).sum();
+        self.channel.expire(now, MARK_LOST);
+        let waiting = self.channel.waiting_lines(now, STALLED);
+        let fits = |lines: f64, share: f64| waiting + proxies * lines <= self.terms.backlog * share;
         // Each message bears the mark and all levels besides its lines.
         let empty = self.terms.message_cost + 1.0 + self.levels.len() as f64;
         let mut lines = empty;
@@ -886,14 +874,14 @@
         for (k, written) in self.levels_written.iter_mut().enumerate() {
             let again = self.terms.classes[k].may_repeat(self.terms.first_wait);
             let wanted = (self.levels[k], if calm && self.filled < RETRY_ROOM { again } else { most });
-            if *written != wanted {
+            if *written != wanted && fits(lines + 1.0, BACKLOG_USE) {
                 lines += 1.0;
                 orders.set_level(ClassId(k as u8), wanted.0, wanted.1);
                 *written = wanted;
             }
         }
         for (host, out) in shut {
-            if waiting + proxies * (lines + 1.0) <= self.terms.backlog * BACKLOG_USE {
+            if fits(lines + 1.0, BACKLOG_USE) {
                 lines += 1.0;
                 orders.shut_out(host, out);
                 self.shut.insert(host, Some(out));
@@ -906,7 +894,7 @@
             let leaves = one && changed.iter().any(|line| line.1 == 0.0);
             changed.retain(|line| !leaves || line.1 == 0.0);
             let used = if haste == 0 { BACKLOG_USE } else { ORDINARY_USE };
-            if waiting + proxies * (lines + changed.len() as f64) > self.terms.backlog * used {
+            if !fits(lines + changed.len() as f64, used) {
                 break;
             }
             lines += changed.len() as f64;
@@ -914,20 +902,20 @@
             slice.written = if leaves { Vec::new() } else { wanted };
             slice.free_at = slice.free_at.filter(|_| !leaves);
         }
-        let asked: BTreeSet<SliceId> = self.deltas.iter().flat_map(|delta| delta.emptied.clone()).collect();
+        let asked = self.channel.emptied_slices();
         let bare = |id: &SliceId, s: &Slice| {
             one && s.written.is_empty() && s.free_at.is_none() && !asked.contains(id)
         };
         let emptied: Vec<_> = self.slices.iter().filter(|(id, s)| bare(id, s)).map(|(id, _)| *id).collect();
-        self.unsure = !emptied.is_empty() || self.unsure && !self.deltas.is_empty();
-        let asks = self.unsure && waiting + proxies * empty <= self.terms.backlog;
+        self.unsure = !emptied.is_empty() || self.unsure && !self.channel.is_empty();
+        let asks = self.unsure && fits(empty, 1.0);
         if lines > empty || asks {
             self.unsure = false;
             self.mark = self.mark.wrapping_add(1);
             orders.mark(MarkId(self.mark));
             self.sent.push(now);
-            let (mark, awaited) = (MarkId(self.mark), self.proxies.clone());
-            self.deltas.push(Delta { mark, sent_at: now, lines, awaited, emptied });
+            let update = Update::new(now, MarkId(self.mark), lines, self.proxies.clone());
+            self.channel.send(Update { emptied, ..update });
         }
     }
 
--- a/src/brain/tests.rs
+++ b/src/brain/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use std::net::SocketAddr;
 
+mod backlog;
 mod rare;
 
 #[derive(Default)]
@@ -477,7 +478,7 @@
     // Counted as if it sent at an eighth of its pace, the channel starved a deploy on magnolia-main-later.
     let mut steward = steward(Terms { backlog: 50.0, message_cost: 0.0, ..terms() });
     let mut written = Written::default();
-    steward.deltas.clear();
+    steward.channel = Channel::default();
     steward.slices.values_mut().for_each(|slice| slice.standby = Some(host(4)));
     steward.flush(200.0, true, &mut written);
     let ordinary = written.lines.len();
@@ -488,7 +489,7 @@
     assert_eq!(written.shut, [(host(1), true)]);
     let mark = *written.marks.last().expect("marked");
     (0..2).for_each(|k| steward.hear_confirmed(200.0, &Confirmed { proxy: ProxyId(k), mark }));
-    assert!(steward.deltas.is_empty());
+    assert!(steward.channel.is_empty());
 }
 
 #[test]
@@ -576,11 +577,11 @@
 #[test]
 fn a_proxy_that_joins_later_learns_who_is_shut_out_while_tables_name_them() {
     let mut steward = steward(Terms { message_cap: 0, backlog: 40.0, message_cost: 0.0, ..terms() });
-    steward.deltas.clear();
+    steward.channel = Channel::default();
     let mut written = Written::default();
     (0..2).for_each(|_| steward.round(&probed(101.0, 2, ProbeEnd::Unreachable), &mut written));
     assert!(steward.slices.values().any(|slice| slice.written.iter().any(|line| line.0 == host(2))));
-    steward.deltas.clear();
+    steward.channel = Channel::default();
     let late = StreamChange { proxy: ProxyId(9), up: true, first: true };
     steward.round(&Round { streams: vec![late], ..turn(102.0) }, &mut written);
     assert_eq!(written.shut, [(host(2), true), (host(2), true)]);
--- /dev/null
+++ b/src/brain/tests/backlog.rs
@@ -0,0 +1,166 @@
+//! The rule of a short queue against a channel that keeps a count of its own: messages leave one after another, each
+//! proxy's part at a time that is fixed when it is ordered; the count falls as the oldest leaves.
+use super::*;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::VecDeque;
+
+const PROXIES: u16 = 60;
+const LIMIT: f64 = 4000.0;
+/// Lines a second when all is well: the limit drains in two seconds.
+const PACE: f64 = LIMIT / 2.0;
+/// Seconds between an entry's leaving and its acknowledgement.
+const TRANSIT: std::ops::Range<Seconds> = 0.05..0.5;
+const ACKNOWLEDGEMENT_LOSS: f64 = 0.01;
+const STEP: Seconds = 0.1;
+
+/// One proxy's part of a message.
+struct Entry {
+    proxy: ProxyId,
+    lines: f64,
+    leaves_at: Seconds,
+}
+
+/// An acknowledgement under way.
+struct Acknowledgement {
+    at: Seconds,
+    confirmed: Confirmed,
+}
+
+struct ModelChannel {
+    random: ChaCha8Rng,
+    entries: VecDeque<Entry>,
+    acknowledgements: Vec<Acknowledgement>,
+    pace: f64,
+    /// When the last entry will have left.
+    free_at: Seconds,
+    connected: BTreeSet<ProxyId>,
+}
+
+impl ModelChannel {
+    fn new(seed: u64) -> ModelChannel {
+        ModelChannel {
+            random: ChaCha8Rng::seed_from_u64(seed),
+            entries: VecDeque::new(),
+            acknowledgements: Vec::new(),
+            pace: PACE,
+            free_at: 0.0,
+            connected: (0..PROXIES).map(ProxyId).collect(),
+        }
+    }
+
+    /// A message for each connected proxy; a proxy receives its messages in order.
+    fn send(&mut self, now: Seconds, lines: f64, mark: MarkId) {
+        for proxy in self.connected.clone() {
+            self.free_at = self.free_at.max(now) + lines / self.pace;
+            self.entries.push_back(Entry { proxy, lines, leaves_at: self.free_at });
+            let arrives = self.free_at + self.random.random_range(TRANSIT);
+            let mine = self.acknowledgements.iter().filter(|sent| sent.confirmed.proxy == proxy);
+            let at = mine.map(|sent| sent.at).fold(arrives, f64::max);
+            self.acknowledgements.push(Acknowledgement { at, confirmed: Confirmed { proxy, mark } });
+        }
+    }
+
+    /// What waited for the proxy is lost; its room in the channel is used by what is sent from now on.
+    fn disconnect(&mut self, now: Seconds, proxy: ProxyId) {
+        let lost = self.entries.iter().filter(|entry| entry.proxy == proxy && entry.leaves_at > now);
+        self.free_at -= lost.map(|entry| entry.lines).sum::<f64>() / self.pace;
+        self.entries.retain(|entry| entry.proxy != proxy);
+        self.acknowledgements.retain(|sent| sent.confirmed.proxy != proxy);
+        self.connected.remove(&proxy);
+    }
+
+    fn waiting(&mut self, now: Seconds) -> f64 {
+        while self.entries.front().is_some_and(|entry| entry.leaves_at <= now) {
+            self.entries.pop_front();
+        }
+        self.entries.iter().map(|entry| entry.lines).sum()
+    }
+
+    fn take_acknowledgements(&mut self, now: Seconds) -> Vec<Confirmed> {
+        let arrived = self.acknowledgements.extract_if(.., |sent| sent.at <= now).collect::<Vec<_>>();
+        let heard = arrived.into_iter().filter(|_| !self.random.random_bool(ACKNOWLEDGEMENT_LOSS));
+        heard.map(|sent| sent.confirmed).collect()
+    }
+}
+
+/// Each round has owners that changed, so that there is always something to write.
+fn shuffle_owners(steward: &mut Steward, random: &mut ChaCha8Rng) {
+    for slice in steward.slices.values_mut() {
+        slice.owner = Some(host(random.random_range(1..=4)));
+        slice.standby = None;
+    }
+}
+
+/// A minute in which seven in ten proxies leave at once now and then and come back, on a channel that is slow at
+/// times. The most that waited after a message, as a share of the limit, and how many lines were written.
+fn most_waiting(seed: u64) -> (f64, usize) {
+    let mut steward = steward(Terms { backlog: LIMIT, message_cap: 0, ..terms() });
+    steward.channel = Channel::default();
+    let mut channel = ModelChannel::new(seed);
+    let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
+    let mut returns: Vec<(Seconds, ProxyId)> = Vec::new();
+    let (mut most, mut written_lines) = (0.0_f64, 0);
+    let everyone = (0..PROXIES).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
+    steward.round(&Round { now: 100.5, streams: everyone, ..Round::default() }, &mut Written::default());
+    for step in 0..600 {
+        let now = 101.0 + STEP * f64::from(step);
+        if random.random_bool(0.02) {
+            channel.pace = PACE / [1.0, 2.0, 4.0, 8.0][random.random_range(0..4)];
+        }
+        let mut streams = Vec::new();
+        if random.random_bool(0.03) {
+            let mut killed: Vec<ProxyId> = channel.connected.iter().copied().collect();
+            killed.retain(|_| random.random_bool(0.7));
+            for proxy in killed {
+                channel.disconnect(now, proxy);
+                returns.push((now + random.random_range(0.5..2.5), proxy));
+                streams.push(StreamChange { proxy, up: false, first: false });
+            }
+        }
+        for (_, proxy) in returns.extract_if(.., |(at, _)| *at <= now) {
+            channel.connected.insert(proxy);
+            streams.push(StreamChange { proxy, up: true, first: true });
+        }
+        shuffle_owners(&mut steward, &mut random);
+        let timers = if step % 10 == 0 { vec![TimerId(0)] } else { Vec::new() };
+        let confirmed = channel.take_acknowledgements(now);
+        let mut written = Written::default();
+        steward.round(&Round { now, streams, timers, confirmed, ..Round::default() }, &mut written);
+        if let Some(mark) = written.marks.last() {
+            let orders =
+                written.lines.len() + written.shut.len() + written.levels.len() + written.marks.len();
+            channel.send(now, steward.terms.message_cost + orders as f64, *mark);
+            most = most.max(channel.waiting(now) / LIMIT);
+            written_lines += written.lines.len();
+        }
+    }
+    (most, written_lines)
+}
+
+#[test]
+fn no_more_waits_than_the_limit_while_proxies_leave_return_and_acknowledge_on_a_slow_channel() {
+    let runs: Vec<_> = (0..300).map(most_waiting).collect();
+    for (seed, (most, written_lines)) in runs.iter().enumerate() {
+        assert!(*most <= 1.0, "seed {seed}: {most} of the limit waited");
+        assert!(*written_lines > 300, "seed {seed}: only {written_lines} lines in a minute");
+    }
+    assert!(runs.iter().any(|(most, _)| *most > 0.7), "the limit was never near");
+}
+
+#[test]
+fn levels_wait_where_the_backlog_is_nearly_full() {
+    for (share, said) in [(0.88, true), (0.95, false), (1.0, false)] {
+        let mut steward = steward(Terms { backlog: 1000.0, message_cost: 0.0, ..terms() });
+        steward.channel = Channel::default();
+        let waiting = 1000.0 * share / 2.0;
+        steward.channel.send(Update::new(101.0, MarkId(77), waiting, steward.proxies.clone()));
+        steward.levels = vec![0.5; 2];
+        let mut written = Written::default();
+        steward.round(&turn(101.5), &mut written);
+        let update = steward.channel.updates().iter().find(|update| update.mark != MarkId(77));
+        let lines = update.map_or(0.0, |update| update.lines);
+        assert_eq!(!written.levels.is_empty(), said, "at {share} of the limit");
+        assert!(2.0 * (waiting + lines) <= 1000.0, "{share}: {lines} lines more for each proxy");
+    }
+}
--- a/src/brain/tests/rare.rs
+++ b/src/brain/tests/rare.rs
@@ -5,7 +5,7 @@
 fn what_waits_for_a_proxy_that_is_told_to_stand_again_still_fills_the_backlog_until_a_mark_frees_it() {
     let mut steward = steward(Terms { backlog: 50.0, message_cost: 0.0, ..terms() });
     let mut written = Written::default();
-    steward.deltas.clear();
+    steward.channel = Channel::default();
     // Owners move to and fro, and a new subscription tells before each turn that both proxies stand.
     let stand = || (0..2).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
     for k in 0..6 {
@@ -18,14 +18,14 @@
     // Both confirmed unheard: the mark that asks again is confirmed for all that came before it.
     let mark = *written.marks.last().expect("marked");
     (0..2).for_each(|k| steward.hear_confirmed(200.0, &Confirmed { proxy: ProxyId(k), mark }));
-    assert!(steward.deltas.is_empty());
+    assert!(steward.channel.is_empty());
     steward.round(&turn(206.0), &mut written);
     assert!(!steward.unsure && written.marks.last() > Some(&mark), "tables are written again");
     // Should that mark's confirmations be lost as well, and the next ones', the channel is not shut for ever.
     let before = written.lines.len();
     steward.slices.values_mut().for_each(|slice| slice.owner = Some(host(1)));
     steward.round(&turn(206.0 + MARK_LOST), &mut written);
-    assert!(steward.deltas.len() == 1 && written.lines.len() > before);
+    assert!(steward.channel.updates().len() == 1 && written.lines.len() > before);
 }
 
 #[test]
@@ -130,10 +130,10 @@
     let mut steward = steward(terms());
     let mut written = Written::default();
     (0..3).for_each(|k| steward.round(&turn(101.0 + f64::from(k)), &mut written));
-    let (marks, waits) = (written.marks.len(), steward.deltas.len());
+    let (marks, waits) = (written.marks.len(), steward.channel.updates().len());
     assert!(waits > 0, "nobody confirmed the first tables");
     let stands = (0..2).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
     steward.round(&Round { streams: stands, ..turn(110.0) }, &mut written);
     (0..3).for_each(|k| steward.round(&turn(111.0 + f64::from(k)), &mut written));
-    assert_eq!((written.marks.len(), steward.deltas.len()), (marks + 1, waits + 1), "once");
+    assert_eq!((written.marks.len(), steward.channel.updates().len()), (marks + 1, waits + 1), "once");
 }
--- /dev/null
+++ b/src/channel.rs
@@ -0,0 +1,114 @@
+//! The channel to the proxies: updates that were sent and that some proxy has not acknowledged yet.
+//!
+//! Messages leave the channel one after another in the order in which they were sent, so an update waits as a whole
+//! until the one before it has left. Acknowledgements alone do not show that: a proxy that connected after the older
+//! update was sent may acknowledge the newer one while both still count as waiting for others.
+use crate::interface::{MarkId, ProxyId, Seconds, SliceId};
+use std::collections::BTreeSet;
+
+/// One update, sent to all proxies that were connected at that time.
+#[derive(Clone, Debug, Default)]
+pub struct Update {
+    /// The acknowledgement marker that the update carries.
+    pub mark: MarkId,
+    pub sent_at: Seconds,
+    /// Lines that it costs for each proxy, the overhead of the message included.
+    pub lines: f64,
+    /// Proxies it was sent to whose streams have not broken since.
+    pub recipients: BTreeSet<ProxyId>,
+    /// Those of them that have not acknowledged it.
+    pub awaited: BTreeSet<ProxyId>,
+    /// When a proxy acknowledged it last, or when it was sent.
+    pub progress_at: Seconds,
+    /// Slices whose tables are known to be empty once all have acknowledged it.
+    pub emptied: Vec<SliceId>,
+}
+
+impl Update {
+    /// An update that leaves now for `recipients`.
+    pub fn new(now: Seconds, mark: MarkId, lines: f64, recipients: BTreeSet<ProxyId>) -> Update {
+        let awaited = recipients.clone();
+        Update { mark, sent_at: now, lines, recipients, awaited, progress_at: now, emptied: Vec::new() }
+    }
+}
+
+/// Updates in the order in which they were sent. Bounded by the age at which they expire.
+#[derive(Debug, Default)]
+pub struct Channel {
+    updates: Vec<Update>,
+}
+
+impl Channel {
+    pub fn send(&mut self, update: Update) {
+        self.updates.push(update);
+    }
+
+    /// A proxy has applied the update with this mark and all before it. A mark that is not known says nothing.
+    pub fn acknowledge(&mut self, now: Seconds, proxy: ProxyId, mark: MarkId) {
+        let acknowledged =
+            self.updates.iter().position(|update| update.mark == mark).map_or(0, |place| place + 1);
+        for update in &mut self.updates[..acknowledged] {
+            if update.awaited.remove(&proxy) {
+                update.progress_at = now;
+            }
+        }
+    }
+
+    /// The stream of a proxy broke: what was on its way to it is lost and waits no more.
+    pub fn remove_proxy(&mut self, proxy: ProxyId) {
+        for update in &mut self.updates {
+            update.recipients.remove(&proxy);
+            update.awaited.remove(&proxy);
+        }
+    }
+
+    /// A slice changed hands: what is known of its table does not follow from these updates any more.
+    pub fn forget_slice(&mut self, slice: SliceId) {
+        for update in &mut self.updates {
+            update.emptied.retain(|id| *id != slice);
+        }
+    }
+
+    /// Slices whose tables will be known to be empty.
+    pub fn emptied_slices(&self) -> BTreeSet<SliceId> {
+        self.updates.iter().flat_map(|update| update.emptied.iter().copied()).collect()
+    }
+
+    /// Takes out the updates that nobody has yet to acknowledge.
+    pub fn take_acknowledged(&mut self) -> Vec<Update> {
+        self.updates.extract_if(.., |update| update.awaited.is_empty()).collect()
+    }
+
+    /// Drops updates that were sent `age` seconds ago or earlier: their acknowledgements were lost.
+    pub fn expire(&mut self, now: Seconds, age: Seconds) {
+        self.updates.retain(|update| now - update.sent_at < age);
+    }
+
+    /// Lines that may still wait in the channel.
+    ///
+    /// Behind an update that some have not acknowledged, the next ones count for all their recipients. Where no proxy
+    /// has acknowledged it for `stalled_after` seconds while it was the first, it has left the channel, and those that
+    /// are missing are slow or their acknowledgements lost: it does not hold the next ones up.
+    pub fn waiting_lines(&self, now: Seconds, stalled_after: Seconds) -> f64 {
+        let mut is_blocked = false;
+        let mut lines = 0.0;
+        for update in &self.updates {
+            let proxies = if is_blocked { &update.recipients } else { &update.awaited };
+            lines += update.lines * proxies.len() as f64;
+            is_blocked |= now - update.progress_at < stalled_after;
+        }
+        lines
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.updates.is_empty()
+    }
+
+    #[cfg(test)]
+    pub fn updates(&self) -> &[Update] {
+        &self.updates
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/channel/tests.rs
@@ -0,0 +1,78 @@
+use super::*;
+
+/// Longer than any span between two acknowledgements in these tests, unless a test says otherwise.
+const STALLED_AFTER: Seconds = 2.0;
+
+fn proxies(range: std::ops::Range<u16>) -> BTreeSet<ProxyId> {
+    range.map(ProxyId).collect()
+}
+
+fn update(sent_at: Seconds, mark: u16, lines: f64, recipients: std::ops::Range<u16>) -> Update {
+    Update::new(sent_at, MarkId(mark), lines, proxies(recipients))
+}
+
+/// Ten lines to proxies 0 to 3, then five lines to proxies 0 to 9, of which 4 to 9 connected in between.
+fn two_updates() -> Channel {
+    let mut channel = Channel::default();
+    channel.send(update(1.0, 1, 10.0, 0..4));
+    channel.send(update(2.0, 2, 5.0, 0..10));
+    channel
+}
+
+#[test]
+fn an_acknowledged_proxy_waits_no_more_for_the_oldest_update() {
+    let mut channel = two_updates();
+    assert_eq!(channel.waiting_lines(2.0, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
+    channel.acknowledge(2.1, ProxyId(0), MarkId(1));
+    assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 3.0 * 10.0 + 10.0 * 5.0);
+}
+
+#[test]
+fn a_newer_update_waits_as_a_whole_behind_an_older_one() {
+    let mut channel = two_updates();
+    (4..10).for_each(|proxy| channel.acknowledge(2.1, ProxyId(proxy), MarkId(2)));
+    assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
+    (0..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), MarkId(1)));
+    assert_eq!(channel.take_acknowledged().len(), 1);
+    assert_eq!(channel.waiting_lines(2.2, STALLED_AFTER), 4.0 * 5.0);
+}
+
+#[test]
+fn an_update_that_stalls_holds_the_next_one_up_no_longer() {
+    let mut channel = two_updates();
+    (1..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), MarkId(2)));
+    (4..10).for_each(|proxy| channel.acknowledge(2.3, ProxyId(proxy), MarkId(2)));
+    assert_eq!(channel.waiting_lines(4.1, STALLED_AFTER), 10.0 + 10.0 * 5.0);
+    assert_eq!(channel.waiting_lines(4.2, STALLED_AFTER), 10.0 + 5.0);
+}
+
+#[test]
+fn a_proxy_whose_stream_broke_counts_in_no_update() {
+    let mut channel = two_updates();
+    channel.acknowledge(2.1, ProxyId(5), MarkId(2));
+    [0, 5].into_iter().for_each(|proxy| channel.remove_proxy(ProxyId(proxy)));
+    assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 3.0 * 10.0 + 8.0 * 5.0);
+}
+
+#[test]
+fn an_unknown_mark_acknowledges_nothing() {
+    let mut channel = two_updates();
+    channel.acknowledge(2.1, ProxyId(0), MarkId(9));
+    assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
+}
+
+#[test]
+fn updates_expire_by_age() {
+    let mut channel = two_updates();
+    channel.expire(21.5, 20.0);
+    assert_eq!(channel.updates().iter().map(|update| update.mark).collect::<Vec<_>>(), [MarkId(2)]);
+}
+
+#[test]
+fn a_slice_that_changed_hands_is_left_out() {
+    let mut channel = Channel::default();
+    let emptied = vec![SliceId(1), SliceId(2)];
+    channel.send(Update { emptied, ..update(1.0, 1, 1.0, 0..1) });
+    channel.forget_slice(SliceId(1));
+    assert_eq!(channel.emptied_slices().into_iter().collect::<Vec<_>>(), [SliceId(2)]);
+}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -78,7 +78,7 @@
 pub struct KindId(pub u16);
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MarkId(pub u16);
 
 /// Whether an operation may run again, and where a repeat is recognised.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! Make a [`Steward`] from a [`Terms`], then call [`Steward::round`] with each [`Round`] and an [`Orders`].
 pub mod brain;
+mod channel;
 pub mod interface;
 mod sums;
 
