--- a/crates/railhub-platform/src/desk.rs
+++ b/crates/railhub-platform/src/desk.rs
@@ -83,6 +83,8 @@
     addresses: BTreeMap<HostId, (SocketAddr, Option<Seconds>)>,
     proxies: BTreeSet<ProxyId>,
     waiting: Waiting,
+    /// When the oldest orders were given that the relay has not taken.
+    pending_since: Option<Seconds>,
     calling: bool,
     pub sums_dropped: u64,
     /// Probes whose host was another by the time they ended.
@@ -115,6 +117,7 @@
             addresses: BTreeMap::new(),
             proxies: BTreeSet::new(),
             waiting: Waiting::new(&assignment.terms),
+            pending_since: None,
             calling: false,
             sums_dropped: 0,
             probes_outrun: 0,
@@ -391,11 +394,16 @@
         let mut round = std::mem::take(&mut self.round);
         round.timers.extend(rung.into_iter().map(|(_, timer)| timer));
         round.now = now;
+        self.pending_since = self.pending_since.filter(|_| self.waiting.count() > 0);
+        round.pending_since = self.pending_since;
         (self.ran_at, self.news) = (now, false);
         let mut draft =
             Draft { waiting: &mut self.waiting, probes: Vec::new(), wakes: Vec::new(), notes: Vec::new() };
         self.steward.round(&round, &mut draft);
         let Draft { probes, wakes, notes, .. } = draft;
+        if self.waiting.count() > 0 {
+            self.pending_since.get_or_insert(now);
+        }
         self.timers.extend(wakes.into_iter().map(|(after, timer)| (now + after, timer)));
         let addresses = &self.addresses;
         let probe = |host: HostId| {
--- a/crates/railhub-platform/tests/desk.rs
+++ b/crates/railhub-platform/tests/desk.rs
@@ -1,5 +1,5 @@
 //! The desk with the real module: what the relay tells, what is ordered, and how calls end.
-use railhub::{ClassId, HostId, ProbeEnd, ProxyId, SecondTry, SliceId};
+use railhub::{ClassId, Confirmed, HostId, MarkId, ProbeEnd, ProxyId, SecondTry, SliceId};
 use railhub_platform::news::{Answer, News, SubscriptionId};
 use railhub_platform::orders::{Call, Order, Waiting};
 use railhub_platform::{Assignment, Desk as Core};
@@ -505,3 +505,39 @@
     }
     assert!(waiting.overflowed, "what was dropped must be asked for anew");
 }
+
+/// The number of the acknowledgement marker that a call bears.
+fn ticket(call: &Call) -> MarkId {
+    let number = text(call).split("\"ticket\":").nth(1).and_then(|rest| rest.split(',').next());
+    MarkId(number.and_then(|number| number.parse().ok()).expect("a ticket"))
+}
+
+#[test]
+fn a_proxy_that_joins_while_a_call_is_out_counts_as_one_that_its_lines_wait_for() {
+    // 35 proxies and a few lines for each: one such message fits into the backlog's limit, two do not.
+    const LATE_PROXIES: std::ops::Range<u16> = 5..35;
+    let mut desk = Desk::new(&assignment());
+    let mut first = vec![given(3), held(3, 1)];
+    first.extend((0..LATE_PROXIES.start).map(joined));
+    stands(&mut desk, START, &first);
+    desk.act(START);
+    let call = desk.next_call().expect("a standby is due");
+    LATE_PROXIES.for_each(|proxy| desk.hear_news(START + 0.01, joined(proxy)));
+    desk.act(START + 0.02);
+    assert!(desk.end_call(Some(Answer::Taken(call.count))).is_none());
+    let drains = FILE
+        .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
+        .replacen("draining", "ready", 1);
+    let known = Assignment::read(&drains.replace("\"generation\": 41", "\"generation\": 42"))
+        .expect("a good file")
+        .known;
+    assert!(desk.hear_page(START + 0.1, &known));
+    desk.act(START + 0.1);
+    assert!(desk.next_call().is_none(), "the first message may wait for all that have joined since");
+    let mark = ticket(&call);
+    for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
+        desk.hear_news(START + 0.9, News::Applied(Confirmed { proxy, mark }));
+    }
+    desk.act(START + 1.1);
+    assert!(desk.next_call().is_some(), "it has left the channel");
+}
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -383,6 +383,10 @@
             if !(change.up && stood) {
                 self.channel.remove_proxy(change.proxy);
             }
+            if let (true, Some(since)) = (change.up, round.pending_since) {
+                self.channel.add_recipient(since, change.proxy);
+                self.unsure = true;
+            }
         }
         round.confirmed.iter().for_each(|confirmed| self.hear_confirmed(now, confirmed));
         self.end_deltas(now);
--- a/src/brain/tests/backlog.rs
+++ b/src/brain/tests/backlog.rs
@@ -27,8 +27,18 @@
     confirmed: Confirmed,
 }
 
+/// A message that the channel takes late.
+struct LateMessage {
+    lines: f64,
+    mark: MarkId,
+}
+
 struct ModelChannel {
     random: ChaCha8Rng,
+    late: Vec<LateMessage>,
+    /// When the first of them was ordered, and when all are taken.
+    late_since: Option<Seconds>,
+    taken_at: Seconds,
     entries: VecDeque<Entry>,
     acknowledgements: Vec<Acknowledgement>,
     pace: f64,
@@ -41,6 +51,9 @@
     fn new(seed: u64) -> ModelChannel {
         ModelChannel {
             random: ChaCha8Rng::seed_from_u64(seed),
+            late: Vec::new(),
+            late_since: None,
+            taken_at: 0.0,
             entries: VecDeque::new(),
             acknowledgements: Vec::new(),
             pace: PACE,
@@ -49,6 +62,28 @@
         }
     }
 
+    /// Takes a message now or, as where the way to the channel is broken, up to a second later.
+    fn order(&mut self, now: Seconds, lines: f64, mark: MarkId) {
+        if self.late_since.is_none() && self.random.random_bool(0.1) {
+            self.late_since = Some(now);
+            self.taken_at = now + self.random.random_range(0.2..1.0);
+        }
+        if self.late_since.is_some() {
+            self.late.push(LateMessage { lines, mark });
+        } else {
+            self.send(now, lines, mark);
+        }
+    }
+
+    fn take_late(&mut self, now: Seconds) {
+        if self.late_since.is_some() && self.taken_at <= now {
+            self.late_since = None;
+            for message in std::mem::take(&mut self.late) {
+                self.send(now, message.lines, message.mark);
+            }
+        }
+    }
+
     /// A message for each connected proxy; a proxy receives its messages in order.
     fn send(&mut self, now: Seconds, lines: f64, mark: MarkId) {
         for proxy in self.connected.clone() {
@@ -122,15 +157,21 @@
             channel.connected.insert(proxy);
             streams.push(StreamChange { proxy, up: true, first: true });
         }
+        channel.take_late(now);
+        most = most.max(channel.waiting(now) / LIMIT);
         shuffle_owners(&mut steward, &mut random);
+        let pending_since = channel.late_since;
         let timers = if step % 10 == 0 { vec![TimerId(0)] } else { Vec::new() };
         let confirmed = channel.take_acknowledgements(now);
         let mut written = Written::default();
-        steward.round(&Round { now, streams, timers, confirmed, ..Round::default() }, &mut written);
+        steward.round(
+            &Round { now, streams, timers, confirmed, pending_since, ..Round::default() },
+            &mut written,
+        );
         if let Some(mark) = written.marks.last() {
             let orders =
                 written.lines.len() + written.shut.len() + written.levels.len() + written.marks.len();
-            channel.send(now, steward.terms.message_cost + orders as f64, *mark);
+            channel.order(now, steward.terms.message_cost + orders as f64, *mark);
             most = most.max(channel.waiting(now) / LIMIT);
             written_lines += written.lines.len();
         }
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -54,6 +54,14 @@
         }
     }
 
+    /// A proxy connected while updates sent at `since` or later had not been taken: it may be sent them too.
+    pub fn add_recipient(&mut self, since: Seconds, proxy: ProxyId) {
+        for update in self.updates.iter_mut().filter(|update| update.sent_at >= since) {
+            update.recipients.insert(proxy);
+            update.awaited.insert(proxy);
+        }
+    }
+
     /// The stream of a proxy broke: what was on its way to it is lost and waits no more.
     pub fn remove_proxy(&mut self, proxy: ProxyId) {
         for update in &mut self.updates {
--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -54,6 +54,16 @@
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 3.0 * 10.0 + 8.0 * 5.0);
 }
 
+#[test]
+fn a_proxy_that_connects_before_an_update_is_taken_counts_in_it() {
+    let mut channel = two_updates();
+    channel.add_recipient(2.0, ProxyId(10));
+    assert_eq!(channel.waiting_lines(2.0, STALLED_AFTER), 4.0 * 10.0 + 11.0 * 5.0);
+    channel.acknowledge(2.1, ProxyId(10), MarkId(2));
+    channel.remove_proxy(ProxyId(10));
+    assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
+}
+
 #[test]
 fn an_unknown_mark_acknowledges_nothing() {
     let mut channel = two_updates();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -235,6 +235,8 @@
     pub probes: Vec<ProbeResult>,
     pub confirmed: Vec<Confirmed>,
     pub timers: Vec<TimerId>,
+    /// When the oldest orders were given that the channel has not taken yet: a proxy that connects may get them too.
+    pub pending_since: Option<Seconds>,
 }
 
 /// When proxies try an operation again.
