--- a/src/brain.rs
+++ b/src/brain.rs
@@ -95,8 +95,8 @@
 /// full backlog takes some two seconds, on a channel at an eighth of its pace under this.
 const MARK_LOST: Seconds = 20.0;
 /// Seconds without an acknowledgement of the oldest update after which it has left the channel: longer than the
-/// largest part of one proxy, or the gap that lost ones leave, takes on a channel at an eighth of its pace.
-const STALLED: Seconds = 5.0;
+/// gap between two proxies where most were lost, half of a full backlog on a channel at an eighth of its pace.
+const STALLED: Seconds = 8.0;
 /// Share of the backlog limit that deltas may fill, and ordinary ones: what is urgent must not wait long.
 const BACKLOG_USE: f64 = 0.9;
 const ORDINARY_USE: f64 = 0.75;
