--- /dev/null
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -0,0 +1,83 @@
+use super::*;
+use proptest::prelude::*;
+
+fn longest() -> Entry {
+    let card = Card {
+        address: Some("[1111:2222:3333:4444:5555:6666:7777:8888]:65535".parse().expect("an address")),
+        program: "9".repeat(PROGRAM_MOST),
+        protocol: u32::MAX,
+        settings: u64::MAX,
+        drains: true,
+        no_store: true,
+    };
+    let life = Life { process: u64::MAX - 1, count: u64::MAX - 1 };
+    let by = Some(StewardId(u16::MAX));
+    Entry { about: StewardId(u16::MAX), life, standing: Standing::Alive, card, by }
+}
+
+fn message(ask: Ask, news: usize) -> Packet {
+    let load = Load { slices: u32::MAX, proxies: u32::MAX, busy: 1.0 };
+    let (news, names) = (vec![longest(); news], Some(StewardId(u16::MAX)));
+    let (from, max) = (longest(), u64::MAX);
+    Packet::Words(Box::new(Message { from, turn: max, load, number: max, ask, news, names, digest: max }))
+}
+
+#[test]
+fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
+    let ids = vec![StewardId(u16::MAX); LINES_MOST];
+    let line = Line { about: ids[0], life: longest().life, standing: Standing::Dead };
+    let lines = vec![line; LINES_MOST];
+    let compare = Ask::Compare { from: StewardId(0), to: StewardId(u16::MAX), lines };
+    let shown =
+        Shown { entry: longest(), load: Load::default(), stands_for: 1e9, heard_ago: 1.0, withdrawn: true };
+    let view = View {
+        nonce: u64::MAX,
+        viewer: ids[0],
+        process: u64::MAX,
+        digest: u64::MAX,
+        lines: vec![shown; SHOWN_MOST],
+        next: Some(ids[0]),
+        dropped: u64::MAX,
+        yielded: true,
+    };
+    let all = [
+        message(Ask::Want(ids), NEWS_MOST),
+        message(compare, 0),
+        Packet::Look { nonce: 7, from: StewardId(9) },
+        Packet::Drain { steward: StewardId(3), process: 12 },
+        Packet::View(Box::new(view)),
+    ];
+    for packet in all {
+        let bytes = encode(&"n".repeat(NAME_MOST), &packet);
+        assert!(bytes.len() <= BYTES_MOST, "{} bytes: {packet:?}", bytes.len());
+        assert_eq!(decode(&"n".repeat(NAME_MOST), &bytes), Ok(packet));
+    }
+}
+
+#[test]
+fn what_is_foreign_older_spoilt_or_oversized_is_told_apart() {
+    let bytes = encode("here", &message(Ask::Probe, 1));
+    assert_eq!(decode("there", &bytes), Err(Fault::Foreign));
+    assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(Fault::Spoilt));
+    assert_eq!(decode("here", &[0; BYTES_MOST + 1]), Err(Fault::Oversized));
+    let mut older = bytes.clone();
+    older[3] = 0;
+    assert_eq!(decode("here", &older), Err(Fault::Version));
+    let mut spoilt = bytes;
+    let last = spoilt.len() - 1;
+    spoilt[last] ^= 1;
+    assert_eq!(decode("here", &spoilt), Err(Fault::Spoilt));
+}
+
+proptest! {
+    #[test]
+    fn no_bytes_make_the_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        let mut rest = vec![1, b'x'];
+        rest.extend(&bytes);
+        let mut framed = MAGIC.to_vec();
+        framed.push(VERSION);
+        framed.extend(crc32fast::hash(&rest).to_be_bytes());
+        framed.extend(rest);
+        let _ = (decode("x", &bytes), decode("x", &framed));
+    }
+}
--- /dev/null
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -0,0 +1,72 @@
+use super::*;
+use proptest::prelude::*;
+
+fn word(about: u16, process: u64, count: u64, standing: usize) -> Entry {
+    let standing = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead][standing % 4];
+    let card = Card { settings: process * 100 + count, ..Card::default() };
+    let entry = Entry::alive(StewardId(about), process, card);
+    Entry { life: Life { process, count }, standing, ..entry }
+}
+
+fn table() -> Table {
+    Table::new(Entry::alive(StewardId(0), 1, Card::default()), None)
+}
+
+proptest! {
+    #[test]
+    fn any_order_and_any_repetition_of_the_same_words_ends_in_the_same_table(
+        words in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
+        order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
+    ) {
+        let words: Vec<Entry> = words.into_iter().map(|(a, p, c, s)| word(a, p, c, s)).collect();
+        let (mut straight, mut mixed) = (table(), table());
+        words.iter().for_each(|word| _ = straight.learn(word, false));
+        order.iter().for_each(|index| _ = mixed.learn(&words[index.index(words.len())], false));
+        words.iter().rev().for_each(|word| _ = mixed.learn(word, false));
+        prop_assert!(straight.others().eq(mixed.others()));
+        prop_assert_eq!(straight.digest(), mixed.digest());
+    }
+
+    #[test]
+    fn comparing_both_ways_ends_in_the_same_views(
+        ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
+        theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
+    ) {
+        let (mut a, mut b) = (table(), Table::new(Entry::alive(StewardId(9), 1, Card::default()), None));
+        ours.into_iter().for_each(|(id, p, c, s)| _ = a.learn(&word(id, p, c, s), false));
+        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.learn(&word(id, p, c, s), false));
+        for _ in 0..4 {
+            let (lines, to, _) = a.page(StewardId(0));
+            let (better, want) = b.compare(StewardId(0), to, &lines);
+            better.iter().for_each(|word| _ = a.learn(word, false));
+            want.iter().for_each(|id| _ = b.learn(&a.get(*id).cloned().expect("listed"), false));
+        }
+        prop_assert_eq!(a.digest(), b.digest());
+    }
+}
+
+#[test]
+fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
+    let mut table = table();
+    table.learn(&word(1, 5, 0, 3), false);
+    table.forget(StewardId(1));
+    assert_eq!(table.learn(&word(1, 5, 7, 0), false), Learnt::Old);
+    assert_eq!(table.answer_to_old(&word(1, 5, 7, 0)).standing, Standing::Forgotten);
+    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), Learnt::News { was: None, .. }));
+}
+
+#[test]
+fn one_that_was_forgotten_takes_a_higher_process_number() {
+    let mut table = table();
+    let forgotten = Entry { standing: Standing::Forgotten, ..table.me().clone() };
+    assert_eq!(table.learn(&forgotten, false), Learnt::Refuted);
+    assert_eq!(table.me().life, Life { process: 2, count: 0 });
+}
+
+#[test]
+fn a_crowd_of_stewards_fills_the_table_and_no_more() {
+    let mut table = table();
+    (1..=STEWARDS_MOST as u16).for_each(|id| _ = table.learn(&word(id, 1, 0, 0), false));
+    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), Learnt::Full);
+    assert_eq!(table.others().count(), STEWARDS_MOST);
+}
