--- /dev/null
+++ b/crates/railhub-steward/src/intake/tests.rs
@@ -0,0 +1,57 @@
+use super::*;
+use railhub_proto::HostSum;
+
+fn sums(span: f64, tries: u32) -> Sums {
+    let host = "127.0.0.1:8000".to_owned();
+    let hosts = vec![HostSum { host, tries, failed: 0, good_time: 0.1 * f64::from(tries), busy: None }];
+    Sums { span, hosts, demand: vec![SliceSum { slice: 3, class: 0, operations: tries }] }
+}
+
+#[test]
+fn rates_hold_when_reports_come_late_and_in_heaps() {
+    // Ten proxies of 5 tries a second each; for a while nothing comes, then all at once.
+    let mut intake = Intake::default();
+    let (mut operations, mut span) = (0.0, 0.0);
+    for second in 0..30 {
+        let reports = if (10..14).contains(&second) { 0 } else { 10 };
+        let held = if second == 14 { 5.0 } else { 1.0 };
+        for _ in 0..reports {
+            intake.add(ZoneId(0), &sums(held, (5.0 * held) as u32), 10);
+        }
+        for sum in intake.flush(1.0, 100.0).1 {
+            operations += sum.operations;
+            span += sum.span;
+        }
+    }
+    let rate = operations / span;
+    assert!((45.0..70.0).contains(&rate), "{rate}");
+    assert_eq!(operations, 1500.0);
+}
+
+#[test]
+fn past_the_limit_the_oldest_go_first_and_nothing_is_lost() {
+    let mut intake = Intake::default();
+    for slice in 0..50u32 {
+        let demand = vec![SliceSum { slice, class: 0, operations: 2 }];
+        intake.add(ZoneId(0), &Sums { span: 1.0, hosts: vec![], demand }, 1);
+        if slice == 24 {
+            assert!(intake.flush(0.0, 10.0).1.is_empty());
+        }
+    }
+    let first: Vec<u16> = intake.flush(1.0, 10.0).1.iter().map(|sum| sum.slice.0).collect();
+    assert_eq!(first, (0..10).collect::<Vec<_>>());
+    let rest: f64 = (0..10).flat_map(|_| intake.flush(1.0, 10.0).1).map(|sum| sum.operations).sum();
+    assert_eq!(rest, 80.0);
+}
+
+#[test]
+fn what_cannot_be_is_not_believed() {
+    assert!(fault(&sums(1.0, 3)).is_none());
+    assert!(fault(&sums(-1.0, 3)).is_some() && fault(&sums(f64::NAN, 3)).is_some());
+    let mut lies = sums(1.0, 3);
+    lies.hosts[0].failed = 4;
+    assert!(fault(&lies).is_some());
+    let mut wraps = sums(1.0, 3);
+    wraps.demand[0].class = 256;
+    assert!(fault(&wraps).is_some());
+}
--- a/crates/railhub-steward/src/leases.rs
+++ b/crates/railhub-steward/src/leases.rs
@@ -38,24 +38,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// What was decided under a lease must not be written when that is over, or when the slice came back under another.
-    #[test]
-    fn what_is_written_goes_by_the_lease_of_that_moment() {
-        let clock = LeaseClock { speed: 1.0, jumps_after: 0.0, jumps_by: 0.0, began: 0.0 };
-        let (book, now) = (LeaseBook::new(clock, false), clock.now());
-        let epochs = |epoch| BTreeMap::from([(SliceId(4), epoch)]);
-        assert_eq!(book.over(&epochs(2)), BTreeSet::from([SliceId(4)]), "never held");
-        let mut leases = Leases::new(60.0);
-        leases.granted(now, now, &[(4, Epoch(2))]);
-        book.note(&leases);
-        assert!(book.over(&epochs(2)).is_empty());
-        assert_eq!(book.over(&epochs(1)), BTreeSet::from([SliceId(4)]), "decided under an older one");
-        // Nobody notes anything while the process stands still: the clock alone ends it.
-        let later = LeaseBook::new(LeaseClock { jumps_by: 55.0, ..clock }, false);
-        later.note(&leases);
-        assert_eq!(later.over(&epochs(2)), BTreeSet::from([SliceId(4)]));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/railhub-steward/src/standing/tests.rs
@@ -0,0 +1,43 @@
+use super::*;
+use railhub::{KindId, Listed};
+
+fn host(n: u16) -> HostId {
+    HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
+}
+
+fn list(phases: &[(u16, Phase)]) -> HostList {
+    let entry = |(n, phase): &(u16, Phase)| Listed {
+        host: host(*n),
+        phase: *phase,
+        started: None,
+        weight: 1.0,
+        kind: KindId::default(),
+    };
+    HostList { whole: false, entries: phases.iter().map(entry).collect() }
+}
+
+#[test]
+fn a_host_that_drains_is_left_once_and_let_in_when_the_slice_is_settled() {
+    let (mut standing, said) = (Standing::default(), BTreeSet::new());
+    standing.hear(&list(&[(1, Phase::Ready), (2, Phase::Ready)]));
+    standing.stands(SliceId(4), vec![host(1), host(2)]);
+    assert!(standing.words(true, &said).is_empty());
+    standing.hear(&list(&[(1, Phase::Draining)]));
+    assert_eq!(standing.words(true, &said), BTreeMap::from([(host(1), true)]));
+    assert!(standing.words(true, &said).is_empty() && standing.holds(&host(1)));
+    standing.is_settled(SliceId(4));
+    assert_eq!(standing.words(true, &said), BTreeMap::from([(host(1), false)]));
+}
+
+#[test]
+fn of_two_that_drain_the_first_is_left_and_the_last_of_a_slice_is_not() {
+    let (mut standing, said) = (Standing::default(), BTreeSet::new());
+    standing.hear(&list(&[(1, Phase::Draining), (2, Phase::Ready), (3, Phase::Ready)]));
+    standing.stands(SliceId(1), vec![host(1), host(2)]);
+    standing.stands(SliceId(2), vec![host(1), host(3)]);
+    assert_eq!(standing.words(true, &said), BTreeMap::from([(host(1), true)]));
+    standing.hear(&list(&[(2, Phase::Draining)]));
+    assert!(standing.words(true, &said).is_empty(), "slice 1 would have none, and the first stays out");
+    standing.is_settled(SliceId(1));
+    assert!(standing.words(true, &said).is_empty() && standing.holds(&host(1)));
+}
--- /dev/null
+++ b/crates/railhub-steward/src/store/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+
+fn told(state: serde_json::Value, age: f64) -> Option<(SliceState, Seconds)> {
+    StoredTable { state: Some(state), age, ..StoredTable::empty(3) }.gained(7).state
+}
+
+#[test]
+fn what_cannot_be_believed_of_a_slice_is_left_out() {
+    let good =
+        serde_json::json!({ "version": 1, "rate": 12.5, "rests": 2.0, "home": "127.0.0.1:80", "new": 1 });
+    assert_eq!(told(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
+    let spoilt = |key: &str, value: serde_json::Value| {
+        let mut state = good.clone();
+        state[key] = value;
+        told(state, 0.5)
+    };
+    for (key, value) in [
+        ("version", serde_json::json!(2)),
+        ("rate", serde_json::json!(-1.0)),
+        ("rate", serde_json::json!("much")),
+        ("rests", serde_json::json!(1e9)),
+        ("home", serde_json::json!("")),
+    ] {
+        assert!(spoilt(key, value.clone()).is_none(), "{key} {value}");
+    }
+    assert!(told(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
+    assert!(told(good, -3.0).is_none(), "from the future");
+}
