--- a/crates/railhub-experiment/src/predict.rs
+++ b/crates/railhub-experiment/src/predict.rs
@@ -72,22 +72,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::path::Path;
-
-    /// Predictions from some lucks hold others as often as they say.
-    #[test]
-    fn one_more_run_lies_within_as_often_as_said() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
-        let day = Day::open(&path).expect("a good script");
-        let mut held = 0;
-        for seed in 1..=60 {
-            let day = Day { seed, ..day.clone() };
-            let within = predict(&day, &Policy::Steward, Physics::default(), RUNS).expect("it runs").service;
-            let other = one(&day, &Policy::Steward, Physics::default(), 1000).expect("it runs").0;
-            held += usize::from((within.low..=within.high).contains(&other));
-        }
-        assert!((48..=60).contains(&held), "{held} of 60");
-    }
-}
+mod tests;
