--- /dev/null
+++ b/crates/railhub-versions/src/process/tests.rs
@@ -0,0 +1,55 @@
+use super::*;
+
+/// What becomes of a version that is such a program.
+fn fault_of(name: &str, script: &str) -> Option<Fault> {
+    use std::os::unix::fs::PermissionsExt;
+    let path = std::env::temp_dir().join(format!("railhub-version-{}-{name}", std::process::id()));
+    std::fs::write(&path, format!("#!/bin/sh\n{script}\n")).expect("writable");
+    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("ours");
+    let (mut version, fault) = Version::start(&path, &Terms::default(), 1).expect("it starts");
+    let mut draft = Draft::default();
+    version.round(&Round::default(), &mut draft);
+    version.round(&Round::default(), &mut draft);
+    std::fs::remove_file(&path).expect("there");
+    assert!(draft.wakes.is_empty() || fault.lock().expect("held by none").is_none());
+    let fault = fault.lock().expect("held by none").clone();
+    fault
+}
+
+#[test]
+fn a_version_that_ends_talks_nonsense_or_gives_up_is_a_fault_and_decides_nothing() {
+    let answers = "while read line; do case $line in OVER*) echo DONE;; esac; done";
+    assert_eq!(fault_of("good", answers), None);
+    let what = |name, script| fault_of(name, script).expect("a fault").what;
+    assert!(["ended"].contains(&what("ends", "read line; read line; read line; read line; exit 0").as_str()));
+    assert!(
+        what("nonsense", "echo AFTER in_us=1 ref=2; echo hello there; cat > /dev/null").contains("'hello'")
+    );
+    assert!(
+        what("dies", "echo DIE words=no such field; cat > /dev/null").contains("gave up: DIE words=no such")
+    );
+}
+
+/// More than a pipe holds, to one that never reads.
+#[test]
+fn a_version_that_does_not_read_is_given_up_and_holds_nobody_up() {
+    let patience = Duration::from_millis(300);
+    let (mut version, fault) =
+        Version::start_with(Path::new("/usr/bin/yes"), &Terms::default(), 1, patience).expect("it starts");
+    let round = Round { timers: vec![railhub::TimerId(u64::MAX); 100_000], ..Round::default() };
+    let began = Instant::now();
+    version.round(&round, &mut Draft::default());
+    drop(version);
+    assert!(began.elapsed() < Duration::from_secs(10));
+    assert!(fault.lock().expect("held by none").is_some());
+    let (mut version, fault) =
+        Version::start_with(Path::new("/bin/sleep"), &Terms::default(), 1, patience).expect("it starts");
+    version.round(&round, &mut Draft::default());
+    assert!(fault.lock().expect("held by none").is_some(), "it ends at once: no time is named");
+}
+
+#[test]
+fn a_program_that_is_not_there_is_named() {
+    let fault = Version::start(Path::new("/nowhere/at-all"), &Terms::default(), 1).err().expect("a fault");
+    assert!(fault.to_string().starts_with("the version /nowhere/at-all: cannot be started"), "{fault}");
+}
--- /dev/null
+++ b/crates/railhub-versions/src/wire/tests.rs
@@ -0,0 +1,71 @@
+use super::*;
+use proptest::prelude::*;
+use railhub::{HostList, KindId, Listed, TrySum, ZoneId};
+
+#[test]
+fn a_round_is_written_line_by_line() {
+    let host = HostId::new("10.0.0.1:80").expect("a name");
+    let listed = Listed { host, kind: KindId(2), phase: Phase::Ready, started: Some(1.5), weight: 4.0 };
+    let sum = TrySum {
+        zone: ZoneId(1),
+        host,
+        tries: 14.0,
+        failed: 1.0,
+        mean_time: 0.04825,
+        span: 1.0,
+        busy: Some(0.5),
+    };
+    let round = Round {
+        now: 2.0,
+        lists: vec![HostList { whole: true, entries: vec![listed] }],
+        tries: vec![sum],
+        timers: vec![TimerId(7)],
+        ..Round::default()
+    };
+    let lines = [
+        "FRAME wall_us=2000000",
+        "AT i=0",
+        "ENDPOINTS rev=0 how=total records=1",
+        "ITEM phase=active last_start_us=1500000 w=4 host=10.0.0.1:80 stripe=0 zone=zone-0 flavor=kind-2",
+        "HEARD zone=zone-1 host=10.0.0.1:80 total=14 failed=1 rtt_us=48250 over_us=1000000 server_stats=0.5",
+        "BELL ref=7",
+        "OVER_TO_YOU",
+    ];
+    assert_eq!(batch(&round, None).lines().collect::<Vec<_>>(), lines);
+}
+
+#[test]
+fn orders_are_read_and_those_unknown_here_are_refused() {
+    let mut draft = Draft::default();
+    let mut read = |line: &str| take_in(line, 2, &mut draft);
+    assert_eq!(read("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(false));
+    assert_eq!(read("THROTTLE sheet=65535 only=2 amount=0.75 second_try=2"), Ok(false));
+    assert_eq!(read("AFTER in_us=500000 ref=9\r"), Ok(false));
+    assert_eq!(read("AFTER in_us=0 ref=9"), Ok(false));
+    assert_eq!(read("TRACE words=two hosts known"), Ok(false));
+    assert_eq!(read("DONE"), Ok(true));
+    for bad in [
+        "SET_LINE sheet=1 host=10.0.0.1:80 w=NaN",
+        "SET_LINE sheet=70000 host=10.0.0.1:80 w=1",
+        "SET_LINE sheet=1 w=1",
+        "THROTTLE sheet=3 only=2 amount=0.75 second_try=2",
+        "THROTTLE sheet=65535 only=0 amount=1 second_try=3",
+        "HAND_TABLE sheet=0 only=1 edge=4",
+        "EMPTY sheet=4",
+        "DIE words=no",
+    ] {
+        assert!(read(bad).is_err(), "{bad}");
+    }
+    assert_eq!(draft.change.lines.len(), 1);
+    assert_eq!(draft.change.levels.len(), 1);
+    assert_eq!(draft.wakes, [(0.5, TimerId(9)), (TICK_US as f64 / 1e6, TimerId(9))]);
+    assert_eq!(draft.notes, ["two hosts known"]);
+}
+
+proptest! {
+    /// What a broken version writes is an error or an order, never a panic.
+    #[test]
+    fn no_line_of_a_reply_can_bring_us_down(line in "(SET_LINE|THROTTLE|AFTER|BENCH|BARRIER|HAND_TABLE)?( [a-z_]{1,9}=[-0-9a-zA-Z.:]{0,24}){0,5}") {
+        let _ = take_in(&line, 64, &mut Draft::default());
+    }
+}
