--- /dev/null
+++ b/crates/railhub-adapter/src/host/tests.rs
@@ -0,0 +1,123 @@
+use super::*;
+
+const CREATE: &str = "CREATE seed=7 ceilings.probes=true family_info.backlog=1000.0 \
+    family_info.envelope=8.0 family_info.exclusive=false family_info.first_wait=1.0 \
+    family_info.key_ranges=4 family_info.messages_over_us=10000000 \
+    family_info.throttle_by=share family_info.update_cap=20 request_classes.count=1 \
+    request_classes.0.aim_us=800000 request_classes.0.effect=repeatable request_classes.0.name=view \
+    request_classes.0.worth=1.0 rules.cold_from=0.2 rules.fall_multiple=2.5 \
+    rules.warm_within_us=10000000 telemetry.names=rif,busy zones=a,b tick_us=4000 unheard.of=1";
+const LIST: &str = "ENDPOINTS rev=1 how=warm_copy records=2\n\
+    ITEM phase=active w=4 host=10.0.0.1:80 stripe=0 zone=a flavor=x\n\
+    ITEM phase=active last_start_us=5 w=1.5 host=10.0.0.2:80 stripe=0 zone=b flavor=y";
+
+fn feed(machine: &mut Machine, text: &str) -> Result<String, String> {
+    let mut reply = None;
+    for line in text.lines() {
+        reply = machine.feed(line)?.or(reply);
+    }
+    Ok(reply.unwrap_or_default())
+}
+
+fn started() -> Machine {
+    let mut machine = Machine::default();
+    let first = format!("FRAME wall_us=1000000\nAT i=3\n{CREATE}\n{LIST}\nOVER_TO_YOU");
+    let reply = feed(&mut machine, &first).expect("a valid batch");
+    assert!(reply.starts_with("SPEAKING i=3\n") && reply.ends_with("DONE\n"), "{reply}");
+    machine
+}
+
+fn fault(text: &str) -> String {
+    feed(&mut started(), &format!("FRAME wall_us=2000000\nAT i=3\n{text}\nOVER_TO_YOU")).expect_err("a fault")
+}
+
+#[test]
+fn an_empty_batch_gets_an_empty_reply() {
+    let reply = feed(&mut Machine::default(), "FRAME wall_us=1\nOVER_TO_YOU");
+    assert_eq!(reply.as_deref(), Ok("DONE\n"));
+}
+
+#[test]
+fn every_event_is_read() {
+    let mut machine = started();
+    let text = "AT i=3\nFRAMED x=1\nBELL ref=77\nHEALTH code=304 rtt_us=5 host=10.0.0.1:80\n\
+        SUBSCRIBED edge=41 zone=a w=6.5 on=1\nSTREAM_DOWN edge=40\n\
+        HEARD zone=b host=10.0.0.2:80 total=14 failed=1 rtt_us=48250 over_us=1000000 server_stats=7,0.5\n\
+        TENURE sheet=2 on=1\nSTORED_LINE sheet=2 host=10.0.0.1:80 w=0.75\n\
+        HOTNESS sheet=2 cls=view total=9 failed=0 over_us=2000000\nCONFIRMED edge=41 rev=1 rtt_us=5";
+    feed(&mut machine, text).expect("readable");
+    let round = &machine.instances[&3].round;
+    assert_eq!(round.timers, [TimerId(77)]);
+    assert_eq!(round.probes[0].end, ProbeEnd::Unreachable);
+    assert_eq!(
+        round.streams.iter().map(|s| (s.proxy.0, s.up)).collect::<Vec<_>>(),
+        [(41, true), (40, false)]
+    );
+    let sum = &round.tries[0];
+    assert_eq!((sum.zone, sum.tries, sum.failed, sum.mean_time), (ZoneId(1), 14.0, 1.0, 0.04825));
+    assert_eq!((sum.span, sum.busy), (1.0, Some(0.5)));
+    assert_eq!((round.charges[0].slice, round.charges[0].lines[0].1), (SliceId(2), 0.75));
+    assert_eq!((round.demand[0].operations, round.demand[0].span), (9.0, 2.0));
+    assert_eq!((round.confirmed[0].proxy, round.confirmed[0].mark), (ProxyId(41), MarkId(1)));
+}
+
+#[test]
+fn every_decision_is_written() {
+    let mut writer = Writer { out: String::new() };
+    let host = HostId::new("10.0.0.1:80").expect("a name");
+    writer.set_line(SliceId(1), host, 0.5);
+    writer.hand_table(SliceId(0), ProxyId(4));
+    writer.set_level(ClassId(1), 0.75, SecondTry::AfterFailure);
+    writer.shut_out(host, true);
+    writer.mark(MarkId(65535));
+    writer.probe(host);
+    writer.wake(0.5, TimerId(9));
+    writer.note("two hosts known");
+    let lines = [
+        "SET_LINE sheet=1 host=10.0.0.1:80 w=0.5",
+        "HAND_TABLE sheet=0 only=0 edge=4",
+        "THROTTLE sheet=65535 only=2 amount=0.75 second_try=2",
+        "BENCH host=10.0.0.1:80 on=1",
+        "BARRIER rev=65535 on=1",
+        "INSPECT host=10.0.0.1:80",
+        "AFTER in_us=500000 ref=9",
+        "TRACE words=two hosts known",
+    ];
+    assert_eq!(writer.out.lines().collect::<Vec<_>>(), lines);
+}
+
+#[test]
+fn interleaved_instances_do_not_touch_each_other() {
+    let mut both = started();
+    let other = format!("FRAME wall_us=1000000\nAT i=5\n{CREATE}\n{LIST}\nOVER_TO_YOU");
+    feed(&mut both, &other).expect("a valid batch");
+    let news = "TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=1";
+    let gone = "ENDPOINTS rev=2 how=incr records=1\nITEM phase=left host=10.0.0.1:80";
+    let batch =
+        format!("FRAME wall_us=2000000\nAT i=3\n{news}\nAT i=5\n{gone}\nAT i=3\nBELL ref=0\nOVER_TO_YOU");
+    let together = feed(&mut both, &batch).expect("a valid batch");
+    let alone = format!("FRAME wall_us=2000000\nAT i=3\n{news}\nBELL ref=0\nOVER_TO_YOU");
+    let alone = feed(&mut started(), &alone).expect("a valid batch");
+    assert!(together.starts_with(alone.trim_end_matches("DONE\n")), "{together} against {alone}");
+}
+
+#[test]
+fn faults_name_the_line_and_the_field() {
+    assert!(fault("BELL ref=x").ends_with("(BELL): field ref cannot be 'x'"));
+    assert!(fault("HEALTH host=10.0.0.1:80").ends_with("(HEALTH): field code is missing"));
+    assert!(fault("STREAM_DOWN edge").contains("'edge' is not name=value"));
+    assert!(fault("TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=NaN").contains("field w"));
+}
+
+#[test]
+fn a_missing_setting_is_refused_by_name() {
+    let batch = format!("AT i=3\n{}", CREATE.replace("rules.cold_from=0.2 ", ""));
+    let fault = feed(&mut Machine::default(), &batch).expect_err("a fault");
+    assert!(fault.contains("field rules.cold_from is missing"), "{fault}");
+}
+
+#[test]
+fn events_for_a_dead_instance_are_skipped() {
+    let text = format!("FRAME wall_us=2000000\nAT i=3\nDETACH\n{LIST}\nBELL ref=0\nOVER_TO_YOU");
+    assert_eq!(feed(&mut started(), &text).as_deref(), Ok("DONE\n"));
+}
