--- /dev/null
+++ b/crates/railhub-platform/src/desk/tests.rs
@@ -0,0 +1,71 @@
+use super::*;
+
+const NONE: SubscriptionId = SubscriptionId { file: 0, count: 0 };
+
+fn desk() -> Desk {
+    Desk::new(&Assignment::read(include_str!("../../tests/assignment.json")).expect("a good file"))
+}
+
+#[test]
+fn a_proxy_that_left_just_before_a_new_subscription_is_told_to_have_left() {
+    let mut desk = desk();
+    let (proxy, now) = (ProxyId(5), 1.0);
+    desk.hear_news(now, NONE, News::Joined { proxy, first: true });
+    desk.hear_news(now, NONE, News::Left(proxy));
+    let first = SubscriptionId { file: 0, count: 1 };
+    [News::Subscribed, News::Ping].into_iter().for_each(|news| desk.hear_news(now, first, news));
+    assert!(desk.round.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
+}
+
+#[test]
+fn lists_that_wait_for_the_relay_are_one_list_of_each_host_once() {
+    let mut desk = desk();
+    let names = desk.names.clone();
+    for generation in 42..500 {
+        let (old, new) = (generation - 1, generation);
+        let page = format!(
+            "{{\"generation\":{generation},\"reset\":false,\"instances\":[\
+             {{\"instanceId\":\"n-{old}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"gone\",\"weight\":1}},\
+             {{\"instanceId\":\"n-{new}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"ready\",\"weight\":1}}]}}"
+        );
+        assert!(desk.hear_page(1.0, &crate::discovery::read(page.as_bytes(), &names).expect("a page")));
+    }
+    let [list] = desk.round.lists.as_slice() else { panic!("one list") };
+    let hosts: Vec<&str> = list.entries.iter().map(|entry| entry.host.name()).collect();
+    assert_eq!((list.whole, hosts), (true, vec!["s-1", "s-2", "n-499"]));
+}
+
+#[test]
+fn a_single_owners_table_never_has_two_lines_in_what_is_believed() {
+    let file = include_str!("../../tests/assignment.json").replace(
+        "\"exclusive\": false",
+        "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
+    );
+    let mut desk = Desk::new(&Assignment::read(&file).expect("a good file"));
+    let slice = SliceId(3);
+    desk.hear_news(1.0, NONE, News::Given { slice, on: true });
+    for name in ["s-1", "s-2"] {
+        desk.hear_news(
+            1.0,
+            NONE,
+            News::Held { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
+        );
+    }
+    assert_eq!(desk.charges[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
+    desk.waiting.push(Order::Line(slice, HostId::new("s-9").expect("a name"), 1.0));
+    let settled = desk.waiting.settled(slice, &desk.charges[0].lines);
+    assert_eq!(settled, [(HostId::new("s-9").expect("a name"), 1.0)]);
+}
+
+#[test]
+fn a_line_joins_the_latest_word_on_its_slice() {
+    let mut desk = desk();
+    let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
+    desk.round.charges.push(Charge { slice, given: true, lines: Vec::new() });
+    desk.hear_news(1.0, NONE, News::Given { slice, on: false });
+    desk.hear_news(1.0, NONE, News::Held { slice, host, weight: 1.0 });
+    assert!(desk.charges[0].lines.is_empty() && desk.round.charges[0].lines.is_empty());
+    desk.hear_news(1.0, NONE, News::Given { slice, on: true });
+    desk.hear_news(1.0, NONE, News::Held { slice, host, weight: 1.0 });
+    assert_eq!(desk.charges[1].lines, [(host, 1.0)]);
+}
