--- a/crates/railhub-chaos/src/explore_leases.rs
+++ b/crates/railhub-chaos/src/explore_leases.rs
@@ -9,7 +9,7 @@
 use crate::explore::{Counterexample, Explored};
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::{Fence, Leases};
-use railhub_membership::office::StoreAsk;
+use railhub_membership::lease_manager::StoreAsk;
 use railhub_membership::Epoch;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -1,10 +1,10 @@
-//! Plays a run: stewards with offices and clocks of their own, a store, proxies that fence, and messages that take
+//! Plays a run: stewards with lease managers and clocks of their own, a store, proxies that fence, and messages that take
 //! their time.
 use crate::agenda::Agenda;
 use crate::faults::{Chaos, Fault, What};
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::Fence;
-use railhub_membership::office::{Acts, Office, Seat, StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{Acts, LeaseManager, Seat, StoreAsk, StoreSays};
 use railhub_membership::swim::Manners;
 use railhub_membership::words::{Message, To};
 use railhub_membership::{Epoch, StewardId};
@@ -80,7 +80,7 @@
 }
 
 struct Steward {
-    office: Office,
+    lease_manager: LeaseManager,
     process: u64,
     /// Its clock: true seconds times speed, plus an offset.
     speed: f64,
@@ -189,9 +189,9 @@
         };
         let speed = self.speeds.get(&id).copied().unwrap_or(1.0);
         let offset = self.chance.random::<f64>() * 1000.0;
-        let office = Office::new(&seat, self.now * speed + offset);
+        let lease_manager = LeaseManager::new(&seat, self.now * speed + offset);
         let steward = Steward {
-            office,
+            lease_manager,
             process,
             speed,
             offset,
@@ -243,12 +243,13 @@
                     let wakes = steward.paused_until;
                     return self.due(wakes, Due::Mail { to, message });
                 }
-                self.with_office(to, |office, now| office.hear(now, &message));
+                self.with_lease_manager(to, |lease_manager, now| lease_manager.hear(now, &message));
             }
             Due::Asked { steward, ask } => self.asked(steward, &ask),
             Due::Says { steward, process, says } => match self.wakes(steward, process) {
                 Some(wakes) if wakes > self.now => self.due(wakes, Due::Says { steward, process, says }),
-                Some(_) => self.with_office(steward, |office, now| office.store_says(now, &says)),
+                Some(_) => self
+                    .with_lease_manager(steward, |lease_manager, now| lease_manager.store_says(now, &says)),
                 None => {}
             },
             Due::Arrives { proxy, order, steward } => self.arrives(proxy, &order, steward),
@@ -264,10 +265,10 @@
         }
     }
 
-    fn with_office(&mut self, id: u16, act: impl FnOnce(&mut Office, f64) -> Acts) {
+    fn with_lease_manager(&mut self, id: u16, act: impl FnOnce(&mut LeaseManager, f64) -> Acts) {
         let now = self.now;
         let Some(steward) = self.stewards.get_mut(&id) else { return };
-        let acts = act(&mut steward.office, now * steward.speed + steward.offset);
+        let acts = act(&mut steward.lease_manager, now * steward.speed + steward.offset);
         self.carry_out(id, acts);
     }
 
@@ -302,10 +303,11 @@
     }
 
     fn tick(&mut self, id: u16) {
-        self.with_office(id, Office::tick);
+        self.with_lease_manager(id, LeaseManager::tick);
         let steward = &self.stewards[&id];
         let local = self.now * steward.speed + steward.offset;
-        let (process, next) = (steward.process, (steward.office.next_at(local) - local) / steward.speed);
+        let (process, next) =
+            (steward.process, (steward.lease_manager.next_at(local) - local) / steward.speed);
         self.due(self.now + next.max(0.002), Due::Tick { steward: id, process });
     }
 
@@ -318,7 +320,7 @@
         let (process, sane_clock, slow) = (steward.process, steward.sane_clock, steward.slow_orders);
         let may = |(slice, epoch): (&u16, &Epoch)| match overruns {
             true => Some((*slice, *epoch)),
-            false => steward.office.may_order(local, *slice).map(|epoch| (*slice, epoch)),
+            false => steward.lease_manager.may_order(local, *slice).map(|epoch| (*slice, epoch)),
         };
         let slices: Vec<(u16, Epoch)> = steward.believes.iter().filter_map(may).collect();
         for (slice, epoch) in slices {
@@ -421,7 +423,7 @@
                 self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.slow_orders = by);
             }
             What::Drain { steward } => {
-                self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.office.drain());
+                self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.lease_manager.drain());
             }
             What::Flap { .. } => self.flap(number, self.now + long),
             What::StoreForgets { by } => self.store_forgets(by),
--- a/crates/railhub-membership/src/grants.rs
+++ b/crates/railhub-membership/src/grants.rs
@@ -8,7 +8,7 @@
 //! and is taken at its word, or has stopped. That span is the store's own, fixed figure (the explorer found that the
 //! longest one *so far* is not enough: a copy may know of none).
 use crate::lease::Holding;
-use crate::office::{StoreAsk, StoreSays};
+use crate::lease_manager::{StoreAsk, StoreSays};
 use crate::{Epoch, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/railhub-membership/src/office.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -1,5 +1,5 @@
 //! One steward's part in sharing a fleet: it hears from the others and from the store, and says what to send, which
-//! slices it has gained and which it has lost. All that it may order it asks [`Office::may_order`], each time.
+//! slices it has gained and which it has lost. All that it may order it asks [`LeaseManager::may_order`], each time.
 use crate::entry::{Card, Entry, Load};
 use crate::lease::Leases;
 use crate::share::{heir, Sharing};
@@ -53,7 +53,8 @@
     pub changed: Vec<Changed>,
 }
 
-pub struct Office {
+/// Decides for one steward which slices to lease, renew and release.
+pub struct LeaseManager {
     me: StewardId,
     process: u64,
     slices: u16,
@@ -70,7 +71,7 @@
     unanswered: u32,
 }
 
-/// What an office is given at its start.
+/// What a lease manager is given at its start.
 pub struct Seat<'a> {
     pub me: StewardId,
     /// Tells this process from all others; higher than those of earlier processes of the same steward.
@@ -87,15 +88,15 @@
     pub seed: u64,
 }
 
-impl Office {
-    pub fn new(seat: &Seat, now: Seconds) -> Office {
+impl LeaseManager {
+    pub fn new(seat: &Seat, now: Seconds) -> LeaseManager {
         let others: Vec<StewardId> = seat.weights.keys().copied().collect();
         let mut sharing = Sharing::new(seat.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
         let own = Entry::alive(seat.me, seat.process, seat.card.clone());
         let mut members = Members::new(own, seat.manners.clone(), now, seat.seed);
         members.expect(&others, now);
-        Office {
+        LeaseManager {
             me: seat.me,
             process: seat.process,
             slices: seat.slices,
@@ -249,7 +250,7 @@
         }
     }
 
-    /// When [`Office::tick`] wants to be called next.
+    /// When [`LeaseManager::tick`] wants to be called next.
     pub fn next_at(&self, now: Seconds) -> Seconds {
         let ask = if self.asked.is_none() { self.ask_at.max(now + 0.01) } else { f64::INFINITY };
         self.members.next_at().min(ask).min(self.leases.first_end().unwrap_or(f64::INFINITY)).max(now + 0.005)
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod grants;
 pub mod health;
 pub mod lease;
-pub mod office;
+pub mod lease_manager;
 pub mod packet;
 pub mod rumours;
 pub mod score;
--- a/crates/railhub-standin/src/store.rs
+++ b/crates/railhub-standin/src/store.rs
@@ -3,7 +3,7 @@
 use may::net::TcpStream;
 use may::sync::Mutex;
 use railhub_membership::grants::{Broken, Grants};
-use railhub_membership::office::{StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{StoreAsk, StoreSays};
 use railhub_membership::Epoch;
 use railhub_net::{go, http, now, seconds, Listener};
 use railhub_record::{Granted, Recorder, Stored, What};
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -1,8 +1,8 @@
-//! A steward's part in the fleet of stewards: a thread and a socket round the office, which decides all of it.
+//! A steward's part in the fleet of stewards: a thread and a socket round the lease manager, which decides all of it.
 //!
 //! The way of one datagram: the socket gives it; [`railhub_membership::packet`] drops and counts what is spoilt,
-//! foreign, of another version or too long; the office hears the message and says what to send; each letter goes to
-//! the address on its receiver's card. Whatever goes wrong here, the steward serves on: nothing else waits for it.
+//! foreign, of another version or too long; the lease manager hears the message and says what to send; each letter
+//! goes to the address on its receiver's card. Whatever goes wrong here, the steward serves on: nothing else waits for it.
 use crate::inbox::{Inbox, Word};
 use crate::kernel::Figures;
 use crate::leases::LeaseBook;
@@ -10,7 +10,7 @@
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
 use railhub_membership::entry::{Card, Load};
-use railhub_membership::office::{Acts, Office, Seat};
+use railhub_membership::lease_manager::{Acts, LeaseManager, Seat};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
 use railhub_membership::swim::{Manners, Members, Shown};
 use railhub_membership::table::Defence;
@@ -193,7 +193,7 @@
         let (ends, leaves) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let shown = Arc::new(Mutex::new(FleetFigures::default()));
         let mut desk = Desk {
-            office: Office::new(
+            lease_manager: LeaseManager::new(
                 &seat(terms, address, &BTreeMap::from([(terms.id, 1.0)]), &shares),
                 terms.clock.now(),
             ),
@@ -280,7 +280,7 @@
 }
 
 struct Desk {
-    office: Office,
+    lease_manager: LeaseManager,
     clock: LeaseClock,
     shares: Option<Shares>,
     /// For tests of the judge alone: slices whose leases are over are kept.
@@ -300,7 +300,7 @@
 
 impl Desk {
     fn members(&self) -> &Members {
-        self.office.members()
+        self.lease_manager.members()
     }
 
     fn run(&mut self, ends: &AtomicBool, leaves: &AtomicBool) {
@@ -313,22 +313,22 @@
             let at = self.clock.now();
             if at >= due {
                 self.turn(at);
-                due = self.office.next_at(at);
+                due = self.lease_manager.next_at(at);
                 continue;
             }
-            let longest = if self.office.is_asking() { ANSWER_LOOK } else { LONGEST_SLEEP };
+            let longest = if self.lease_manager.is_asking() { ANSWER_LOOK } else { LONGEST_SLEEP };
             let wait = seconds((due - at).min(longest)).max(std::time::Duration::from_micros(100));
             if self.socket.set_read_timeout(Some(wait)).is_err() {
                 std::thread::sleep(wait);
             }
             if let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
                 self.take(&bytes[..length], from);
-                due = due.min(self.office.next_at(self.clock.now()));
+                due = due.min(self.lease_manager.next_at(self.clock.now()));
             }
         }
         if leaves.load(Ordering::Acquire) {
             self.hand_over();
-            let acts = self.office.leave(self.clock.now());
+            let acts = self.lease_manager.leave(self.clock.now());
             self.carry_out(acts);
         }
     }
@@ -339,9 +339,9 @@
         if self.shares.is_none() {
             return;
         }
-        self.office.drain();
+        self.lease_manager.drain();
         let until = now() + LEAVES_WITHIN;
-        while now() < until && (!self.office.is_drained() || self.office.is_asking()) {
+        while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.is_asking()) {
             self.take_answer();
             self.turn(self.clock.now());
             std::thread::sleep(seconds(ANSWER_LOOK));
@@ -353,7 +353,7 @@
             self.load_at = at;
             self.look_at_load(at);
         }
-        let acts = self.office.tick(at);
+        let acts = self.lease_manager.tick(at);
         self.pass_on(&acts, Vec::new());
         self.carry_out(acts);
     }
@@ -362,8 +362,8 @@
         let (since, before) = std::mem::replace(&mut self.cpu, (at, cpu_seconds()));
         let busy = ((self.cpu.1 - before) / (at - since).max(0.001)) as f32;
         let proxies = self.steward.lock().expect("no holder panics").joined as u32;
-        let held = self.shares.is_some().then(|| self.office.leases().count() as u32);
-        self.office.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
+        let held = self.shares.is_some().then(|| self.lease_manager.leases().count() as u32);
+        self.lease_manager.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
         self.figures.charges = held.unwrap_or(0) as usize;
         self.figures.tables_refused = self.shares.as_ref().map_or(0, |shares| shares.store.refused());
         self.figures.alive = self.members().alive();
@@ -375,7 +375,7 @@
     /// What the store has granted and refused, if it has answered.
     fn take_answer(&mut self) {
         let Some(leased) = self.shares.as_ref().and_then(|shares| shares.store.answer()) else { return };
-        let acts = self.office.store_says(self.clock.now(), &leased.says);
+        let acts = self.lease_manager.store_says(self.clock.now(), &leased.says);
         self.pass_on(&acts, leased.tables);
         self.carry_out(acts);
     }
@@ -384,7 +384,7 @@
     /// must not rest on one that is gone.
     fn pass_on(&self, acts: &Acts, tables: Vec<StoredTable>) {
         let Some(shares) = &self.shares else { return };
-        shares.leases.note(self.office.leases());
+        shares.leases.note(self.lease_manager.leases());
         let slices = |ids: &[u16]| match self.overruns {
             true => Vec::new(),
             false => ids.iter().map(|slice| SliceId(*slice)).collect(),
@@ -407,16 +407,16 @@
         match packet::decode(&self.installation, bytes) {
             Ok(Packet::Words(message)) => {
                 self.figures.heard += 1;
-                let acts = self.office.hear(self.clock.now(), &message);
+                let acts = self.lease_manager.hear(self.clock.now(), &message);
                 self.carry_out(acts);
             }
             Ok(Packet::Look { nonce, from: first }) => self.show(nonce, first, from),
             Ok(Packet::View(_)) => {}
             Ok(Packet::Drain { steward, process }) => {
                 let is_us = steward == self.members().me() && process == self.members().life().process;
-                if is_us && !self.office.drains() {
+                if is_us && !self.lease_manager.drains() {
                     tracing::info!("the steward is told to hand its slices over");
-                    self.office.drain();
+                    self.lease_manager.drain();
                 }
             }
             Err(fault) => self.figures.dropped.count(fault),
--- a/crates/railhub-steward/src/lib.rs
+++ b/crates/railhub-steward/src/lib.rs
@@ -15,7 +15,7 @@
 //! to the decisions each second, the oldest first, as many as the limit lets in.
 //!
 //! Stewards that know of each other: a `[fleet]` section starts [`fleet`], a thread and a socket of its own round the
-//! office of `railhub-membership`; without the section there is none of it.
+//! lease manager of `railhub-membership`; without the section there is none of it.
 //!
 //! The way of one failure: a stream that breaks, is silent, sends what is no message, or does not confirm for
 //! too long ends alone, with a reason sent and logged. The owner tells the decisions that the proxy left.
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -6,7 +6,7 @@
 use crate::kernel::Gained;
 use may::sync::{Mutex, Semphore};
 use railhub::{Charge, HostId, Seconds, SliceId, SliceState};
-use railhub_membership::office::{StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{StoreAsk, StoreSays};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{now, seconds, Task};
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
 /// Seconds the store may take, and between tries while it cannot be asked.
 const WITHIN: Seconds = 2.0;
 const PAUSE: Seconds = 0.2;
-/// The same where leases hang on it: less than the office waits for an answer.
+/// The same where leases hang on it: less than the lease manager waits for an answer.
 const LEASES_WITHIN: Seconds = 0.8;
 /// Seconds after which a question that could not be asked is left: its answer would come too late.
 const QUESTION_LASTS: Seconds = 0.9;
