--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -4,7 +4,7 @@
 use crate::faults::{Chaos, Fault, What};
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::Fence;
-use railhub_membership::lease_manager::{Acts, LeaseManager, Seat, StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions, StoreAsk, StoreSays};
 use railhub_membership::swim::Manners;
 use railhub_membership::words::{Message, To};
 use railhub_membership::{Epoch, StewardId};
@@ -176,7 +176,7 @@
         let seed = self.chance.random();
         let (slices, span) = (self.chaos.slices, self.chaos.span);
         let (card, manners) = (Default::default(), Manners::default());
-        let seat = Seat {
+        let options = LeaseManagerOptions {
             me: StewardId(id),
             process,
             weights: &weights,
@@ -189,7 +189,7 @@
         };
         let speed = self.speeds.get(&id).copied().unwrap_or(1.0);
         let offset = self.chance.random::<f64>() * 1000.0;
-        let lease_manager = LeaseManager::new(&seat, self.now * speed + offset);
+        let lease_manager = LeaseManager::new(&options, self.now * speed + offset);
         let steward = Steward {
             lease_manager,
             process,
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -72,7 +72,7 @@
 }
 
 /// What a lease manager is given at its start.
-pub struct Seat<'a> {
+pub struct LeaseManagerOptions<'a> {
     pub me: StewardId,
     /// Tells this process from all others; higher than those of earlier processes of the same steward.
     pub process: u64,
@@ -89,23 +89,23 @@
 }
 
 impl LeaseManager {
-    pub fn new(seat: &Seat, now: Seconds) -> LeaseManager {
-        let others: Vec<StewardId> = seat.weights.keys().copied().collect();
-        let mut sharing = Sharing::new(seat.weights.clone());
+    pub fn new(options: &LeaseManagerOptions, now: Seconds) -> LeaseManager {
+        let others: Vec<StewardId> = options.weights.keys().copied().collect();
+        let mut sharing = Sharing::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
-        let own = Entry::alive(seat.me, seat.process, seat.card.clone());
-        let mut members = Members::new(own, seat.manners.clone(), now, seat.seed);
+        let own = Entry::alive(options.me, options.process, options.card.clone());
+        let mut members = Members::new(own, options.manners.clone(), now, options.seed);
         members.expect(&others, now);
         LeaseManager {
-            me: seat.me,
-            process: seat.process,
-            slices: seat.slices,
+            me: options.me,
+            process: options.process,
+            slices: options.slices,
             members,
             sharing,
-            leases: Leases::new(seat.span),
+            leases: Leases::new(options.span),
             number: 0,
             asked: None,
-            ask_at: now + seat.settle,
+            ask_at: now + options.settle,
             refused: BTreeMap::new(),
             drains: false,
             unanswered: 0,
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -10,7 +10,7 @@
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
 use railhub_membership::entry::{Card, Load};
-use railhub_membership::lease_manager::{Acts, LeaseManager, Seat};
+use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
 use railhub_membership::swim::{Manners, Members, Shown};
 use railhub_membership::table::Defence;
@@ -194,7 +194,7 @@
         let shown = Arc::new(Mutex::new(FleetFigures::default()));
         let mut desk = Desk {
             lease_manager: LeaseManager::new(
-                &seat(terms, address, &BTreeMap::from([(terms.id, 1.0)]), &shares),
+                &options(terms, address, &BTreeMap::from([(terms.id, 1.0)]), &shares),
                 terms.clock.now(),
             ),
             clock: terms.clock,
@@ -242,12 +242,12 @@
     }
 }
 
-fn seat<'a>(
+fn options<'a>(
     terms: &FleetTerms,
     address: SocketAddr,
     weights: &'a BTreeMap<StewardId, f64>,
     shares: &Option<Shares>,
-) -> Seat<'a> {
+) -> LeaseManagerOptions<'a> {
     // Microseconds since 1970: higher than any earlier process of ours, unless the clock was set back, which the
     // others tell us then.
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -264,7 +264,7 @@
         Manners { seeds: terms.join.clone(), forget_after: terms.forget_after, without: terms.without };
     let slices = shares.as_ref().map_or(0, |shares| shares.slices);
     let (me, span, settle) = (terms.id, terms.lease, SETTLE);
-    Seat { me, process, weights, card, manners, slices, span, settle, seed: process }
+    LeaseManagerOptions { me, process, weights, card, manners, slices, span, settle, seed: process }
 }
 
 /// Seconds of processor time that this process took.
