--- a/crates/railhub-chaos/src/explore_leases.rs
+++ b/crates/railhub-chaos/src/explore_leases.rs
@@ -9,7 +9,7 @@
 use crate::explore::{Counterexample, Explored};
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::{Fence, Leases};
-use railhub_membership::lease_manager::StoreAsk;
+use railhub_membership::lease_manager::LeaseRequest;
 use railhub_membership::Epoch;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug)]
 enum Question {
-    Asked(StoreAsk),
+    Asked(LeaseRequest),
     Answered(Vec<(u16, Epoch)>, Vec<u16>),
 }
 
@@ -137,15 +137,15 @@
                 let take = if renew.is_empty() { vec![SLICE] } else { Vec::new() };
                 let told = if renew.is_empty() { "asks for the slice" } else { "asks to renew" };
                 let (process, release) = (steward.process, Vec::new());
-                let ask = StoreAsk { number: 1, process, span: SPAN, take, renew, release };
-                state.stewards[place].question = Some((self.now, Question::Asked(ask)));
+                let request = LeaseRequest { number: 1, process, span: SPAN, take, renew, release };
+                state.stewards[place].question = Some((self.now, Question::Asked(request)));
                 all.push((format!("{place} {told}"), Ok(state)));
             }
-            Some((asked, Question::Asked(ask))) => {
+            Some((asked, Question::Asked(request))) => {
                 let mut state = self.clone();
-                let says = state.store.answer(self.at(), ask).says;
-                let told = format!("the store hears {place}: grants {:?}", says.granted);
-                let answer = Question::Answered(says.granted, says.refused);
+                let response = state.store.answer(self.at(), request).response;
+                let told = format!("the store hears {place}: grants {:?}", response.granted);
+                let answer = Question::Answered(response.granted, response.refused);
                 state.stewards[place].question = Some((*asked, answer));
                 all.push((told, Ok(state)));
                 all.push((format!("the question of {place} is lost"), Ok(self.forgets(place))));
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -4,7 +4,9 @@
 use crate::faults::{Chaos, Fault, What};
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::Fence;
-use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions, StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{
+    Acts, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
+};
 use railhub_membership::swim::Manners;
 use railhub_membership::words::{Message, To};
 use railhub_membership::{Epoch, StewardId};
@@ -70,8 +72,8 @@
     Tick { steward: u16, process: u64 },
     Orders { steward: u16, process: u64 },
     Mail { to: u16, message: Message },
-    Asked { steward: u16, ask: StoreAsk },
-    Says { steward: u16, process: u64, says: StoreSays },
+    LeaseRequest { steward: u16, request: LeaseRequest },
+    LeaseResponse { steward: u16, process: u64, response: LeaseResponse },
     Arrives { proxy: u16, order: Order, steward: u16 },
     Word { steward: u16, process: u64, proxy: u16, number: u64 },
     On(usize),
@@ -245,11 +247,14 @@
                 }
                 self.with_lease_manager(to, |lease_manager, now| lease_manager.hear(now, &message));
             }
-            Due::Asked { steward, ask } => self.asked(steward, &ask),
-            Due::Says { steward, process, says } => match self.wakes(steward, process) {
-                Some(wakes) if wakes > self.now => self.due(wakes, Due::Says { steward, process, says }),
-                Some(_) => self
-                    .with_lease_manager(steward, |lease_manager, now| lease_manager.store_says(now, &says)),
+            Due::LeaseRequest { steward, request } => self.lease_requested(steward, &request),
+            Due::LeaseResponse { steward, process, response } => match self.wakes(steward, process) {
+                Some(wakes) if wakes > self.now => {
+                    self.due(wakes, Due::LeaseResponse { steward, process, response })
+                }
+                Some(_) => self.with_lease_manager(steward, |lease_manager, now| {
+                    lease_manager.take_response(now, &response)
+                }),
                 None => {}
             },
             Due::Arrives { proxy, order, steward } => self.arrives(proxy, &order, steward),
@@ -280,9 +285,9 @@
                 self.due(self.now + way, Due::Mail { to: to.0, message });
             }
         }
-        if let Some(ask) = acts.ask {
+        if let Some(request) = acts.request {
             let way = self.way();
-            self.due(self.now + way, Due::Asked { steward: id, ask });
+            self.due(self.now + way, Due::LeaseRequest { steward: id, request });
         }
         let overruns = self.sabotage == Some(Sabotage::LeaseOverrun);
         if let Some(steward) = self.stewards.get_mut(&id) {
@@ -372,7 +377,7 @@
         }
     }
 
-    fn asked(&mut self, id: u16, ask: &StoreAsk) {
+    fn lease_requested(&mut self, id: u16, request: &LeaseRequest) {
         let is_on = |what: &What| self.on.iter().any(|number| self.faults[*number].what == *what);
         if is_on(&What::StoreAway) || is_on(&What::CutStore { steward: id }) {
             return;
@@ -389,16 +394,16 @@
                 self.copies.pop_front();
             }
         }
-        let answer = self.store.answer(now, ask);
+        let answer = self.store.answer(now, request);
         for (slice, epoch) in answer.anew {
-            self.events.push(Event::Granted { at: now, slice, epoch: epoch.0, process: ask.process });
+            self.events.push(Event::Granted { at: now, slice, epoch: epoch.0, process: request.process });
         }
-        let says = answer.says;
+        let response = answer.response;
         if loses_answers {
             return;
         }
         let arrives = now + self.way() + slow;
-        self.due(arrives, Due::Says { steward: id, process: ask.process, says });
+        self.due(arrives, Due::LeaseResponse { steward: id, process: request.process, response });
     }
 
     fn fault_on(&mut self, number: usize) {
--- a/crates/railhub-membership/src/grants.rs
+++ b/crates/railhub-membership/src/grants.rs
@@ -8,7 +8,7 @@
 //! and is taken at its word, or has stopped. That span is the store's own, fixed figure (the explorer found that the
 //! longest one *so far* is not enough: a copy may know of none).
 use crate::lease::Holding;
-use crate::lease_manager::{StoreAsk, StoreSays};
+use crate::lease_manager::{LeaseRequest, LeaseResponse};
 use crate::{Epoch, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 /// What follows from a question.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
-    pub says: StoreSays,
+    pub response: LeaseResponse,
     /// Granted to another process than before, or after a break.
     pub anew: Vec<(u16, Epoch)>,
 }
@@ -72,32 +72,35 @@
     }
 
     /// Releases, renews and takes, in this order, in one step.
-    pub fn answer(&mut self, now: Seconds, ask: &StoreAsk) -> Answer {
+    pub fn answer(&mut self, now: Seconds, request: &LeaseRequest) -> Answer {
         let mut answer = Answer::default();
-        answer.says.number = ask.number;
-        let span = ask.span;
+        answer.response.number = request.number;
+        let span = request.span;
         // What it would count shorter than the asker does must not be granted at all.
         if !(0.0..=self.longest).contains(&span) {
-            answer.says.refused =
-                ask.take.iter().copied().chain(ask.renew.iter().map(|held| held.0)).collect();
+            answer.response.refused =
+                request.take.iter().copied().chain(request.renew.iter().map(|held| held.0)).collect();
             return answer;
         }
-        for (slice, epoch) in &ask.release {
-            self.holdings.get_mut(slice).into_iter().for_each(|held| _ = held.release(ask.process, *epoch));
+        for (slice, epoch) in &request.release {
+            self.holdings
+                .get_mut(slice)
+                .into_iter()
+                .for_each(|held| _ = held.release(request.process, *epoch));
         }
-        for (slice, epoch) in &ask.renew {
-            match self.renew(now, ask.process, span, *slice, *epoch) {
-                true => answer.says.granted.push((*slice, *epoch)),
-                false => answer.says.refused.push(*slice),
+        for (slice, epoch) in &request.renew {
+            match self.renew(now, request.process, span, *slice, *epoch) {
+                true => answer.response.granted.push((*slice, *epoch)),
+                false => answer.response.refused.push(*slice),
             }
         }
-        for slice in &ask.take {
-            match self.take(now, ask.process, span, *slice) {
+        for slice in &request.take {
+            match self.take(now, request.process, span, *slice) {
                 Some((epoch, anew)) => {
-                    answer.says.granted.push((*slice, epoch));
+                    answer.response.granted.push((*slice, epoch));
                     answer.anew.extend(anew.then_some((*slice, epoch)));
                 }
-                None => answer.says.refused.push(*slice),
+                None => answer.response.refused.push(*slice),
             }
         }
         answer
--- a/crates/railhub-membership/src/grants/tests.rs
+++ b/crates/railhub-membership/src/grants/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-fn ask(process: u64, take: &[u16], renew: &[(u16, u64)]) -> StoreAsk {
+fn request(process: u64, take: &[u16], renew: &[(u16, u64)]) -> LeaseRequest {
     let renew = renew.iter().map(|(slice, epoch)| (*slice, Epoch(*epoch))).collect();
-    StoreAsk { number: 1, process, span: 3.0, take: take.to_vec(), renew, release: Vec::new() }
+    LeaseRequest { number: 1, process, span: 3.0, take: take.to_vec(), renew, release: Vec::new() }
 }
 
 #[test]
 fn a_store_that_forgot_a_grant_takes_its_holder_at_its_word_and_grants_above_it() {
     let mut grants = Grants::new(3.0, Broken::default());
-    assert_eq!(grants.answer(0.0, &ask(1, &[4], &[])).says.granted, [(4, Epoch(1))]);
+    assert_eq!(grants.answer(0.0, &request(1, &[4], &[])).response.granted, [(4, Epoch(1))]);
     let copy = grants.clone();
-    let later = grants.answer(5.0, &ask(2, &[4], &[])).says.granted[0].1;
+    let later = grants.answer(5.0, &request(2, &[4], &[])).response.granted[0].1;
     assert_eq!(later, Epoch(2));
     let mut again = copy.start_again(5.5, 7);
     // The former holder, which the copy still names, and strangers get nothing before the holder has spoken.
-    assert_eq!(again.answer(5.6, &ask(3, &[4], &[])).says.refused, [4]);
-    assert_eq!(again.answer(5.7, &ask(2, &[], &[(4, 2)])).says.granted, [(4, Epoch(2))]);
-    assert_eq!(again.answer(5.8, &ask(1, &[], &[(4, 1)])).says.refused, [4]);
-    assert_eq!(again.answer(9.0, &ask(3, &[4], &[])).says.granted, [(4, Epoch(7 * EPOCHS_A_START))]);
+    assert_eq!(again.answer(5.6, &request(3, &[4], &[])).response.refused, [4]);
+    assert_eq!(again.answer(5.7, &request(2, &[], &[(4, 2)])).response.granted, [(4, Epoch(2))]);
+    assert_eq!(again.answer(5.8, &request(1, &[], &[(4, 1)])).response.refused, [4]);
+    assert_eq!(again.answer(9.0, &request(3, &[4], &[])).response.granted, [(4, Epoch(7 * EPOCHS_A_START))]);
     assert!(again.may_write(4, Epoch(7 * EPOCHS_A_START)) && !again.may_write(4, Epoch(2)));
 }
 
@@ -25,35 +25,35 @@
 #[test]
 fn whom_an_older_copy_names_gets_nothing_by_it() {
     let mut grants = Grants::new(3.0, Broken::default());
-    grants.answer(0.0, &ask(1, &[4], &[]));
+    grants.answer(0.0, &request(1, &[4], &[]));
     let copy = grants.clone();
-    assert_eq!(grants.answer(5.0, &ask(2, &[4], &[])).says.granted, [(4, Epoch(2))]);
+    assert_eq!(grants.answer(5.0, &request(2, &[4], &[])).response.granted, [(4, Epoch(2))]);
     let mut again = copy.start_again(6.0, 9);
-    assert_eq!(again.answer(6.1, &ask(1, &[4], &[])).says.refused, [4]);
+    assert_eq!(again.answer(6.1, &request(1, &[4], &[])).response.refused, [4]);
     // The other has died meanwhile: nobody tells the store of epoch 2.
-    assert!(again.answer(9.5, &ask(1, &[4], &[])).says.granted[0].1 > Epoch(2));
+    assert!(again.answer(9.5, &request(1, &[4], &[])).response.granted[0].1 > Epoch(2));
 }
 
 #[test]
 fn epochs_never_go_back_where_the_clock_of_starts_was_set_back() {
     let mut grants = Grants::new(3.0, Broken::default()).start_again(0.0, 100);
-    let first = grants.answer(3.1, &ask(1, &[1], &[])).says.granted[0].1;
+    let first = grants.answer(3.1, &request(1, &[1], &[])).response.granted[0].1;
     assert!(first.0 >= 100 * EPOCHS_A_START);
     let mut again = Grants::new(3.0, Broken::default()).start_again(4.0, 3);
     assert_eq!(
-        again.answer(7.1, &ask(1, &[], &[(1, first.0)])).says.refused,
+        again.answer(7.1, &request(1, &[], &[(1, first.0)])).response.refused,
         [1],
         "too late: it was quiet before"
     );
-    let next = again.answer(7.2, &ask(2, &[1], &[])).says.granted[0].1;
+    let next = again.answer(7.2, &request(2, &[1], &[])).response.granted[0].1;
     assert!(next > first, "{next:?} after {first:?}");
 }
 
 #[test]
 fn a_table_is_written_under_the_epoch_that_was_granted_alone() {
     let mut grants = Grants::new(3.0, Broken::default());
-    grants.answer(0.0, &ask(1, &[2], &[]));
+    grants.answer(0.0, &request(1, &[2], &[]));
     assert!(grants.may_write(2, Epoch(1)) && !grants.may_write(2, Epoch(0)));
-    grants.answer(9.0, &ask(2, &[2], &[]));
+    grants.answer(9.0, &request(2, &[2], &[]));
     assert!(!grants.may_write(2, Epoch(1)) && grants.may_write(2, Epoch(2)));
 }
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -20,9 +20,9 @@
 /// Seconds that a store's refusal stands: what another holds is not asked for again at once.
 const REFUSED_FOR: Seconds = 0.4;
 
-/// What a steward asks the store; all of it in one step, or nothing.
+/// What a steward asks the store for; all of it in one step, or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StoreAsk {
+pub struct LeaseRequest {
     pub number: u64,
     pub process: u64,
     pub span: Seconds,
@@ -31,8 +31,9 @@
     pub release: Vec<(u16, Epoch)>,
 }
 
+/// The store's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StoreSays {
+pub struct LeaseResponse {
     pub number: u64,
     /// Taken or renewed.
     pub granted: Vec<(u16, Epoch)>,
@@ -44,7 +45,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Acts {
     pub mail: Mail,
-    pub ask: Option<StoreAsk>,
+    pub request: Option<LeaseRequest>,
     pub gained: Vec<(u16, Epoch)>,
     /// Given up, or another's by the store's word.
     pub lost: Vec<u16>,
@@ -189,12 +190,12 @@
         self.members.set_no_store(no_store);
         self.sharing.hear(now, self.me, self.members.may_bear(self.me));
         if self.asked.is_none() && now >= self.ask_at {
-            acts.ask = self.question(now, &mut acts.lost);
+            acts.request = self.next_request(now, &mut acts.lost);
         }
         acts
     }
 
-    fn question(&mut self, now: Seconds, lost: &mut Vec<u16>) -> Option<StoreAsk> {
+    fn next_request(&mut self, now: Seconds, lost: &mut Vec<u16>) -> Option<LeaseRequest> {
         let bearers = self.sharing.bearers(now);
         let ours = |slice: u16| heir(slice, &bearers) == Some(self.me);
         let held: BTreeSet<u16> = self.leases.held().map(|(slice, _)| slice).collect();
@@ -225,22 +226,22 @@
         self.number += 1;
         self.asked = Some((self.number, now));
         let (number, process, span) = (self.number, self.process, self.leases.span());
-        Some(StoreAsk { number, process, span, take, renew, release })
+        Some(LeaseRequest { number, process, span, take, renew, release })
     }
 
     /// The store's answer. One to a question that was given up still counts from when that was asked: it is known
     /// only for the question that is out, so a late one is left alone, and the store's grant lapses unused.
-    pub fn store_says(&mut self, now: Seconds, says: &StoreSays) -> Acts {
-        let Some((_, asked)) = self.asked.filter(|asked| asked.0 == says.number) else {
+    pub fn take_response(&mut self, now: Seconds, response: &LeaseResponse) -> Acts {
+        let Some((_, asked)) = self.asked.filter(|asked| asked.0 == response.number) else {
             return Acts::default();
         };
         self.asked = None;
         self.unanswered = 0;
         let before: BTreeMap<u16, Epoch> = self.leases.held().collect();
-        self.leases.granted(now, asked, &says.granted);
-        self.leases.refused(&says.refused);
+        self.leases.granted(now, asked, &response.granted);
+        self.leases.refused(&response.refused);
         self.refused.retain(|_, at| now - *at < REFUSED_FOR);
-        self.refused.extend(says.refused.iter().map(|slice| (*slice, now)));
+        self.refused.extend(response.refused.iter().map(|slice| (*slice, now)));
         let after: BTreeMap<u16, Epoch> = self.leases.held().collect();
         let gained = after.iter().filter(|(slice, epoch)| before.get(slice) != Some(epoch));
         Acts {
--- a/crates/railhub-standin/src/store.rs
+++ b/crates/railhub-standin/src/store.rs
@@ -3,7 +3,7 @@
 use may::net::TcpStream;
 use may::sync::Mutex;
 use railhub_membership::grants::{Broken, Grants};
-use railhub_membership::lease_manager::{StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
 use railhub_membership::Epoch;
 use railhub_net::{go, http, now, seconds, Listener};
 use railhub_record::{Granted, Recorder, Stored, What};
@@ -41,7 +41,8 @@
 
 #[derive(Serialize)]
 struct Leased {
-    says: StoreSays,
+    #[serde(rename = "says")]
+    response: LeaseResponse,
     tables: Vec<StoredTable>,
 }
 
@@ -190,15 +191,15 @@
         refused
     }
 
-    fn lease(&self, ask: &StoreAsk) -> Leased {
+    fn lease(&self, request: &LeaseRequest) -> Leased {
         let mut state = self.state.lock().expect("no holder panics");
         self.keep_copy(&state);
-        let answer = state.grants.answer(now(), ask);
+        let answer = state.grants.answer(now(), request);
         for (slice, epoch) in &answer.anew {
-            let (slice, epoch, process) = (u32::from(*slice), epoch.0, ask.process);
+            let (slice, epoch, process) = (u32::from(*slice), epoch.0, request.process);
             self.note(What::Granted(Granted { slice, epoch, process }));
         }
-        let taken = answer.says.granted.iter().filter(|(slice, _)| ask.take.contains(slice));
+        let taken = answer.response.granted.iter().filter(|(slice, _)| request.take.contains(slice));
         let tables = taken.map(|(slice, epoch)| {
             let (slice, epoch) = (u32::from(*slice), epoch.0);
             let lines = state.tables.get(&slice).cloned().unwrap_or_default();
@@ -206,7 +207,7 @@
             let age = told.map_or(0.0, |(at, _)| now() - at);
             StoredTable { slice, epoch, lines, state: told.map(|told| told.1.clone()), age }
         });
-        Leased { tables: tables.collect(), says: answer.says.clone() }
+        Leased { tables: tables.collect(), response: answer.response.clone() }
     }
 
     fn held(&self) -> Vec<Held> {
@@ -254,8 +255,8 @@
             Ok(changed) => serde_json::to_vec(&shared.write(changed)),
             Err(_) => return http::answer(stream, 400, b""),
         },
-        ("POST", "/leases") => match serde_json::from_slice::<StoreAsk>(&request.body) {
-            Ok(ask) => serde_json::to_vec(&shared.lease(&ask)),
+        ("POST", "/leases") => match serde_json::from_slice::<LeaseRequest>(&request.body) {
+            Ok(lease_request) => serde_json::to_vec(&shared.lease(&lease_request)),
             Err(_) => return http::answer(stream, 400, b""),
         },
         _ => return http::answer(stream, 404, b""),
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -375,7 +375,7 @@
     /// What the store has granted and refused, if it has answered.
     fn take_answer(&mut self) {
         let Some(leased) = self.shares.as_ref().and_then(|shares| shares.store.answer()) else { return };
-        let acts = self.lease_manager.store_says(self.clock.now(), &leased.says);
+        let acts = self.lease_manager.take_response(self.clock.now(), &leased.response);
         self.pass_on(&acts, leased.tables);
         self.carry_out(acts);
     }
@@ -424,8 +424,8 @@
     }
 
     fn carry_out(&mut self, acts: Acts) {
-        if let (Some(ask), Some(shares)) = (acts.ask, &self.shares) {
-            shares.store.ask(ask);
+        if let (Some(request), Some(shares)) = (acts.request, &self.shares) {
+            shares.store.request(request);
         }
         for (to, message) in acts.mail {
             let address = match to {
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -6,7 +6,7 @@
 use crate::kernel::Gained;
 use may::sync::{Mutex, Semphore};
 use railhub::{Charge, HostId, Seconds, SliceId, SliceState};
-use railhub_membership::lease_manager::{StoreAsk, StoreSays};
+use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{now, seconds, Task};
 use serde::{Deserialize, Serialize};
@@ -100,7 +100,8 @@
 /// The store's answer to a question about leases, with the tables of what was taken.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Leased {
-    pub says: StoreSays,
+    #[serde(rename = "says")]
+    pub response: LeaseResponse,
     pub tables: Vec<StoredTable>,
 }
 
@@ -125,7 +126,7 @@
 
 struct Shared {
     waiting: Mutex<Waiting>,
-    question: Mutex<Option<(Seconds, StoreAsk)>>,
+    question: Mutex<Option<(Seconds, LeaseRequest)>>,
     /// Slices of which all that is to be written waits to be: a question may release them.
     given_up: Mutex<BTreeSet<u16>>,
     answer: Mutex<Option<Leased>>,
@@ -181,8 +182,8 @@
         self.shared.wake.post();
     }
 
-    pub fn ask(&self, ask: StoreAsk) {
-        *self.shared.question.lock().expect("no holder panics") = Some((now(), ask));
+    pub fn request(&self, request: LeaseRequest) {
+        *self.shared.question.lock().expect("no holder panics") = Some((now(), request));
         self.shared.wake.post();
     }
 
@@ -228,7 +229,7 @@
 /// Slices that a question releases are written first: the owner of the decisions hears of them at the same time.
 fn wait_for_the_owner(shared: &Shared) {
     let release: Vec<u16> = match &*shared.question.lock().expect("no holder panics") {
-        Some((_, ask)) => ask.release.iter().map(|(slice, _)| *slice).collect(),
+        Some((_, request)) => request.release.iter().map(|(slice, _)| *slice).collect(),
         None => return,
     };
     for _ in 0..OWNER_LOOKS {
@@ -286,8 +287,8 @@
 
 fn question(caller: &mut Caller, shared: &Shared) -> Result<(), HttpFault> {
     let asked = shared.question.lock().expect("no holder panics").take();
-    let Some((_, ask)) = asked.filter(|(at, _)| now() - at < QUESTION_LASTS) else { return Ok(()) };
-    let leased = caller.exchange("POST", "/leases", &ask)?;
+    let Some((_, request)) = asked.filter(|(at, _)| now() - at < QUESTION_LASTS) else { return Ok(()) };
+    let leased = caller.exchange("POST", "/leases", &request)?;
     *shared.answer.lock().expect("no holder panics") = Some(leased);
     Ok(())
 }
