--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -6,7 +6,7 @@
 use crate::view::{ends, Node, Seen};
 use railhub_membership::entry::{Card, Entry, Standing};
 use railhub_membership::packet::{decode, encode, Packet};
-use railhub_membership::swim::{Manners, Members, Shown};
+use railhub_membership::swim::{Members, MembershipConfig, Shown};
 use railhub_membership::table::Defence;
 use railhub_membership::words::{Mail, Message, To};
 use railhub_membership::StewardId;
@@ -239,12 +239,12 @@
         let most = if self.how.heartbeats { u16::MAX } else { JOIN_BY };
         let seeds = self.addresses.iter().filter(|(id, _)| **id != steward && **id < most);
         let seeds = seeds.map(|(_, address)| *address).collect();
-        let manners = Manners { seeds, forget_after, without: self.how.without };
+        let config = MembershipConfig { seeds, forget_after, without: self.how.without };
         let own = Entry::alive(StewardId(steward), process, card);
         let local = self.now + offset;
         let watcher = match self.how.heartbeats {
-            true => Watcher::Heartbeat(Heartbeat::new(own, manners.seeds, local)),
-            false => Watcher::Members(Box::new(Members::new(own, manners, local, self.chance.random()))),
+            true => Watcher::Heartbeat(Heartbeat::new(own, config.seeds, local)),
+            false => Watcher::Members(Box::new(Members::new(own, config, local, self.chance.random()))),
         };
         let process = Process { steward, watcher, address, offset, paused_until: 0.0, share: 1.0 };
         self.nodes.insert(node, process);
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -7,7 +7,7 @@
 use railhub_membership::lease_manager::{
     Acts, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
 };
-use railhub_membership::swim::Manners;
+use railhub_membership::swim::MembershipConfig;
 use railhub_membership::words::{Message, To};
 use railhub_membership::{Epoch, StewardId};
 use rand::{RngExt, SeedableRng};
@@ -177,13 +177,13 @@
         let weights = (0..self.chaos.stewards).map(|id| (StewardId(id), 1.0)).collect();
         let seed = self.chance.random();
         let (slices, span) = (self.chaos.slices, self.chaos.span);
-        let (card, manners) = (Default::default(), Manners::default());
+        let (card, config) = (Default::default(), MembershipConfig::default());
         let options = LeaseManagerOptions {
             me: StewardId(id),
             process,
             weights: &weights,
             card,
-            manners,
+            config,
             slices,
             span,
             settle: 0.0,
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -3,7 +3,7 @@
 use crate::entry::{Card, Entry, Load};
 use crate::lease::Leases;
 use crate::share::{heir, Sharing};
-use crate::swim::{Manners, Members};
+use crate::swim::{Members, MembershipConfig};
 use crate::words::{Changed, Mail, Message};
 use crate::{Epoch, Seconds, StewardId};
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,7 @@
     /// All stewards of the installation with what they can bear.
     pub weights: &'a BTreeMap<StewardId, f64>,
     pub card: Card,
-    pub manners: Manners,
+    pub config: MembershipConfig,
     pub slices: u16,
     /// Seconds that a lease is granted for.
     pub span: Seconds,
@@ -95,7 +95,7 @@
         let mut sharing = Sharing::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
         let own = Entry::alive(options.me, options.process, options.card.clone());
-        let mut members = Members::new(own, options.manners.clone(), now, options.seed);
+        let mut members = Members::new(own, options.config.clone(), now, options.seed);
         members.expect(&others, now);
         LeaseManager {
             me: options.me,
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -53,9 +53,9 @@
 const SEEK_SLOWLY: Seconds = 5.0;
 const SEEK_SLOWEST: Seconds = 60.0;
 
-/// What the file says of membership.
+/// The settings of membership.
 #[derive(Clone, Debug)]
-pub struct Manners {
+pub struct MembershipConfig {
     /// Addresses that may know someone, tried while nobody is known.
     pub seeds: Vec<SocketAddr>,
     /// Seconds after which one that is gone is forgotten.
@@ -64,9 +64,9 @@
     pub without: Option<Defence>,
 }
 
-impl Default for Manners {
-    fn default() -> Manners {
-        Manners { seeds: Vec::new(), forget_after: 600.0, without: None }
+impl Default for MembershipConfig {
+    fn default() -> MembershipConfig {
+        MembershipConfig { seeds: Vec::new(), forget_after: 600.0, without: None }
     }
 }
 
@@ -153,7 +153,7 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     table: Table,
-    manners: Manners,
+    config: MembershipConfig,
     peers: BTreeMap<StewardId, Peer>,
     order: Vec<StewardId>,
     out: Vec<Out>,
@@ -179,13 +179,13 @@
 
 impl Members {
     /// `me`: under a process number that is higher than that of any earlier process of ours, as far as is known.
-    pub fn new(me: Entry, manners: Manners, now: Seconds, seed: u64) -> Members {
+    pub fn new(me: Entry, config: MembershipConfig, now: Seconds, seed: u64) -> Members {
         let chance = ChaCha8Rng::seed_from_u64(seed ^ u64::from(me.about.0));
         let mut rumours = Rumours::default();
         rumours.tell_first(me.clone());
         Members {
-            table: Table::new(me, manners.without),
-            manners,
+            table: Table::new(me, config.without),
+            config,
             peers: BTreeMap::new(),
             order: Vec::new(),
             out: Vec::new(),
@@ -396,7 +396,7 @@
     fn forget_the_gone(&mut self, now: Seconds) {
         let gone = self.table.others().filter(|entry| !entry.standing.lives()).map(|entry| entry.about);
         let gone =
-            gone.filter(|id| self.peers.get(id).is_none_or(|p| now - p.since > self.manners.forget_after));
+            gone.filter(|id| self.peers.get(id).is_none_or(|p| now - p.since > self.config.forget_after));
         for id in gone.collect::<Vec<_>>() {
             self.table.forget(id);
             self.rumours.drop_word(id);
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -11,14 +11,14 @@
         if self.alive() == 1 {
             self.seek_at = self.seek_at.min(now + self.seek_span);
         }
-        if now < self.seek_at || self.manners.seeds.is_empty() {
+        if now < self.seek_at || self.config.seeds.is_empty() {
             return;
         }
         let part = 0.7 + 0.6 * self.chance.random::<f64>();
         let known: BTreeSet<SocketAddr> = self.living().filter_map(|id| self.address(id)).collect();
         let own = self.table.me().card.address;
         let strange = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
-        let mut seeds: Vec<SocketAddr> = self.manners.seeds.iter().copied().filter(strange).collect();
+        let mut seeds: Vec<SocketAddr> = self.config.seeds.iter().copied().filter(strange).collect();
         if self.alive() > 1 {
             seeds = seeds.choose(&mut self.chance).copied().into_iter().collect();
             (self.seek_at, self.seek_span) = (now + self.slow_span * part, SEEK);
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -3,7 +3,8 @@
 
 fn flooded(ask: Ask) -> Members {
     let ids: Vec<StewardId> = (0..5).map(StewardId).collect();
-    let mut members = Members::new(Entry::alive(ids[0], 1, Card::default()), Manners::default(), 0.0, 1);
+    let mut members =
+        Members::new(Entry::alive(ids[0], 1, Card::default()), MembershipConfig::default(), 0.0, 1);
     members.expect(&ids, 0.0);
     let dead = Entry { standing: Standing::Dead, ..Entry::alive(ids[1], 0, Card::default()) };
     let from = Entry::alive(ids[1], 0, Card::default());
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -1,6 +1,6 @@
 //! Stewards on a simulated net: who finds whom dead, how soon, and whom nobody must.
 use railhub_membership::entry::{Card, Entry, Standing};
-use railhub_membership::swim::{Manners, Members};
+use railhub_membership::swim::{Members, MembershipConfig};
 use railhub_membership::words::{Changed, Mail, Message, To};
 use railhub_membership::StewardId;
 use rand::{RngExt, SeedableRng};
@@ -14,7 +14,8 @@
 type Seen = Vec<(f64, StewardId, Changed)>;
 
 fn member(id: StewardId, ids: &[StewardId], process: u64, now: f64, seed: u64) -> Members {
-    let mut members = Members::new(Entry::alive(id, process, Card::default()), Manners::default(), now, seed);
+    let mut members =
+        Members::new(Entry::alive(id, process, Card::default()), MembershipConfig::default(), now, seed);
     members.expect(ids, now);
     members
 }
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -12,7 +12,7 @@
 use railhub_membership::entry::{Card, Load};
 use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
-use railhub_membership::swim::{Manners, Members, Shown};
+use railhub_membership::swim::{Members, MembershipConfig, Shown};
 use railhub_membership::table::Defence;
 use railhub_membership::words::To;
 use railhub_membership::StewardId;
@@ -260,11 +260,14 @@
         drains: false,
         no_store: false,
     };
-    let manners =
-        Manners { seeds: terms.join.clone(), forget_after: terms.forget_after, without: terms.without };
+    let config = MembershipConfig {
+        seeds: terms.join.clone(),
+        forget_after: terms.forget_after,
+        without: terms.without,
+    };
     let slices = shares.as_ref().map_or(0, |shares| shares.slices);
     let (me, span, settle) = (terms.id, terms.lease, SETTLE);
-    LeaseManagerOptions { me, process, weights, card, manners, slices, span, settle, seed: process }
+    LeaseManagerOptions { me, process, weights, card, config, slices, span, settle, seed: process }
 }
 
 /// Seconds of processor time that this process took.
