--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -1,4 +1,4 @@
-//! Plays a run of views in simulated time, with the code that stewards run: each node is a [`Members`] with a clock
+//! Plays a run of views in simulated time, with the code that stewards run: each node is a [`Membership`] with a clock
 //! and an address of its own; datagrams are encoded and decoded as on the wire.
 use crate::agenda::Agenda;
 use crate::faults::{links_on, Chaos, Fault, What};
@@ -6,7 +6,7 @@
 use crate::view::{ends, Node, Seen};
 use railhub_membership::entry::{Card, Entry, Standing};
 use railhub_membership::packet::{decode, encode, Packet};
-use railhub_membership::swim::{Members, MembershipConfig, Shown};
+use railhub_membership::swim::{Membership, MembershipConfig, Shown};
 use railhub_membership::table::Defence;
 use railhub_membership::words::{Mail, Message, To};
 use railhub_membership::StewardId;
@@ -52,21 +52,21 @@
 
 /// What a process is.
 enum Watcher {
-    Members(Box<Members>),
+    Membership(Box<Membership>),
     Heartbeat(Heartbeat),
 }
 
 impl Watcher {
     fn tick(&mut self, now: f64) -> Mail {
         match self {
-            Watcher::Members(members) => members.tick(now).0,
+            Watcher::Membership(membership) => membership.tick(now).0,
             Watcher::Heartbeat(plain) => plain.tick(now),
         }
     }
 
     fn hear(&mut self, now: f64, message: &Message) -> Mail {
         match self {
-            Watcher::Members(members) => members.hear(now, message).0,
+            Watcher::Membership(membership) => membership.hear(now, message).0,
             Watcher::Heartbeat(plain) => {
                 plain.hear(now, message);
                 Mail::new()
@@ -76,41 +76,41 @@
 
     fn next_at(&self) -> f64 {
         match self {
-            Watcher::Members(members) => members.next_at(),
+            Watcher::Membership(membership) => membership.next_at(),
             Watcher::Heartbeat(plain) => plain.next_at(),
         }
     }
 
     fn address(&self, id: StewardId) -> Option<SocketAddr> {
         match self {
-            Watcher::Members(members) => members.address(id),
+            Watcher::Membership(membership) => membership.address(id),
             Watcher::Heartbeat(plain) => plain.address(id),
         }
     }
 
     fn leave(&mut self, now: f64) -> Mail {
         match self {
-            Watcher::Members(members) => members.leave(now),
+            Watcher::Membership(membership) => membership.leave(now),
             Watcher::Heartbeat(plain) => plain.leave(),
         }
     }
 
     fn shown(&self, now: f64) -> Vec<Shown> {
         match self {
-            Watcher::Members(members) => members.shown(now),
+            Watcher::Membership(membership) => membership.shown(now),
             Watcher::Heartbeat(plain) => plain.shown(now),
         }
     }
 
     fn process(&self) -> u64 {
         match self {
-            Watcher::Members(members) => members.life().process,
+            Watcher::Membership(membership) => membership.life().process,
             Watcher::Heartbeat(plain) => plain.process(),
         }
     }
 
     fn has_yielded(&self) -> bool {
-        matches!(self, Watcher::Members(members) if members.has_yielded())
+        matches!(self, Watcher::Membership(membership) if membership.has_yielded())
     }
 }
 
@@ -244,7 +244,7 @@
         let local = self.now + offset;
         let watcher = match self.how.heartbeats {
             true => Watcher::Heartbeat(Heartbeat::new(own, config.seeds, local)),
-            false => Watcher::Members(Box::new(Members::new(own, config, local, self.chance.random()))),
+            false => Watcher::Membership(Box::new(Membership::new(own, config, local, self.chance.random()))),
         };
         let process = Process { steward, watcher, address, offset, paused_until: 0.0, share: 1.0 };
         self.nodes.insert(node, process);
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -3,7 +3,7 @@
 use crate::entry::{Card, Entry, Load};
 use crate::lease::Leases;
 use crate::share::{heir, Sharing};
-use crate::swim::{Members, MembershipConfig};
+use crate::swim::{Membership, MembershipConfig};
 use crate::words::{Changed, Mail, Message};
 use crate::{Epoch, Seconds, StewardId};
 use serde::{Deserialize, Serialize};
@@ -59,7 +59,7 @@
     me: StewardId,
     process: u64,
     slices: u16,
-    members: Members,
+    membership: Membership,
     sharing: Sharing,
     leases: Leases,
     number: u64,
@@ -95,13 +95,13 @@
         let mut sharing = Sharing::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
         let own = Entry::alive(options.me, options.process, options.card.clone());
-        let mut members = Members::new(own, options.config.clone(), now, options.seed);
-        members.expect(&others, now);
+        let mut membership = Membership::new(own, options.config.clone(), now, options.seed);
+        membership.expect(&others, now);
         LeaseManager {
             me: options.me,
             process: options.process,
             slices: options.slices,
-            members,
+            membership,
             sharing,
             leases: Leases::new(options.span),
             number: 0,
@@ -135,7 +135,7 @@
     /// It is to go: its slices are handed over, and nothing new is taken.
     pub fn drain(&mut self) {
         self.drains = true;
-        self.members.drain();
+        self.membership.drain();
         self.sharing.drain(self.me, true);
     }
 
@@ -148,21 +148,21 @@
     }
 
     /// Who lives, and what is known of them.
-    pub fn members(&self) -> &Members {
-        &self.members
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
     pub fn set_load(&mut self, load: Load) {
-        self.members.set_load(load);
+        self.membership.set_load(load);
     }
 
     /// Tells the others that we go.
     pub fn leave(&mut self, now: Seconds) -> Acts {
-        Acts { mail: self.members.leave(now), ..Acts::default() }
+        Acts { mail: self.membership.leave(now), ..Acts::default() }
     }
 
     pub fn hear(&mut self, now: Seconds, message: &Message) -> Acts {
-        let (mail, changed) = self.members.hear(now, message);
+        let (mail, changed) = self.membership.hear(now, message);
         self.follow(now, &changed);
         Acts { mail, changed, ..Acts::default() }
     }
@@ -170,16 +170,16 @@
     fn follow(&mut self, now: Seconds, changed: &[Changed]) {
         for change in changed {
             self.sharing.meet(change.about);
-            self.sharing.hear(now, change.about, self.members.may_bear(change.about));
-            self.sharing.drain(change.about, self.members.drains(change.about));
+            self.sharing.hear(now, change.about, self.membership.may_bear(change.about));
+            self.sharing.drain(change.about, self.membership.drains(change.about));
         }
-        self.sharing.hear(now, self.me, self.members.may_bear(self.me));
+        self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
     }
 
     pub fn tick(&mut self, now: Seconds) -> Acts {
         // Before anything else: what a pause or a store that was away has cost.
         let mut acts = Acts { lapsed: self.leases.lapse(now), ..Acts::default() };
-        (acts.mail, acts.changed) = self.members.tick(now);
+        (acts.mail, acts.changed) = self.membership.tick(now);
         self.follow(now, &acts.changed);
         if self.asked.is_some_and(|(_, at)| now - at > ANSWER_WITHIN) {
             self.asked = None;
@@ -187,8 +187,8 @@
         }
         // One that lives and cannot hold anything would keep its slices from everyone for as long as it lives.
         let no_store = self.unanswered >= UNANSWERED_MOST && self.leases.count() == 0;
-        self.members.set_no_store(no_store);
-        self.sharing.hear(now, self.me, self.members.may_bear(self.me));
+        self.membership.set_no_store(no_store);
+        self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
         if self.asked.is_none() && now >= self.ask_at {
             acts.request = self.next_request(now, &mut acts.lost);
         }
@@ -254,6 +254,10 @@
     /// When [`LeaseManager::tick`] wants to be called next.
     pub fn next_at(&self, now: Seconds) -> Seconds {
         let ask = if self.asked.is_none() { self.ask_at.max(now + 0.01) } else { f64::INFINITY };
-        self.members.next_at().min(ask).min(self.leases.first_end().unwrap_or(f64::INFINITY)).max(now + 0.005)
+        self.membership
+            .next_at()
+            .min(ask)
+            .min(self.leases.first_end().unwrap_or(f64::INFINITY))
+            .max(now + 0.005)
     }
 }
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -151,7 +151,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Members {
+/// One steward's view of who lives, and the probes, suspicions and rumours that keep it up to date.
+pub struct Membership {
     table: Table,
     config: MembershipConfig,
     peers: BTreeMap<StewardId, Peer>,
@@ -177,13 +178,13 @@
     chance: ChaCha8Rng,
 }
 
-impl Members {
+impl Membership {
     /// `me`: under a process number that is higher than that of any earlier process of ours, as far as is known.
-    pub fn new(me: Entry, config: MembershipConfig, now: Seconds, seed: u64) -> Members {
+    pub fn new(me: Entry, config: MembershipConfig, now: Seconds, seed: u64) -> Membership {
         let chance = ChaCha8Rng::seed_from_u64(seed ^ u64::from(me.about.0));
         let mut rumours = Rumours::default();
         rumours.tell_first(me.clone());
-        Members {
+        Membership {
             table: Table::new(me, config.without),
             config,
             peers: BTreeMap::new(),
@@ -298,7 +299,7 @@
         all
     }
 
-    /// When [`Members::tick`] wants to be called next.
+    /// When [`Membership::tick`] wants to be called next.
     pub fn next_at(&self) -> Seconds {
         let next = |out: &Out| match out.through {
             0 => LATE_LEAST,
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -4,7 +4,7 @@
 /// Seconds in which a process of our name with a higher number must speak, or it is one of our past.
 const CLAIM_FOR: Seconds = 2.0;
 
-impl Members {
+impl Membership {
     /// While nobody is known to live, each address of the file is asked; else one of them now and then.
     pub(super) fn seek(&mut self, now: Seconds, mail: &mut Mail) {
         // One that has just been left alone does not wait for the slow look that was due while others lived.
--- a/crates/railhub-membership/src/swim/own.rs
+++ b/crates/railhub-membership/src/swim/own.rs
@@ -1,7 +1,7 @@
 //! What a steward tells of itself: that it hands its slices over, has no store, is so loaded, goes.
 use super::*;
 
-impl Members {
+impl Membership {
     /// We hand our slices over; the others learn of it.
     pub fn drain(&mut self) {
         self.table.rewrite(|card| card.drains = true);
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probing.rs
@@ -7,7 +7,7 @@
 /// it, one lost message in four must not be a suspicion.
 const THROUGH_TIMES: u8 = 2;
 
-impl Members {
+impl Membership {
     pub(super) fn send_probe(
         &mut self,
         now: Seconds,
--- a/crates/railhub-membership/src/swim/slowness.rs
+++ b/crates/railhub-membership/src/swim/slowness.rs
@@ -6,7 +6,7 @@
 /// Seconds that another's word on who stands out counts.
 const NAMED_FOR: Seconds = 5.0;
 
-impl Members {
+impl Membership {
     /// The one of those that live whose score stands out, if one does.
     pub(super) fn outlier(&self) -> Option<StewardId> {
         let alive = self.table.others().filter(|entry| entry.standing == Standing::Alive);
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 use crate::entry::Card;
 
-fn flooded(ask: Ask) -> Members {
+fn flooded(ask: Ask) -> Membership {
     let ids: Vec<StewardId> = (0..5).map(StewardId).collect();
-    let mut members =
-        Members::new(Entry::alive(ids[0], 1, Card::default()), MembershipConfig::default(), 0.0, 1);
-    members.expect(&ids, 0.0);
+    let mut membership =
+        Membership::new(Entry::alive(ids[0], 1, Card::default()), MembershipConfig::default(), 0.0, 1);
+    membership.expect(&ids, 0.0);
     let dead = Entry { standing: Standing::Dead, ..Entry::alive(ids[1], 0, Card::default()) };
     let from = Entry::alive(ids[1], 0, Card::default());
     for number in 0..10_000 {
         let (ask, news, load) = (ask.clone(), vec![dead.clone()], Load::default());
         let (from, turn) = (from.clone(), number);
-        members.hear(0.1, &Message { from, turn, load, number, ask, news, names: None, digest: 0 });
+        membership.hear(0.1, &Message { from, turn, load, number, ask, news, names: None, digest: 0 });
     }
-    members
+    membership
 }
 
 #[test]
@@ -29,22 +29,22 @@
 /// A process that is first heard of when it has rewritten its entry counts its messages anew all the same.
 #[test]
 fn a_new_process_is_heard_at_once_and_an_old_message_tells_nothing_of_now() {
-    let mut members = flooded(Ask::Tell);
+    let mut membership = flooded(Ask::Tell);
     let next =
         Entry { life: Life { process: 7, count: 3 }, ..Entry::alive(StewardId(1), 7, Card::default()) };
-    members.hear(0.2, &word_of(&next, 5, Ask::Tell));
-    members.hear(0.3, &word_of(&next, 4, Ask::Tell));
+    membership.hear(0.2, &word_of(&next, 5, Ask::Tell));
+    membership.hear(0.3, &word_of(&next, 4, Ask::Tell));
     let shown =
-        members.shown(0.4).into_iter().find(|shown| shown.entry.about == StewardId(1)).expect("known");
+        membership.shown(0.4).into_iter().find(|shown| shown.entry.about == StewardId(1)).expect("known");
     assert_eq!(shown.load.proxies, 5);
     assert!((shown.heard_ago - 0.2).abs() < 1e-9);
 }
 
 #[test]
 fn one_that_has_yielded_says_nothing_and_wants_few_turns() {
-    let mut members = flooded(Ask::Tell);
+    let mut membership = flooded(Ask::Tell);
     let newer = Entry::alive(StewardId(0), 9, Card::default());
-    members.hear(0.2, &word_of(&newer, 1, Ask::Probe));
-    assert!(members.has_yielded());
-    assert!(members.tick(0.5).0.is_empty() && members.next_at() >= 0.69);
+    membership.hear(0.2, &word_of(&newer, 1, Ask::Probe));
+    assert!(membership.has_yielded());
+    assert!(membership.tick(0.5).0.is_empty() && membership.next_at() >= 0.69);
 }
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -1,6 +1,6 @@
 //! Stewards on a simulated net: who finds whom dead, how soon, and whom nobody must.
 use railhub_membership::entry::{Card, Entry, Standing};
-use railhub_membership::swim::{Members, MembershipConfig};
+use railhub_membership::swim::{Membership, MembershipConfig};
 use railhub_membership::words::{Changed, Mail, Message, To};
 use railhub_membership::StewardId;
 use rand::{RngExt, SeedableRng};
@@ -13,16 +13,16 @@
 
 type Seen = Vec<(f64, StewardId, Changed)>;
 
-fn member(id: StewardId, ids: &[StewardId], process: u64, now: f64, seed: u64) -> Members {
-    let mut members =
-        Members::new(Entry::alive(id, process, Card::default()), MembershipConfig::default(), now, seed);
-    members.expect(ids, now);
-    members
+fn member(id: StewardId, ids: &[StewardId], process: u64, now: f64, seed: u64) -> Membership {
+    let mut membership =
+        Membership::new(Entry::alive(id, process, Card::default()), MembershipConfig::default(), now, seed);
+    membership.expect(ids, now);
+    membership
 }
 
 struct Net {
     now: f64,
-    stewards: BTreeMap<StewardId, Members>,
+    stewards: BTreeMap<StewardId, Membership>,
     /// Down from when on.
     down: BTreeMap<StewardId, bool>,
     paused_until: BTreeMap<StewardId, f64>,
@@ -41,10 +41,10 @@
 impl Net {
     fn new(count: u16, seed: u64) -> Net {
         let ids: Vec<StewardId> = (0..count).map(StewardId).collect();
-        let members = |id: &StewardId| (*id, member(*id, &ids, 1, 0.0, seed));
+        let membership = |id: &StewardId| (*id, member(*id, &ids, 1, 0.0, seed));
         Net {
             now: 0.0,
-            stewards: ids.iter().map(members).collect(),
+            stewards: ids.iter().map(membership).collect(),
             down: BTreeMap::new(),
             paused_until: BTreeMap::new(),
             cut: Vec::new(),
@@ -220,9 +220,9 @@
         net.slow.insert(StewardId(3), 0.15);
         net.run(25.0);
         for viewer in [0, 1, 2, 4] {
-            let members = &net.stewards[&StewardId(viewer)];
-            assert!(!members.may_bear(StewardId(3)), "seed {seed}, {viewer}");
-            let others = (0..5).filter(|id| *id != 3 && members.may_bear(StewardId(*id)));
+            let membership = &net.stewards[&StewardId(viewer)];
+            assert!(!membership.may_bear(StewardId(3)), "seed {seed}, {viewer}");
+            let others = (0..5).filter(|id| *id != 3 && membership.may_bear(StewardId(*id)));
             assert_eq!(others.count(), 4, "seed {seed}, {viewer}");
         }
         assert_eq!(net.held_dead(), 0, "seed {seed}: it lives");
@@ -251,7 +251,7 @@
     let rate = |count: u16| {
         let mut net = Net::new(count, 1);
         net.run(20.0);
-        let sent: u64 = net.stewards.values().map(Members::sent).sum();
+        let sent: u64 = net.stewards.values().map(Membership::sent).sum();
         sent as f64 / f64::from(count) / 20.0
     };
     let (few, many) = (rate(5), rate(40));
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -12,7 +12,7 @@
 use railhub_membership::entry::{Card, Load};
 use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
-use railhub_membership::swim::{Members, MembershipConfig, Shown};
+use railhub_membership::swim::{Membership, MembershipConfig, Shown};
 use railhub_membership::table::Defence;
 use railhub_membership::words::To;
 use railhub_membership::StewardId;
@@ -210,8 +210,8 @@
             cpu: (terms.clock.now(), cpu_seconds()),
             looks: (0.0, 0),
         };
-        tracing::info!(id = terms.id.0, process = desk.members().life().process, %address, "the steward is in the fleet");
-        let process = desk.members().life().process;
+        tracing::info!(id = terms.id.0, process = desk.membership().life().process, %address, "the steward is in the fleet");
+        let process = desk.membership().life().process;
         let (stop, leave) = (ends.clone(), leaves.clone());
         let thread =
             std::thread::Builder::new().name("fleet".into()).spawn(move || desk.run(&stop, &leave))?;
@@ -302,8 +302,8 @@
 }
 
 impl Desk {
-    fn members(&self) -> &Members {
-        self.lease_manager.members()
+    fn membership(&self) -> &Membership {
+        self.lease_manager.membership()
     }
 
     fn run(&mut self, ends: &AtomicBool, leaves: &AtomicBool) {
@@ -369,9 +369,9 @@
         self.lease_manager.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
         self.figures.charges = held.unwrap_or(0) as usize;
         self.figures.tables_refused = self.shares.as_ref().map_or(0, |shares| shares.store.refused());
-        self.figures.alive = self.members().alive();
-        self.figures.sent = self.members().sent();
-        self.figures.yielded = self.members().has_yielded();
+        self.figures.alive = self.membership().alive();
+        self.figures.sent = self.membership().sent();
+        self.figures.yielded = self.membership().has_yielded();
         *self.shown.lock().expect("no holder panics") = self.figures.clone();
     }
 
@@ -416,7 +416,7 @@
             Ok(Packet::Look { nonce, from: first }) => self.show(nonce, first, from),
             Ok(Packet::View(_)) => {}
             Ok(Packet::Drain { steward, process }) => {
-                let is_us = steward == self.members().me() && process == self.members().life().process;
+                let is_us = steward == self.membership().me() && process == self.membership().life().process;
                 if is_us && !self.lease_manager.drains() {
                     tracing::info!("the steward is told to hand its slices over");
                     self.lease_manager.drain();
@@ -432,7 +432,7 @@
         }
         for (to, message) in acts.mail {
             let address = match to {
-                To::Steward(id) => self.members().address(id),
+                To::Steward(id) => self.membership().address(id),
                 To::Address(address) => Some(address),
             };
             let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
@@ -462,20 +462,20 @@
             self.figures.looks_dropped += 1;
             return;
         }
-        let members = self.members();
-        let all = members.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
+        let membership = self.membership();
+        let all = membership.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
         let mut lines: Vec<Shown> = all.take(SHOWN_MOST + 1).collect();
         let next = (lines.len() > SHOWN_MOST).then(|| lines[SHOWN_MOST].entry.about);
         lines.truncate(SHOWN_MOST);
         let view = View {
             nonce,
-            viewer: members.me(),
-            process: members.life().process,
-            digest: members.digest(),
+            viewer: membership.me(),
+            process: membership.life().process,
+            digest: membership.digest(),
             lines,
             next,
             dropped: self.figures.dropped.all(),
-            yielded: members.has_yielded(),
+            yielded: membership.has_yielded(),
         };
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
