--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -30,8 +30,8 @@
 /// Seconds from a probe until its target is suspected: direct and indirect answers both had time. A helper says
 /// after half of it that it had no answer either.
 const PROBE_ENDS: Seconds = 0.4;
-/// Probes that are out at once: past it others' are not made, and they learn nothing from us.
-const OUT_MOST: usize = 64;
+/// Probes that are pending at once: past it others' are not made, and they learn nothing from us.
+const MAX_PENDING_PROBES: usize = 64;
 /// Seconds a suspicion stands before it is held for certain, times the logarithm of the stewards' number: long
 /// enough for the word to come round and back. Without a second accuser so many times longer, and how many make it
 /// certain.
@@ -106,9 +106,9 @@
     }
 }
 
-/// A probe that is out.
+/// A probe that has not been answered yet.
 #[derive(Clone, Debug)]
-struct Out {
+struct PendingProbe {
     number: u64,
     to: StewardId,
     at: Seconds,
@@ -157,7 +157,7 @@
     config: MembershipConfig,
     peers: BTreeMap<StewardId, Peer>,
     order: Vec<StewardId>,
-    out: Vec<Out>,
+    pending: Vec<PendingProbe>,
     rumours: Rumours,
     health: Health,
     load: Load,
@@ -189,7 +189,7 @@
             config,
             peers: BTreeMap::new(),
             order: Vec::new(),
-            out: Vec::new(),
+            pending: Vec::new(),
             rumours,
             health: Health::default(),
             load: Load::default(),
@@ -301,12 +301,12 @@
 
     /// When [`Membership::tick`] wants to be called next.
     pub fn next_at(&self) -> Seconds {
-        let next = |out: &Out| match out.through {
+        let next = |probe: &PendingProbe| match probe.through {
             0 => LATE_LEAST,
             1 => PROBE_ENDS / 2.0,
             _ => PROBE_ENDS,
         };
-        let ends = self.out.iter().map(|out| out.at + next(out));
+        let ends = self.pending.iter().map(|probe| probe.at + next(probe));
         ends.fold(self.probes_at, f64::min).min(self.ticked_at + PERIOD).max(self.ticked_at + 0.01)
     }
 
@@ -354,7 +354,7 @@
             return;
         }
         self.health.turned(since.abs());
-        self.out.clear();
+        self.pending.clear();
         for peer in self.peers.values_mut() {
             (peer.since, peer.heard_at) = (now, peer.heard_at.min(now));
             peer.ask_at = peer.ask_at.min(now + peer.ask_span);
@@ -479,7 +479,9 @@
                 let first = doubts.into_iter().collect();
                 self.send(To::Steward(from), message.number, Ask::Answer, first, mail);
             }
-            Ask::ProbeFor(target) if self.peers.contains_key(target) && self.out.len() < OUT_MOST => {
+            Ask::ProbeFor(target)
+                if self.peers.contains_key(target) && self.pending.len() < MAX_PENDING_PROBES =>
+            {
                 // A suspect is told, so that its own word comes back by us: it may have no other way.
                 let word = self.table.get(*target).filter(|entry| entry.standing == Standing::Suspect);
                 let first = word.cloned().into_iter().collect();
@@ -491,9 +493,12 @@
             Ask::Answer => self.answered(now, from, message.number, mail, changed),
             Ask::AnswerOf(target) => {
                 // It lives, though not for us: badly, but not silent.
-                let out = self.out.iter().position(|out| out.number == message.number && out.to == *target);
-                if let Some(place) = out {
-                    self.out.remove(place);
+                let probe = self
+                    .pending
+                    .iter()
+                    .position(|probe| probe.number == message.number && probe.to == *target);
+                if let Some(place) = probe {
+                    self.pending.remove(place);
                     self.health.did_well();
                     if let Some(peer) = self.peers.get_mut(target) {
                         peer.answers.judge(now, true);
@@ -501,8 +506,11 @@
                 }
             }
             Ask::NoAnswerOf(target) => {
-                let out = self.out.iter_mut().find(|out| out.number == message.number && out.to == *target);
-                out.into_iter().for_each(|out| out.helped = true);
+                let probe = self
+                    .pending
+                    .iter_mut()
+                    .find(|probe| probe.number == message.number && probe.to == *target);
+                probe.into_iter().for_each(|probe| probe.helped = true);
             }
             Ask::Compare { from: first, to, lines } => {
                 let (better, want) = self.table.compare(*first, *to, lines);
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probing.rs
@@ -21,7 +21,7 @@
         self.send(To::Steward(to), number, Ask::Probe, first, mail);
         // Nobody else is asked for one that we probe for another.
         let through = if behalf.is_some() { THROUGH_TIMES } else { 0 };
-        self.out.push(Out { number, to, at: now, through, helpers: 0, helped: false, behalf });
+        self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, behalf });
     }
 
     /// A suspect is asked once more each time, and told what it is suspected of: on a net that loses messages its
@@ -70,21 +70,23 @@
     pub(super) fn end_probes(&mut self, now: Seconds, mail: &mut Mail, changed: &mut Vec<Changed>) {
         self.ask_through_others(now, mail);
         let ends = PROBE_ENDS * self.patience();
-        let is_over = |out: &Out| now - out.at >= if out.behalf.is_some() { PROBE_ENDS / 2.0 } else { ends };
-        let over: Vec<Out> = self.out.iter().filter(|out| is_over(out)).cloned().collect();
-        self.out.retain(|out| !is_over(out));
-        for out in over {
-            if let Some(Behalf { asker, number, .. }) = out.behalf {
-                self.send(To::Steward(asker), number, Ask::NoAnswerOf(out.to), Vec::new(), mail);
+        let is_over = |probe: &PendingProbe| {
+            now - probe.at >= if probe.behalf.is_some() { PROBE_ENDS / 2.0 } else { ends }
+        };
+        let over: Vec<PendingProbe> = self.pending.iter().filter(|probe| is_over(probe)).cloned().collect();
+        self.pending.retain(|probe| !is_over(probe));
+        for probe in over {
+            if let Some(Behalf { asker, number, .. }) = probe.behalf {
+                self.send(To::Steward(asker), number, Ask::NoAnswerOf(probe.to), Vec::new(), mail);
                 continue;
             }
-            if out.helpers > 0 && !out.helped {
+            if probe.helpers > 0 && !probe.helped {
                 self.health.heard_nothing();
             }
-            if let Some(peer) = self.peers.get_mut(&out.to) {
+            if let Some(peer) = self.peers.get_mut(&probe.to) {
                 peer.answers.judge(now, true);
             }
-            self.suspect(now, out.to, out.helpers, changed);
+            self.suspect(now, probe.to, probe.helpers, changed);
         }
     }
 
@@ -95,21 +97,21 @@
             answers.late_after(PROBE_ENDS / 2.0) * patience
         };
         let again_after = PROBE_ENDS / 2.0 * patience;
-        let late = self.out.iter().filter(|out| match out.through {
-            0 => now - out.at >= late_after(&out.to),
-            1 => !out.helped && now - out.at >= again_after,
+        let late = self.pending.iter().filter(|probe| match probe.through {
+            0 => now - probe.at >= late_after(&probe.to),
+            1 => !probe.helped && now - probe.at >= again_after,
             _ => false,
         });
-        let late: Vec<(u64, StewardId)> = late.map(|out| (out.number, out.to)).collect();
+        let late: Vec<(u64, StewardId)> = late.map(|probe| (probe.number, probe.to)).collect();
         for (number, to) in late {
             let mut others: Vec<StewardId> =
                 self.living().filter(|id| *id != to && self.standing(*id) == Standing::Alive).collect();
             others.shuffle(&mut self.chance);
             others.truncate(THROUGH);
             let mut again = false;
-            if let Some(out) = self.out.iter_mut().find(|out| out.number == number) {
-                again = out.through > 0;
-                (out.through, out.helpers) = (out.through + 1, others.len());
+            if let Some(probe) = self.pending.iter_mut().find(|probe| probe.number == number) {
+                again = probe.through > 0;
+                (probe.through, probe.helpers) = (probe.through + 1, others.len());
             }
             let word = self.table.get(to).filter(|entry| entry.standing == Standing::Suspect).cloned();
             if again {
@@ -131,19 +133,20 @@
         mail: &mut Mail,
         changed: &mut Vec<Changed>,
     ) {
-        let Some(place) = self.out.iter().position(|out| out.number == number && out.to == from) else {
+        let Some(place) = self.pending.iter().position(|probe| probe.number == number && probe.to == from)
+        else {
             return;
         };
-        let out = self.out.remove(place);
-        if let Some(Behalf { asker, number, doubts }) = out.behalf {
+        let probe = self.pending.remove(place);
+        if let Some(Behalf { asker, number, doubts }) = probe.behalf {
             // With what it says of itself: it may have refuted what the asker holds of it.
             let first = self.table.get(from).filter(|_| doubts).cloned().into_iter().collect();
             self.send(To::Steward(asker), number, Ask::AnswerOf(from), first, mail);
             return;
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        let was_late = now - out.at > peer.answers.late_after(PROBE_ENDS / 2.0);
-        peer.answers.add(now, (now - out.at).min(PROBE_ENDS));
+        let was_late = now - probe.at > peer.answers.late_after(PROBE_ENDS / 2.0);
+        peer.answers.add(now, (now - probe.at).min(PROBE_ENDS));
         peer.answers.judge(now, was_late);
         if !was_late {
             self.health.did_well();
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -19,7 +19,7 @@
 #[test]
 fn one_that_asks_without_end_makes_nothing_grow() {
     assert!(flooded(Ask::Probe).rumours() <= 5);
-    assert!(flooded(Ask::ProbeFor(StewardId(2))).out.len() <= OUT_MOST);
+    assert!(flooded(Ask::ProbeFor(StewardId(2))).pending.len() <= MAX_PENDING_PROBES);
 }
 fn word_of(entry: &Entry, turn: u64, ask: Ask) -> Message {
     let (from, load) = (entry.clone(), Load { proxies: turn as u32, ..Load::default() });
