--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -117,13 +117,13 @@
     /// Helpers that were asked, and whether one had a word.
     helpers: usize,
     helped: bool,
-    /// On whose behalf, if it is not on ours.
-    behalf: Option<Behalf>,
+    /// For whom it is made, if it is not for us.
+    indirect: Option<IndirectProbe>,
 }
 
-/// One that asked us to probe another.
+/// A probe that another steward asked us to make.
 #[derive(Clone, Copy, Debug)]
-struct Behalf {
+struct IndirectProbe {
     asker: StewardId,
     /// The asker's number for it.
     number: u64,
@@ -486,8 +486,8 @@
                 let word = self.table.get(*target).filter(|entry| entry.standing == Standing::Suspect);
                 let first = word.cloned().into_iter().collect();
                 let doubts = message.news.iter().any(|word| word.about == *target);
-                let behalf = Behalf { asker: from, number: message.number, doubts };
-                self.send_probe(now, *target, Some(behalf), first, mail);
+                let indirect = IndirectProbe { asker: from, number: message.number, doubts };
+                self.send_probe(now, *target, Some(indirect), first, mail);
             }
             Ask::ProbeFor(_) | Ask::Tell => {}
             Ask::Answer => self.answered(now, from, message.number, mail, changed),
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probing.rs
@@ -12,7 +12,7 @@
         &mut self,
         now: Seconds,
         to: StewardId,
-        behalf: Option<Behalf>,
+        indirect: Option<IndirectProbe>,
         first: Vec<Entry>,
         mail: &mut Mail,
     ) {
@@ -20,8 +20,8 @@
         let number = self.number;
         self.send(To::Steward(to), number, Ask::Probe, first, mail);
         // Nobody else is asked for one that we probe for another.
-        let through = if behalf.is_some() { THROUGH_TIMES } else { 0 };
-        self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, behalf });
+        let through = if indirect.is_some() { THROUGH_TIMES } else { 0 };
+        self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, indirect });
     }
 
     /// A suspect is asked once more each time, and told what it is suspected of: on a net that loses messages its
@@ -71,12 +71,12 @@
         self.ask_through_others(now, mail);
         let ends = PROBE_ENDS * self.patience();
         let is_over = |probe: &PendingProbe| {
-            now - probe.at >= if probe.behalf.is_some() { PROBE_ENDS / 2.0 } else { ends }
+            now - probe.at >= if probe.indirect.is_some() { PROBE_ENDS / 2.0 } else { ends }
         };
         let over: Vec<PendingProbe> = self.pending.iter().filter(|probe| is_over(probe)).cloned().collect();
         self.pending.retain(|probe| !is_over(probe));
         for probe in over {
-            if let Some(Behalf { asker, number, .. }) = probe.behalf {
+            if let Some(IndirectProbe { asker, number, .. }) = probe.indirect {
                 self.send(To::Steward(asker), number, Ask::NoAnswerOf(probe.to), Vec::new(), mail);
                 continue;
             }
@@ -138,7 +138,7 @@
             return;
         };
         let probe = self.pending.remove(place);
-        if let Some(Behalf { asker, number, doubts }) = probe.behalf {
+        if let Some(IndirectProbe { asker, number, doubts }) = probe.indirect {
             // With what it says of itself: it may have refuted what the asker holds of it.
             let first = self.table.get(from).filter(|_| doubts).cloned().into_iter().collect();
             self.send(To::Steward(asker), number, Ask::AnswerOf(from), first, mail);
