--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -1,5 +1,5 @@
-//! Plays a run: stewards with lease managers and clocks of their own, a store, proxies that fence, and messages that take
-//! their time.
+//! Plays a run: stewards with lease managers and clocks of their own, a store, proxies that fence, and messages that
+//! take their time.
 use crate::agenda::Agenda;
 use crate::faults::{Chaos, Fault, What};
 use railhub_membership::grants::{Broken, Grants};
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -133,7 +133,7 @@
 
 /// A process of our name that was spoken of.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct IdentityConflict {
     process: u64,
     address: Option<SocketAddr>,
     at: Seconds,
@@ -150,8 +150,8 @@
     pub withdrawn: bool,
 }
 
-#[derive(Clone, Debug)]
 /// One steward's view of who lives, and the probes, suspicions and rumours that keep it up to date.
+#[derive(Clone, Debug)]
 pub struct Membership {
     table: Table,
     config: MembershipConfig,
@@ -172,7 +172,7 @@
     seek_span: Seconds,
     slow_span: Seconds,
     /// A process of our name with a higher number that was spoken of, where it is reached, and since when.
-    claim: Option<Claim>,
+    conflict: Option<IdentityConflict>,
     yielded: bool,
     refused: u64,
     chance: ChaCha8Rng,
@@ -203,7 +203,7 @@
             seek_at: now,
             seek_span: SEEK,
             slow_span: SEEK_SLOWLY,
-            claim: None,
+            conflict: None,
             yielded: false,
             refused: 0,
             chance,
@@ -362,7 +362,8 @@
         let soon = now + PERIOD;
         (self.ticked_at, self.probes_at) = (now, self.probes_at.min(soon));
         (self.compare_at, self.seek_at) = (self.compare_at.min(soon), self.seek_at.min(now + SEEK_SLOWEST));
-        self.claim = self.claim.map(|claim| Claim { at: claim.at.min(now), ..claim });
+        self.conflict =
+            self.conflict.map(|conflict| IdentityConflict { at: conflict.at.min(now), ..conflict });
     }
 
     /// What is due: probes, those that ended without an answer, suspicions that are over, the dead to be asked, those
@@ -380,7 +381,7 @@
         self.end_suspicions(now, &mut changed);
         self.look_for_withdrawn(now, &mut changed);
         self.forget_the_gone(now);
-        self.end_claim(now, &mut changed);
+        self.end_conflict(now, &mut changed);
         if now >= self.probes_at {
             self.probes_at = now + PERIOD;
             if let Some(to) = self.next_target() {
@@ -389,7 +390,7 @@
             self.warn_suspect(now, &mut mail);
             self.ask_a_dead(now, &mut mail);
             self.seek(now, &mut mail);
-            self.ask_claimant(&mut mail);
+            self.probe_rival(&mut mail);
         }
         (mail, changed)
     }
@@ -550,7 +551,7 @@
                 self.health.was_suspected();
                 self.rumours.tell_first(self.table.me().clone());
             }
-            Learnt::Rival => self.claimed(now, word),
+            Learnt::Rival => self.note_conflict(now, word),
             Learnt::Full => self.refused += 1,
             Learnt::Nothing => self.answer_to_stale(word),
             Learnt::Old => {}
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 /// Seconds in which a process of our name with a higher number must speak, or it is one of our past.
-const CLAIM_FOR: Seconds = 2.0;
+const CONFLICT_ENDS_AFTER: Seconds = 2.0;
 
 impl Membership {
     /// While nobody is known to live, each address of the file is asked; else one of them now and then.
@@ -59,25 +59,27 @@
     }
 
     /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
-    pub(super) fn claimed(&mut self, now: Seconds, word: &Entry) {
-        if self.claim.is_none_or(|claim| claim.process < word.life.process) {
+    pub(super) fn note_conflict(&mut self, now: Seconds, word: &Entry) {
+        if self.conflict.is_none_or(|conflict| conflict.process < word.life.process) {
             let own = self.table.me().card.address;
             let address = word.card.address.filter(|address| Some(*address) != own);
-            self.claim = Some(Claim { process: word.life.process, address, at: now });
+            self.conflict = Some(IdentityConflict { process: word.life.process, address, at: now });
         }
     }
 
-    pub(super) fn ask_claimant(&mut self, mail: &mut Mail) {
-        if let Some(address) = self.claim.and_then(|claim| claim.address) {
+    pub(super) fn probe_rival(&mut self, mail: &mut Mail) {
+        if let Some(address) = self.conflict.and_then(|conflict| conflict.address) {
             self.send(To::Address(address), 0, Ask::Probe, Vec::new(), mail);
         }
     }
 
-    pub(super) fn end_claim(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
-        let Some(Claim { process, at, .. }) = self.claim.filter(|claim| now - claim.at >= CLAIM_FOR) else {
+    pub(super) fn end_conflict(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
+        let Some(IdentityConflict { process, at, .. }) =
+            self.conflict.filter(|conflict| now - conflict.at >= CONFLICT_ENDS_AFTER)
+        else {
             return;
         };
-        self.claim = None;
+        self.conflict = None;
         self.table.rise_above(process);
         let me = self.table.me().clone();
         let why = format!(
