--- a/crates/railhub-chaos/src/explore.rs
+++ b/crates/railhub-chaos/src/explore.rs
@@ -5,7 +5,7 @@
 //!
 //! Checked in each state: nobody holds a life of another that this one never had; who has held a process never goes back
 //! to an older one; and, if from now on all words arrive, everyone ends with the truth.
-use railhub_membership::entry::{Card, Entry, Life, Standing};
+use railhub_membership::entry::{Entry, Life, NodeMetadata, Standing};
 use railhub_membership::table::{Defence, Table};
 use railhub_membership::StewardId;
 use serde::Serialize;
@@ -51,10 +51,10 @@
 }
 
 fn fresh(place: usize, process: u64, without: Option<Defence>) -> Table {
-    let mut table = Table::new(Entry::alive(id(place), process, Card::default()), without);
+    let mut table = Table::new(Entry::alive(id(place), process, NodeMetadata::default()), without);
     // All have met once.
     for other in (0..STEWARDS).filter(|other| *other != place) {
-        table.learn(&Entry::alive(id(other), 1, Card::default()), false);
+        table.learn(&Entry::alive(id(other), 1, NodeMetadata::default()), false);
     }
     table
 }
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -33,7 +33,7 @@
     }
 
     pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
-        self.heard.get(&id).and_then(|(entry, _)| entry.card.address)
+        self.heard.get(&id).and_then(|(entry, _)| entry.metadata.address)
     }
 
     fn mail(&mut self, ask: Ask) -> Mail {
@@ -49,7 +49,7 @@
             names: None,
             digest: 0,
         };
-        let known = self.heard.values().filter_map(|(entry, _)| entry.card.address);
+        let known = self.heard.values().filter_map(|(entry, _)| entry.metadata.address);
         let to: std::collections::BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
         to.into_iter().map(|address| (To::Address(address), message.clone())).collect()
     }
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -4,7 +4,7 @@
 use crate::faults::{links_on, Chaos, Fault, What};
 use crate::view::heartbeat::Heartbeat;
 use crate::view::{ends, Node, Seen};
-use railhub_membership::entry::{Card, Entry, Standing};
+use railhub_membership::entry::{Entry, NodeMetadata, Standing};
 use railhub_membership::packet::{decode, encode, Packet};
 use railhub_membership::swim::{Membership, MembershipConfig, Shown};
 use railhub_membership::table::Defence;
@@ -234,13 +234,14 @@
         self.last_node += 1;
         let node = Node(self.last_node);
         let offset = self.chance.random::<f64>() * 1000.0;
-        let card = Card { address: Some(address), program: "sim".into(), ..Card::default() };
+        let metadata =
+            NodeMetadata { address: Some(address), program: "sim".into(), ..NodeMetadata::default() };
         let forget_after = if self.how.forget_after > 0.0 { self.how.forget_after } else { 600.0 };
         let most = if self.how.heartbeats { u16::MAX } else { JOIN_BY };
         let seeds = self.addresses.iter().filter(|(id, _)| **id != steward && **id < most);
         let seeds = seeds.map(|(_, address)| *address).collect();
         let config = MembershipConfig { seeds, forget_after, without: self.how.without };
-        let own = Entry::alive(StewardId(steward), process, card);
+        let own = Entry::alive(StewardId(steward), process, metadata);
         let local = self.now + offset;
         let watcher = match self.how.heartbeats {
             true => Watcher::Heartbeat(Heartbeat::new(own, config.seeds, local)),
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -177,12 +177,12 @@
         let weights = (0..self.chaos.stewards).map(|id| (StewardId(id), 1.0)).collect();
         let seed = self.chance.random();
         let (slices, span) = (self.chaos.slices, self.chaos.span);
-        let (card, config) = (Default::default(), MembershipConfig::default());
+        let (metadata, config) = (Default::default(), MembershipConfig::default());
         let options = LeaseManagerOptions {
             me: StewardId(id),
             process,
             weights: &weights,
-            card,
+            metadata,
             config,
             slices,
             span,
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -140,7 +140,7 @@
         match ask(socket, &terms.installation, address) {
             Some(view) => {
                 let lives = view.lines.iter().filter(|line| line.entry.standing.lives());
-                let found: Vec<SocketAddr> = lives.filter_map(|line| line.entry.card.address).collect();
+                let found: Vec<SocketAddr> = lives.filter_map(|line| line.entry.metadata.address).collect();
                 named.extend(found.iter().copied());
                 to_ask.extend(found);
                 views.insert((view.viewer, view.process), view);
@@ -214,12 +214,12 @@
         standing: entry.standing,
         stands_for: shown.stands_for,
         heard_ago: shown.heard_ago.is_finite().then_some(shown.heard_ago),
-        address: entry.card.address,
-        program: entry.card.program.clone(),
-        protocol: entry.card.protocol,
-        settings: format!("{:016x}", entry.card.settings),
-        drains: entry.card.drains,
-        no_store: entry.card.no_store,
+        address: entry.metadata.address,
+        program: entry.metadata.program.clone(),
+        protocol: entry.metadata.protocol,
+        settings: format!("{:016x}", entry.metadata.settings),
+        drains: entry.metadata.drains,
+        no_store: entry.metadata.no_store,
         withdrawn: shown.withdrawn,
         slices: load.slices,
         proxies: load.proxies,
--- a/crates/railhub-membership/src/entry.rs
+++ b/crates/railhub-membership/src/entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one steward. Its owner alone writes the card, under a life that only it raises; others can
+//! What is known of one steward. Its owner alone writes the metadata, under a life that only it raises; others can
 //! add nothing to an entry but a worse standing under the life they know. So any two words about a steward are in
 //! order, whoever brings them, and however late.
 use crate::StewardId;
@@ -35,7 +35,7 @@
 
 /// What a steward tells of itself that seldom changes; each change comes under a higher count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct NodeMetadata {
     /// Where it is reached.
     pub address: Option<SocketAddr>,
     /// Version of the program, and of the words between stewards.
@@ -65,14 +65,15 @@
     pub about: StewardId,
     pub life: Life,
     pub standing: Standing,
-    pub card: Card,
+    #[serde(rename = "card")]
+    pub metadata: NodeMetadata,
     /// Who found it missing, where it is suspect or dead.
     pub by: Option<StewardId>,
 }
 
 impl Entry {
-    pub fn alive(about: StewardId, process: u64, card: Card) -> Entry {
-        Entry { about, life: Life { process, count: 0 }, standing: Standing::Alive, card, by: None }
+    pub fn alive(about: StewardId, process: u64, metadata: NodeMetadata) -> Entry {
+        Entry { about, life: Life { process, count: 0 }, standing: Standing::Alive, metadata, by: None }
     }
 
     /// Whether this word says more than another about the same steward.
@@ -83,14 +84,14 @@
     /// The same for all that know the same; what changes all the time stays out of it.
     pub fn digest(&self) -> u64 {
         let mut sum = mix(u64::from(self.about.0) + 1);
-        for part in [self.life.process, self.card.settings, u64::from(self.card.protocol)] {
+        for part in [self.life.process, self.metadata.settings, u64::from(self.metadata.protocol)] {
             sum = mix(sum ^ part);
         }
-        let text = self.card.program.bytes().map(u64::from);
-        let address = self.card.address.map(|address| address.to_string()).unwrap_or_default();
+        let text = self.metadata.program.bytes().map(u64::from);
+        let address = self.metadata.address.map(|address| address.to_string()).unwrap_or_default();
         for byte in text
             .chain(address.bytes().map(u64::from))
-            .chain([u64::from(self.card.drains) + 2 * u64::from(self.card.no_store)])
+            .chain([u64::from(self.metadata.drains) + 2 * u64::from(self.metadata.no_store)])
         {
             sum = mix(sum ^ byte);
         }
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -1,6 +1,6 @@
 //! One steward's part in sharing a fleet: it hears from the others and from the store, and says what to send, which
 //! slices it has gained and which it has lost. All that it may order it asks [`LeaseManager::may_order`], each time.
-use crate::entry::{Card, Entry, Load};
+use crate::entry::{Entry, Load, NodeMetadata};
 use crate::lease::Leases;
 use crate::share::{heir, Sharing};
 use crate::swim::{Membership, MembershipConfig};
@@ -79,7 +79,7 @@
     pub process: u64,
     /// All stewards of the installation with what they can bear.
     pub weights: &'a BTreeMap<StewardId, f64>,
-    pub card: Card,
+    pub metadata: NodeMetadata,
     pub config: MembershipConfig,
     pub slices: u16,
     /// Seconds that a lease is granted for.
@@ -94,7 +94,7 @@
         let others: Vec<StewardId> = options.weights.keys().copied().collect();
         let mut sharing = Sharing::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
-        let own = Entry::alive(options.me, options.process, options.card.clone());
+        let own = Entry::alive(options.me, options.process, options.metadata.clone());
         let mut membership = Membership::new(own, options.config.clone(), now, options.seed);
         membership.expect(&others, now);
         LeaseManager {
--- a/crates/railhub-membership/src/packet.rs
+++ b/crates/railhub-membership/src/packet.rs
@@ -4,7 +4,7 @@
 //!
 //! Head: `RHF`, version (1 byte), CRC-32 of all that follows (4 bytes, big end first), length of the installation's
 //! name (1 byte), the name; then the body.
-use crate::entry::{Card, Entry, Life, Load, Standing};
+use crate::entry::{Entry, Life, Load, NodeMetadata, Standing};
 use crate::swim::Shown;
 use crate::words::{Ask, Line, Message, LINES_MOST, NEWS_MOST};
 use crate::StewardId;
@@ -257,7 +257,7 @@
     body: Option<Body>,
 }
 
-/// A datagram; it may come out longer than [`BYTES_MOST`] only if cards are, which [`Card`]s read from a file and
+/// A datagram; it may come out longer than [`BYTES_MOST`] only if the metadata are, which [`NodeMetadata`] read from a file and
 /// from other datagrams are not.
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let body = match packet {
@@ -334,12 +334,12 @@
 fn wire_entry(entry: &Entry) -> WireEntry {
     WireEntry {
         line: wire_line(entry.about, entry.life, entry.standing),
-        address: entry.card.address.map(|address| address.to_string()).unwrap_or_default(),
-        program: entry.card.program.chars().take(PROGRAM_MOST).collect(),
-        protocol: entry.card.protocol,
-        settings: entry.card.settings,
-        drains: entry.card.drains,
-        no_store: entry.card.no_store,
+        address: entry.metadata.address.map(|address| address.to_string()).unwrap_or_default(),
+        program: entry.metadata.program.chars().take(PROGRAM_MOST).collect(),
+        protocol: entry.metadata.protocol,
+        settings: entry.metadata.settings,
+        drains: entry.metadata.drains,
+        no_store: entry.metadata.no_store,
         by: entry.by.map(|by| by.0.into()),
     }
 }
@@ -353,7 +353,7 @@
         "" => None,
         text => Some(text.parse().map_err(|_| Fault::Malformed)?),
     };
-    let card = Card {
+    let metadata = NodeMetadata {
         address,
         program: entry.program,
         protocol: entry.protocol,
@@ -362,7 +362,7 @@
         no_store: entry.no_store,
     };
     let by = entry.by.map(id).transpose()?;
-    Ok(Entry { about: line.about, life: line.life, standing: line.standing, card, by })
+    Ok(Entry { about: line.about, life: line.life, standing: line.standing, metadata, by })
 }
 
 fn wire_load(load: &Load) -> WireLoad {
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 fn longest() -> Entry {
-    let card = Card {
+    let metadata = NodeMetadata {
         address: Some("[1111:2222:3333:4444:5555:6666:7777:8888]:65535".parse().expect("an address")),
         program: "9".repeat(PROGRAM_MOST),
         protocol: u32::MAX,
@@ -12,7 +12,7 @@
     };
     let life = Life { process: u64::MAX - 1, count: u64::MAX - 1 };
     let by = Some(StewardId(u16::MAX));
-    Entry { about: StewardId(u16::MAX), life, standing: Standing::Alive, card, by }
+    Entry { about: StewardId(u16::MAX), life, standing: Standing::Alive, metadata, by }
 }
 
 fn message(ask: Ask, news: usize) -> Packet {
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -235,7 +235,7 @@
     }
 
     pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
-        self.table.get(id).and_then(|entry| entry.card.address)
+        self.table.get(id).and_then(|entry| entry.metadata.address)
     }
 
     /// Another process with our name and a higher number lives: we take no part any more.
@@ -256,7 +256,7 @@
     /// It may bear slices, as far as we know; a suspect still does: taking what it holds is no hurry before it is
     /// held for dead, and not possible before its leases end.
     pub fn may_bear(&self, id: StewardId) -> bool {
-        if self.table.get(id).is_some_and(|entry| entry.card.no_store) {
+        if self.table.get(id).is_some_and(|entry| entry.metadata.no_store) {
             return false;
         }
         if id == self.me() {
@@ -447,7 +447,7 @@
         for word in message.news.iter().filter(|word| word.about == me) {
             self.take_in(now, word, "by word of one that was forgotten", changed);
         }
-        let Some(address) = old.card.address.filter(|_| message.ask != Ask::Tell) else { return };
+        let Some(address) = old.metadata.address.filter(|_| message.ask != Ask::Tell) else { return };
         let word = self.table.answer_to_old(old);
         self.send(To::Address(address), 0, Ask::Tell, vec![word], mail);
     }
@@ -546,7 +546,9 @@
         let heard_lately = protects && word.by != Some(self.me()) && now - heard < HEARD_LATELY;
         let learnt = self.table.learn(word, heard_lately);
         match &learnt {
-            Learnt::News { was, card_changed } => self.follow(now, word, *was, *card_changed, why, changed),
+            Learnt::News { was, metadata_changed } => {
+                self.follow(now, word, *was, *metadata_changed, why, changed)
+            }
             Learnt::Refuted => {
                 self.health.was_suspected();
                 self.rumours.tell_first(self.table.me().clone());
@@ -564,7 +566,7 @@
         now: Seconds,
         word: &Entry,
         was: Option<Standing>,
-        card_changed: bool,
+        metadata_changed: bool,
         why: &str,
         changed: &mut Vec<Changed>,
     ) {
@@ -577,13 +579,13 @@
             peer.since = now;
             (peer.ask_span, peer.ask_at) = (ASK_DEAD, now + ASK_DEAD);
         }
-        if card_changed || held.standing == Standing::Alive {
+        if metadata_changed || held.standing == Standing::Alive {
             peer.accusers.clear();
         }
         if held.standing == Standing::Suspect {
             peer.accusers.extend(word.by);
         }
-        if was != Some(held.standing) || card_changed {
+        if was != Some(held.standing) || metadata_changed {
             let (about, life, standing, withdrawn) = (held.about, held.life, held.standing, peer.withdrawn);
             changed.push(Changed { about, life, standing, withdrawn, why: why.to_owned() });
         }
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -16,7 +16,7 @@
         }
         let part = 0.7 + 0.6 * self.chance.random::<f64>();
         let known: BTreeSet<SocketAddr> = self.living().filter_map(|id| self.address(id)).collect();
-        let own = self.table.me().card.address;
+        let own = self.table.me().metadata.address;
         let strange = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
         let mut seeds: Vec<SocketAddr> = self.config.seeds.iter().copied().filter(strange).collect();
         if self.alive() > 1 {
@@ -43,7 +43,7 @@
     ) {
         let (theirs, ours) = (message.from.life.process, self.table.me().life.process);
         if theirs < ours {
-            if let Some(address) = message.from.card.address {
+            if let Some(address) = message.from.metadata.address {
                 self.send(To::Address(address), message.number, Ask::Answer, Vec::new(), mail);
             }
         }
@@ -61,8 +61,8 @@
     /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
     pub(super) fn note_conflict(&mut self, now: Seconds, word: &Entry) {
         if self.conflict.is_none_or(|conflict| conflict.process < word.life.process) {
-            let own = self.table.me().card.address;
-            let address = word.card.address.filter(|address| Some(*address) != own);
+            let own = self.table.me().metadata.address;
+            let address = word.metadata.address.filter(|address| Some(*address) != own);
             self.conflict = Some(IdentityConflict { process: word.life.process, address, at: now });
         }
     }
--- a/crates/railhub-membership/src/swim/own.rs
+++ b/crates/railhub-membership/src/swim/own.rs
@@ -4,21 +4,21 @@
 impl Membership {
     /// We hand our slices over; the others learn of it.
     pub fn drain(&mut self) {
-        self.table.rewrite(|card| card.drains = true);
+        self.table.rewrite(|metadata| metadata.drains = true);
         self.rumours.tell_first(self.table.me().clone());
     }
 
     /// The store does not answer us, or does again; the others learn of it.
     pub fn set_no_store(&mut self, no_store: bool) {
-        if self.table.me().card.no_store != no_store {
-            self.table.rewrite(|card| card.no_store = no_store);
+        if self.table.me().metadata.no_store != no_store {
+            self.table.rewrite(|metadata| metadata.no_store = no_store);
             self.rumours.tell_first(self.table.me().clone());
         }
     }
 
     /// It hands its slices over, and says so.
     pub fn drains(&self, id: StewardId) -> bool {
-        self.table.get(id).is_some_and(|entry| entry.card.drains)
+        self.table.get(id).is_some_and(|entry| entry.metadata.drains)
     }
 
     pub fn set_load(&mut self, load: Load) {
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -1,13 +1,17 @@
 use super::*;
-use crate::entry::Card;
+use crate::entry::NodeMetadata;
 
 fn flooded(ask: Ask) -> Membership {
     let ids: Vec<StewardId> = (0..5).map(StewardId).collect();
-    let mut membership =
-        Membership::new(Entry::alive(ids[0], 1, Card::default()), MembershipConfig::default(), 0.0, 1);
+    let mut membership = Membership::new(
+        Entry::alive(ids[0], 1, NodeMetadata::default()),
+        MembershipConfig::default(),
+        0.0,
+        1,
+    );
     membership.expect(&ids, 0.0);
-    let dead = Entry { standing: Standing::Dead, ..Entry::alive(ids[1], 0, Card::default()) };
-    let from = Entry::alive(ids[1], 0, Card::default());
+    let dead = Entry { standing: Standing::Dead, ..Entry::alive(ids[1], 0, NodeMetadata::default()) };
+    let from = Entry::alive(ids[1], 0, NodeMetadata::default());
     for number in 0..10_000 {
         let (ask, news, load) = (ask.clone(), vec![dead.clone()], Load::default());
         let (from, turn) = (from.clone(), number);
@@ -30,8 +34,10 @@
 #[test]
 fn a_new_process_is_heard_at_once_and_an_old_message_tells_nothing_of_now() {
     let mut membership = flooded(Ask::Tell);
-    let next =
-        Entry { life: Life { process: 7, count: 3 }, ..Entry::alive(StewardId(1), 7, Card::default()) };
+    let next = Entry {
+        life: Life { process: 7, count: 3 },
+        ..Entry::alive(StewardId(1), 7, NodeMetadata::default())
+    };
     membership.hear(0.2, &word_of(&next, 5, Ask::Tell));
     membership.hear(0.3, &word_of(&next, 4, Ask::Tell));
     let shown =
@@ -43,7 +49,7 @@
 #[test]
 fn one_that_has_yielded_says_nothing_and_wants_few_turns() {
     let mut membership = flooded(Ask::Tell);
-    let newer = Entry::alive(StewardId(0), 9, Card::default());
+    let newer = Entry::alive(StewardId(0), 9, NodeMetadata::default());
     membership.hear(0.2, &word_of(&newer, 1, Ask::Probe));
     assert!(membership.has_yielded());
     assert!(membership.tick(0.5).0.is_empty() && membership.next_at() >= 0.69);
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,6 +1,6 @@
 //! What one steward holds of all: the merge of entries, free of time. Any order and any repetition of the same
 //! words ends in the same table, but for words about ourselves, which are answered by a higher count.
-use crate::entry::{mix, Card, Entry, Life, Standing};
+use crate::entry::{mix, Entry, Life, NodeMetadata, Standing};
 use crate::words::{Line, LINES_MOST, NEWS_MOST};
 use crate::StewardId;
 use std::collections::{BTreeMap, VecDeque};
@@ -41,7 +41,7 @@
     /// No room for one more steward.
     Full,
     /// It changed what is held; what was held before.
-    News { was: Option<Standing>, card_changed: bool },
+    News { was: Option<Standing>, metadata_changed: bool },
     /// It doubted us; our entry has a higher life now.
     Refuted,
     /// Another process with our name and a higher number is spoken of.
@@ -110,8 +110,8 @@
     }
 
     /// Rewrites our own entry under a higher count.
-    pub fn rewrite(&mut self, change: impl FnOnce(&mut Card)) {
-        change(&mut self.me.card);
+    pub fn rewrite(&mut self, change: impl FnOnce(&mut NodeMetadata)) {
+        change(&mut self.me.metadata);
         self.me.life.count += 1;
         self.sum_up();
     }
@@ -156,7 +156,8 @@
                 return Learnt::Nothing;
             }
         }
-        let news = Learnt::News { was: Some(known.standing), card_changed: known.card != word.card };
+        let news =
+            Learnt::News { was: Some(known.standing), metadata_changed: known.metadata != word.metadata };
         self.others.insert(word.about, word);
         self.sum_up();
         news
@@ -171,7 +172,7 @@
         }
         self.others.insert(word.about, word.clone());
         self.sum_up();
-        Learnt::News { was: None, card_changed: true }
+        Learnt::News { was: None, metadata_changed: true }
     }
 
     /// A word about us. Whoever says that we are not alive is told otherwise, also when we have said so before:
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -3,13 +3,13 @@
 
 fn word(about: u16, process: u64, count: u64, standing: usize) -> Entry {
     let standing = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead][standing % 4];
-    let card = Card { settings: process * 100 + count, ..Card::default() };
-    let entry = Entry::alive(StewardId(about), process, card);
+    let metadata = NodeMetadata { settings: process * 100 + count, ..NodeMetadata::default() };
+    let entry = Entry::alive(StewardId(about), process, metadata);
     Entry { life: Life { process, count }, standing, ..entry }
 }
 
 fn table() -> Table {
-    Table::new(Entry::alive(StewardId(0), 1, Card::default()), None)
+    Table::new(Entry::alive(StewardId(0), 1, NodeMetadata::default()), None)
 }
 
 proptest! {
@@ -32,7 +32,7 @@
         ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
-        let (mut a, mut b) = (table(), Table::new(Entry::alive(StewardId(9), 1, Card::default()), None));
+        let (mut a, mut b) = (table(), Table::new(Entry::alive(StewardId(9), 1, NodeMetadata::default()), None));
         ours.into_iter().for_each(|(id, p, c, s)| _ = a.learn(&word(id, p, c, s), false));
         theirs.into_iter().for_each(|(id, p, c, s)| _ = b.learn(&word(id, p, c, s), false));
         for _ in 0..4 {
--- a/crates/railhub-membership/src/words.rs
+++ b/crates/railhub-membership/src/words.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Entries that a message carries at the most, besides its sender's: with the longest cards they fit in a datagram.
+/// Entries that a message carries at the most, besides its sender's: with the longest metadata they fit in a datagram.
 pub const NEWS_MOST: usize = 8;
 /// Lines of a comparison in one message; a larger view is compared page by page.
 pub const LINES_MOST: usize = 36;
 
-/// One line of a comparison: what the sender holds of a steward, without its card.
+/// One line of a comparison: what the sender holds of a steward, without its metadata.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
     pub about: StewardId,
@@ -53,7 +53,7 @@
     pub digest: u64,
 }
 
-/// Where a message goes: to a steward at the address on its card, or to an address of which no more is known.
+/// Where a message goes: to a steward at the address in its metadata, or to an address of which no more is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum To {
     Steward(StewardId),
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -1,5 +1,5 @@
 //! Stewards on a simulated net: who finds whom dead, how soon, and whom nobody must.
-use railhub_membership::entry::{Card, Entry, Standing};
+use railhub_membership::entry::{Entry, NodeMetadata, Standing};
 use railhub_membership::swim::{Membership, MembershipConfig};
 use railhub_membership::words::{Changed, Mail, Message, To};
 use railhub_membership::StewardId;
@@ -14,8 +14,12 @@
 type Seen = Vec<(f64, StewardId, Changed)>;
 
 fn member(id: StewardId, ids: &[StewardId], process: u64, now: f64, seed: u64) -> Membership {
-    let mut membership =
-        Membership::new(Entry::alive(id, process, Card::default()), MembershipConfig::default(), now, seed);
+    let mut membership = Membership::new(
+        Entry::alive(id, process, NodeMetadata::default()),
+        MembershipConfig::default(),
+        now,
+        seed,
+    );
     membership.expect(ids, now);
     membership
 }
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -2,14 +2,14 @@
 //!
 //! The way of one datagram: the socket gives it; [`railhub_membership::packet`] drops and counts what is spoilt,
 //! foreign, of another version or too long; the lease manager hears the message and says what to send; each letter
-//! goes to the address on its receiver's card. Whatever goes wrong here, the steward serves on: nothing else waits for it.
+//! goes to the address in its receiver's metadata. Whatever goes wrong here, the steward serves on: nothing else waits for it.
 use crate::inbox::{Inbox, Word};
 use crate::kernel::Figures;
 use crate::leases::LeaseBook;
 use crate::store::{StoreWriter, StoredTable};
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
-use railhub_membership::entry::{Card, Load};
+use railhub_membership::entry::{Load, NodeMetadata};
 use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
 use railhub_membership::swim::{Membership, MembershipConfig, Shown};
@@ -252,7 +252,7 @@
     // others tell us then.
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let process = terms.process.unwrap_or(since.as_micros() as u64);
-    let card = Card {
+    let metadata = NodeMetadata {
         address: Some(terms.advertise.unwrap_or(address)),
         program: PROGRAM.to_owned(),
         protocol: u32::from(packet::VERSION),
@@ -267,7 +267,7 @@
     };
     let slices = shares.as_ref().map_or(0, |shares| shares.slices);
     let (me, span, settle) = (terms.id, terms.lease, SETTLE);
-    LeaseManagerOptions { me, process, weights, card, config, slices, span, settle, seed: process }
+    LeaseManagerOptions { me, process, weights, metadata, config, slices, span, settle, seed: process }
 }
 
 /// Seconds of processor time that this process took.
