--- a/crates/railhub-chaos/src/bed/looker.rs
+++ b/crates/railhub-chaos/src/bed/looker.rs
@@ -112,7 +112,7 @@
         }
         let of = |lives: bool| -> Vec<(u16, u64)> {
             let some = whole.lines.iter().filter(|line| line.entry.standing.lives() == lives);
-            some.map(|line| (line.entry.about.0, line.entry.life.process)).collect()
+            some.map(|line| (line.entry.about.0, line.entry.incarnation.process)).collect()
         };
         let seen = Seen::View {
             at: now() - self.began,
--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -448,9 +448,9 @@
             if receiver != Some(word.about.0) {
                 heard.news.insert(at.max(0.0) as u32);
             }
-            let life = (word.about.0, word.life.process, word.life.count);
-            if word.standing == Standing::Dead && heard.told_dead.insert(life) {
-                let (by, (about, process, count)) = (message.from.about.0, life);
+            let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
+            if word.standing == Standing::Dead && heard.told_dead.insert(incarnation) {
+                let (by, (about, process, count)) = (message.from.about.0, incarnation);
                 let seen = Seen::Dead { at, by, about, process, count };
                 events.lock().expect("no holder panics").push(seen);
             }
--- a/crates/railhub-chaos/src/explore.rs
+++ b/crates/railhub-chaos/src/explore.rs
@@ -3,9 +3,9 @@
 //! counterexample is a shortest one. It drives the very merge and refutation that stewards run
 //! (`railhub_membership::table`), without clocks: a suspicion may end at any moment.
 //!
-//! Checked in each state: nobody holds a life of another that this one never had; who has held a process never goes back
+//! Checked in each state: nobody holds an incarnation of another that this one never had; who has held a process never goes back
 //! to an older one; and, if from now on all words arrive, everyone ends with the truth.
-use railhub_membership::entry::{Entry, Life, NodeMetadata, Standing};
+use railhub_membership::entry::{Entry, Incarnation, NodeMetadata, Standing};
 use railhub_membership::table::{Defence, Table};
 use railhub_membership::StewardId;
 use serde::Serialize;
@@ -96,8 +96,10 @@
 
     fn mail_moves(&self, all: &mut Vec<(String, State)>) {
         for (number, (to, word)) in self.mail.iter().enumerate() {
-            let told =
-                format!("{} {:?} {}.{}", word.about.0, word.standing, word.life.process, word.life.count);
+            let told = format!(
+                "{} {:?} {}.{}",
+                word.about.0, word.standing, word.incarnation.process, word.incarnation.count
+            );
             let mut lost = self.clone();
             lost.mail.remove(number);
             all.push((format!("the word to {to} is lost: {told}"), lost));
@@ -135,7 +137,7 @@
                     let Some(word) = table.get(id(about)).cloned() else { continue };
                     let mut state = self.clone();
                     state.mail.push((to, word));
-                    state.mail.sort_by_key(|(to, word)| (*to, word.about, word.life, word.standing));
+                    state.mail.sort_by_key(|(to, word)| (*to, word.about, word.incarnation, word.standing));
                     all.push((format!("{place} tells {to} of {about}"), state));
                 }
             }
@@ -147,20 +149,23 @@
             let Some(table) = table else { continue };
             for held in table.others() {
                 let about = usize::from(held.about.0);
-                let own = self.tables[about].as_ref().map(|own| own.me().life);
-                let most = own.unwrap_or(Life { process: self.processes[about], count: u64::MAX });
-                if held.life > most {
-                    return Some(format!("{place} holds {:?} of {about}, which has {most:?}", held.life));
+                let own = self.tables[about].as_ref().map(|own| own.me().incarnation);
+                let most = own.unwrap_or(Incarnation { process: self.processes[about], count: u64::MAX });
+                if held.incarnation > most {
+                    return Some(format!(
+                        "{place} holds {:?} of {about}, which has {most:?}",
+                        held.incarnation
+                    ));
                 }
                 let known = before.and_then(|before| before.tables[place].as_ref()?.get(held.about));
                 let same_process =
                     before.is_some_and(|before| before.processes[place] == self.processes[place]);
                 if let Some(known) =
-                    known.filter(|known| same_process && known.life.process > held.life.process)
+                    known.filter(|known| same_process && known.incarnation.process > held.incarnation.process)
                 {
                     return Some(format!(
                         "{place} goes back from {:?} of {about} to {:?}",
-                        known.life, held.life
+                        known.incarnation, held.incarnation
                     ));
                 }
             }
@@ -186,10 +191,12 @@
             for (about, other) in tables.iter().enumerate() {
                 let Some(other) = other else { continue };
                 let held = table.get(id(about));
-                let true_life = other.me().life;
-                if held.is_none_or(|held| held.life != true_life || held.standing != Standing::Alive) {
-                    let held = held.map(|held| (held.life, held.standing));
-                    return Err(format!("when all has arrived, {place} holds {held:?} of {about}, which lives as {true_life:?}"));
+                let true_incarnation = other.me().incarnation;
+                if held.is_none_or(|held| {
+                    held.incarnation != true_incarnation || held.standing != Standing::Alive
+                }) {
+                    let held = held.map(|held| (held.incarnation, held.standing));
+                    return Err(format!("when all has arrived, {place} holds {held:?} of {about}, which lives as {true_incarnation:?}"));
                 }
             }
         }
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -29,7 +29,7 @@
     }
 
     pub fn process(&self) -> u64 {
-        self.me.life.process
+        self.me.incarnation.process
     }
 
     pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
@@ -68,7 +68,7 @@
             return;
         }
         let known = self.heard.get(&from.about);
-        if known.is_none_or(|(entry, _)| entry.life.process <= from.life.process) {
+        if known.is_none_or(|(entry, _)| entry.incarnation.process <= from.incarnation.process) {
             self.heard.insert(from.about, (from.clone(), now));
         }
     }
--- a/crates/railhub-chaos/src/view/mod.rs
+++ b/crates/railhub-chaos/src/view/mod.rs
@@ -47,7 +47,7 @@
         living: Vec<(u16, u64)>,
         gone: Vec<(u16, u64)>,
     },
-    /// The first word that crossed of a steward being dead under a life.
+    /// The first word that crossed of a steward being dead under an incarnation.
     Dead {
         at: f64,
         by: u16,
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -104,7 +104,7 @@
 
     fn process(&self) -> u64 {
         match self {
-            Watcher::Membership(membership) => membership.life().process,
+            Watcher::Membership(membership) => membership.incarnation().process,
             Watcher::Heartbeat(plain) => plain.process(),
         }
     }
@@ -343,9 +343,9 @@
             if Some(word.about.0) != receiver {
                 self.news.insert(self.now as u32);
             }
-            let life = (word.about.0, word.life.process, word.life.count);
-            if word.standing == Standing::Dead && self.told_dead.insert(life) {
-                let (at, (about, process, count)) = (self.now, life);
+            let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
+            if word.standing == Standing::Dead && self.told_dead.insert(incarnation) {
+                let (at, (about, process, count)) = (self.now, incarnation);
                 self.events.push(Seen::Dead { at, by, about, process, count });
             }
         }
@@ -377,7 +377,7 @@
             let shown = process.watcher.shown(self.now + process.offset);
             let of = |lives: bool| -> Vec<(u16, u64)> {
                 let some = shown.iter().filter(|shown| shown.entry.standing.lives() == lives);
-                some.map(|shown| (shown.entry.about.0, shown.entry.life.process)).collect()
+                some.map(|shown| (shown.entry.about.0, shown.entry.incarnation.process)).collect()
             };
             self.events.push(Seen::View {
                 at: self.now,
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -157,7 +157,7 @@
 
 fn living(view: &View) -> Vec<(StewardId, u64)> {
     let lives = view.lines.iter().filter(|line| line.entry.standing.lives());
-    lives.map(|line| (line.entry.about, line.entry.life.process)).collect()
+    lives.map(|line| (line.entry.about, line.entry.incarnation.process)).collect()
 }
 
 /// One steward's whole view, page by page; `None`: it does not answer.
@@ -209,8 +209,8 @@
     let (entry, load) = (&shown.entry, shown.load);
     ToldLine {
         steward: entry.about.0,
-        process: entry.life.process,
-        count: entry.life.count,
+        process: entry.incarnation.process,
+        count: entry.incarnation.count,
         standing: entry.standing,
         stands_for: shown.stands_for,
         heard_ago: shown.heard_ago.is_finite().then_some(shown.heard_ago),
--- a/crates/railhub-membership/src/entry.rs
+++ b/crates/railhub-membership/src/entry.rs
@@ -1,5 +1,5 @@
-//! What is known of one steward. Its owner alone writes the metadata, under a life that only it raises; others can
-//! add nothing to an entry but a worse standing under the life they know. So any two words about a steward are in
+//! What is known of one steward. Its owner alone writes the metadata, under an incarnation that only it raises; others can
+//! add nothing to an entry but a worse standing under the incarnation they know. So any two words about a steward are in
 //! order, whoever brings them, and however late.
 use crate::StewardId;
 use serde::{Deserialize, Serialize};
@@ -8,12 +8,12 @@
 /// Orders the words about a steward: the process that runs under its name, then how often that process has
 /// rewritten its entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     pub process: u64,
     pub count: u64,
 }
 
-/// From good to bad: of two standings under one life the later one here holds.
+/// From good to bad: of two standings under one incarnation the later one here holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
@@ -63,7 +63,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub about: StewardId,
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     pub standing: Standing,
     #[serde(rename = "card")]
     pub metadata: NodeMetadata,
@@ -73,18 +74,24 @@
 
 impl Entry {
     pub fn alive(about: StewardId, process: u64, metadata: NodeMetadata) -> Entry {
-        Entry { about, life: Life { process, count: 0 }, standing: Standing::Alive, metadata, by: None }
+        Entry {
+            about,
+            incarnation: Incarnation { process, count: 0 },
+            standing: Standing::Alive,
+            metadata,
+            by: None,
+        }
     }
 
     /// Whether this word says more than another about the same steward.
     pub fn beats(&self, known: &Entry) -> bool {
-        (self.life, self.standing) > (known.life, known.standing)
+        (self.incarnation, self.standing) > (known.incarnation, known.standing)
     }
 
     /// The same for all that know the same; what changes all the time stays out of it.
     pub fn digest(&self) -> u64 {
         let mut sum = mix(u64::from(self.about.0) + 1);
-        for part in [self.life.process, self.metadata.settings, u64::from(self.metadata.protocol)] {
+        for part in [self.incarnation.process, self.metadata.settings, u64::from(self.metadata.protocol)] {
             sum = mix(sum ^ part);
         }
         let text = self.metadata.program.bytes().map(u64::from);
--- a/crates/railhub-membership/src/entry/tests.rs
+++ b/crates/railhub-membership/src/entry/tests.rs
@@ -4,7 +4,7 @@
 fn a_higher_process_beats_any_count_and_any_standing() {
     let id = StewardId(3);
     let old = Entry { standing: Standing::Dead, ..Entry::alive(id, 5, NodeMetadata::default()) };
-    let old = Entry { life: Life { count: 900, ..old.life }, ..old };
+    let old = Entry { incarnation: Incarnation { count: 900, ..old.incarnation }, ..old };
     let new = Entry::alive(id, 6, NodeMetadata::default());
     assert!(new.beats(&old) && !old.beats(&new));
 }
@@ -13,6 +13,6 @@
 fn under_one_life_the_worse_holds_and_a_higher_count_refutes_it() {
     let alive = Entry::alive(StewardId(3), 5, NodeMetadata::default());
     let dead = Entry { standing: Standing::Dead, ..alive.clone() };
-    let again = Entry { life: Life { process: 5, count: 1 }, ..alive.clone() };
+    let again = Entry { incarnation: Incarnation { process: 5, count: 1 }, ..alive.clone() };
     assert!(dead.beats(&alive) && again.beats(&dead) && !alive.beats(&alive));
 }
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! The way of one word ("steward 3 is gone"):
 //! 1. Steward 1 probes 3 and gets no answer; it asks others to probe it; they say that they had none either.
-//! 2. Its entry for 3 becomes suspect, under the life that it knows; a rumour of it rides on the next messages.
+//! 2. Its entry for 3 becomes suspect, under the incarnation that it knows; a rumour of it rides on the next messages.
 //! 3. Another that misses 3 by itself is a second accuser: the suspicion gets shorter. Steward 3 is told.
 //! 4. If 3 lives, it rewrites its entry under a higher count, which beats the word wherever the two meet.
 //! 5. If it says nothing, it is dead for whoever's suspicion ends first, and for all by rumour or comparison.
--- a/crates/railhub-membership/src/packet.rs
+++ b/crates/railhub-membership/src/packet.rs
@@ -4,7 +4,7 @@
 //!
 //! Head: `RHF`, version (1 byte), CRC-32 of all that follows (4 bytes, big end first), length of the installation's
 //! name (1 byte), the name; then the body.
-use crate::entry::{Entry, Life, Load, NodeMetadata, Standing};
+use crate::entry::{Entry, Incarnation, Load, NodeMetadata, Standing};
 use crate::swim::Shown;
 use crate::words::{Ask, Line, Message, LINES_MOST, NEWS_MOST};
 use crate::StewardId;
@@ -316,24 +316,29 @@
     u16::try_from(number).map(StewardId).map_err(|_| Fault::Malformed)
 }
 
-fn wire_line(about: StewardId, life: Life, standing: Standing) -> WireLine {
-    WireLine { about: about.0.into(), process: life.process, count: life.count, standing: standing as u32 }
+fn wire_line(about: StewardId, incarnation: Incarnation, standing: Standing) -> WireLine {
+    WireLine {
+        about: about.0.into(),
+        process: incarnation.process,
+        count: incarnation.count,
+        standing: standing as u32,
+    }
 }
 
 fn read_line(line: &WireLine) -> Result<Line, Fault> {
     let standings = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead, Standing::Forgotten];
     let standing = standings.get(line.standing as usize).copied().ok_or(Fault::Malformed)?;
-    // A life at the very end could not be refuted: nothing is above it.
+    // An incarnation at the very end could not be refuted: nothing is above it.
     if line.count == u64::MAX || line.process == u64::MAX {
         return Err(Fault::Malformed);
     }
-    let life = Life { process: line.process, count: line.count };
-    Ok(Line { about: id(line.about)?, life, standing })
+    let incarnation = Incarnation { process: line.process, count: line.count };
+    Ok(Line { about: id(line.about)?, incarnation, standing })
 }
 
 fn wire_entry(entry: &Entry) -> WireEntry {
     WireEntry {
-        line: wire_line(entry.about, entry.life, entry.standing),
+        line: wire_line(entry.about, entry.incarnation, entry.standing),
         address: entry.metadata.address.map(|address| address.to_string()).unwrap_or_default(),
         program: entry.metadata.program.chars().take(PROGRAM_MOST).collect(),
         protocol: entry.metadata.protocol,
@@ -362,7 +367,7 @@
         no_store: entry.no_store,
     };
     let by = entry.by.map(id).transpose()?;
-    Ok(Entry { about: line.about, life: line.life, standing: line.standing, metadata, by })
+    Ok(Entry { about: line.about, incarnation: line.incarnation, standing: line.standing, metadata, by })
 }
 
 fn wire_load(load: &Load) -> WireLoad {
@@ -386,7 +391,7 @@
         Ask::Compare { from, to, lines } => WireAsk::Compare(WireCompare {
             from: from.0.into(),
             to: to.0.into(),
-            lines: lines.iter().map(|line| wire_line(line.about, line.life, line.standing)).collect(),
+            lines: lines.iter().map(|line| wire_line(line.about, line.incarnation, line.standing)).collect(),
         }),
         Ask::Want(ids) => WireAsk::Want(WireIds { ids: ids.iter().map(|id| id.0.into()).collect() }),
         Ask::Tell => WireAsk::Tell(Nothing {}),
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -10,9 +10,9 @@
         drains: true,
         no_store: true,
     };
-    let life = Life { process: u64::MAX - 1, count: u64::MAX - 1 };
+    let incarnation = Incarnation { process: u64::MAX - 1, count: u64::MAX - 1 };
     let by = Some(StewardId(u16::MAX));
-    Entry { about: StewardId(u16::MAX), life, standing: Standing::Alive, metadata, by }
+    Entry { about: StewardId(u16::MAX), incarnation, standing: Standing::Alive, metadata, by }
 }
 
 fn message(ask: Ask, news: usize) -> Packet {
@@ -25,7 +25,7 @@
 #[test]
 fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
     let ids = vec![StewardId(u16::MAX); LINES_MOST];
-    let line = Line { about: ids[0], life: longest().life, standing: Standing::Dead };
+    let line = Line { about: ids[0], incarnation: longest().incarnation, standing: Standing::Dead };
     let lines = vec![line; LINES_MOST];
     let compare = Ask::Compare { from: StewardId(0), to: StewardId(u16::MAX), lines };
     let shown =
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -12,7 +12,7 @@
 mod probing;
 mod slowness;
 
-use crate::entry::{Entry, Life, Load, Standing};
+use crate::entry::{Entry, Incarnation, Load, Standing};
 use crate::health::Health;
 use crate::rumours::Rumours;
 use crate::score::{Answers, GAP, LATE_LEAST};
@@ -454,13 +454,15 @@
 
     /// What only the sender's latest message may tell; one that comes late or again tells nothing of it.
     fn note_sender(&mut self, now: Seconds, message: &Message) -> bool {
-        let life = message.from.life;
-        let known =
-            self.table.get(message.from.about).is_some_and(|entry| entry.life.process == life.process);
+        let incarnation = message.from.incarnation;
+        let known = self
+            .table
+            .get(message.from.about)
+            .is_some_and(|entry| entry.incarnation.process == incarnation.process);
         let Some(peer) = self.peers.get_mut(&message.from.about) else { return false };
-        if known && peer.process != life.process {
+        if known && peer.process != incarnation.process {
             // Another process: its messages are counted anew.
-            (peer.process, peer.turn) = (life.process, 0);
+            (peer.process, peer.turn) = (incarnation.process, 0);
         }
         let fresh = known && message.turn > peer.turn;
         if fresh {
@@ -476,7 +478,7 @@
             Ask::Probe => {
                 // One that we hold for dead is told, so that it can say otherwise.
                 let held = self.table.get(from).filter(|entry| entry.standing != Standing::Alive);
-                let doubts = held.filter(|entry| entry.life == message.from.life).cloned();
+                let doubts = held.filter(|entry| entry.incarnation == message.from.incarnation).cloned();
                 let first = doubts.into_iter().collect();
                 self.send(To::Steward(from), message.number, Ask::Answer, first, mail);
             }
@@ -586,8 +588,9 @@
             peer.accusers.extend(word.by);
         }
         if was != Some(held.standing) || metadata_changed {
-            let (about, life, standing, withdrawn) = (held.about, held.life, held.standing, peer.withdrawn);
-            changed.push(Changed { about, life, standing, withdrawn, why: why.to_owned() });
+            let (about, incarnation, standing, withdrawn) =
+                (held.about, held.incarnation, held.standing, peer.withdrawn);
+            changed.push(Changed { about, incarnation, standing, withdrawn, why: why.to_owned() });
         }
         self.rumours.tell(held);
     }
@@ -596,7 +599,9 @@
     /// that is not out of date may be one more accuser's.
     fn answer_to_stale(&mut self, word: &Entry) {
         let stale = |held: &&Entry| {
-            held.life > word.life && held.standing == Standing::Alive && word.standing != Standing::Alive
+            held.incarnation > word.incarnation
+                && held.standing == Standing::Alive
+                && word.standing != Standing::Alive
         };
         match self.table.get(word.about).filter(stale).cloned() {
             Some(held) => self.rumours.tell_first(held),
@@ -609,7 +614,7 @@
         let Some(held) = self.table.get(word.about) else { return };
         let same = held.standing == Standing::Suspect
             && word.standing == Standing::Suspect
-            && held.life == word.life;
+            && held.incarnation == word.incarnation;
         let Some(peer) = self.peers.get_mut(&word.about).filter(|_| same) else { return };
         if let Some(by) = word.by.filter(|_| peer.accusers.len() <= ACCUSERS) {
             if peer.accusers.insert(by) {
@@ -618,9 +623,9 @@
         }
     }
 
-    /// Our life, for the log.
-    pub fn life(&self) -> Life {
-        self.table.me().life
+    /// Our incarnation, for the log.
+    pub fn incarnation(&self) -> Incarnation {
+        self.table.me().incarnation
     }
 
     /// Words that wait to be passed on.
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -41,7 +41,7 @@
         mail: &mut Mail,
         changed: &mut Vec<Changed>,
     ) {
-        let (theirs, ours) = (message.from.life.process, self.table.me().life.process);
+        let (theirs, ours) = (message.from.incarnation.process, self.table.me().incarnation.process);
         if theirs < ours {
             if let Some(address) = message.from.metadata.address {
                 self.send(To::Address(address), message.number, Ask::Answer, Vec::new(), mail);
@@ -54,16 +54,16 @@
         self.wake(now);
         let me = self.table.me();
         let why = format!("process {theirs} lives under our name: ours, {ours}, takes no part any more");
-        let (about, life) = (me.about, me.life);
-        changed.push(Changed { about, life, standing: Standing::Left, withdrawn: true, why });
+        let (about, incarnation) = (me.about, me.incarnation);
+        changed.push(Changed { about, incarnation, standing: Standing::Left, withdrawn: true, why });
     }
 
     /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
     pub(super) fn note_conflict(&mut self, now: Seconds, word: &Entry) {
-        if self.conflict.is_none_or(|conflict| conflict.process < word.life.process) {
+        if self.conflict.is_none_or(|conflict| conflict.process < word.incarnation.process) {
             let own = self.table.me().metadata.address;
             let address = word.metadata.address.filter(|address| Some(*address) != own);
-            self.conflict = Some(IdentityConflict { process: word.life.process, address, at: now });
+            self.conflict = Some(IdentityConflict { process: word.incarnation.process, address, at: now });
         }
     }
 
@@ -88,7 +88,7 @@
         );
         changed.push(Changed {
             about: me.about,
-            life: me.life,
+            incarnation: me.incarnation,
             standing: me.standing,
             withdrawn: false,
             why,
--- a/crates/railhub-membership/src/swim/slowness.rs
+++ b/crates/railhub-membership/src/swim/slowness.rs
@@ -38,8 +38,8 @@
             if peer.withdrawn != named {
                 peer.withdrawn = named;
                 let why = if named { "most others find it late" } else { "it answers in time again" };
-                let (life, standing) = (entry.life, entry.standing);
-                changed.push(Changed { about: id, life, standing, withdrawn: named, why: why.into() });
+                let (incarnation, standing) = (entry.incarnation, entry.standing);
+                changed.push(Changed { about: id, incarnation, standing, withdrawn: named, why: why.into() });
             }
         }
     }
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -35,7 +35,7 @@
 fn a_new_process_is_heard_at_once_and_an_old_message_tells_nothing_of_now() {
     let mut membership = flooded(Ask::Tell);
     let next = Entry {
-        life: Life { process: 7, count: 3 },
+        incarnation: Incarnation { process: 7, count: 3 },
         ..Entry::alive(StewardId(1), 7, NodeMetadata::default())
     };
     membership.hear(0.2, &word_of(&next, 5, Ask::Tell));
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,6 +1,6 @@
 //! What one steward holds of all: the merge of entries, free of time. Any order and any repetition of the same
 //! words ends in the same table, but for words about ourselves, which are answered by a higher count.
-use crate::entry::{mix, Entry, Life, NodeMetadata, Standing};
+use crate::entry::{mix, Entry, Incarnation, NodeMetadata, Standing};
 use crate::words::{Line, LINES_MOST, NEWS_MOST};
 use crate::StewardId;
 use std::collections::{BTreeMap, VecDeque};
@@ -42,7 +42,7 @@
     Full,
     /// It changed what is held; what was held before.
     News { was: Option<Standing>, metadata_changed: bool },
-    /// It doubted us; our entry has a higher life now.
+    /// It doubted us; our entry has a higher incarnation now.
     Refuted,
     /// Another process with our name and a higher number is spoken of.
     Rival,
@@ -112,19 +112,20 @@
     /// Rewrites our own entry under a higher count.
     pub fn rewrite(&mut self, change: impl FnOnce(&mut NodeMetadata)) {
         change(&mut self.me.metadata);
-        self.me.life.count += 1;
+        self.me.incarnation.count += 1;
         self.sum_up();
     }
 
     pub fn leave(&mut self) {
-        self.me.life.count += 1;
+        self.me.incarnation.count += 1;
         self.me.standing = Standing::Left;
         self.sum_up();
     }
 
     /// Our process takes a higher number: one of ours had it before, or we were forgotten.
     pub fn rise_above(&mut self, process: u64) {
-        self.me.life = Life { process: process.max(self.me.life.process).saturating_add(1), count: 0 };
+        self.me.incarnation =
+            Incarnation { process: process.max(self.me.incarnation.process).saturating_add(1), count: 0 };
         self.sum_up();
     }
 
@@ -135,22 +136,22 @@
             return self.doubted(word);
         }
         let ignores = self.lacks(Defence::Process);
-        if !ignores && self.tombs.get(&word.about).is_some_and(|tomb| word.life.process <= *tomb) {
+        if !ignores && self.tombs.get(&word.about).is_some_and(|tomb| word.incarnation.process <= *tomb) {
             return Learnt::Old;
         }
         let Some(known) = self.others.get(&word.about) else {
             return self.meet(word);
         };
-        let older = word.life.process < known.life.process;
+        let older = word.incarnation.process < known.incarnation.process;
         let beats = match ignores {
-            true => (word.life.count, word.standing) > (known.life.count, known.standing),
+            true => (word.incarnation.count, word.standing) > (known.incarnation.count, known.standing),
             false => word.beats(known),
         };
         if word.standing == Standing::Forgotten || !beats {
             return if older && !ignores { Learnt::Old } else { Learnt::Nothing };
         }
         let mut word = word.clone();
-        if heard_lately && word.standing == Standing::Dead && word.life == known.life {
+        if heard_lately && word.standing == Standing::Dead && word.incarnation == known.incarnation {
             word.standing = Standing::Suspect;
             if known.standing == Standing::Suspect {
                 return Learnt::Nothing;
@@ -178,9 +179,9 @@
     /// A word about us. Whoever says that we are not alive is told otherwise, also when we have said so before:
     /// what we said then did not reach it.
     fn doubted(&mut self, word: &Entry) -> Learnt {
-        let mine = self.me.life;
-        if word.life.process != mine.process {
-            return if word.life.process > mine.process { Learnt::Rival } else { Learnt::Old };
+        let mine = self.me.incarnation;
+        if word.incarnation.process != mine.process {
+            return if word.incarnation.process > mine.process { Learnt::Rival } else { Learnt::Old };
         }
         let doubts = word.standing != Standing::Alive && self.me.standing == Standing::Alive;
         if !doubts || self.lacks(Defence::Refutation) {
@@ -188,8 +189,8 @@
         }
         if word.standing == Standing::Forgotten {
             self.rise_above(mine.process);
-        } else if word.life.count >= mine.count {
-            self.me.life.count = word.life.count.saturating_add(1);
+        } else if word.incarnation.count >= mine.count {
+            self.me.incarnation.count = word.incarnation.count.saturating_add(1);
             self.sum_up();
         }
         Learnt::Refuted
@@ -198,7 +199,7 @@
     /// Gives up what is held of one that is long gone; its process is refused from now on.
     pub fn forget(&mut self, id: StewardId) {
         let Some(entry) = self.others.remove(&id) else { return };
-        if self.tombs.insert(id, entry.life.process).is_none() {
+        if self.tombs.insert(id, entry.incarnation.process).is_none() {
             self.tomb_order.push_back(id);
         }
         if self.tombs.len() > TOMBS_MOST {
@@ -209,7 +210,10 @@
 
     /// What a process that was followed or forgotten is told, so that it knows.
     pub fn answer_to_old(&self, word: &Entry) -> Entry {
-        let known = self.others.get(&word.about).filter(|known| known.life.process >= word.life.process);
+        let known = self
+            .others
+            .get(&word.about)
+            .filter(|known| known.incarnation.process >= word.incarnation.process);
         let forgotten = || Entry { standing: Standing::Forgotten, ..word.clone() };
         known.cloned().unwrap_or_else(forgotten)
     }
@@ -220,7 +224,11 @@
         let mut all: Vec<(&StewardId, &Entry)> = self.others.iter().chain(me).collect();
         all.sort_by_key(|(id, _)| **id);
         let lines = all.iter().filter(|(id, _)| **id >= from);
-        let lines = lines.map(|(id, entry)| Line { about: **id, life: entry.life, standing: entry.standing });
+        let lines = lines.map(|(id, entry)| Line {
+            about: **id,
+            incarnation: entry.incarnation,
+            standing: entry.standing,
+        });
         let mut lines: Vec<Line> = lines.take(LINES_MOST + 1).collect();
         let next = (lines.len() > LINES_MOST).then(|| lines[LINES_MOST].about);
         lines.truncate(LINES_MOST);
@@ -232,11 +240,11 @@
     pub fn compare(&self, from: StewardId, to: StewardId, lines: &[Line]) -> (Vec<Entry>, Vec<StewardId>) {
         let (mut better, mut want) = (Vec::new(), Vec::new());
         for line in lines {
-            let theirs = (line.life, line.standing);
+            let theirs = (line.incarnation, line.standing);
             match self.get(line.about) {
-                Some(ours) if (ours.life, ours.standing) > theirs => better.push(ours.clone()),
-                Some(ours) if (ours.life, ours.standing) < theirs => want.push(line.about),
-                None if self.tombs.get(&line.about).is_none_or(|tomb| line.life.process > *tomb) => {
+                Some(ours) if (ours.incarnation, ours.standing) > theirs => better.push(ours.clone()),
+                Some(ours) if (ours.incarnation, ours.standing) < theirs => want.push(line.about),
+                None if self.tombs.get(&line.about).is_none_or(|tomb| line.incarnation.process > *tomb) => {
                     want.push(line.about);
                 }
                 _ => {}
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -5,7 +5,7 @@
     let standing = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead][standing % 4];
     let metadata = NodeMetadata { settings: process * 100 + count, ..NodeMetadata::default() };
     let entry = Entry::alive(StewardId(about), process, metadata);
-    Entry { life: Life { process, count }, standing, ..entry }
+    Entry { incarnation: Incarnation { process, count }, standing, ..entry }
 }
 
 fn table() -> Table {
@@ -60,7 +60,7 @@
     let mut table = table();
     let forgotten = Entry { standing: Standing::Forgotten, ..table.me().clone() };
     assert_eq!(table.learn(&forgotten, false), Learnt::Refuted);
-    assert_eq!(table.me().life, Life { process: 2, count: 0 });
+    assert_eq!(table.me().incarnation, Incarnation { process: 2, count: 0 });
 }
 
 #[test]
--- a/crates/railhub-membership/src/words.rs
+++ b/crates/railhub-membership/src/words.rs
@@ -1,5 +1,5 @@
 //! What stewards say to each other.
-use crate::entry::{Entry, Life, Load, Standing};
+use crate::entry::{Entry, Incarnation, Load, Standing};
 use crate::StewardId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -13,7 +13,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
     pub about: StewardId,
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     pub standing: Standing,
 }
 
@@ -66,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changed {
     pub about: StewardId,
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub standing: Standing,
     pub withdrawn: bool,
     /// What it rests on: who missed what, or who said so.
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -210,8 +210,8 @@
             cpu: (terms.clock.now(), cpu_seconds()),
             looks: (0.0, 0),
         };
-        tracing::info!(id = terms.id.0, process = desk.membership().life().process, %address, "the steward is in the fleet");
-        let process = desk.membership().life().process;
+        tracing::info!(id = terms.id.0, process = desk.membership().incarnation().process, %address, "the steward is in the fleet");
+        let process = desk.membership().incarnation().process;
         let (stop, leave) = (ends.clone(), leaves.clone());
         let thread =
             std::thread::Builder::new().name("fleet".into()).spawn(move || desk.run(&stop, &leave))?;
@@ -416,7 +416,8 @@
             Ok(Packet::Look { nonce, from: first }) => self.show(nonce, first, from),
             Ok(Packet::View(_)) => {}
             Ok(Packet::Drain { steward, process }) => {
-                let is_us = steward == self.membership().me() && process == self.membership().life().process;
+                let is_us =
+                    steward == self.membership().me() && process == self.membership().incarnation().process;
                 if is_us && !self.lease_manager.drains() {
                     tracing::info!("the steward is told to hand its slices over");
                     self.lease_manager.drain();
@@ -442,8 +443,8 @@
         for change in acts.changed {
             tracing::info!(
                 steward = change.about.0,
-                process = change.life.process,
-                count = change.life.count,
+                process = change.incarnation.process,
+                count = change.incarnation.count,
                 standing = ?change.standing,
                 withdrawn = change.withdrawn,
                 cause = change.why,
@@ -470,7 +471,7 @@
         let view = View {
             nonce,
             viewer: membership.me(),
-            process: membership.life().process,
+            process: membership.incarnation().process,
             digest: membership.digest(),
             lines,
             next,
