--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -8,7 +8,7 @@
 /// Stewards held at once; further ones are refused and counted, those that are known stay.
 pub const STEWARDS_MOST: usize = 1024;
 /// Processes that are remembered as forgotten; the one that was forgotten first makes room.
-const TOMBS_MOST: usize = 4096;
+const MAX_TOMBSTONES: usize = 4096;
 
 /// What a part of the design does against harm; each can be left out, so that its check can be seen to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,8 +53,8 @@
     me: Entry,
     others: BTreeMap<StewardId, Entry>,
     /// The highest process that was forgotten, and in which order that was.
-    tombs: BTreeMap<StewardId, u64>,
-    tomb_order: VecDeque<StewardId>,
+    tombstones: BTreeMap<StewardId, u64>,
+    tombstone_order: VecDeque<StewardId>,
     without: Option<Defence>,
     digest: u64,
 }
@@ -64,8 +64,8 @@
         let mut table = Table {
             me,
             others: BTreeMap::new(),
-            tombs: BTreeMap::new(),
-            tomb_order: VecDeque::new(),
+            tombstones: BTreeMap::new(),
+            tombstone_order: VecDeque::new(),
             without,
             digest: 0,
         };
@@ -136,7 +136,12 @@
             return self.doubted(word);
         }
         let ignores = self.lacks(Defence::Process);
-        if !ignores && self.tombs.get(&word.about).is_some_and(|tomb| word.incarnation.process <= *tomb) {
+        if !ignores
+            && self
+                .tombstones
+                .get(&word.about)
+                .is_some_and(|tombstone| word.incarnation.process <= *tombstone)
+        {
             return Learnt::Old;
         }
         let Some(known) = self.others.get(&word.about) else {
@@ -199,11 +204,11 @@
     /// Gives up what is held of one that is long gone; its process is refused from now on.
     pub fn forget(&mut self, id: StewardId) {
         let Some(entry) = self.others.remove(&id) else { return };
-        if self.tombs.insert(id, entry.incarnation.process).is_none() {
-            self.tomb_order.push_back(id);
+        if self.tombstones.insert(id, entry.incarnation.process).is_none() {
+            self.tombstone_order.push_back(id);
         }
-        if self.tombs.len() > TOMBS_MOST {
-            self.tomb_order.pop_front().into_iter().for_each(|id| _ = self.tombs.remove(&id));
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstone_order.pop_front().into_iter().for_each(|id| _ = self.tombstones.remove(&id));
         }
         self.sum_up();
     }
@@ -244,7 +249,11 @@
             match self.get(line.about) {
                 Some(ours) if (ours.incarnation, ours.standing) > theirs => better.push(ours.clone()),
                 Some(ours) if (ours.incarnation, ours.standing) < theirs => want.push(line.about),
-                None if self.tombs.get(&line.about).is_none_or(|tomb| line.incarnation.process > *tomb) => {
+                None if self
+                    .tombstones
+                    .get(&line.about)
+                    .is_none_or(|tombstone| line.incarnation.process > *tombstone) =>
+                {
                     want.push(line.about);
                 }
                 _ => {}
