--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -16,7 +16,7 @@
 use crate::health::Health;
 use crate::rumours::Rumours;
 use crate::score::{Answers, GAP, LATE_LEAST};
-use crate::table::{Defence, Learnt, Table};
+use crate::table::{Defence, MergeOutcome, Table};
 use crate::words::{Ask, Changed, Mail, Message, To, LINES_MOST, NEWS_MOST};
 use crate::{Seconds, StewardId};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -216,7 +216,7 @@
         let me = self.me();
         for id in others.iter().filter(|id| **id != me) {
             let word = Entry::alive(*id, 0, Default::default());
-            if let Learnt::News { .. } = self.table.learn(&word, false) {
+            if let MergeOutcome::News { .. } = self.table.learn(&word, false) {
                 self.peers.insert(*id, Peer::new(now));
             }
         }
@@ -419,7 +419,7 @@
         }
         self.wake(now);
         match self.take_in(now, &message.from, "it says so itself", &mut changed) {
-            Learnt::Old | Learnt::Full => {
+            MergeOutcome::Old | MergeOutcome::Full => {
                 self.hear_old(now, message, &mut mail, &mut changed);
                 return (mail, changed);
             }
@@ -542,23 +542,23 @@
     }
 
     /// Takes in one word, whoever brought it.
-    fn take_in(&mut self, now: Seconds, word: &Entry, why: &str, changed: &mut Vec<Changed>) -> Learnt {
+    fn take_in(&mut self, now: Seconds, word: &Entry, why: &str, changed: &mut Vec<Changed>) -> MergeOutcome {
         let protects = !self.table.lacks(Defence::OwnTrouble);
         let heard = self.peers.get(&word.about).map_or(f64::NEG_INFINITY, |peer| peer.heard_at);
         let heard_lately = protects && word.by != Some(self.me()) && now - heard < HEARD_LATELY;
         let learnt = self.table.learn(word, heard_lately);
         match &learnt {
-            Learnt::News { was, metadata_changed } => {
+            MergeOutcome::News { was, metadata_changed } => {
                 self.follow(now, word, *was, *metadata_changed, why, changed)
             }
-            Learnt::Refuted => {
+            MergeOutcome::Refuted => {
                 self.health.was_suspected();
                 self.rumours.tell_first(self.table.me().clone());
             }
-            Learnt::Rival => self.note_conflict(now, word),
-            Learnt::Full => self.refused += 1,
-            Learnt::Nothing => self.answer_to_stale(word),
-            Learnt::Old => {}
+            MergeOutcome::Rival => self.note_conflict(now, word),
+            MergeOutcome::Full => self.refused += 1,
+            MergeOutcome::Nothing => self.answer_to_stale(word),
+            MergeOutcome::Old => {}
         }
         learnt
     }
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -33,7 +33,7 @@
 
 /// What a word was worth.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Learnt {
+pub enum MergeOutcome {
     /// Known already, or older than what is known.
     Nothing,
     /// Of a process that has been followed by another, or forgotten.
@@ -131,7 +131,7 @@
 
     /// Takes in a word about a steward. `heard_lately`: we had its own word a moment ago, so that it is dead can at
     /// most be suspected; it is asked.
-    pub fn learn(&mut self, word: &Entry, heard_lately: bool) -> Learnt {
+    pub fn learn(&mut self, word: &Entry, heard_lately: bool) -> MergeOutcome {
         if word.about == self.me.about {
             return self.doubted(word);
         }
@@ -142,7 +142,7 @@
                 .get(&word.about)
                 .is_some_and(|tombstone| word.incarnation.process <= *tombstone)
         {
-            return Learnt::Old;
+            return MergeOutcome::Old;
         }
         let Some(known) = self.others.get(&word.about) else {
             return self.meet(word);
@@ -153,44 +153,50 @@
             false => word.beats(known),
         };
         if word.standing == Standing::Forgotten || !beats {
-            return if older && !ignores { Learnt::Old } else { Learnt::Nothing };
+            return if older && !ignores { MergeOutcome::Old } else { MergeOutcome::Nothing };
         }
         let mut word = word.clone();
         if heard_lately && word.standing == Standing::Dead && word.incarnation == known.incarnation {
             word.standing = Standing::Suspect;
             if known.standing == Standing::Suspect {
-                return Learnt::Nothing;
+                return MergeOutcome::Nothing;
             }
         }
-        let news =
-            Learnt::News { was: Some(known.standing), metadata_changed: known.metadata != word.metadata };
+        let news = MergeOutcome::News {
+            was: Some(known.standing),
+            metadata_changed: known.metadata != word.metadata,
+        };
         self.others.insert(word.about, word);
         self.sum_up();
         news
     }
 
-    fn meet(&mut self, word: &Entry) -> Learnt {
+    fn meet(&mut self, word: &Entry) -> MergeOutcome {
         if word.standing == Standing::Forgotten {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         if self.others.len() >= STEWARDS_MOST {
-            return Learnt::Full;
+            return MergeOutcome::Full;
         }
         self.others.insert(word.about, word.clone());
         self.sum_up();
-        Learnt::News { was: None, metadata_changed: true }
+        MergeOutcome::News { was: None, metadata_changed: true }
     }
 
     /// A word about us. Whoever says that we are not alive is told otherwise, also when we have said so before:
     /// what we said then did not reach it.
-    fn doubted(&mut self, word: &Entry) -> Learnt {
+    fn doubted(&mut self, word: &Entry) -> MergeOutcome {
         let mine = self.me.incarnation;
         if word.incarnation.process != mine.process {
-            return if word.incarnation.process > mine.process { Learnt::Rival } else { Learnt::Old };
+            return if word.incarnation.process > mine.process {
+                MergeOutcome::Rival
+            } else {
+                MergeOutcome::Old
+            };
         }
         let doubts = word.standing != Standing::Alive && self.me.standing == Standing::Alive;
         if !doubts || self.lacks(Defence::Refutation) {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         if word.standing == Standing::Forgotten {
             self.rise_above(mine.process);
@@ -198,7 +204,7 @@
             self.me.incarnation.count = word.incarnation.count.saturating_add(1);
             self.sum_up();
         }
-        Learnt::Refuted
+        MergeOutcome::Refuted
     }
 
     /// Gives up what is held of one that is long gone; its process is refused from now on.
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -50,16 +50,16 @@
     let mut table = table();
     table.learn(&word(1, 5, 0, 3), false);
     table.forget(StewardId(1));
-    assert_eq!(table.learn(&word(1, 5, 7, 0), false), Learnt::Old);
+    assert_eq!(table.learn(&word(1, 5, 7, 0), false), MergeOutcome::Old);
     assert_eq!(table.answer_to_old(&word(1, 5, 7, 0)).standing, Standing::Forgotten);
-    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), Learnt::News { was: None, .. }));
+    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), MergeOutcome::News { was: None, .. }));
 }
 
 #[test]
 fn one_that_was_forgotten_takes_a_higher_process_number() {
     let mut table = table();
     let forgotten = Entry { standing: Standing::Forgotten, ..table.me().clone() };
-    assert_eq!(table.learn(&forgotten, false), Learnt::Refuted);
+    assert_eq!(table.learn(&forgotten, false), MergeOutcome::Refuted);
     assert_eq!(table.me().incarnation, Incarnation { process: 2, count: 0 });
 }
 
@@ -67,6 +67,6 @@
 fn a_crowd_of_stewards_fills_the_table_and_no_more() {
     let mut table = table();
     (1..=STEWARDS_MOST as u16).for_each(|id| _ = table.learn(&word(id, 1, 0, 0), false));
-    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), Learnt::Full);
+    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), MergeOutcome::Full);
     assert_eq!(table.others().count(), STEWARDS_MOST);
 }
