--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -9,7 +9,7 @@
 use railhub_links::{Board, Crossing, Faults};
 use railhub_membership::entry::Standing;
 use railhub_membership::packet::{decode, Packet};
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use railhub_net::{now, seconds};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -411,17 +411,17 @@
     }
 }
 
-fn without(defence: Option<Defence>) -> &'static str {
-    match defence {
+fn without(safeguard: Option<Safeguard>) -> &'static str {
+    match safeguard {
         None => "",
-        Some(Defence::Refutation) => "without = refutation\n",
-        Some(Defence::AskingTheDead) => "without = asking the dead\n",
-        Some(Defence::Process) => "without = process\n",
-        Some(Defence::AntiEntropy) => "without = anti-entropy\n",
-        Some(Defence::RumourBound) => "without = rumour bound\n",
-        Some(Defence::OwnTrouble) => "without = own trouble\n",
-        Some(Defence::Additions) => "without = additions\n",
-        Some(Defence::LeaseEnd) => "without = lease end\n",
+        Some(Safeguard::Refutation) => "without = refutation\n",
+        Some(Safeguard::AskingTheDead) => "without = asking the dead\n",
+        Some(Safeguard::Process) => "without = process\n",
+        Some(Safeguard::AntiEntropy) => "without = anti-entropy\n",
+        Some(Safeguard::RumourBound) => "without = rumour bound\n",
+        Some(Safeguard::OwnTrouble) => "without = own trouble\n",
+        Some(Safeguard::Additions) => "without = additions\n",
+        Some(Safeguard::LeaseEnd) => "without = lease end\n",
     }
 }
 
--- a/crates/railhub-chaos/src/explore.rs
+++ b/crates/railhub-chaos/src/explore.rs
@@ -3,10 +3,10 @@
 //! counterexample is a shortest one. It drives the very merge and refutation that stewards run
 //! (`railhub_membership::table`), without clocks: a suspicion may end at any moment.
 //!
-//! Checked in each state: nobody holds an incarnation of another that this one never had; who has held a process never goes back
-//! to an older one; and, if from now on all words arrive, everyone ends with the truth.
+//! Checked in each state: nobody holds an incarnation of another that this one never had; who has held a process
+//! never goes back to an older one; and, if from now on all words arrive, everyone ends with the truth.
 use railhub_membership::entry::{Entry, Incarnation, NodeMetadata, Standing};
-use railhub_membership::table::{Defence, Table};
+use railhub_membership::table::{Safeguard, Table};
 use railhub_membership::StewardId;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -50,7 +50,7 @@
     StewardId(place as u16)
 }
 
-fn fresh(place: usize, process: u64, without: Option<Defence>) -> Table {
+fn fresh(place: usize, process: u64, without: Option<Safeguard>) -> Table {
     let mut table = Table::new(Entry::alive(id(place), process, NodeMetadata::default()), without);
     // All have met once.
     for other in (0..STEWARDS).filter(|other| *other != place) {
@@ -60,7 +60,7 @@
 }
 
 impl State {
-    fn first(without: Option<Defence>) -> State {
+    fn first(without: Option<Safeguard>) -> State {
         let tables = (0..STEWARDS).map(|place| Some(fresh(place, 1, without))).collect();
         State { tables, processes: [1; STEWARDS], mail: Vec::new(), suspicions: SUSPICIONS, crashes: CRASHES }
     }
@@ -76,7 +76,7 @@
     }
 
     /// Everything that can happen next.
-    fn next(&self, without: Option<Defence>) -> Vec<(String, State)> {
+    fn next(&self, without: Option<Safeguard>) -> Vec<(String, State)> {
         let mut all = Vec::new();
         self.mail_moves(&mut all);
         for place in 0..STEWARDS {
@@ -205,7 +205,7 @@
 }
 
 /// Looks at so many states at the most.
-pub fn explore(without: Option<Defence>, most: usize) -> Explored {
+pub fn explore(without: Option<Safeguard>, most: usize) -> Explored {
     let first = State::first(without);
     let mut seen: BTreeMap<u128, ()> = BTreeMap::new();
     // Where each state came from, to tell the way.
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -7,7 +7,7 @@
 use railhub_membership::entry::{Entry, NodeMetadata, Standing};
 use railhub_membership::packet::{decode, encode, Packet};
 use railhub_membership::swim::{Membership, MembershipConfig, Shown};
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use railhub_membership::words::{Mail, Message, To};
 use railhub_membership::StewardId;
 use rand::{RngExt, SeedableRng};
@@ -43,7 +43,7 @@
 /// Draws a run's way of being played besides its faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct How {
-    pub without: Option<Defence>,
+    pub without: Option<Safeguard>,
     /// Seconds after which one that is gone is forgotten; 0: as usual.
     pub forget_after: f64,
     /// The plain baseline instead: words to all, one fixed time-out.
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -1,10 +1,10 @@
-//! Views in simulated time: many runs without a breach, and each defence that is left out is found.
+//! Views in simulated time: many runs without a breach, and each safeguard that is left out is found.
 use railhub_chaos::explore::explore;
 use railhub_chaos::view::judge::{figures, judge, NO_LIFE_AFTER_DEATH, NO_SPLIT, RUMOURS_END, SETTLES};
 use railhub_chaos::view::sim::{run, How};
 use railhub_chaos::view::{Node, Seen};
 use railhub_chaos::{Chaos, Fault, LinkFaults, What};
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use std::path::Path;
 
 fn chaos() -> Chaos {
@@ -30,7 +30,7 @@
     assert!(play() == play());
 }
 
-fn found(without: Defence, rules: &[&str]) {
+fn found(without: Safeguard, rules: &[&str]) {
     let chaos = chaos();
     let how = How { without: Some(without), ..How::default() };
     let breaks = |seed: &u64| {
@@ -42,27 +42,27 @@
 
 #[test]
 fn a_suspect_that_does_not_say_otherwise_is_found() {
-    found(Defence::Refutation, &[NO_SPLIT, SETTLES]);
+    found(Safeguard::Refutation, &[NO_SPLIT, SETTLES]);
 }
 
 #[test]
 fn the_dead_that_are_not_asked_again_are_found() {
-    found(Defence::AskingTheDead, &[NO_SPLIT]);
+    found(Safeguard::AskingTheDead, &[NO_SPLIT]);
 }
 
 #[test]
 fn older_processes_that_count_are_found() {
-    found(Defence::Process, &[NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES]);
+    found(Safeguard::Process, &[NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES]);
 }
 
 #[test]
 fn views_that_are_never_compared_are_found() {
-    found(Defence::AntiEntropy, &[NO_SPLIT, SETTLES]);
+    found(Safeguard::AntiEntropy, &[NO_SPLIT, SETTLES]);
 }
 
 #[test]
 fn rumours_without_end_are_found() {
-    found(Defence::RumourBound, &[RUMOURS_END]);
+    found(Safeguard::RumourBound, &[RUMOURS_END]);
 }
 
 fn with(faults: &[Fault], how: How) -> Vec<Seen> {
@@ -157,7 +157,7 @@
 
 #[test]
 fn the_explorer_finds_missing_refutation_and_ignored_processes() {
-    for without in [Defence::Refutation, Defence::Process] {
+    for without in [Safeguard::Refutation, Safeguard::Process] {
         let explored = explore(Some(without), 60_000);
         assert!(explored.counterexample.is_some(), "{without:?}: none in {} states", explored.states);
     }
--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -5,7 +5,7 @@
 use railhub_chaos::judge::{figures, judge, Breach};
 use railhub_chaos::shrink::shrink;
 use railhub_chaos::{run as play, Chaos, Fault, Judged, Sabotage};
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use serde::Serialize;
 use std::path::PathBuf;
 
@@ -79,15 +79,15 @@
         })
     }
 
-    pub fn without(self) -> Option<Defence> {
+    pub fn without(self) -> Option<Safeguard> {
         Some(match self {
-            Broken::NoRefutation => Defence::Refutation,
-            Broken::DeadNotAsked => Defence::AskingTheDead,
-            Broken::ProcessIgnored => Defence::Process,
-            Broken::NoAntiEntropy => Defence::AntiEntropy,
-            Broken::EndlessRumours => Defence::RumourBound,
-            Broken::NoOwnTrouble => Defence::OwnTrouble,
-            Broken::NoAdditions => Defence::Additions,
+            Broken::NoRefutation => Safeguard::Refutation,
+            Broken::DeadNotAsked => Safeguard::AskingTheDead,
+            Broken::ProcessIgnored => Safeguard::Process,
+            Broken::NoAntiEntropy => Safeguard::AntiEntropy,
+            Broken::EndlessRumours => Safeguard::RumourBound,
+            Broken::NoOwnTrouble => Safeguard::OwnTrouble,
+            Broken::NoAdditions => Safeguard::Additions,
             _ => return None,
         })
     }
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use railhub_links::tcp::TcpLink;
 use railhub_links::{Board, Faults};
 use railhub_membership::packet::{encode, Packet, BYTES_MOST};
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use railhub_membership::StewardId;
 use serde_json::Value;
 use std::net::{SocketAddr, UdpSocket};
@@ -124,7 +124,7 @@
     keeps_all_rules(6, &chaos, &[]);
 }
 
-fn breaks(seed: u64, without: Defence, faults: &[Fault], rules: &[&str]) {
+fn breaks(seed: u64, without: Safeguard, faults: &[Fault], rules: &[&str]) {
     let how = How { without: Some(without), ..How::default() };
     let (events, folder) = seen(seed, &chaos(3), faults, how);
     let breaches = judge(&events);
@@ -136,17 +136,17 @@
 #[test]
 fn a_fleet_that_ignores_process_numbers_is_found() {
     let faults = [fault(2.0, 7.0, What::Kill { steward: 1 })];
-    breaks(7, Defence::Process, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
+    breaks(7, Safeguard::Process, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
 }
 
 #[test]
 fn a_fleet_without_refutation_is_found() {
-    breaks(8, Defence::Refutation, &[fault(2.0, 9.0, What::Split { side: 1 })], &[NO_SPLIT, SETTLES]);
+    breaks(8, Safeguard::Refutation, &[fault(2.0, 9.0, What::Split { side: 1 })], &[NO_SPLIT, SETTLES]);
 }
 
 #[test]
 fn a_fleet_with_endless_rumours_is_found() {
-    breaks(9, Defence::RumourBound, &[], &[RUMOURS_END]);
+    breaks(9, Safeguard::RumourBound, &[], &[RUMOURS_END]);
 }
 
 /// A folder of its own for each test; gone when the test has passed.
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -81,7 +81,7 @@
     pub clocks: Vec<TestClock>,
     /// What the store must not be, for tests of the judge alone.
     pub broken_store: Broken,
-    /// A defence that stewards go without, for the same.
+    /// A safeguard that stewards go without, for the same.
     pub stewards_without: Option<&'static str>,
 }
 
--- a/crates/railhub-membership/src/entry.rs
+++ b/crates/railhub-membership/src/entry.rs
@@ -1,6 +1,6 @@
-//! What is known of one steward. Its owner alone writes the metadata, under an incarnation that only it raises; others can
-//! add nothing to an entry but a worse standing under the incarnation they know. So any two words about a steward are in
-//! order, whoever brings them, and however late.
+//! What is known of one steward. Its owner alone writes the metadata, under an incarnation that only it
+//! raises; others can add nothing to an entry but a worse standing under the incarnation they know. So any two words
+//! about a steward are in order, whoever brings them, and however late.
 use crate::StewardId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/railhub-membership/src/packet.rs
+++ b/crates/railhub-membership/src/packet.rs
@@ -257,8 +257,8 @@
     body: Option<Body>,
 }
 
-/// A datagram; it may come out longer than [`BYTES_MOST`] only if the metadata are, which [`NodeMetadata`] read from a file and
-/// from other datagrams are not.
+/// A datagram; it may come out longer than [`BYTES_MOST`] only if its [`NodeMetadata`] are too long, which those read
+/// from a file and from other datagrams are not.
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let body = match packet {
         Packet::Words(message) => Body::Words(wire_message(message)),
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -16,7 +16,7 @@
 use crate::health::Health;
 use crate::rumours::Rumours;
 use crate::score::{Answers, GAP, LATE_LEAST};
-use crate::table::{Defence, MergeOutcome, Table};
+use crate::table::{MergeOutcome, Safeguard, Table};
 use crate::words::{Ask, Changed, Mail, Message, To, LINES_MOST, NEWS_MOST};
 use crate::{Seconds, StewardId};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -60,8 +60,8 @@
     pub seeds: Vec<SocketAddr>,
     /// Seconds after which one that is gone is forgotten.
     pub forget_after: Seconds,
-    /// A defence that is left out.
-    pub without: Option<Defence>,
+    /// A safeguard that is left out.
+    pub without: Option<Safeguard>,
 }
 
 impl Default for MembershipConfig {
@@ -311,7 +311,7 @@
     }
 
     fn patience(&self) -> f64 {
-        if self.table.lacks(Defence::OwnTrouble) {
+        if self.table.lacks(Safeguard::OwnTrouble) {
             1.0
         } else {
             self.health.patience()
@@ -319,7 +319,7 @@
     }
 
     fn message(&mut self, number: u64, ask: Ask, first: Vec<Entry>) -> Message {
-        let endless = self.table.lacks(Defence::RumourBound);
+        let endless = self.table.lacks(Safeguard::RumourBound);
         // A comparison fills its datagram by itself.
         let room = if matches!(ask, Ask::Compare { .. }) { 0 } else { NEWS_MOST.saturating_sub(first.len()) };
         let mut news = first;
@@ -350,7 +350,7 @@
         if (0.0..=PROBE_ENDS).contains(&since) {
             return;
         }
-        if self.table.lacks(Defence::OwnTrouble) && since > 0.0 {
+        if self.table.lacks(Safeguard::OwnTrouble) && since > 0.0 {
             return;
         }
         self.health.turned(since.abs());
@@ -531,7 +531,7 @@
     }
 
     fn begin_compare(&mut self, now: Seconds, with: StewardId, mail: &mut Mail) {
-        if self.table.lacks(Defence::AntiEntropy) {
+        if self.table.lacks(Safeguard::AntiEntropy) {
             return;
         }
         self.compare_at = now + COMPARE_EVERY;
@@ -543,7 +543,7 @@
 
     /// Takes in one word, whoever brought it.
     fn take_in(&mut self, now: Seconds, word: &Entry, why: &str, changed: &mut Vec<Changed>) -> MergeOutcome {
-        let protects = !self.table.lacks(Defence::OwnTrouble);
+        let protects = !self.table.lacks(Safeguard::OwnTrouble);
         let heard = self.peers.get(&word.about).map_or(f64::NEG_INFINITY, |peer| peer.heard_at);
         let heard_lately = protects && word.by != Some(self.me()) && now - heard < HEARD_LATELY;
         let learnt = self.table.learn(word, heard_lately);
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -47,7 +47,7 @@
                 self.send(To::Address(address), message.number, Ask::Answer, Vec::new(), mail);
             }
         }
-        if theirs <= ours || self.table.lacks(Defence::Process) {
+        if theirs <= ours || self.table.lacks(Safeguard::Process) {
             return;
         }
         self.yielded = true;
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probing.rs
@@ -52,7 +52,7 @@
     /// Two halves of a split find each other again only if those held for dead are asked now and then; ever less
     /// often, since most of the dead are dead.
     pub(super) fn ask_a_dead(&mut self, now: Seconds, mail: &mut Mail) {
-        if self.table.lacks(Defence::AskingTheDead) {
+        if self.table.lacks(Safeguard::AskingTheDead) {
             return;
         }
         let dead = self.table.others().filter(|entry| entry.standing == Standing::Dead);
@@ -172,7 +172,7 @@
     pub(super) fn suspected_for(&self, peer: &Peer) -> Seconds {
         let alive = self.alive();
         let base = SUSPECTED_FOR * (alive as f64).ln().max(1.0);
-        if self.table.lacks(Defence::OwnTrouble) {
+        if self.table.lacks(Safeguard::OwnTrouble) {
             return base;
         }
         let needed = ACCUSERS.min(alive.saturating_sub(2));
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -12,7 +12,7 @@
 
 /// What a part of the design does against harm; each can be left out, so that its check can be seen to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Defence {
+pub enum Safeguard {
     /// One that is suspected says otherwise.
     Refutation,
     /// The dead are asked again.
@@ -55,12 +55,12 @@
     /// The highest process that was forgotten, and in which order that was.
     tombstones: BTreeMap<StewardId, u64>,
     tombstone_order: VecDeque<StewardId>,
-    without: Option<Defence>,
+    without: Option<Safeguard>,
     digest: u64,
 }
 
 impl Table {
-    pub fn new(me: Entry, without: Option<Defence>) -> Table {
+    pub fn new(me: Entry, without: Option<Safeguard>) -> Table {
         let mut table = Table {
             me,
             others: BTreeMap::new(),
@@ -73,10 +73,10 @@
         table
     }
 
-    pub fn lacks(&self, defence: Defence) -> bool {
-        use Defence::*;
-        let plain = matches!(defence, AskingTheDead | AntiEntropy | OwnTrouble);
-        self.without == Some(defence) || (self.without == Some(Additions) && plain)
+    pub fn lacks(&self, safeguard: Safeguard) -> bool {
+        use Safeguard::*;
+        let plain = matches!(safeguard, AskingTheDead | AntiEntropy | OwnTrouble);
+        self.without == Some(safeguard) || (self.without == Some(Additions) && plain)
     }
 
     pub fn me(&self) -> &Entry {
@@ -135,7 +135,7 @@
         if word.about == self.me.about {
             return self.doubted(word);
         }
-        let ignores = self.lacks(Defence::Process);
+        let ignores = self.lacks(Safeguard::Process);
         if !ignores
             && self
                 .tombstones
@@ -195,7 +195,7 @@
             };
         }
         let doubts = word.standing != Standing::Alive && self.me.standing == Standing::Alive;
-        if !doubts || self.lacks(Defence::Refutation) {
+        if !doubts || self.lacks(Safeguard::Refutation) {
             return MergeOutcome::Nothing;
         }
         if word.standing == Standing::Forgotten {
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -2,7 +2,8 @@
 //!
 //! The way of one datagram: the socket gives it; [`railhub_membership::packet`] drops and counts what is spoilt,
 //! foreign, of another version or too long; the lease manager hears the message and says what to send; each letter
-//! goes to the address in its receiver's metadata. Whatever goes wrong here, the steward serves on: nothing else waits for it.
+//! goes to the address in its receiver's metadata. Whatever goes wrong here, the steward serves on: nothing else
+//! waits for it.
 use crate::inbox::{Inbox, Word};
 use crate::kernel::Figures;
 use crate::leases::LeaseBook;
@@ -13,7 +14,7 @@
 use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
 use railhub_membership::swim::{Membership, MembershipConfig, Shown};
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use railhub_membership::words::To;
 use railhub_membership::StewardId;
 use railhub_net::{now, seconds};
@@ -79,8 +80,8 @@
     pub process: Option<u64>,
     /// The clock that leases are counted on, for tests: machines' clocks run apart and jump.
     pub clock: LeaseClock,
-    /// A defence that is left out: for tests of the judge alone.
-    pub without: Option<Defence>,
+    /// A safeguard that is left out: for tests of the judge alone.
+    pub without: Option<Safeguard>,
     /// Digest of the file, but for what each steward has of its own.
     pub settings: u64,
 }
@@ -108,16 +109,16 @@
                 fleet.wrong("join", format!("has {} addresses, {SEEDS_MOST} at the most", join.len()))
             );
         }
-        let defences = [
+        let safeguards = [
             ("nothing", None),
-            ("refutation", Some(Defence::Refutation)),
-            ("asking the dead", Some(Defence::AskingTheDead)),
-            ("process", Some(Defence::Process)),
-            ("anti-entropy", Some(Defence::AntiEntropy)),
-            ("rumour bound", Some(Defence::RumourBound)),
-            ("own trouble", Some(Defence::OwnTrouble)),
-            ("additions", Some(Defence::Additions)),
-            ("lease end", Some(Defence::LeaseEnd)),
+            ("refutation", Some(Safeguard::Refutation)),
+            ("asking the dead", Some(Safeguard::AskingTheDead)),
+            ("process", Some(Safeguard::Process)),
+            ("anti-entropy", Some(Safeguard::AntiEntropy)),
+            ("rumour bound", Some(Safeguard::RumourBound)),
+            ("own trouble", Some(Safeguard::OwnTrouble)),
+            ("additions", Some(Safeguard::Additions)),
+            ("lease end", Some(Safeguard::LeaseEnd)),
         ];
         let own = |section: &str, key: &str| {
             section == "fleet" && !matches!(key, "installation" | "share" | "lease")
@@ -139,7 +140,7 @@
                 began: now(),
             },
             process: fleet.text("process").map(|_| fleet.need("process")).transpose()?,
-            without: fleet.choice("without", "nothing", &defences)?,
+            without: fleet.choice("without", "nothing", &safeguards)?,
             settings: sheet.digest(own),
         };
         fleet.done()?;
@@ -199,7 +200,7 @@
             ),
             clock: terms.clock,
             shares,
-            overruns: terms.without == Some(Defence::LeaseEnd),
+            overruns: terms.without == Some(Safeguard::LeaseEnd),
             socket,
             installation: terms.installation.clone(),
             figures: FleetFigures::default(),
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -11,7 +11,7 @@
 use crate::store::StoreWriter;
 use crate::streams::{serve, Doors, StreamTerms};
 use crate::traffic::TrafficWriter;
-use railhub_membership::table::Defence;
+use railhub_membership::table::Safeguard;
 use railhub_net::{now, Listener, Task};
 use railhub_traffic::file::TrafficFault;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
         };
         let doors = Arc::new(Doors::default());
         let overruns =
-            installation.fleet.as_ref().is_some_and(|fleet| fleet.without == Some(Defence::LeaseEnd));
+            installation.fleet.as_ref().is_some_and(|fleet| fleet.without == Some(Safeguard::LeaseEnd));
         let sharing = installation.fleet.as_ref().filter(|fleet| fleet.share);
         let leases = sharing.map(|fleet| Arc::new(LeaseBook::new(fleet.clock, overruns)));
         let (taking, writing) = (inbox.clone(), leases.clone());
