--- a/crates/railhub-steward/src/store/tests.rs
+++ b/crates/railhub-steward/src/store/tests.rs
@@ -26,3 +26,14 @@
     assert!(told(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
     assert!(told(good, -3.0).is_none(), "from the future");
 }
+
+#[test]
+fn reads_the_lease_response_under_its_name_on_the_wire() {
+    let answer = serde_json::json!({
+        "says": { "number": 3, "granted": [[5, 7]], "refused": [6] },
+        "tables": [],
+    });
+    let leased: Leased = serde_json::from_value(answer).expect("what a store of any version answers");
+    assert_eq!((leased.response.number, leased.response.refused), (3, vec![6]));
+    assert_eq!(leased.response.granted.len(), 1);
+}
