--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -29,11 +29,11 @@
     }
 
     pub fn process(&self) -> u64 {
-        self.me.life.process
+        self.me.incarnation.process
     }
 
     pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
-        self.heard.get(&id).and_then(|(entry, _)| entry.card.address)
+        self.heard.get(&id).and_then(|(entry, _)| entry.metadata.address)
     }
 
     fn mail(&mut self, ask: Ask) -> Mail {
@@ -49,7 +49,7 @@
             names: None,
             digest: 0,
         };
-        let known = self.heard.values().filter_map(|(entry, _)| entry.card.address);
+        let known = self.heard.values().filter_map(|(entry, _)| entry.metadata.address);
         let to: std::collections::BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
         to.into_iter().map(|address| (To::Address(address), message.clone())).collect()
     }
@@ -68,7 +68,7 @@
             return;
         }
         let known = self.heard.get(&from.about);
-        if known.is_none_or(|(entry, _)| entry.life.process <= from.life.process) {
+        if known.is_none_or(|(entry, _)| entry.incarnation.process <= from.incarnation.process) {
             self.heard.insert(from.about, (from.clone(), now));
         }
     }
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -1,13 +1,13 @@
-//! Plays a run of views in simulated time, with the code that stewards run: each node is a [`Members`] with a clock
+//! Plays a run of views in simulated time, with the code that stewards run: each node is a [`Membership`] with a clock
 //! and an address of its own; datagrams are encoded and decoded as on the wire.
 use crate::agenda::Agenda;
 use crate::faults::{links_on, Chaos, Fault, What};
 use crate::view::heartbeat::Heartbeat;
 use crate::view::{ends, Node, Seen};
-use railhub_membership::entry::{Card, Entry, Standing};
+use railhub_membership::entry::{Entry, NodeMetadata, Standing};
 use railhub_membership::packet::{decode, encode, Packet};
-use railhub_membership::swim::{Manners, Members, Shown};
-use railhub_membership::table::Defence;
+use railhub_membership::swim::{Membership, MembershipConfig, Shown};
+use railhub_membership::table::Safeguard;
 use railhub_membership::words::{Mail, Message, To};
 use railhub_membership::StewardId;
 use rand::{RngExt, SeedableRng};
@@ -43,7 +43,7 @@
 /// Draws a run's way of being played besides its faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct How {
-    pub without: Option<Defence>,
+    pub without: Option<Safeguard>,
     /// Seconds after which one that is gone is forgotten; 0: as usual.
     pub forget_after: f64,
     /// The plain baseline instead: words to all, one fixed time-out.
@@ -52,21 +52,21 @@
 
 /// What a process is.
 enum Watcher {
-    Members(Box<Members>),
+    Membership(Box<Membership>),
     Heartbeat(Heartbeat),
 }
 
 impl Watcher {
     fn tick(&mut self, now: f64) -> Mail {
         match self {
-            Watcher::Members(members) => members.tick(now).0,
+            Watcher::Membership(membership) => membership.tick(now).0,
             Watcher::Heartbeat(plain) => plain.tick(now),
         }
     }
 
     fn hear(&mut self, now: f64, message: &Message) -> Mail {
         match self {
-            Watcher::Members(members) => members.hear(now, message).0,
+            Watcher::Membership(membership) => membership.hear(now, message).0,
             Watcher::Heartbeat(plain) => {
                 plain.hear(now, message);
                 Mail::new()
@@ -76,41 +76,41 @@
 
     fn next_at(&self) -> f64 {
         match self {
-            Watcher::Members(members) => members.next_at(),
+            Watcher::Membership(membership) => membership.next_at(),
             Watcher::Heartbeat(plain) => plain.next_at(),
         }
     }
 
     fn address(&self, id: StewardId) -> Option<SocketAddr> {
         match self {
-            Watcher::Members(members) => members.address(id),
+            Watcher::Membership(membership) => membership.address(id),
             Watcher::Heartbeat(plain) => plain.address(id),
         }
     }
 
     fn leave(&mut self, now: f64) -> Mail {
         match self {
-            Watcher::Members(members) => members.leave(now),
+            Watcher::Membership(membership) => membership.leave(now),
             Watcher::Heartbeat(plain) => plain.leave(),
         }
     }
 
     fn shown(&self, now: f64) -> Vec<Shown> {
         match self {
-            Watcher::Members(members) => members.shown(now),
+            Watcher::Membership(membership) => membership.shown(now),
             Watcher::Heartbeat(plain) => plain.shown(now),
         }
     }
 
     fn process(&self) -> u64 {
         match self {
-            Watcher::Members(members) => members.life().process,
+            Watcher::Membership(membership) => membership.incarnation().process,
             Watcher::Heartbeat(plain) => plain.process(),
         }
     }
 
     fn has_yielded(&self) -> bool {
-        matches!(self, Watcher::Members(members) if members.has_yielded())
+        matches!(self, Watcher::Membership(membership) if membership.has_yielded())
     }
 }
 
@@ -234,17 +234,18 @@
         self.last_node += 1;
         let node = Node(self.last_node);
         let offset = self.chance.random::<f64>() * 1000.0;
-        let card = Card { address: Some(address), program: "sim".into(), ..Card::default() };
+        let metadata =
+            NodeMetadata { address: Some(address), program: "sim".into(), ..NodeMetadata::default() };
         let forget_after = if self.how.forget_after > 0.0 { self.how.forget_after } else { 600.0 };
         let most = if self.how.heartbeats { u16::MAX } else { JOIN_BY };
         let seeds = self.addresses.iter().filter(|(id, _)| **id != steward && **id < most);
         let seeds = seeds.map(|(_, address)| *address).collect();
-        let manners = Manners { seeds, forget_after, without: self.how.without };
-        let own = Entry::alive(StewardId(steward), process, card);
+        let config = MembershipConfig { seeds, forget_after, without: self.how.without };
+        let own = Entry::alive(StewardId(steward), process, metadata);
         let local = self.now + offset;
         let watcher = match self.how.heartbeats {
-            true => Watcher::Heartbeat(Heartbeat::new(own, manners.seeds, local)),
-            false => Watcher::Members(Box::new(Members::new(own, manners, local, self.chance.random()))),
+            true => Watcher::Heartbeat(Heartbeat::new(own, config.seeds, local)),
+            false => Watcher::Membership(Box::new(Membership::new(own, config, local, self.chance.random()))),
         };
         let process = Process { steward, watcher, address, offset, paused_until: 0.0, share: 1.0 };
         self.nodes.insert(node, process);
@@ -342,9 +343,9 @@
             if Some(word.about.0) != receiver {
                 self.news.insert(self.now as u32);
             }
-            let life = (word.about.0, word.life.process, word.life.count);
-            if word.standing == Standing::Dead && self.told_dead.insert(life) {
-                let (at, (about, process, count)) = (self.now, life);
+            let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
+            if word.standing == Standing::Dead && self.told_dead.insert(incarnation) {
+                let (at, (about, process, count)) = (self.now, incarnation);
                 self.events.push(Seen::Dead { at, by, about, process, count });
             }
         }
@@ -376,7 +377,7 @@
             let shown = process.watcher.shown(self.now + process.offset);
             let of = |lives: bool| -> Vec<(u16, u64)> {
                 let some = shown.iter().filter(|shown| shown.entry.standing.lives() == lives);
-                some.map(|shown| (shown.entry.about.0, shown.entry.life.process)).collect()
+                some.map(|shown| (shown.entry.about.0, shown.entry.incarnation.process)).collect()
             };
             self.events.push(Seen::View {
                 at: self.now,
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -1,11 +1,13 @@
-//! Plays a run: stewards with offices and clocks of their own, a store, proxies that fence, and messages that take
-//! their time.
+//! Plays a run: stewards with lease managers and clocks of their own, a store, proxies that fence, and messages that
+//! take their time.
 use crate::agenda::Agenda;
 use crate::faults::{Chaos, Fault, What};
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::Fence;
-use railhub_membership::office::{Acts, Office, Seat, StoreAsk, StoreSays};
-use railhub_membership::swim::Manners;
+use railhub_membership::lease_manager::{
+    Acts, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
+};
+use railhub_membership::swim::MembershipConfig;
 use railhub_membership::words::{Message, To};
 use railhub_membership::{Epoch, StewardId};
 use rand::{RngExt, SeedableRng};
@@ -70,8 +72,8 @@
     Tick { steward: u16, process: u64 },
     Orders { steward: u16, process: u64 },
     Mail { to: u16, message: Message },
-    Asked { steward: u16, ask: StoreAsk },
-    Says { steward: u16, process: u64, says: StoreSays },
+    LeaseRequest { steward: u16, request: LeaseRequest },
+    LeaseResponse { steward: u16, process: u64, response: LeaseResponse },
     Arrives { proxy: u16, order: Order, steward: u16 },
     Word { steward: u16, process: u64, proxy: u16, number: u64 },
     On(usize),
@@ -80,7 +82,7 @@
 }
 
 struct Steward {
-    office: Office,
+    lease_manager: LeaseManager,
     process: u64,
     /// Its clock: true seconds times speed, plus an offset.
     speed: f64,
@@ -175,13 +177,13 @@
         let weights = (0..self.chaos.stewards).map(|id| (StewardId(id), 1.0)).collect();
         let seed = self.chance.random();
         let (slices, span) = (self.chaos.slices, self.chaos.span);
-        let (card, manners) = (Default::default(), Manners::default());
-        let seat = Seat {
+        let (metadata, config) = (Default::default(), MembershipConfig::default());
+        let options = LeaseManagerOptions {
             me: StewardId(id),
             process,
             weights: &weights,
-            card,
-            manners,
+            metadata,
+            config,
             slices,
             span,
             settle: 0.0,
@@ -189,9 +191,9 @@
         };
         let speed = self.speeds.get(&id).copied().unwrap_or(1.0);
         let offset = self.chance.random::<f64>() * 1000.0;
-        let office = Office::new(&seat, self.now * speed + offset);
+        let lease_manager = LeaseManager::new(&options, self.now * speed + offset);
         let steward = Steward {
-            office,
+            lease_manager,
             process,
             speed,
             offset,
@@ -243,12 +245,16 @@
                     let wakes = steward.paused_until;
                     return self.due(wakes, Due::Mail { to, message });
                 }
-                self.with_office(to, |office, now| office.hear(now, &message));
+                self.with_lease_manager(to, |lease_manager, now| lease_manager.hear(now, &message));
             }
-            Due::Asked { steward, ask } => self.asked(steward, &ask),
-            Due::Says { steward, process, says } => match self.wakes(steward, process) {
-                Some(wakes) if wakes > self.now => self.due(wakes, Due::Says { steward, process, says }),
-                Some(_) => self.with_office(steward, |office, now| office.store_says(now, &says)),
+            Due::LeaseRequest { steward, request } => self.lease_requested(steward, &request),
+            Due::LeaseResponse { steward, process, response } => match self.wakes(steward, process) {
+                Some(wakes) if wakes > self.now => {
+                    self.due(wakes, Due::LeaseResponse { steward, process, response })
+                }
+                Some(_) => self.with_lease_manager(steward, |lease_manager, now| {
+                    lease_manager.take_response(now, &response)
+                }),
                 None => {}
             },
             Due::Arrives { proxy, order, steward } => self.arrives(proxy, &order, steward),
@@ -264,10 +270,10 @@
         }
     }
 
-    fn with_office(&mut self, id: u16, act: impl FnOnce(&mut Office, f64) -> Acts) {
+    fn with_lease_manager(&mut self, id: u16, act: impl FnOnce(&mut LeaseManager, f64) -> Acts) {
         let now = self.now;
         let Some(steward) = self.stewards.get_mut(&id) else { return };
-        let acts = act(&mut steward.office, now * steward.speed + steward.offset);
+        let acts = act(&mut steward.lease_manager, now * steward.speed + steward.offset);
         self.carry_out(id, acts);
     }
 
@@ -279,9 +285,9 @@
                 self.due(self.now + way, Due::Mail { to: to.0, message });
             }
         }
-        if let Some(ask) = acts.ask {
+        if let Some(request) = acts.request {
             let way = self.way();
-            self.due(self.now + way, Due::Asked { steward: id, ask });
+            self.due(self.now + way, Due::LeaseRequest { steward: id, request });
         }
         let overruns = self.sabotage == Some(Sabotage::LeaseOverrun);
         if let Some(steward) = self.stewards.get_mut(&id) {
@@ -302,10 +308,11 @@
     }
 
     fn tick(&mut self, id: u16) {
-        self.with_office(id, Office::tick);
+        self.with_lease_manager(id, LeaseManager::tick);
         let steward = &self.stewards[&id];
         let local = self.now * steward.speed + steward.offset;
-        let (process, next) = (steward.process, (steward.office.next_at(local) - local) / steward.speed);
+        let (process, next) =
+            (steward.process, (steward.lease_manager.next_at(local) - local) / steward.speed);
         self.due(self.now + next.max(0.002), Due::Tick { steward: id, process });
     }
 
@@ -318,7 +325,7 @@
         let (process, sane_clock, slow) = (steward.process, steward.sane_clock, steward.slow_orders);
         let may = |(slice, epoch): (&u16, &Epoch)| match overruns {
             true => Some((*slice, *epoch)),
-            false => steward.office.may_order(local, *slice).map(|epoch| (*slice, epoch)),
+            false => steward.lease_manager.may_order(local, *slice).map(|epoch| (*slice, epoch)),
         };
         let slices: Vec<(u16, Epoch)> = steward.believes.iter().filter_map(may).collect();
         for (slice, epoch) in slices {
@@ -370,7 +377,7 @@
         }
     }
 
-    fn asked(&mut self, id: u16, ask: &StoreAsk) {
+    fn lease_requested(&mut self, id: u16, request: &LeaseRequest) {
         let is_on = |what: &What| self.on.iter().any(|number| self.faults[*number].what == *what);
         if is_on(&What::StoreAway) || is_on(&What::CutStore { steward: id }) {
             return;
@@ -387,16 +394,16 @@
                 self.copies.pop_front();
             }
         }
-        let answer = self.store.answer(now, ask);
+        let answer = self.store.answer(now, request);
         for (slice, epoch) in answer.anew {
-            self.events.push(Event::Granted { at: now, slice, epoch: epoch.0, process: ask.process });
+            self.events.push(Event::Granted { at: now, slice, epoch: epoch.0, process: request.process });
         }
-        let says = answer.says;
+        let response = answer.response;
         if loses_answers {
             return;
         }
         let arrives = now + self.way() + slow;
-        self.due(arrives, Due::Says { steward: id, process: ask.process, says });
+        self.due(arrives, Due::LeaseResponse { steward: id, process: request.process, response });
     }
 
     fn fault_on(&mut self, number: usize) {
@@ -421,7 +428,7 @@
                 self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.slow_orders = by);
             }
             What::Drain { steward } => {
-                self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.office.drain());
+                self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.lease_manager.drain());
             }
             What::Flap { .. } => self.flap(number, self.now + long),
             What::StoreForgets { by } => self.store_forgets(by),
--- a/crates/railhub-membership/src/office.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -1,9 +1,9 @@
 //! One steward's part in sharing a fleet: it hears from the others and from the store, and says what to send, which
-//! slices it has gained and which it has lost. All that it may order it asks [`Office::may_order`], each time.
-use crate::entry::{Card, Entry, Load};
+//! slices it has gained and which it has lost. All that it may order it asks [`LeaseManager::may_order`], each time.
+use crate::entry::{Entry, Load, NodeMetadata};
 use crate::lease::Leases;
 use crate::share::{heir, Sharing};
-use crate::swim::{Manners, Members};
+use crate::swim::{Membership, MembershipConfig};
 use crate::words::{Changed, Mail, Message};
 use crate::{Epoch, Seconds, StewardId};
 use serde::{Deserialize, Serialize};
@@ -20,9 +20,9 @@
 /// Seconds that a store's refusal stands: what another holds is not asked for again at once.
 const REFUSED_FOR: Seconds = 0.4;
 
-/// What a steward asks the store; all of it in one step, or nothing.
+/// What a steward asks the store for; all of it in one step, or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StoreAsk {
+pub struct LeaseRequest {
     pub number: u64,
     pub process: u64,
     pub span: Seconds,
@@ -31,8 +31,9 @@
     pub release: Vec<(u16, Epoch)>,
 }
 
+/// The store's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StoreSays {
+pub struct LeaseResponse {
     pub number: u64,
     /// Taken or renewed.
     pub granted: Vec<(u16, Epoch)>,
@@ -44,7 +45,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Acts {
     pub mail: Mail,
-    pub ask: Option<StoreAsk>,
+    pub request: Option<LeaseRequest>,
     pub gained: Vec<(u16, Epoch)>,
     /// Given up, or another's by the store's word.
     pub lost: Vec<u16>,
@@ -53,11 +54,12 @@
     pub changed: Vec<Changed>,
 }
 
-pub struct Office {
+/// Decides for one steward which slices to lease, renew and release.
+pub struct LeaseManager {
     me: StewardId,
     process: u64,
     slices: u16,
-    members: Members,
+    membership: Membership,
     sharing: Sharing,
     leases: Leases,
     number: u64,
@@ -70,15 +72,15 @@
     unanswered: u32,
 }
 
-/// What an office is given at its start.
-pub struct Seat<'a> {
+/// What a lease manager is given at its start.
+pub struct LeaseManagerOptions<'a> {
     pub me: StewardId,
     /// Tells this process from all others; higher than those of earlier processes of the same steward.
     pub process: u64,
     /// All stewards of the installation with what they can bear.
     pub weights: &'a BTreeMap<StewardId, f64>,
-    pub card: Card,
-    pub manners: Manners,
+    pub metadata: NodeMetadata,
+    pub config: MembershipConfig,
     pub slices: u16,
     /// Seconds that a lease is granted for.
     pub span: Seconds,
@@ -87,24 +89,24 @@
     pub seed: u64,
 }
 
-impl Office {
-    pub fn new(seat: &Seat, now: Seconds) -> Office {
-        let others: Vec<StewardId> = seat.weights.keys().copied().collect();
-        let mut sharing = Sharing::new(seat.weights.clone());
+impl LeaseManager {
+    pub fn new(options: &LeaseManagerOptions, now: Seconds) -> LeaseManager {
+        let others: Vec<StewardId> = options.weights.keys().copied().collect();
+        let mut sharing = Sharing::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
-        let own = Entry::alive(seat.me, seat.process, seat.card.clone());
-        let mut members = Members::new(own, seat.manners.clone(), now, seat.seed);
-        members.expect(&others, now);
-        Office {
-            me: seat.me,
-            process: seat.process,
-            slices: seat.slices,
-            members,
+        let own = Entry::alive(options.me, options.process, options.metadata.clone());
+        let mut membership = Membership::new(own, options.config.clone(), now, options.seed);
+        membership.expect(&others, now);
+        LeaseManager {
+            me: options.me,
+            process: options.process,
+            slices: options.slices,
+            membership,
             sharing,
-            leases: Leases::new(seat.span),
+            leases: Leases::new(options.span),
             number: 0,
             asked: None,
-            ask_at: now + seat.settle,
+            ask_at: now + options.settle,
             refused: BTreeMap::new(),
             drains: false,
             unanswered: 0,
@@ -133,7 +135,7 @@
     /// It is to go: its slices are handed over, and nothing new is taken.
     pub fn drain(&mut self) {
         self.drains = true;
-        self.members.drain();
+        self.membership.drain();
         self.sharing.drain(self.me, true);
     }
 
@@ -146,21 +148,21 @@
     }
 
     /// Who lives, and what is known of them.
-    pub fn members(&self) -> &Members {
-        &self.members
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
     pub fn set_load(&mut self, load: Load) {
-        self.members.set_load(load);
+        self.membership.set_load(load);
     }
 
     /// Tells the others that we go.
     pub fn leave(&mut self, now: Seconds) -> Acts {
-        Acts { mail: self.members.leave(now), ..Acts::default() }
+        Acts { mail: self.membership.leave(now), ..Acts::default() }
     }
 
     pub fn hear(&mut self, now: Seconds, message: &Message) -> Acts {
-        let (mail, changed) = self.members.hear(now, message);
+        let (mail, changed) = self.membership.hear(now, message);
         self.follow(now, &changed);
         Acts { mail, changed, ..Acts::default() }
     }
@@ -168,16 +170,16 @@
     fn follow(&mut self, now: Seconds, changed: &[Changed]) {
         for change in changed {
             self.sharing.meet(change.about);
-            self.sharing.hear(now, change.about, self.members.may_bear(change.about));
-            self.sharing.drain(change.about, self.members.drains(change.about));
+            self.sharing.hear(now, change.about, self.membership.may_bear(change.about));
+            self.sharing.drain(change.about, self.membership.drains(change.about));
         }
-        self.sharing.hear(now, self.me, self.members.may_bear(self.me));
+        self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
     }
 
     pub fn tick(&mut self, now: Seconds) -> Acts {
         // Before anything else: what a pause or a store that was away has cost.
         let mut acts = Acts { lapsed: self.leases.lapse(now), ..Acts::default() };
-        (acts.mail, acts.changed) = self.members.tick(now);
+        (acts.mail, acts.changed) = self.membership.tick(now);
         self.follow(now, &acts.changed);
         if self.asked.is_some_and(|(_, at)| now - at > ANSWER_WITHIN) {
             self.asked = None;
@@ -185,15 +187,15 @@
         }
         // One that lives and cannot hold anything would keep its slices from everyone for as long as it lives.
         let no_store = self.unanswered >= UNANSWERED_MOST && self.leases.count() == 0;
-        self.members.set_no_store(no_store);
-        self.sharing.hear(now, self.me, self.members.may_bear(self.me));
+        self.membership.set_no_store(no_store);
+        self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
         if self.asked.is_none() && now >= self.ask_at {
-            acts.ask = self.question(now, &mut acts.lost);
+            acts.request = self.next_request(now, &mut acts.lost);
         }
         acts
     }
 
-    fn question(&mut self, now: Seconds, lost: &mut Vec<u16>) -> Option<StoreAsk> {
+    fn next_request(&mut self, now: Seconds, lost: &mut Vec<u16>) -> Option<LeaseRequest> {
         let bearers = self.sharing.bearers(now);
         let ours = |slice: u16| heir(slice, &bearers) == Some(self.me);
         let held: BTreeSet<u16> = self.leases.held().map(|(slice, _)| slice).collect();
@@ -224,22 +226,22 @@
         self.number += 1;
         self.asked = Some((self.number, now));
         let (number, process, span) = (self.number, self.process, self.leases.span());
-        Some(StoreAsk { number, process, span, take, renew, release })
+        Some(LeaseRequest { number, process, span, take, renew, release })
     }
 
     /// The store's answer. One to a question that was given up still counts from when that was asked: it is known
     /// only for the question that is out, so a late one is left alone, and the store's grant lapses unused.
-    pub fn store_says(&mut self, now: Seconds, says: &StoreSays) -> Acts {
-        let Some((_, asked)) = self.asked.filter(|asked| asked.0 == says.number) else {
+    pub fn take_response(&mut self, now: Seconds, response: &LeaseResponse) -> Acts {
+        let Some((_, asked)) = self.asked.filter(|asked| asked.0 == response.number) else {
             return Acts::default();
         };
         self.asked = None;
         self.unanswered = 0;
         let before: BTreeMap<u16, Epoch> = self.leases.held().collect();
-        self.leases.granted(now, asked, &says.granted);
-        self.leases.refused(&says.refused);
+        self.leases.granted(now, asked, &response.granted);
+        self.leases.refused(&response.refused);
         self.refused.retain(|_, at| now - *at < REFUSED_FOR);
-        self.refused.extend(says.refused.iter().map(|slice| (*slice, now)));
+        self.refused.extend(response.refused.iter().map(|slice| (*slice, now)));
         let after: BTreeMap<u16, Epoch> = self.leases.held().collect();
         let gained = after.iter().filter(|(slice, epoch)| before.get(slice) != Some(epoch));
         Acts {
@@ -249,9 +251,13 @@
         }
     }
 
-    /// When [`Office::tick`] wants to be called next.
+    /// When [`LeaseManager::tick`] wants to be called next.
     pub fn next_at(&self, now: Seconds) -> Seconds {
         let ask = if self.asked.is_none() { self.ask_at.max(now + 0.01) } else { f64::INFINITY };
-        self.members.next_at().min(ask).min(self.leases.first_end().unwrap_or(f64::INFINITY)).max(now + 0.005)
+        self.membership
+            .next_at()
+            .min(ask)
+            .min(self.leases.first_end().unwrap_or(f64::INFINITY))
+            .max(now + 0.005)
     }
 }
--- a/crates/railhub-membership/src/packet.rs
+++ b/crates/railhub-membership/src/packet.rs
@@ -4,7 +4,7 @@
 //!
 //! Head: `RHF`, version (1 byte), CRC-32 of all that follows (4 bytes, big end first), length of the installation's
 //! name (1 byte), the name; then the body.
-use crate::entry::{Card, Entry, Life, Load, Standing};
+use crate::entry::{Entry, Incarnation, Load, NodeMetadata, Standing};
 use crate::swim::Shown;
 use crate::words::{Ask, Line, Message, LINES_MOST, NEWS_MOST};
 use crate::StewardId;
@@ -257,8 +257,8 @@
     body: Option<Body>,
 }
 
-/// A datagram; it may come out longer than [`BYTES_MOST`] only if cards are, which [`Card`]s read from a file and
-/// from other datagrams are not.
+/// A datagram; it may come out longer than [`BYTES_MOST`] only if its [`NodeMetadata`] are too long, which those read
+/// from a file and from other datagrams are not.
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let body = match packet {
         Packet::Words(message) => Body::Words(wire_message(message)),
@@ -316,30 +316,35 @@
     u16::try_from(number).map(StewardId).map_err(|_| Fault::Malformed)
 }
 
-fn wire_line(about: StewardId, life: Life, standing: Standing) -> WireLine {
-    WireLine { about: about.0.into(), process: life.process, count: life.count, standing: standing as u32 }
+fn wire_line(about: StewardId, incarnation: Incarnation, standing: Standing) -> WireLine {
+    WireLine {
+        about: about.0.into(),
+        process: incarnation.process,
+        count: incarnation.count,
+        standing: standing as u32,
+    }
 }
 
 fn read_line(line: &WireLine) -> Result<Line, Fault> {
     let standings = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead, Standing::Forgotten];
     let standing = standings.get(line.standing as usize).copied().ok_or(Fault::Malformed)?;
-    // A life at the very end could not be refuted: nothing is above it.
+    // An incarnation at the very end could not be refuted: nothing is above it.
     if line.count == u64::MAX || line.process == u64::MAX {
         return Err(Fault::Malformed);
     }
-    let life = Life { process: line.process, count: line.count };
-    Ok(Line { about: id(line.about)?, life, standing })
+    let incarnation = Incarnation { process: line.process, count: line.count };
+    Ok(Line { about: id(line.about)?, incarnation, standing })
 }
 
 fn wire_entry(entry: &Entry) -> WireEntry {
     WireEntry {
-        line: wire_line(entry.about, entry.life, entry.standing),
-        address: entry.card.address.map(|address| address.to_string()).unwrap_or_default(),
-        program: entry.card.program.chars().take(PROGRAM_MOST).collect(),
-        protocol: entry.card.protocol,
-        settings: entry.card.settings,
-        drains: entry.card.drains,
-        no_store: entry.card.no_store,
+        line: wire_line(entry.about, entry.incarnation, entry.standing),
+        address: entry.metadata.address.map(|address| address.to_string()).unwrap_or_default(),
+        program: entry.metadata.program.chars().take(PROGRAM_MOST).collect(),
+        protocol: entry.metadata.protocol,
+        settings: entry.metadata.settings,
+        drains: entry.metadata.drains,
+        no_store: entry.metadata.no_store,
         by: entry.by.map(|by| by.0.into()),
     }
 }
@@ -353,7 +358,7 @@
         "" => None,
         text => Some(text.parse().map_err(|_| Fault::Malformed)?),
     };
-    let card = Card {
+    let metadata = NodeMetadata {
         address,
         program: entry.program,
         protocol: entry.protocol,
@@ -362,7 +367,7 @@
         no_store: entry.no_store,
     };
     let by = entry.by.map(id).transpose()?;
-    Ok(Entry { about: line.about, life: line.life, standing: line.standing, card, by })
+    Ok(Entry { about: line.about, incarnation: line.incarnation, standing: line.standing, metadata, by })
 }
 
 fn wire_load(load: &Load) -> WireLoad {
@@ -386,7 +391,7 @@
         Ask::Compare { from, to, lines } => WireAsk::Compare(WireCompare {
             from: from.0.into(),
             to: to.0.into(),
-            lines: lines.iter().map(|line| wire_line(line.about, line.life, line.standing)).collect(),
+            lines: lines.iter().map(|line| wire_line(line.about, line.incarnation, line.standing)).collect(),
         }),
         Ask::Want(ids) => WireAsk::Want(WireIds { ids: ids.iter().map(|id| id.0.into()).collect() }),
         Ask::Tell => WireAsk::Tell(Nothing {}),
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -12,11 +12,11 @@
 mod probing;
 mod slowness;
 
-use crate::entry::{Entry, Life, Load, Standing};
+use crate::entry::{Entry, Incarnation, Load, Standing};
 use crate::health::Health;
 use crate::rumours::Rumours;
 use crate::score::{Answers, GAP, LATE_LEAST};
-use crate::table::{Defence, Learnt, Table};
+use crate::table::{MergeOutcome, Safeguard, Table};
 use crate::words::{Ask, Changed, Mail, Message, To, LINES_MOST, NEWS_MOST};
 use crate::{Seconds, StewardId};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -30,8 +30,8 @@
 /// Seconds from a probe until its target is suspected: direct and indirect answers both had time. A helper says
 /// after half of it that it had no answer either.
 const PROBE_ENDS: Seconds = 0.4;
-/// Probes that are out at once: past it others' are not made, and they learn nothing from us.
-const OUT_MOST: usize = 64;
+/// Probes that are pending at once: past it others' are not made, and they learn nothing from us.
+const MAX_PENDING_PROBES: usize = 64;
 /// Seconds a suspicion stands before it is held for certain, times the logarithm of the stewards' number: long
 /// enough for the word to come round and back. Without a second accuser so many times longer, and how many make it
 /// certain.
@@ -53,20 +53,20 @@
 const SEEK_SLOWLY: Seconds = 5.0;
 const SEEK_SLOWEST: Seconds = 60.0;
 
-/// What the file says of membership.
+/// The settings of membership.
 #[derive(Clone, Debug)]
-pub struct Manners {
+pub struct MembershipConfig {
     /// Addresses that may know someone, tried while nobody is known.
     pub seeds: Vec<SocketAddr>,
     /// Seconds after which one that is gone is forgotten.
     pub forget_after: Seconds,
-    /// A defence that is left out.
-    pub without: Option<Defence>,
+    /// A safeguard that is left out.
+    pub without: Option<Safeguard>,
 }
 
-impl Default for Manners {
-    fn default() -> Manners {
-        Manners { seeds: Vec::new(), forget_after: 600.0, without: None }
+impl Default for MembershipConfig {
+    fn default() -> MembershipConfig {
+        MembershipConfig { seeds: Vec::new(), forget_after: 600.0, without: None }
     }
 }
 
@@ -106,9 +106,9 @@
     }
 }
 
-/// A probe that is out.
+/// A probe that has not been answered yet.
 #[derive(Clone, Debug)]
-struct Out {
+struct PendingProbe {
     number: u64,
     to: StewardId,
     at: Seconds,
@@ -117,13 +117,13 @@
     /// Helpers that were asked, and whether one had a word.
     helpers: usize,
     helped: bool,
-    /// On whose behalf, if it is not on ours.
-    behalf: Option<Behalf>,
+    /// For whom it is made, if it is not for us.
+    indirect: Option<IndirectProbe>,
 }
 
-/// One that asked us to probe another.
+/// A probe that another steward asked us to make.
 #[derive(Clone, Copy, Debug)]
-struct Behalf {
+struct IndirectProbe {
     asker: StewardId,
     /// The asker's number for it.
     number: u64,
@@ -133,7 +133,7 @@
 
 /// A process of our name that was spoken of.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct IdentityConflict {
     process: u64,
     address: Option<SocketAddr>,
     at: Seconds,
@@ -150,13 +150,14 @@
     pub withdrawn: bool,
 }
 
+/// One steward's view of who lives, and the probes, suspicions and rumours that keep it up to date.
 #[derive(Clone, Debug)]
-pub struct Members {
+pub struct Membership {
     table: Table,
-    manners: Manners,
+    config: MembershipConfig,
     peers: BTreeMap<StewardId, Peer>,
     order: Vec<StewardId>,
-    out: Vec<Out>,
+    pending: Vec<PendingProbe>,
     rumours: Rumours,
     health: Health,
     load: Load,
@@ -171,24 +172,24 @@
     seek_span: Seconds,
     slow_span: Seconds,
     /// A process of our name with a higher number that was spoken of, where it is reached, and since when.
-    claim: Option<Claim>,
+    conflict: Option<IdentityConflict>,
     yielded: bool,
     refused: u64,
     chance: ChaCha8Rng,
 }
 
-impl Members {
+impl Membership {
     /// `me`: under a process number that is higher than that of any earlier process of ours, as far as is known.
-    pub fn new(me: Entry, manners: Manners, now: Seconds, seed: u64) -> Members {
+    pub fn new(me: Entry, config: MembershipConfig, now: Seconds, seed: u64) -> Membership {
         let chance = ChaCha8Rng::seed_from_u64(seed ^ u64::from(me.about.0));
         let mut rumours = Rumours::default();
         rumours.tell_first(me.clone());
-        Members {
-            table: Table::new(me, manners.without),
-            manners,
+        Membership {
+            table: Table::new(me, config.without),
+            config,
             peers: BTreeMap::new(),
             order: Vec::new(),
-            out: Vec::new(),
+            pending: Vec::new(),
             rumours,
             health: Health::default(),
             load: Load::default(),
@@ -202,7 +203,7 @@
             seek_at: now,
             seek_span: SEEK,
             slow_span: SEEK_SLOWLY,
-            claim: None,
+            conflict: None,
             yielded: false,
             refused: 0,
             chance,
@@ -215,7 +216,7 @@
         let me = self.me();
         for id in others.iter().filter(|id| **id != me) {
             let word = Entry::alive(*id, 0, Default::default());
-            if let Learnt::News { .. } = self.table.learn(&word, false) {
+            if let MergeOutcome::News { .. } = self.table.learn(&word, false) {
                 self.peers.insert(*id, Peer::new(now));
             }
         }
@@ -234,7 +235,7 @@
     }
 
     pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
-        self.table.get(id).and_then(|entry| entry.card.address)
+        self.table.get(id).and_then(|entry| entry.metadata.address)
     }
 
     /// Another process with our name and a higher number lives: we take no part any more.
@@ -255,7 +256,7 @@
     /// It may bear slices, as far as we know; a suspect still does: taking what it holds is no hurry before it is
     /// held for dead, and not possible before its leases end.
     pub fn may_bear(&self, id: StewardId) -> bool {
-        if self.table.get(id).is_some_and(|entry| entry.card.no_store) {
+        if self.table.get(id).is_some_and(|entry| entry.metadata.no_store) {
             return false;
         }
         if id == self.me() {
@@ -298,19 +299,19 @@
         all
     }
 
-    /// When [`Members::tick`] wants to be called next.
+    /// When [`Membership::tick`] wants to be called next.
     pub fn next_at(&self) -> Seconds {
-        let next = |out: &Out| match out.through {
+        let next = |probe: &PendingProbe| match probe.through {
             0 => LATE_LEAST,
             1 => PROBE_ENDS / 2.0,
             _ => PROBE_ENDS,
         };
-        let ends = self.out.iter().map(|out| out.at + next(out));
+        let ends = self.pending.iter().map(|probe| probe.at + next(probe));
         ends.fold(self.probes_at, f64::min).min(self.ticked_at + PERIOD).max(self.ticked_at + 0.01)
     }
 
     fn patience(&self) -> f64 {
-        if self.table.lacks(Defence::OwnTrouble) {
+        if self.table.lacks(Safeguard::OwnTrouble) {
             1.0
         } else {
             self.health.patience()
@@ -318,7 +319,7 @@
     }
 
     fn message(&mut self, number: u64, ask: Ask, first: Vec<Entry>) -> Message {
-        let endless = self.table.lacks(Defence::RumourBound);
+        let endless = self.table.lacks(Safeguard::RumourBound);
         // A comparison fills its datagram by itself.
         let room = if matches!(ask, Ask::Compare { .. }) { 0 } else { NEWS_MOST.saturating_sub(first.len()) };
         let mut news = first;
@@ -349,11 +350,11 @@
         if (0.0..=PROBE_ENDS).contains(&since) {
             return;
         }
-        if self.table.lacks(Defence::OwnTrouble) && since > 0.0 {
+        if self.table.lacks(Safeguard::OwnTrouble) && since > 0.0 {
             return;
         }
         self.health.turned(since.abs());
-        self.out.clear();
+        self.pending.clear();
         for peer in self.peers.values_mut() {
             (peer.since, peer.heard_at) = (now, peer.heard_at.min(now));
             peer.ask_at = peer.ask_at.min(now + peer.ask_span);
@@ -361,7 +362,8 @@
         let soon = now + PERIOD;
         (self.ticked_at, self.probes_at) = (now, self.probes_at.min(soon));
         (self.compare_at, self.seek_at) = (self.compare_at.min(soon), self.seek_at.min(now + SEEK_SLOWEST));
-        self.claim = self.claim.map(|claim| Claim { at: claim.at.min(now), ..claim });
+        self.conflict =
+            self.conflict.map(|conflict| IdentityConflict { at: conflict.at.min(now), ..conflict });
     }
 
     /// What is due: probes, those that ended without an answer, suspicions that are over, the dead to be asked, those
@@ -379,7 +381,7 @@
         self.end_suspicions(now, &mut changed);
         self.look_for_withdrawn(now, &mut changed);
         self.forget_the_gone(now);
-        self.end_claim(now, &mut changed);
+        self.end_conflict(now, &mut changed);
         if now >= self.probes_at {
             self.probes_at = now + PERIOD;
             if let Some(to) = self.next_target() {
@@ -388,7 +390,7 @@
             self.warn_suspect(now, &mut mail);
             self.ask_a_dead(now, &mut mail);
             self.seek(now, &mut mail);
-            self.ask_claimant(&mut mail);
+            self.probe_rival(&mut mail);
         }
         (mail, changed)
     }
@@ -396,7 +398,7 @@
     fn forget_the_gone(&mut self, now: Seconds) {
         let gone = self.table.others().filter(|entry| !entry.standing.lives()).map(|entry| entry.about);
         let gone =
-            gone.filter(|id| self.peers.get(id).is_none_or(|p| now - p.since > self.manners.forget_after));
+            gone.filter(|id| self.peers.get(id).is_none_or(|p| now - p.since > self.config.forget_after));
         for id in gone.collect::<Vec<_>>() {
             self.table.forget(id);
             self.rumours.drop_word(id);
@@ -417,7 +419,7 @@
         }
         self.wake(now);
         match self.take_in(now, &message.from, "it says so itself", &mut changed) {
-            Learnt::Old | Learnt::Full => {
+            MergeOutcome::Old | MergeOutcome::Full => {
                 self.hear_old(now, message, &mut mail, &mut changed);
                 return (mail, changed);
             }
@@ -445,20 +447,22 @@
         for word in message.news.iter().filter(|word| word.about == me) {
             self.take_in(now, word, "by word of one that was forgotten", changed);
         }
-        let Some(address) = old.card.address.filter(|_| message.ask != Ask::Tell) else { return };
+        let Some(address) = old.metadata.address.filter(|_| message.ask != Ask::Tell) else { return };
         let word = self.table.answer_to_old(old);
         self.send(To::Address(address), 0, Ask::Tell, vec![word], mail);
     }
 
     /// What only the sender's latest message may tell; one that comes late or again tells nothing of it.
     fn note_sender(&mut self, now: Seconds, message: &Message) -> bool {
-        let life = message.from.life;
-        let known =
-            self.table.get(message.from.about).is_some_and(|entry| entry.life.process == life.process);
+        let incarnation = message.from.incarnation;
+        let known = self
+            .table
+            .get(message.from.about)
+            .is_some_and(|entry| entry.incarnation.process == incarnation.process);
         let Some(peer) = self.peers.get_mut(&message.from.about) else { return false };
-        if known && peer.process != life.process {
+        if known && peer.process != incarnation.process {
             // Another process: its messages are counted anew.
-            (peer.process, peer.turn) = (life.process, 0);
+            (peer.process, peer.turn) = (incarnation.process, 0);
         }
         let fresh = known && message.turn > peer.turn;
         if fresh {
@@ -474,25 +478,30 @@
             Ask::Probe => {
                 // One that we hold for dead is told, so that it can say otherwise.
                 let held = self.table.get(from).filter(|entry| entry.standing != Standing::Alive);
-                let doubts = held.filter(|entry| entry.life == message.from.life).cloned();
+                let doubts = held.filter(|entry| entry.incarnation == message.from.incarnation).cloned();
                 let first = doubts.into_iter().collect();
                 self.send(To::Steward(from), message.number, Ask::Answer, first, mail);
             }
-            Ask::ProbeFor(target) if self.peers.contains_key(target) && self.out.len() < OUT_MOST => {
+            Ask::ProbeFor(target)
+                if self.peers.contains_key(target) && self.pending.len() < MAX_PENDING_PROBES =>
+            {
                 // A suspect is told, so that its own word comes back by us: it may have no other way.
                 let word = self.table.get(*target).filter(|entry| entry.standing == Standing::Suspect);
                 let first = word.cloned().into_iter().collect();
                 let doubts = message.news.iter().any(|word| word.about == *target);
-                let behalf = Behalf { asker: from, number: message.number, doubts };
-                self.send_probe(now, *target, Some(behalf), first, mail);
+                let indirect = IndirectProbe { asker: from, number: message.number, doubts };
+                self.send_probe(now, *target, Some(indirect), first, mail);
             }
             Ask::ProbeFor(_) | Ask::Tell => {}
             Ask::Answer => self.answered(now, from, message.number, mail, changed),
             Ask::AnswerOf(target) => {
                 // It lives, though not for us: badly, but not silent.
-                let out = self.out.iter().position(|out| out.number == message.number && out.to == *target);
-                if let Some(place) = out {
-                    self.out.remove(place);
+                let probe = self
+                    .pending
+                    .iter()
+                    .position(|probe| probe.number == message.number && probe.to == *target);
+                if let Some(place) = probe {
+                    self.pending.remove(place);
                     self.health.did_well();
                     if let Some(peer) = self.peers.get_mut(target) {
                         peer.answers.judge(now, true);
@@ -500,8 +509,11 @@
                 }
             }
             Ask::NoAnswerOf(target) => {
-                let out = self.out.iter_mut().find(|out| out.number == message.number && out.to == *target);
-                out.into_iter().for_each(|out| out.helped = true);
+                let probe = self
+                    .pending
+                    .iter_mut()
+                    .find(|probe| probe.number == message.number && probe.to == *target);
+                probe.into_iter().for_each(|probe| probe.helped = true);
             }
             Ask::Compare { from: first, to, lines } => {
                 let (better, want) = self.table.compare(*first, *to, lines);
@@ -519,7 +531,7 @@
     }
 
     fn begin_compare(&mut self, now: Seconds, with: StewardId, mail: &mut Mail) {
-        if self.table.lacks(Defence::AntiEntropy) {
+        if self.table.lacks(Safeguard::AntiEntropy) {
             return;
         }
         self.compare_at = now + COMPARE_EVERY;
@@ -530,21 +542,23 @@
     }
 
     /// Takes in one word, whoever brought it.
-    fn take_in(&mut self, now: Seconds, word: &Entry, why: &str, changed: &mut Vec<Changed>) -> Learnt {
-        let protects = !self.table.lacks(Defence::OwnTrouble);
+    fn take_in(&mut self, now: Seconds, word: &Entry, why: &str, changed: &mut Vec<Changed>) -> MergeOutcome {
+        let protects = !self.table.lacks(Safeguard::OwnTrouble);
         let heard = self.peers.get(&word.about).map_or(f64::NEG_INFINITY, |peer| peer.heard_at);
         let heard_lately = protects && word.by != Some(self.me()) && now - heard < HEARD_LATELY;
         let learnt = self.table.learn(word, heard_lately);
         match &learnt {
-            Learnt::News { was, card_changed } => self.follow(now, word, *was, *card_changed, why, changed),
-            Learnt::Refuted => {
+            MergeOutcome::News { was, metadata_changed } => {
+                self.follow(now, word, *was, *metadata_changed, why, changed)
+            }
+            MergeOutcome::Refuted => {
                 self.health.was_suspected();
                 self.rumours.tell_first(self.table.me().clone());
             }
-            Learnt::Rival => self.claimed(now, word),
-            Learnt::Full => self.refused += 1,
-            Learnt::Nothing => self.answer_to_stale(word),
-            Learnt::Old => {}
+            MergeOutcome::Rival => self.note_conflict(now, word),
+            MergeOutcome::Full => self.refused += 1,
+            MergeOutcome::Nothing => self.answer_to_stale(word),
+            MergeOutcome::Old => {}
         }
         learnt
     }
@@ -554,7 +568,7 @@
         now: Seconds,
         word: &Entry,
         was: Option<Standing>,
-        card_changed: bool,
+        metadata_changed: bool,
         why: &str,
         changed: &mut Vec<Changed>,
     ) {
@@ -567,15 +581,16 @@
             peer.since = now;
             (peer.ask_span, peer.ask_at) = (ASK_DEAD, now + ASK_DEAD);
         }
-        if card_changed || held.standing == Standing::Alive {
+        if metadata_changed || held.standing == Standing::Alive {
             peer.accusers.clear();
         }
         if held.standing == Standing::Suspect {
             peer.accusers.extend(word.by);
         }
-        if was != Some(held.standing) || card_changed {
-            let (about, life, standing, withdrawn) = (held.about, held.life, held.standing, peer.withdrawn);
-            changed.push(Changed { about, life, standing, withdrawn, why: why.to_owned() });
+        if was != Some(held.standing) || metadata_changed {
+            let (about, incarnation, standing, withdrawn) =
+                (held.about, held.incarnation, held.standing, peer.withdrawn);
+            changed.push(Changed { about, incarnation, standing, withdrawn, why: why.to_owned() });
         }
         self.rumours.tell(held);
     }
@@ -584,7 +599,9 @@
     /// that is not out of date may be one more accuser's.
     fn answer_to_stale(&mut self, word: &Entry) {
         let stale = |held: &&Entry| {
-            held.life > word.life && held.standing == Standing::Alive && word.standing != Standing::Alive
+            held.incarnation > word.incarnation
+                && held.standing == Standing::Alive
+                && word.standing != Standing::Alive
         };
         match self.table.get(word.about).filter(stale).cloned() {
             Some(held) => self.rumours.tell_first(held),
@@ -597,7 +614,7 @@
         let Some(held) = self.table.get(word.about) else { return };
         let same = held.standing == Standing::Suspect
             && word.standing == Standing::Suspect
-            && held.life == word.life;
+            && held.incarnation == word.incarnation;
         let Some(peer) = self.peers.get_mut(&word.about).filter(|_| same) else { return };
         if let Some(by) = word.by.filter(|_| peer.accusers.len() <= ACCUSERS) {
             if peer.accusers.insert(by) {
@@ -606,9 +623,9 @@
         }
     }
 
-    /// Our life, for the log.
-    pub fn life(&self) -> Life {
-        self.table.me().life
+    /// Our incarnation, for the log.
+    pub fn incarnation(&self) -> Incarnation {
+        self.table.me().incarnation
     }
 
     /// Words that wait to be passed on.
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -2,23 +2,23 @@
 use super::*;
 
 /// Seconds in which a process of our name with a higher number must speak, or it is one of our past.
-const CLAIM_FOR: Seconds = 2.0;
+const CONFLICT_ENDS_AFTER: Seconds = 2.0;
 
-impl Members {
+impl Membership {
     /// While nobody is known to live, each address of the file is asked; else one of them now and then.
     pub(super) fn seek(&mut self, now: Seconds, mail: &mut Mail) {
         // One that has just been left alone does not wait for the slow look that was due while others lived.
         if self.alive() == 1 {
             self.seek_at = self.seek_at.min(now + self.seek_span);
         }
-        if now < self.seek_at || self.manners.seeds.is_empty() {
+        if now < self.seek_at || self.config.seeds.is_empty() {
             return;
         }
         let part = 0.7 + 0.6 * self.chance.random::<f64>();
         let known: BTreeSet<SocketAddr> = self.living().filter_map(|id| self.address(id)).collect();
-        let own = self.table.me().card.address;
+        let own = self.table.me().metadata.address;
         let strange = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
-        let mut seeds: Vec<SocketAddr> = self.manners.seeds.iter().copied().filter(strange).collect();
+        let mut seeds: Vec<SocketAddr> = self.config.seeds.iter().copied().filter(strange).collect();
         if self.alive() > 1 {
             seeds = seeds.choose(&mut self.chance).copied().into_iter().collect();
             (self.seek_at, self.seek_span) = (now + self.slow_span * part, SEEK);
@@ -41,43 +41,45 @@
         mail: &mut Mail,
         changed: &mut Vec<Changed>,
     ) {
-        let (theirs, ours) = (message.from.life.process, self.table.me().life.process);
+        let (theirs, ours) = (message.from.incarnation.process, self.table.me().incarnation.process);
         if theirs < ours {
-            if let Some(address) = message.from.card.address {
+            if let Some(address) = message.from.metadata.address {
                 self.send(To::Address(address), message.number, Ask::Answer, Vec::new(), mail);
             }
         }
-        if theirs <= ours || self.table.lacks(Defence::Process) {
+        if theirs <= ours || self.table.lacks(Safeguard::Process) {
             return;
         }
         self.yielded = true;
         self.wake(now);
         let me = self.table.me();
         let why = format!("process {theirs} lives under our name: ours, {ours}, takes no part any more");
-        let (about, life) = (me.about, me.life);
-        changed.push(Changed { about, life, standing: Standing::Left, withdrawn: true, why });
+        let (about, incarnation) = (me.about, me.incarnation);
+        changed.push(Changed { about, incarnation, standing: Standing::Left, withdrawn: true, why });
     }
 
     /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
-    pub(super) fn claimed(&mut self, now: Seconds, word: &Entry) {
-        if self.claim.is_none_or(|claim| claim.process < word.life.process) {
-            let own = self.table.me().card.address;
-            let address = word.card.address.filter(|address| Some(*address) != own);
-            self.claim = Some(Claim { process: word.life.process, address, at: now });
+    pub(super) fn note_conflict(&mut self, now: Seconds, word: &Entry) {
+        if self.conflict.is_none_or(|conflict| conflict.process < word.incarnation.process) {
+            let own = self.table.me().metadata.address;
+            let address = word.metadata.address.filter(|address| Some(*address) != own);
+            self.conflict = Some(IdentityConflict { process: word.incarnation.process, address, at: now });
         }
     }
 
-    pub(super) fn ask_claimant(&mut self, mail: &mut Mail) {
-        if let Some(address) = self.claim.and_then(|claim| claim.address) {
+    pub(super) fn probe_rival(&mut self, mail: &mut Mail) {
+        if let Some(address) = self.conflict.and_then(|conflict| conflict.address) {
             self.send(To::Address(address), 0, Ask::Probe, Vec::new(), mail);
         }
     }
 
-    pub(super) fn end_claim(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
-        let Some(Claim { process, at, .. }) = self.claim.filter(|claim| now - claim.at >= CLAIM_FOR) else {
+    pub(super) fn end_conflict(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
+        let Some(IdentityConflict { process, at, .. }) =
+            self.conflict.filter(|conflict| now - conflict.at >= CONFLICT_ENDS_AFTER)
+        else {
             return;
         };
-        self.claim = None;
+        self.conflict = None;
         self.table.rise_above(process);
         let me = self.table.me().clone();
         let why = format!(
@@ -86,7 +88,7 @@
         );
         changed.push(Changed {
             about: me.about,
-            life: me.life,
+            incarnation: me.incarnation,
             standing: me.standing,
             withdrawn: false,
             why,
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probing.rs
@@ -7,12 +7,12 @@
 /// it, one lost message in four must not be a suspicion.
 const THROUGH_TIMES: u8 = 2;
 
-impl Members {
+impl Membership {
     pub(super) fn send_probe(
         &mut self,
         now: Seconds,
         to: StewardId,
-        behalf: Option<Behalf>,
+        indirect: Option<IndirectProbe>,
         first: Vec<Entry>,
         mail: &mut Mail,
     ) {
@@ -20,8 +20,8 @@
         let number = self.number;
         self.send(To::Steward(to), number, Ask::Probe, first, mail);
         // Nobody else is asked for one that we probe for another.
-        let through = if behalf.is_some() { THROUGH_TIMES } else { 0 };
-        self.out.push(Out { number, to, at: now, through, helpers: 0, helped: false, behalf });
+        let through = if indirect.is_some() { THROUGH_TIMES } else { 0 };
+        self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, indirect });
     }
 
     /// A suspect is asked once more each time, and told what it is suspected of: on a net that loses messages its
@@ -52,7 +52,7 @@
     /// Two halves of a split find each other again only if those held for dead are asked now and then; ever less
     /// often, since most of the dead are dead.
     pub(super) fn ask_a_dead(&mut self, now: Seconds, mail: &mut Mail) {
-        if self.table.lacks(Defence::AskingTheDead) {
+        if self.table.lacks(Safeguard::AskingTheDead) {
             return;
         }
         let dead = self.table.others().filter(|entry| entry.standing == Standing::Dead);
@@ -70,21 +70,23 @@
     pub(super) fn end_probes(&mut self, now: Seconds, mail: &mut Mail, changed: &mut Vec<Changed>) {
         self.ask_through_others(now, mail);
         let ends = PROBE_ENDS * self.patience();
-        let is_over = |out: &Out| now - out.at >= if out.behalf.is_some() { PROBE_ENDS / 2.0 } else { ends };
-        let over: Vec<Out> = self.out.iter().filter(|out| is_over(out)).cloned().collect();
-        self.out.retain(|out| !is_over(out));
-        for out in over {
-            if let Some(Behalf { asker, number, .. }) = out.behalf {
-                self.send(To::Steward(asker), number, Ask::NoAnswerOf(out.to), Vec::new(), mail);
+        let is_over = |probe: &PendingProbe| {
+            now - probe.at >= if probe.indirect.is_some() { PROBE_ENDS / 2.0 } else { ends }
+        };
+        let over: Vec<PendingProbe> = self.pending.iter().filter(|probe| is_over(probe)).cloned().collect();
+        self.pending.retain(|probe| !is_over(probe));
+        for probe in over {
+            if let Some(IndirectProbe { asker, number, .. }) = probe.indirect {
+                self.send(To::Steward(asker), number, Ask::NoAnswerOf(probe.to), Vec::new(), mail);
                 continue;
             }
-            if out.helpers > 0 && !out.helped {
+            if probe.helpers > 0 && !probe.helped {
                 self.health.heard_nothing();
             }
-            if let Some(peer) = self.peers.get_mut(&out.to) {
+            if let Some(peer) = self.peers.get_mut(&probe.to) {
                 peer.answers.judge(now, true);
             }
-            self.suspect(now, out.to, out.helpers, changed);
+            self.suspect(now, probe.to, probe.helpers, changed);
         }
     }
 
@@ -95,21 +97,21 @@
             answers.late_after(PROBE_ENDS / 2.0) * patience
         };
         let again_after = PROBE_ENDS / 2.0 * patience;
-        let late = self.out.iter().filter(|out| match out.through {
-            0 => now - out.at >= late_after(&out.to),
-            1 => !out.helped && now - out.at >= again_after,
+        let late = self.pending.iter().filter(|probe| match probe.through {
+            0 => now - probe.at >= late_after(&probe.to),
+            1 => !probe.helped && now - probe.at >= again_after,
             _ => false,
         });
-        let late: Vec<(u64, StewardId)> = late.map(|out| (out.number, out.to)).collect();
+        let late: Vec<(u64, StewardId)> = late.map(|probe| (probe.number, probe.to)).collect();
         for (number, to) in late {
             let mut others: Vec<StewardId> =
                 self.living().filter(|id| *id != to && self.standing(*id) == Standing::Alive).collect();
             others.shuffle(&mut self.chance);
             others.truncate(THROUGH);
             let mut again = false;
-            if let Some(out) = self.out.iter_mut().find(|out| out.number == number) {
-                again = out.through > 0;
-                (out.through, out.helpers) = (out.through + 1, others.len());
+            if let Some(probe) = self.pending.iter_mut().find(|probe| probe.number == number) {
+                again = probe.through > 0;
+                (probe.through, probe.helpers) = (probe.through + 1, others.len());
             }
             let word = self.table.get(to).filter(|entry| entry.standing == Standing::Suspect).cloned();
             if again {
@@ -131,19 +133,20 @@
         mail: &mut Mail,
         changed: &mut Vec<Changed>,
     ) {
-        let Some(place) = self.out.iter().position(|out| out.number == number && out.to == from) else {
+        let Some(place) = self.pending.iter().position(|probe| probe.number == number && probe.to == from)
+        else {
             return;
         };
-        let out = self.out.remove(place);
-        if let Some(Behalf { asker, number, doubts }) = out.behalf {
+        let probe = self.pending.remove(place);
+        if let Some(IndirectProbe { asker, number, doubts }) = probe.indirect {
             // With what it says of itself: it may have refuted what the asker holds of it.
             let first = self.table.get(from).filter(|_| doubts).cloned().into_iter().collect();
             self.send(To::Steward(asker), number, Ask::AnswerOf(from), first, mail);
             return;
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        let was_late = now - out.at > peer.answers.late_after(PROBE_ENDS / 2.0);
-        peer.answers.add(now, (now - out.at).min(PROBE_ENDS));
+        let was_late = now - probe.at > peer.answers.late_after(PROBE_ENDS / 2.0);
+        peer.answers.add(now, (now - probe.at).min(PROBE_ENDS));
         peer.answers.judge(now, was_late);
         if !was_late {
             self.health.did_well();
@@ -169,7 +172,7 @@
     pub(super) fn suspected_for(&self, peer: &Peer) -> Seconds {
         let alive = self.alive();
         let base = SUSPECTED_FOR * (alive as f64).ln().max(1.0);
-        if self.table.lacks(Defence::OwnTrouble) {
+        if self.table.lacks(Safeguard::OwnTrouble) {
             return base;
         }
         let needed = ACCUSERS.min(alive.saturating_sub(2));
--- a/crates/railhub-membership/src/swim/slowness.rs
+++ b/crates/railhub-membership/src/swim/slowness.rs
@@ -6,7 +6,7 @@
 /// Seconds that another's word on who stands out counts.
 const NAMED_FOR: Seconds = 5.0;
 
-impl Members {
+impl Membership {
     /// The one of those that live whose score stands out, if one does.
     pub(super) fn outlier(&self) -> Option<StewardId> {
         let alive = self.table.others().filter(|entry| entry.standing == Standing::Alive);
@@ -38,8 +38,8 @@
             if peer.withdrawn != named {
                 peer.withdrawn = named;
                 let why = if named { "most others find it late" } else { "it answers in time again" };
-                let (life, standing) = (entry.life, entry.standing);
-                changed.push(Changed { about: id, life, standing, withdrawn: named, why: why.into() });
+                let (incarnation, standing) = (entry.incarnation, entry.standing);
+                changed.push(Changed { about: id, incarnation, standing, withdrawn: named, why: why.into() });
             }
         }
     }
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,6 +1,6 @@
 //! What one steward holds of all: the merge of entries, free of time. Any order and any repetition of the same
 //! words ends in the same table, but for words about ourselves, which are answered by a higher count.
-use crate::entry::{mix, Card, Entry, Life, Standing};
+use crate::entry::{mix, Entry, Incarnation, NodeMetadata, Standing};
 use crate::words::{Line, LINES_MOST, NEWS_MOST};
 use crate::StewardId;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,11 +8,11 @@
 /// Stewards held at once; further ones are refused and counted, those that are known stay.
 pub const STEWARDS_MOST: usize = 1024;
 /// Processes that are remembered as forgotten; the one that was forgotten first makes room.
-const TOMBS_MOST: usize = 4096;
+const MAX_TOMBSTONES: usize = 4096;
 
 /// What a part of the design does against harm; each can be left out, so that its check can be seen to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Defence {
+pub enum Safeguard {
     /// One that is suspected says otherwise.
     Refutation,
     /// The dead are asked again.
@@ -33,7 +33,7 @@
 
 /// What a word was worth.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Learnt {
+pub enum MergeOutcome {
     /// Known already, or older than what is known.
     Nothing,
     /// Of a process that has been followed by another, or forgotten.
@@ -41,8 +41,8 @@
     /// No room for one more steward.
     Full,
     /// It changed what is held; what was held before.
-    News { was: Option<Standing>, card_changed: bool },
-    /// It doubted us; our entry has a higher life now.
+    News { was: Option<Standing>, metadata_changed: bool },
+    /// It doubted us; our entry has a higher incarnation now.
     Refuted,
     /// Another process with our name and a higher number is spoken of.
     Rival,
@@ -53,19 +53,19 @@
     me: Entry,
     others: BTreeMap<StewardId, Entry>,
     /// The highest process that was forgotten, and in which order that was.
-    tombs: BTreeMap<StewardId, u64>,
-    tomb_order: VecDeque<StewardId>,
-    without: Option<Defence>,
+    tombstones: BTreeMap<StewardId, u64>,
+    tombstone_order: VecDeque<StewardId>,
+    without: Option<Safeguard>,
     digest: u64,
 }
 
 impl Table {
-    pub fn new(me: Entry, without: Option<Defence>) -> Table {
+    pub fn new(me: Entry, without: Option<Safeguard>) -> Table {
         let mut table = Table {
             me,
             others: BTreeMap::new(),
-            tombs: BTreeMap::new(),
-            tomb_order: VecDeque::new(),
+            tombstones: BTreeMap::new(),
+            tombstone_order: VecDeque::new(),
             without,
             digest: 0,
         };
@@ -73,10 +73,10 @@
         table
     }
 
-    pub fn lacks(&self, defence: Defence) -> bool {
-        use Defence::*;
-        let plain = matches!(defence, AskingTheDead | AntiEntropy | OwnTrouble);
-        self.without == Some(defence) || (self.without == Some(Additions) && plain)
+    pub fn lacks(&self, safeguard: Safeguard) -> bool {
+        use Safeguard::*;
+        let plain = matches!(safeguard, AskingTheDead | AntiEntropy | OwnTrouble);
+        self.without == Some(safeguard) || (self.without == Some(Additions) && plain)
     }
 
     pub fn me(&self) -> &Entry {
@@ -110,105 +110,121 @@
     }
 
     /// Rewrites our own entry under a higher count.
-    pub fn rewrite(&mut self, change: impl FnOnce(&mut Card)) {
-        change(&mut self.me.card);
-        self.me.life.count += 1;
+    pub fn rewrite(&mut self, change: impl FnOnce(&mut NodeMetadata)) {
+        change(&mut self.me.metadata);
+        self.me.incarnation.count += 1;
         self.sum_up();
     }
 
     pub fn leave(&mut self) {
-        self.me.life.count += 1;
+        self.me.incarnation.count += 1;
         self.me.standing = Standing::Left;
         self.sum_up();
     }
 
     /// Our process takes a higher number: one of ours had it before, or we were forgotten.
     pub fn rise_above(&mut self, process: u64) {
-        self.me.life = Life { process: process.max(self.me.life.process).saturating_add(1), count: 0 };
+        self.me.incarnation =
+            Incarnation { process: process.max(self.me.incarnation.process).saturating_add(1), count: 0 };
         self.sum_up();
     }
 
     /// Takes in a word about a steward. `heard_lately`: we had its own word a moment ago, so that it is dead can at
     /// most be suspected; it is asked.
-    pub fn learn(&mut self, word: &Entry, heard_lately: bool) -> Learnt {
+    pub fn learn(&mut self, word: &Entry, heard_lately: bool) -> MergeOutcome {
         if word.about == self.me.about {
             return self.doubted(word);
         }
-        let ignores = self.lacks(Defence::Process);
-        if !ignores && self.tombs.get(&word.about).is_some_and(|tomb| word.life.process <= *tomb) {
-            return Learnt::Old;
+        let ignores = self.lacks(Safeguard::Process);
+        if !ignores
+            && self
+                .tombstones
+                .get(&word.about)
+                .is_some_and(|tombstone| word.incarnation.process <= *tombstone)
+        {
+            return MergeOutcome::Old;
         }
         let Some(known) = self.others.get(&word.about) else {
             return self.meet(word);
         };
-        let older = word.life.process < known.life.process;
+        let older = word.incarnation.process < known.incarnation.process;
         let beats = match ignores {
-            true => (word.life.count, word.standing) > (known.life.count, known.standing),
+            true => (word.incarnation.count, word.standing) > (known.incarnation.count, known.standing),
             false => word.beats(known),
         };
         if word.standing == Standing::Forgotten || !beats {
-            return if older && !ignores { Learnt::Old } else { Learnt::Nothing };
+            return if older && !ignores { MergeOutcome::Old } else { MergeOutcome::Nothing };
         }
         let mut word = word.clone();
-        if heard_lately && word.standing == Standing::Dead && word.life == known.life {
+        if heard_lately && word.standing == Standing::Dead && word.incarnation == known.incarnation {
             word.standing = Standing::Suspect;
             if known.standing == Standing::Suspect {
-                return Learnt::Nothing;
+                return MergeOutcome::Nothing;
             }
         }
-        let news = Learnt::News { was: Some(known.standing), card_changed: known.card != word.card };
+        let news = MergeOutcome::News {
+            was: Some(known.standing),
+            metadata_changed: known.metadata != word.metadata,
+        };
         self.others.insert(word.about, word);
         self.sum_up();
         news
     }
 
-    fn meet(&mut self, word: &Entry) -> Learnt {
+    fn meet(&mut self, word: &Entry) -> MergeOutcome {
         if word.standing == Standing::Forgotten {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         if self.others.len() >= STEWARDS_MOST {
-            return Learnt::Full;
+            return MergeOutcome::Full;
         }
         self.others.insert(word.about, word.clone());
         self.sum_up();
-        Learnt::News { was: None, card_changed: true }
+        MergeOutcome::News { was: None, metadata_changed: true }
     }
 
     /// A word about us. Whoever says that we are not alive is told otherwise, also when we have said so before:
     /// what we said then did not reach it.
-    fn doubted(&mut self, word: &Entry) -> Learnt {
-        let mine = self.me.life;
-        if word.life.process != mine.process {
-            return if word.life.process > mine.process { Learnt::Rival } else { Learnt::Old };
+    fn doubted(&mut self, word: &Entry) -> MergeOutcome {
+        let mine = self.me.incarnation;
+        if word.incarnation.process != mine.process {
+            return if word.incarnation.process > mine.process {
+                MergeOutcome::Rival
+            } else {
+                MergeOutcome::Old
+            };
         }
         let doubts = word.standing != Standing::Alive && self.me.standing == Standing::Alive;
-        if !doubts || self.lacks(Defence::Refutation) {
-            return Learnt::Nothing;
+        if !doubts || self.lacks(Safeguard::Refutation) {
+            return MergeOutcome::Nothing;
         }
         if word.standing == Standing::Forgotten {
             self.rise_above(mine.process);
-        } else if word.life.count >= mine.count {
-            self.me.life.count = word.life.count.saturating_add(1);
+        } else if word.incarnation.count >= mine.count {
+            self.me.incarnation.count = word.incarnation.count.saturating_add(1);
             self.sum_up();
         }
-        Learnt::Refuted
+        MergeOutcome::Refuted
     }
 
     /// Gives up what is held of one that is long gone; its process is refused from now on.
     pub fn forget(&mut self, id: StewardId) {
         let Some(entry) = self.others.remove(&id) else { return };
-        if self.tombs.insert(id, entry.life.process).is_none() {
-            self.tomb_order.push_back(id);
+        if self.tombstones.insert(id, entry.incarnation.process).is_none() {
+            self.tombstone_order.push_back(id);
         }
-        if self.tombs.len() > TOMBS_MOST {
-            self.tomb_order.pop_front().into_iter().for_each(|id| _ = self.tombs.remove(&id));
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstone_order.pop_front().into_iter().for_each(|id| _ = self.tombstones.remove(&id));
         }
         self.sum_up();
     }
 
     /// What a process that was followed or forgotten is told, so that it knows.
     pub fn answer_to_old(&self, word: &Entry) -> Entry {
-        let known = self.others.get(&word.about).filter(|known| known.life.process >= word.life.process);
+        let known = self
+            .others
+            .get(&word.about)
+            .filter(|known| known.incarnation.process >= word.incarnation.process);
         let forgotten = || Entry { standing: Standing::Forgotten, ..word.clone() };
         known.cloned().unwrap_or_else(forgotten)
     }
@@ -219,7 +235,11 @@
         let mut all: Vec<(&StewardId, &Entry)> = self.others.iter().chain(me).collect();
         all.sort_by_key(|(id, _)| **id);
         let lines = all.iter().filter(|(id, _)| **id >= from);
-        let lines = lines.map(|(id, entry)| Line { about: **id, life: entry.life, standing: entry.standing });
+        let lines = lines.map(|(id, entry)| Line {
+            about: **id,
+            incarnation: entry.incarnation,
+            standing: entry.standing,
+        });
         let mut lines: Vec<Line> = lines.take(LINES_MOST + 1).collect();
         let next = (lines.len() > LINES_MOST).then(|| lines[LINES_MOST].about);
         lines.truncate(LINES_MOST);
@@ -231,11 +251,15 @@
     pub fn compare(&self, from: StewardId, to: StewardId, lines: &[Line]) -> (Vec<Entry>, Vec<StewardId>) {
         let (mut better, mut want) = (Vec::new(), Vec::new());
         for line in lines {
-            let theirs = (line.life, line.standing);
+            let theirs = (line.incarnation, line.standing);
             match self.get(line.about) {
-                Some(ours) if (ours.life, ours.standing) > theirs => better.push(ours.clone()),
-                Some(ours) if (ours.life, ours.standing) < theirs => want.push(line.about),
-                None if self.tombs.get(&line.about).is_none_or(|tomb| line.life.process > *tomb) => {
+                Some(ours) if (ours.incarnation, ours.standing) > theirs => better.push(ours.clone()),
+                Some(ours) if (ours.incarnation, ours.standing) < theirs => want.push(line.about),
+                None if self
+                    .tombstones
+                    .get(&line.about)
+                    .is_none_or(|tombstone| line.incarnation.process > *tombstone) =>
+                {
                     want.push(line.about);
                 }
                 _ => {}
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -1,19 +1,20 @@
-//! A steward's part in the fleet of stewards: a thread and a socket round the office, which decides all of it.
+//! A steward's part in the fleet of stewards: a thread and a socket round the lease manager, which decides all of it.
 //!
 //! The way of one datagram: the socket gives it; [`railhub_membership::packet`] drops and counts what is spoilt,
-//! foreign, of another version or too long; the office hears the message and says what to send; each letter goes to
-//! the address on its receiver's card. Whatever goes wrong here, the steward serves on: nothing else waits for it.
+//! foreign, of another version or too long; the lease manager hears the message and says what to send; each letter
+//! goes to the address in its receiver's metadata. Whatever goes wrong here, the steward serves on: nothing else
+//! waits for it.
 use crate::inbox::{Inbox, Word};
 use crate::kernel::Figures;
 use crate::leases::LeaseBook;
 use crate::store::{StoreWriter, StoredTable};
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
-use railhub_membership::entry::{Card, Load};
-use railhub_membership::office::{Acts, Office, Seat};
+use railhub_membership::entry::{Load, NodeMetadata};
+use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
-use railhub_membership::swim::{Manners, Members, Shown};
-use railhub_membership::table::Defence;
+use railhub_membership::swim::{Membership, MembershipConfig, Shown};
+use railhub_membership::table::Safeguard;
 use railhub_membership::words::To;
 use railhub_membership::StewardId;
 use railhub_net::{now, seconds};
@@ -79,8 +80,8 @@
     pub process: Option<u64>,
     /// The clock that leases are counted on, for tests: machines' clocks run apart and jump.
     pub clock: LeaseClock,
-    /// A defence that is left out: for tests of the judge alone.
-    pub without: Option<Defence>,
+    /// A safeguard that is left out: for tests of the judge alone.
+    pub without: Option<Safeguard>,
     /// Digest of the file, but for what each steward has of its own.
     pub settings: u64,
 }
@@ -108,16 +109,16 @@
                 fleet.wrong("join", format!("has {} addresses, {SEEDS_MOST} at the most", join.len()))
             );
         }
-        let defences = [
+        let safeguards = [
             ("nothing", None),
-            ("refutation", Some(Defence::Refutation)),
-            ("asking the dead", Some(Defence::AskingTheDead)),
-            ("process", Some(Defence::Process)),
-            ("anti-entropy", Some(Defence::AntiEntropy)),
-            ("rumour bound", Some(Defence::RumourBound)),
-            ("own trouble", Some(Defence::OwnTrouble)),
-            ("additions", Some(Defence::Additions)),
-            ("lease end", Some(Defence::LeaseEnd)),
+            ("refutation", Some(Safeguard::Refutation)),
+            ("asking the dead", Some(Safeguard::AskingTheDead)),
+            ("process", Some(Safeguard::Process)),
+            ("anti-entropy", Some(Safeguard::AntiEntropy)),
+            ("rumour bound", Some(Safeguard::RumourBound)),
+            ("own trouble", Some(Safeguard::OwnTrouble)),
+            ("additions", Some(Safeguard::Additions)),
+            ("lease end", Some(Safeguard::LeaseEnd)),
         ];
         let own = |section: &str, key: &str| {
             section == "fleet" && !matches!(key, "installation" | "share" | "lease")
@@ -139,7 +140,7 @@
                 began: now(),
             },
             process: fleet.text("process").map(|_| fleet.need("process")).transpose()?,
-            without: fleet.choice("without", "nothing", &defences)?,
+            without: fleet.choice("without", "nothing", &safeguards)?,
             settings: sheet.digest(own),
         };
         fleet.done()?;
@@ -193,13 +194,13 @@
         let (ends, leaves) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let shown = Arc::new(Mutex::new(FleetFigures::default()));
         let mut desk = Desk {
-            office: Office::new(
-                &seat(terms, address, &BTreeMap::from([(terms.id, 1.0)]), &shares),
+            lease_manager: LeaseManager::new(
+                &options(terms, address, &BTreeMap::from([(terms.id, 1.0)]), &shares),
                 terms.clock.now(),
             ),
             clock: terms.clock,
             shares,
-            overruns: terms.without == Some(Defence::LeaseEnd),
+            overruns: terms.without == Some(Safeguard::LeaseEnd),
             socket,
             installation: terms.installation.clone(),
             figures: FleetFigures::default(),
@@ -210,8 +211,8 @@
             cpu: (terms.clock.now(), cpu_seconds()),
             looks: (0.0, 0),
         };
-        tracing::info!(id = terms.id.0, process = desk.members().life().process, %address, "the steward is in the fleet");
-        let process = desk.members().life().process;
+        tracing::info!(id = terms.id.0, process = desk.membership().incarnation().process, %address, "the steward is in the fleet");
+        let process = desk.membership().incarnation().process;
         let (stop, leave) = (ends.clone(), leaves.clone());
         let thread =
             std::thread::Builder::new().name("fleet".into()).spawn(move || desk.run(&stop, &leave))?;
@@ -242,17 +243,17 @@
     }
 }
 
-fn seat<'a>(
+fn options<'a>(
     terms: &FleetTerms,
     address: SocketAddr,
     weights: &'a BTreeMap<StewardId, f64>,
     shares: &Option<Shares>,
-) -> Seat<'a> {
+) -> LeaseManagerOptions<'a> {
     // Microseconds since 1970: higher than any earlier process of ours, unless the clock was set back, which the
     // others tell us then.
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let process = terms.process.unwrap_or(since.as_micros() as u64);
-    let card = Card {
+    let metadata = NodeMetadata {
         address: Some(terms.advertise.unwrap_or(address)),
         program: PROGRAM.to_owned(),
         protocol: u32::from(packet::VERSION),
@@ -260,11 +261,14 @@
         drains: false,
         no_store: false,
     };
-    let manners =
-        Manners { seeds: terms.join.clone(), forget_after: terms.forget_after, without: terms.without };
+    let config = MembershipConfig {
+        seeds: terms.join.clone(),
+        forget_after: terms.forget_after,
+        without: terms.without,
+    };
     let slices = shares.as_ref().map_or(0, |shares| shares.slices);
     let (me, span, settle) = (terms.id, terms.lease, SETTLE);
-    Seat { me, process, weights, card, manners, slices, span, settle, seed: process }
+    LeaseManagerOptions { me, process, weights, metadata, config, slices, span, settle, seed: process }
 }
 
 /// Seconds of processor time that this process took.
@@ -280,7 +284,7 @@
 }
 
 struct Desk {
-    office: Office,
+    lease_manager: LeaseManager,
     clock: LeaseClock,
     shares: Option<Shares>,
     /// For tests of the judge alone: slices whose leases are over are kept.
@@ -299,8 +303,8 @@
 }
 
 impl Desk {
-    fn members(&self) -> &Members {
-        self.office.members()
+    fn membership(&self) -> &Membership {
+        self.lease_manager.membership()
     }
 
     fn run(&mut self, ends: &AtomicBool, leaves: &AtomicBool) {
@@ -313,22 +317,22 @@
             let at = self.clock.now();
             if at >= due {
                 self.turn(at);
-                due = self.office.next_at(at);
+                due = self.lease_manager.next_at(at);
                 continue;
             }
-            let longest = if self.office.is_asking() { ANSWER_LOOK } else { LONGEST_SLEEP };
+            let longest = if self.lease_manager.is_asking() { ANSWER_LOOK } else { LONGEST_SLEEP };
             let wait = seconds((due - at).min(longest)).max(std::time::Duration::from_micros(100));
             if self.socket.set_read_timeout(Some(wait)).is_err() {
                 std::thread::sleep(wait);
             }
             if let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
                 self.take(&bytes[..length], from);
-                due = due.min(self.office.next_at(self.clock.now()));
+                due = due.min(self.lease_manager.next_at(self.clock.now()));
             }
         }
         if leaves.load(Ordering::Acquire) {
             self.hand_over();
-            let acts = self.office.leave(self.clock.now());
+            let acts = self.lease_manager.leave(self.clock.now());
             self.carry_out(acts);
         }
     }
@@ -339,9 +343,9 @@
         if self.shares.is_none() {
             return;
         }
-        self.office.drain();
+        self.lease_manager.drain();
         let until = now() + LEAVES_WITHIN;
-        while now() < until && (!self.office.is_drained() || self.office.is_asking()) {
+        while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.is_asking()) {
             self.take_answer();
             self.turn(self.clock.now());
             std::thread::sleep(seconds(ANSWER_LOOK));
@@ -353,7 +357,7 @@
             self.load_at = at;
             self.look_at_load(at);
         }
-        let acts = self.office.tick(at);
+        let acts = self.lease_manager.tick(at);
         self.pass_on(&acts, Vec::new());
         self.carry_out(acts);
     }
@@ -362,20 +366,20 @@
         let (since, before) = std::mem::replace(&mut self.cpu, (at, cpu_seconds()));
         let busy = ((self.cpu.1 - before) / (at - since).max(0.001)) as f32;
         let proxies = self.steward.lock().expect("no holder panics").joined as u32;
-        let held = self.shares.is_some().then(|| self.office.leases().count() as u32);
-        self.office.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
+        let held = self.shares.is_some().then(|| self.lease_manager.leases().count() as u32);
+        self.lease_manager.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
         self.figures.charges = held.unwrap_or(0) as usize;
         self.figures.tables_refused = self.shares.as_ref().map_or(0, |shares| shares.store.refused());
-        self.figures.alive = self.members().alive();
-        self.figures.sent = self.members().sent();
-        self.figures.yielded = self.members().has_yielded();
+        self.figures.alive = self.membership().alive();
+        self.figures.sent = self.membership().sent();
+        self.figures.yielded = self.membership().has_yielded();
         *self.shown.lock().expect("no holder panics") = self.figures.clone();
     }
 
     /// What the store has granted and refused, if it has answered.
     fn take_answer(&mut self) {
         let Some(leased) = self.shares.as_ref().and_then(|shares| shares.store.answer()) else { return };
-        let acts = self.office.store_says(self.clock.now(), &leased.says);
+        let acts = self.lease_manager.take_response(self.clock.now(), &leased.response);
         self.pass_on(&acts, leased.tables);
         self.carry_out(acts);
     }
@@ -384,7 +388,7 @@
     /// must not rest on one that is gone.
     fn pass_on(&self, acts: &Acts, tables: Vec<StoredTable>) {
         let Some(shares) = &self.shares else { return };
-        shares.leases.note(self.office.leases());
+        shares.leases.note(self.lease_manager.leases());
         let slices = |ids: &[u16]| match self.overruns {
             true => Vec::new(),
             false => ids.iter().map(|slice| SliceId(*slice)).collect(),
@@ -407,16 +411,17 @@
         match packet::decode(&self.installation, bytes) {
             Ok(Packet::Words(message)) => {
                 self.figures.heard += 1;
-                let acts = self.office.hear(self.clock.now(), &message);
+                let acts = self.lease_manager.hear(self.clock.now(), &message);
                 self.carry_out(acts);
             }
             Ok(Packet::Look { nonce, from: first }) => self.show(nonce, first, from),
             Ok(Packet::View(_)) => {}
             Ok(Packet::Drain { steward, process }) => {
-                let is_us = steward == self.members().me() && process == self.members().life().process;
-                if is_us && !self.office.drains() {
+                let is_us =
+                    steward == self.membership().me() && process == self.membership().incarnation().process;
+                if is_us && !self.lease_manager.drains() {
                     tracing::info!("the steward is told to hand its slices over");
-                    self.office.drain();
+                    self.lease_manager.drain();
                 }
             }
             Err(fault) => self.figures.dropped.count(fault),
@@ -424,12 +429,12 @@
     }
 
     fn carry_out(&mut self, acts: Acts) {
-        if let (Some(ask), Some(shares)) = (acts.ask, &self.shares) {
-            shares.store.ask(ask);
+        if let (Some(request), Some(shares)) = (acts.request, &self.shares) {
+            shares.store.request(request);
         }
         for (to, message) in acts.mail {
             let address = match to {
-                To::Steward(id) => self.members().address(id),
+                To::Steward(id) => self.membership().address(id),
                 To::Address(address) => Some(address),
             };
             let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
@@ -439,8 +444,8 @@
         for change in acts.changed {
             tracing::info!(
                 steward = change.about.0,
-                process = change.life.process,
-                count = change.life.count,
+                process = change.incarnation.process,
+                count = change.incarnation.count,
                 standing = ?change.standing,
                 withdrawn = change.withdrawn,
                 cause = change.why,
@@ -459,20 +464,20 @@
             self.figures.looks_dropped += 1;
             return;
         }
-        let members = self.members();
-        let all = members.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
+        let membership = self.membership();
+        let all = membership.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
         let mut lines: Vec<Shown> = all.take(SHOWN_MOST + 1).collect();
         let next = (lines.len() > SHOWN_MOST).then(|| lines[SHOWN_MOST].entry.about);
         lines.truncate(SHOWN_MOST);
         let view = View {
             nonce,
-            viewer: members.me(),
-            process: members.life().process,
-            digest: members.digest(),
+            viewer: membership.me(),
+            process: membership.incarnation().process,
+            digest: membership.digest(),
             lines,
             next,
             dropped: self.figures.dropped.all(),
-            yielded: members.has_yielded(),
+            yielded: membership.has_yielded(),
         };
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
