--- /dev/null
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -0,0 +1,220 @@
+//! How soon a steward's process is ready, from its start to its first useful answer (a pong) and to its first call at the
+//! relay. Measured at the sockets of scripted peers. `--nocapture` shows the figures.
+#[allow(dead_code, reason = "each test file uses a part of it")]
+mod common;
+#[allow(dead_code, reason = "each test file uses a part of it")]
+#[path = "common/scripted.rs"]
+mod scripted;
+
+use common::{eventually, free_port, Steward};
+use scripted::{
+    chunk, file_with_hosts, host_list, joined, page, slice_with_owner, snapshot, RelayDelays, Restartable,
+    ScriptedDiscovery, ScriptedRelay, ServingRelay, SUBSCRIBED,
+};
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener};
+use std::time::{Duration, Instant};
+
+/// The operators' rule: nine in ten restarted processes are ready by then.
+const READY_WITHIN: Duration = Duration::from_secs(10);
+/// A whole list of a large site.
+const MANY_HOSTS: usize = 2800;
+
+/// How long a process took from its start.
+#[derive(Clone, Copy)]
+struct Readiness {
+    first_pong: Duration,
+    first_call: Duration,
+}
+
+/// A steward with a relay of its own.
+struct Node {
+    relay: ServingRelay,
+    steward: Restartable,
+}
+
+impl Node {
+    fn new(name: &str, delays: RelayDelays, discovery: SocketAddr, hosts: usize) -> Node {
+        let relay = ServingRelay::start(delays);
+        let address = relay.address;
+        let list = host_list(hosts);
+        let steward = Restartable::new(name, |listen| file_with_hosts(listen, address, discovery, &list));
+        Node { relay, steward }
+    }
+
+    fn start(&mut self) -> Readiness {
+        self.relay.forget_calls();
+        let began = Instant::now();
+        let first_pong = self.steward.start();
+        eventually("the first call comes", || self.relay.first_call_at().is_some());
+        let first_call = self.relay.first_call_at().expect("it came") - began;
+        Readiness { first_pong, first_call }
+    }
+
+    fn restart(&mut self) -> Readiness {
+        self.start();
+        self.steward.kill();
+        self.start()
+    }
+}
+
+/// All at once, each from a thread.
+fn start_together(nodes: &mut [Node]) -> Vec<Readiness> {
+    std::thread::scope(|scope| {
+        let starting: Vec<_> = nodes.iter_mut().map(|node| scope.spawn(|| node.start())).collect();
+        starting.into_iter().map(|start| start.join().expect("it is ready")).collect()
+    })
+}
+
+/// The rule, for both measures.
+fn assert_ready(what: &str, measured: &[Readiness]) {
+    let pongs: Vec<Duration> = measured.iter().map(|ready| ready.first_pong).collect();
+    let calls: Vec<Duration> = measured.iter().map(|ready| ready.first_call).collect();
+    for (name, mut times) in [("first pong", pongs), ("first call", calls)] {
+        times.sort();
+        let nine_in_ten = times[(times.len() * 9).div_ceil(10) - 1];
+        eprintln!(
+            "{what}, {name}: median {:.2?}, nine in ten {nine_in_ten:.2?}, worst {:.2?}, {} processes",
+            times[times.len() / 2],
+            times[times.len() - 1],
+            times.len()
+        );
+        assert!(nine_in_ten < READY_WITHIN, "{what}, {name}: {times:?}");
+    }
+}
+
+#[test]
+fn a_restarted_steward_is_ready_whatever_discovery_does() {
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let late =
+        ScriptedDiscovery::serving(Duration::from_secs(3), chunk(&page(50, true, &host_list(MANY_HOSTS))));
+    let cases = [("away", free_port()), ("silent", silent.local_addr().expect("bound")), ("late", late)];
+    for (case, discovery) in cases {
+        let mut node = Node::new(&format!("discovery-{case}"), RelayDelays::default(), discovery, 2);
+        assert_ready(&format!("discovery {case}"), &[node.restart()]);
+    }
+}
+
+#[test]
+fn a_restarted_steward_is_ready_with_a_slow_relay() {
+    // The second answers later than news may be silent: asked anew each time, it would never be heard.
+    for (case, subscription, call) in [("slow", 1500, 40), ("very-slow", 4000, 200)] {
+        let (subscription, call) = (Duration::from_millis(subscription), Duration::from_millis(call));
+        let delays = RelayDelays { subscription, call };
+        let mut node = Node::new(&format!("relay-{case}"), delays, ScriptedDiscovery::idle(), 2);
+        assert_ready(&format!("relay {case}"), &[node.restart()]);
+    }
+}
+
+#[test]
+fn a_restarted_steward_is_ready_with_a_whole_list_of_many_hosts() {
+    let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
+    let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
+    for (case, known) in [("known-and-told", MANY_HOSTS), ("told", 2)] {
+        let mut node = Node::new(&format!("hosts-{case}"), RelayDelays::default(), discovery, known);
+        assert_ready(&format!("{MANY_HOSTS} hosts {case}"), &[node.restart()]);
+    }
+}
+
+#[test]
+fn five_stewards_restarted_at_once_are_ready() {
+    let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
+    let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
+    let mut nodes: Vec<Node> = (0..5)
+        .map(|n| Node::new(&format!("five-{n}"), RelayDelays::default(), discovery, MANY_HOSTS))
+        .collect();
+    start_together(&mut nodes);
+    nodes.iter_mut().for_each(|node| node.steward.kill());
+    assert_ready("five restarted at once", &start_together(&mut nodes));
+}
+
+#[test]
+fn twenty_stewards_started_at_once_are_ready() {
+    let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
+    let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
+    let mut nodes: Vec<Node> = (0..20)
+        .map(|n| Node::new(&format!("twenty-{n}"), RelayDelays::default(), discovery, MANY_HOSTS))
+        .collect();
+    assert_ready("twenty started at once", &start_together(&mut nodes));
+}
+
+#[test]
+fn a_relay_that_is_away_is_logged_with_its_cause_and_served_once_it_is_back() {
+    let address = free_port();
+    let steward = Steward::start("relay-away", address, ScriptedDiscovery::idle());
+    eventually("the outage is logged", || {
+        steward.says("no relay subscription for 5 s: cannot connect: Connection refused")
+    });
+    assert!(steward.try_ping());
+    let relay = ServingRelay::start_at(address, RelayDelays::default());
+    eventually("it orders", || relay.has_call_with("\"table\":3"));
+    eventually("the end is logged", || steward.says("the relay subscription stands again"));
+}
+
+#[test]
+fn a_relay_that_answers_nothing_is_logged_with_its_cause_and_served_once_it_answers() {
+    let relay = ScriptedRelay::open();
+    let steward = Steward::start("relay-mute", relay.address, ScriptedDiscovery::idle());
+    let first = relay.subscriber();
+    eventually("the outage is logged", || {
+        steward.says("no relay subscription for") && steward.says("s: no answer to the subscription")
+    });
+    // The latest of those that waited; the others were given up.
+    let mut news = relay.subscriber();
+    while !is_open(&news) {
+        news = relay.subscriber();
+    }
+    news.send(&snapshot());
+    news.keep_alive();
+    eventually("it orders", || relay.has_call_with("\"table\":3"));
+    drop(first);
+}
+
+/// Whether the steward has not ended the connection yet.
+fn is_open(connection: &scripted::Connection) -> bool {
+    connection.stream.set_nonblocking(true).expect("a socket");
+    let ended = matches!(connection.stream.peek(&mut [0]), Ok(0));
+    connection.stream.set_nonblocking(false).expect("a socket");
+    !ended
+}
+
+#[test]
+fn a_subscription_on_which_nobody_has_joined_is_logged_and_served_once_one_has() {
+    let relay = ScriptedRelay::open();
+    let steward = Steward::start("nobody-joined", relay.address, ScriptedDiscovery::idle());
+    let mut news = relay.subscriber();
+    news.send(&(SUBSCRIBED.to_owned() + &slice_with_owner(3, "s-1")));
+    let mut writer = news.writer();
+    news.keep_alive();
+    eventually("the outage is logged", || steward.says("subscribed, but no proxy has joined for 5 s"));
+    writer.write_all((joined(1) + &slice_with_owner(5, "s-1")).as_bytes()).expect("the steward reads");
+    eventually("the end is logged", || steward.says("proxies have joined"));
+    eventually("it orders", || relay.has_call_with("\"table\":5"));
+}
+
+#[test]
+fn a_discovery_that_says_nothing_is_logged_with_its_cause_and_heard_once_it_speaks() {
+    let relay = ServingRelay::start(RelayDelays::default());
+    let discovery = ScriptedDiscovery::open();
+    let steward = Steward::start("discovery-mute", relay.address, discovery.address);
+    let unanswered = discovery.watch();
+    eventually("the outage is logged", || {
+        steward.says("no word from discovery for") && steward.says("s: no answer in time")
+    });
+    let mut watch = discovery.watch();
+    let hosts = [scripted::instance("s-1", "ready"), scripted::instance("s-3", "ready")];
+    watch.send(&(scripted::WATCH_HEAD.to_owned() + &chunk(&page(50, true, &hosts))));
+    watch.keep_alive();
+    eventually("its list counts", || relay.has_call_with("\"s-3\""));
+    eventually("the end is logged", || steward.says("discovery is heard again"));
+    drop(unanswered);
+}
+
+#[test]
+fn a_list_without_hosts_is_logged() {
+    let relay = ServingRelay::start(RelayDelays::default());
+    let steward = Steward::start_by("no-hosts", |listen| {
+        file_with_hosts(listen, relay.address, ScriptedDiscovery::idle(), &[])
+    });
+    eventually("it is logged", || steward.says("no host is listed for 5 s"));
+}
--- a/crates/railhub-platform-net/src/figures.rs
+++ b/crates/railhub-platform-net/src/figures.rs
@@ -1,4 +1,6 @@
 //! A line of figures now and then: who holds descriptors and memory, what was refused, how late things are.
+use crate::clock::now;
+use crate::monitor::Monitor;
 use crate::shared::Shared;
 use crate::RunFault;
 use railhub_platform::Assignment;
@@ -6,13 +8,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const EVERY: Duration = Duration::from_secs(5);
+/// Between looks at whether the steward can serve, and looks for each line of figures.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const CHECKS_A_LINE: usize = 5;
 const PAGE: usize = 4096;
 
 /// Goes on until the process ends.
 pub fn tell(shared: &Arc<Shared>, assignment: &Assignment) -> Result<(), RunFault> {
-    loop {
-        std::thread::sleep(EVERY);
+    let mut monitor = Monitor::default();
+    for check in 1.. {
+        std::thread::sleep(CHECK_INTERVAL);
+        monitor.check(now(), shared);
+        if check % CHECKS_A_LINE != 0 {
+            continue;
+        }
         let (held, counts) = (&shared.held, &shared.counts);
         let owner = shared.owner.lock().expect("no holder panics").clone();
         let refused = format!("{:?}", counts.refused.lock().expect("no holder panics"));
@@ -33,6 +42,7 @@
         );
         tracing::info!(?owner, "figures");
     }
+    Ok(())
 }
 
 /// Megabytes that the process has in memory.
--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -8,8 +8,12 @@
 //! wait at the desk; the owner hands one call at a time to the caller and settles it by its answer.
 mod clock;
 mod figures;
+pub mod health;
 mod listener;
+mod monitor;
+pub mod outage_log;
 mod owner;
+mod patience;
 mod probes;
 mod relay;
 mod shared;
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -129,7 +129,12 @@
                 let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
                 if self.desk.hear_page(now(), &page) {
                     tracing::info!(generation, hosts, whole, "the host list has news");
+                } else if generation < self.desk.generation() {
+                    // An older file's watch overtook it: what this one says next would build on what was not taken.
+                    tracing::info!(generation, "a page is older than the list: the watch asks anew");
+                    self.shared.watch_line.close();
                 }
+                self.shared.page_room.post();
             }
             Word::Asked(source) => self.desk.hear_asked(source),
             Word::News(source, news) => self.desk.hear_news(now(), source, news),
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -1,4 +1,5 @@
 //! The relay: news on one connection, calls on another, one at a time and in order.
+use crate::patience::Patience;
 use crate::shared::{Addresses, Holds, Shared, Word};
 use may::net::TcpStream;
 use may::sync::Semphore;
@@ -6,16 +7,20 @@
 use railhub_net::{dial, go, now, seconds, Guard};
 use railhub_platform::news::{self, Answer, News, SubscriptionId};
 use railhub_platform::orders::Call;
+use railhub_platform::Spoilt;
 use railhub_proto::Lines;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
+use thiserror::Error;
 
 /// Seconds a connection may take to come up; it is on a near network, and the next try follows.
 const CONNECT: Seconds = 0.5;
 /// Seconds news may be silent: a sign of life comes each second.
 const SILENT: Seconds = 2.5;
+/// Seconds at most for a slow relay's answer to the subscription.
+const LONGEST_SILENT: Seconds = 8.0;
 /// Seconds for an answer: the relay gives it within 0.05 or never; the rest is for our own lateness on part of a
 /// core.
 const ANSWER: Seconds = 0.25;
@@ -26,27 +31,59 @@
 const PAUSE: Seconds = 0.15;
 const READ_AT_ONCE: usize = 2048;
 
+/// Why a connection to the relay, or a call on it, came to nothing.
+#[derive(Debug, Error)]
+enum RelayFault {
+    #[error("cannot connect: {0}")]
+    Unreached(io::Error),
+    #[error("cannot subscribe: {0}")]
+    NotSubscribed(io::Error),
+    #[error("no answer to the subscription")]
+    NotAnswered,
+    #[error("a new file names another relay")]
+    Superseded,
+    #[error("silent for too long")]
+    Silent,
+    #[error("closed")]
+    Closed,
+    #[error("{0}")]
+    Endless(String),
+    #[error("{0}")]
+    Broken(io::Error),
+    #[error("news: {0}")]
+    Unreadable(Spoilt),
+    /// With the start of the answer.
+    #[error("{0}: {1}")]
+    Answer(Spoilt, String),
+}
+
 /// Follows the news from the addresses that count now; an earlier follower ends by itself.
 pub fn follow(shared: &Arc<Shared>) {
     let (shared, addresses) = (shared.clone(), shared.addresses());
     go(move || {
-        let mut failing = false;
+        let (mut failing, mut patience) = (false, Patience::new(SILENT, LONGEST_SILENT));
         while shared.addresses().version == addresses.version {
-            let why = listen(&shared, addresses, &mut failing);
+            let why = listen(&shared, addresses, &mut patience, &mut failing);
+            shared.relay_health.failed(&why);
             if !std::mem::replace(&mut failing, true) && shared.addresses().version == addresses.version {
-                tracing::warn!(why, "the relay's news ended: what was told holds until it is back");
+                tracing::warn!(%why, "the relay's news ended: what was told holds until it is back");
             }
             may::coroutine::sleep(seconds(PAUSE));
         }
     });
 }
 
-fn listen(shared: &Arc<Shared>, addresses: Addresses, failing: &mut bool) -> String {
+fn listen(
+    shared: &Arc<Shared>,
+    addresses: Addresses,
+    patience: &mut Patience,
+    failing: &mut bool,
+) -> RelayFault {
     let count = shared.asked.fetch_add(1, Ordering::Relaxed) + 1;
     let source = SubscriptionId { file: addresses.version, count };
     // The owner knows before the relay can.
     shared.inbox.tell(Word::Asked(source));
-    let why = subscribe(shared, addresses, source, failing);
+    let why = subscribe(shared, addresses, source, patience, failing);
     shared.inbox.tell(Word::Ended(source));
     why
 }
@@ -55,27 +92,32 @@
     shared: &Arc<Shared>,
     addresses: Addresses,
     source: SubscriptionId,
+    patience: &mut Patience,
     failing: &mut bool,
-) -> String {
+) -> RelayFault {
     let mut stream = match dial(addresses.relay, CONNECT) {
         Ok(stream) => stream,
-        Err(fault) => return format!("cannot connect: {fault}"),
+        Err(fault) => return RelayFault::Unreached(fault),
     };
     let _held = Holds::one(&shared.held.relay);
-    let guard = Guard::both_ways(&stream, SILENT);
+    let mut guard = Guard::both_ways(&stream, patience.span());
     shared.counts.subscriptions.fetch_add(1, Ordering::Relaxed);
     if let Err(fault) = stream.write_all(&news::subscribe(source.count)) {
-        return format!("cannot subscribe: {fault}");
+        return RelayFault::NotSubscribed(fault);
     }
     let mut lines = Lines::new(news::LINE_LIMIT);
+    let mut stands = None;
     loop {
         match next_line(&mut stream, &guard, &mut lines, news::read) {
             Ok(Ok(news)) => {
                 if news == News::Subscribed {
+                    guard = Guard::both_ways(&stream, SILENT);
+                    patience.reset();
                     if !shared.news_line.take_over(addresses.version, guard.closer()) {
-                        return "a new file names another relay".into();
+                        return RelayFault::Superseded;
                     }
                     *failing = false;
+                    stands = Some(shared.relay_health.line_stands());
                     let source = source.count;
                     tracing::info!(source, relay = %addresses.relay, "subscribed to the relay's news");
                 }
@@ -84,9 +126,13 @@
             }
             Ok(Err(spoilt)) => {
                 shared.refuse("news that cannot be read");
-                return format!("news: {spoilt}");
+                return RelayFault::Unreadable(spoilt);
+            }
+            Err(RelayFault::Silent) if stands.is_none() => {
+                patience.lengthen();
+                return RelayFault::NotAnswered;
             }
-            Err(why) => return why,
+            Err(fault) => return fault,
         }
     }
 }
@@ -97,9 +143,9 @@
     guard: &Guard,
     lines: &mut Lines,
     read: impl FnOnce(&[u8]) -> T,
-) -> Result<T, String> {
+) -> Result<T, RelayFault> {
     loop {
-        if lines.has_line().map_err(|fault| fault.to_string())? {
+        if lines.has_line().map_err(|fault| RelayFault::Endless(fault.to_string()))? {
             // Bytes that never make a line are no sign of life.
             guard.heard();
             return Ok(lines.line(read));
@@ -108,9 +154,9 @@
         match stream.read(&mut bytes) {
             // What came whole just as the guard fired counts.
             Ok(count) if count > 0 => lines.push(&bytes[..count]),
-            _ if guard.fired() => return Err("silent for too long".into()),
-            Ok(_) => return Err("closed".into()),
-            Err(fault) => return Err(fault.to_string()),
+            _ if guard.fired() => return Err(RelayFault::Silent),
+            Ok(_) => return Err(RelayFault::Closed),
+            Err(fault) => return Err(RelayFault::Broken(fault)),
         }
     }
 }
@@ -132,7 +178,7 @@
                 let Some(call) = call else { continue };
                 let answer = make(&shared, &mut line, &call);
                 let answer =
-                    answer.map_err(|why| tracing::info!(why, id = call.id, "a call has no known end"));
+                    answer.map_err(|why| tracing::info!(%why, id = call.id, "a call has no known end"));
                 shared.inbox.tell(Word::CallEnded(answer.ok()));
             }
         });
@@ -153,24 +199,24 @@
     lines: Lines,
 }
 
-fn make(shared: &Shared, line: &mut Option<Line>, call: &Call) -> Result<Answer, String> {
+fn make(shared: &Shared, line: &mut Option<Line>, call: &Call) -> Result<Answer, RelayFault> {
     let to = shared.addresses().relay;
     let fresh = |line: &Line| line.to == to && now() - line.used_at < IDLE && is_quiet(&line.stream);
     let kept = line.take().filter(fresh);
     let mut open = match kept {
         Some(open) => open,
         None => {
-            let stream = dial(to, CONNECT).map_err(|fault| format!("cannot connect: {fault}"))?;
+            let stream = dial(to, CONNECT).map_err(RelayFault::Unreached)?;
             Line { to, used_at: now(), stream, lines: Lines::new(news::LINE_LIMIT) }
         }
     };
     let _held = Holds::one(&shared.held.relay);
     let guard = Guard::both_ways(&open.stream, ANSWER);
-    open.stream.write_all(&call.bytes).map_err(|fault| fault.to_string())?;
+    open.stream.write_all(&call.bytes).map_err(RelayFault::Broken)?;
     let read = |bytes: &[u8]| {
         let end = bytes.len().min(200);
         let shown = String::from_utf8_lossy(&bytes[..end]).into_owned();
-        news::answer(bytes, call.id, call.count).map_err(|spoilt| format!("{spoilt}: {shown}"))
+        news::answer(bytes, call.id, call.count).map_err(|spoilt| RelayFault::Answer(spoilt, shown))
     };
     let answer = next_line(&mut open.stream, &guard, &mut open.lines, read)??;
     open.used_at = now();
@@ -213,6 +259,7 @@
             let (mut peer, _) = listener.accept().expect("it dials");
             peer.write_all(sent.as_bytes()).expect("open");
             let got = receiver.recv_timeout(seconds(10.0)).expect("in time");
+            let got = got.map_err(|fault| fault.to_string());
             assert_eq!(got.as_deref().map_err(String::as_str), wanted);
         }
     }
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -1,4 +1,6 @@
 //! What the parts of a steward share: its inbox, the addresses that count now, and counts for the log.
+use crate::health::PeerHealth;
+use may::sync::Semphore;
 use railhub::{DemandSum, ProbeEnd, TrySum};
 use railhub_net::{Closer, Inbox};
 use railhub_platform::news::{Answer, News, SubscriptionId};
@@ -11,6 +13,8 @@
 /// Words and sums that may wait for the owner: some seconds of them.
 const WORDS: usize = 4096;
 const SUMS: usize = 4096;
+/// Pages of the host list that may wait for the owner: each may be a whole list.
+const PAGES: usize = 4;
 
 pub enum Word {
     Page(Page),
@@ -64,6 +68,12 @@
         true
     }
 
+    /// Whether no newer file's line stands.
+    pub fn is_current(&self, version: u64) -> bool {
+        let standing = self.0.lock().expect("no holder panics");
+        standing.as_ref().is_none_or(|(newest, _)| *newest <= version)
+    }
+
     pub fn close(&self) {
         self.0.lock().expect("no holder panics").iter().for_each(|(_, line)| line.close());
     }
@@ -89,6 +99,10 @@
     /// The subscription and the watch that stand.
     pub news_line: StandingLine,
     pub watch_line: StandingLine,
+    pub relay_health: PeerHealth,
+    pub discovery_health: PeerHealth,
+    /// Taken by the watch for each page that it tells, given back by the owner.
+    pub page_room: Semphore,
     pub held: Held,
     pub counts: Counts,
     pub owner: Mutex<crate::owner::Shown>,
@@ -108,6 +122,9 @@
             asked: AtomicU64::new(0),
             news_line: StandingLine::default(),
             watch_line: StandingLine::default(),
+            relay_health: PeerHealth::default(),
+            discovery_health: PeerHealth::default(),
+            page_room: Semphore::new(PAGES),
             held: Held::default(),
             counts: Counts::default(),
             owner: Mutex::default(),
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -1,14 +1,19 @@
 //! Discovery's watch: resumed from the last generation, given up when it is silent. What was told holds meanwhile.
+use crate::patience::Patience;
 use crate::shared::{Addresses, Holds, Shared, Word};
 use railhub::Seconds;
 use railhub_net::http::{Feed, HttpFault};
 use railhub_net::{go, seconds};
-use railhub_platform::discovery;
+use railhub_platform::{discovery, Page};
 use std::sync::Arc;
 
 /// Seconds a connection may take to come up, and seconds of silence: an empty line comes every 2.
 const CONNECT: Seconds = 0.5;
 const SILENT: Seconds = 4.5;
+/// Seconds of silence at most before a slow discovery's first word.
+const LONGEST_SILENT: Seconds = 9.0;
+/// Seconds after each line in which others run: a feed that never pauses must not hold the one worker.
+const LINE_PAUSE: Seconds = 0.001;
 /// Seconds between tries while discovery is out of reach.
 const PAUSE: Seconds = 0.3;
 
@@ -21,9 +26,10 @@
 pub fn follow(shared: &Arc<Shared>) {
     let (shared, addresses) = (shared.clone(), shared.addresses());
     go(move || {
-        let mut failing = false;
+        let (mut failing, mut patience) = (false, Patience::new(SILENT, LONGEST_SILENT));
         while shared.addresses().version == addresses.version {
-            let fault = watch(&shared, addresses, &mut failing);
+            let fault = watch(&shared, addresses, &mut patience, &mut failing);
+            shared.discovery_health.failed(&fault);
             if !std::mem::replace(&mut failing, true) && shared.addresses().version == addresses.version {
                 tracing::warn!(%fault, "discovery's watch ended: the last list holds");
             }
@@ -33,28 +39,38 @@
 }
 
 /// What the desk knows is where the watch goes on: a page that it did not take in is told again.
-fn watch(shared: &Shared, addresses: Addresses, failing: &mut bool) -> HttpFault {
+fn watch(shared: &Shared, addresses: Addresses, patience: &mut Patience, failing: &mut bool) -> HttpFault {
     let mut generation = known(shared);
     let path = format!("/discovery/hosts?watch=1&after={generation}");
-    let mut feed = match Feed::open(addresses.discovery, &path, CONNECT, SILENT) {
+    let mut feed = match Feed::open(addresses.discovery, &path, CONNECT, patience.span()) {
         Ok(feed) => feed,
-        Err(fault) => return fault,
+        Err(fault) => return unanswered(fault, patience),
     };
     let _held = Holds::one(&shared.held.discovery);
     if !shared.watch_line.take_over(addresses.version, feed.closer()) {
         return HttpFault::Ended;
     }
     tracing::info!(discovery = %addresses.discovery, after = generation, "watching the list");
+    let mut stands = None;
     loop {
         let read = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, &shared.names));
-        match feed.line(read) {
-            Ok(None) => *failing = false,
-            Ok(Some(Ok(page))) => {
-                *failing = false;
+        let line = match feed.line(read) {
+            Ok(line) => line,
+            Err(fault) if stands.is_none() => return unanswered(fault, patience),
+            Err(fault) => return fault,
+        };
+        stands.get_or_insert_with(|| shared.discovery_health.line_stands());
+        patience.reset();
+        *failing = false;
+        match line {
+            None => {}
+            Some(Ok(page)) => {
                 page.spoilt.iter().for_each(|_| shared.refuse("list entry"));
                 let (spoilt, older) = (!page.spoilt.is_empty(), page.generation < generation);
                 generation = page.generation;
-                shared.inbox.tell(Word::Page(page));
+                if !tell(shared, addresses.version, page) {
+                    return HttpFault::Ended;
+                }
                 // It is asked for again: the next telling may be readable, or count by then.
                 if spoilt || older {
                     let what =
@@ -62,11 +78,32 @@
                     return HttpFault::Malformed(what.into());
                 }
             }
-            Ok(Some(Err(spoilt))) => {
+            Some(Err(spoilt)) => {
                 shared.refuse("list page");
                 return HttpFault::Malformed(spoilt.to_string());
             }
-            Err(fault) => return fault,
         }
+        may::coroutine::sleep(seconds(LINE_PAUSE));
+    }
+}
+
+/// Hands a page to the owner, and waits for room first: a page may be a whole list. What was read before a newer file's
+/// watch closed this line is older than what that one tells: it is dropped, and the watch ends.
+fn tell(shared: &Shared, version: u64, page: Page) -> bool {
+    shared.page_room.wait();
+    let is_current = shared.watch_line.is_current(version);
+    if is_current {
+        shared.inbox.tell(Word::Page(page));
+    } else {
+        shared.page_room.post();
+    }
+    is_current
+}
+
+/// A connection that ended before its first line.
+fn unanswered(fault: HttpFault, patience: &mut Patience) -> HttpFault {
+    if matches!(fault, HttpFault::Silent) {
+        patience.lengthen();
     }
+    fault
 }
--- /dev/null
+++ b/crates/railhub-platform-net/tests/outage_log.rs
@@ -0,0 +1,38 @@
+//! When an outage is logged: not at once, once for each cause, then seldom, whatever it flaps between.
+use railhub_platform_net::health::Outage;
+use railhub_platform_net::outage_log::{Notice, OutageLog, GRACE, REMINDER_INTERVAL};
+
+fn refused() -> Option<Outage> {
+    Some(Outage { since: 100.0, cause: "refused".into() })
+}
+
+#[test]
+fn logs_a_lasting_outage_once_reminds_seldom_and_logs_its_end() {
+    let mut log = OutageLog::default();
+    let logged: Vec<f64> = (0..=200)
+        .map(|second| 100.0 + f64::from(second))
+        .filter(|now| log.check(*now, refused()).is_some())
+        .collect();
+    let first = 100.0 + GRACE;
+    let reminders = [1.0, 2.0, 3.0].map(|count| first + count * REMINDER_INTERVAL);
+    assert_eq!(logged, [[first].as_slice(), &reminders].concat());
+    assert_eq!(log.check(301.0, None), Some(Notice::Ended { seconds: 201.0 }));
+    assert_eq!(log.check(302.0, None), None);
+}
+
+#[test]
+fn logs_nothing_of_an_outage_that_ends_soon() {
+    let mut log = OutageLog::default();
+    assert_eq!(log.check(100.0 + GRACE - 0.1, refused()), None);
+    assert_eq!(log.check(100.0 + GRACE, None), None);
+}
+
+#[test]
+fn logs_each_of_few_causes_once_however_they_flap() {
+    let mut log = OutageLog::default();
+    let outage = |second: u32| Some(Outage { since: 100.0, cause: format!("cause {}", second % 100) });
+    let logged = (0..60).filter_map(|second| log.check(110.0 + f64::from(second), outage(second)));
+    assert_eq!(logged.count(), 4);
+    let twice = (0..60).filter_map(|second| log.check(110.0 + f64::from(second), outage(second % 4)));
+    assert_eq!(twice.count(), 0);
+}
