--- a/crates/railhub-cli/tests/common/scripted.rs
+++ b/crates/railhub-cli/tests/common/scripted.rs
@@ -1,9 +1,10 @@
 //! Peers of the steward that do what a test says: a relay and a discovery on loopback, and their messages.
-use super::common::{eventually, file_text, free_port, ping, Steward, PATIENCE};
+use super::common::{eventually, file_text, ping, Steward, PATIENCE};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
+use std::sync::atomic::{AtomicU16, Ordering};
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -43,6 +44,24 @@
     }
 }
 
+/// An address at which nobody listens: the loopback address is this process's own and the port is given out once, so no
+/// listener or connection of another test can take it meanwhile.
+pub fn own_address() -> SocketAddr {
+    const FIRST_PORT: u16 = 20_000;
+    static GIVEN_OUT: AtomicU16 = AtomicU16::new(0);
+    let [high, middle, low] = [std::process::id() >> 16, std::process::id() >> 8, std::process::id()]
+        .map(|part| u8::try_from(part & 0xff).expect("a byte"));
+    let address = Ipv4Addr::new(127, 64 | (high & 0x3f), middle, low);
+    SocketAddr::from((address, FIRST_PORT + GIVEN_OUT.fetch_add(1, Ordering::Relaxed)))
+}
+
+/// A steward at an address of its own, by the file made for it; up.
+pub fn start_steward(name: &str, text: impl Fn(SocketAddr) -> String) -> Steward {
+    let mut starting = Restartable::new(name, text);
+    starting.start();
+    starting.running.take().expect("it runs")
+}
+
 const SIGN_OF_LIFE_INTERVAL: Duration = Duration::from_millis(300);
 pub const PING: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
 pub const SUBSCRIBED: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":true}\n";
@@ -300,7 +319,7 @@
 impl Restartable {
     /// Its file alone; nothing runs yet.
     pub fn new(name: &str, text: impl Fn(SocketAddr) -> String) -> Restartable {
-        let listen = free_port();
+        let listen = own_address();
         let file = std::env::temp_dir().join(format!("railhub-{name}-{}.json", std::process::id()));
         std::fs::write(&file, text(listen)).expect("writable");
         Restartable { file, listen, running: None }
--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -6,10 +6,10 @@
 #[path = "common/scripted.rs"]
 mod scripted;
 
-use common::{eventually, free_port, Steward};
+use common::{eventually, file_text};
 use scripted::{
-    chunk, file_with_hosts, host_list, joined, page, slice_with_owner, snapshot, RelayDelays, Restartable,
-    ScriptedDiscovery, ScriptedRelay, ServingRelay, SUBSCRIBED,
+    chunk, file_with_hosts, host_list, joined, own_address, page, slice_with_owner, snapshot, start_steward,
+    RelayDelays, Restartable, ScriptedDiscovery, ScriptedRelay, ServingRelay, SUBSCRIBED,
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -88,7 +88,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let late =
         ScriptedDiscovery::serving(Duration::from_secs(3), chunk(&page(50, true, &host_list(MANY_HOSTS))));
-    let cases = [("away", free_port()), ("silent", silent.local_addr().expect("bound")), ("late", late)];
+    let cases = [("away", own_address()), ("silent", silent.local_addr().expect("bound")), ("late", late)];
     for (case, discovery) in cases {
         let mut node = Node::new(&format!("discovery-{case}"), RelayDelays::default(), discovery, 2);
         assert_ready(&format!("discovery {case}"), &[node.restart()]);
@@ -140,8 +140,8 @@
 
 #[test]
 fn a_relay_that_is_away_is_logged_with_its_cause_and_served_once_it_is_back() {
-    let address = free_port();
-    let steward = Steward::start("relay-away", address, ScriptedDiscovery::idle());
+    let address = own_address();
+    let steward = start_steward("relay-away", |listen| file_text(listen, address, ScriptedDiscovery::idle()));
     eventually("the outage is logged", || {
         steward.says("no relay subscription for 5 s: cannot connect: Connection refused")
     });
@@ -154,7 +154,8 @@
 #[test]
 fn a_relay_that_answers_nothing_is_logged_with_its_cause_and_served_once_it_answers() {
     let relay = ScriptedRelay::open();
-    let steward = Steward::start("relay-mute", relay.address, ScriptedDiscovery::idle());
+    let steward =
+        start_steward("relay-mute", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
     let first = relay.subscriber();
     eventually("the outage is logged", || {
         steward.says("no relay subscription for") && steward.says("s: no answer to the subscription")
@@ -181,7 +182,8 @@
 #[test]
 fn a_subscription_on_which_nobody_has_joined_is_logged_and_served_once_one_has() {
     let relay = ScriptedRelay::open();
-    let steward = Steward::start("nobody-joined", relay.address, ScriptedDiscovery::idle());
+    let steward =
+        start_steward("nobody-joined", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
     let mut news = relay.subscriber();
     news.send(&(SUBSCRIBED.to_owned() + &slice_with_owner(3, "s-1")));
     let mut writer = news.writer();
@@ -196,7 +198,8 @@
 fn a_discovery_that_says_nothing_is_logged_with_its_cause_and_heard_once_it_speaks() {
     let relay = ServingRelay::start(RelayDelays::default());
     let discovery = ScriptedDiscovery::open();
-    let steward = Steward::start("discovery-mute", relay.address, discovery.address);
+    let steward =
+        start_steward("discovery-mute", |listen| file_text(listen, relay.address, discovery.address));
     let unanswered = discovery.watch();
     eventually("the outage is logged", || {
         steward.says("no word from discovery for") && steward.says("s: no answer in time")
@@ -213,7 +216,7 @@
 #[test]
 fn a_list_without_hosts_is_logged() {
     let relay = ServingRelay::start(RelayDelays::default());
-    let steward = Steward::start_by("no-hosts", |listen| {
+    let steward = start_steward("no-hosts", |listen| {
         file_with_hosts(listen, relay.address, ScriptedDiscovery::idle(), &[])
     });
     eventually("it is logged", || steward.says("no host is listed for 5 s"));
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::shared::{Addresses, Holds, Shared, Word};
 use railhub::Seconds;
 use railhub_net::http::{Feed, HttpFault};
-use railhub_net::{go, seconds};
+use railhub_net::{go, now, seconds};
 use railhub_platform::{discovery, Page};
 use std::sync::Arc;
 
@@ -12,8 +12,9 @@
 const SILENT: Seconds = 4.5;
 /// Seconds of silence at most before a slow discovery's first word.
 const LONGEST_SILENT: Seconds = 9.0;
-/// Seconds after each line in which others run: a feed that never pauses must not hold the one worker.
-const LINE_PAUSE: Seconds = 0.001;
+/// Seconds of reading after which others run for a while: a feed that never pauses must not hold the one worker.
+const READ_SPAN: Seconds = 0.004;
+const YIELD_PAUSE: Seconds = 0.001;
 /// Seconds between tries while discovery is out of reach.
 const PAUSE: Seconds = 0.3;
 
@@ -51,7 +52,7 @@
         return HttpFault::Ended;
     }
     tracing::info!(discovery = %addresses.discovery, after = generation, "watching the list");
-    let mut stands = None;
+    let (mut stands, mut read_since) = (None, now());
     loop {
         let read = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, &shared.names));
         let line = match feed.line(read) {
@@ -83,7 +84,10 @@
                 return HttpFault::Malformed(spoilt.to_string());
             }
         }
-        may::coroutine::sleep(seconds(LINE_PAUSE));
+        if now() - read_since > READ_SPAN {
+            may::coroutine::sleep(seconds(YIELD_PAUSE));
+            read_since = now();
+        }
     }
 }
 
