--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -13,10 +13,13 @@
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
 /// The operators' rule: nine in ten restarted processes are ready by then.
 const READY_WITHIN: Duration = Duration::from_secs(10);
+/// How long a flood lasts.
+const FLOOD_SPAN: Duration = Duration::from_secs(2);
 /// A whole list of a large site.
 const MANY_HOSTS: usize = 2800;
 
@@ -221,3 +224,32 @@
     });
     eventually("it is logged", || steward.says("no host is listed for 5 s"));
 }
+
+#[test]
+fn news_without_end_leaves_the_steward_answering() {
+    let relay = ScriptedRelay::open();
+    let steward =
+        start_steward("flood-news", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
+    let mut news = relay.subscriber();
+    news.send(&snapshot());
+    let mut writer = news.writer();
+    let stop = AtomicBool::new(false);
+    std::thread::scope(|scope| {
+        scope.spawn(|| {
+            let many = joined(1).repeat(1000);
+            while !stop.load(Ordering::Acquire) {
+                writer.write_all(many.as_bytes()).expect("the subscription stands");
+            }
+        });
+        let began = Instant::now();
+        let (mut pings, mut answered) = (0, true);
+        while answered && (pings < 20 || began.elapsed() < FLOOD_SPAN) {
+            answered = steward.try_ping();
+            pings += 1;
+        }
+        stop.store(true, Ordering::Release);
+        assert!(answered, "ping {pings}");
+    });
+    writer.write_all(slice_with_owner(5, "s-1").as_bytes()).expect("the subscription stands");
+    eventually("it orders", || relay.has_call_with("\"table\":5"));
+}
--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -7,6 +7,7 @@
 //! The way of one decision: a report, a piece of news or a turn makes the owner run a round; the module's orders
 //! wait at the desk; the owner hands one call at a time to the caller and settles it by its answer.
 mod clock;
+mod fairness;
 mod figures;
 pub mod health;
 mod listener;
@@ -88,23 +89,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    /// Set for the process that the test below starts.
-    const CHILD: &str = "RAILHUB_TEST_PANICS";
-
-    #[test]
-    fn a_panic_in_a_coroutine_ends_the_process_with_its_words() {
-        if std::env::var_os(CHILD).is_some() {
-            super::end_on_panic();
-            railhub_net::go(|| panic!("a coroutine is lost"));
-            std::thread::sleep(std::time::Duration::from_secs(10));
-            return;
-        }
-        let mut child = std::process::Command::new(std::env::current_exe().expect("this one"));
-        let ended =
-            child.args(["a_panic_in_a_coroutine", "--nocapture"]).env(CHILD, "1").output().expect("it runs");
-        let said = String::from_utf8_lossy(&ended.stderr);
-        assert_eq!(ended.status.code(), Some(101), "{said}");
-        assert!(said.contains("the steward ends") && said.contains("a coroutine is lost"), "{said}");
-    }
-}
+#[path = "../tests/unit/lib.rs"]
+mod tests;
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -60,6 +60,9 @@
     late: Histogram<u64>,
     called: Histogram<u64>,
     reported: Histogram<u64>,
+    started_at: Seconds,
+    /// The relay has taken an order.
+    has_ordered: bool,
     shown: Shown,
 }
 
@@ -78,6 +81,8 @@
             late: times(),
             called: times(),
             reported: times(),
+            started_at: now(),
+            has_ordered: false,
             shown: Shown::default(),
         };
         // The watch asks for what came after the known list from the first.
@@ -155,6 +160,10 @@
             self.call_not_before = now() + CALL_PAUSE;
         } else {
             let now = now();
+            if !std::mem::replace(&mut self.has_ordered, true) {
+                let after = now - self.started_at;
+                tracing::info!(after, "the relay has answered the first call");
+            }
             self.called.saturating_record(micros(now - self.called_at));
             if let Some(reported_at) = self.called_for.take() {
                 self.reported.saturating_record(micros(now - reported_at));
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -1,4 +1,5 @@
 //! The relay: news on one connection, calls on another, one at a time and in order.
+use crate::fairness::ReadTurn;
 use crate::patience::Patience;
 use crate::shared::{Addresses, Holds, Shared, Word};
 use may::net::TcpStream;
@@ -107,6 +108,7 @@
     }
     let mut lines = Lines::new(news::LINE_LIMIT);
     let mut stands = None;
+    let mut turn = ReadTurn::start();
     loop {
         match next_line(&mut stream, &guard, &mut lines, news::read) {
             Ok(Ok(news)) => {
@@ -123,6 +125,7 @@
                 }
                 tracing::trace!(source = source.count, ?news, "news");
                 shared.inbox.tell(Word::News(source, news));
+                turn.pause_if_long();
             }
             Ok(Err(spoilt)) => {
                 shared.refuse("news that cannot be read");
@@ -231,36 +234,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::sync::mpsc::channel;
-
-    #[test]
-    fn an_answer_that_came_whole_before_its_guard_fired_counts_and_one_in_part_does_not() {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
-        for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("silent for too long"))] {
-            let (sender, receiver) = channel();
-            go(move || {
-                let mut stream = dial(address, 1.0).expect("it listens");
-                stream.write_all(b"ask\n").expect("taken");
-                // Read only once the guard has fired, with the bytes in the socket.
-                while stream.inner().peek(&mut [0; 8]).unwrap_or(0) < sent.len() {
-                    may::coroutine::sleep(seconds(0.001));
-                }
-                let guard = Guard::both_ways(&stream, 0.0);
-                while !guard.fired() {
-                    may::coroutine::sleep(seconds(0.001));
-                }
-                let read = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
-                let mut lines = Lines::new(news::LINE_LIMIT);
-                sender.send(next_line(&mut stream, &guard, &mut lines, read)).expect("still read");
-            });
-            let (mut peer, _) = listener.accept().expect("it dials");
-            peer.write_all(sent.as_bytes()).expect("open");
-            let got = receiver.recv_timeout(seconds(10.0)).expect("in time");
-            let got = got.map_err(|fault| fault.to_string());
-            assert_eq!(got.as_deref().map_err(String::as_str), wanted);
-        }
-    }
-}
+#[path = "../tests/unit/relay.rs"]
+mod tests;
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -1,9 +1,10 @@
 //! Discovery's watch: resumed from the last generation, given up when it is silent. What was told holds meanwhile.
+use crate::fairness::ReadTurn;
 use crate::patience::Patience;
 use crate::shared::{Addresses, Holds, Shared, Word};
 use railhub::Seconds;
 use railhub_net::http::{Feed, HttpFault};
-use railhub_net::{go, now, seconds};
+use railhub_net::{go, seconds};
 use railhub_platform::{discovery, Page};
 use std::sync::Arc;
 
@@ -12,9 +13,6 @@
 const SILENT: Seconds = 4.5;
 /// Seconds of silence at most before a slow discovery's first word.
 const LONGEST_SILENT: Seconds = 9.0;
-/// Seconds of reading after which others run for a while: a feed that never pauses must not hold the one worker.
-const READ_SPAN: Seconds = 0.004;
-const YIELD_PAUSE: Seconds = 0.001;
 /// Seconds between tries while discovery is out of reach.
 const PAUSE: Seconds = 0.3;
 
@@ -52,7 +50,8 @@
         return HttpFault::Ended;
     }
     tracing::info!(discovery = %addresses.discovery, after = generation, "watching the list");
-    let (mut stands, mut read_since) = (None, now());
+    let mut stands = None;
+    let mut turn = ReadTurn::start();
     loop {
         let read = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, &shared.names));
         let line = match feed.line(read) {
@@ -84,10 +83,7 @@
                 return HttpFault::Malformed(spoilt.to_string());
             }
         }
-        if now() - read_since > READ_SPAN {
-            may::coroutine::sleep(seconds(YIELD_PAUSE));
-            read_since = now();
-        }
+        turn.pause_if_long();
     }
 }
 
