--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -131,6 +131,18 @@
     assert_ready("five restarted at once", &start_together(&mut nodes));
 }
 
+#[test]
+fn five_stewards_restarted_at_once_are_ready_with_a_slow_relay_and_a_silent_discovery() {
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let discovery = silent.local_addr().expect("bound");
+    let delays = RelayDelays { subscription: Duration::from_millis(1500), call: Duration::from_millis(40) };
+    let mut nodes: Vec<Node> =
+        (0..5).map(|n| Node::new(&format!("five-slow-{n}"), delays, discovery, MANY_HOSTS)).collect();
+    start_together(&mut nodes);
+    nodes.iter_mut().for_each(|node| node.steward.kill());
+    assert_ready("five restarted at once, slow peers", &start_together(&mut nodes));
+}
+
 #[test]
 fn twenty_stewards_started_at_once_are_ready() {
     let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -11,8 +11,9 @@
 /// Seconds a connection may take to come up, and seconds of silence: an empty line comes every 2.
 const CONNECT: Seconds = 0.5;
 const SILENT: Seconds = 4.5;
-/// Seconds of silence at most before a slow discovery's first word.
-const LONGEST_SILENT: Seconds = 9.0;
+/// Seconds of silence at most before a slow discovery's first word: with the pause below the 6 after which the platform
+/// counts the list as told, should a discovery that is back not answer what was asked while it was down.
+const LONGEST_SILENT: Seconds = 5.5;
 /// Seconds between tries while discovery is out of reach.
 const PAUSE: Seconds = 0.3;
 
