--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -60,6 +60,9 @@
     late: Histogram<u64>,
     called: Histogram<u64>,
     reported: Histogram<u64>,
+    started_at: Seconds,
+    /// The relay has taken an order.
+    has_ordered: bool,
     shown: Shown,
 }
 
@@ -78,6 +81,8 @@
             late: times(),
             called: times(),
             reported: times(),
+            started_at: now(),
+            has_ordered: false,
             shown: Shown::default(),
         };
         // The watch asks for what came after the known list from the first.
@@ -129,7 +134,12 @@
                 let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
                 if self.desk.hear_page(now(), &page) {
                     tracing::info!(generation, hosts, whole, "the host list has news");
+                } else if generation < self.desk.generation() {
+                    // An older file's watch overtook it: what this one says next would build on what was not taken.
+                    tracing::info!(generation, "a page is older than the list: the watch asks anew");
+                    self.shared.watch_line.close();
                 }
+                self.shared.page_room.post();
             }
             Word::Asked(source) => self.desk.hear_asked(source),
             Word::News(source, news) => self.desk.hear_news(now(), source, news),
@@ -150,6 +160,10 @@
             self.call_not_before = now() + CALL_PAUSE;
         } else {
             let now = now();
+            if !std::mem::replace(&mut self.has_ordered, true) {
+                let after = now - self.started_at;
+                tracing::info!(after, "the relay has answered the first call");
+            }
             self.called.saturating_record(micros(now - self.called_at));
             if let Some(reported_at) = self.called_for.take() {
                 self.reported.saturating_record(micros(now - reported_at));
