--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -89,5 +89,4 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/lib.rs"]
 mod tests;
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -20,8 +20,9 @@
 const CONNECT: Seconds = 0.5;
 /// Seconds news may be silent: a sign of life comes each second.
 const SILENT: Seconds = 2.5;
-/// Seconds at most for a slow relay's answer to the subscription.
-const LONGEST_SILENT: Seconds = 8.0;
+/// Seconds at most for a slow relay's answer to the subscription: short, as one that was cut off and is back may never
+/// answer what was asked meanwhile.
+const LONGEST_SILENT: Seconds = 5.0;
 /// Seconds for an answer: the relay gives it within 0.05 or never; the rest is for our own lateness on part of a
 /// core.
 const ANSWER: Seconds = 0.25;
@@ -234,5 +235,4 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/relay.rs"]
 mod tests;
