--- a/crates/railhub-cli/tests/common/scripted.rs
+++ b/crates/railhub-cli/tests/common/scripted.rs
@@ -215,6 +215,12 @@
         self.stream.write_all(text.as_bytes()).expect("the steward reads");
     }
 
+    /// Another hold of the same connection.
+    pub fn another_hold(&self) -> Watch {
+        let stream = self.stream.try_clone().expect("a descriptor");
+        Watch { stream, request: self.request.clone() }
+    }
+
     /// Empty lines until the steward ends the connection.
     pub fn keep_alive(mut self) {
         std::thread::spawn(move || {
@@ -257,8 +263,14 @@
     pub fn serving(delay: Duration, first: String) -> SocketAddr {
         let discovery = ScriptedDiscovery::open();
         let address = discovery.address;
+        discovery.serve(delay, first);
+        address
+    }
+
+    /// The same from now on.
+    pub fn serve(self, delay: Duration, first: String) {
         std::thread::spawn(move || {
-            for mut watch in discovery.watches {
+            for mut watch in self.watches {
                 let first = first.clone();
                 std::thread::spawn(move || {
                     std::thread::sleep(delay);
@@ -269,7 +281,6 @@
                 });
             }
         });
-        address
     }
 
     /// Tells nothing but empty lines.
--- a/crates/railhub-cli/tests/discovery_faults.rs
+++ b/crates/railhub-cli/tests/discovery_faults.rs
@@ -9,10 +9,9 @@
 use common::{eventually, file_text, ping, Steward, PATIENCE};
 use scripted::{
     chunk, file_with_hosts, host_list, instance, own_address, page, slice_with_owner, snapshot,
-    start_steward, Connection, RelayDelays, ScriptedDiscovery, ScriptedRelay, ServingRelay, Watch,
-    WATCH_HEAD,
+    start_steward, RelayDelays, ScriptedDiscovery, ScriptedRelay, ServingRelay, Watch, WATCH_HEAD,
 };
-use std::io::Read;
+use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -227,7 +226,8 @@
 struct Moved {
     relay: ScriptedRelay,
     steward: Steward,
-    news: Connection,
+    /// To the subscription that stands.
+    news: TcpStream,
     old_watch: Watch,
     new: ScriptedDiscovery,
     new_watch: Watch,
@@ -246,7 +246,9 @@
         news.send(&snapshot());
         eventually("it orders", || relay.has_call_with("\"table\":3"));
         let new_watch = new.watch();
-        Moved { relay, steward, news, old_watch, new, new_watch }
+        let writer = news.writer();
+        news.keep_alive();
+        Moved { relay, steward, news: writer, old_watch, new, new_watch }
     }
 
     /// The steward finds what is sent meanwhile at once, in the order in which it was sent.
@@ -265,7 +267,7 @@
 
     /// Whether a slice that `s-1` owns is moved off it, as from a host that drains.
     fn assert_drains(&mut self) {
-        self.news.send(&slice_with_owner(5, "s-1"));
+        self.news.write_all(slice_with_owner(5, "s-1").as_bytes()).expect("the steward reads");
         eventually("a call about slice 5", || self.relay.has_call_with("\"table\":5"));
         let calls = self.relay.calls.lock().expect("alive").clone();
         let about = |call: &&(Instant, String)| call.1.contains("\"table\":5");
@@ -299,6 +301,8 @@
         old.send(&all_ready(60));
         new.send(&(WATCH_HEAD.to_owned() + &drain(43)));
     });
+    // It stays open and alive: silence is not what ends it.
+    moved.new_watch.another_hold().keep_alive();
     let mut again = moved.new.watch();
     assert!(again.request.contains("after=60 "), "{}", again.request);
     again.send(&(WATCH_HEAD.to_owned() + &drain(61)));
@@ -309,3 +313,18 @@
     moved.assert_drains();
     again.keep_alive();
 }
+
+#[test]
+fn a_drain_told_by_a_new_discovery_with_lower_numbers_counts_once_the_old_ones_word_has_aged() {
+    let mut moved = Moved::start("lower-numbers");
+    let list = chunk(&page(3, true, &[instance("s-1", "draining"), instance("s-2", "ready")]));
+    moved.while_stopped(|old, new| {
+        old.send(&all_ready(60));
+        new.send(&(WATCH_HEAD.to_owned() + &list));
+    });
+    std::mem::replace(&mut moved.new, ScriptedDiscovery::open()).serve(Duration::ZERO, list);
+    eventually("the slice leaves the host that drains", || {
+        moved.relay.has_call_with(r#""table":3,"server":"s-2","weight":1"#)
+    });
+    moved.assert_drains();
+}
