--- a/crates/railhub-platform/src/desk.rs
+++ b/crates/railhub-platform/src/desk.rs
@@ -501,7 +501,8 @@
 fn fold(lists: &mut Vec<HostList>, newer: HostList) {
     match lists.last_mut() {
         Some(list) if !newer.whole => {
-            list.entries.retain(|entry| newer.entries.iter().all(|new| new.host != entry.host));
+            let told_anew: BTreeSet<HostId> = newer.entries.iter().map(|entry| entry.host).collect();
+            list.entries.retain(|entry| !told_anew.contains(&entry.host));
             // In a whole list, one that is gone is one that is lacking.
             list.entries
                 .extend(newer.entries.into_iter().filter(|new| !list.whole || new.phase != Phase::Gone));
