--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -1,11 +1,11 @@
 //! The steward on the operators' platform: sockets, signals, the run.
 //!
-//! Who owns what: one thread ([`owner`]) owns the [`railhub_platform::Desk`], fed by a bounded inbox. Every
+//! Who owns what: one thread ([`owner`]) owns the [`railhub_platform::PlatformController`], fed by a bounded inbox. Every
 //! connection is one coroutine on the one worker: collectors and strangers ([`listener`]), the relay's news and
 //! calls ([`relay`]), discovery's watch ([`watch`]), probes ([`probes`]). [`signals`] reads the file anew.
 //!
 //! The way of one decision: a report, a piece of news or a turn makes the owner run a round; the module's orders
-//! wait at the desk; the owner hands one call at a time to the caller and settles it by its answer.
+//! wait at the controller; the owner hands one call at a time to the caller and settles it by its answer.
 mod clock;
 mod fairness;
 mod figures;
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the desk: takes in words and sums, runs rounds, hands calls over one at a time.
+//! The thread that owns the controller: takes in words and sums, runs rounds, hands calls over one at a time.
 use crate::clock::now;
 use crate::probes::Probes;
 use crate::relay::Calls;
@@ -7,7 +7,7 @@
 use railhub::Seconds;
 use railhub_net::seconds;
 use railhub_platform::news::Answer;
-use railhub_platform::{Assignment, Desk};
+use railhub_platform::{Assignment, PlatformController};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 /// Words taken in for one round: a round must end.
 const WORDS_A_ROUND: usize = 2048;
 
-/// What the log tells of the desk.
+/// What the log tells of the controller.
 #[derive(Clone, Debug, Default)]
 pub struct Shown {
     pub generation: u64,
@@ -48,7 +48,7 @@
 }
 
 pub struct Owner {
-    desk: Desk,
+    controller: PlatformController,
     shared: Arc<Shared>,
     calls: Calls,
     probes: Probes,
@@ -70,7 +70,7 @@
     pub fn new(assignment: &Assignment, shared: &Arc<Shared>, calls: Calls, probes: Probes) -> Owner {
         let times = || Histogram::new_with_max(LONGEST_TIME, 2).expect("two digits are allowed");
         let mut owner = Owner {
-            desk: Desk::new(assignment),
+            controller: PlatformController::new(assignment),
             shared: shared.clone(),
             calls,
             probes,
@@ -105,11 +105,11 @@
                 match sum {
                     Sum::Tries(sum) => {
                         tracing::debug!(?sum, "tries");
-                        self.desk.hear_tries(sum);
+                        self.controller.hear_tries(sum);
                     }
                     Sum::Demand(sum) => {
                         tracing::trace!(?sum, "demand");
-                        self.desk.hear_demand(sum);
+                        self.controller.hear_demand(sum);
                     }
                 }
             }
@@ -121,8 +121,10 @@
 
     fn sleep(&self) {
         let now = now();
-        let again = (self.desk.orders_waiting() > 0).then_some(self.call_not_before).filter(|at| *at > now);
-        let due = [self.desk.next_due(), again].into_iter().flatten().fold(now + LONGEST_SLEEP, f64::min);
+        let again =
+            (self.controller.orders_waiting() > 0).then_some(self.call_not_before).filter(|at| *at > now);
+        let due =
+            [self.controller.next_due(), again].into_iter().flatten().fold(now + LONGEST_SLEEP, f64::min);
         if self.shared.inbox.is_quiet() && due > now {
             std::thread::park_timeout(seconds(due - now));
         }
@@ -132,21 +134,21 @@
         match word {
             Word::Page(page) => {
                 let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
-                if self.desk.hear_page(now(), &page) {
+                if self.controller.hear_page(now(), &page) {
                     tracing::info!(generation, hosts, whole, "the host list has news");
-                } else if generation < self.desk.generation() {
+                } else if generation < self.controller.generation() {
                     // An older file's watch overtook it: what this one says next would build on what was not taken.
                     tracing::info!(generation, "a page is older than the list: the watch asks anew");
                     self.shared.watch_line.close();
                 }
                 self.shared.page_room.post();
             }
-            Word::Asked(source) => self.desk.hear_asked(source),
-            Word::News(source, news) => self.desk.hear_news(now(), source, news),
-            Word::Ended(source) => self.desk.hear_ended(source),
+            Word::Asked(source) => self.controller.hear_asked(source),
+            Word::News(source, news) => self.controller.hear_news(now(), source, news),
+            Word::Ended(source) => self.controller.hear_ended(source),
             Word::Probe(probe, end) => {
                 tracing::debug!(host = %probe.host, ?end, "probe");
-                self.desk.hear_probe(&probe, end);
+                self.controller.hear_probe(&probe, end);
             }
             Word::CallEnded(answer) => self.end_call(answer),
         }
@@ -169,14 +171,14 @@
                 self.reported.saturating_record(micros(now - reported_at));
             }
         }
-        if let Some(dropped) = self.desk.end_call(answer) {
+        if let Some(dropped) = self.controller.end_call(answer) {
             tracing::error!("{dropped}");
         }
     }
 
     fn act(&mut self) {
         let began = now();
-        let asked = self.desk.act(began);
+        let asked = self.controller.act(began);
         for late in &asked.late {
             self.late.saturating_record(micros(*late));
         }
@@ -186,7 +188,7 @@
         }
         self.shown.rounds += asked.rounds;
         self.shown.longest_round = self.shown.longest_round.max(now() - began);
-        if let Some(why) = self.desk.must_ask_anew() {
+        if let Some(why) = self.controller.must_ask_anew() {
             tracing::warn!(why, "what the relay holds is asked for anew");
             self.shared.news_line.close();
         }
@@ -196,7 +198,7 @@
         if now() < self.call_not_before {
             return;
         }
-        if let Some(call) = self.desk.next_call() {
+        if let Some(call) = self.controller.next_call() {
             self.shared.counts.calls.fetch_add(1, Ordering::Relaxed);
             tracing::debug!(id = call.id, orders = call.count, bytes = call.bytes.len(), "a call leaves");
             tracing::trace!(said = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
@@ -209,12 +211,14 @@
     fn show(&mut self) {
         let span = |micros: u64| micros as f64 / 1e6;
         let shown = &mut self.shown;
-        shown.generation = self.desk.generation();
-        (shown.joined, shown.hosts) = (self.desk.joined(), self.desk.hosts());
-        (shown.waiting, shown.informed) = (self.desk.orders_waiting(), self.desk.is_informed());
-        shown.sums_dropped = self.desk.sums_dropped + self.shared.inbox.sums_dropped.load(Ordering::Relaxed);
-        (shown.probes_dropped, shown.folded) = (self.probes.dropped(), self.desk.orders_folded());
-        (shown.probes_outrun, shown.unnamed) = (self.desk.probes_outrun, self.desk.orders_unnamed());
+        shown.generation = self.controller.generation();
+        (shown.joined, shown.hosts) = (self.controller.joined(), self.controller.hosts());
+        (shown.waiting, shown.informed) = (self.controller.orders_waiting(), self.controller.is_informed());
+        shown.sums_dropped =
+            self.controller.sums_dropped + self.shared.inbox.sums_dropped.load(Ordering::Relaxed);
+        (shown.probes_dropped, shown.folded) = (self.probes.dropped(), self.controller.orders_folded());
+        (shown.probes_outrun, shown.unnamed) =
+            (self.controller.probes_outrun, self.controller.orders_unnamed());
         let tail = |times: &Histogram<u64>| (span(times.value_at_quantile(0.99)), span(times.max()));
         (shown.late_99, shown.late_most) = tail(&self.late);
         (shown.call_99, shown.call_most) = tail(&self.called);
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -17,7 +17,7 @@
 /// Seconds between tries while discovery is out of reach.
 const PAUSE: Seconds = 0.3;
 
-/// The list's version that the desk has.
+/// The list's version that the controller has.
 fn known(shared: &Shared) -> u64 {
     shared.owner.lock().expect("no holder panics").generation
 }
@@ -38,7 +38,7 @@
     });
 }
 
-/// What the desk knows is where the watch goes on: a page that it did not take in is told again.
+/// What the controller knows is where the watch goes on: a page that it did not take in is told again.
 fn watch(shared: &Shared, addresses: Addresses, patience: &mut Patience, failing: &mut bool) -> HttpFault {
     let mut generation = known(shared);
     let path = format!("/discovery/hosts?watch=1&after={generation}");
--- a/crates/railhub-platform/src/desk.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -41,7 +41,7 @@
     started: Option<Seconds>,
 }
 
-/// What the desk asks of the sockets after a round, and tells the log.
+/// What the controller asks of the sockets after a round, and tells the log.
 #[derive(Debug, Default)]
 pub struct Asked {
     pub probes: Vec<Probe>,
@@ -52,7 +52,7 @@
     pub late: Vec<Seconds>,
 }
 
-pub struct Desk {
+pub struct PlatformController {
     steward: Steward,
     names: Names,
     tick: Seconds,
@@ -91,9 +91,9 @@
     pub probes_outrun: u64,
 }
 
-impl Desk {
-    pub fn new(assignment: &Assignment) -> Desk {
-        let mut desk = Desk {
+impl PlatformController {
+    pub fn new(assignment: &Assignment) -> PlatformController {
+        let mut controller = PlatformController {
             steward: Steward::new(assignment.terms.clone()),
             names: assignment.names.clone(),
             tick: assignment.tick,
@@ -122,8 +122,8 @@
             sums_dropped: 0,
             probes_outrun: 0,
         };
-        desk.hear_page(0.0, &assignment.known);
-        desk
+        controller.hear_page(0.0, &assignment.known);
+        controller
     }
 
     /// The list's version that the module knows.
@@ -359,7 +359,7 @@
         }
     }
 
-    /// When [`Desk::act`] has something to do, if nothing comes in before.
+    /// When [`PlatformController::act`] has something to do, if nothing comes in before.
     pub fn next_due(&self) -> Option<Seconds> {
         let standing = self.standing.as_ref().map(|standing| standing.told_at + self.standing_quiet());
         let settled = self.shows_call_early().map(|standing| standing.told_at + FIRST_QUIET);
--- /dev/null
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -0,0 +1,73 @@
+use super::*;
+
+const NONE: SubscriptionId = SubscriptionId { file: 0, count: 0 };
+
+fn controller() -> PlatformController {
+    PlatformController::new(
+        &Assignment::read(include_str!("../../tests/assignment.json")).expect("a good file"),
+    )
+}
+
+#[test]
+fn a_proxy_that_left_just_before_a_new_subscription_is_told_to_have_left() {
+    let mut controller = controller();
+    let (proxy, now) = (ProxyId(5), 1.0);
+    controller.hear_news(now, NONE, News::Joined { proxy, first: true });
+    controller.hear_news(now, NONE, News::Left(proxy));
+    let first = SubscriptionId { file: 0, count: 1 };
+    [News::Subscribed, News::Ping].into_iter().for_each(|news| controller.hear_news(now, first, news));
+    assert!(controller.round.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
+}
+
+#[test]
+fn lists_that_wait_for_the_relay_are_one_list_of_each_host_once() {
+    let mut controller = controller();
+    let names = controller.names.clone();
+    for generation in 42..500 {
+        let (old, new) = (generation - 1, generation);
+        let page = format!(
+            "{{\"generation\":{generation},\"reset\":false,\"instances\":[\
+             {{\"instanceId\":\"n-{old}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"gone\",\"weight\":1}},\
+             {{\"instanceId\":\"n-{new}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"ready\",\"weight\":1}}]}}"
+        );
+        assert!(controller.hear_page(1.0, &crate::discovery::read(page.as_bytes(), &names).expect("a page")));
+    }
+    let [list] = controller.round.lists.as_slice() else { panic!("one list") };
+    let hosts: Vec<&str> = list.entries.iter().map(|entry| entry.host.name()).collect();
+    assert_eq!((list.whole, hosts), (true, vec!["s-1", "s-2", "n-499"]));
+}
+
+#[test]
+fn a_single_owners_table_never_has_two_lines_in_what_is_believed() {
+    let file = include_str!("../../tests/assignment.json").replace(
+        "\"exclusive\": false",
+        "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
+    );
+    let mut controller = PlatformController::new(&Assignment::read(&file).expect("a good file"));
+    let slice = SliceId(3);
+    controller.hear_news(1.0, NONE, News::Given { slice, on: true });
+    for name in ["s-1", "s-2"] {
+        controller.hear_news(
+            1.0,
+            NONE,
+            News::Held { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
+        );
+    }
+    assert_eq!(controller.charges[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
+    controller.waiting.push(Order::Line(slice, HostId::new("s-9").expect("a name"), 1.0));
+    let settled = controller.waiting.settled(slice, &controller.charges[0].lines);
+    assert_eq!(settled, [(HostId::new("s-9").expect("a name"), 1.0)]);
+}
+
+#[test]
+fn a_line_joins_the_latest_word_on_its_slice() {
+    let mut controller = controller();
+    let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
+    controller.round.charges.push(Charge { slice, given: true, lines: Vec::new() });
+    controller.hear_news(1.0, NONE, News::Given { slice, on: false });
+    controller.hear_news(1.0, NONE, News::Held { slice, host, weight: 1.0 });
+    assert!(controller.charges[0].lines.is_empty() && controller.round.charges[0].lines.is_empty());
+    controller.hear_news(1.0, NONE, News::Given { slice, on: true });
+    controller.hear_news(1.0, NONE, News::Held { slice, host, weight: 1.0 });
+    assert_eq!(controller.charges[1].lines, [(host, 1.0)]);
+}
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -1,18 +1,18 @@
 //! The platform's protocol, free of I/O and of clocks.
 //!
 //! In: collectors' frames ([`collector`]), the relay's news ([`news`]) and discovery's pages ([`discovery`]) are
-//! read one by one, and what is spoilt is dropped alone. The [`desk`] gathers them into rounds for the module.
+//! read one by one, and what is spoilt is dropped alone. The [`controller`] gathers them into rounds for the module.
 //! Out: what the module orders is kept by the [`orders`] until the relay has taken it, and leaves as calls.
 //! [`Assignment`] is the configuration, checked.
 pub mod assignment;
 pub mod collector;
-pub mod desk;
+pub mod controller;
 pub mod discovery;
 pub mod news;
 pub mod orders;
 
 pub use assignment::{Assignment, Names};
-pub use desk::{Desk, Probe};
+pub use controller::{PlatformController, Probe};
 pub use discovery::Page;
 
 use thiserror::Error;
--- a/crates/railhub-platform/tests/desk.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,8 +1,8 @@
-//! The desk with the real module: what the relay tells, what is ordered, and how calls end.
+//! The controller with the real module: what the relay tells, what is ordered, and how calls end.
 use railhub::{ClassId, Confirmed, HostId, MarkId, ProbeEnd, ProxyId, SecondTry, SliceId};
 use railhub_platform::news::{Answer, News, SubscriptionId};
 use railhub_platform::orders::{Call, Order, Waiting};
-use railhub_platform::{Assignment, Desk as Core};
+use railhub_platform::{Assignment, PlatformController as Core};
 use std::ops::{Deref, DerefMut};
 
 const FILE: &str = include_str!("assignment.json");
@@ -29,15 +29,15 @@
     News::Joined { proxy: ProxyId(proxy), first: false }
 }
 
-/// A desk and the subscription that it hears; each further one is asked for as it comes.
-struct Desk {
+/// A controller and the subscription that it hears; each further one is asked for as it comes.
+struct PlatformController {
     core: Core,
     source: SubscriptionId,
 }
 
-impl Desk {
-    fn new(assignment: &Assignment) -> Desk {
-        Desk { core: Core::new(assignment), source: SubscriptionId::default() }
+impl PlatformController {
+    fn new(assignment: &Assignment) -> PlatformController {
+        PlatformController { core: Core::new(assignment), source: SubscriptionId::default() }
     }
 
     fn ask(&mut self) {
@@ -53,7 +53,7 @@
     }
 }
 
-impl Deref for Desk {
+impl Deref for PlatformController {
     type Target = Core;
 
     fn deref(&self) -> &Core {
@@ -61,17 +61,17 @@
     }
 }
 
-impl DerefMut for Desk {
+impl DerefMut for PlatformController {
     fn deref_mut(&mut self) -> &mut Core {
         &mut self.core
     }
 }
 
 /// What stands, told by a fresh subscription.
-fn stands(desk: &mut Desk, now: f64, news: &[News]) {
-    desk.hear_news(now, News::Subscribed);
-    news.iter().for_each(|news| desk.hear_news(now, *news));
-    desk.hear_news(now, News::Ping);
+fn stands(controller: &mut PlatformController, now: f64, news: &[News]) {
+    controller.hear_news(now, News::Subscribed);
+    news.iter().for_each(|news| controller.hear_news(now, *news));
+    controller.hear_news(now, News::Ping);
 }
 
 fn text(call: &Call) -> &str {
@@ -79,27 +79,27 @@
 }
 
 /// Acts and takes all calls, answered in full; their text.
-fn settle(desk: &mut Desk, now: f64) -> String {
-    desk.act(now);
+fn settle(controller: &mut PlatformController, now: f64) -> String {
+    controller.act(now);
     let mut said = String::new();
-    while let Some(call) = desk.next_call() {
+    while let Some(call) = controller.next_call() {
         said.push_str(text(&call));
-        assert!(desk.end_call(Some(Answer::Taken(call.count))).is_none());
+        assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
     }
     said
 }
 
 #[test]
 fn nothing_is_ordered_before_the_relay_has_told_what_stands() {
-    let mut desk = Desk::new(&assignment());
-    assert_eq!(settle(&mut desk, START), "");
-    desk.hear_news(START, News::Subscribed);
-    desk.hear_news(START, given(3));
-    assert_eq!(settle(&mut desk, START + 0.01), "", "the table is not told whole");
-    desk.hear_news(START + 0.02, held(3, 1));
-    assert!(desk.next_due().is_some_and(|due| due < START + 0.2));
-    let said = settle(&mut desk, START + 0.2);
-    assert!(desk.is_informed());
+    let mut controller = PlatformController::new(&assignment());
+    assert_eq!(settle(&mut controller, START), "");
+    controller.hear_news(START, News::Subscribed);
+    controller.hear_news(START, given(3));
+    assert_eq!(settle(&mut controller, START + 0.01), "", "the table is not told whole");
+    controller.hear_news(START + 0.02, held(3, 1));
+    assert!(controller.next_due().is_some_and(|due| due < START + 0.2));
+    let said = settle(&mut controller, START + 0.2);
+    assert!(controller.is_informed());
     // It keeps the owner that the store names and adds a standby; it never empties the table.
     assert!(said.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{said}");
     assert!(!said.contains("\"weight\":0.0}"), "{said}");
@@ -107,20 +107,20 @@
 
 #[test]
 fn what_stands_replaces_what_was_believed() {
-    let mut desk = Desk::new(&assignment());
+    let mut controller = PlatformController::new(&assignment());
     let first = [joined(1), joined(2), given(3), held(3, 1), given(4), held(4, 1)];
-    stands(&mut desk, START, &first);
-    settle(&mut desk, START);
-    assert_eq!(desk.joined(), 2);
+    stands(&mut controller, START, &first);
+    settle(&mut controller, START);
+    assert_eq!(controller.joined(), 2);
     // Proxy 2 and slice 4 are absent now; slice 3 is as it was ordered: nothing to say.
     let standby = News::Held { slice: SliceId(3), host: host(2), weight: 0.0 };
-    stands(&mut desk, START + 0.1, &[joined(1), given(3), held(3, 1), standby]);
+    stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1), standby]);
     // The relay tells a standby's weight rounded to 0. Who is shut out is said again, as a proxy may have missed it.
-    assert!(!settle(&mut desk, START + 0.1).contains("share"));
-    assert_eq!(desk.joined(), 1);
+    assert!(!settle(&mut controller, START + 0.1).contains("share"));
+    assert_eq!(controller.joined(), 1);
     // The store lost the standby: it is ordered again, and slice 4 is no more.
-    stands(&mut desk, START + 0.2, &[joined(1), given(3), held(3, 1)]);
-    let said = settle(&mut desk, START + 0.2);
+    stands(&mut controller, START + 0.2, &[joined(1), given(3), held(3, 1)]);
+    let said = settle(&mut controller, START + 0.2);
     assert!(said.contains(r#""table":3,"server":"s-2""#) && !said.contains("\"table\":4"), "{said}");
 }
 
@@ -128,13 +128,13 @@
     text(call).split_once("orders").expect("a commit").1
 }
 
-/// A desk that has ordered slice 3's standby, with that call out.
-fn with_a_call_out() -> (Desk, Call) {
-    let mut desk = Desk::new(&assignment());
-    stands(&mut desk, START, &[joined(1), given(3), held(3, 1)]);
-    desk.act(START);
-    let call = desk.next_call().expect("a standby is ordered");
-    (desk, call)
+/// A controller that has ordered slice 3's standby, with that call out.
+fn with_a_call_out() -> (PlatformController, Call) {
+    let mut controller = PlatformController::new(&assignment());
+    stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
+    controller.act(START);
+    let call = controller.next_call().expect("a standby is ordered");
+    (controller, call)
 }
 
 fn standby(weight: f64) -> News {
@@ -143,28 +143,31 @@
 
 #[test]
 fn a_line_that_waits_counts_as_held_when_the_relay_tells_what_stands() {
-    let (mut desk, call) = with_a_call_out();
+    let (mut controller, call) = with_a_call_out();
     // The news breaks while the call is out; its line is not in what stands.
-    stands(&mut desk, START + 0.1, &[joined(1), given(3), held(3, 1)]);
-    desk.act(START + 0.1);
-    assert!(desk.next_call().is_none(), "one call at a time");
-    assert!(desk.end_call(Some(Answer::Taken(call.count))).is_none());
-    desk.act(START + 0.2);
-    assert!(!desk.next_call().is_some_and(|call| text(&call).contains("share")), "it was no difference");
+    stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1)]);
+    controller.act(START + 0.1);
+    assert!(controller.next_call().is_none(), "one call at a time");
+    assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
+    controller.act(START + 0.2);
+    assert!(
+        !controller.next_call().is_some_and(|call| text(&call).contains("share")),
+        "it was no difference"
+    );
 }
 
 #[test]
 fn a_call_without_known_end_is_said_again_only_if_what_stands_since_shows_that_it_was_not_carried_out() {
     for carried_out in [false, true] {
-        let (mut desk, call) = with_a_call_out();
-        assert!(desk.end_call(None).is_none());
-        assert!(desk.must_ask_anew().is_some(), "the relay alone can tell");
-        desk.act(START + 0.1);
-        assert!(desk.next_call().is_none(), "carried out, it would wait in the channel twice");
+        let (mut controller, call) = with_a_call_out();
+        assert!(controller.end_call(None).is_none());
+        assert!(controller.must_ask_anew().is_some(), "the relay alone can tell");
+        controller.act(START + 0.1);
+        assert!(controller.next_call().is_none(), "carried out, it would wait in the channel twice");
         let table = [joined(1), given(3), held(3, 1), standby(0.0)];
-        stands(&mut desk, START + 0.2, &table[..3 + usize::from(carried_out)]);
-        desk.act(START + 0.2);
-        let again = desk.next_call();
+        stands(&mut controller, START + 0.2, &table[..3 + usize::from(carried_out)]);
+        controller.act(START + 0.2);
+        let again = controller.next_call();
         if carried_out {
             assert!(!again.is_some_and(|call| text(&call).contains("share")));
             continue;
@@ -172,59 +175,59 @@
         let again = again.expect("it was not carried out");
         assert_eq!(orders(&again), orders(&call));
         assert!(again.id > call.id, "an answer to the first must not pass for this one's");
-        desk.end_call(Some(Answer::Taken(again.count)));
-        assert!(!desk.next_call().is_some_and(|call| text(&call).contains("share")));
+        controller.end_call(Some(Answer::Taken(again.count)));
+        assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
     }
 }
 
 #[test]
 fn a_subscription_asked_for_before_a_call_ended_shows_nothing_of_it() {
-    let (mut desk, _) = with_a_call_out();
-    desk.ask();
-    let early = desk.source;
-    desk.end_call(None);
-    assert!(desk.must_ask_anew().is_some());
+    let (mut controller, _) = with_a_call_out();
+    controller.ask();
+    let early = controller.source;
+    controller.end_call(None);
+    assert!(controller.must_ask_anew().is_some());
     // It was told before the call was carried out: by it the call would be said again.
     for news in [News::Subscribed, joined(1), given(3), held(3, 1), News::Ping] {
-        desk.core.hear_news(START + 0.1, early, news);
+        controller.core.hear_news(START + 0.1, early, news);
     }
-    desk.act(START + 0.3);
-    assert!(desk.next_call().is_none());
-    assert!(desk.must_ask_anew().is_some(), "one more is asked for");
-    stands(&mut desk, START + 0.4, &[joined(1), given(3), held(3, 1), standby(0.0)]);
-    desk.act(START + 0.4);
-    assert!(!desk.next_call().is_some_and(|call| text(&call).contains("share")));
+    controller.act(START + 0.3);
+    assert!(controller.next_call().is_none());
+    assert!(controller.must_ask_anew().is_some(), "one more is asked for");
+    stands(&mut controller, START + 0.4, &[joined(1), given(3), held(3, 1), standby(0.0)]);
+    controller.act(START + 0.4);
+    assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
 #[test]
 fn what_stands_shows_a_call_before_all_of_it_counts() {
-    let (mut desk, _) = with_a_call_out();
-    desk.end_call(None);
-    desk.hear_news(START + 0.2, News::Subscribed);
-    [given(3), held(3, 1)].into_iter().for_each(|news| desk.hear_news(START + 0.2, news));
-    desk.act(START + 0.25);
-    assert!(desk.next_call().is_none(), "the rest may be on its way");
-    assert!(desk.next_due().is_some_and(|due| due < START + 0.35));
-    desk.act(START + 0.31);
-    assert!(desk.next_call().is_some(), "no sign of life need be waited for");
+    let (mut controller, _) = with_a_call_out();
+    controller.end_call(None);
+    controller.hear_news(START + 0.2, News::Subscribed);
+    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_news(START + 0.2, news));
+    controller.act(START + 0.25);
+    assert!(controller.next_call().is_none(), "the rest may be on its way");
+    assert!(controller.next_due().is_some_and(|due| due < START + 0.35));
+    controller.act(START + 0.31);
+    assert!(controller.next_call().is_some(), "no sign of life need be waited for");
 }
 
 #[test]
 fn a_slice_that_is_not_told_yet_does_not_pass_for_one_that_is_held_no_more() {
-    let mut desk = Desk::new(&assignment());
+    let mut controller = PlatformController::new(&assignment());
     let tables = [joined(1), given(3), held(3, 1), given(4), held(4, 1)];
-    stands(&mut desk, START, &tables);
-    desk.act(START);
-    let call = desk.next_call().expect("two standbys");
-    desk.end_call(None);
-    desk.hear_news(START + 0.2, News::Subscribed);
-    tables[..3].iter().for_each(|news| desk.hear_news(START + 0.2, *news));
+    stands(&mut controller, START, &tables);
+    controller.act(START);
+    let call = controller.next_call().expect("two standbys");
+    controller.end_call(None);
+    controller.hear_news(START + 0.2, News::Subscribed);
+    tables[..3].iter().for_each(|news| controller.hear_news(START + 0.2, *news));
     // The telling pauses for longer than it takes to see how a call ended.
-    desk.act(START + 0.4);
-    assert!(desk.next_call().is_none() && desk.next_due().is_some_and(|due| due > START + 0.4));
-    tables[3..].iter().chain([&News::Ping]).for_each(|news| desk.hear_news(START + 0.5, *news));
-    desk.act(START + 0.5);
-    assert_eq!(orders(&desk.next_call().expect("it was not carried out")), orders(&call));
+    controller.act(START + 0.4);
+    assert!(controller.next_call().is_none() && controller.next_due().is_some_and(|due| due > START + 0.4));
+    tables[3..].iter().chain([&News::Ping]).for_each(|news| controller.hear_news(START + 0.5, *news));
+    controller.act(START + 0.5);
+    assert_eq!(orders(&controller.next_call().expect("it was not carried out")), orders(&call));
 }
 
 #[test]
@@ -232,81 +235,84 @@
     // The relay tells slice 3 without the line, then takes the line; the answer overtakes the end of the telling,
     // or even its begin, as the two come on connections of their own.
     for answered_first in [true, false] {
-        let (mut desk, call) = with_a_call_out();
-        desk.ask();
-        let source = desk.source;
+        let (mut controller, call) = with_a_call_out();
+        controller.ask();
+        let source = controller.source;
         let told = [News::Subscribed, joined(1), given(3), held(3, 1)];
         if !answered_first {
-            told.into_iter().for_each(|news| desk.core.hear_news(START + 0.1, source, news));
+            told.into_iter().for_each(|news| controller.core.hear_news(START + 0.1, source, news));
         }
-        desk.end_call(Some(Answer::Taken(call.count)));
+        controller.end_call(Some(Answer::Taken(call.count)));
         if answered_first {
-            told.into_iter().for_each(|news| desk.core.hear_news(START + 0.1, source, news));
+            told.into_iter().for_each(|news| controller.core.hear_news(START + 0.1, source, news));
         }
-        desk.core.hear_news(START + 0.2, source, News::Ping);
-        desk.act(START + 0.2);
-        let said = desk.next_call();
+        controller.core.hear_news(START + 0.2, source, News::Ping);
+        controller.act(START + 0.2);
+        let said = controller.next_call();
         assert!(!said.is_some_and(|call| text(&call).contains("share")), "answered first: {answered_first}");
     }
 }
 
 #[test]
 fn half_of_what_stands_is_not_taken_for_the_whole_when_its_line_ends() {
-    let mut desk = Desk::new(&assignment());
-    stands(&mut desk, START, &[joined(1), joined(2), given(3), held(3, 1), given(4), held(4, 1)]);
-    settle(&mut desk, START);
-    desk.hear_news(START + 1.0, News::Subscribed);
-    [joined(1), given(3)].into_iter().for_each(|news| desk.hear_news(START + 1.0, news));
-    let source = desk.source;
-    desk.hear_ended(source);
+    let mut controller = PlatformController::new(&assignment());
+    stands(&mut controller, START, &[joined(1), joined(2), given(3), held(3, 1), given(4), held(4, 1)]);
+    settle(&mut controller, START);
+    controller.hear_news(START + 1.0, News::Subscribed);
+    [joined(1), given(3)].into_iter().for_each(|news| controller.hear_news(START + 1.0, news));
+    let source = controller.source;
+    controller.hear_ended(source);
     // The relay stays away for long.
-    assert_eq!(settle(&mut desk, START + 20.0), "");
-    assert_eq!(desk.joined(), 2, "what was told whole before holds");
-    desk.hear_news(START + 21.0, News::Left(ProxyId(1)));
-    stands(&mut desk, START + 22.0, &[joined(1), given(3), held(3, 1), standby(0.0)]);
-    settle(&mut desk, START + 22.0);
-    assert_eq!(desk.joined(), 1);
+    assert_eq!(settle(&mut controller, START + 20.0), "");
+    assert_eq!(controller.joined(), 2, "what was told whole before holds");
+    controller.hear_news(START + 21.0, News::Left(ProxyId(1)));
+    stands(&mut controller, START + 22.0, &[joined(1), given(3), held(3, 1), standby(0.0)]);
+    settle(&mut controller, START + 22.0);
+    assert_eq!(controller.joined(), 1);
 }
 
 #[test]
 fn a_first_telling_that_breaks_off_leaves_the_steward_uninformed() {
-    let mut desk = Desk::new(&assignment());
-    desk.hear_news(START, News::Subscribed);
-    desk.hear_news(START, given(3));
-    let source = desk.source;
-    desk.hear_ended(source);
-    assert_eq!(settle(&mut desk, START + 5.0), "");
-    assert!(!desk.is_informed());
+    let mut controller = PlatformController::new(&assignment());
+    controller.hear_news(START, News::Subscribed);
+    controller.hear_news(START, given(3));
+    let source = controller.source;
+    controller.hear_ended(source);
+    assert_eq!(settle(&mut controller, START + 5.0), "");
+    assert!(!controller.is_informed());
 }
 
 #[test]
 fn an_older_files_subscription_counts_for_nothing_once_a_newer_files_stands() {
-    let mut desk = Core::new(&assignment());
+    let mut controller = Core::new(&assignment());
     let (older, newer) = (SubscriptionId { file: 0, count: 5 }, SubscriptionId { file: 1, count: 4 });
-    [older, newer].into_iter().for_each(|source| desk.hear_asked(source));
+    [older, newer].into_iter().for_each(|source| controller.hear_asked(source));
     for news in [News::Subscribed, joined(1), given(3), held(3, 1), News::Ping] {
-        desk.hear_news(START, newer, news);
+        controller.hear_news(START, newer, news);
     }
     for news in [News::Subscribed, News::Left(ProxyId(1)), News::Ping] {
-        desk.hear_news(START + 0.1, older, news);
+        controller.hear_news(START + 0.1, older, news);
     }
-    desk.hear_ended(older);
-    desk.hear_news(START + 0.2, newer, joined(2));
-    assert_eq!(desk.joined(), 2);
+    controller.hear_ended(older);
+    controller.hear_news(START + 0.2, newer, joined(2));
+    assert_eq!(controller.joined(), 2);
 }
 
 #[test]
 fn a_slice_given_while_a_call_about_it_is_out_is_asked_for_anew() {
-    let (mut desk, call) = with_a_call_out();
-    desk.hear_news(START + 0.1, News::Given { slice: SliceId(3), on: false });
-    assert!(desk.must_ask_anew().is_none(), "what is not held is changed by no order");
-    [given(3), held(3, 1)].into_iter().for_each(|news| desk.hear_news(START + 0.11, news));
-    assert!(desk.must_ask_anew().is_some(), "its line may be on the table as it is now");
-    desk.end_call(Some(Answer::Taken(call.count)));
-    assert!(desk.must_ask_anew().is_some() && desk.next_call().is_none(), "of which the end is seen now");
-    stands(&mut desk, START + 0.3, &[joined(1), given(3), held(3, 1), standby(0.0)]);
-    desk.act(START + 0.3);
-    assert!(!desk.next_call().is_some_and(|call| text(&call).contains("share")));
+    let (mut controller, call) = with_a_call_out();
+    controller.hear_news(START + 0.1, News::Given { slice: SliceId(3), on: false });
+    assert!(controller.must_ask_anew().is_none(), "what is not held is changed by no order");
+    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_news(START + 0.11, news));
+    assert!(controller.must_ask_anew().is_some(), "its line may be on the table as it is now");
+    controller.end_call(Some(Answer::Taken(call.count)));
+    assert!(
+        controller.must_ask_anew().is_some() && controller.next_call().is_none(),
+        "of which the end is seen now"
+    );
+    stands(&mut controller, START + 0.3, &[joined(1), given(3), held(3, 1), standby(0.0)]);
+    controller.act(START + 0.3);
+    assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
 #[test]
@@ -323,14 +329,14 @@
     for (address, lifecycle, started) in
         [("127.0.0.9:7070", "ready", 0.0), (here, "ready", 1.7e12), (here, "gone", 0.0)]
     {
-        let mut desk = Desk::new(&read);
-        stands(&mut desk, START, &[joined(1), given(3), held(3, 2)]);
-        let asked = desk.act(START).probes;
+        let mut controller = PlatformController::new(&read);
+        stands(&mut controller, START, &[joined(1), given(3), held(3, 2)]);
+        let asked = controller.act(START).probes;
         let probe = asked.into_iter().find(|probe| probe.host == host(1)).expect("it is probed");
-        desk.hear_page(START, &page(42, address, lifecycle, started));
-        (0..3).for_each(|_| desk.hear_probe(&probe, ProbeEnd::Unreachable));
-        assert_eq!(desk.probes_outrun, 3);
-        let notes = desk.act(START + 0.1).notes;
+        controller.hear_page(START, &page(42, address, lifecycle, started));
+        (0..3).for_each(|_| controller.hear_probe(&probe, ProbeEnd::Unreachable));
+        assert_eq!(controller.probes_outrun, 3);
+        let notes = controller.act(START + 0.1).notes;
         assert!(!notes.iter().any(|note| note.contains("down")), "{notes:?}");
     }
 }
@@ -345,13 +351,13 @@
         );
         railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
     };
-    let mut desk = Desk::new(&read);
-    assert!(desk.hear_page(START, &page(60, true, "s-7")));
-    assert!(!desk.hear_page(START + 5.0, &page(3, true, "s-8")), "it may be a late one");
-    assert!(!desk.hear_page(START + 20.0, &page(4, false, "s-8")), "changes of what is not known");
-    assert!(desk.hear_page(START + 20.0, &page(3, true, "s-8")), "discovery began anew");
-    assert!(desk.hear_page(START + 20.1, &page(4, false, "s-9")) && desk.generation() == 4);
-    assert_eq!(desk.hosts(), 2);
+    let mut controller = PlatformController::new(&read);
+    assert!(controller.hear_page(START, &page(60, true, "s-7")));
+    assert!(!controller.hear_page(START + 5.0, &page(3, true, "s-8")), "it may be a late one");
+    assert!(!controller.hear_page(START + 20.0, &page(4, false, "s-8")), "changes of what is not known");
+    assert!(controller.hear_page(START + 20.0, &page(3, true, "s-8")), "discovery began anew");
+    assert!(controller.hear_page(START + 20.1, &page(4, false, "s-9")) && controller.generation() == 4);
+    assert_eq!(controller.hosts(), 2);
 }
 
 #[test]
@@ -361,7 +367,7 @@
         let (mut first, _) = with_a_call_out();
         first.end_call(None);
         first.hear_news(START + 0.1, News::Given { slice: SliceId(3), on: false });
-        let mut heir = Desk::new(&assignment());
+        let mut heir = PlatformController::new(&assignment());
         stands(&mut heir, START, &[joined(1)]);
         settle(&mut heir, START);
         let table = [given(3), held(3, 1), standby(0.0)];
@@ -398,43 +404,43 @@
 
 #[test]
 fn lines_that_follow_a_slice_given_later_are_not_missed() {
-    let mut desk = Desk::new(&assignment());
-    stands(&mut desk, START, &[joined(1)]);
-    settle(&mut desk, START);
-    desk.hear_news(START + 0.5, given(7));
-    assert_eq!(settle(&mut desk, START + 0.505), "", "its lines may be on their way");
-    desk.hear_news(START + 0.51, held(7, 2));
-    let said = settle(&mut desk, START + 0.55);
+    let mut controller = PlatformController::new(&assignment());
+    stands(&mut controller, START, &[joined(1)]);
+    settle(&mut controller, START);
+    controller.hear_news(START + 0.5, given(7));
+    assert_eq!(settle(&mut controller, START + 0.505), "", "its lines may be on their way");
+    controller.hear_news(START + 0.51, held(7, 2));
+    let said = settle(&mut controller, START + 0.55);
     assert!(said.contains(r#""table":7,"server":"s-1","weight":0.0001"#), "{said}");
-    desk.hear_news(START + 1.2, News::Given { slice: SliceId(7), on: false });
-    assert_eq!(settle(&mut desk, START + 1.25), "");
+    controller.hear_news(START + 1.2, News::Given { slice: SliceId(7), on: false });
+    assert_eq!(settle(&mut controller, START + 1.25), "");
 }
 
 #[test]
 fn a_line_that_comes_after_its_slice_was_taken_in_is_not_lost() {
-    let mut desk = Desk::new(&assignment());
-    stands(&mut desk, START, &[joined(1), given(7)]);
-    settle(&mut desk, START);
+    let mut controller = PlatformController::new(&assignment());
+    stands(&mut controller, START, &[joined(1), given(7)]);
+    settle(&mut controller, START);
     // The table was given empty and got an owner; now the store's own line follows, of a host the module does
     // not want there: it must be known, or it would stay for ever.
-    desk.hear_news(START + 0.1, held(7, 9));
-    let said = settle(&mut desk, START + 0.2);
+    controller.hear_news(START + 0.1, held(7, 9));
+    let said = settle(&mut controller, START + 0.2);
     assert!(said.contains(r#""table":7,"server":"s-9","weight":0.0"#), "{said}");
 }
 
 #[test]
 fn orders_about_a_table_that_is_given_anew_are_not_made() {
-    let mut desk = Desk::new(&assignment());
-    stands(&mut desk, START, &[joined(1), given(3), held(3, 1)]);
-    desk.act(START);
-    desk.hear_news(START + 0.01, News::Given { slice: SliceId(3), on: false });
-    assert!(!desk.next_call().is_some_and(|call| text(&call).contains("share")));
+    let mut controller = PlatformController::new(&assignment());
+    stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
+    controller.act(START);
+    controller.hear_news(START + 0.01, News::Given { slice: SliceId(3), on: false });
+    assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
 #[test]
 fn a_page_with_a_spoilt_entry_may_be_told_again() {
     let read = assignment();
-    let mut desk = Desk::new(&read);
+    let mut controller = PlatformController::new(&read);
     let page = |weight: &str| {
         let text = format!(
             "{{\"generation\":42,\"reset\":false,\"instances\":[{{\"instanceId\":\"s-9\",\
@@ -442,11 +448,11 @@
         );
         railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
     };
-    desk.hear_page(START, &page("-1"));
-    assert_eq!((desk.hosts(), desk.generation()), (2, 41));
-    assert!(desk.hear_page(START, &page("1")));
-    assert_eq!((desk.hosts(), desk.generation()), (3, 42));
-    assert!(!desk.hear_page(START, &page("1")), "told already");
+    controller.hear_page(START, &page("-1"));
+    assert_eq!((controller.hosts(), controller.generation()), (2, 41));
+    assert!(controller.hear_page(START, &page("1")));
+    assert_eq!((controller.hosts(), controller.generation()), (3, 42));
+    assert!(!controller.hear_page(START, &page("1")), "told already");
 }
 
 fn push_lines(waiting: &mut Waiting, count: u16) {
@@ -516,28 +522,28 @@
 fn a_proxy_that_joins_while_a_call_is_out_counts_as_one_that_its_lines_wait_for() {
     // 35 proxies and a few lines for each: one such message fits into the backlog's limit, two do not.
     const LATE_PROXIES: std::ops::Range<u16> = 5..35;
-    let mut desk = Desk::new(&assignment());
+    let mut controller = PlatformController::new(&assignment());
     let mut first = vec![given(3), held(3, 1)];
     first.extend((0..LATE_PROXIES.start).map(joined));
-    stands(&mut desk, START, &first);
-    desk.act(START);
-    let call = desk.next_call().expect("a standby is due");
-    LATE_PROXIES.for_each(|proxy| desk.hear_news(START + 0.01, joined(proxy)));
-    desk.act(START + 0.02);
-    assert!(desk.end_call(Some(Answer::Taken(call.count))).is_none());
+    stands(&mut controller, START, &first);
+    controller.act(START);
+    let call = controller.next_call().expect("a standby is due");
+    LATE_PROXIES.for_each(|proxy| controller.hear_news(START + 0.01, joined(proxy)));
+    controller.act(START + 0.02);
+    assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
     let drains = FILE
         .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
         .replacen("draining", "ready", 1);
     let known = Assignment::read(&drains.replace("\"generation\": 41", "\"generation\": 42"))
         .expect("a good file")
         .known;
-    assert!(desk.hear_page(START + 0.1, &known));
-    desk.act(START + 0.1);
-    assert!(desk.next_call().is_none(), "the first message may wait for all that have joined since");
+    assert!(controller.hear_page(START + 0.1, &known));
+    controller.act(START + 0.1);
+    assert!(controller.next_call().is_none(), "the first message may wait for all that have joined since");
     let mark = ticket(&call);
     for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
-        desk.hear_news(START + 0.9, News::Applied(Confirmed { proxy, mark }));
+        controller.hear_news(START + 0.9, News::Applied(Confirmed { proxy, mark }));
     }
-    desk.act(START + 1.1);
-    assert!(desk.next_call().is_some(), "it has left the channel");
+    controller.act(START + 1.1);
+    assert!(controller.next_call().is_some(), "it has left the channel");
 }
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -54,7 +54,7 @@
         let read = Assignment::read(&FILE.replace(from, to)).expect("a start");
         assert_eq!((read.known.spoilt.len(), read.known.entries.len(), read.known.whole), (1, 1, false));
         // The list is asked for whole, and counts under whatever number it comes.
-        assert_eq!(railhub_platform::Desk::new(&read).generation(), 0);
+        assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
     let empty = FILE.replace("\"instances\": [", "\"instances\": [], \"old\": [");
     assert_eq!(Assignment::read(&empty).expect("a start").known.entries.len(), 0);
