--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -178,15 +178,15 @@
 
     fn act(&mut self) {
         let began = now();
-        let asked = self.controller.act(began);
-        for late in &asked.late {
+        let effects = self.controller.act(began);
+        for late in &effects.late {
             self.late.saturating_record(micros(*late));
         }
-        asked.probes.into_iter().for_each(|probe| self.probes.ask(probe));
-        for cause in asked.notes {
+        effects.probes.into_iter().for_each(|probe| self.probes.ask(probe));
+        for cause in effects.notes {
             tracing::info!(cause, "decision");
         }
-        self.shown.rounds += asked.rounds;
+        self.shown.rounds += effects.rounds;
         self.shown.longest_round = self.shown.longest_round.max(now() - began);
         if let Some(why) = self.controller.must_ask_anew() {
             tracing::warn!(why, "what the relay holds is asked for anew");
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -43,7 +43,7 @@
 
 /// What the controller asks of the sockets after a round, and tells the log.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct Effects {
     pub probes: Vec<Probe>,
     pub notes: Vec<String>,
     /// It ran a round.
@@ -371,8 +371,8 @@
     }
 
     /// Runs a round if one is due.
-    pub fn act(&mut self, now: Seconds) -> Asked {
-        let mut asked = Asked::default();
+    pub fn act(&mut self, now: Seconds) -> Effects {
+        let mut effects = Effects::default();
         let quiet = self.standing_quiet();
         if self.standing.as_ref().is_some_and(|standing| now - standing.told_at >= quiet) {
             self.take_standing();
@@ -386,11 +386,11 @@
         }
         let due = self.timers.iter().any(|(at, _)| *at <= now);
         if !self.informed || !(due || self.news && now - self.ran_at >= self.tick) {
-            return asked;
+            return effects;
         }
         let (rung, left) = self.timers.drain(..).partition(|(at, _)| *at <= now);
         self.timers = left;
-        asked.late.extend(rung.iter().map(|(at, _): &(Seconds, TimerId)| now - at));
+        effects.late.extend(rung.iter().map(|(at, _): &(Seconds, TimerId)| now - at));
         let mut round = std::mem::take(&mut self.round);
         round.timers.extend(rung.into_iter().map(|(_, timer)| timer));
         round.now = now;
@@ -410,9 +410,9 @@
             let (address, started) = *addresses.get(&host)?;
             Some(Probe { host, address, started })
         };
-        asked.probes = probes.into_iter().filter_map(probe).collect();
-        (asked.notes, asked.rounds) = (notes, 1);
-        asked
+        effects.probes = probes.into_iter().filter_map(probe).collect();
+        (effects.notes, effects.rounds) = (notes, 1);
+        effects
     }
 
     /// The next call to the relay, if none is out: the caller must bring back how it ended.
