--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -3,7 +3,7 @@
 use crate::assignment::{Assignment, Names};
 use crate::discovery::Page;
 use crate::news::{Answer, News, SubscriptionId};
-use crate::orders::{put, Call, Draft, Order, Waiting, SAME_WEIGHT};
+use crate::orders::{put, Call, CommandBatch, Order, PendingCommands, SAME_WEIGHT};
 use railhub::{
     Charge, DemandSum, HostId, HostList, Phase, ProbeEnd, ProbeResult, ProxyId, Round, Seconds, SliceId,
     Steward, StreamChange, TimerId, TrySum,
@@ -82,7 +82,7 @@
     /// Where each listed host is, and since when it runs.
     addresses: BTreeMap<HostId, (SocketAddr, Option<Seconds>)>,
     proxies: BTreeSet<ProxyId>,
-    waiting: Waiting,
+    waiting: PendingCommands,
     /// When the oldest orders were given that the relay has not taken.
     pending_since: Option<Seconds>,
     calling: bool,
@@ -116,7 +116,7 @@
             listed_at: 0.0,
             addresses: BTreeMap::new(),
             proxies: BTreeSet::new(),
-            waiting: Waiting::new(&assignment.terms),
+            waiting: PendingCommands::new(&assignment.terms),
             pending_since: None,
             calling: false,
             sums_dropped: 0,
@@ -397,10 +397,14 @@
         self.pending_since = self.pending_since.filter(|_| self.waiting.count() > 0);
         round.pending_since = self.pending_since;
         (self.ran_at, self.news) = (now, false);
-        let mut draft =
-            Draft { waiting: &mut self.waiting, probes: Vec::new(), wakes: Vec::new(), notes: Vec::new() };
-        self.steward.round(&round, &mut draft);
-        let Draft { probes, wakes, notes, .. } = draft;
+        let mut batch = CommandBatch {
+            waiting: &mut self.waiting,
+            probes: Vec::new(),
+            wakes: Vec::new(),
+            notes: Vec::new(),
+        };
+        self.steward.round(&round, &mut batch);
+        let CommandBatch { probes, wakes, notes, .. } = batch;
         if self.waiting.count() > 0 {
             self.pending_since.get_or_insert(now);
         }
--- a/crates/railhub-platform/src/orders.rs
+++ b/crates/railhub-platform/src/orders.rs
@@ -98,7 +98,7 @@
 
 /// Orders that wait, in their order, and those of the call that is out.
 #[derive(Default)]
-pub struct Waiting {
+pub struct PendingCommands {
     queue: VecDeque<(u64, Order)>,
     /// Where the order about a thing waits.
     places: BTreeMap<About, u64>,
@@ -113,9 +113,9 @@
     pub unnamed: u64,
 }
 
-impl Waiting {
-    pub fn new(terms: &Terms) -> Waiting {
-        Waiting { single_owner: terms.single_owner, ..Waiting::default() }
+impl PendingCommands {
+    pub fn new(terms: &Terms) -> PendingCommands {
+        PendingCommands { single_owner: terms.single_owner, ..PendingCommands::default() }
     }
 
     pub fn push(&mut self, order: Order) {
@@ -249,14 +249,14 @@
 }
 
 /// Takes a round's decisions: orders to the relay, probes, timers and notes apart.
-pub struct Draft<'a> {
-    pub waiting: &'a mut Waiting,
+pub struct CommandBatch<'a> {
+    pub waiting: &'a mut PendingCommands,
     pub probes: Vec<HostId>,
     pub wakes: Vec<(Seconds, TimerId)>,
     pub notes: Vec<String>,
 }
 
-impl Orders for Draft<'_> {
+impl Orders for CommandBatch<'_> {
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
         self.waiting.push(Order::Line(slice, host, weight));
     }
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,7 +1,7 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
 use railhub::{ClassId, Confirmed, HostId, MarkId, ProbeEnd, ProxyId, SecondTry, SliceId};
 use railhub_platform::news::{Answer, News, SubscriptionId};
-use railhub_platform::orders::{Call, Order, Waiting};
+use railhub_platform::orders::{Call, Order, PendingCommands};
 use railhub_platform::{Assignment, PlatformController as Core};
 use std::ops::{Deref, DerefMut};
 
@@ -382,7 +382,7 @@
 
 #[test]
 fn a_call_said_again_leaves_out_tables_that_are_held_no_more() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingCommands::default();
     push_lines(&mut waiting, 3);
     waiting.call(&[]).expect("a call");
     // Slice 0 was carried out, slice 1 was not, slice 2 is another's now.
@@ -394,7 +394,7 @@
 
 #[test]
 fn a_level_for_a_class_that_has_no_name_is_never_said_of_all() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingCommands::default();
     waiting.push(Order::Level(ClassId(1), 0.5, SecondTry::Never));
     waiting.push(Order::Level(ClassId(0), 0.7, SecondTry::Never));
     let call = waiting.call(&["view".to_owned()]).expect("a call");
@@ -455,13 +455,13 @@
     assert!(!controller.hear_page(START, &page("1")), "told already");
 }
 
-fn push_lines(waiting: &mut Waiting, count: u16) {
+fn push_lines(waiting: &mut PendingCommands, count: u16) {
     (0..count).for_each(|slice| waiting.push(Order::Line(SliceId(slice), host(1), 1.0)));
 }
 
 #[test]
 fn calls_stay_below_the_relays_limit_and_lose_nothing() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingCommands::default();
     push_lines(&mut waiting, 5000);
     let (mut calls, mut orders) = (0, 0);
     while let Some(call) = waiting.call(&[]) {
@@ -475,7 +475,7 @@
 
 #[test]
 fn an_order_that_is_not_taken_is_dropped_alone() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingCommands::default();
     push_lines(&mut waiting, 5);
     assert_eq!(waiting.call(&[]).expect("a call").count, 5);
     push_lines(&mut waiting, 6);
@@ -489,7 +489,7 @@
 
 #[test]
 fn orders_that_wait_fold_by_what_they_are_about_and_are_bounded() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingCommands::default();
     waiting.push(Order::Line(SliceId(1), host(1), 0.0));
     waiting.push(Order::Line(SliceId(1), host(2), 1.0));
     waiting.push(Order::Shut(host(2), true));
