--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use railhub::Seconds;
 use railhub_net::seconds;
-use railhub_platform::news::Answer;
+use railhub_platform::relay_events::Answer;
 use railhub_platform::{Assignment, PlatformController};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -144,7 +144,7 @@
                 self.shared.page_room.post();
             }
             Word::Asked(source) => self.controller.hear_asked(source),
-            Word::News(source, news) => self.controller.hear_news(now(), source, news),
+            Word::RelayEvent(source, news) => self.controller.hear_relay_event(now(), source, news),
             Word::Ended(source) => self.controller.hear_ended(source),
             Word::Probe(probe, end) => {
                 tracing::debug!(host = %probe.host, ?end, "probe");
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -6,8 +6,8 @@
 use may::sync::Semphore;
 use railhub::Seconds;
 use railhub_net::{dial, go, now, seconds, Guard};
-use railhub_platform::news::{self, Answer, News, SubscriptionId};
 use railhub_platform::orders::Call;
+use railhub_platform::relay_events::{self, Answer, RelayEvent, SubscriptionId};
 use railhub_platform::Spoilt;
 use railhub_proto::Lines;
 use std::io::{self, Read, Write};
@@ -104,16 +104,16 @@
     let _held = Holds::one(&shared.held.relay);
     let mut guard = Guard::both_ways(&stream, patience.span());
     shared.counts.subscriptions.fetch_add(1, Ordering::Relaxed);
-    if let Err(fault) = stream.write_all(&news::subscribe(source.count)) {
+    if let Err(fault) = stream.write_all(&relay_events::subscribe(source.count)) {
         return RelayFault::NotSubscribed(fault);
     }
-    let mut lines = Lines::new(news::LINE_LIMIT);
+    let mut lines = Lines::new(relay_events::LINE_LIMIT);
     let mut stands = None;
     let mut turn = ReadTurn::start();
     loop {
-        match next_line(&mut stream, &guard, &mut lines, news::read) {
+        match next_line(&mut stream, &guard, &mut lines, relay_events::read) {
             Ok(Ok(news)) => {
-                if news == News::Subscribed {
+                if news == RelayEvent::Subscribed {
                     guard = Guard::both_ways(&stream, SILENT);
                     patience.reset();
                     if !shared.news_line.take_over(addresses.version, guard.closer()) {
@@ -125,7 +125,7 @@
                     tracing::info!(source, relay = %addresses.relay, "subscribed to the relay's news");
                 }
                 tracing::trace!(source = source.count, ?news, "news");
-                shared.inbox.tell(Word::News(source, news));
+                shared.inbox.tell(Word::RelayEvent(source, news));
                 turn.pause_if_long();
             }
             Ok(Err(spoilt)) => {
@@ -211,7 +211,7 @@
         Some(open) => open,
         None => {
             let stream = dial(to, CONNECT).map_err(RelayFault::Unreached)?;
-            Line { to, used_at: now(), stream, lines: Lines::new(news::LINE_LIMIT) }
+            Line { to, used_at: now(), stream, lines: Lines::new(relay_events::LINE_LIMIT) }
         }
     };
     let _held = Holds::one(&shared.held.relay);
@@ -220,7 +220,7 @@
     let read = |bytes: &[u8]| {
         let end = bytes.len().min(200);
         let shown = String::from_utf8_lossy(&bytes[..end]).into_owned();
-        news::answer(bytes, call.id, call.count).map_err(|spoilt| RelayFault::Answer(spoilt, shown))
+        relay_events::answer(bytes, call.id, call.count).map_err(|spoilt| RelayFault::Answer(spoilt, shown))
     };
     let answer = next_line(&mut open.stream, &guard, &mut open.lines, read)??;
     open.used_at = now();
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -3,7 +3,7 @@
 use may::sync::Semphore;
 use railhub::{DemandSum, ProbeEnd, TrySum};
 use railhub_net::{Closer, Inbox};
-use railhub_platform::news::{Answer, News, SubscriptionId};
+use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub_platform::{Assignment, Names, Page, Probe, Spoilt};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     Page(Page),
     /// A subscription is about to be asked for, brings news, is no more.
     Asked(SubscriptionId),
-    News(SubscriptionId, News),
+    RelayEvent(SubscriptionId, RelayEvent),
     Ended(SubscriptionId),
     Probe(Probe, ProbeEnd),
     /// How the call that was out ended; without an answer its outcome is not known.
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -2,8 +2,8 @@
 //! What the relay says to stand replaces what the module believed of proxies, charges and lines.
 use crate::assignment::{Assignment, Names};
 use crate::discovery::Page;
-use crate::news::{Answer, News, SubscriptionId};
 use crate::orders::{put, Call, CommandBatch, Order, PendingCommands, SAME_WEIGHT};
+use crate::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub::{
     Charge, DemandSum, HostId, HostList, Phase, ProbeEnd, ProbeResult, ProxyId, Round, Seconds, SliceId,
     Steward, StreamChange, TimerId, TrySum,
@@ -197,26 +197,26 @@
     }
 
     /// Only the newest subscription counts, whatever an older one still says.
-    pub fn hear_news(&mut self, now: Seconds, source: SubscriptionId, news: News) {
-        if news == News::Subscribed && source > self.source {
+    pub fn hear_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
+        if news == RelayEvent::Subscribed && source > self.source {
             self.source = source;
             self.standing = Some(Standing { told_at: now, source, ..Standing::default() });
             if self.doubt.is_some_and(|doubt| source <= doubt) {
                 self.ask_anew = Some("it was asked for before a call ended that has no known end");
             }
         }
-        if news == News::Subscribed || source != self.source {
+        if news == RelayEvent::Subscribed || source != self.source {
             return;
         }
         if let Some(standing) = &mut self.standing {
-            if news == News::Ping {
+            if news == RelayEvent::Ping {
                 return self.take_standing();
             }
             standing.told_at = now;
             match news {
-                News::Joined { proxy, first } => _ = standing.proxies.insert(proxy, first),
-                News::Left(proxy) => _ = standing.proxies.remove(&proxy),
-                News::Given { slice, on } => {
+                RelayEvent::Joined { proxy, first } => _ = standing.proxies.insert(proxy, first),
+                RelayEvent::Left(proxy) => _ = standing.proxies.remove(&proxy),
+                RelayEvent::Given { slice, on } => {
                     // Told before in what stands, it changed hands since.
                     let changed = standing.charges.remove(&slice).is_some();
                     if on {
@@ -227,29 +227,29 @@
                         self.forget(slice, on);
                     }
                 }
-                News::Held { slice, host, weight } => {
+                RelayEvent::Held { slice, host, weight } => {
                     standing.charges.entry(slice).or_default().push((host, weight));
                 }
-                News::Applied(confirmed) => self.round.confirmed.push(confirmed),
-                News::Subscribed | News::Ping => {}
+                RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
+                RelayEvent::Subscribed | RelayEvent::Ping => {}
             }
             return;
         }
-        self.news |= news != News::Ping;
+        self.news |= news != RelayEvent::Ping;
         match news {
-            News::Joined { proxy, first } => self.stream(proxy, true, first),
-            News::Left(proxy) => self.stream(proxy, false, false),
-            News::Applied(confirmed) => self.round.confirmed.push(confirmed),
-            News::Given { slice, on } => {
+            RelayEvent::Joined { proxy, first } => self.stream(proxy, true, first),
+            RelayEvent::Left(proxy) => self.stream(proxy, false, false),
+            RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
+            RelayEvent::Given { slice, on } => {
                 self.charges_at = now;
                 self.forget(slice, on);
                 self.charges.push(Charge { slice, given: on, lines: Vec::new() });
             }
-            News::Held { slice, host, weight } => {
+            RelayEvent::Held { slice, host, weight } => {
                 self.charges_at = now;
                 self.hold(slice, host, weight);
             }
-            News::Subscribed | News::Ping => {}
+            RelayEvent::Subscribed | RelayEvent::Ping => {}
         }
     }
 
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -12,10 +12,12 @@
 fn a_proxy_that_left_just_before_a_new_subscription_is_told_to_have_left() {
     let mut controller = controller();
     let (proxy, now) = (ProxyId(5), 1.0);
-    controller.hear_news(now, NONE, News::Joined { proxy, first: true });
-    controller.hear_news(now, NONE, News::Left(proxy));
+    controller.hear_relay_event(now, NONE, RelayEvent::Joined { proxy, first: true });
+    controller.hear_relay_event(now, NONE, RelayEvent::Left(proxy));
     let first = SubscriptionId { file: 0, count: 1 };
-    [News::Subscribed, News::Ping].into_iter().for_each(|news| controller.hear_news(now, first, news));
+    [RelayEvent::Subscribed, RelayEvent::Ping]
+        .into_iter()
+        .for_each(|news| controller.hear_relay_event(now, first, news));
     assert!(controller.round.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
 }
 
@@ -45,12 +47,12 @@
     );
     let mut controller = PlatformController::new(&Assignment::read(&file).expect("a good file"));
     let slice = SliceId(3);
-    controller.hear_news(1.0, NONE, News::Given { slice, on: true });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: true });
     for name in ["s-1", "s-2"] {
-        controller.hear_news(
+        controller.hear_relay_event(
             1.0,
             NONE,
-            News::Held { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
+            RelayEvent::Held { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
         );
     }
     assert_eq!(controller.charges[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
@@ -64,10 +66,10 @@
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.round.charges.push(Charge { slice, given: true, lines: Vec::new() });
-    controller.hear_news(1.0, NONE, News::Given { slice, on: false });
-    controller.hear_news(1.0, NONE, News::Held { slice, host, weight: 1.0 });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: false });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::Held { slice, host, weight: 1.0 });
     assert!(controller.charges[0].lines.is_empty() && controller.round.charges[0].lines.is_empty());
-    controller.hear_news(1.0, NONE, News::Given { slice, on: true });
-    controller.hear_news(1.0, NONE, News::Held { slice, host, weight: 1.0 });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: true });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::Held { slice, host, weight: 1.0 });
     assert_eq!(controller.charges[1].lines, [(host, 1.0)]);
 }
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod collector;
 pub mod controller;
 pub mod discovery;
-pub mod news;
 pub mod orders;
+pub mod relay_events;
 
 pub use assignment::{Assignment, Names};
 pub use controller::{PlatformController, Probe};
--- a/crates/railhub-platform/src/news.rs
+++ b/crates/railhub-platform/src/relay_events.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum RelayEvent {
     /// The subscription stands; what the relay holds follows.
     Subscribed,
     Ping,
@@ -93,25 +93,25 @@
     serde_json::from_slice::<Line<T>>(line).map(|line| line.params).map_err(|_| Spoilt::Fields)
 }
 
-pub fn read(line: &[u8]) -> Result<News, Spoilt> {
+pub fn read(line: &[u8]) -> Result<RelayEvent, Spoilt> {
     let head: Head = serde_json::from_slice(line).map_err(|_| Spoilt::Unreadable)?;
     let Some(method) = head.method else {
-        return if head.result == Some(true) { Ok(News::Subscribed) } else { Err(Spoilt::Kind) };
+        return if head.result == Some(true) { Ok(RelayEvent::Subscribed) } else { Err(Spoilt::Kind) };
     };
     Ok(match method.as_str() {
-        "ping" => News::Ping,
+        "ping" => RelayEvent::Ping,
         "joined" => {
             let joined: Joined = params(line)?;
-            News::Joined { proxy: ProxyId(joined.proxy), first: joined.fresh }
+            RelayEvent::Joined { proxy: ProxyId(joined.proxy), first: joined.fresh }
         }
-        "left" => News::Left(ProxyId(params::<Left>(line)?.proxy)),
+        "left" => RelayEvent::Left(ProxyId(params::<Left>(line)?.proxy)),
         "applied" => {
             let applied: Applied = params(line)?;
-            News::Applied(Confirmed { proxy: ProxyId(applied.proxy), mark: MarkId(applied.mark) })
+            RelayEvent::Applied(Confirmed { proxy: ProxyId(applied.proxy), mark: MarkId(applied.mark) })
         }
         "given" => {
             let given: Given = params(line)?;
-            News::Given { slice: SliceId(given.slice), on: given.on }
+            RelayEvent::Given { slice: SliceId(given.slice), on: given.on }
         }
         "held" => {
             let held: Held = params(line)?;
@@ -119,7 +119,7 @@
             if !(held.weight.is_finite() && held.weight >= 0.0) {
                 return Err(Spoilt::Range);
             }
-            News::Held { slice: SliceId(held.slice), host, weight: held.weight }
+            RelayEvent::Held { slice: SliceId(held.slice), host, weight: held.weight }
         }
         _ => return Err(Spoilt::Kind),
     })
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,7 +1,7 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
 use railhub::{ClassId, Confirmed, HostId, MarkId, ProbeEnd, ProxyId, SecondTry, SliceId};
-use railhub_platform::news::{Answer, News, SubscriptionId};
 use railhub_platform::orders::{Call, Order, PendingCommands};
+use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub_platform::{Assignment, PlatformController as Core};
 use std::ops::{Deref, DerefMut};
 
@@ -17,16 +17,16 @@
     HostId::new(&format!("s-{n}")).expect("a name")
 }
 
-fn given(slice: u16) -> News {
-    News::Given { slice: SliceId(slice), on: true }
+fn given(slice: u16) -> RelayEvent {
+    RelayEvent::Given { slice: SliceId(slice), on: true }
 }
 
-fn held(slice: u16, n: u8) -> News {
-    News::Held { slice: SliceId(slice), host: host(n), weight: 1.0 }
+fn held(slice: u16, n: u8) -> RelayEvent {
+    RelayEvent::Held { slice: SliceId(slice), host: host(n), weight: 1.0 }
 }
 
-fn joined(proxy: u16) -> News {
-    News::Joined { proxy: ProxyId(proxy), first: false }
+fn joined(proxy: u16) -> RelayEvent {
+    RelayEvent::Joined { proxy: ProxyId(proxy), first: false }
 }
 
 /// A controller and the subscription that it hears; each further one is asked for as it comes.
@@ -45,11 +45,11 @@
         self.core.hear_asked(self.source);
     }
 
-    fn hear_news(&mut self, now: f64, news: News) {
-        if news == News::Subscribed {
+    fn hear_relay_event(&mut self, now: f64, news: RelayEvent) {
+        if news == RelayEvent::Subscribed {
             self.ask();
         }
-        self.core.hear_news(now, self.source, news);
+        self.core.hear_relay_event(now, self.source, news);
     }
 }
 
@@ -68,10 +68,10 @@
 }
 
 /// What stands, told by a fresh subscription.
-fn stands(controller: &mut PlatformController, now: f64, news: &[News]) {
-    controller.hear_news(now, News::Subscribed);
-    news.iter().for_each(|news| controller.hear_news(now, *news));
-    controller.hear_news(now, News::Ping);
+fn stands(controller: &mut PlatformController, now: f64, news: &[RelayEvent]) {
+    controller.hear_relay_event(now, RelayEvent::Subscribed);
+    news.iter().for_each(|news| controller.hear_relay_event(now, *news));
+    controller.hear_relay_event(now, RelayEvent::Ping);
 }
 
 fn text(call: &Call) -> &str {
@@ -93,10 +93,10 @@
 fn nothing_is_ordered_before_the_relay_has_told_what_stands() {
     let mut controller = PlatformController::new(&assignment());
     assert_eq!(settle(&mut controller, START), "");
-    controller.hear_news(START, News::Subscribed);
-    controller.hear_news(START, given(3));
+    controller.hear_relay_event(START, RelayEvent::Subscribed);
+    controller.hear_relay_event(START, given(3));
     assert_eq!(settle(&mut controller, START + 0.01), "", "the table is not told whole");
-    controller.hear_news(START + 0.02, held(3, 1));
+    controller.hear_relay_event(START + 0.02, held(3, 1));
     assert!(controller.next_due().is_some_and(|due| due < START + 0.2));
     let said = settle(&mut controller, START + 0.2);
     assert!(controller.is_informed());
@@ -113,7 +113,7 @@
     settle(&mut controller, START);
     assert_eq!(controller.joined(), 2);
     // Proxy 2 and slice 4 are absent now; slice 3 is as it was ordered: nothing to say.
-    let standby = News::Held { slice: SliceId(3), host: host(2), weight: 0.0 };
+    let standby = RelayEvent::Held { slice: SliceId(3), host: host(2), weight: 0.0 };
     stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1), standby]);
     // The relay tells a standby's weight rounded to 0. Who is shut out is said again, as a proxy may have missed it.
     assert!(!settle(&mut controller, START + 0.1).contains("share"));
@@ -137,8 +137,8 @@
     (controller, call)
 }
 
-fn standby(weight: f64) -> News {
-    News::Held { slice: SliceId(3), host: host(2), weight }
+fn standby(weight: f64) -> RelayEvent {
+    RelayEvent::Held { slice: SliceId(3), host: host(2), weight }
 }
 
 #[test]
@@ -188,8 +188,8 @@
     controller.end_call(None);
     assert!(controller.must_ask_anew().is_some());
     // It was told before the call was carried out: by it the call would be said again.
-    for news in [News::Subscribed, joined(1), given(3), held(3, 1), News::Ping] {
-        controller.core.hear_news(START + 0.1, early, news);
+    for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Ping] {
+        controller.core.hear_relay_event(START + 0.1, early, news);
     }
     controller.act(START + 0.3);
     assert!(controller.next_call().is_none());
@@ -203,8 +203,8 @@
 fn what_stands_shows_a_call_before_all_of_it_counts() {
     let (mut controller, _) = with_a_call_out();
     controller.end_call(None);
-    controller.hear_news(START + 0.2, News::Subscribed);
-    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_news(START + 0.2, news));
+    controller.hear_relay_event(START + 0.2, RelayEvent::Subscribed);
+    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_relay_event(START + 0.2, news));
     controller.act(START + 0.25);
     assert!(controller.next_call().is_none(), "the rest may be on its way");
     assert!(controller.next_due().is_some_and(|due| due < START + 0.35));
@@ -220,12 +220,15 @@
     controller.act(START);
     let call = controller.next_call().expect("two standbys");
     controller.end_call(None);
-    controller.hear_news(START + 0.2, News::Subscribed);
-    tables[..3].iter().for_each(|news| controller.hear_news(START + 0.2, *news));
+    controller.hear_relay_event(START + 0.2, RelayEvent::Subscribed);
+    tables[..3].iter().for_each(|news| controller.hear_relay_event(START + 0.2, *news));
     // The telling pauses for longer than it takes to see how a call ended.
     controller.act(START + 0.4);
     assert!(controller.next_call().is_none() && controller.next_due().is_some_and(|due| due > START + 0.4));
-    tables[3..].iter().chain([&News::Ping]).for_each(|news| controller.hear_news(START + 0.5, *news));
+    tables[3..]
+        .iter()
+        .chain([&RelayEvent::Ping])
+        .for_each(|news| controller.hear_relay_event(START + 0.5, *news));
     controller.act(START + 0.5);
     assert_eq!(orders(&controller.next_call().expect("it was not carried out")), orders(&call));
 }
@@ -238,15 +241,15 @@
         let (mut controller, call) = with_a_call_out();
         controller.ask();
         let source = controller.source;
-        let told = [News::Subscribed, joined(1), given(3), held(3, 1)];
+        let told = [RelayEvent::Subscribed, joined(1), given(3), held(3, 1)];
         if !answered_first {
-            told.into_iter().for_each(|news| controller.core.hear_news(START + 0.1, source, news));
+            told.into_iter().for_each(|news| controller.core.hear_relay_event(START + 0.1, source, news));
         }
         controller.end_call(Some(Answer::Taken(call.count)));
         if answered_first {
-            told.into_iter().for_each(|news| controller.core.hear_news(START + 0.1, source, news));
+            told.into_iter().for_each(|news| controller.core.hear_relay_event(START + 0.1, source, news));
         }
-        controller.core.hear_news(START + 0.2, source, News::Ping);
+        controller.core.hear_relay_event(START + 0.2, source, RelayEvent::Ping);
         controller.act(START + 0.2);
         let said = controller.next_call();
         assert!(!said.is_some_and(|call| text(&call).contains("share")), "answered first: {answered_first}");
@@ -258,14 +261,14 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), joined(2), given(3), held(3, 1), given(4), held(4, 1)]);
     settle(&mut controller, START);
-    controller.hear_news(START + 1.0, News::Subscribed);
-    [joined(1), given(3)].into_iter().for_each(|news| controller.hear_news(START + 1.0, news));
+    controller.hear_relay_event(START + 1.0, RelayEvent::Subscribed);
+    [joined(1), given(3)].into_iter().for_each(|news| controller.hear_relay_event(START + 1.0, news));
     let source = controller.source;
     controller.hear_ended(source);
     // The relay stays away for long.
     assert_eq!(settle(&mut controller, START + 20.0), "");
     assert_eq!(controller.joined(), 2, "what was told whole before holds");
-    controller.hear_news(START + 21.0, News::Left(ProxyId(1)));
+    controller.hear_relay_event(START + 21.0, RelayEvent::Left(ProxyId(1)));
     stands(&mut controller, START + 22.0, &[joined(1), given(3), held(3, 1), standby(0.0)]);
     settle(&mut controller, START + 22.0);
     assert_eq!(controller.joined(), 1);
@@ -274,8 +277,8 @@
 #[test]
 fn a_first_telling_that_breaks_off_leaves_the_steward_uninformed() {
     let mut controller = PlatformController::new(&assignment());
-    controller.hear_news(START, News::Subscribed);
-    controller.hear_news(START, given(3));
+    controller.hear_relay_event(START, RelayEvent::Subscribed);
+    controller.hear_relay_event(START, given(3));
     let source = controller.source;
     controller.hear_ended(source);
     assert_eq!(settle(&mut controller, START + 5.0), "");
@@ -287,23 +290,23 @@
     let mut controller = Core::new(&assignment());
     let (older, newer) = (SubscriptionId { file: 0, count: 5 }, SubscriptionId { file: 1, count: 4 });
     [older, newer].into_iter().for_each(|source| controller.hear_asked(source));
-    for news in [News::Subscribed, joined(1), given(3), held(3, 1), News::Ping] {
-        controller.hear_news(START, newer, news);
+    for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Ping] {
+        controller.hear_relay_event(START, newer, news);
     }
-    for news in [News::Subscribed, News::Left(ProxyId(1)), News::Ping] {
-        controller.hear_news(START + 0.1, older, news);
+    for news in [RelayEvent::Subscribed, RelayEvent::Left(ProxyId(1)), RelayEvent::Ping] {
+        controller.hear_relay_event(START + 0.1, older, news);
     }
     controller.hear_ended(older);
-    controller.hear_news(START + 0.2, newer, joined(2));
+    controller.hear_relay_event(START + 0.2, newer, joined(2));
     assert_eq!(controller.joined(), 2);
 }
 
 #[test]
 fn a_slice_given_while_a_call_about_it_is_out_is_asked_for_anew() {
     let (mut controller, call) = with_a_call_out();
-    controller.hear_news(START + 0.1, News::Given { slice: SliceId(3), on: false });
+    controller.hear_relay_event(START + 0.1, RelayEvent::Given { slice: SliceId(3), on: false });
     assert!(controller.must_ask_anew().is_none(), "what is not held is changed by no order");
-    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_news(START + 0.11, news));
+    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_relay_event(START + 0.11, news));
     assert!(controller.must_ask_anew().is_some(), "its line may be on the table as it is now");
     controller.end_call(Some(Answer::Taken(call.count)));
     assert!(
@@ -366,12 +369,14 @@
     for carried_out in [true, false] {
         let (mut first, _) = with_a_call_out();
         first.end_call(None);
-        first.hear_news(START + 0.1, News::Given { slice: SliceId(3), on: false });
+        first.hear_relay_event(START + 0.1, RelayEvent::Given { slice: SliceId(3), on: false });
         let mut heir = PlatformController::new(&assignment());
         stands(&mut heir, START, &[joined(1)]);
         settle(&mut heir, START);
         let table = [given(3), held(3, 1), standby(0.0)];
-        table[..2 + usize::from(carried_out)].iter().for_each(|news| heir.hear_news(START + 0.1, *news));
+        table[..2 + usize::from(carried_out)]
+            .iter()
+            .for_each(|news| heir.hear_relay_event(START + 0.1, *news));
         stands(&mut first, START + 0.2, &[joined(1)]);
         first.act(START + 0.2);
         assert!(!first.next_call().is_some_and(|call| text(&call).contains("\"table\":3")));
@@ -407,12 +412,12 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1)]);
     settle(&mut controller, START);
-    controller.hear_news(START + 0.5, given(7));
+    controller.hear_relay_event(START + 0.5, given(7));
     assert_eq!(settle(&mut controller, START + 0.505), "", "its lines may be on their way");
-    controller.hear_news(START + 0.51, held(7, 2));
+    controller.hear_relay_event(START + 0.51, held(7, 2));
     let said = settle(&mut controller, START + 0.55);
     assert!(said.contains(r#""table":7,"server":"s-1","weight":0.0001"#), "{said}");
-    controller.hear_news(START + 1.2, News::Given { slice: SliceId(7), on: false });
+    controller.hear_relay_event(START + 1.2, RelayEvent::Given { slice: SliceId(7), on: false });
     assert_eq!(settle(&mut controller, START + 1.25), "");
 }
 
@@ -423,7 +428,7 @@
     settle(&mut controller, START);
     // The table was given empty and got an owner; now the store's own line follows, of a host the module does
     // not want there: it must be known, or it would stay for ever.
-    controller.hear_news(START + 0.1, held(7, 9));
+    controller.hear_relay_event(START + 0.1, held(7, 9));
     let said = settle(&mut controller, START + 0.2);
     assert!(said.contains(r#""table":7,"server":"s-9","weight":0.0"#), "{said}");
 }
@@ -433,7 +438,7 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
     controller.act(START);
-    controller.hear_news(START + 0.01, News::Given { slice: SliceId(3), on: false });
+    controller.hear_relay_event(START + 0.01, RelayEvent::Given { slice: SliceId(3), on: false });
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
@@ -528,7 +533,7 @@
     stands(&mut controller, START, &first);
     controller.act(START);
     let call = controller.next_call().expect("a standby is due");
-    LATE_PROXIES.for_each(|proxy| controller.hear_news(START + 0.01, joined(proxy)));
+    LATE_PROXIES.for_each(|proxy| controller.hear_relay_event(START + 0.01, joined(proxy)));
     controller.act(START + 0.02);
     assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
     let drains = FILE
@@ -542,7 +547,7 @@
     assert!(controller.next_call().is_none(), "the first message may wait for all that have joined since");
     let mark = ticket(&call);
     for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
-        controller.hear_news(START + 0.9, News::Applied(Confirmed { proxy, mark }));
+        controller.hear_relay_event(START + 0.9, RelayEvent::Applied(Confirmed { proxy, mark }));
     }
     controller.act(START + 1.1);
     assert!(controller.next_call().is_some(), "it has left the channel");
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -1,7 +1,7 @@
 //! Each decoder on good input, on spoilt input that must be told apart, and on damaged bytes without end.
 use railhub::{ClassId, HostId, MarkId, Phase, ProxyId, Repeat, SliceId, ZoneId};
 use railhub_platform::collector::{self, Frame};
-use railhub_platform::news::{self, Answer, News};
+use railhub_platform::relay_events::{self, Answer, RelayEvent};
 use railhub_platform::{discovery, Assignment, Names, Spoilt};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -128,22 +128,23 @@
 
 #[test]
 fn the_relays_lines_are_read() {
-    let read = |text: &str| news::read(text.as_bytes());
+    let read = |text: &str| relay_events::read(text.as_bytes());
     let said = |method: &str, params: &str| {
         read(&format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}"))
     };
-    assert_eq!(read(r#"{"jsonrpc":"2.0","id":10,"result":true}"#), Ok(News::Subscribed));
-    assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(News::Ping));
+    assert_eq!(read(r#"{"jsonrpc":"2.0","id":10,"result":true}"#), Ok(RelayEvent::Subscribed));
+    assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(RelayEvent::Ping));
     let joined = said("joined", r#"{"proxy":17,"zone":"a","weight":21.5,"fresh":true}"#);
-    assert_eq!(joined, Ok(News::Joined { proxy: ProxyId(17), first: true }));
-    let Ok(News::Applied(applied)) = said("applied", r#"{"proxy":17,"mark":905,"took_ms":310.4}"#) else {
+    assert_eq!(joined, Ok(RelayEvent::Joined { proxy: ProxyId(17), first: true }));
+    let Ok(RelayEvent::Applied(applied)) = said("applied", r#"{"proxy":17,"mark":905,"took_ms":310.4}"#)
+    else {
         panic!("an answer to a mark")
     };
     assert_eq!((applied.proxy, applied.mark), (ProxyId(17), MarkId(905)));
     let held = said("held", r#"{"slice":88,"server":"s-1","weight":1.0}"#);
     assert_eq!(
         held,
-        Ok(News::Held { slice: SliceId(88), host: HostId::new("s-1").expect("a name"), weight: 1.0 })
+        Ok(RelayEvent::Held { slice: SliceId(88), host: HostId::new("s-1").expect("a name"), weight: 1.0 })
     );
     assert_eq!(said("held", r#"{"slice":88,"server":"s-1","weight":-1.0}"#), Err(Spoilt::Range));
     assert_eq!(said("given", r#"{"slice":70000,"on":true}"#), Err(Spoilt::Fields));
@@ -152,7 +153,7 @@
 
 #[test]
 fn only_the_answer_to_this_very_call_settles_it() {
-    let answer = |text: &str| news::answer(text.as_bytes(), 8, 2);
+    let answer = |text: &str| relay_events::answer(text.as_bytes(), 8, 2);
     assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(Answer::Taken(2)));
     assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(Answer::TurnedAway));
     assert_eq!(answer(r#"{"id":8,"error":{"message":"malformed"}}"#), Ok(Answer::Malformed));
@@ -233,12 +234,12 @@
         read => read.is_ok(),
     });
     let held = r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-1","weight":1.0}}"#;
-    feed(held, 3, |bytes| match news::read(bytes) {
-        Ok(News::Held { weight, .. }) => sane(weight),
+    feed(held, 3, |bytes| match relay_events::read(bytes) {
+        Ok(RelayEvent::Held { weight, .. }) => sane(weight),
         read => read.is_ok(),
     });
     let answer = r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#;
-    feed(answer, 4, |bytes| match news::answer(bytes, 8, 2) {
+    feed(answer, 4, |bytes| match relay_events::answer(bytes, 8, 2) {
         Ok(Answer::Taken(taken)) => taken <= 2,
         read => read.is_ok(),
     });
