--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -1,5 +1,5 @@
 //! Gathers what came in into rounds, runs the module on them, and keeps what it orders until the relay took it.
-//! What the relay says to stand replaces what the module believed of proxies, charges and lines.
+//! The snapshot that a subscription begins with replaces what the module believed of proxies, charges and lines.
 use crate::assignment::{Assignment, Names};
 use crate::discovery::Page;
 use crate::orders::{put, Call, CommandBatch, Order, PendingCommands, SAME_WEIGHT};
@@ -26,7 +26,7 @@
 
 /// What the relay tells to stand, while it tells it.
 #[derive(Default)]
-struct Standing {
+struct Snapshot {
     proxies: BTreeMap<ProxyId, bool>,
     charges: BTreeMap<SliceId, Vec<(HostId, f64)>>,
     told_at: Seconds,
@@ -61,12 +61,12 @@
     ran_at: Seconds,
     /// Something came since the last round.
     news: bool,
-    standing: Option<Standing>,
+    snapshot: Option<Snapshot>,
     /// The subscription whose news counts, and the newest that was asked for.
     source: SubscriptionId,
     asked: SubscriptionId,
-    /// Those asked for whose standing is not taken in, one a follower until its line ends, and lines that the relay took meanwhile, each with the newest
-    /// of them: what stands may have been told from before they were taken.
+    /// Subscriptions asked for whose snapshot is not taken in, one a follower until its line ends; and the orders that
+    /// the relay took meanwhile, each with the newest of them: the snapshot may have been told before they were taken.
     untold: BTreeSet<SubscriptionId>,
     taken: Vec<(SubscriptionId, Order)>,
     /// A call has no known end: only a subscription asked for after this one shows it, and no call leaves before.
@@ -101,7 +101,7 @@
             round: Round::default(),
             ran_at: 0.0,
             news: true,
-            standing: None,
+            snapshot: None,
             source: SubscriptionId::default(),
             asked: SubscriptionId::default(),
             untold: BTreeSet::new(),
@@ -191,7 +191,7 @@
 
     /// Its line is no more. What it was just telling to stand was not told whole and counts for nothing.
     pub fn hear_ended(&mut self, source: SubscriptionId) {
-        self.standing = self.standing.take().filter(|standing| standing.source != source);
+        self.snapshot = self.snapshot.take().filter(|snapshot| snapshot.source != source);
         self.untold.remove(&source);
         self.drop_taken();
     }
@@ -200,7 +200,7 @@
     pub fn hear_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
         if news == RelayEvent::Subscribed && source > self.source {
             self.source = source;
-            self.standing = Some(Standing { told_at: now, source, ..Standing::default() });
+            self.snapshot = Some(Snapshot { told_at: now, source, ..Snapshot::default() });
             if self.doubt.is_some_and(|doubt| source <= doubt) {
                 self.ask_anew = Some("it was asked for before a call ended that has no known end");
             }
@@ -208,19 +208,19 @@
         if news == RelayEvent::Subscribed || source != self.source {
             return;
         }
-        if let Some(standing) = &mut self.standing {
+        if let Some(snapshot) = &mut self.snapshot {
             if news == RelayEvent::Ping {
-                return self.take_standing();
+                return self.take_snapshot();
             }
-            standing.told_at = now;
+            snapshot.told_at = now;
             match news {
-                RelayEvent::Joined { proxy, first } => _ = standing.proxies.insert(proxy, first),
-                RelayEvent::Left(proxy) => _ = standing.proxies.remove(&proxy),
+                RelayEvent::Joined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
+                RelayEvent::Left(proxy) => _ = snapshot.proxies.remove(&proxy),
                 RelayEvent::Given { slice, on } => {
                     // Told before in what stands, it changed hands since.
-                    let changed = standing.charges.remove(&slice).is_some();
+                    let changed = snapshot.charges.remove(&slice).is_some();
                     if on {
-                        standing.charges.insert(slice, Vec::new());
+                        snapshot.charges.insert(slice, Vec::new());
                     }
                     if changed {
                         self.taken.retain(|(_, order)| !matches!(order, Order::Line(of, ..) if *of == slice));
@@ -228,7 +228,7 @@
                     }
                 }
                 RelayEvent::Held { slice, host, weight } => {
-                    standing.charges.entry(slice).or_default().push((host, weight));
+                    snapshot.charges.entry(slice).or_default().push((host, weight));
                 }
                 RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
                 RelayEvent::Subscribed | RelayEvent::Ping => {}
@@ -294,16 +294,16 @@
     }
 
     /// What the relay told to stand replaces what was believed.
-    fn take_standing(&mut self) {
+    fn take_snapshot(&mut self) {
         self.settle_call();
-        let Some(mut standing) = self.standing.take() else { return };
+        let Some(mut snapshot) = self.snapshot.take() else { return };
         for (asked, order) in &self.taken {
             let Order::Line(slice, host, weight) = order else { continue };
-            if let Some(lines) = standing.charges.get_mut(slice).filter(|_| standing.source <= *asked) {
+            if let Some(lines) = snapshot.charges.get_mut(slice).filter(|_| snapshot.source <= *asked) {
                 put(lines, *host, *weight, self.single_owner);
             }
         }
-        self.untold.retain(|source| *source > standing.source);
+        self.untold.retain(|source| *source > snapshot.source);
         self.drop_taken();
         self.informed = true;
         self.news = true;
@@ -311,13 +311,13 @@
         self.charges.clear();
         self.round.charges.clear();
         let absent: Vec<ProxyId> =
-            self.proxies.iter().copied().filter(|proxy| !standing.proxies.contains_key(proxy)).collect();
+            self.proxies.iter().copied().filter(|proxy| !snapshot.proxies.contains_key(proxy)).collect();
         absent.into_iter().for_each(|proxy| self.stream(proxy, false, false));
         // One that is believed joined may have left and come back unheard: it counts as joined anew.
-        standing.proxies.iter().for_each(|(proxy, first)| self.stream(*proxy, true, *first));
+        snapshot.proxies.iter().for_each(|(proxy, first)| self.stream(*proxy, true, *first));
         let mut believed: BTreeMap<SliceId, Vec<(HostId, f64)>> =
             self.steward.charges().map(|(slice, lines)| (slice, lines.to_vec())).collect();
-        for (slice, stored) in standing.charges {
+        for (slice, stored) in snapshot.charges {
             let lines = self.waiting.settled(slice, &stored);
             let belief = believed.remove(&slice);
             if !belief.is_some_and(|belief| same_lines(&belief, &lines)) {
@@ -330,19 +330,19 @@
 
     /// What stands shows how a call ended that has no known end, if it was asked for since.
     fn settle_call(&mut self) {
-        let Some(charges) = self.shows_call().map(|standing| standing.charges.clone()) else { return };
+        let Some(charges) = self.shows_call().map(|snapshot| snapshot.charges.clone()) else { return };
         self.waiting.settle(&charges);
         self.doubt = None;
     }
 
-    fn shows_call(&self) -> Option<&Standing> {
+    fn shows_call(&self) -> Option<&Snapshot> {
         let doubt = self.doubt.filter(|_| !self.calling)?;
-        self.standing.as_ref().filter(|standing| standing.source > doubt)
+        self.snapshot.as_ref().filter(|snapshot| snapshot.source > doubt)
     }
 
     /// Before all of it is told: a slice that is not told yet must not pass for one that is held no more.
-    fn shows_call_early(&self) -> Option<&Standing> {
-        self.shows_call().filter(|standing| self.waiting.is_out_about(&standing.charges))
+    fn shows_call_early(&self) -> Option<&Snapshot> {
+        self.shows_call().filter(|snapshot| self.waiting.is_out_about(&snapshot.charges))
     }
 
     fn drop_taken(&mut self) {
@@ -351,7 +351,7 @@
         }
     }
 
-    fn standing_quiet(&self) -> Seconds {
+    fn snapshot_quiet(&self) -> Seconds {
         if self.informed {
             LATER_QUIET
         } else {
@@ -361,23 +361,23 @@
 
     /// When [`PlatformController::act`] has something to do, if nothing comes in before.
     pub fn next_due(&self) -> Option<Seconds> {
-        let standing = self.standing.as_ref().map(|standing| standing.told_at + self.standing_quiet());
-        let settled = self.shows_call_early().map(|standing| standing.told_at + FIRST_QUIET);
+        let snapshot = self.snapshot.as_ref().map(|snapshot| snapshot.told_at + self.snapshot_quiet());
+        let settled = self.shows_call_early().map(|snapshot| snapshot.told_at + FIRST_QUIET);
         let charges = (!self.charges.is_empty()).then_some(self.charges_at + CHARGE_QUIET);
         let timer = self.timers.iter().map(|(at, _)| *at).min_by(f64::total_cmp);
         let news = self.news.then_some(self.ran_at + self.tick);
         let running = [charges, timer, news].into_iter().flatten().filter(|_| self.informed);
-        running.chain(standing).chain(settled).min_by(f64::total_cmp)
+        running.chain(snapshot).chain(settled).min_by(f64::total_cmp)
     }
 
     /// Runs a round if one is due.
     pub fn act(&mut self, now: Seconds) -> Effects {
         let mut effects = Effects::default();
-        let quiet = self.standing_quiet();
-        if self.standing.as_ref().is_some_and(|standing| now - standing.told_at >= quiet) {
-            self.take_standing();
+        let quiet = self.snapshot_quiet();
+        if self.snapshot.as_ref().is_some_and(|snapshot| now - snapshot.told_at >= quiet) {
+            self.take_snapshot();
         }
-        if self.shows_call_early().is_some_and(|standing| now - standing.told_at >= FIRST_QUIET) {
+        if self.shows_call_early().is_some_and(|snapshot| now - snapshot.told_at >= FIRST_QUIET) {
             self.settle_call();
         }
         if !self.charges.is_empty() && now - self.charges_at >= CHARGE_QUIET {
