--- /dev/null
+++ b/crates/railhub-cli/tests/common/line.rs
@@ -0,0 +1,153 @@
+//! A scripted visitor of a steward: what it asked, what it is owed, and what it got.
+use super::sockets::{self, steward_end};
+use super::{framed, Steward, PATIENCE};
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::time::{Duration, Instant};
+
+/// Within this span a connection must join or is closed.
+const JOIN_WITHIN: Duration = Duration::from_secs(1);
+const PONG: &str = r#"{"t":"pong"}"#;
+
+pub fn ping_frame() -> Vec<u8> {
+    framed(r#"{"t":"ping"}"#)
+}
+
+pub fn collector_frame(zone: &str) -> Vec<u8> {
+    framed(&format!(r#"{{"t":"collector","zone":"{zone}"}}"#))
+}
+
+/// Returns once the steward has accepted the connections and read the bytes that came before: its one worker takes
+/// events in their order, and this is a later one.
+pub fn wait_until_read(steward: &Steward) {
+    assert!(steward.try_ping(), "a ping is answered");
+}
+
+/// How a connection ended, with the bytes that came before.
+pub struct End {
+    pub answers: Vec<u8>,
+    pub is_reset: bool,
+    /// Since the connection was asked for.
+    pub after: Duration,
+}
+
+pub struct Line {
+    pub stream: TcpStream,
+    opened: Instant,
+    is_collector: bool,
+    /// Pings written whole, and those answered.
+    pings: usize,
+    pongs: usize,
+}
+
+impl Line {
+    /// A connection that the steward may not have accepted yet.
+    pub fn connect(steward: &Steward) -> Line {
+        let opened = Instant::now();
+        let stream = TcpStream::connect(steward.listen).expect("it listens");
+        stream.set_nodelay(true).expect("an option");
+        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream.set_write_timeout(Some(PATIENCE)).expect("a time");
+        Line { stream, opened, is_collector: false, pings: 0, pongs: 0 }
+    }
+
+    /// An accepted connection that has sent nothing.
+    pub fn visitor(steward: &Steward) -> Line {
+        let line = Line::connect(steward);
+        wait_until_read(steward);
+        line
+    }
+
+    /// An accepted connection that has joined as the collector of a zone.
+    pub fn collector(steward: &Steward, zone: &str) -> Line {
+        let mut line = Line::visitor(steward);
+        line.is_collector = true;
+        line.stream.write_all(&collector_frame(zone)).expect("it reads");
+        wait_until_read(steward);
+        line
+    }
+
+    /// Writes a piece of a message; a connection that was closed meanwhile shows when it is read.
+    pub fn write(&mut self, bytes: &[u8]) -> bool {
+        self.stream.write_all(bytes).is_ok()
+    }
+
+    pub fn write_pings(&mut self, count: usize) -> bool {
+        self.pings += count;
+        self.write(&ping_frame().repeat(count))
+    }
+
+    /// Completes a ping of which a part was written.
+    pub fn finish_ping(&mut self, rest: &[u8]) -> bool {
+        self.pings += 1;
+        self.write(rest)
+    }
+
+    /// Writes pings without reading until answers stand in the steward's send buffer, or the connection is closed.
+    pub fn block_answers(&mut self) {
+        const PINGS_AT_ONCE: usize = 2048;
+        const MOST_PINGS: usize = 32 * PINGS_AT_ONCE;
+        const BLOCKED: usize = 8192;
+        const SETTLED: Duration = Duration::from_millis(50);
+        sockets::keep_receive_buffer(&self.stream);
+        while self.pings < MOST_PINGS && self.write_pings(PINGS_AT_ONCE) {
+            let written = Instant::now();
+            while written.elapsed() < SETTLED {
+                if steward_end(&self.stream).is_none_or(|end| end.unsent >= BLOCKED && end.unread == 0) {
+                    return;
+                }
+            }
+        }
+        assert!(steward_end(&self.stream).is_none(), "the answers never stood in the steward's send buffer");
+    }
+
+    /// Reads the answers to all pings that were written.
+    pub fn is_answered(&mut self) -> bool {
+        let owed = framed(PONG).repeat(self.pings - self.pongs);
+        let mut answers = vec![0; owed.len()];
+        let is_whole = self.stream.read_exact(&mut answers).is_ok() && answers == owed;
+        self.pongs = self.pings;
+        is_whole
+    }
+
+    pub fn ping(&mut self) -> bool {
+        self.write_pings(1) && self.is_answered()
+    }
+
+    pub fn shutdown_write(&self) {
+        // It fails if the connection is closed already.
+        let _ = self.stream.shutdown(Shutdown::Write);
+    }
+
+    /// Reads until the connection ends; silence is a failure.
+    pub fn end(mut self) -> End {
+        let mut answers = Vec::new();
+        let result = self.stream.read_to_end(&mut answers);
+        let fault = result.err().map(|fault| fault.kind());
+        let is_silent = matches!(fault, Some(ErrorKind::WouldBlock | ErrorKind::TimedOut));
+        assert!(!is_silent, "neither an answer nor a close");
+        let owed = framed(PONG).repeat(self.pings - self.pongs);
+        assert!(owed.starts_with(&answers), "{} bytes that nobody asked for", answers.len());
+        End { answers, is_reset: fault == Some(ErrorKind::ConnectionReset), after: self.opened.elapsed() }
+    }
+
+    /// Reads until the connection ends: every answer came, unless the time to join had run out.
+    pub fn end_answered(self) {
+        let owed = framed(PONG).len() * (self.pings - self.pongs);
+        let may_be_closed = !self.is_collector;
+        let end = self.end();
+        let is_answered = end.answers.len() == owed && !end.is_reset;
+        let is_expired = may_be_closed && end.after >= JOIN_WITHIN;
+        assert!(is_answered || is_expired, "{} of {owed} bytes after {:?}", end.answers.len(), end.after);
+    }
+
+    /// A ping is answered, or the time to join has run out and the connection is closed.
+    pub fn goes_on(mut self) {
+        if self.is_collector {
+            assert!(self.is_answered() && self.ping(), "a collector's connection stays");
+        } else {
+            self.shutdown_write();
+            self.end_answered();
+        }
+    }
+}
--- a/crates/railhub-cli/tests/common/mod.rs
+++ b/crates/railhub-cli/tests/common/mod.rs
@@ -1,4 +1,9 @@
 //! A steward of the platform as a process, and what the tests between it and its stand-ins share.
+// Each test binary uses a part of these.
+#![allow(dead_code)]
+pub mod line;
+pub mod sockets;
+
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
--- /dev/null
+++ b/crates/railhub-cli/tests/common/sockets.rs
@@ -0,0 +1,100 @@
+//! What the kernel tells of connections to a steward, and what the standard library lacks for closing them.
+use super::Steward;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::fd::AsRawFd;
+
+/// States of a connection in `/proc/net/tcp` while its process may have it open.
+const ESTABLISHED: &str = "01";
+const CLOSE_WAIT: &str = "08";
+
+/// The steward's end of a connection.
+pub struct StewardEnd {
+    /// Zero until the steward has accepted the connection.
+    pub inode: u64,
+    /// Bytes that the steward has received and not read.
+    pub unread: usize,
+    /// Bytes that the steward has written and its peer's kernel has not acknowledged.
+    pub unsent: usize,
+}
+
+/// `None` if the connection is closed at the steward's end.
+pub fn steward_end(stream: &TcpStream) -> Option<StewardEnd> {
+    let (steward, peer) = (kernel_form(stream.peer_addr().ok()?), kernel_form(stream.local_addr().ok()?));
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table of connections");
+    table.lines().skip(1).find_map(|line| {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let is_open = [ESTABLISHED, CLOSE_WAIT].contains(&fields[3]);
+        if fields[1] != steward || fields[2] != peer || !is_open {
+            return None;
+        }
+        let (unsent, unread) = fields[4].split_once(':')?;
+        let bytes = |hexadecimal| usize::from_str_radix(hexadecimal, 16).ok();
+        Some(StewardEnd { inode: fields[9].parse().ok()?, unread: bytes(unread)?, unsent: bytes(unsent)? })
+    })
+}
+
+fn kernel_form(address: SocketAddr) -> String {
+    let SocketAddr::V4(address) = address else { panic!("tests use IPv4") };
+    format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
+}
+
+/// Closes the connection with a reset.
+pub fn reset(stream: TcpStream) {
+    set_option(&stream, libc::SO_LINGER, libc::linger { l_onoff: 1, l_linger: 0 });
+}
+
+/// Keeps the buffer for bytes that came and were not read at the size it has by default, which would grow else.
+pub fn keep_receive_buffer(stream: &TcpStream) {
+    // The kernel doubles it.
+    const HALF_OF_DEFAULT: libc::c_int = 65_536;
+    set_option(stream, libc::SO_RCVBUF, HALF_OF_DEFAULT);
+}
+
+fn set_option<T>(stream: &TcpStream, option: libc::c_int, value: T) {
+    let size = std::mem::size_of::<T>() as libc::socklen_t;
+    let value = std::ptr::from_ref(&value).cast();
+    // SAFETY: the descriptor is open, and the value is of the size told.
+    let result = unsafe { libc::setsockopt(stream.as_raw_fd(), libc::SOL_SOCKET, option, value, size) };
+    assert_eq!(result, 0);
+}
+
+/// Numbers of the descriptors that the process has open, each with what it refers to.
+pub fn descriptors(steward: &Steward) -> Vec<(u64, String)> {
+    let directory = std::fs::read_dir(format!("/proc/{}/fd", steward.child.id())).expect("a process");
+    let described = directory.flatten().filter_map(|entry| {
+        let number = entry.file_name().to_str()?.parse().ok()?;
+        // One that was closed meanwhile has no target any more.
+        let target = std::fs::read_link(entry.path()).ok()?;
+        Some((number, target.display().to_string()))
+    });
+    described.collect()
+}
+
+/// Whether the process has the socket open.
+pub fn holds_socket(steward: &Steward, inode: u64) -> bool {
+    let target = format!("socket:[{inode}]");
+    descriptors(steward).iter().any(|(_, held)| *held == target)
+}
+
+/// A relay and a discovery that accept connections and say nothing.
+pub struct SilentPeers {
+    pub relay: TcpListener,
+    pub discovery: TcpListener,
+}
+
+impl SilentPeers {
+    pub fn open() -> SilentPeers {
+        let listener = || TcpListener::bind("127.0.0.1:0").expect("a port");
+        SilentPeers { relay: listener(), discovery: listener() }
+    }
+
+    pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
+        let address = |listener: &TcpListener| listener.local_addr().expect("bound");
+        (address(&self.relay), address(&self.discovery))
+    }
+
+    pub fn steward(&self, name: &str) -> Steward {
+        let (relay, discovery) = self.addresses();
+        Steward::start(name, relay, discovery)
+    }
+}
