--- a/crates/railhub-cli/tests/common/line.rs
+++ b/crates/railhub-cli/tests/common/line.rs
@@ -1,12 +1,13 @@
 //! A scripted visitor of a steward: what it asked, what it is owed, and what it got.
 use super::sockets::{self, steward_end};
-use super::{framed, Steward, PATIENCE};
+use super::{eventually, framed, Steward, PATIENCE};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
 /// Within this span a connection must join or is closed.
 const JOIN_WITHIN: Duration = Duration::from_secs(1);
+const LOOK_INTERVAL: Duration = Duration::from_millis(1);
 const PONG: &str = r#"{"t":"pong"}"#;
 
 pub fn ping_frame() -> Vec<u8> {
@@ -38,6 +39,8 @@
     /// Pings written whole, and those answered.
     pings: usize,
     pongs: usize,
+    /// A write has found the connection reset, which the kernel tells once.
+    is_reset: bool,
 }
 
 impl Line {
@@ -48,7 +51,7 @@
         stream.set_nodelay(true).expect("an option");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time");
         stream.set_write_timeout(Some(PATIENCE)).expect("a time");
-        Line { stream, opened, is_collector: false, pings: 0, pongs: 0 }
+        Line { stream, opened, is_collector: false, pings: 0, pongs: 0, is_reset: false }
     }
 
     /// An accepted connection that has sent nothing.
@@ -69,7 +72,9 @@
 
     /// Writes a piece of a message; a connection that was closed meanwhile shows when it is read.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
-        self.stream.write_all(bytes).is_ok()
+        let fault = self.stream.write_all(bytes).err().map(|fault| fault.kind());
+        self.is_reset |= fault == Some(ErrorKind::ConnectionReset);
+        fault.is_none()
     }
 
     pub fn write_pings(&mut self, count: usize) -> bool {
@@ -85,20 +90,26 @@
 
     /// Writes pings without reading until answers stand in the steward's send buffer, or the connection is closed.
     pub fn block_answers(&mut self) {
-        const PINGS_AT_ONCE: usize = 2048;
-        const MOST_PINGS: usize = 32 * PINGS_AT_ONCE;
+        const PINGS_AT_ONCE: usize = 1024;
         const BLOCKED: usize = 8192;
-        const SETTLED: Duration = Duration::from_millis(50);
+        const LOOKS: usize = 30;
+        let owed_to = |pings: usize| framed(PONG).len() * pings;
         sockets::keep_receive_buffer(&self.stream);
-        while self.pings < MOST_PINGS && self.write_pings(PINGS_AT_ONCE) {
-            let written = Instant::now();
-            while written.elapsed() < SETTLED {
-                if steward_end(&self.stream).is_none_or(|end| end.unsent >= BLOCKED && end.unread == 0) {
-                    return;
-                }
+        while self.write_pings(PINGS_AT_ONCE) {
+            let missing = || owed_to(self.pings) - sockets::received(&self.stream);
+            let come = || (0..LOOKS).any(|_| (missing() < BLOCKED, std::thread::sleep(LOOK_INTERVAL)).0);
+            let mut is_blocked = false;
+            eventually("answers come or are blocked", || {
+                let is_coming = come();
+                // The kernel's table is long on a busy machine, so it is read last.
+                is_blocked = !is_coming
+                    && steward_end(&self.stream).is_none_or(|end| end.unsent >= BLOCKED && end.unread == 0);
+                is_coming || is_blocked
+            });
+            if is_blocked {
+                return;
             }
         }
-        assert!(steward_end(&self.stream).is_none(), "the answers never stood in the steward's send buffer");
     }
 
     /// Reads the answers to all pings that were written.
@@ -128,7 +139,8 @@
         assert!(!is_silent, "neither an answer nor a close");
         let owed = framed(PONG).repeat(self.pings - self.pongs);
         assert!(owed.starts_with(&answers), "{} bytes that nobody asked for", answers.len());
-        End { answers, is_reset: fault == Some(ErrorKind::ConnectionReset), after: self.opened.elapsed() }
+        let is_reset = self.is_reset || fault == Some(ErrorKind::ConnectionReset);
+        End { answers, is_reset, after: self.opened.elapsed() }
     }
 
     /// Reads until the connection ends: every answer came, unless the time to join had run out.
--- a/crates/railhub-cli/tests/common/mod.rs
+++ b/crates/railhub-cli/tests/common/mod.rs
@@ -55,14 +55,23 @@
         Steward { child, file, listen, log }
     }
 
-    /// By the file that this makes for its address; up.
+    /// By the file that this makes for its address; up. Another process may take the port before the steward does:
+    /// then it is another port's turn.
     pub fn start_by(name: &str, text: impl Fn(SocketAddr) -> String) -> Steward {
-        let listen = free_port();
+        const TRIES: usize = 5;
         let file = std::env::temp_dir().join(format!("railhub-{name}-{}.json", std::process::id()));
-        std::fs::write(&file, text(listen)).expect("writable");
-        let steward = Steward::of_file(file, listen);
-        eventually("it answers", || steward.try_ping());
-        steward
+        let start = |_| {
+            let listen = free_port();
+            std::fs::write(&file, text(listen)).expect("writable");
+            let mut steward = Steward::of_file(file.clone(), listen);
+            eventually("it answers", || steward.ended().is_some() || steward.try_ping());
+            if steward.ended().is_none() {
+                return Some(steward);
+            }
+            eventually("its port is taken", || steward.says("Address already in use"));
+            None
+        };
+        (0..TRIES).find_map(start).expect("a port that stays free")
     }
 
     pub fn start(name: &str, relay: SocketAddr, discovery: SocketAddr) -> Steward {
--- a/crates/railhub-cli/tests/common/sockets.rs
+++ b/crates/railhub-cli/tests/common/sockets.rs
@@ -38,6 +38,14 @@
     format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
 }
 
+/// Bytes that have come at this end and were not read.
+pub fn received(stream: &TcpStream) -> usize {
+    let mut bytes: libc::c_int = 0;
+    // SAFETY: the descriptor is open, and the request writes one integer.
+    assert_eq!(unsafe { libc::ioctl(stream.as_raw_fd(), libc::FIONREAD, &mut bytes) }, 0);
+    usize::try_from(bytes).expect("a count")
+}
+
 /// Closes the connection with a reset.
 pub fn reset(stream: TcpStream) {
     set_option(&stream, libc::SO_LINGER, libc::linger { l_onoff: 1, l_linger: 0 });
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -10,8 +10,10 @@
 use railhub_proto::Deframer;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
+use std::os::fd::AsRawFd;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 
 /// Seconds within which a connection must join.
 const JOIN_WITHIN: Seconds = 1.0;
@@ -25,6 +27,13 @@
 /// Connections of one zone's collector that may stand; older ones are given up, as cut off unheard.
 const COLLECTORS_A_ZONE: usize = 4;
 const READ_AT_ONCE: usize = 2048;
+/// Bytes that are read from one connection between two pauses.
+const BYTES_BEFORE_JOINING: usize = 4 << 10;
+const BYTES_AFTER_JOINING: usize = 64 << 10;
+const READ_PAUSE: Duration = Duration::from_millis(1);
+/// Bytes of room for answers that a peer has not read: the kernel doubles it for its own bookkeeping. What the peer's
+/// own kernel has taken does not count.
+const SEND_BUFFER: libc::c_int = 32 << 10;
 /// Bytes of a refused message that the log shows.
 const SHOWN: usize = 160;
 
@@ -101,10 +110,30 @@
     }
 }
 
+/// Gives way to other connections. Reading does not wait while bytes are there, and a coroutine that only yields keeps
+/// the one worker from looking for events: a peer that never stops sending would hold up everything.
+struct Pacer {
+    limit: usize,
+    /// Read since the last pause.
+    bytes: usize,
+}
+
+impl Pacer {
+    fn pause_after(&mut self, count: usize) {
+        self.bytes += count;
+        if self.bytes >= self.limit {
+            self.bytes = 0;
+            may::coroutine::sleep(READ_PAUSE);
+        }
+    }
+}
+
 /// The visit is the last parameter, so that its guard ends before the socket does.
 fn serve(shared: &Shared, mut stream: TcpStream, mut visit: Visit) {
     let _held = Holds::one(&shared.held.visitors);
+    limit_send_buffer(&stream);
     let mut deframer = Deframer::new(collector::FIRST_LIMIT);
+    let mut pacer = Pacer { limit: BYTES_BEFORE_JOINING, bytes: 0 };
     let mut joined: Option<(ZoneId, Holds)> = None;
     loop {
         let mut shown = String::new();
@@ -116,7 +145,7 @@
             read
         });
         let refused = match frame {
-            Ok(None) if read(&mut stream, &mut deframer) => {
+            Ok(None) if read(&mut stream, &mut deframer, &mut pacer) => {
                 if joined.is_some() {
                     visit.guard.heard();
                 }
@@ -132,6 +161,7 @@
             Ok(Some(Ok(Frame::Collector(zone)))) if joined.is_none() => {
                 visit.join(zone, &stream);
                 deframer.set_limit(collector::MESSAGE_LIMIT);
+                pacer.limit = BYTES_AFTER_JOINING;
                 joined = Some((zone, Holds::one(&shared.held.collectors)));
                 continue;
             }
@@ -158,17 +188,32 @@
     }
 }
 
+/// Bounds the answers that are kept for a peer that does not read.
+fn limit_send_buffer(stream: &TcpStream) {
+    // SAFETY: the descriptor is open while the stream lives, and the option is of the size told.
+    unsafe {
+        libc::setsockopt(
+            stream.inner().as_raw_fd(),
+            libc::SOL_SOCKET,
+            libc::SO_SNDBUF,
+            std::ptr::from_ref(&SEND_BUFFER).cast(),
+            std::mem::size_of_val(&SEND_BUFFER) as libc::socklen_t,
+        );
+    }
+}
+
 /// Says a word without waiting: a peer that does not read what little is written must not hold a coroutine.
 fn say(stream: &TcpStream, word: &[u8]) -> bool {
     stream.inner().write(word).is_ok_and(|written| written == word.len())
 }
 
 /// Whether the peer goes on.
-fn read(stream: &mut TcpStream, deframer: &mut Deframer) -> bool {
+fn read(stream: &mut TcpStream, deframer: &mut Deframer, pacer: &mut Pacer) -> bool {
     let mut bytes = [0; READ_AT_ONCE];
     match stream.read(&mut bytes) {
         Ok(count) if count > 0 => {
             deframer.push(&bytes[..count]);
+            pacer.pause_after(count);
             true
         }
         _ => false,
