--- a/crates/railhub-cli/tests/common/scripted.rs
+++ b/crates/railhub-cli/tests/common/scripted.rs
@@ -1,4 +1,5 @@
 //! Peers of the steward that do what a test says: a relay and a discovery on loopback, and their messages.
+#![allow(dead_code)]
 use super::common::{eventually, file_text, ping, Steward, PATIENCE};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
--- a/crates/railhub-cli/tests/discovery_faults.rs
+++ b/crates/railhub-cli/tests/discovery_faults.rs
@@ -1,8 +1,6 @@
 //! A discovery that breaks off or falls silent anywhere in its answer, floods the steward with lists, or is replaced by
 //! another one. What counts in the end is seen in the orders at a scripted relay.
-#[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
-#[allow(dead_code, reason = "each test file uses a part of it")]
 #[path = "common/scripted.rs"]
 mod scripted;
 
--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -1,8 +1,6 @@
 //! How soon a steward's process is ready, from its start to its first useful answer (a pong) and to its first call at the
 //! relay. Measured at the sockets of scripted peers. `--nocapture` shows the figures.
-#[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
-#[allow(dead_code, reason = "each test file uses a part of it")]
 #[path = "common/scripted.rs"]
 mod scripted;
 
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -1,4 +1,5 @@
 //! The steward's own address: collectors that report, signs of life, and strangers, who cost little and go soon.
+use crate::fairness::{ReadTurn, KNOWN_PEER_SPAN, STRANGER_SPAN};
 use crate::probes;
 use crate::shared::{cause, Holds, Shared, Sum};
 use crate::RunFault;
@@ -8,6 +9,7 @@
 use railhub_platform::collector::{self, Frame};
 use railhub_platform::{Assignment, Spoilt};
 use railhub_proto::Deframer;
+use socket2::SockRef;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,6 +27,9 @@
 /// Connections of one zone's collector that may stand; older ones are given up, as cut off unheard.
 const COLLECTORS_A_ZONE: usize = 4;
 const READ_AT_ONCE: usize = 2048;
+/// Bytes of room for answers that a peer has not read: the kernel doubles it for its own bookkeeping. What the peer's
+/// own kernel has taken does not count.
+const SEND_BUFFER: usize = 32 << 10;
 /// Bytes of a refused message that the log shows.
 const SHOWN: usize = 160;
 
@@ -104,7 +109,10 @@
 /// The visit is the last parameter, so that its guard ends before the socket does.
 fn serve(shared: &Shared, mut stream: TcpStream, mut visit: Visit) {
     let _held = Holds::one(&shared.held.visitors);
+    // Where the system refuses, a write that does not fit ends the visit all the same, only later.
+    let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER);
     let mut deframer = Deframer::new(collector::FIRST_LIMIT);
+    let mut turn = ReadTurn::start(STRANGER_SPAN);
     let mut joined: Option<(ZoneId, Holds)> = None;
     loop {
         let mut shown = String::new();
@@ -116,7 +124,7 @@
             read
         });
         let refused = match frame {
-            Ok(None) if read(&mut stream, &mut deframer) => {
+            Ok(None) if read(&mut stream, &mut deframer, &mut turn) => {
                 if joined.is_some() {
                     visit.guard.heard();
                 }
@@ -132,6 +140,7 @@
             Ok(Some(Ok(Frame::Collector(zone)))) if joined.is_none() => {
                 visit.join(zone, &stream);
                 deframer.set_limit(collector::MESSAGE_LIMIT);
+                turn = ReadTurn::start(KNOWN_PEER_SPAN);
                 joined = Some((zone, Holds::one(&shared.held.collectors)));
                 continue;
             }
@@ -164,11 +173,12 @@
 }
 
 /// Whether the peer goes on.
-fn read(stream: &mut TcpStream, deframer: &mut Deframer) -> bool {
+fn read(stream: &mut TcpStream, deframer: &mut Deframer, turn: &mut ReadTurn) -> bool {
     let mut bytes = [0; READ_AT_ONCE];
     match stream.read(&mut bytes) {
         Ok(count) if count > 0 => {
             deframer.push(&bytes[..count]);
+            turn.pause_if_long();
             true
         }
         _ => false,
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -1,5 +1,5 @@
 //! The relay: news on one connection, calls on another, one at a time and in order.
-use crate::fairness::ReadTurn;
+use crate::fairness::{ReadTurn, KNOWN_PEER_SPAN};
 use crate::patience::Patience;
 use crate::shared::{Addresses, Holds, Shared, Word};
 use may::net::TcpStream;
@@ -109,7 +109,7 @@
     }
     let mut lines = Lines::new(relay_events::LINE_LIMIT);
     let mut stands = None;
-    let mut turn = ReadTurn::start();
+    let mut turn = ReadTurn::start(KNOWN_PEER_SPAN);
     loop {
         match next_line(&mut stream, &guard, &mut lines, relay_events::read) {
             Ok(Ok(news)) => {
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -1,5 +1,5 @@
 //! Discovery's watch: resumed from the last generation, given up when it is silent. What was told holds meanwhile.
-use crate::fairness::ReadTurn;
+use crate::fairness::{ReadTurn, KNOWN_PEER_SPAN};
 use crate::patience::Patience;
 use crate::shared::{Addresses, Holds, Shared, Word};
 use railhub::Seconds;
@@ -52,7 +52,7 @@
     }
     tracing::info!(discovery = %addresses.discovery, after = generation, "watching the list");
     let mut stands = None;
-    let mut turn = ReadTurn::start();
+    let mut turn = ReadTurn::start(KNOWN_PEER_SPAN);
     loop {
         let read = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, &shared.names));
         let line = match feed.line(read) {
