--- a/crates/railhub-cli/tests/common/sockets.rs
+++ b/crates/railhub-cli/tests/common/sockets.rs
@@ -1,5 +1,6 @@
 //! What the kernel tells of connections to a steward, and what the standard library lacks for closing them.
-use super::Steward;
+use super::{eventually, Steward, PATIENCE};
+use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
 
@@ -105,4 +106,20 @@
         let (relay, discovery) = self.addresses();
         Steward::start(name, relay, discovery)
     }
+
+    /// What the next connection to the relay says first.
+    pub fn first_line_to_relay(&self) -> String {
+        self.relay.set_nonblocking(true).expect("an option");
+        let mut caller = None;
+        eventually("the relay is dialled", || {
+            caller = self.relay.accept().ok();
+            caller.is_some()
+        });
+        let (stream, _) = caller.expect("it came");
+        stream.set_nonblocking(false).expect("an option");
+        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        let mut line = String::new();
+        BufReader::new(stream).read_line(&mut line).expect("a line in time");
+        line
+    }
 }
--- a/crates/railhub-cli/tests/signals.rs
+++ b/crates/railhub-cli/tests/signals.rs
@@ -5,7 +5,7 @@
 use common::line::{collector_frame, ping_frame, wait_until_read, Line};
 use common::sockets::{self, holds_socket, steward_end, SilentPeers};
 use common::{eventually, file_text, framed, Steward};
-use std::io::{BufRead, BufReader, Read};
+use std::io::Read;
 use std::os::unix::process::ExitStatusExt;
 use std::time::{Duration, Instant};
 
@@ -155,10 +155,7 @@
         let text = file_text(crossing.steward.listen, relay, discovery);
         std::fs::write(&crossing.steward.file, text).expect("writable");
         crossing.signal(libc::SIGHUP);
-        let mut asked = String::new();
-        let (subscriber, _) = next.relay.accept().expect("the new relay is dialled");
-        BufReader::new(subscriber).read_line(&mut asked).expect("a line");
-        assert!(asked.contains("\"subscribe\""), "{asked}");
+        assert!(next.first_line_to_relay().contains("\"subscribe\""), "{stage:?}");
         for mut line in crossing.lines {
             stage.complete(&mut line);
             line.goes_on();
