--- a/crates/railhub-cli/tests/shares.rs
+++ b/crates/railhub-cli/tests/shares.rs
@@ -20,7 +20,8 @@
 }
 
 fn told(out: &Output) -> Value {
-    serde_json::from_slice(&out.stdout).unwrap_or_else(|_| panic!("{}", String::from_utf8_lossy(&out.stderr)))
+    let report = serde_json::from_slice(&out.stdout);
+    report.unwrap_or_else(|fault| panic!("{fault}; {}: {}", out.status, String::from_utf8_lossy(&out.stderr)))
 }
 
 /// Ten verdicts, each on something that was looked at, all kept.
