--- a/src/brain.rs
+++ b/src/brain.rs
@@ -94,8 +94,8 @@
 /// Seconds after which a delta that nobody confirmed does not count as waiting: confirmations get lost, and a
 /// full backlog takes some two seconds, on a channel at an eighth of its pace under this.
 const MARK_LOST: Seconds = 20.0;
-/// Seconds without an acknowledgement of the oldest update after which it has left the channel: longer than the
-/// gap between two proxies where most were lost, half of a full backlog on a channel at an eighth of its pace.
+/// Seconds without an acknowledgement of the oldest update after which it has left the channel: longer than
+/// the gap between two proxies where most were lost, half of a full backlog at an eighth of the pace.
 const STALLED: Seconds = 8.0;
 /// Share of the backlog limit that deltas may fill, and ordinary ones: what is urgent must not wait long.
 const BACKLOG_USE: f64 = 0.9;
