--- a/crates/railhub-adapter/src/conf.rs
+++ b/crates/railhub-adapter/src/conf.rs
@@ -1,6 +1,6 @@
 //! Decodes the settings of a `CREATE` that the module reads.
 use crate::fields::Line;
-use railhub::{ClassTerms, Repeat, Terms};
+use railhub::{ClassConfig, ControllerConfig, Idempotency};
 
 pub struct Names {
     pub classes: Vec<String>,
@@ -10,7 +10,7 @@
     pub busy_at: Option<usize>,
 }
 
-pub fn decode(line: &Line) -> Result<(Terms, Names), String> {
+pub fn decode(line: &Line) -> Result<(ControllerConfig, Names), String> {
     let list = |field: &str| -> Result<Vec<String>, String> {
         let text = line.text(field)?;
         Ok(text.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect())
@@ -22,23 +22,23 @@
     for k in 0..line.get::<usize>("request_classes.count")?.min(255) {
         let field = |tail: &str| format!("request_classes.{k}.{tail}");
         names.classes.push(line.text(&field("name"))?.to_owned());
-        classes.push(ClassTerms {
+        classes.push(ClassConfig {
             contract_time: line.seconds(&field("aim_us"))?,
             gain: line.amount(&field("worth"))?,
             repeat: match line.text(&field("effect"))? {
-                "repeatable" => Repeat::Safe,
+                "repeatable" => Idempotency::Safe,
                 "by_key" if line.text(&field("group"))? == "all" => {
-                    Repeat::KeyedEverywhere(line.seconds(&field("key_ttl_us"))?)
+                    Idempotency::IdempotencyKeyGlobal(line.seconds(&field("key_ttl_us"))?)
                 }
-                "by_key" => Repeat::KeyedNearby,
-                "once" => Repeat::Never,
+                "by_key" => Idempotency::IdempotencyKeyLocal,
+                "once" => Idempotency::Never,
                 other => return Err(line.wrong(&field("effect"), format!("cannot be '{other}'"))),
             },
         });
     }
     let single_owner = line.flag("family_info.exclusive")?;
     let write_time = |name: &str| if single_owner { line.seconds(name) } else { Ok(0.0) };
-    let terms = Terms {
+    let terms = ControllerConfig {
         classes,
         slices: line.get("family_info.key_ranges")?,
         single_owner,
--- a/crates/railhub-adapter/src/host.rs
+++ b/crates/railhub-adapter/src/host.rs
@@ -7,9 +7,9 @@
 use std::fmt::Write;
 
 struct Instance {
-    steward: Steward,
+    steward: Controller,
     names: Names,
-    round: Round,
+    round: EventBatch,
     has_news: bool,
 }
 
@@ -38,8 +38,8 @@
             "AT" => self.speaking = Some(line.get("i")?),
             "CREATE" => {
                 let (terms, names) = conf::decode(&line)?;
-                let steward = Steward::new(terms);
-                let instance = Instance { steward, names, round: Round::default(), has_news: true };
+                let steward = Controller::new(terms);
+                let instance = Instance { steward, names, round: EventBatch::default(), has_news: true };
                 self.instances.insert(self.at(&line)?, instance);
             }
             "DETACH" => {
@@ -73,7 +73,7 @@
                 let how = line.text("how")?;
                 if how != "lost" {
                     let whole = matches!(how, "total" | "warm_copy");
-                    round.lists.push(HostList { whole, entries: Vec::new() });
+                    round.lists.push(EndpointList { whole, entries: Vec::new() });
                 }
             }
             "ITEM" => {
@@ -84,15 +84,15 @@
             }
             "BELL" => round.timers.push(TimerId(line.get("ref")?)),
             "HEALTH" => {
-                round.probes.push(ProbeResult { host: line.host()?, end: probe_end(line)? });
+                round.probes.push(HealthCheckResult { host: line.host()?, end: probe_end(line)? });
             }
             "CONFIRMED" => round
                 .confirmed
-                .push(Confirmed { proxy: ProxyId(line.get("edge")?), mark: MarkId(line.get("rev")?) }),
+                .push(BarrierAck { proxy: ProxyId(line.get("edge")?), mark: BarrierId(line.get("rev")?) }),
             "SUBSCRIBED" | "STREAM_DOWN" => {
                 let up = line.name == "SUBSCRIBED";
                 let first = up && line.flag("on")?;
-                round.streams.push(StreamChange { proxy: ProxyId(line.get("edge")?), up, first });
+                round.streams.push(ProxyStreamEvent { proxy: ProxyId(line.get("edge")?), up, first });
             }
             "HEARD" => {
                 let sum = heard(line, names)?;
@@ -101,7 +101,7 @@
             "HOTNESS" => {
                 let name = line.text("cls")?;
                 if let Some(class) = names.classes.iter().position(|known| known == name) {
-                    round.demand.push(DemandSum {
+                    round.demand.push(SliceLoadReport {
                         slice: SliceId(line.get("sheet")?),
                         class: ClassId(class as u8),
                         operations: line.amount("total")?,
@@ -109,7 +109,7 @@
                     });
                 }
             }
-            "TENURE" => round.charges.push(Charge {
+            "TENURE" => round.charges.push(SliceAssignment {
                 slice: SliceId(line.get("sheet")?),
                 given: line.flag("on")?,
                 lines: Vec::new(),
@@ -147,9 +147,9 @@
     }
 }
 
-fn listed(line: &Line, names: &mut Names) -> Result<Listed, String> {
+fn listed(line: &Line, names: &mut Names) -> Result<EndpointEntry, String> {
     let started = line.maybe("last_start_us").map_or(Ok(0.0), |_| line.seconds("last_start_us"))?;
-    Ok(Listed {
+    Ok(EndpointEntry {
         host: line.host()?,
         kind: KindId(place(&mut names.kinds, line.maybe("flavor").unwrap_or_default())),
         phase: match line.text("phase")? {
@@ -172,22 +172,22 @@
     found as u16
 }
 
-fn probe_end(line: &Line) -> Result<ProbeEnd, String> {
+fn probe_end(line: &Line) -> Result<HealthCheckOutcome, String> {
     Ok(match line.get::<u32>("code")? {
-        100 => ProbeEnd::Answered,
-        302 => ProbeEnd::TurnedAway,
-        304 | 305 => ProbeEnd::Unreachable,
-        _ => ProbeEnd::Failed,
+        100 => HealthCheckOutcome::Answered,
+        302 => HealthCheckOutcome::Rejected,
+        304 | 305 => HealthCheckOutcome::Unreachable,
+        _ => HealthCheckOutcome::Failed,
     })
 }
 
-fn heard(line: &Line, names: &mut Names) -> Result<TrySum, String> {
+fn heard(line: &Line, names: &mut Names) -> Result<HostLoadReport, String> {
     let report = line.maybe("server_stats").unwrap_or_default();
     let values: Vec<f64> = (report.split(',').filter(|value| !value.is_empty()))
         .map(|value| value.parse().ok().filter(|v: &f64| v.is_finite()))
         .collect::<Option<_>>()
         .ok_or_else(|| line.wrong("server_stats", format!("cannot be '{report}'")))?;
-    Ok(TrySum {
+    Ok(HostLoadReport {
         zone: ZoneId(place(&mut names.zones, line.text("zone")?)),
         host: line.host()?,
         tries: line.amount("total")?,
@@ -203,18 +203,18 @@
     out: String,
 }
 
-impl Orders for Writer {
+impl CommandSink for Writer {
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
         let _ = writeln!(self.out, "SET_LINE sheet={} host={} w={weight}", slice.0, host);
     }
     fn hand_table(&mut self, table: SliceId, proxy: ProxyId) {
         let _ = writeln!(self.out, "HAND_TABLE sheet={} only=0 edge={}", table.0, proxy.0);
     }
-    fn set_level(&mut self, class: ClassId, share: f64, second_try: SecondTry) {
+    fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy) {
         let how = match second_try {
-            SecondTry::Never => 0,
-            SecondTry::IfNeverRan => 1,
-            SecondTry::AfterFailure => 2,
+            RetryPolicy::Never => 0,
+            RetryPolicy::IfNotExecuted => 1,
+            RetryPolicy::AfterFailure => 2,
         };
         let only = 1u64 << class.0;
         let _ = writeln!(self.out, "THROTTLE sheet=65535 only={only} amount={share} second_try={how}");
@@ -222,7 +222,7 @@
     fn shut_out(&mut self, host: HostId, out: bool) {
         let _ = writeln!(self.out, "BENCH host={} on={}", host, u8::from(out));
     }
-    fn mark(&mut self, mark: MarkId) {
+    fn mark(&mut self, mark: BarrierId) {
         let _ = writeln!(self.out, "BARRIER rev={} on=1", mark.0);
     }
     fn probe(&mut self, host: HostId) {
--- a/crates/railhub-adapter/src/host/tests.rs
+++ b/crates/railhub-adapter/src/host/tests.rs
@@ -48,7 +48,7 @@
     feed(&mut machine, text).expect("readable");
     let round = &machine.instances[&3].round;
     assert_eq!(round.timers, [TimerId(77)]);
-    assert_eq!(round.probes[0].end, ProbeEnd::Unreachable);
+    assert_eq!(round.probes[0].end, HealthCheckOutcome::Unreachable);
     assert_eq!(
         round.streams.iter().map(|s| (s.proxy.0, s.up)).collect::<Vec<_>>(),
         [(41, true), (40, false)]
@@ -58,7 +58,7 @@
     assert_eq!((sum.span, sum.busy), (1.0, Some(0.5)));
     assert_eq!((round.charges[0].slice, round.charges[0].lines[0].1), (SliceId(2), 0.75));
     assert_eq!((round.demand[0].operations, round.demand[0].span), (9.0, 2.0));
-    assert_eq!((round.confirmed[0].proxy, round.confirmed[0].mark), (ProxyId(41), MarkId(1)));
+    assert_eq!((round.confirmed[0].proxy, round.confirmed[0].mark), (ProxyId(41), BarrierId(1)));
 }
 
 #[test]
@@ -67,9 +67,9 @@
     let host = HostId::new("10.0.0.1:80").expect("a name");
     writer.set_line(SliceId(1), host, 0.5);
     writer.hand_table(SliceId(0), ProxyId(4));
-    writer.set_level(ClassId(1), 0.75, SecondTry::AfterFailure);
+    writer.set_level(ClassId(1), 0.75, RetryPolicy::AfterFailure);
     writer.shut_out(host, true);
-    writer.mark(MarkId(65535));
+    writer.mark(BarrierId(65535));
     writer.probe(host);
     writer.wake(0.5, TimerId(9));
     writer.note("two hosts known");
--- a/crates/railhub-chaos/src/explore_leases.rs
+++ b/crates/railhub-chaos/src/explore_leases.rs
@@ -17,7 +17,7 @@
 /// Steps of a lease, and steps that a run has: a grant, its end, and another's grant and end fit in.
 const SPAN: f64 = 3.0;
 const STEPS: u8 = 8;
-/// Orders under way at once, and in a run; crashes; copies of the store and starts from one.
+/// Commands in flight at once, and in a run; crashes; copies of the store and starts from one.
 const UNDER_WAY: usize = 2;
 const ORDERS: u8 = 3;
 const CRASHES: u8 = 1;
@@ -60,7 +60,7 @@
     store: Grants,
     copy: Option<Grants>,
     stewards: [Steward; 2],
-    /// Orders under way: epoch and process.
+    /// Commands in flight: epoch and process.
     orders: Vec<(Epoch, u64)>,
     fence: Fence,
     obeyed: Option<(Epoch, u64)>,
--- a/crates/railhub-chaos/src/faults.rs
+++ b/crates/railhub-chaos/src/faults.rs
@@ -62,7 +62,7 @@
         steward: u16,
         by: f64,
     },
-    /// Orders of this steward to proxies take so many seconds more.
+    /// Commands of this steward to proxies take so many seconds more.
     SlowOrders {
         steward: u16,
         by: f64,
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -70,7 +70,7 @@
 
 enum Due {
     Tick { steward: u16, process: u64 },
-    Orders { steward: u16, process: u64 },
+    CommandSink { steward: u16, process: u64 },
     Mail { to: u16, message: Message },
     LeaseRequest { steward: u16, request: LeaseRequest },
     LeaseResponse { steward: u16, process: u64, response: LeaseResponse },
@@ -92,7 +92,7 @@
     slow_orders: f64,
     /// Slices it believes to order, for the one that overruns its leases.
     believes: BTreeMap<u16, Epoch>,
-    /// Orders that a proxy owes a word on: when they were sent last.
+    /// Commands that a proxy owes a word on: when they were sent last.
     owed: BTreeMap<(u16, u64), (f64, Order)>,
 }
 
@@ -207,7 +207,7 @@
         self.events.push(Event::Steward { at: self.now, steward: id, process, up: true });
         self.due(self.now, Due::Tick { steward: id, process });
         let phase = self.chance.random::<f64>() * ORDERS_EVERY;
-        self.due(self.now + phase, Due::Orders { steward: id, process });
+        self.due(self.now + phase, Due::CommandSink { steward: id, process });
     }
 
     fn kill(&mut self, id: u16) {
@@ -234,8 +234,8 @@
                 Some(_) => self.tick(steward),
                 None => {}
             },
-            Due::Orders { steward, process } => match self.wakes(steward, process) {
-                Some(wakes) if wakes > self.now => self.due(wakes, Due::Orders { steward, process }),
+            Due::CommandSink { steward, process } => match self.wakes(steward, process) {
+                Some(wakes) if wakes > self.now => self.due(wakes, Due::CommandSink { steward, process }),
                 Some(_) => self.orders(steward),
                 None => {}
             },
@@ -337,7 +337,7 @@
             }
         }
         self.send_again(id, slow);
-        self.due(self.now + ORDERS_EVERY, Due::Orders { steward: id, process });
+        self.due(self.now + ORDERS_EVERY, Due::CommandSink { steward: id, process });
     }
 
     fn send(&mut self, id: u16, proxy: u16, order: Order, slow: f64) {
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -229,12 +229,12 @@
         "never",
         &[
             ("safe", Repeats::Safe),
-            ("keyed", Repeats::KeyedEverywhere),
-            ("keyed nearby", Repeats::KeyedNearby),
+            ("keyed", Repeats::IdempotencyKeyGlobal),
+            ("keyed nearby", Repeats::IdempotencyKeyLocal),
             ("never", Repeats::Never),
         ],
     )?;
-    let keyed = matches!(repeats, Repeats::KeyedEverywhere | Repeats::KeyedNearby);
+    let keyed = matches!(repeats, Repeats::IdempotencyKeyGlobal | Repeats::IdempotencyKeyLocal);
     let script = ClassScript {
         facts: ClassFacts {
             name: section.name["class ".len()..].trim().to_owned(),
--- a/crates/railhub-day/src/world.rs
+++ b/crates/railhub-day/src/world.rs
@@ -385,8 +385,8 @@
         use railhub_record::Repeats;
         let repeats = match class.repeats() {
             Repeats::Safe => "safe".to_owned(),
-            Repeats::KeyedEverywhere => format!("keyed\nkey_window = {}", class.key_window),
-            Repeats::KeyedNearby => "keyed nearby".to_owned(),
+            Repeats::IdempotencyKeyGlobal => format!("keyed\nkey_window = {}", class.key_window),
+            Repeats::IdempotencyKeyLocal => "keyed nearby".to_owned(),
             Repeats::Never => "never".to_owned(),
         };
         let _ = write!(
--- a/crates/railhub-fleet/src/baseline.rs
+++ b/crates/railhub-fleet/src/baseline.rs
@@ -1,6 +1,6 @@
 //! What plain policies publish, for comparing: they go by the list, one of them by sums as well.
 use crate::list::Line;
-use railhub::{Charge, HostId, Phase, SliceId};
+use railhub::{HostId, Phase, SliceAssignment, SliceId};
 use railhub_proto::Sums;
 use railhub_steward::tables::{Change, Tables};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
         (self.policy == Baseline::Latency).then_some(LOOK)
     }
 
-    pub fn hear_charges(&mut self, charges: &[Charge]) {
+    pub fn hear_charges(&mut self, charges: &[SliceAssignment]) {
         if self.policy == Baseline::Hash {
             charges.iter().for_each(|charge| self.tables.take_stored(charge.slice, &charge.lines));
         }
--- a/crates/railhub-fleet/src/events.rs
+++ b/crates/railhub-fleet/src/events.rs
@@ -28,7 +28,7 @@
     Word(ProxyAt, StreamId, u64, bool),
     Mail(ProxyAt),
     Probed(HostAt),
-    ProbeEnds(HostAt, railhub::ProbeEnd),
+    ProbeEnds(HostAt, railhub::HealthCheckOutcome),
     ListTells,
     ListLearns(HostAt, &'static str),
     StewardWakes,
--- a/crates/railhub-fleet/src/list.rs
+++ b/crates/railhub-fleet/src/list.rs
@@ -1,5 +1,5 @@
 //! The host list of the model: the truth as it has been noticed, lies on top, and what the steward was told.
-use railhub::{HostId, HostList, KindId, Listed, Phase};
+use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase};
 use railhub_record::{Entry, Roster};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -70,15 +70,15 @@
     }
 }
 
-pub fn to_list(whole: bool, lines: &[(SocketAddr, Line)]) -> HostList {
-    let entries = lines.iter().map(|(host, line)| Listed {
+pub fn to_list(whole: bool, lines: &[(SocketAddr, Line)]) -> EndpointList {
+    let entries = lines.iter().map(|(host, line)| EndpointEntry {
         host: HostId::from(*host),
         phase: line.phase,
         started: line.started,
         weight: line.weight,
         kind: KindId(line.kind),
     });
-    HostList { whole, entries: entries.collect() }
+    EndpointList { whole, entries: entries.collect() }
 }
 
 pub fn to_record(whole: bool, lines: &[(SocketAddr, Line)]) -> Roster {
--- a/crates/railhub-fleet/src/operations.rs
+++ b/crates/railhub-fleet/src/operations.rs
@@ -279,7 +279,7 @@
         }
         let goes_on = match op.again {
             Again::Never => false,
-            Again::IfNeverRan => end.never_ran(),
+            Again::IfNotExecuted => end.never_ran(),
             Again::AfterFailure => true,
         };
         let more = time.is_none() && goes_on && op.tried.len() < 2;
@@ -298,8 +298,8 @@
         let class = &self.classes[op.drawn.class as usize];
         let may_repeat = match class.repeats {
             Repeats::Safe => true,
-            Repeats::KeyedEverywhere => now - op.began <= class.key_window,
-            Repeats::KeyedNearby | Repeats::Never => false,
+            Repeats::IdempotencyKeyGlobal => now - op.began <= class.key_window,
+            Repeats::IdempotencyKeyLocal | Repeats::Never => false,
         };
         if op.end == ComingEnd::Completed || op.end == ComingEnd::Failed && !may_repeat {
             return self.ends(id);
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -3,7 +3,10 @@
 use crate::events::{Due, HostAt, ProxyAt};
 use crate::list::{to_list, to_record};
 use crate::world::{Policy, World};
-use railhub::{Charge, HostId, MarkId, ProbeEnd, ProbeResult, ProxyId, Seconds, SliceId, ZoneId};
+use railhub::{
+    BarrierId, HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId,
+    ZoneId,
+};
 use railhub_proto::{Subscribe, Sums};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
 use railhub_steward::inbox::StreamId;
@@ -57,7 +60,7 @@
         state.outbox.push(publication);
         state.touch();
     }
-    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<MarkId>> {
+    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<BarrierId>> {
         let outbox = &mut self.0.borrow_mut().outbox;
         if refused {
             outbox.refuse(nonce)
@@ -185,12 +188,12 @@
     }
 
     fn give_charges(&mut self) {
-        let tables = self.tables.iter().map(|(slice, lines)| Charge {
+        let tables = self.tables.iter().map(|(slice, lines)| SliceAssignment {
             slice: SliceId(*slice as u16),
             given: true,
             lines: lines.iter().map(|(host, weight)| (HostId::from(*host), *weight)).collect(),
         });
-        let charges: Vec<Charge> = tables.collect();
+        let charges: Vec<SliceAssignment> = tables.collect();
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
             Some(Mind::Kernel(kernel)) => kernel.hear_charges(charges),
             Some(Mind::Plain(plain)) => plain.hear_charges(&charges),
@@ -455,23 +458,23 @@
         let still = (host.ailments.still_until - now).max(0.0);
         let took = still + self.day.probe_work * host.ailments.slower / host.facts.speed;
         let (end, after) = if !host.alive {
-            (ProbeEnd::Unreachable, self.physics.way)
+            (HealthCheckOutcome::Unreachable, self.physics.way)
         } else if host.ailments.hangs || took > within {
-            (ProbeEnd::Failed, within)
+            (HealthCheckOutcome::Failed, within)
         } else if host.ailments.fails {
-            (ProbeEnd::Failed, took)
+            (HealthCheckOutcome::Failed, took)
         } else if host.ailments.drains {
-            (ProbeEnd::TurnedAway, took)
+            (HealthCheckOutcome::Rejected, took)
         } else {
-            (ProbeEnd::Answered, took)
+            (HealthCheckOutcome::Answered, took)
         };
         self.agenda.after(after, Due::ProbeEnds(place, end));
     }
 
-    pub fn probe_ends(&mut self, place: HostAt, end: ProbeEnd) {
+    pub fn probe_ends(&mut self, place: HostAt, end: HealthCheckOutcome) {
         let host = HostId::from(self.hosts[place].address);
         if let Some(Mind::Kernel(kernel)) = self.steward.as_mut().map(|steward| &mut steward.mind) {
-            kernel.hear_probe(ProbeResult { host, end });
+            kernel.hear_probe(HealthCheckResult { host, end });
             let steward = self.steward.as_mut().expect("its kernel has just heard");
             if !std::mem::replace(&mut steward.gathers, true) {
                 self.agenda.after(GATHER, Due::StewardWakes);
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -33,7 +33,7 @@
     pub probes_dropped: u64,
     /// Probes that told of a host as it was before.
     pub probes_outrun: u64,
-    /// Orders that a later one about the same made needless.
+    /// Commands that a later one about the same made needless.
     pub folded: u64,
     /// Levels of classes that the settings do not name: left out.
     pub unnamed: u64,
--- a/crates/railhub-platform-net/src/probes.rs
+++ b/crates/railhub-platform-net/src/probes.rs
@@ -1,7 +1,7 @@
 //! Probes: so many at once, each on a connection of its own, as whether a host can be reached is half of the
 //! question. What does not fit the queue is not asked this time; the module asks again each turn.
 use crate::shared::{Holds, Shared, Word};
-use railhub::{ProbeEnd, Seconds};
+use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{seconds, Pool};
 use railhub_platform::Probe;
@@ -28,13 +28,15 @@
 }
 
 /// `None`: an answer that cannot be read proves nothing.
-fn probe(address: SocketAddr) -> Option<ProbeEnd> {
+fn probe(address: SocketAddr) -> Option<HealthCheckOutcome> {
     Some(match Caller::new(address, seconds(WITHIN)).call("GET", "/alive", &[]) {
-        Ok(_) => ProbeEnd::Answered,
-        Err(HttpFault::Status(503)) => ProbeEnd::TurnedAway,
-        Err(HttpFault::Silent | HttpFault::Status(_)) => ProbeEnd::Failed,
+        Ok(_) => HealthCheckOutcome::Answered,
+        Err(HttpFault::Status(503)) => HealthCheckOutcome::Rejected,
+        Err(HttpFault::Silent | HttpFault::Status(_)) => HealthCheckOutcome::Failed,
         Err(HttpFault::Unreached(fault)) if is_ours(&fault) => return None,
-        Err(HttpFault::Unreached(_) | HttpFault::Broken(_) | HttpFault::Ended) => ProbeEnd::Unreachable,
+        Err(HttpFault::Unreached(_) | HttpFault::Broken(_) | HttpFault::Ended) => {
+            HealthCheckOutcome::Unreachable
+        }
         Err(HttpFault::Malformed(_)) => return None,
     })
 }
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -1,7 +1,7 @@
 //! What the parts of a steward share: its inbox, the addresses that count now, and counts for the log.
 use crate::health::PeerHealth;
 use may::sync::Semphore;
-use railhub::{DemandSum, ProbeEnd, TrySum};
+use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::{Closer, Inbox};
 use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub_platform::{Assignment, Names, Page, Probe, Spoilt};
@@ -22,14 +22,14 @@
     Asked(SubscriptionId),
     RelayEvent(SubscriptionId, RelayEvent),
     Ended(SubscriptionId),
-    Probe(Probe, ProbeEnd),
+    Probe(Probe, HealthCheckOutcome),
     /// How the call that was out ended; without an answer its outcome is not known.
     CallEnded(Option<Answer>),
 }
 
 pub enum Sum {
-    Tries(TrySum),
-    Demand(DemandSum),
+    Tries(HostLoadReport),
+    Demand(SliceLoadReport),
 }
 
 /// Where the relay and discovery are now; `version` counts the files that said so.
--- a/crates/railhub-platform/src/assignment.rs
+++ b/crates/railhub-platform/src/assignment.rs
@@ -1,6 +1,6 @@
 //! What a steward on the platform is told when it starts, and again with each new file.
 use crate::discovery::Page;
-use railhub::{ClassId, ClassTerms, HostList, KindId, Repeat, Seconds, Terms, ZoneId};
+use railhub::{ClassConfig, ClassId, ControllerConfig, EndpointList, Idempotency, KindId, Seconds, ZoneId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -59,7 +59,7 @@
     pub memory_mb: usize,
     /// The list of hosts as this steward last had it; it may be old.
     pub known: Page,
-    pub terms: Terms,
+    pub terms: ControllerConfig,
     pub names: Names,
     /// Least span between two rounds.
     pub tick: Seconds,
@@ -199,21 +199,23 @@
     }
 
     /// The list it starts with, in the module's words.
-    pub fn first_list(&self) -> HostList {
-        HostList { whole: true, entries: self.known.entries.iter().map(|entry| entry.listed).collect() }
+    pub fn first_list(&self) -> EndpointList {
+        EndpointList { whole: true, entries: self.known.entries.iter().map(|entry| entry.listed).collect() }
     }
 }
 
-fn class_terms(k: usize, class: &Class) -> Result<ClassTerms, AssignmentFault> {
+fn class_terms(k: usize, class: &Class) -> Result<ClassConfig, AssignmentFault> {
     let at = |field: &str| format!("settings.request_classes[{k}].{field}");
-    Ok(ClassTerms {
+    Ok(ClassConfig {
         contract_time: seconds(class.aim_us, &at("aim_us"))?,
         gain: amount(class.worth, &at("worth"))?,
         repeat: match (class.effect.as_str(), class.group.as_str()) {
-            ("repeatable", _) => Repeat::Safe,
-            ("by_key", "all") => Repeat::KeyedEverywhere(seconds(class.key_ttl_us, &at("key_ttl_us"))?),
-            ("by_key", _) => Repeat::KeyedNearby,
-            ("once", _) => Repeat::Never,
+            ("repeatable", _) => Idempotency::Safe,
+            ("by_key", "all") => {
+                Idempotency::IdempotencyKeyGlobal(seconds(class.key_ttl_us, &at("key_ttl_us"))?)
+            }
+            ("by_key", _) => Idempotency::IdempotencyKeyLocal,
+            ("once", _) => Idempotency::Never,
             (other, _) => return Err(fault(&at("effect"), format!("cannot be '{other}'"))),
         },
     })
@@ -228,9 +230,9 @@
     }
 }
 
-fn terms(told: &Told, classes: Vec<ClassTerms>) -> Result<Terms, AssignmentFault> {
+fn terms(told: &Told, classes: Vec<ClassConfig>) -> Result<ControllerConfig, AssignmentFault> {
     let Told { ceilings, family_info: family, rules, .. } = told;
-    Ok(Terms {
+    Ok(ControllerConfig {
         classes,
         slices: family.key_ranges,
         single_owner: family.exclusive,
--- a/crates/railhub-platform/src/collector.rs
+++ b/crates/railhub-platform/src/collector.rs
@@ -1,7 +1,7 @@
 //! What comes to the steward's own address: a zone's collector with its reports, signs of life, and strangers.
 use crate::assignment::Names;
 use crate::Spoilt;
-use railhub::{DemandSum, HostId, Seconds, SliceId, TrySum, ZoneId};
+use railhub::{HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport, ZoneId};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 
@@ -18,8 +18,8 @@
 pub enum Frame {
     Ping,
     Collector(ZoneId),
-    Tries(TrySum),
-    Demand(DemandSum),
+    Tries(HostLoadReport),
+    Demand(SliceLoadReport),
 }
 
 #[derive(Deserialize)]
@@ -108,11 +108,11 @@
 }
 
 impl Heard {
-    fn check(&self, names: &Names) -> Result<TrySum, Spoilt> {
+    fn check(&self, names: &Names) -> Result<HostLoadReport, Spoilt> {
         let tries = within(self.tries, MOST_TRIES)?;
         let load = self.load.as_ref();
         load.and_then(|load| load.inflight).map_or(Ok(0.0), |held| within(held, MOST_TRIES))?;
-        Ok(TrySum {
+        Ok(HostLoadReport {
             zone: names.zone(&self.zone).ok_or(Spoilt::Unknown)?,
             host: HostId::new(&self.server).ok_or(Spoilt::Unknown)?,
             tries,
@@ -125,7 +125,7 @@
 }
 
 impl Heat {
-    fn check(&self, names: &Names, slices: u16) -> Result<DemandSum, Spoilt> {
+    fn check(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, Spoilt> {
         let operations = within(self.tries, MOST_TRIES)?;
         // An operation may fail in a later span than the one it came in.
         within(self.failed, MOST_TRIES)?;
@@ -133,7 +133,7 @@
             return Err(Spoilt::Unknown);
         }
         let class = names.class(&self.class).ok_or(Spoilt::Unknown)?;
-        Ok(DemandSum { slice: SliceId(self.slice), class, operations, span: span(self.span_ms)? })
+        Ok(SliceLoadReport { slice: SliceId(self.slice), class, operations, span: span(self.span_ms)? })
     }
 }
 
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -5,8 +5,8 @@
 use crate::orders::{put, Call, CommandBatch, Order, PendingCommands, SAME_WEIGHT};
 use crate::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub::{
-    Charge, DemandSum, HostId, HostList, Phase, ProbeEnd, ProbeResult, ProxyId, Round, Seconds, SliceId,
-    Steward, StreamChange, TimerId, TrySum,
+    Controller, EndpointList, EventBatch, HealthCheckOutcome, HealthCheckResult, HostId, HostLoadReport,
+    Phase, ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceId, SliceLoadReport, TimerId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 const LATER_QUIET: Seconds = 1.5;
 /// Seconds without a word after which a slice that was given has all its lines: they follow at once.
 const CHARGE_QUIET: Seconds = 0.02;
-/// Orders taken while a subscription has not told what stands: past them it is asked for anew.
+/// Commands accepted while a subscription has not told what stands: past them it is asked for anew.
 const TAKEN_MOST: usize = 20_000;
 /// Seconds a list may be late: what discovery has to tell counts as told by then.
 const LATE_LIST: Seconds = 6.0;
@@ -53,11 +53,11 @@
 }
 
 pub struct PlatformController {
-    steward: Steward,
+    steward: Controller,
     names: Names,
     tick: Seconds,
     single_owner: bool,
-    round: Round,
+    round: EventBatch,
     ran_at: Seconds,
     /// Something came since the last round.
     news: bool,
@@ -75,7 +75,7 @@
     /// The relay has told once what stands: until then nothing is ordered.
     informed: bool,
     charges_at: Seconds,
-    charges: Vec<Charge>,
+    charges: Vec<SliceAssignment>,
     timers: Vec<(Seconds, TimerId)>,
     generation: u64,
     listed_at: Seconds,
@@ -94,11 +94,11 @@
 impl PlatformController {
     pub fn new(assignment: &Assignment) -> PlatformController {
         let mut controller = PlatformController {
-            steward: Steward::new(assignment.terms.clone()),
+            steward: Controller::new(assignment.terms.clone()),
             names: assignment.names.clone(),
             tick: assignment.tick,
             single_owner: assignment.terms.single_owner,
-            round: Round::default(),
+            round: EventBatch::default(),
             ran_at: 0.0,
             news: true,
             snapshot: None,
@@ -158,12 +158,12 @@
         true
     }
 
-    pub fn hear_tries(&mut self, sum: TrySum) {
+    pub fn hear_tries(&mut self, sum: HostLoadReport) {
         let kept = push(&mut self.round.tries, sum);
         self.count_sum(kept);
     }
 
-    pub fn hear_demand(&mut self, sum: DemandSum) {
+    pub fn hear_demand(&mut self, sum: SliceLoadReport) {
         let kept = push(&mut self.round.demand, sum);
         self.count_sum(kept);
     }
@@ -174,9 +174,9 @@
     }
 
     /// How a probe ended says nothing of a host that is gone, moved or started anew since it was asked for.
-    pub fn hear_probe(&mut self, probe: &Probe, end: ProbeEnd) {
+    pub fn hear_probe(&mut self, probe: &Probe, end: HealthCheckOutcome) {
         if self.addresses.get(&probe.host) == Some(&(probe.address, probe.started)) {
-            self.round.probes.push(ProbeResult { host: probe.host, end });
+            self.round.probes.push(HealthCheckResult { host: probe.host, end });
             self.news = true;
         } else {
             self.probes_outrun += 1;
@@ -243,7 +243,7 @@
             RelayEvent::Given { slice, on } => {
                 self.charges_at = now;
                 self.forget(slice, on);
-                self.charges.push(Charge { slice, given: on, lines: Vec::new() });
+                self.charges.push(SliceAssignment { slice, given: on, lines: Vec::new() });
             }
             RelayEvent::Held { slice, host, weight } => {
                 self.charges_at = now;
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Orders that still wait are about the table as it was before, and so are those which are out: when they are
+    /// Commands that still wait are about the table as it was before, and so are those which are out: when they are
     /// carried out, before or after it was given, only the relay can tell.
     fn forget(&mut self, slice: SliceId, given: bool) {
         if self.waiting.forget(slice) && given {
@@ -275,7 +275,7 @@
             None => {
                 let Some((_, believed)) = self.steward.charges().find(|(id, _)| *id == slice) else { return };
                 let lines = believed.to_vec();
-                self.charges.push(Charge { slice, given: true, lines });
+                self.charges.push(SliceAssignment { slice, given: true, lines });
                 &mut self.charges.last_mut().expect("pushed").lines
             }
         };
@@ -290,7 +290,7 @@
         } else {
             self.proxies.remove(&proxy);
         }
-        self.round.streams.push(StreamChange { proxy, up, first });
+        self.round.streams.push(ProxyStreamEvent { proxy, up, first });
     }
 
     /// What the relay told to stand replaces what was believed.
@@ -321,10 +321,11 @@
             let lines = self.waiting.settled(slice, &stored);
             let belief = believed.remove(&slice);
             if !belief.is_some_and(|belief| same_lines(&belief, &lines)) {
-                self.round.charges.push(Charge { slice, given: true, lines });
+                self.round.charges.push(SliceAssignment { slice, given: true, lines });
             }
         }
-        let taken = believed.into_keys().map(|slice| Charge { slice, given: false, lines: Vec::new() });
+        let taken =
+            believed.into_keys().map(|slice| SliceAssignment { slice, given: false, lines: Vec::new() });
         self.round.charges.extend(taken);
     }
 
@@ -440,7 +441,7 @@
                 self.doubt("a call has no known end");
                 None
             }
-            Some(Answer::TurnedAway) => None,
+            Some(Answer::Rejected) => None,
             Some(Answer::Malformed) => {
                 let count = self.waiting.drop_call();
                 Some(format!("the relay cannot read a call: {count} orders are dropped"))
@@ -502,7 +503,7 @@
 
 /// One list a round, whatever comes before the module may act: a whole one replaces what came before, changes
 /// replace the entries that they are about. So it holds each host once, however long the relay is away.
-fn fold(lists: &mut Vec<HostList>, newer: HostList) {
+fn fold(lists: &mut Vec<EndpointList>, newer: EndpointList) {
     match lists.last_mut() {
         Some(list) if !newer.whole => {
             let told_anew: BTreeSet<HostId> = newer.entries.iter().map(|entry| entry.host).collect();
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -65,7 +65,7 @@
 fn a_line_joins_the_latest_word_on_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
-    controller.round.charges.push(Charge { slice, given: true, lines: Vec::new() });
+    controller.round.charges.push(SliceAssignment { slice, given: true, lines: Vec::new() });
     controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: false });
     controller.hear_relay_event(1.0, NONE, RelayEvent::Held { slice, host, weight: 1.0 });
     assert!(controller.charges[0].lines.is_empty() && controller.round.charges[0].lines.is_empty());
--- a/crates/railhub-platform/src/discovery.rs
+++ b/crates/railhub-platform/src/discovery.rs
@@ -1,14 +1,14 @@
 //! Discovery's pages: the list of hosts, whole or what changed.
 use crate::assignment::Names;
 use crate::Spoilt;
-use railhub::{HostId, HostList, Listed, Phase};
+use railhub::{EndpointEntry, EndpointList, HostId, Phase};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
 /// A checked entry: what the module is told, and where the host can be probed from here.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    pub listed: Listed,
+    pub listed: EndpointEntry,
     pub address: SocketAddr,
 }
 
@@ -76,8 +76,8 @@
 }
 
 impl Page {
-    pub fn list(&self) -> HostList {
-        HostList { whole: self.whole, entries: self.entries.iter().map(|entry| entry.listed).collect() }
+    pub fn list(&self) -> EndpointList {
+        EndpointList { whole: self.whole, entries: self.entries.iter().map(|entry| entry.listed).collect() }
     }
 }
 
@@ -97,6 +97,6 @@
         let address = self.host_port.parse().map_err(|_| Spoilt::Fields)?;
         let started = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
         let kind = names.kind(&self.machine_type);
-        Ok(Entry { listed: Listed { host, phase, started, weight: self.weight, kind }, address })
+        Ok(Entry { listed: EndpointEntry { host, phase, started, weight: self.weight, kind }, address })
     }
 }
--- a/crates/railhub-platform/src/orders.rs
+++ b/crates/railhub-platform/src/orders.rs
@@ -1,11 +1,14 @@
 //! What the module has ordered and the relay has not taken: folded, bounded, and said in calls.
-use railhub::{ClassId, HostId, MarkId, Orders, ProxyId, SecondTry, Seconds, SliceId, Terms, TimerId};
+use railhub::{
+    BarrierId, ClassId, CommandSink, ControllerConfig, HostId, ProxyId, RetryPolicy, Seconds, SliceId,
+    TimerId,
+};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes of a call: the relay takes 60,000 of orders, and the frame round them needs some.
 const CALL_BYTES: usize = 58_000;
-/// Orders that wait while the relay is out of reach: whole tables of some hundred slices, many times over.
+/// Commands that wait while the relay is out of reach: whole tables of some hundred slices, many times over.
 /// Past them all are dropped, and what the relay holds is asked for anew.
 const WAITING_MOST: usize = 20_000;
 
@@ -22,8 +25,8 @@
 pub enum Order {
     Line(SliceId, HostId, f64),
     Shut(HostId, bool),
-    Level(ClassId, f64, SecondTry),
-    Mark(MarkId),
+    Level(ClassId, f64, RetryPolicy),
+    Mark(BarrierId),
 }
 
 #[derive(Serialize)]
@@ -80,11 +83,11 @@
     lines.extend((weight > 0.0).then_some((host, weight)));
 }
 
-fn retries(again: SecondTry) -> u8 {
+fn retries(again: RetryPolicy) -> u8 {
     match again {
-        SecondTry::Never => 0,
-        SecondTry::IfNeverRan => 1,
-        SecondTry::AfterFailure => 2,
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNotExecuted => 1,
+        RetryPolicy::AfterFailure => 2,
     }
 }
 
@@ -96,7 +99,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Orders that wait, in their order, and those of the call that is out.
+/// Commands that wait, in their order, and those of the call that is out.
 #[derive(Default)]
 pub struct PendingCommands {
     queue: VecDeque<(u64, Order)>,
@@ -106,7 +109,7 @@
     out: Vec<Order>,
     calls: u64,
     single_owner: bool,
-    /// Orders were dropped for want of room: the relay's tables are not what the module believes.
+    /// Commands were dropped for want of room: the relay's tables are not what the module believes.
     pub overflowed: bool,
     pub folded: u64,
     /// Levels of classes without a name.
@@ -114,7 +117,7 @@
 }
 
 impl PendingCommands {
-    pub fn new(terms: &Terms) -> PendingCommands {
+    pub fn new(terms: &ControllerConfig) -> PendingCommands {
         PendingCommands { single_owner: terms.single_owner, ..PendingCommands::default() }
     }
 
@@ -144,7 +147,7 @@
         !self.out.iter().all(kept)
     }
 
-    /// Orders that wait or are out.
+    /// Commands that wait or are out.
     pub fn count(&self) -> usize {
         self.queue.len() + self.out.len()
     }
@@ -256,7 +259,7 @@
     pub notes: Vec<String>,
 }
 
-impl Orders for CommandBatch<'_> {
+impl CommandSink for CommandBatch<'_> {
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
         self.waiting.push(Order::Line(slice, host, weight));
     }
@@ -264,13 +267,13 @@
         self.notes
             .push(format!("the platform hands no table: {} for proxy {} is left out", table.0, proxy.0));
     }
-    fn set_level(&mut self, class: ClassId, share: f64, second_try: SecondTry) {
+    fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy) {
         self.waiting.push(Order::Level(class, share, second_try));
     }
     fn shut_out(&mut self, host: HostId, out: bool) {
         self.waiting.push(Order::Shut(host, out));
     }
-    fn mark(&mut self, mark: MarkId) {
+    fn mark(&mut self, mark: BarrierId) {
         self.waiting.push(Order::Mark(mark));
     }
     fn probe(&mut self, host: HostId) {
--- a/crates/railhub-platform/src/relay_events.rs
+++ b/crates/railhub-platform/src/relay_events.rs
@@ -1,6 +1,6 @@
 //! The relay's lines: news that a subscription brings, and answers to calls.
 use crate::Spoilt;
-use railhub::{Confirmed, HostId, MarkId, ProxyId, SliceId};
+use railhub::{BarrierAck, BarrierId, HostId, ProxyId, SliceId};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 
@@ -25,7 +25,7 @@
         first: bool,
     },
     Left(ProxyId),
-    Applied(Confirmed),
+    Applied(BarrierAck),
     Given {
         slice: SliceId,
         on: bool,
@@ -42,7 +42,7 @@
 pub enum Answer {
     Taken(usize),
     /// Calls are not let in yet.
-    TurnedAway,
+    Rejected,
     /// It is no call to the relay: said again it would end alike.
     Malformed,
 }
@@ -107,7 +107,7 @@
         "left" => RelayEvent::Left(ProxyId(params::<Left>(line)?.proxy)),
         "applied" => {
             let applied: Applied = params(line)?;
-            RelayEvent::Applied(Confirmed { proxy: ProxyId(applied.proxy), mark: MarkId(applied.mark) })
+            RelayEvent::Applied(BarrierAck { proxy: ProxyId(applied.proxy), mark: BarrierId(applied.mark) })
         }
         "given" => {
             let given: Given = params(line)?;
@@ -152,7 +152,7 @@
         (None, Some(_)) => {
             let says = |word: &[u8]| line.windows(word.len()).any(|part| part == word);
             match (says(b"limit"), says(b"malformed")) {
-                (true, false) => Ok(Answer::TurnedAway),
+                (true, false) => Ok(Answer::Rejected),
                 (false, true) => Ok(Answer::Malformed),
                 _ => Err(Spoilt::Fields),
             }
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,5 +1,5 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
-use railhub::{ClassId, Confirmed, HostId, MarkId, ProbeEnd, ProxyId, SecondTry, SliceId};
+use railhub::{BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId};
 use railhub_platform::orders::{Call, Order, PendingCommands};
 use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub_platform::{Assignment, PlatformController as Core};
@@ -337,7 +337,7 @@
         let asked = controller.act(START).probes;
         let probe = asked.into_iter().find(|probe| probe.host == host(1)).expect("it is probed");
         controller.hear_page(START, &page(42, address, lifecycle, started));
-        (0..3).for_each(|_| controller.hear_probe(&probe, ProbeEnd::Unreachable));
+        (0..3).for_each(|_| controller.hear_probe(&probe, HealthCheckOutcome::Unreachable));
         assert_eq!(controller.probes_outrun, 3);
         let notes = controller.act(START + 0.1).notes;
         assert!(!notes.iter().any(|note| note.contains("down")), "{notes:?}");
@@ -400,8 +400,8 @@
 #[test]
 fn a_level_for_a_class_that_has_no_name_is_never_said_of_all() {
     let mut waiting = PendingCommands::default();
-    waiting.push(Order::Level(ClassId(1), 0.5, SecondTry::Never));
-    waiting.push(Order::Level(ClassId(0), 0.7, SecondTry::Never));
+    waiting.push(Order::Level(ClassId(1), 0.5, RetryPolicy::Never));
+    waiting.push(Order::Level(ClassId(0), 0.7, RetryPolicy::Never));
     let call = waiting.call(&["view".to_owned()]).expect("a call");
     assert_eq!(waiting.unnamed, 1);
     assert!(call.count == 1 && text(&call).contains("view") && !text(&call).contains('*'), "{}", text(&call));
@@ -518,9 +518,9 @@
 }
 
 /// The number of the acknowledgement marker that a call bears.
-fn ticket(call: &Call) -> MarkId {
+fn ticket(call: &Call) -> BarrierId {
     let number = text(call).split("\"ticket\":").nth(1).and_then(|rest| rest.split(',').next());
-    MarkId(number.and_then(|number| number.parse().ok()).expect("a ticket"))
+    BarrierId(number.and_then(|number| number.parse().ok()).expect("a ticket"))
 }
 
 #[test]
@@ -547,7 +547,7 @@
     assert!(controller.next_call().is_none(), "the first message may wait for all that have joined since");
     let mark = ticket(&call);
     for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
-        controller.hear_relay_event(START + 0.9, RelayEvent::Applied(Confirmed { proxy, mark }));
+        controller.hear_relay_event(START + 0.9, RelayEvent::Applied(BarrierAck { proxy, mark }));
     }
     controller.act(START + 1.1);
     assert!(controller.next_call().is_some(), "it has left the channel");
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -1,5 +1,5 @@
 //! Each decoder on good input, on spoilt input that must be told apart, and on damaged bytes without end.
-use railhub::{ClassId, HostId, MarkId, Phase, ProxyId, Repeat, SliceId, ZoneId};
+use railhub::{BarrierId, ClassId, HostId, Idempotency, Phase, ProxyId, SliceId, ZoneId};
 use railhub_platform::collector::{self, Frame};
 use railhub_platform::relay_events::{self, Answer, RelayEvent};
 use railhub_platform::{discovery, Assignment, Names, Spoilt};
@@ -22,7 +22,7 @@
     assert_eq!((read.name.as_str(), read.sockets, read.memory_mb), ("n0", 256, 32));
     assert_eq!(read.relay.to_string(), "127.0.0.1:6400");
     assert_eq!((read.terms.slices, read.terms.warm_within, read.terms.may_probe), (40, 18.0, true));
-    assert_eq!(read.terms.classes[1].repeat, Repeat::Never);
+    assert_eq!(read.terms.classes[1].repeat, Idempotency::Never);
     let list = read.first_list();
     assert!(list.whole && read.known.generation == 41);
     assert_eq!(list.entries[0].host, HostId::new("s-1").expect("a name"));
@@ -140,7 +140,7 @@
     else {
         panic!("an answer to a mark")
     };
-    assert_eq!((applied.proxy, applied.mark), (ProxyId(17), MarkId(905)));
+    assert_eq!((applied.proxy, applied.mark), (ProxyId(17), BarrierId(905)));
     let held = said("held", r#"{"slice":88,"server":"s-1","weight":1.0}"#);
     assert_eq!(
         held,
@@ -155,7 +155,7 @@
 fn only_the_answer_to_this_very_call_settles_it() {
     let answer = |text: &str| relay_events::answer(text.as_bytes(), 8, 2);
     assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(Answer::Taken(2)));
-    assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(Answer::TurnedAway));
+    assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(Answer::Rejected));
     assert_eq!(answer(r#"{"id":8,"error":{"message":"malformed"}}"#), Ok(Answer::Malformed));
     for spoilt in [
         r#"{"id":9,"result":{"taken":2}}"#,
--- a/crates/railhub-proto/src/messages.rs
+++ b/crates/railhub-proto/src/messages.rs
@@ -199,7 +199,7 @@
 #[repr(i32)]
 pub enum Again {
     Never = 0,
-    IfNeverRan = 1,
+    IfNotExecuted = 1,
     AfterFailure = 2,
 }
 
--- a/crates/railhub-record/src/events.rs
+++ b/crates/railhub-record/src/events.rs
@@ -109,8 +109,8 @@
 #[repr(i32)]
 pub enum Repeats {
     Safe = 0,
-    KeyedEverywhere = 1,
-    KeyedNearby = 2,
+    IdempotencyKeyGlobal = 1,
+    IdempotencyKeyLocal = 2,
     Never = 3,
 }
 
--- a/crates/railhub-rules/src/twice.rs
+++ b/crates/railhub-rules/src/twice.rs
@@ -68,9 +68,9 @@
         let nearby = zones.get(first.host.as_str()) == zones.get(tried.host.as_str());
         let used = match class.repeats() {
             Repeats::Safe => 0.0,
-            Repeats::KeyedEverywhere => in_window,
-            Repeats::KeyedNearby if nearby => in_window,
-            Repeats::KeyedNearby | Repeats::Never => 2.0,
+            Repeats::IdempotencyKeyGlobal => in_window,
+            Repeats::IdempotencyKeyLocal if nearby => in_window,
+            Repeats::IdempotencyKeyLocal | Repeats::Never => 2.0,
         };
         verdict.look(*at, used, || {
             let (operation, proxy) = (tried.operation, tried.proxy);
--- a/crates/railhub-standin/src/client.rs
+++ b/crates/railhub-standin/src/client.rs
@@ -51,8 +51,8 @@
         let in_window = now() - began <= class.key_window;
         let may_repeat = match class.repeats {
             Repeats::Safe => true,
-            Repeats::KeyedEverywhere => in_window,
-            Repeats::KeyedNearby | Repeats::Never => false,
+            Repeats::IdempotencyKeyGlobal => in_window,
+            Repeats::IdempotencyKeyLocal | Repeats::Never => false,
         };
         if end == ProxyEnd::Completed || end == ProxyEnd::Failed && !may_repeat {
             break;
--- a/crates/railhub-standin/src/held.rs
+++ b/crates/railhub-standin/src/held.rs
@@ -81,7 +81,7 @@
 
     /// The share of a class let in and its way of trying again.
     pub fn level(&self, class: u32) -> (f64, Again) {
-        self.levels.get(&class).copied().unwrap_or((1.0, Again::IfNeverRan))
+        self.levels.get(&class).copied().unwrap_or((1.0, Again::IfNotExecuted))
     }
 
     /// A host for an operation of a slice; `work`: how much of the proxy's own each has out.
--- a/crates/railhub-standin/src/host.rs
+++ b/crates/railhub-standin/src/host.rs
@@ -50,8 +50,8 @@
     /// Whether this is a repeat, to be dropped; else it is remembered.
     pub fn is_repeat(&mut self, class: &ClassFacts, zone: u32, operation: u64, now: f64) -> bool {
         let group = match class.repeats {
-            Repeats::KeyedEverywhere => None,
-            Repeats::KeyedNearby => Some(zone),
+            Repeats::IdempotencyKeyGlobal => None,
+            Repeats::IdempotencyKeyLocal => Some(zone),
             Repeats::Safe | Repeats::Never => return false,
         };
         if self.seen.len() > KEYS_MOST {
--- a/crates/railhub-standin/src/proxy.rs
+++ b/crates/railhub-standin/src/proxy.rs
@@ -317,7 +317,7 @@
             }
             let goes_on = match again {
                 Again::Never => false,
-                Again::IfNeverRan => call.never_ran(),
+                Again::IfNotExecuted => call.never_ran(),
                 Again::AfterFailure => true,
             };
             if !goes_on && !self.repeats_blindly(&drawn) {
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -1,5 +1,5 @@
 //! What the owner is told.
-use railhub::{Charge, HostList, ProbeResult, ProxyId, SliceId, ZoneId};
+use railhub::{EndpointList, HealthCheckResult, ProxyId, SliceAssignment, SliceId, ZoneId};
 use railhub_proto::{Subscribe, Sums};
 use std::sync::Arc;
 
@@ -15,8 +15,8 @@
 pub struct StreamId(pub u64);
 
 pub enum Word {
-    List(HostList),
-    Charges(Vec<Charge>),
+    List(EndpointList),
+    Charges(Vec<SliceAssignment>),
     /// Where stewards share: slices with the epochs that they came under, those that are another's, and those whose
     /// leases are over.
     Grants {
@@ -24,7 +24,7 @@
         lost: Vec<SliceId>,
         lapsed: Vec<SliceId>,
     },
-    Probe(ProbeResult),
+    Probe(HealthCheckResult),
     Joins {
         stream: StreamId,
         subscribe: Subscribe,
--- a/crates/railhub-steward/src/installation.rs
+++ b/crates/railhub-steward/src/installation.rs
@@ -1,6 +1,6 @@
 //! What a steward is told in its file: where the others are, what it may do, and its limits.
 use crate::fleet::FleetTerms;
-use railhub::{ClassTerms, Repeat, Seconds, Terms};
+use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
 use railhub_ini::{Complaint, Section, Sheet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
     pub roster: SocketAddr,
     /// Absent where operations are not cut into slices.
     pub store: Option<SocketAddr>,
-    pub terms: Terms,
+    pub terms: ControllerConfig,
     pub class_names: Vec<String>,
     /// Lines of sums that the decisions are given in a second.
     pub reports_a_second: f64,
@@ -84,8 +84,12 @@
     }
 }
 
-fn terms(steward: &Section, limits: &Section, classes: Vec<ClassTerms>) -> Result<Terms, Complaint> {
-    Ok(Terms {
+fn terms(
+    steward: &Section,
+    limits: &Section,
+    classes: Vec<ClassConfig>,
+) -> Result<ControllerConfig, Complaint> {
+    Ok(ControllerConfig {
         classes,
         slices: steward.within("slices", 0.0, 0.0, 65_534.0)? as u16,
         single_owner: steward.flag("single_owner", false)?,
@@ -105,22 +109,22 @@
     })
 }
 
-fn class_terms(section: &Section) -> Result<ClassTerms, Complaint> {
-    Ok(ClassTerms {
+fn class_terms(section: &Section) -> Result<ClassConfig, Complaint> {
+    Ok(ClassConfig {
         contract_time: section.need_within("contract_time", 0.0, 3600.0)?,
         gain: section.within("gain", 1.0, 0.0, 1e9)?,
         repeat: match section.choice(
             "repeats",
             "never",
             &[
-                ("safe", Repeat::Safe),
-                ("keyed", Repeat::KeyedEverywhere(0.0)),
-                ("keyed nearby", Repeat::KeyedNearby),
-                ("never", Repeat::Never),
+                ("safe", Idempotency::Safe),
+                ("keyed", Idempotency::IdempotencyKeyGlobal(0.0)),
+                ("keyed nearby", Idempotency::IdempotencyKeyLocal),
+                ("never", Idempotency::Never),
             ],
         )? {
-            Repeat::KeyedEverywhere(_) => {
-                Repeat::KeyedEverywhere(section.need_within("key_window", 0.0, 1e6)?)
+            Idempotency::IdempotencyKeyGlobal(_) => {
+                Idempotency::IdempotencyKeyGlobal(section.need_within("key_window", 0.0, 1e6)?)
             }
             repeat => repeat,
         },
--- a/crates/railhub-steward/src/intake.rs
+++ b/crates/railhub-steward/src/intake.rs
@@ -3,7 +3,7 @@
 //!
 //! Proxies report at their own moments, late and not always. What came is therefore spread over the time that
 //! the reports cover on average, whoever sent them: a proxy that is late lowers both alike, so rates hold.
-use railhub::{ClassId, DemandSum, HostId, Seconds, SliceId, TrySum, ZoneId};
+use railhub::{ClassId, HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport, ZoneId};
 use railhub_proto::{SliceSum, Sums};
 use std::collections::BTreeMap;
 
@@ -92,7 +92,11 @@
     }
 
     /// What may go on now, the oldest first; `passed`: seconds since the last call.
-    pub fn flush(&mut self, passed: Seconds, lines_a_second: f64) -> (Vec<TrySum>, Vec<DemandSum>) {
+    pub fn flush(
+        &mut self,
+        passed: Seconds,
+        lines_a_second: f64,
+    ) -> (Vec<HostLoadReport>, Vec<SliceLoadReport>) {
         self.allowance = (self.allowance + passed * lines_a_second).min(lines_a_second.max(1.0) * 2.0);
         let mut order: Vec<(u64, Key)> = self.totals.iter().map(|(key, t)| (t.first, *key)).collect();
         order.sort();
@@ -107,7 +111,7 @@
             match key {
                 Key::Tries(zone, host) => tries.push(try_sum(zone, host, &total, span)),
                 Key::Demand(slice, class) => {
-                    demand.push(DemandSum { slice, class, operations: total.amount, span });
+                    demand.push(SliceLoadReport { slice, class, operations: total.amount, span });
                 }
             }
         }
@@ -117,10 +121,18 @@
     }
 }
 
-fn try_sum(zone: ZoneId, host: HostId, total: &Total, span: Seconds) -> TrySum {
+fn try_sum(zone: ZoneId, host: HostId, total: &Total, span: Seconds) -> HostLoadReport {
     let good = total.amount - total.failed;
     let mean_time = if good > 0.0 { total.good_time / good } else { 0.0 };
-    TrySum { zone, host, tries: total.amount, failed: total.failed, mean_time, span, busy: total.busy }
+    HostLoadReport {
+        zone,
+        host,
+        tries: total.amount,
+        failed: total.failed,
+        mean_time,
+        span,
+        busy: total.busy,
+    }
 }
 
 #[cfg(test)]
--- a/crates/railhub-steward/src/kernel.rs
+++ b/crates/railhub-steward/src/kernel.rs
@@ -13,8 +13,8 @@
 use crate::tables::{Change, Tables};
 use hdrhistogram::Histogram;
 use railhub::{
-    Charge, Confirmed, HostId, HostList, MarkId, ProbeResult, ProxyId, Round, Seconds, SliceId, SliceState,
-    Steward, StreamChange, TimerId, ZoneId,
+    BarrierAck, BarrierId, Controller, EndpointList, EventBatch, HealthCheckResult, HostId, ProxyId,
+    ProxyStreamEvent, Seconds, SliceAssignment, SliceHandoff, SliceId, TimerId, ZoneId,
 };
 use railhub_proto::{Subscribe, Sums};
 use serde::Serialize;
@@ -28,7 +28,7 @@
 pub trait Gate {
     fn push(&self, publication: Arc<Publication>);
     /// The proxy's word on a delta: the latest mark that it settles, if it settles anything.
-    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<MarkId>>;
+    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<BarrierId>>;
     fn is_idle(&self) -> bool;
     fn lines(&self, message_cost: f64) -> f64;
     fn owing_since(&self) -> Option<Seconds>;
@@ -39,10 +39,10 @@
 /// A slice that has come into charge.
 #[derive(Clone, Debug)]
 pub struct Gained {
-    pub charge: Charge,
+    pub charge: SliceAssignment,
     pub epoch: u64,
     /// What the former steward told of it, and how long ago, if it did.
-    pub state: Option<(SliceState, Seconds)>,
+    pub state: Option<(SliceHandoff, Seconds)>,
 }
 
 /// What the kernel asks of the world besides its proxies, and tells it.
@@ -51,7 +51,7 @@
     /// `epoch`: under which the slice is in charge; 0 where this steward is alone.
     fn store(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>);
     /// A slice is given up: its table as it stands, and what its heir is told of it.
-    fn hand_on(&mut self, _slice: SliceId, _epoch: u64, _lines: Vec<(HostId, f64)>, _state: SliceState) {}
+    fn hand_on(&mut self, _slice: SliceId, _epoch: u64, _lines: Vec<(HostId, f64)>, _state: SliceHandoff) {}
     /// All that was to be written of these slices is told of: they may be released.
     fn given_up(&mut self, _slices: &[SliceId]) {}
     /// A decision with its cause.
@@ -111,7 +111,7 @@
     intake: Intake,
     flushed_at: Seconds,
     timers: Vec<(Seconds, TimerId)>,
-    round: Round,
+    round: EventBatch,
     listed: bool,
     charged: bool,
     /// Stewards share the slices: they come and go, each under an epoch.
@@ -119,7 +119,7 @@
     /// Slices that have come into charge and that proxies have not been told of.
     opened: BTreeSet<SliceId>,
     /// What is told of slices that have come, and when it was saved.
-    restoring: BTreeMap<SliceId, (SliceState, Seconds)>,
+    restoring: BTreeMap<SliceId, (SliceHandoff, Seconds)>,
     /// Slices whose leases are over, and whom the decisions have shut out.
     standing: Standing,
     shut_out: BTreeSet<HostId>,
@@ -135,7 +135,7 @@
 impl<G: Gate> Kernel<G> {
     /// `incarnation`: tells this process from every other one.
     pub fn new(installation: Installation, incarnation: u64, now: Seconds) -> Kernel<G> {
-        let brain = Box::new(Steward::new(installation.terms.clone()));
+        let brain = Box::new(Controller::new(installation.terms.clone()));
         Kernel::led_by(brain, installation, incarnation, now)
     }
 
@@ -165,7 +165,7 @@
             intake: Intake::default(),
             flushed_at: now,
             timers: Vec::new(),
-            round: Round::default(),
+            round: EventBatch::default(),
             listed: false,
             looked_at: now,
             owing: BTreeSet::new(),
@@ -177,7 +177,7 @@
         }
     }
 
-    pub fn hear_list(&mut self, list: HostList) {
+    pub fn hear_list(&mut self, list: EndpointList) {
         self.listed = true;
         if self.shares {
             self.standing.hear(&list);
@@ -185,7 +185,7 @@
         self.round.lists.push(list);
     }
 
-    pub fn hear_charges(&mut self, charges: Vec<Charge>) {
+    pub fn hear_charges(&mut self, charges: Vec<SliceAssignment>) {
         self.charged = true;
         charges.iter().for_each(|charge| self.tables.take_stored(charge.slice, &charge.lines));
         self.round.charges.extend(charges);
@@ -216,7 +216,7 @@
             self.tables.give_up(*slice);
             self.opened.remove(slice);
             self.restoring.remove(slice);
-            self.round.charges.push(Charge { slice: *slice, given: false, lines: Vec::new() });
+            self.round.charges.push(SliceAssignment { slice: *slice, given: false, lines: Vec::new() });
         }
         for Gained { charge, epoch, state } in gained {
             self.standing.is_settled(charge.slice);
@@ -227,7 +227,7 @@
         }
     }
 
-    pub fn hear_probe(&mut self, result: ProbeResult) {
+    pub fn hear_probe(&mut self, result: HealthCheckResult) {
         self.round.probes.push(result);
     }
 
@@ -264,7 +264,7 @@
             self.in_step(now, proxy);
         }
         self.figures.refused += u64::from(refused);
-        self.round.confirmed.extend(mark.map(|mark| Confirmed { proxy, mark }));
+        self.round.confirmed.extend(mark.map(|mark| BarrierAck { proxy, mark }));
         true
     }
 
@@ -331,7 +331,7 @@
         self.figures.folded += member.gate.folded();
         if member.joined {
             around.proxy(proxy, "a proxy leaves", why);
-            self.round.streams.push(StreamChange { proxy, up: false, first: false });
+            self.round.streams.push(ProxyStreamEvent { proxy, up: false, first: false });
         }
     }
 
@@ -380,7 +380,7 @@
         let holds_nothing = member.subscribe.version == 0;
         let first = self.met.insert(proxy) && holds_nothing;
         self.owes(proxy, now);
-        self.round.streams.push(StreamChange { proxy, up: true, first });
+        self.round.streams.push(ProxyStreamEvent { proxy, up: true, first });
     }
 
     /// Takes in the timers that are due; whether there were any, or this is the first time: then sums are due
@@ -484,7 +484,7 @@
     fn publish(
         &mut self,
         change: &Arc<Change>,
-        mark: Option<MarkId>,
+        mark: Option<BarrierId>,
         at: Seconds,
         around: &mut impl Surroundings,
     ) {
--- a/crates/railhub-steward/src/outbox.rs
+++ b/crates/railhub-steward/src/outbox.rs
@@ -2,7 +2,7 @@
 //! read, all that comes is folded into the one that waits, so its size is bounded by what there is to say.
 //! Free of I/O and of clocks.
 use crate::tables::Change;
-use railhub::{MarkId, Seconds};
+use railhub::{BarrierId, Seconds};
 use railhub_proto::{frame, from_steward, FromSteward};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     pub incarnation: u64,
     pub version: u64,
     pub ordered_at: Seconds,
-    pub mark: Option<MarkId>,
+    pub mark: Option<BarrierId>,
     pub bytes: Vec<u8>,
 }
 
@@ -31,7 +31,7 @@
         incarnation: u64,
         version: u64,
         ordered_at: Seconds,
-        mark: Option<MarkId>,
+        mark: Option<BarrierId>,
     ) -> Publication {
         let change = change.into();
         let delta = change.to_delta(incarnation, version, ordered_at);
@@ -132,7 +132,7 @@
 
     /// The proxy has taken in the delta of this nonce, and so all before it; the latest mark among them.
     /// `None` for a nonce that is not in flight: an old word, which changes nothing.
-    pub fn confirm(&mut self, nonce: u64) -> Option<Option<MarkId>> {
+    pub fn confirm(&mut self, nonce: u64) -> Option<Option<BarrierId>> {
         let place = self.in_flight.iter().position(|sent| sent.publication.version == nonce)?;
         let confirmed = self.in_flight.drain(..=place);
         Some(confirmed.filter_map(|sent| sent.publication.mark).next_back())
@@ -140,7 +140,7 @@
 
     /// The proxy keeps what it had. What it refused is held back until there is something new to say, less
     /// what it is being told by later deltas.
-    pub fn refuse(&mut self, nonce: u64) -> Option<Option<MarkId>> {
+    pub fn refuse(&mut self, nonce: u64) -> Option<Option<BarrierId>> {
         let place = self.in_flight.iter().position(|sent| sent.publication.version == nonce)?;
         let sent = self.in_flight.remove(place).expect("found above");
         let mut held = self.held.take().unwrap_or_default();
--- a/crates/railhub-steward/src/outbox/tests.rs
+++ b/crates/railhub-steward/src/outbox/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use railhub::{ClassId, HostId, SecondTry, SliceId};
+use railhub::{ClassId, HostId, RetryPolicy, SliceId};
 
 fn take(outbox: &mut Outbox, now: Seconds) -> Option<Arc<Publication>> {
     match outbox.take(now) {
@@ -11,7 +11,7 @@
 fn line(version: u64, slice: u16, weight: f64) -> Arc<Publication> {
     let host = HostId::new("127.0.0.1:8000").expect("a name");
     let change = Change { lines: [((SliceId(slice), host), weight)].into(), ..Change::default() };
-    Arc::new(Publication::new(change, 1, version, version as f64, Some(MarkId(version as u16))))
+    Arc::new(Publication::new(change, 1, version, version as f64, Some(BarrierId(version as u16))))
 }
 
 #[test]
@@ -22,9 +22,9 @@
         let _ = take(&mut outbox, 0.0);
     }
     assert_eq!(outbox.lines(0.0), 4.0 + 7.0, "four in flight, the rest folded");
-    assert_eq!(outbox.confirm(4), Some(Some(MarkId(4))));
+    assert_eq!(outbox.confirm(4), Some(Some(BarrierId(4))));
     let last = take(&mut outbox, 0.0).expect("waiting");
-    assert_eq!((last.version, last.ordered_at, last.mark), (1000, 5.0, Some(MarkId(1000))));
+    assert_eq!((last.version, last.ordered_at, last.mark), (1000, 5.0, Some(BarrierId(1000))));
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let mut outbox = Outbox::default();
     outbox.push(line(1, 1, 1.0));
     assert!(take(&mut outbox, 0.0).is_some());
-    assert_eq!(outbox.refuse(1), Some(Some(MarkId(1))));
+    assert_eq!(outbox.refuse(1), Some(Some(BarrierId(1))));
     assert!(take(&mut outbox, 0.0).is_none(), "no loop");
     outbox.push(line(2, 2, 1.0));
     let next = take(&mut outbox, 0.0).expect("news");
@@ -47,7 +47,7 @@
         assert!(take(&mut outbox, 0.0).is_some());
     }
     outbox.refuse(1);
-    assert_eq!(outbox.confirm(2), Some(Some(MarkId(2))));
+    assert_eq!(outbox.confirm(2), Some(Some(BarrierId(2))));
     outbox.push(line(3, 3, 1.0));
     let next = take(&mut outbox, 0.0).expect("news");
     assert_eq!(next.change.lines.keys().map(|key| key.0).collect::<Vec<_>>(), [SliceId(3)]);
@@ -69,8 +69,8 @@
     let mut outbox = Outbox::default();
     let whole = Change { reset: true, cleared: [SliceId(1)].into(), ..Change::default() };
     outbox.push(Arc::new(Publication::new(whole, 1, 1, 0.0, None)));
-    let level = Change { levels: [(ClassId(0), (0.5, SecondTry::Never))].into(), ..Change::default() };
-    outbox.push(Arc::new(Publication::new(level, 1, 2, 1.0, Some(MarkId(1)))));
+    let level = Change { levels: [(ClassId(0), (0.5, RetryPolicy::Never))].into(), ..Change::default() };
+    outbox.push(Arc::new(Publication::new(level, 1, 2, 1.0, Some(BarrierId(1)))));
     let folded = take(&mut outbox, 0.0).expect("waiting");
     assert!(folded.change.reset && folded.change.levels.len() == 1);
 }
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -7,7 +7,7 @@
 use crate::streams::Door;
 use crate::tables::Change;
 use crate::traffic::TrafficWriter;
-use railhub::{HostId, Phase, ProxyId, Seconds, SliceId, SliceState};
+use railhub::{HostId, Phase, ProxyId, Seconds, SliceHandoff, SliceId};
 use railhub_net::{now, seconds};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
@@ -53,7 +53,7 @@
         }
     }
 
-    fn hand_on(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceState) {
+    fn hand_on(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceHandoff) {
         if let Some(store) = &self.outlets.store {
             store.hand_on(slice, epoch, lines, state);
         }
--- a/crates/railhub-steward/src/probes.rs
+++ b/crates/railhub-steward/src/probes.rs
@@ -1,7 +1,7 @@
 //! Probes: so many at once, each with a time-out. What does not fit the queue is not asked this time; the
 //! decisions ask again each turn, and a missing answer proves nothing.
 use crate::inbox::{Inbox, Word};
-use railhub::{HostId, ProbeEnd, ProbeResult, Seconds};
+use railhub::{HealthCheckOutcome, HealthCheckResult, HostId, Seconds};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{seconds, Pool};
 use std::sync::Arc;
@@ -14,20 +14,20 @@
 pub fn start(at_once: usize, within: Seconds, inbox: &Arc<Inbox>) -> Probes {
     let inbox = inbox.clone();
     Pool::start(at_once, WAITING, move |host| {
-        inbox.tell(Word::Probe(ProbeResult { host, end: probe(host, within) }));
+        inbox.tell(Word::Probe(HealthCheckResult { host, end: probe(host, within) }));
     })
 }
 
 /// A connection of its own each time: whether the host can be reached is half of the question.
-fn probe(host: HostId, within: Seconds) -> ProbeEnd {
+fn probe(host: HostId, within: Seconds) -> HealthCheckOutcome {
     // A name that is no address cannot be asked.
-    let Some(address) = host.address() else { return ProbeEnd::Unreachable };
+    let Some(address) = host.address() else { return HealthCheckOutcome::Unreachable };
     match Caller::new(address, seconds(within)).call("GET", "/probe", &[]) {
-        Ok(_) => ProbeEnd::Answered,
-        Err(HttpFault::Status(503)) => ProbeEnd::TurnedAway,
-        Err(HttpFault::Silent | HttpFault::Status(_)) => ProbeEnd::Failed,
+        Ok(_) => HealthCheckOutcome::Answered,
+        Err(HttpFault::Status(503)) => HealthCheckOutcome::Rejected,
+        Err(HttpFault::Silent | HttpFault::Status(_)) => HealthCheckOutcome::Failed,
         Err(HttpFault::Unreached(_) | HttpFault::Broken(_) | HttpFault::Ended | HttpFault::Malformed(_)) => {
-            ProbeEnd::Unreachable
+            HealthCheckOutcome::Unreachable
         }
     }
 }
--- a/crates/railhub-steward/src/roster.rs
+++ b/crates/railhub-steward/src/roster.rs
@@ -1,6 +1,6 @@
 //! Follows the host list: asks for what is newer than what it has, and waits for the answer.
 use crate::inbox::{Inbox, Word};
-use railhub::{HostId, HostList, KindId, Listed, Phase, Seconds};
+use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{seconds, Task};
 use serde::{Deserialize, Serialize};
@@ -57,13 +57,13 @@
     })
 }
 
-fn ask(caller: &mut Caller, version: u64) -> Result<(u64, HostList), HttpFault> {
+fn ask(caller: &mut Caller, version: u64) -> Result<(u64, EndpointList), HttpFault> {
     let page: Page = caller.ask(&format!("/hosts?after={version}"))?;
     let entries = page.hosts.iter().map(listed).collect::<Result<_, _>>()?;
-    Ok((page.version, HostList { whole: page.whole, entries }))
+    Ok((page.version, EndpointList { whole: page.whole, entries }))
 }
 
-fn listed(entry: &PageEntry) -> Result<Listed, HttpFault> {
+fn listed(entry: &PageEntry) -> Result<EndpointEntry, HttpFault> {
     let phase = match entry.phase.as_str() {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
@@ -74,7 +74,7 @@
         return Err(HttpFault::Malformed(format!("weight {} of {}", entry.weight, entry.host)));
     }
     let started = entry.started.filter(|at| at.is_finite());
-    Ok(Listed {
+    Ok(EndpointEntry {
         host: HostId::from(entry.host),
         phase,
         started,
--- a/crates/railhub-steward/src/standing.rs
+++ b/crates/railhub-steward/src/standing.rs
@@ -2,7 +2,7 @@
 //! are; but a host that the list calls draining or gone must be left all the same, by each steward alone. It is shut
 //! out, which names no slice and no epoch: proxies go by it for the slices that they have from this steward and from
 //! no later one. Decided from what stands and the list, nothing else; free of I/O and of clocks.
-use railhub::{HostId, HostList, Phase, SliceId};
+use railhub::{EndpointList, HostId, Phase, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
 
 impl Standing {
     /// The list, as the decisions hear it; hosts that it has dropped are gone.
-    pub fn hear(&mut self, list: &HostList) {
+    pub fn hear(&mut self, list: &EndpointList) {
         if list.whole {
             self.phases.values_mut().for_each(|phase| *phase = Phase::Gone);
         }
--- a/crates/railhub-steward/src/standing/tests.rs
+++ b/crates/railhub-steward/src/standing/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
-use railhub::{KindId, Listed};
+use railhub::{EndpointEntry, KindId};
 
 fn host(n: u16) -> HostId {
     HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
 }
 
-fn list(phases: &[(u16, Phase)]) -> HostList {
-    let entry = |(n, phase): &(u16, Phase)| Listed {
+fn list(phases: &[(u16, Phase)]) -> EndpointList {
+    let entry = |(n, phase): &(u16, Phase)| EndpointEntry {
         host: host(*n),
         phase: *phase,
         started: None,
         weight: 1.0,
         kind: KindId::default(),
     };
-    HostList { whole: false, entries: phases.iter().map(entry).collect() }
+    EndpointList { whole: false, entries: phases.iter().map(entry).collect() }
 }
 
 #[test]
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -5,7 +5,7 @@
 use crate::inbox::{Inbox, Word};
 use crate::kernel::Gained;
 use may::sync::{Mutex, Semphore};
-use railhub::{Charge, HostId, Seconds, SliceId, SliceState};
+use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
 use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{now, seconds, Task};
@@ -58,20 +58,20 @@
 }
 
 impl StoredState {
-    fn of(state: &SliceState) -> StoredState {
+    fn of(state: &SliceHandoff) -> StoredState {
         let home = state.home.map(|host| host.to_string());
         StoredState { version: STATE_VERSION, rate: state.rate, rests: state.rests, home }
     }
 
     /// `None`: of another version, or what cannot be.
-    fn read(&self) -> Option<SliceState> {
+    fn read(&self) -> Option<SliceHandoff> {
         let home = match &self.home {
             Some(name) => Some(HostId::new(name)?),
             None => None,
         };
         let can_be = (0.0..=RATE_MOST).contains(&self.rate) && (0.0..=RESTS_MOST).contains(&self.rests);
         let good = self.version == STATE_VERSION && can_be;
-        good.then_some(SliceState { rate: self.rate, rests: self.rests, home })
+        good.then_some(SliceHandoff { rate: self.rate, rests: self.rests, home })
     }
 }
 
@@ -80,9 +80,9 @@
         StoredTable { slice, epoch: 0, lines: Vec::new(), state: None, age: 0.0 }
     }
 
-    pub fn charge(self) -> Charge {
+    pub fn charge(self) -> SliceAssignment {
         let lines = self.lines.into_iter().map(|(host, weight)| (HostId::from(host), weight));
-        Charge { slice: SliceId(self.slice), given: true, lines: lines.collect() }
+        SliceAssignment { slice: SliceId(self.slice), given: true, lines: lines.collect() }
     }
 
     /// As it comes into charge. A state that cannot be believed is left out, and the slice is taken without.
@@ -172,7 +172,7 @@
     }
 
     /// The table of a slice that is given up, with what its heir is told.
-    pub fn hand_on(&self, slice: SliceId, epoch: u64, lines: Lines, state: SliceState) {
+    pub fn hand_on(&self, slice: SliceId, epoch: u64, lines: Lines, state: SliceHandoff) {
         let told = Told { epoch, lines, state: Some(StoredState::of(&state)) };
         self.shared.waiting.lock().expect("no holder panics").insert(slice, told);
     }
--- a/crates/railhub-steward/src/store/tests.rs
+++ b/crates/railhub-steward/src/store/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn told(state: serde_json::Value, age: f64) -> Option<(SliceState, Seconds)> {
+fn told(state: serde_json::Value, age: f64) -> Option<(SliceHandoff, Seconds)> {
     StoredTable { state: Some(state), age, ..StoredTable::empty(3) }.gained(7).state
 }
 
--- a/crates/railhub-steward/src/streams.rs
+++ b/crates/railhub-steward/src/streams.rs
@@ -8,7 +8,7 @@
 use crate::tables::Change;
 use may::net::TcpStream;
 use may::sync::{Mutex, Semphore};
-use railhub::{MarkId, ProxyId, Seconds, ZoneId};
+use railhub::{BarrierId, ProxyId, Seconds, ZoneId};
 use railhub_net::{after, go, now, split, FrameReader, FrameWriter, StreamEnd};
 use railhub_proto::{from_proxy, from_steward, FromProxy, FromSteward, Goodbye, Subscribe, FROM_PROXY_LIMIT};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -68,7 +68,7 @@
     }
 
     /// The proxy's word on a delta: the latest mark that it settles, if it settles anything.
-    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<MarkId>> {
+    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<BarrierId>> {
         let (settled, has_waiting) = self.with(|inner| {
             let settled = match refused {
                 true => inner.outbox.refuse(nonce),
--- a/crates/railhub-steward/src/tables.rs
+++ b/crates/railhub-steward/src/tables.rs
@@ -1,6 +1,6 @@
 //! What proxies are to hold: lines, levels and shut-outs in versions, and the latest changes between them.
 //! Free of I/O and of clocks.
-use railhub::{ClassId, HostId, SecondTry, Seconds, SliceId};
+use railhub::{ClassId, HostId, RetryPolicy, Seconds, SliceId};
 use railhub_proto::{Again, Delta, Level, Shut, SliceEpoch, TableLine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     pub reset: bool,
     pub cleared: BTreeSet<SliceId>,
     pub lines: BTreeMap<(SliceId, HostId), f64>,
-    pub levels: BTreeMap<ClassId, (f64, SecondTry)>,
+    pub levels: BTreeMap<ClassId, (f64, RetryPolicy)>,
     pub shut: BTreeMap<HostId, bool>,
     pub handed: Option<SliceId>,
     /// Where stewards share the slices: the epoch that each slice named is ordered under.
@@ -115,11 +115,11 @@
     }
 }
 
-fn way_again(second_try: SecondTry) -> Again {
+fn way_again(second_try: RetryPolicy) -> Again {
     match second_try {
-        SecondTry::Never => Again::Never,
-        SecondTry::IfNeverRan => Again::IfNeverRan,
-        SecondTry::AfterFailure => Again::AfterFailure,
+        RetryPolicy::Never => Again::Never,
+        RetryPolicy::IfNotExecuted => Again::IfNotExecuted,
+        RetryPolicy::AfterFailure => Again::AfterFailure,
     }
 }
 
@@ -129,7 +129,7 @@
     lines: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
     /// Slices in charge, where stewards share them.
     epochs: BTreeMap<SliceId, u64>,
-    levels: BTreeMap<ClassId, (f64, SecondTry)>,
+    levels: BTreeMap<ClassId, (f64, RetryPolicy)>,
     shut: BTreeMap<HostId, bool>,
     /// The latest changes, the oldest first; the last one made the present version.
     log: VecDeque<Arc<Change>>,
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A small fleet round a steward, and peers that are driven step by step.
 #![allow(dead_code)]
-use railhub::{ClassTerms, Repeat, Terms};
+use railhub::{ClassConfig, ControllerConfig, Idempotency};
 use railhub_proto::{
     frame, from_proxy, from_steward, Ack, Deframer, Delta, FromProxy, FromSteward, Refusal, Subscribe, Sums,
     FROM_STEWARD_LIMIT,
@@ -70,8 +70,8 @@
     let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
     let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
-    let terms = Terms {
-        classes: vec![ClassTerms { contract_time: 1.0, gain: 1.0, repeat: Repeat::Safe }],
+    let terms = ControllerConfig {
+        classes: vec![ClassConfig { contract_time: 1.0, gain: 1.0, repeat: Idempotency::Safe }],
         slices,
         may_probe: true,
         dropped_may_stay: true,
@@ -84,7 +84,7 @@
         message_cap: 0,
         messages_span: 10.0,
         first_wait: 1.0,
-        ..Terms::default()
+        ..ControllerConfig::default()
     };
     let installation = Installation {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -1,8 +1,9 @@
 //! What one kernel tells of a slice that it gives up, and what the next one makes of it.
 use railhub::{
-    Charge, ClassTerms, HostId, HostList, KindId, Listed, MarkId, Phase, ProxyId, Repeat, Seconds,
+    BarrierId, ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId,
+    Seconds, SliceAssignment,
 };
-use railhub::{SliceId, SliceState, Terms, ZoneId};
+use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
 use railhub_ini::Sheet;
 use railhub_proto::{SliceSum, Subscribe, Sums};
 use railhub_steward::inbox::StreamId;
@@ -20,7 +21,7 @@
     fn push(&self, publication: Arc<Publication>) {
         self.0.lock().expect("whole").push(publication);
     }
-    fn settle(&self, _: u64, _: bool) -> Option<Option<MarkId>> {
+    fn settle(&self, _: u64, _: bool) -> Option<Option<BarrierId>> {
         None
     }
     fn is_idle(&self) -> bool {
@@ -40,13 +41,13 @@
 
 #[derive(Default)]
 struct Around {
-    handed_on: Vec<(SliceId, u64, SliceState)>,
+    handed_on: Vec<(SliceId, u64, SliceHandoff)>,
 }
 
 impl Surroundings for Around {
     fn probe(&mut self, _: HostId) {}
     fn store(&mut self, _: SliceId, _: u64, _: Vec<(HostId, f64)>) {}
-    fn hand_on(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceState) {
+    fn hand_on(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceHandoff) {
         assert!(!lines.is_empty(), "the table goes along");
         self.handed_on.push((slice, epoch, state));
     }
@@ -66,17 +67,17 @@
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
     let installation = Installation::read(&Sheet::read("s.ini", text).expect("readable")).expect("right");
-    let classes = vec![ClassTerms { contract_time: 1.0, gain: 1.0, repeat: Repeat::Safe }];
-    let terms = Terms { classes, ..installation.terms.clone() };
+    let classes = vec![ClassConfig { contract_time: 1.0, gain: 1.0, repeat: Idempotency::Safe }];
+    let terms = ControllerConfig { classes, ..installation.terms.clone() };
     let mut kernel = Kernel::new(Installation { terms, ..installation }, process, 0.0);
     let entry =
-        |n| Listed { host: host(n), phase: Phase::Ready, started: None, weight: 4.0, kind: KindId(0) };
-    kernel.hear_list(HostList { whole: true, entries: (1..4).map(entry).collect() });
+        |n| EndpointEntry { host: host(n), phase: Phase::Ready, started: None, weight: 4.0, kind: KindId(0) };
+    kernel.hear_list(EndpointList { whole: true, entries: (1..4).map(entry).collect() });
     kernel
 }
 
-fn gained(epoch: u64, state: Option<(SliceState, Seconds)>) -> Vec<Gained> {
-    let charge = Charge { slice: SLICE, given: true, lines: vec![(host(1), 1.0)] };
+fn gained(epoch: u64, state: Option<(SliceHandoff, Seconds)>) -> Vec<Gained> {
+    let charge = SliceAssignment { slice: SLICE, given: true, lines: vec![(host(1), 1.0)] };
     vec![Gained { charge, epoch, state }]
 }
 
--- a/crates/railhub-versions/src/process.rs
+++ b/crates/railhub-versions/src/process.rs
@@ -1,6 +1,6 @@
 //! The program that decides. It is asked and waited for: a simulated run goes on when it has answered.
 use crate::wire;
-use railhub::{Round, Terms};
+use railhub::{ControllerConfig, EventBatch};
 use railhub_steward::decides::Decides;
 use railhub_steward::draft::Draft;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -42,13 +42,17 @@
 }
 
 impl Version {
-    pub fn start(program: &Path, terms: &Terms, zones: usize) -> Result<(Version, FaultPlace), Fault> {
+    pub fn start(
+        program: &Path,
+        terms: &ControllerConfig,
+        zones: usize,
+    ) -> Result<(Version, FaultPlace), Fault> {
         Version::start_with(program, terms, zones, PATIENCE)
     }
 
     fn start_with(
         program: &Path,
-        terms: &Terms,
+        terms: &ControllerConfig,
         zones: usize,
         patience: Duration,
     ) -> Result<(Version, FaultPlace), Fault> {
@@ -97,7 +101,7 @@
         Ok((version, fault))
     }
 
-    fn ask(&mut self, round: &Round, draft: &mut Draft) -> Result<(), String> {
+    fn ask(&mut self, round: &EventBatch, draft: &mut Draft) -> Result<(), String> {
         let batch = wire::batch(round, self.start.take().as_deref());
         let to = self.to.as_ref().ok_or("has no input")?;
         if to.try_send(batch).is_err() {
@@ -123,7 +127,7 @@
 }
 
 impl Decides for Version {
-    fn round(&mut self, round: &Round, draft: &mut Draft) {
+    fn round(&mut self, round: &EventBatch, draft: &mut Draft) {
         if self.to.is_none() {
             return;
         }
--- a/crates/railhub-versions/src/process/tests.rs
+++ b/crates/railhub-versions/src/process/tests.rs
@@ -6,10 +6,10 @@
     let path = std::env::temp_dir().join(format!("railhub-version-{}-{name}", std::process::id()));
     std::fs::write(&path, format!("#!/bin/sh\n{script}\n")).expect("writable");
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("ours");
-    let (mut version, fault) = Version::start(&path, &Terms::default(), 1).expect("it starts");
+    let (mut version, fault) = Version::start(&path, &ControllerConfig::default(), 1).expect("it starts");
     let mut draft = Draft::default();
-    version.round(&Round::default(), &mut draft);
-    version.round(&Round::default(), &mut draft);
+    version.round(&EventBatch::default(), &mut draft);
+    version.round(&EventBatch::default(), &mut draft);
     std::fs::remove_file(&path).expect("there");
     assert!(draft.wakes.is_empty() || fault.lock().expect("held by none").is_none());
     let fault = fault.lock().expect("held by none").clone();
@@ -35,21 +35,24 @@
 fn a_version_that_does_not_read_is_given_up_and_holds_nobody_up() {
     let patience = Duration::from_millis(300);
     let (mut version, fault) =
-        Version::start_with(Path::new("/usr/bin/yes"), &Terms::default(), 1, patience).expect("it starts");
-    let round = Round { timers: vec![railhub::TimerId(u64::MAX); 100_000], ..Round::default() };
+        Version::start_with(Path::new("/usr/bin/yes"), &ControllerConfig::default(), 1, patience)
+            .expect("it starts");
+    let round = EventBatch { timers: vec![railhub::TimerId(u64::MAX); 100_000], ..EventBatch::default() };
     let began = Instant::now();
     version.round(&round, &mut Draft::default());
     drop(version);
     assert!(began.elapsed() < Duration::from_secs(10));
     assert!(fault.lock().expect("held by none").is_some());
     let (mut version, fault) =
-        Version::start_with(Path::new("/bin/sleep"), &Terms::default(), 1, patience).expect("it starts");
+        Version::start_with(Path::new("/bin/sleep"), &ControllerConfig::default(), 1, patience)
+            .expect("it starts");
     version.round(&round, &mut Draft::default());
     assert!(fault.lock().expect("held by none").is_some(), "it ends at once: no time is named");
 }
 
 #[test]
 fn a_program_that_is_not_there_is_named() {
-    let fault = Version::start(Path::new("/nowhere/at-all"), &Terms::default(), 1).err().expect("a fault");
+    let fault =
+        Version::start(Path::new("/nowhere/at-all"), &ControllerConfig::default(), 1).err().expect("a fault");
     assert!(fault.to_string().starts_with("the version /nowhere/at-all: cannot be started"), "{fault}");
 }
--- a/crates/railhub-versions/src/wire.rs
+++ b/crates/railhub-versions/src/wire.rs
@@ -1,7 +1,7 @@
 //! A round as a batch of lines, and a reply as a draft. Free of I/O and of clocks.
 use railhub::{
-    ClassId, HostId, MarkId, Orders, Phase, ProbeEnd, ProxyId, Repeat, Round, SecondTry, Seconds, SliceId,
-    Terms, TimerId,
+    BarrierId, ClassId, CommandSink, ControllerConfig, EventBatch, HealthCheckOutcome, HostId, Idempotency,
+    Phase, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
 };
 use railhub_steward::draft::Draft;
 use std::fmt::{Display, Write};
@@ -23,7 +23,7 @@
 
 /// The line that starts an instance. Zones are named by their numbers, in order, so that the version numbers
 /// them as we do.
-pub fn create(terms: &Terms, zones: usize) -> String {
+pub fn create(terms: &ControllerConfig, zones: usize) -> String {
     let mut out = format!("CREATE seed=1 tick_us={TICK_US} telemetry.names=busy");
     let mut put = |name: &str, value: &dyn Display| _ = write!(out, " {name}={value}");
     put("ceilings.probes", &terms.may_probe);
@@ -46,10 +46,10 @@
     put("request_classes.count", &terms.classes.len());
     for (n, class) in terms.classes.iter().enumerate() {
         let (effect, group, window) = match class.repeat {
-            Repeat::Safe => ("repeatable", "all", 0.0),
-            Repeat::KeyedEverywhere(window) => ("by_key", "all", window),
-            Repeat::KeyedNearby => ("by_key", "zone", 0.0),
-            Repeat::Never => ("once", "all", 0.0),
+            Idempotency::Safe => ("repeatable", "all", 0.0),
+            Idempotency::IdempotencyKeyGlobal(window) => ("by_key", "all", window),
+            Idempotency::IdempotencyKeyLocal => ("by_key", "zone", 0.0),
+            Idempotency::Never => ("once", "all", 0.0),
         };
         let mut put = |name: &str, value: &dyn Display| put(&format!("request_classes.{n}.{name}"), value);
         put("name", &format!("class-{n}"));
@@ -64,7 +64,7 @@
 }
 
 /// One round's batch, with what goes before its events: the instance's start, at its first.
-pub fn batch(round: &Round, start: Option<&str>) -> String {
+pub fn batch(round: &EventBatch, start: Option<&str>) -> String {
     let mut out = format!("FRAME wall_us={}\nAT i=0\n{}", micros(round.now), start.unwrap_or_default());
     for (n, list) in round.lists.iter().enumerate() {
         let how = if list.whole { "total" } else { "incr" };
@@ -118,10 +118,10 @@
     }
     for probe in &round.probes {
         let code = match probe.end {
-            ProbeEnd::Answered => ANSWERED,
-            ProbeEnd::TurnedAway => TURNED_AWAY,
-            ProbeEnd::Failed => FAILED,
-            ProbeEnd::Unreachable => UNREACHABLE,
+            HealthCheckOutcome::Answered => ANSWERED,
+            HealthCheckOutcome::Rejected => TURNED_AWAY,
+            HealthCheckOutcome::Failed => FAILED,
+            HealthCheckOutcome::Unreachable => UNREACHABLE,
         };
         let _ = writeln!(out, "HEALTH code={code} rtt_us=0 host={}", probe.host);
     }
@@ -195,7 +195,7 @@
         }
         "THROTTLE" => throttle(&action, classes, draft)?,
         "BENCH" => draft.shut_out(action.host()?, action.flag("on")?),
-        "BARRIER" => draft.mark(MarkId(action.get("rev")?)),
+        "BARRIER" => draft.mark(BarrierId(action.get("rev")?)),
         "INSPECT" => draft.probe(action.host()?),
         // Never in the moment that it is asked for: time would stand still.
         "AFTER" => {
@@ -214,9 +214,9 @@
         return Err(action.wrong("sheet", "names one table: levels of one table are not known here"));
     }
     let second_try = match action.get::<u32>("second_try")? {
-        0 => SecondTry::Never,
-        1 => SecondTry::IfNeverRan,
-        2 => SecondTry::AfterFailure,
+        0 => RetryPolicy::Never,
+        1 => RetryPolicy::IfNotExecuted,
+        2 => RetryPolicy::AfterFailure,
         _ => return Err(action.wrong("second_try", "is not known here")),
     };
     let (only, amount) = (action.get::<u64>("only")?, action.amount("amount")?);
--- a/crates/railhub-versions/src/wire/tests.rs
+++ b/crates/railhub-versions/src/wire/tests.rs
@@ -1,12 +1,13 @@
 use super::*;
 use proptest::prelude::*;
-use railhub::{HostList, KindId, Listed, TrySum, ZoneId};
+use railhub::{EndpointEntry, EndpointList, HostLoadReport, KindId, ZoneId};
 
 #[test]
 fn a_round_is_written_line_by_line() {
     let host = HostId::new("10.0.0.1:80").expect("a name");
-    let listed = Listed { host, kind: KindId(2), phase: Phase::Ready, started: Some(1.5), weight: 4.0 };
-    let sum = TrySum {
+    let listed =
+        EndpointEntry { host, kind: KindId(2), phase: Phase::Ready, started: Some(1.5), weight: 4.0 };
+    let sum = HostLoadReport {
         zone: ZoneId(1),
         host,
         tries: 14.0,
@@ -15,12 +16,12 @@
         span: 1.0,
         busy: Some(0.5),
     };
-    let round = Round {
+    let round = EventBatch {
         now: 2.0,
-        lists: vec![HostList { whole: true, entries: vec![listed] }],
+        lists: vec![EndpointList { whole: true, entries: vec![listed] }],
         tries: vec![sum],
         timers: vec![TimerId(7)],
-        ..Round::default()
+        ..EventBatch::default()
     };
     let lines = [
         "FRAME wall_us=2000000",
--- a/crates/railhub-watch/src/scene.rs
+++ b/crates/railhub-watch/src/scene.rs
@@ -157,7 +157,7 @@
             let class = class.map_or_else(|| level.class.to_string(), |class| class.name.clone());
             let second_try = match level.again() {
                 Again::Never => "no second try",
-                Again::IfNeverRan => "if it never ran",
+                Again::IfNotExecuted => "if it never ran",
                 Again::AfterFailure => "after a failure",
             };
             self.levels.insert(level.class, LevelSight { class, share: level.share, second_try });
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,10 +1,10 @@
-//! All of a steward's decisions. Make a `Steward` from its `Terms`, then call `Steward::round` with all that
-//! came in; decisions go straight into the `Orders` passed along. Both are defined in `interface`.
+//! All of a steward's decisions. Make a `Controller` from its `ControllerConfig`, then call `Controller::round` with all that
+//! came in; decisions go straight into the `CommandSink` passed along. Both are defined in `interface`.
 //! A round takes in the news. Once a second it is also a turn, which judges hosts and moves slices.
 //! List news and health verdicts act at once. What changed leaves as one delta at the end.
 use crate::channel::{Channel, Update};
 use crate::interface::*;
-use crate::sums::{at_share, Rate, Sum};
+use crate::sums::{at_share, DecayingRate, DecayingSum};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
@@ -103,7 +103,7 @@
 
 /// The design's AIMD score of a host as one zone's proxies see it.
 #[derive(Default)]
-struct Pair {
+struct ZoneHealthScore {
     score: f64,
     tries: f64,
     failed: f64,
@@ -114,9 +114,9 @@
     window: Vec<(Seconds, f64)>,
 }
 
-impl Pair {
-    fn untried() -> Pair {
-        Pair { score: 1.0, ..Pair::default() }
+impl ZoneHealthScore {
+    fn untried() -> ZoneHealthScore {
+        ZoneHealthScore { score: 1.0, ..ZoneHealthScore::default() }
     }
 
     /// One epoch. Without a report there is no evidence; a report over several epochs counts for each.
@@ -146,15 +146,17 @@
     (prev * (1.0 + near_thresh).powf(epochs)).clamp(1.0, 100.0)
 }
 
-impl ClassTerms {
+impl ClassConfig {
     /// The widest way of trying again that can't take effect twice: a keyed operation only where every host
     /// drops the repeat, and with time to spare in the window that the first try opened.
-    fn may_repeat(&self, first_wait: f64) -> SecondTry {
+    fn may_repeat(&self, first_wait: f64) -> RetryPolicy {
         let long = KEY_SLACK * first_wait * self.contract_time;
         match self.repeat {
-            Repeat::Safe => SecondTry::AfterFailure,
-            Repeat::KeyedEverywhere(window) if window >= long => SecondTry::AfterFailure,
-            Repeat::KeyedEverywhere(_) | Repeat::KeyedNearby | Repeat::Never => SecondTry::IfNeverRan,
+            Idempotency::Safe => RetryPolicy::AfterFailure,
+            Idempotency::IdempotencyKeyGlobal(window) if window >= long => RetryPolicy::AfterFailure,
+            Idempotency::IdempotencyKeyGlobal(_) | Idempotency::IdempotencyKeyLocal | Idempotency::Never => {
+                RetryPolicy::IfNotExecuted
+            }
         }
     }
 }
@@ -180,9 +182,9 @@
     /// When it began to warm up: its last start, or the end of a silence.
     cold_since: Option<Seconds>,
     started: Option<Seconds>,
-    pairs: BTreeMap<ZoneId, Pair>,
-    core_time: Sum,
-    completed: Sum,
+    pairs: BTreeMap<ZoneId, ZoneHealthScore>,
+    core_time: DecayingSum,
+    completed: DecayingSum,
     last_good: Seconds,
     last_bad: Seconds,
     misses: u32,
@@ -194,8 +196,8 @@
 }
 
 impl Host {
-    fn new(listed: &Listed) -> Host {
-        let Listed { phase, started, weight, kind, .. } = *listed;
+    fn new(listed: &EndpointEntry) -> Host {
+        let EndpointEntry { phase, started, weight, kind, .. } = *listed;
         Host { phase, weight, kind, started, cold_since: started, ..Host::default() }
     }
 
@@ -215,7 +217,7 @@
     }
 
     /// The least it can do now, as a share of what it can do warm; its square root is likely.
-    fn warmth(&self, now: Seconds, terms: &Terms) -> f64 {
+    fn warmth(&self, now: Seconds, terms: &ControllerConfig) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
         let grown = (now - since).max(0.0) / terms.warm_within.max(EPOCH);
         (terms.cold_from + (1.0 - terms.cold_from) * grown).clamp(0.01, 1.0)
@@ -231,10 +233,10 @@
     /// Core time of an operation: core seconds over completions. With u operations in hand a unit of present
     /// size, the busy share is close to u / sqrt(1 + u^2) for machines of a few cores; where hosts report it,
     /// it needs no guess. Zones report apart and share it by what they have in hand.
-    fn learn_speed(&mut self, now: Seconds, sum: &TrySum, size: f64, contract_time: Seconds) {
+    fn learn_speed(&mut self, now: Seconds, sum: &HostLoadReport, size: f64, contract_time: Seconds) {
         let good = (sum.tries - sum.failed).max(0.0);
         let in_hand = (good * sum.mean_time + sum.failed * contract_time) / sum.span.max(0.01);
-        let pair = self.pairs.entry(sum.zone).or_insert_with(Pair::untried);
+        let pair = self.pairs.entry(sum.zone).or_insert_with(ZoneHealthScore::untried);
         (pair.in_hand, pair.heard) = (in_hand, now);
         let recent = self.pairs.values().filter(|pair| now - pair.heard <= SPEED_MEMORY);
         let all = recent.map(|pair| pair.in_hand).sum::<f64>().max(1e-6);
@@ -252,7 +254,7 @@
     /// A second line of next to no weight, for further tries when the owner refuses or can't be reached.
     standby: Option<HostId>,
     written: Vec<(HostId, f64)>,
-    demand: Vec<Rate>,
+    demand: Vec<DecayingRate>,
     given_at: Seconds,
     /// With one owner: when no write to a former one can be in hand. `None`: some may still hold its line.
     free_at: Option<Seconds>,
@@ -266,7 +268,7 @@
     fn new(now: Seconds, stored: Vec<(HostId, f64)>, classes: usize) -> Slice {
         let owner = stored.iter().max_by(|a, b| a.1.total_cmp(&b.1)).map(|line| line.0);
         let standby = stored.iter().map(|line| line.0).find(|host| Some(*host) != owner);
-        let demand = vec![Rate::default(); classes];
+        let demand = vec![DecayingRate::default(); classes];
         let (home, given_at, free_at, presumed, rests_until) = (None, now, None, 0.0, 0.0);
         Slice { owner, home, standby, written: stored, demand, given_at, free_at, presumed, rests_until }
     }
@@ -289,7 +291,7 @@
 
 /// What a turn goes by: each usable host's demand, speed and present capacity.
 #[derive(Clone, Copy)]
-struct Load {
+struct HostLoad {
     demand: f64,
     service: Seconds,
     capacity: f64,
@@ -299,7 +301,7 @@
     cold: bool,
 }
 
-impl Load {
+impl HostLoad {
     fn utilisation(&self, more: f64) -> f64 {
         (self.demand + more).max(0.0) * self.service / self.capacity
     }
@@ -315,8 +317,8 @@
 }
 
 #[derive(Default)]
-pub struct Steward {
-    terms: Terms,
+pub struct Controller {
+    terms: ControllerConfig,
     started: bool,
     hosts: BTreeMap<HostId, Host>,
     slices: BTreeMap<SliceId, Slice>,
@@ -329,7 +331,7 @@
     levels: Vec<f64>,
     /// Part of what hosts can do that is asked for.
     filled: f64,
-    levels_written: Vec<(f64, SecondTry)>,
+    levels_written: Vec<(f64, RetryPolicy)>,
     moves: f64,
     moves_at: Seconds,
     sent: Vec<Seconds>,
@@ -341,15 +343,15 @@
     shut: BTreeMap<HostId, Option<bool>>,
 }
 
-impl Steward {
-    pub fn new(terms: Terms) -> Steward {
+impl Controller {
+    pub fn new(terms: ControllerConfig) -> Controller {
         let classes = terms.classes.len();
-        Steward {
+        Controller {
             levels: vec![1.0; classes],
-            levels_written: vec![(1.0, SecondTry::IfNeverRan); classes],
+            levels_written: vec![(1.0, RetryPolicy::IfNotExecuted); classes],
             moves: f64::from(terms.slices),
             terms,
-            ..Steward::default()
+            ..Controller::default()
         }
     }
 
@@ -358,7 +360,7 @@
         self.slices.iter().map(|(id, slice)| (*id, slice.written.as_slice()))
     }
 
-    pub fn round(&mut self, round: &Round, orders: &mut impl Orders) {
+    pub fn round(&mut self, round: &EventBatch, orders: &mut impl CommandSink) {
         let now = round.now;
         self.left_at = if self.started { self.left_at } else { now };
         let turn = !std::mem::replace(&mut self.started, true) || !round.timers.is_empty();
@@ -423,7 +425,7 @@
 
     /// Guards against a list that lies. A host it drops keeps its slices while it answers, unless it drained;
     /// one it adds or brings back gets none before it has answered a probe.
-    fn hear_list(&mut self, now: Seconds, list: &HostList, orders: &mut impl Orders) {
+    fn hear_list(&mut self, now: Seconds, list: &EndpointList, orders: &mut impl CommandSink) {
         let kept: BTreeSet<HostId> = list.entries.iter().map(|entry| entry.host).collect();
         let lacked = self.hosts.iter_mut().filter(|(id, _)| list.whole && !kept.contains(id));
         lacked.for_each(|(_, host)| host.drop_out(now, self.terms.dropped_may_stay));
@@ -463,7 +465,7 @@
     }
 
     /// A host that the store names has served: it needs no probe to be trusted.
-    fn take_charge(&mut self, now: Seconds, charge: &Charge, presumed: f64) {
+    fn take_charge(&mut self, now: Seconds, charge: &SliceAssignment, presumed: f64) {
         self.charged_at = if self.slices.is_empty() { now } else { self.charged_at };
         self.slices.remove(&charge.slice);
         self.channel.forget_slice(charge.slice);
@@ -478,14 +480,14 @@
     }
 
     /// What the next one in charge of a slice is told.
-    pub fn save(&self, now: Seconds, slice: SliceId) -> Option<SliceState> {
+    pub fn save(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
         let slice = self.slices.get(&slice)?;
         let (rate, rests) = (self.rate(slice), (slice.rests_until - now).max(0.0));
-        Some(SliceState { rate, rests, home: slice.home })
+        Some(SliceHandoff { rate, rests, home: slice.home })
     }
 
     /// Takes that in, so long after it was saved. What a slice brought is presumed until it is heard of.
-    pub fn restore(&mut self, now: Seconds, slice: SliceId, state: &SliceState, age: Seconds) {
+    pub fn restore(&mut self, now: Seconds, slice: SliceId, state: &SliceHandoff, age: Seconds) {
         let known = self.slices.get_mut(&slice).filter(|slice| age <= UNHEARD && !slice.is_heard());
         let Some(slice) = known else { return };
         slice.presumed = state.rate;
@@ -493,9 +495,9 @@
         slice.home = state.home;
     }
 
-    fn hear_tries(&mut self, now: Seconds, sum: &TrySum) {
+    fn hear_tries(&mut self, now: Seconds, sum: &HostLoadReport) {
         let size = self.hosts.get(&sum.host).map_or(0.0, |host| self.part_of(now, host));
-        let sum = &TrySum { span: covered(now, self.charged_at, sum.span), ..sum.clone() };
+        let sum = &HostLoadReport { span: covered(now, self.charged_at, sum.span), ..sum.clone() };
         let Some(host) = self.hosts.get_mut(&sum.host) else { return };
         *(if sum.tries > sum.failed { &mut host.last_good } else { &mut host.last_bad }) = now;
         let classes = &self.terms.classes;
@@ -507,7 +509,7 @@
         pair.span += sum.span;
     }
 
-    fn hear_demand(&mut self, now: Seconds, sum: &DemandSum) {
+    fn hear_demand(&mut self, now: Seconds, sum: &SliceLoadReport) {
         let Some(slice) = self.slices.get_mut(&sum.slice) else { return };
         let span = covered(now, slice.given_at, sum.span);
         if let Some(demand) = slice.demand.get_mut(usize::from(sum.class.0)) {
@@ -524,13 +526,13 @@
 
     /// Guards against hosts that died or hang, which the score is slow to see: probes don't reach them, or go
     /// unanswered while sums show only failures. Missing sums prove nothing. Tells who must be left now.
-    fn hear_probe(&mut self, now: Seconds, probe: &ProbeResult, orders: &mut impl Orders) -> bool {
+    fn hear_probe(&mut self, now: Seconds, probe: &HealthCheckResult, orders: &mut impl CommandSink) -> bool {
         let served = || self.hosts.values().filter(|host| host.phase == Phase::Ready && host.last_good > 0.0);
         let (all, down) = (served().count(), served().filter(|host| host.down).count());
         let Some(host) = self.hosts.get_mut(&probe.host) else { return false };
         match probe.end {
-            ProbeEnd::TurnedAway => return false,
-            ProbeEnd::Answered => {
+            HealthCheckOutcome::Rejected => return false,
+            HealthCheckOutcome::Answered => {
                 (host.misses, host.last_good) = (0, now);
                 if host.down {
                     host.down = false;
@@ -539,9 +541,9 @@
                 }
                 return false;
             }
-            ProbeEnd::Failed | ProbeEnd::Unreachable => host.misses += 1,
+            HealthCheckOutcome::Failed | HealthCheckOutcome::Unreachable => host.misses += 1,
         }
-        host.unreached = probe.end == ProbeEnd::Unreachable;
+        host.unreached = probe.end == HealthCheckOutcome::Unreachable;
         let bad_sums = host.last_bad > host.last_good && now - host.last_good > SILENT_SUMS;
         let silent = host.misses >= SILENT_PROBES && bad_sums;
         let proven = silent || host.unreached && host.misses >= UNREACHED_PROBES;
@@ -559,7 +561,7 @@
         true
     }
 
-    fn hear_confirmed(&mut self, now: Seconds, confirmed: &Confirmed) {
+    fn hear_confirmed(&mut self, now: Seconds, confirmed: &BarrierAck) {
         self.channel.acknowledge(now, confirmed.proxy, confirmed.mark);
         self.end_deltas(now);
     }
@@ -578,7 +580,7 @@
     /// of those heard of. Else their owners would seem idle, and be given what they cannot hold.
     fn usual_demand(&self) -> f64 {
         let heard = || self.slices.values().filter(|slice| slice.is_heard());
-        let all: f64 = heard().flat_map(|slice| slice.demand.iter().map(Rate::read)).sum();
+        let all: f64 = heard().flat_map(|slice| slice.demand.iter().map(DecayingRate::read)).sum();
         all / heard().count().max(1) as f64
     }
 
@@ -597,7 +599,7 @@
         known(true).or_else(|| known(false)).unwrap_or(UNKNOWN_SERVICE)
     }
 
-    fn loads(&self, now: Seconds) -> BTreeMap<HostId, Load> {
+    fn loads(&self, now: Seconds) -> BTreeMap<HostId, HostLoad> {
         let usable = self.hosts.iter().filter(|(_, host)| host.usable());
         let mut usual = BTreeMap::new();
         let load = |(id, host): (&HostId, &Host)| {
@@ -606,13 +608,13 @@
             let usual = *usual.entry(host.kind).or_insert_with(|| self.usual_service(now, host.kind));
             let service = host.service_time(now, usual);
             let capacity = self.part_of(now, host);
-            let warm = Load { demand: 0.0, service, capacity, fill: FULL, shed: f64::MAX, cold: false };
+            let warm = HostLoad { demand: 0.0, service, capacity, fill: FULL, shed: f64::MAX, cold: false };
             // A host that has just started has met no keys, and its first reports flatter it.
             let (fill, shed) = (FULL.min(COLD_FILL * fells), COLD_SHED * fells);
-            let cold = Load { service: service.max(usual), fill, shed, cold: true, ..warm };
+            let cold = HostLoad { service: service.max(usual), fill, shed, cold: true, ..warm };
             (*id, if warmth < 1.0 { cold } else { warm })
         };
-        let mut loads: BTreeMap<HostId, Load> = usable.map(load).collect();
+        let mut loads: BTreeMap<HostId, HostLoad> = usable.map(load).collect();
         for slice in self.slices.values() {
             if let Some(load) = slice.owner.and_then(|owner| loads.get_mut(&owner)) {
                 load.demand += self.rate(slice);
@@ -622,7 +624,7 @@
     }
 
     /// The replica, else the next on the hash, if it has room; else the fastest warm one: cold ones fall.
-    fn heir(&self, id: SliceId, more: f64, loads: &BTreeMap<HostId, Load>) -> Option<HostId> {
+    fn heir(&self, id: SliceId, more: f64, loads: &BTreeMap<HostId, HostLoad>) -> Option<HostId> {
         let open = || loads.iter().filter(|(host, _)| Some(**host) != self.withdrawn);
         let spare = |host: &HostId| self.slices[&id].standby == Some(*host);
         let rank = |host: &HostId| (spare(host), rendezvous(id, *host, self.hosts[host].weight));
@@ -633,7 +635,13 @@
         next.or_else(fast).map(|(host, _)| *host)
     }
 
-    fn move_to(&mut self, now: Seconds, id: SliceId, to: Option<HostId>, loads: &mut BTreeMap<HostId, Load>) {
+    fn move_to(
+        &mut self,
+        now: Seconds,
+        id: SliceId,
+        to: Option<HostId>,
+        loads: &mut BTreeMap<HostId, HostLoad>,
+    ) {
         let more = self.rate(&self.slices[&id]);
         let slice = self.slices.get_mut(&id).expect("a slice in charge");
         if let Some(load) = slice.owner.and_then(|owner| loads.get_mut(&owner)) {
@@ -655,7 +663,12 @@
     }
 
     /// Heirs for the slices of hosts that drain, are gone, down or withdrawn, and of overfilled cold ones.
-    fn hand_over(&mut self, now: Seconds, loads: &mut BTreeMap<HostId, Load>, orders: &mut impl Orders) {
+    fn hand_over(
+        &mut self,
+        now: Seconds,
+        loads: &mut BTreeMap<HostId, HostLoad>,
+        orders: &mut impl CommandSink,
+    ) {
         let mut moved = 0;
         let homeless: Vec<SliceId> = (self.slices.iter())
             .filter(|(_, s)| s.owner.is_none_or(|o| !loads.contains_key(&o) || Some(o) == self.withdrawn))
@@ -690,7 +703,7 @@
     }
 
     /// The design's epoch. Nobody is withdrawn while levels are down: a poor host is better than a jam.
-    fn judge(&mut self, now: Seconds, orders: &mut impl Orders) {
+    fn judge(&mut self, now: Seconds, orders: &mut impl CommandSink) {
         let mut scores = Vec::new();
         let short = self.levels.iter().any(|level| *level < 1.0);
         for (id, host) in &mut self.hosts {
@@ -713,7 +726,7 @@
     }
 
     /// Slices go back a few per turn, where they will be served faster than now.
-    fn take_back(&mut self, now: Seconds, loads: &mut BTreeMap<HostId, Load>) {
+    fn take_back(&mut self, now: Seconds, loads: &mut BTreeMap<HostId, HostLoad>) {
         let mut left = RETURNS_PER_TURN;
         let away: Vec<_> = self.slices.iter().filter_map(|(id, slice)| Some((*id, slice.home?))).collect();
         for (id, home) in away {
@@ -730,7 +743,7 @@
 
     /// The design's placement: the hottest slice of a host that lags for several turns goes to the host with
     /// the lowest latency; a cooler one if that would only carry the lag along.
-    fn follow_latency(&mut self, now: Seconds, loads: &mut BTreeMap<HostId, Load>) {
+    fn follow_latency(&mut self, now: Seconds, loads: &mut BTreeMap<HostId, HostLoad>) {
         let full = f64::from(self.terms.slices);
         self.moves = (self.moves + (now - self.moves_at) * MOVES_A_SECOND * full).min(full);
         self.moves_at = now;
@@ -755,7 +768,7 @@
                 }
                 let others = loads.iter().filter(|(id, _)| **id != from && Some(**id) != self.withdrawn);
                 let open = others.filter(|(_, load)| !load.cold || load.holds(more * COLD_KEYS));
-                let after = |load: &Load| load.latency(more * COLD_KEYS);
+                let after = |load: &HostLoad| load.latency(more * COLD_KEYS);
                 let best = open.min_by(|a, b| after(a.1).total_cmp(&after(b.1)));
                 let Some((to, load)) = best else { continue };
                 let worst = after(load).max(loads[&from].latency(-more));
@@ -770,11 +783,11 @@
     }
 
     /// Under overload, the class with the least gain per work is let in less, as far as is needed.
-    fn set_levels(&mut self, loads: &BTreeMap<HostId, Load>) {
+    fn set_levels(&mut self, loads: &BTreeMap<HostId, HostLoad>) {
         if !self.terms.levels_by_share {
             return;
         }
-        let speed = |load: &Load| load.capacity / load.service;
+        let speed = |load: &HostLoad| load.capacity / load.service;
         let heard = |k: usize| -> f64 { self.slices.values().map(|slice| slice.demand[k].read()).sum() };
         let all: f64 = (0..self.terms.classes.len()).map(heard).sum();
         // What slices are presumed to bring falls on the classes as the rest does.
@@ -799,7 +812,7 @@
 
     /// Guards operations against a host that died or turns them away, until the steward hears of it: each
     /// table has the next warm host on the hash as a second line, which only further tries meet.
-    fn stand_by(&mut self, loads: &BTreeMap<HostId, Load>) {
+    fn stand_by(&mut self, loads: &BTreeMap<HostId, HostLoad>) {
         let open = |host: &HostId| loads.get(host).is_some_and(|l| !l.cold) && Some(*host) != self.withdrawn;
         for (id, slice) in &mut self.slices {
             if slice.standby.is_some_and(|host| open(&host) && Some(host) != slice.owner) {
@@ -846,7 +859,7 @@
 
     /// Writes what differs from the standing tables, the most urgent first, within the message allowance and
     /// the backlog. What waits in the channel is known from marks: it may be several times slower than usual.
-    fn flush(&mut self, now: Seconds, turn: bool, orders: &mut impl Orders) {
+    fn flush(&mut self, now: Seconds, turn: bool, orders: &mut impl CommandSink) {
         let one = self.terms.single_owner;
         let may = |s: &Slice| !one || !s.written.is_empty() || s.free_at.is_some_and(|at| at <= now);
         let mut due: Vec<_> = (self.slices.iter())
@@ -874,7 +887,7 @@
         let mut lines = empty;
         // Further tries would feed an overload: only proven ones go on, and none once a level falls.
         let calm = self.levels.iter().all(|level| *level == 1.0);
-        let most = if calm { SecondTry::IfNeverRan } else { SecondTry::Never };
+        let most = if calm { RetryPolicy::IfNotExecuted } else { RetryPolicy::Never };
         for (k, written) in self.levels_written.iter_mut().enumerate() {
             let again = self.terms.classes[k].may_repeat(self.terms.first_wait);
             let wanted = (self.levels[k], if calm && self.filled < RETRY_ROOM { again } else { most });
@@ -916,15 +929,15 @@
         if lines > empty || asks {
             self.unsure = false;
             self.mark = self.mark.wrapping_add(1);
-            orders.mark(MarkId(self.mark));
+            orders.mark(BarrierId(self.mark));
             self.sent.push(now);
-            let update = Update::new(now, MarkId(self.mark), lines, self.proxies.clone());
+            let update = Update::new(now, BarrierId(self.mark), lines, self.proxies.clone());
             self.channel.send(Update { emptied, ..update });
         }
     }
 
     /// Without slices: one table of all usable hosts, or else of all listed, handed to each proxy that joins.
-    fn one_table(&mut self, now: Seconds, round: &Round, orders: &mut impl Orders) {
+    fn one_table(&mut self, now: Seconds, round: &EventBatch, orders: &mut impl CommandSink) {
         let table = SliceId(0);
         let weight = |h: &Host| (10.0 * h.weight * h.warmth(now, &self.terms)).max(0.1).ceil() / 10.0;
         let lines = |open: fn(&Host) -> bool| -> Vec<(HostId, f64)> {
--- a/src/brain/tests.rs
+++ b/src/brain/tests.rs
@@ -8,26 +8,26 @@
 struct Written {
     lines: Vec<(SliceId, HostId, f64)>,
     tables: usize,
-    levels: Vec<(ClassId, f64, SecondTry)>,
+    levels: Vec<(ClassId, f64, RetryPolicy)>,
     probes: Vec<HostId>,
-    marks: Vec<MarkId>,
+    marks: Vec<BarrierId>,
     shut: Vec<(HostId, bool)>,
 }
 
-impl Orders for Written {
+impl CommandSink for Written {
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
         self.lines.push((slice, host, weight));
     }
     fn hand_table(&mut self, _: SliceId, _: ProxyId) {
         self.tables += 1;
     }
-    fn set_level(&mut self, class: ClassId, share: f64, second_try: SecondTry) {
+    fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy) {
         self.levels.push((class, share, second_try));
     }
     fn shut_out(&mut self, host: HostId, out: bool) {
         self.shut.push((host, out));
     }
-    fn mark(&mut self, mark: MarkId) {
+    fn mark(&mut self, mark: BarrierId) {
         self.marks.push(mark);
     }
     fn probe(&mut self, host: HostId) {
@@ -41,13 +41,13 @@
     HostId::from(SocketAddr::from(([10, 0, 0, n], 80)))
 }
 
-fn class(repeat: Repeat, gain: f64) -> ClassTerms {
-    ClassTerms { contract_time: 1.0, gain, repeat }
+fn class(repeat: Idempotency, gain: f64) -> ClassConfig {
+    ClassConfig { contract_time: 1.0, gain, repeat }
 }
 
-fn terms() -> Terms {
-    Terms {
-        classes: vec![class(Repeat::Safe, 1.0), class(Repeat::Never, 5.0)],
+fn terms() -> ControllerConfig {
+    ControllerConfig {
+        classes: vec![class(Idempotency::Safe, 1.0), class(Idempotency::Never, 5.0)],
         slices: 12,
         single_owner: false,
         write_lease: 4.0,
@@ -66,44 +66,48 @@
     }
 }
 
-fn listed(n: u8, phase: Phase, started: Option<Seconds>) -> Listed {
-    Listed { host: host(n), phase, started, weight: 4.0, kind: KindId(0) }
+fn listed(n: u8, phase: Phase, started: Option<Seconds>) -> EndpointEntry {
+    EndpointEntry { host: host(n), phase, started, weight: 4.0, kind: KindId(0) }
 }
 
-fn news(now: Seconds, entries: Vec<Listed>) -> Round {
-    Round { now, lists: vec![HostList { whole: false, entries }], ..Round::default() }
+fn news(now: Seconds, entries: Vec<EndpointEntry>) -> EventBatch {
+    EventBatch { now, lists: vec![EndpointList { whole: false, entries }], ..EventBatch::default() }
 }
 
-fn turn(now: Seconds) -> Round {
-    Round { now, timers: vec![TimerId(0)], ..Round::default() }
+fn turn(now: Seconds) -> EventBatch {
+    EventBatch { now, timers: vec![TimerId(0)], ..EventBatch::default() }
 }
 
 /// A steward at second 100 with four warm hosts, twelve slices dealt out in turn, and two proxies.
-fn steward(terms: Terms) -> Steward {
-    let mut steward = Steward::new(terms);
+fn steward(terms: ControllerConfig) -> Controller {
+    let mut steward = Controller::new(terms);
     let entries = (1..=4).map(|n| listed(n, Phase::Ready, None)).collect();
     let mut round = news(100.0, entries);
     round.charges = (0..12)
-        .map(|k| Charge { slice: SliceId(k), given: true, lines: vec![(host(1 + k as u8 % 4), 1.0)] })
+        .map(|k| SliceAssignment {
+            slice: SliceId(k),
+            given: true,
+            lines: vec![(host(1 + k as u8 % 4), 1.0)],
+        })
         .collect();
-    round.streams = (0..2).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
+    round.streams = (0..2).map(|k| ProxyStreamEvent { proxy: ProxyId(k), up: true, first: true }).collect();
     steward.round(&round, &mut Written::default());
     steward
 }
 
 /// Gives each slice so many operations a second, and each owner the tries that go with it.
-fn work(steward: &mut Steward, now: Seconds, each: f64, mean_time: Seconds) {
+fn work(steward: &mut Controller, now: Seconds, each: f64, mean_time: Seconds) {
     for slice in steward.slices.values_mut() {
-        slice.demand[0] = Rate::default();
+        slice.demand[0] = DecayingRate::default();
         slice.demand[0].add(now, each, 1.0, MEMORY);
     }
     for host in steward.hosts.values_mut() {
         (host.core_time, host.completed) =
-            (Sum { value: mean_time * 100.0, at: now }, Sum { value: 100.0, at: now });
+            (DecayingSum { value: mean_time * 100.0, at: now }, DecayingSum { value: 100.0, at: now });
     }
 }
 
-fn owned(steward: &Steward, n: u8) -> usize {
+fn owned(steward: &Controller, n: u8) -> usize {
     steward.slices.values().filter(|slice| slice.owner == Some(host(n))).count()
 }
 
@@ -119,7 +123,7 @@
 
 #[test]
 fn a_pair_without_report_keeps_its_score() {
-    let mut pair = Pair { score: 40.0, ..Pair::untried() };
+    let mut pair = ZoneHealthScore { score: 40.0, ..ZoneHealthScore::untried() };
     pair.epoch(1.0, false);
     assert_eq!((pair.score, pair.window.len()), (40.0, 0));
 }
@@ -138,13 +142,21 @@
     assert_eq!(outlier(&[(host(1), 100.0)]), None);
 }
 
-fn sum(n: u8, failed: f64) -> TrySum {
-    TrySum { zone: ZoneId(0), host: host(n), tries: 20.0, failed, mean_time: 0.1, span: 1.0, busy: None }
+fn sum(n: u8, failed: f64) -> HostLoadReport {
+    HostLoadReport {
+        zone: ZoneId(0),
+        host: host(n),
+        tries: 20.0,
+        failed,
+        mean_time: 0.1,
+        span: 1.0,
+        busy: None,
+    }
 }
 
-fn failing(now: Seconds, n: u8) -> Round {
+fn failing(now: Seconds, n: u8) -> EventBatch {
     let tries = (1..=4).map(|k| sum(k, if k == n { 10.0 } else { 0.0 })).collect();
-    Round { tries, ..turn(now) }
+    EventBatch { tries, ..turn(now) }
 }
 
 #[test]
@@ -196,9 +208,10 @@
 fn a_stored_table_is_not_rewritten_for_its_standby_though_the_store_tells_it_rounded() {
     let mut steward = steward(terms());
     let stored = |k: u16| vec![(host(4), 0.0), (host(1 + (k % 3) as u8), 1.0)];
-    let charges = (0..12).map(|k| Charge { slice: SliceId(k), given: true, lines: stored(k) }).collect();
+    let charges =
+        (0..12).map(|k| SliceAssignment { slice: SliceId(k), given: true, lines: stored(k) }).collect();
     let mut written = Written::default();
-    steward.round(&Round { charges, ..turn(101.0) }, &mut written);
+    steward.round(&EventBatch { charges, ..turn(101.0) }, &mut written);
     assert!(written.lines.is_empty(), "{:?}", written.lines);
     assert!(steward.slices.values().all(|slice| slice.standby == Some(host(4))));
 }
@@ -207,15 +220,15 @@
 fn slices_from_another_steward_count_as_usual_until_they_are_heard_of() {
     let mut steward = steward(terms());
     work(&mut steward, 101.0, 2.0, 0.1);
-    let given = |k| Charge { slice: SliceId(k), given: true, lines: vec![(host(1), 1.0)] };
+    let given = |k| SliceAssignment { slice: SliceId(k), given: true, lines: vec![(host(1), 1.0)] };
     let charges = (0..6).map(given).collect();
-    steward.round(&Round { now: 101.1, charges, ..Round::default() }, &mut Written::default());
-    let rate = |steward: &Steward, k: u16| steward.rate(&steward.slices[&SliceId(k)]);
+    steward.round(&EventBatch { now: 101.1, charges, ..EventBatch::default() }, &mut Written::default());
+    let rate = |steward: &Controller, k: u16| steward.rate(&steward.slices[&SliceId(k)]);
     assert_eq!((rate(&steward, 0), rate(&steward, 7)), (2.0, 2.0));
     let held = f64::from(owned(&steward, 1) as u16);
     assert_eq!(steward.loads(101.1)[&host(1)].demand, held * 2.0);
-    let told = DemandSum { slice: SliceId(0), class: ClassId(0), operations: 5.0, span: 1.0 };
-    steward.round(&Round { demand: vec![told], ..turn(103.5) }, &mut Written::default());
+    let told = SliceLoadReport { slice: SliceId(0), class: ClassId(0), operations: 5.0, span: 1.0 };
+    steward.round(&EventBatch { demand: vec![told], ..turn(103.5) }, &mut Written::default());
     assert_eq!((rate(&steward, 0), rate(&steward, 1)), (5.0, 2.0));
     // One that is never heard of has no traffic.
     steward.round(&turn(101.1 + UNHEARD), &mut Written::default());
@@ -225,11 +238,11 @@
 #[test]
 fn reports_that_reach_back_to_before_a_slice_was_given_count_for_the_time_since() {
     let mut steward = steward(terms());
-    let given = Charge { slice: SliceId(0), given: true, lines: vec![(host(1), 1.0)] };
-    steward.round(&Round { charges: vec![given], ..turn(110.0) }, &mut Written::default());
+    let given = SliceAssignment { slice: SliceId(0), given: true, lines: vec![(host(1), 1.0)] };
+    steward.round(&EventBatch { charges: vec![given], ..turn(110.0) }, &mut Written::default());
     // Six operations came in the second that this report can tell of, not in five; of another slice it tells all.
-    let told = |k| DemandSum { slice: SliceId(k), class: ClassId(0), operations: 6.0, span: 5.0 };
-    steward.round(&Round { demand: vec![told(0), told(1)], ..turn(112.0) }, &mut Written::default());
+    let told = |k| SliceLoadReport { slice: SliceId(k), class: ClassId(0), operations: 6.0, span: 5.0 };
+    steward.round(&EventBatch { demand: vec![told(0), told(1)], ..turn(112.0) }, &mut Written::default());
     let rate = |k: u16| steward.rate(&steward.slices[&SliceId(k)]);
     assert!((rate(0) - 6.0).abs() < 1e-9 && (rate(1) - 1.2).abs() < 1e-9, "{} {}", rate(0), rate(1));
     // The first report of a steward that has just started is no sign that the host had little in hand.
@@ -257,13 +270,19 @@
     for (may_stay, phase, slices) in
         [(true, Phase::Ready, 3), (true, Phase::Draining, 0), (false, Phase::Ready, 0)]
     {
-        let mut steward = steward(Terms { dropped_may_stay: may_stay, ..terms() });
+        let mut steward = steward(ControllerConfig { dropped_may_stay: may_stay, ..terms() });
         steward.round(&news(100.2, vec![listed(4, phase, None)]), &mut Written::default());
         let entries = (1..=3).map(|n| listed(n, Phase::Ready, None)).collect();
-        let round = Round { now: 100.5, lists: vec![HostList { whole: true, entries }], ..Round::default() };
+        let round = EventBatch {
+            now: 100.5,
+            lists: vec![EndpointList { whole: true, entries }],
+            ..EventBatch::default()
+        };
         steward.round(&round, &mut Written::default());
         assert_eq!(owned(&steward, 4), slices);
-        (0..2).for_each(|_| steward.round(&probed(101.0, 4, ProbeEnd::Unreachable), &mut Written::default()));
+        (0..2).for_each(|_| {
+            steward.round(&probed(101.0, 4, HealthCheckOutcome::Unreachable), &mut Written::default())
+        });
         assert_eq!((owned(&steward, 4), steward.hosts[&host(4)].phase), (0, Phase::Gone));
     }
 }
@@ -275,9 +294,9 @@
     let mut written = Written::default();
     steward.round(&news(100.5, (5..=9).map(|n| listed(n, Phase::Ready, None)).collect()), &mut written);
     assert_eq!(written.probes.len(), 5);
-    (0..2).for_each(|_| steward.round(&probed(101.0, 2, ProbeEnd::Unreachable), &mut written));
+    (0..2).for_each(|_| steward.round(&probed(101.0, 2, HealthCheckOutcome::Unreachable), &mut written));
     assert!(steward.hosts[&host(2)].down && (5..=9).all(|n| !steward.hosts[&host(n)].usable()));
-    steward.round(&probed(101.0, 5, ProbeEnd::Answered), &mut written);
+    steward.round(&probed(101.0, 5, HealthCheckOutcome::Answered), &mut written);
     assert!(steward.hosts[&host(5)].usable() && !steward.hosts[&host(6)].usable());
 }
 
@@ -294,7 +313,7 @@
 #[test]
 fn a_cold_host_is_believed_warmer_than_its_least_but_filled_by_the_least() {
     // hf799d7 on norrland-portal-later: given 0.35 of four times its least, a cold host fell over.
-    let mut steward = steward(Terms { fall_multiple: 4.0, ..terms() });
+    let mut steward = steward(ControllerConfig { fall_multiple: 4.0, ..terms() });
     steward.round(&news(101.0, vec![listed(1, Phase::Ready, Some(100.9))]), &mut Written::default());
     for now in [101.0, 104.0, 108.0] {
         let load = steward.loads(now)[&host(1)];
@@ -307,7 +326,7 @@
 #[test]
 fn cold_hosts_alone_are_not_given_what_the_lost_ones_held() {
     // Two zone losses in a row on ishikari-labels: all that was left fell over.
-    let mut steward = steward(Terms { dropped_may_stay: false, ..terms() });
+    let mut steward = steward(ControllerConfig { dropped_may_stay: false, ..terms() });
     work(&mut steward, 101.0, 10.0, 0.1);
     let lost = (2..=4).map(|n| listed(n, Phase::Gone, None)).chain([listed(1, Phase::Ready, Some(100.9))]);
     steward.round(&news(101.0, lost.collect()), &mut Written::default());
@@ -323,17 +342,17 @@
     assert!(steward.slices.values().all(|slice| !slice.written.is_empty()));
 }
 
-fn probed(now: Seconds, n: u8, end: ProbeEnd) -> Round {
-    Round { now, probes: vec![ProbeResult { host: host(n), end }], ..Round::default() }
+fn probed(now: Seconds, n: u8, end: HealthCheckOutcome) -> EventBatch {
+    EventBatch { now, probes: vec![HealthCheckResult { host: host(n), end }], ..EventBatch::default() }
 }
 
 #[test]
 fn an_unreachable_host_is_probed_again_and_then_left() {
     let mut steward = steward(terms());
     let mut written = Written::default();
-    steward.round(&probed(101.0, 2, ProbeEnd::Unreachable), &mut written);
+    steward.round(&probed(101.0, 2, HealthCheckOutcome::Unreachable), &mut written);
     assert_eq!((written.probes, owned(&steward, 2)), (vec![host(2)], 3));
-    steward.round(&probed(101.1, 2, ProbeEnd::Unreachable), &mut Written::default());
+    steward.round(&probed(101.1, 2, HealthCheckOutcome::Unreachable), &mut Written::default());
     assert_eq!(owned(&steward, 2), 0);
 }
 
@@ -344,13 +363,13 @@
     for k in 0..5 {
         let now = 101.0 + f64::from(k);
         steward.hosts.get_mut(&host(2)).expect("listed").last_good = now;
-        steward.round(&probed(now, 2, ProbeEnd::Failed), &mut Written::default());
+        steward.round(&probed(now, 2, HealthCheckOutcome::Failed), &mut Written::default());
     }
     assert!(!steward.hosts[&host(2)].down);
     // Incident i9b6696: with a report every few seconds, busy hosts were called down 94 times.
-    let silence = |steward: &mut Steward, at| {
+    let silence = |steward: &mut Controller, at| {
         (0..3).for_each(|k| {
-            steward.round(&probed(at + k as f64, 2, ProbeEnd::Failed), &mut Written::default())
+            steward.round(&probed(at + k as f64, 2, HealthCheckOutcome::Failed), &mut Written::default())
         });
         steward.hosts[&host(2)].down
     };
@@ -364,7 +383,7 @@
     let mut steward = steward(terms());
     for n in 1..=4 {
         for _ in 0..2 {
-            steward.round(&probed(101.0, n, ProbeEnd::Unreachable), &mut Written::default());
+            steward.round(&probed(101.0, n, HealthCheckOutcome::Unreachable), &mut Written::default());
         }
     }
     assert_eq!(steward.hosts.values().filter(|host| host.down).count(), 2);
@@ -405,16 +424,16 @@
     assert!(steward.levels[0] < 1.0 && steward.levels[1] == 1.0);
     let mut written = Written::default();
     steward.flush(101.0, true, &mut written);
-    assert!(written.levels.iter().all(|level| level.2 == SecondTry::Never));
+    assert!(written.levels.iter().all(|level| level.2 == RetryPolicy::Never));
 }
 
 #[test]
 fn a_try_that_may_have_run_is_followed_only_while_hosts_have_room() {
     // Incident i9b6696: second tries took a growing fleet from two thirds of what it could do into a jam.
-    for (each, way) in [(3.0, SecondTry::AfterFailure), (8.5, SecondTry::IfNeverRan)] {
+    for (each, way) in [(3.0, RetryPolicy::AfterFailure), (8.5, RetryPolicy::IfNotExecuted)] {
         let mut steward = steward(terms());
         work(&mut steward, 101.0, each, 0.1);
-        steward.levels_written[0].1 = SecondTry::Never;
+        steward.levels_written[0].1 = RetryPolicy::Never;
         let loads = steward.loads(101.0);
         steward.set_levels(&loads);
         let mut written = Written::default();
@@ -441,18 +460,22 @@
     // Eight operations a second for each of twelve slices, half of which have just come from another steward.
     let mut steward = steward(terms());
     work(&mut steward, 101.0, 8.0, 0.1);
-    let given = |k| Charge { slice: SliceId(k), given: true, lines: vec![(host(1 + k as u8 % 4), 1.0)] };
+    let given =
+        |k| SliceAssignment { slice: SliceId(k), given: true, lines: vec![(host(1 + k as u8 % 4), 1.0)] };
     let charges = (0..6).map(given).collect();
-    steward.round(&Round { charges, ..turn(101.0) }, &mut Written::default());
+    steward.round(&EventBatch { charges, ..turn(101.0) }, &mut Written::default());
     assert!((steward.filled - 12.0 * 8.0 * 0.1 / 16.0).abs() < 0.05, "{}", steward.filled);
 }
 
 #[test]
 fn repeats_that_could_take_effect_twice_are_never_ordered() {
-    assert_eq!(class(Repeat::Never, 1.0).may_repeat(1.0), SecondTry::IfNeverRan);
-    assert_eq!(class(Repeat::KeyedNearby, 1.0).may_repeat(1.0), SecondTry::IfNeverRan);
-    assert_eq!(class(Repeat::KeyedEverywhere(1.5), 1.0).may_repeat(1.0), SecondTry::IfNeverRan);
-    assert_eq!(class(Repeat::KeyedEverywhere(5.0), 1.0).may_repeat(1.0), SecondTry::AfterFailure);
+    assert_eq!(class(Idempotency::Never, 1.0).may_repeat(1.0), RetryPolicy::IfNotExecuted);
+    assert_eq!(class(Idempotency::IdempotencyKeyLocal, 1.0).may_repeat(1.0), RetryPolicy::IfNotExecuted);
+    assert_eq!(
+        class(Idempotency::IdempotencyKeyGlobal(1.5), 1.0).may_repeat(1.0),
+        RetryPolicy::IfNotExecuted
+    );
+    assert_eq!(class(Idempotency::IdempotencyKeyGlobal(5.0), 1.0).may_repeat(1.0), RetryPolicy::AfterFailure);
 }
 
 #[test]
@@ -476,7 +499,7 @@
 #[test]
 fn a_slow_channel_is_seen_by_its_marks_and_keeps_room_for_hosts_that_must_be_left() {
     // Counted as if it sent at an eighth of its pace, the channel starved a deploy on magnolia-main-later.
-    let mut steward = steward(Terms { backlog: 50.0, message_cost: 0.0, ..terms() });
+    let mut steward = steward(ControllerConfig { backlog: 50.0, message_cost: 0.0, ..terms() });
     let mut written = Written::default();
     steward.channel = Channel::default();
     steward.slices.values_mut().for_each(|slice| slice.standby = Some(host(4)));
@@ -488,15 +511,15 @@
     steward.flush(201.0, true, &mut written);
     assert_eq!(written.shut, [(host(1), true)]);
     let mark = *written.marks.last().expect("marked");
-    (0..2).for_each(|k| steward.hear_confirmed(200.0, &Confirmed { proxy: ProxyId(k), mark }));
+    (0..2).for_each(|k| steward.hear_confirmed(200.0, &BarrierAck { proxy: ProxyId(k), mark }));
     assert!(steward.channel.is_empty());
 }
 
 #[test]
 fn without_slices_all_hosts_are_one_table_and_each_proxy_gets_it() {
-    let mut steward = Steward::new(Terms { slices: 0, ..terms() });
+    let mut steward = Controller::new(ControllerConfig { slices: 0, ..terms() });
     let mut round = news(100.0, (1..=3).map(|n| listed(n, Phase::Ready, None)).collect());
-    round.streams = vec![StreamChange { proxy: ProxyId(4), up: true, first: true }];
+    round.streams = vec![ProxyStreamEvent { proxy: ProxyId(4), up: true, first: true }];
     let mut written = Written::default();
     steward.round(&round, &mut written);
     assert_eq!((written.lines.len(), written.tables), (3, 1));
@@ -507,10 +530,10 @@
     let mut steward = steward(terms());
     let mut round = failing(101.0, 1);
     round.tries.iter_mut().for_each(|sum| sum.host = host(99));
-    round.probes.push(ProbeResult { host: host(99), end: ProbeEnd::Answered });
-    round.demand.push(DemandSum { slice: SliceId(77), class: ClassId(9), operations: 1.0, span: 1.0 });
-    round.charges.push(Charge { slice: SliceId(77), given: false, lines: Vec::new() });
-    round.streams.push(StreamChange { proxy: ProxyId(9), up: false, first: false });
+    round.probes.push(HealthCheckResult { host: host(99), end: HealthCheckOutcome::Answered });
+    round.demand.push(SliceLoadReport { slice: SliceId(77), class: ClassId(9), operations: 1.0, span: 1.0 });
+    round.charges.push(SliceAssignment { slice: SliceId(77), given: false, lines: Vec::new() });
+    round.streams.push(ProxyStreamEvent { proxy: ProxyId(9), up: false, first: false });
     steward.round(&round, &mut Written::default());
     assert_eq!(steward.slices.len(), 12);
 }
@@ -520,7 +543,7 @@
     // With few report lines a second, a busy host looked twice as slow to reports that came one by one.
     let mut host = Host::new(&listed(1, Phase::Ready, None));
     for (k, zone) in [0, 1, 0, 1, 0, 1].into_iter().enumerate() {
-        let report = TrySum { zone: ZoneId(zone), span: 2.0, busy: Some(0.5), ..sum(1, 0.0) };
+        let report = HostLoadReport { zone: ZoneId(zone), span: 2.0, busy: Some(0.5), ..sum(1, 0.0) };
         host.learn_speed(10.0 + k as f64, &report, 4.0, 1.0);
     }
     // Half of four cores over 20 operations a second.
@@ -529,7 +552,7 @@
 
 #[test]
 fn a_slice_that_reports_seldom_has_the_rate_of_the_time_covered() {
-    let mut demand = Rate::default();
+    let mut demand = DecayingRate::default();
     demand.add(100.0, 10.0, 1.0, MEMORY);
     demand.add(106.0, 60.0, 6.0, MEMORY);
     assert!((demand.read() - 10.0).abs() < 1e-9);
@@ -539,8 +562,8 @@
 fn a_host_without_news_goes_back_to_the_usual_speed() {
     // Hosts that jammed at the start had no slices and no reports, and were left out for the day.
     let mut host = Host::new(&listed(1, Phase::Ready, None));
-    host.core_time = Sum { value: 50.0, at: 10.0 };
-    host.completed = Sum { value: 50.0, at: 10.0 };
+    host.core_time = DecayingSum { value: 50.0, at: 10.0 };
+    host.completed = DecayingSum { value: 50.0, at: 10.0 };
     assert!(host.service_time(10.0, 0.1) > 0.9);
     assert!(host.service_time(10.0 + 6.0 * SPEED_MEMORY, 0.1) < 0.13);
 }
@@ -562,28 +585,29 @@
     // A data hall lost on ishikari-labels-later: its tables took longer to rewrite than the grace lasts.
     let mut steward = steward(terms());
     let mut written = Written::default();
-    (0..2).for_each(|_| steward.round(&probed(101.0, 2, ProbeEnd::Unreachable), &mut written));
+    (0..2).for_each(|_| steward.round(&probed(101.0, 2, HealthCheckOutcome::Unreachable), &mut written));
     assert_eq!(written.shut, [(host(2), true)]);
-    steward.round(&probed(103.0, 2, ProbeEnd::Answered), &mut written);
+    steward.round(&probed(103.0, 2, HealthCheckOutcome::Answered), &mut written);
     // On norrland-portal-later 13 hosts answering one by one used up the messages that a drain then lacked.
     assert_eq!(written.shut.len(), 1);
     steward.round(&turn(103.5), &mut written);
     assert_eq!(written.shut[1..], [(host(2), false)]);
-    let back = StreamChange { proxy: ProxyId(1), up: true, first: false };
-    steward.round(&Round { streams: vec![back], ..turn(104.0) }, &mut written);
+    let back = ProxyStreamEvent { proxy: ProxyId(1), up: true, first: false };
+    steward.round(&EventBatch { streams: vec![back], ..turn(104.0) }, &mut written);
     assert_eq!(written.shut[2..], [(host(2), false)]);
 }
 
 #[test]
 fn a_proxy_that_joins_later_learns_who_is_shut_out_while_tables_name_them() {
-    let mut steward = steward(Terms { message_cap: 0, backlog: 40.0, message_cost: 0.0, ..terms() });
+    let mut steward =
+        steward(ControllerConfig { message_cap: 0, backlog: 40.0, message_cost: 0.0, ..terms() });
     steward.channel = Channel::default();
     let mut written = Written::default();
-    (0..2).for_each(|_| steward.round(&probed(101.0, 2, ProbeEnd::Unreachable), &mut written));
+    (0..2).for_each(|_| steward.round(&probed(101.0, 2, HealthCheckOutcome::Unreachable), &mut written));
     assert!(steward.slices.values().any(|slice| slice.written.iter().any(|line| line.0 == host(2))));
     steward.channel = Channel::default();
-    let late = StreamChange { proxy: ProxyId(9), up: true, first: true };
-    steward.round(&Round { streams: vec![late], ..turn(102.0) }, &mut written);
+    let late = ProxyStreamEvent { proxy: ProxyId(9), up: true, first: true };
+    steward.round(&EventBatch { streams: vec![late], ..turn(102.0) }, &mut written);
     assert_eq!(written.shut, [(host(2), true), (host(2), true)]);
     steward.slices.values_mut().for_each(|slice| slice.written = vec![(host(1), 1.0)]);
     steward.shut.insert(host(2), None);
@@ -610,9 +634,12 @@
         let now = 100.0 + 10.0 * f64::from(n);
         let entries = vec![listed(n, Phase::Gone, None), listed(n + 4, Phase::Ready, Some(now))];
         steward.round(&news(now, entries), &mut written);
-        let end = ProbeEnd::Answered;
-        let answer = ProbeResult { host: host(n + 4), end };
-        steward.round(&Round { now: now + 0.1, probes: vec![answer], ..Round::default() }, &mut written);
+        let end = HealthCheckOutcome::Answered;
+        let answer = HealthCheckResult { host: host(n + 4), end };
+        steward.round(
+            &EventBatch { now: now + 0.1, probes: vec![answer], ..EventBatch::default() },
+            &mut written,
+        );
         (1..10).for_each(|second| steward.round(&turn(now + f64::from(second)), &mut written));
         assert!(steward.hosts.len() <= 8 && steward.shut.len() <= 8, "{}", steward.hosts.len());
     }
--- a/src/brain/tests/backlog.rs
+++ b/src/brain/tests/backlog.rs
@@ -26,13 +26,13 @@
 /// An acknowledgement under way.
 struct Acknowledgement {
     at: Seconds,
-    confirmed: Confirmed,
+    confirmed: BarrierAck,
 }
 
 /// A message that the channel takes late.
 struct LateMessage {
     lines: f64,
-    mark: MarkId,
+    mark: BarrierId,
 }
 
 struct ModelChannel {
@@ -65,7 +65,7 @@
     }
 
     /// Takes a message now or, as where the way to the channel is broken, up to a second later.
-    fn order(&mut self, now: Seconds, lines: f64, mark: MarkId) {
+    fn order(&mut self, now: Seconds, lines: f64, mark: BarrierId) {
         if self.late_since.is_none() && self.random.random_bool(0.1) {
             self.late_since = Some(now);
             self.taken_at = now + self.random.random_range(0.2..1.0);
@@ -87,14 +87,14 @@
     }
 
     /// A message for each connected proxy; a proxy receives its messages in order.
-    fn send(&mut self, now: Seconds, lines: f64, mark: MarkId) {
+    fn send(&mut self, now: Seconds, lines: f64, mark: BarrierId) {
         for proxy in self.connected.clone() {
             self.free_at = self.free_at.max(now) + lines / self.pace;
             self.entries.push_back(Entry { proxy, lines, leaves_at: self.free_at });
             let arrives = self.free_at + self.random.random_range(TRANSIT);
             let mine = self.acknowledgements.iter().filter(|sent| sent.confirmed.proxy == proxy);
             let at = mine.map(|sent| sent.at).fold(arrives, f64::max);
-            self.acknowledgements.push(Acknowledgement { at, confirmed: Confirmed { proxy, mark } });
+            self.acknowledgements.push(Acknowledgement { at, confirmed: BarrierAck { proxy, mark } });
         }
     }
 
@@ -114,7 +114,7 @@
         self.entries.iter().map(|entry| entry.lines).sum()
     }
 
-    fn take_acknowledgements(&mut self, now: Seconds) -> Vec<Confirmed> {
+    fn take_acknowledgements(&mut self, now: Seconds) -> Vec<BarrierAck> {
         let arrived = self.acknowledgements.extract_if(.., |sent| sent.at <= now).collect::<Vec<_>>();
         let heard = arrived.into_iter().filter(|_| !self.random.random_bool(ACKNOWLEDGEMENT_LOSS));
         heard.map(|sent| sent.confirmed).collect()
@@ -122,7 +122,7 @@
 }
 
 /// Each round has owners that changed, so that there is always something to write.
-fn shuffle_owners(steward: &mut Steward, random: &mut ChaCha8Rng) {
+fn shuffle_owners(steward: &mut Controller, random: &mut ChaCha8Rng) {
     for slice in steward.slices.values_mut() {
         slice.owner = Some(host(random.random_range(1..=4)));
         slice.standby = None;
@@ -132,7 +132,7 @@
 /// A minute in which seven in ten proxies leave at once now and then and come back, on a channel that is slow at
 /// times. The most that waited after a message, as a share of the limit, and how many lines were written.
 fn most_waiting(seed: u64) -> (f64, usize) {
-    let mut steward = steward(Terms { backlog: LIMIT, message_cap: 0, ..terms() });
+    let mut steward = steward(ControllerConfig { backlog: LIMIT, message_cap: 0, ..terms() });
     steward.channel = Channel::default();
     let mut channel = ModelChannel::new(seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
@@ -143,8 +143,11 @@
         returns.push((moved_at + random.random_range(0.0..1.0), proxy));
     }
     let everyone =
-        (0..FIRST_MOVED).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
-    steward.round(&Round { now: 100.5, streams: everyone, ..Round::default() }, &mut Written::default());
+        (0..FIRST_MOVED).map(|k| ProxyStreamEvent { proxy: ProxyId(k), up: true, first: true }).collect();
+    steward.round(
+        &EventBatch { now: 100.5, streams: everyone, ..EventBatch::default() },
+        &mut Written::default(),
+    );
     for step in 0..600 {
         let now = 101.0 + STEP * f64::from(step);
         if random.random_bool(0.02) {
@@ -157,12 +160,12 @@
             for proxy in killed {
                 channel.disconnect(now, proxy);
                 returns.push((now + random.random_range(0.5..2.5), proxy));
-                streams.push(StreamChange { proxy, up: false, first: false });
+                streams.push(ProxyStreamEvent { proxy, up: false, first: false });
             }
         }
         for (_, proxy) in returns.extract_if(.., |(at, _)| *at <= now) {
             channel.connected.insert(proxy);
-            streams.push(StreamChange { proxy, up: true, first: true });
+            streams.push(ProxyStreamEvent { proxy, up: true, first: true });
         }
         channel.take_late(now);
         most = most.max(channel.waiting(now) / LIMIT);
@@ -172,7 +175,7 @@
         let confirmed = channel.take_acknowledgements(now);
         let mut written = Written::default();
         steward.round(
-            &Round { now, streams, timers, confirmed, pending_since, ..Round::default() },
+            &EventBatch { now, streams, timers, confirmed, pending_since, ..EventBatch::default() },
             &mut written,
         );
         if let Some(mark) = written.marks.last() {
@@ -199,16 +202,16 @@
 #[test]
 fn levels_withdrawals_and_tables_of_one_round_wait_where_the_backlog_is_nearly_full() {
     for (share, said) in [(0.89, true), (0.95, false), (1.0, false)] {
-        let mut steward = steward(Terms { backlog: 1000.0, message_cost: 0.0, ..terms() });
+        let mut steward = steward(ControllerConfig { backlog: 1000.0, message_cost: 0.0, ..terms() });
         steward.channel = Channel::default();
         let waiting = 1000.0 * share / 2.0;
-        steward.channel.send(Update::new(101.0, MarkId(77), waiting, steward.proxies.clone()));
+        steward.channel.send(Update::new(101.0, BarrierId(77), waiting, steward.proxies.clone()));
         steward.levels = vec![0.5; 2];
         shuffle_owners(&mut steward, &mut ChaCha8Rng::seed_from_u64(1));
         let mut written = Written::default();
         let lists = news(101.5, vec![listed(1, Phase::Draining, None)]).lists;
-        steward.round(&Round { lists, ..turn(101.5) }, &mut written);
-        let update = steward.channel.updates().iter().find(|update| update.mark != MarkId(77));
+        steward.round(&EventBatch { lists, ..turn(101.5) }, &mut written);
+        let update = steward.channel.updates().iter().find(|update| update.mark != BarrierId(77));
         let lines = update.map_or(0.0, |update| update.lines);
         assert_eq!(!written.levels.is_empty(), said, "at {share} of the limit");
         assert!(2.0 * (waiting + lines) <= 1000.0, "{share}: {lines} lines more for each proxy");
--- a/src/brain/tests/rare.rs
+++ b/src/brain/tests/rare.rs
@@ -3,21 +3,21 @@
 
 #[test]
 fn what_waits_for_a_proxy_that_is_told_to_stand_again_still_fills_the_backlog_until_a_mark_frees_it() {
-    let mut steward = steward(Terms { backlog: 50.0, message_cost: 0.0, ..terms() });
+    let mut steward = steward(ControllerConfig { backlog: 50.0, message_cost: 0.0, ..terms() });
     let mut written = Written::default();
     steward.channel = Channel::default();
     // Owners move to and fro, and a new subscription tells before each turn that both proxies stand.
-    let stand = || (0..2).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
+    let stand = || (0..2).map(|k| ProxyStreamEvent { proxy: ProxyId(k), up: true, first: true }).collect();
     for k in 0..6 {
         steward.slices.values_mut().for_each(|slice| slice.owner = Some(host(1 + k % 2)));
         steward.stand_by(&BTreeMap::new());
-        steward.round(&Round { streams: stand(), ..turn(200.0 + f64::from(k)) }, &mut written);
+        steward.round(&EventBatch { streams: stand(), ..turn(200.0 + f64::from(k)) }, &mut written);
         let said = written.lines.len() + written.shut.len() + 3 * written.marks.len();
         assert!(2.0 * said as f64 <= 50.0, "{said} lines for each of two proxies, none confirmed");
     }
     // Both confirmed unheard: the mark that asks again is confirmed for all that came before it.
     let mark = *written.marks.last().expect("marked");
-    (0..2).for_each(|k| steward.hear_confirmed(200.0, &Confirmed { proxy: ProxyId(k), mark }));
+    (0..2).for_each(|k| steward.hear_confirmed(200.0, &BarrierAck { proxy: ProxyId(k), mark }));
     assert!(steward.channel.is_empty());
     steward.round(&turn(206.0), &mut written);
     assert!(!steward.unsure && written.marks.last() > Some(&mark), "tables are written again");
@@ -32,7 +32,7 @@
 fn a_rush_of_urgent_deltas_leaves_messages_for_a_drain() {
     let mut steward = steward(terms());
     let mut sent = Vec::new();
-    let mut write = |steward: &mut Steward, round: Round| {
+    let mut write = |steward: &mut Controller, round: EventBatch| {
         let mut written = Written::default();
         steward.round(&round, &mut written);
         sent.extend(written.marks.iter().map(|_| round.now));
@@ -53,17 +53,20 @@
     assert!(most.max().is_some_and(|most| (10..20).contains(&most)));
 }
 
-fn confirms(now: Seconds, proxies: &[u16], mark: MarkId) -> Round {
-    let confirmed = proxies.iter().map(|n| Confirmed { proxy: ProxyId(*n), mark }).collect();
-    Round { confirmed, ..turn(now) }
+fn confirms(now: Seconds, proxies: &[u16], mark: BarrierId) -> EventBatch {
+    let confirmed = proxies.iter().map(|n| BarrierAck { proxy: ProxyId(*n), mark }).collect();
+    EventBatch { confirmed, ..turn(now) }
 }
 
-fn leaves(now: Seconds, proxy: u16) -> Round {
-    Round { streams: vec![StreamChange { proxy: ProxyId(proxy), up: false, first: false }], ..turn(now) }
+fn leaves(now: Seconds, proxy: u16) -> EventBatch {
+    EventBatch {
+        streams: vec![ProxyStreamEvent { proxy: ProxyId(proxy), up: false, first: false }],
+        ..turn(now)
+    }
 }
 
 /// Rounds until the next line with a weight, a turn a second; when that is.
-fn named_at(steward: &mut Steward, from: Seconds) -> Seconds {
+fn named_at(steward: &mut Controller, from: Seconds) -> Seconds {
     (0..60)
         .map(|k| from + f64::from(k))
         .find(|now| {
@@ -76,7 +79,7 @@
 
 #[test]
 fn a_single_owners_heir_is_named_once_no_write_to_the_former_owner_can_be_in_hand() {
-    let mut steward = steward(Terms { single_owner: true, ..terms() });
+    let mut steward = steward(ControllerConfig { single_owner: true, ..terms() });
     let mut written = Written::default();
     steward.round(&news(120.0, vec![listed(1, Phase::Draining, None)]), &mut written);
     let emptied: Vec<_> = (0..3).map(|k| (SliceId(4 * k), host(1), 0.0)).collect();
@@ -93,7 +96,7 @@
 
 #[test]
 fn a_proxy_that_left_with_an_owners_line_is_waited_for_by_its_lease() {
-    let mut steward = steward(Terms { single_owner: true, ..terms() });
+    let mut steward = steward(ControllerConfig { single_owner: true, ..terms() });
     let mut written = Written::default();
     steward.round(&news(120.0, vec![listed(1, Phase::Draining, None)]), &mut written);
     let mark = *written.marks.last().expect("marked");
@@ -105,10 +108,10 @@
 
 #[test]
 fn a_single_owners_table_that_comes_empty_may_have_just_been_emptied() {
-    let mut steward = steward(Terms { single_owner: true, ..terms() });
-    let charge = Charge { slice: SliceId(2), given: true, lines: Vec::new() };
+    let mut steward = steward(ControllerConfig { single_owner: true, ..terms() });
+    let charge = SliceAssignment { slice: SliceId(2), given: true, lines: Vec::new() };
     let mut written = Written::default();
-    steward.round(&Round { charges: vec![charge], ..turn(140.0) }, &mut written);
+    steward.round(&EventBatch { charges: vec![charge], ..turn(140.0) }, &mut written);
     assert!(written.lines.is_empty());
     let mark = *written.marks.last().expect("all are asked whether they know");
     steward.round(&confirms(141.0, &[0, 1], mark), &mut written);
@@ -118,9 +121,9 @@
         "the lease of those that stand nowhere, and a write's life"
     );
     // Nobody answers: after a while all are asked anew.
-    let charge = Charge { slice: SliceId(3), given: true, lines: Vec::new() };
+    let charge = SliceAssignment { slice: SliceId(3), given: true, lines: Vec::new() };
     let mut written = Written::default();
-    steward.round(&Round { charges: vec![charge], ..turn(150.0) }, &mut written);
+    steward.round(&EventBatch { charges: vec![charge], ..turn(150.0) }, &mut written);
     (151..175).for_each(|now| steward.round(&turn(f64::from(now)), &mut written));
     assert_eq!((written.lines.len(), written.marks.len()), (0, 2));
 }
@@ -132,8 +135,8 @@
     (0..3).for_each(|k| steward.round(&turn(101.0 + f64::from(k)), &mut written));
     let (marks, waits) = (written.marks.len(), steward.channel.updates().len());
     assert!(waits > 0, "nobody confirmed the first tables");
-    let stands = (0..2).map(|k| StreamChange { proxy: ProxyId(k), up: true, first: true }).collect();
-    steward.round(&Round { streams: stands, ..turn(110.0) }, &mut written);
+    let stands = (0..2).map(|k| ProxyStreamEvent { proxy: ProxyId(k), up: true, first: true }).collect();
+    steward.round(&EventBatch { streams: stands, ..turn(110.0) }, &mut written);
     (0..3).for_each(|k| steward.round(&turn(111.0 + f64::from(k)), &mut written));
     assert_eq!((written.marks.len(), steward.channel.updates().len()), (marks + 1, waits + 1), "once");
 }
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -3,14 +3,14 @@
 //! Messages leave the channel one after another in the order in which they were sent, so an update waits as a whole
 //! until the one before it has left. Acknowledgements alone do not show that: a proxy that connected after the older
 //! update was sent may acknowledge the newer one while both still count as waiting for others.
-use crate::interface::{MarkId, ProxyId, Seconds, SliceId};
+use crate::interface::{BarrierId, ProxyId, Seconds, SliceId};
 use std::collections::BTreeSet;
 
 /// One update, sent to all proxies that were connected at that time.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
     /// The acknowledgement marker that the update carries.
-    pub mark: MarkId,
+    pub mark: BarrierId,
     pub sent_at: Seconds,
     /// Lines that it costs for each proxy, the overhead of the message included.
     pub lines: f64,
@@ -26,7 +26,7 @@
 
 impl Update {
     /// An update that leaves now for `recipients`.
-    pub fn new(now: Seconds, mark: MarkId, lines: f64, recipients: BTreeSet<ProxyId>) -> Update {
+    pub fn new(now: Seconds, mark: BarrierId, lines: f64, recipients: BTreeSet<ProxyId>) -> Update {
         let awaited = recipients.clone();
         Update { mark, sent_at: now, lines, recipients, awaited, progress_at: now, emptied: Vec::new() }
     }
@@ -44,7 +44,7 @@
     }
 
     /// A proxy has applied the update with this mark and all before it. A mark that is not known says nothing.
-    pub fn acknowledge(&mut self, now: Seconds, proxy: ProxyId, mark: MarkId) {
+    pub fn acknowledge(&mut self, now: Seconds, proxy: ProxyId, mark: BarrierId) {
         let acknowledged =
             self.updates.iter().position(|update| update.mark == mark).map_or(0, |place| place + 1);
         for update in &mut self.updates[..acknowledged] {
--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -8,7 +8,7 @@
 }
 
 fn update(sent_at: Seconds, mark: u16, lines: f64, recipients: std::ops::Range<u16>) -> Update {
-    Update::new(sent_at, MarkId(mark), lines, proxies(recipients))
+    Update::new(sent_at, BarrierId(mark), lines, proxies(recipients))
 }
 
 /// Ten lines to proxies 0 to 3, then five lines to proxies 0 to 9, of which 4 to 9 connected in between.
@@ -23,16 +23,16 @@
 fn an_acknowledged_proxy_waits_no_more_for_the_oldest_update() {
     let mut channel = two_updates();
     assert_eq!(channel.waiting_lines(2.0, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
-    channel.acknowledge(2.1, ProxyId(0), MarkId(1));
+    channel.acknowledge(2.1, ProxyId(0), BarrierId(1));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 3.0 * 10.0 + 10.0 * 5.0);
 }
 
 #[test]
 fn a_newer_update_waits_as_a_whole_behind_an_older_one() {
     let mut channel = two_updates();
-    (4..10).for_each(|proxy| channel.acknowledge(2.1, ProxyId(proxy), MarkId(2)));
+    (4..10).for_each(|proxy| channel.acknowledge(2.1, ProxyId(proxy), BarrierId(2)));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
-    (0..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), MarkId(1)));
+    (0..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), BarrierId(1)));
     assert_eq!(channel.take_acknowledged().len(), 1);
     assert_eq!(channel.waiting_lines(2.2, STALLED_AFTER), 4.0 * 5.0);
 }
@@ -40,8 +40,8 @@
 #[test]
 fn an_update_that_stalls_holds_the_next_one_up_no_longer() {
     let mut channel = two_updates();
-    (1..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), MarkId(2)));
-    (4..10).for_each(|proxy| channel.acknowledge(2.3, ProxyId(proxy), MarkId(2)));
+    (1..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), BarrierId(2)));
+    (4..10).for_each(|proxy| channel.acknowledge(2.3, ProxyId(proxy), BarrierId(2)));
     assert_eq!(channel.waiting_lines(4.1, STALLED_AFTER), 10.0 + 10.0 * 5.0);
     assert_eq!(channel.waiting_lines(4.2, STALLED_AFTER), 10.0 + 5.0);
 }
@@ -49,7 +49,7 @@
 #[test]
 fn a_proxy_whose_stream_broke_counts_in_no_update() {
     let mut channel = two_updates();
-    channel.acknowledge(2.1, ProxyId(5), MarkId(2));
+    channel.acknowledge(2.1, ProxyId(5), BarrierId(2));
     [0, 5].into_iter().for_each(|proxy| channel.remove_proxy(ProxyId(proxy)));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 3.0 * 10.0 + 8.0 * 5.0);
 }
@@ -59,7 +59,7 @@
     let mut channel = two_updates();
     channel.add_recipient(2.0, ProxyId(10));
     assert_eq!(channel.waiting_lines(2.0, STALLED_AFTER), 4.0 * 10.0 + 11.0 * 5.0);
-    channel.acknowledge(2.1, ProxyId(10), MarkId(2));
+    channel.acknowledge(2.1, ProxyId(10), BarrierId(2));
     channel.remove_proxy(ProxyId(10));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
 }
@@ -67,7 +67,7 @@
 #[test]
 fn an_unknown_mark_acknowledges_nothing() {
     let mut channel = two_updates();
-    channel.acknowledge(2.1, ProxyId(0), MarkId(9));
+    channel.acknowledge(2.1, ProxyId(0), BarrierId(9));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
 }
 
@@ -75,7 +75,7 @@
 fn updates_expire_by_age() {
     let mut channel = two_updates();
     channel.expire(21.5, 20.0);
-    assert_eq!(channel.updates().iter().map(|update| update.mark).collect::<Vec<_>>(), [MarkId(2)]);
+    assert_eq!(channel.updates().iter().map(|update| update.mark).collect::<Vec<_>>(), [BarrierId(2)]);
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -79,30 +79,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MarkId(pub u16);
+pub struct BarrierId(pub u16);
 
 /// Whether an operation may run again, and where a repeat is recognised.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     Safe,
     /// Every host drops a repeat for so long.
-    KeyedEverywhere(Seconds),
+    IdempotencyKeyGlobal(Seconds),
     /// Only the hosts of one zone or cell drop a repeat.
-    KeyedNearby,
+    IdempotencyKeyLocal,
     Never,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassTerms {
+pub struct ClassConfig {
     pub contract_time: Seconds,
     pub gain: f64,
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
 }
 
 /// What a steward knows when it starts.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    pub classes: Vec<ClassTerms>,
+pub struct ControllerConfig {
+    pub classes: Vec<ClassConfig>,
     /// 0: operations are not cut into slices; the steward lays out tables of its own.
     pub slices: u16,
     /// A slice's table has one line, its owner.
@@ -137,7 +137,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct EndpointEntry {
     pub host: HostId,
     pub phase: Phase,
     /// When it last started; `None`: long ago.
@@ -147,14 +147,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct HostList {
+pub struct EndpointList {
     /// The whole list, so that what it lacks is gone; else only what changed.
     pub whole: bool,
-    pub entries: Vec<Listed>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct StreamChange {
+pub struct ProxyStreamEvent {
     pub proxy: ProxyId,
     pub up: bool,
     /// Its first stream to this steward; else it still holds what it was ordered before.
@@ -162,7 +162,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Charge {
+pub struct SliceAssignment {
     pub slice: SliceId,
     pub given: bool,
     pub lines: Vec<(HostId, f64)>,
@@ -170,7 +170,7 @@
 
 /// What one that gives a slice up knows of it and its heir cannot: the heir hears the list and all sums itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SliceState {
+pub struct SliceHandoff {
     /// Operations a second.
     pub rate: f64,
     /// Seconds until it may move again.
@@ -181,7 +181,7 @@
 
 /// What the proxies of a zone met at a host.
 #[derive(Clone, Debug)]
-pub struct TrySum {
+pub struct HostLoadReport {
     pub zone: ZoneId,
     pub host: HostId,
     pub tries: f64,
@@ -195,7 +195,7 @@
 
 /// Operations of a class that came for a slice.
 #[derive(Clone, Copy, Debug)]
-pub struct DemandSum {
+pub struct SliceLoadReport {
     pub slice: SliceId,
     pub class: ClassId,
     pub operations: f64,
@@ -203,37 +203,37 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeEnd {
+pub enum HealthCheckOutcome {
     Answered,
-    TurnedAway,
+    Rejected,
     Failed,
     Unreachable,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct ProbeResult {
+pub struct HealthCheckResult {
     pub host: HostId,
-    pub end: ProbeEnd,
+    pub end: HealthCheckOutcome,
 }
 
 /// A proxy has taken in the delta that bore the mark, and all before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Confirmed {
+pub struct BarrierAck {
     pub proxy: ProxyId,
-    pub mark: MarkId,
+    pub mark: BarrierId,
 }
 
 /// All that came in since the last round.
 #[derive(Clone, Debug, Default)]
-pub struct Round {
+pub struct EventBatch {
     pub now: Seconds,
-    pub lists: Vec<HostList>,
-    pub streams: Vec<StreamChange>,
-    pub charges: Vec<Charge>,
-    pub tries: Vec<TrySum>,
-    pub demand: Vec<DemandSum>,
-    pub probes: Vec<ProbeResult>,
-    pub confirmed: Vec<Confirmed>,
+    pub lists: Vec<EndpointList>,
+    pub streams: Vec<ProxyStreamEvent>,
+    pub charges: Vec<SliceAssignment>,
+    pub tries: Vec<HostLoadReport>,
+    pub demand: Vec<SliceLoadReport>,
+    pub probes: Vec<HealthCheckResult>,
+    pub confirmed: Vec<BarrierAck>,
     pub timers: Vec<TimerId>,
     /// When the oldest orders were given that the channel has not taken yet: a proxy that connects may get them too.
     pub pending_since: Option<Seconds>,
@@ -241,24 +241,24 @@
 
 /// When proxies try an operation again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SecondTry {
+pub enum RetryPolicy {
     Never,
-    IfNeverRan,
+    IfNotExecuted,
     AfterFailure,
 }
 
 /// Takes a steward's decisions, in order, as they are made.
-pub trait Orders {
+pub trait CommandSink {
     /// Sets one line of a slice's table; weight 0 removes it.
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64);
     /// Puts a proxy on a table, where there are no slices.
     fn hand_table(&mut self, table: SliceId, proxy: ProxyId);
     /// Sets the share of a class let in by all proxies, and its way of trying again.
-    fn set_level(&mut self, class: ClassId, share: f64, second_try: SecondTry);
+    fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy);
     /// Stops all proxies from sending to a host, whatever tables say, or lets them again.
     fn shut_out(&mut self, host: HostId, out: bool);
     /// Asks every joined proxy to confirm this delta, also those it brings no line.
-    fn mark(&mut self, mark: MarkId);
+    fn mark(&mut self, mark: BarrierId);
     fn probe(&mut self, host: HostId);
     fn wake(&mut self, after: Seconds, timer: TimerId);
     fn note(&mut self, text: &str);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! The decisions of railhub, a configuration controller for a fleet of proxies.
 //!
-//! Make a [`Steward`] from a [`Terms`], then call [`Steward::round`] with each [`Round`] and an [`Orders`].
+//! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::round`] with each [`EventBatch`] and a [`CommandSink`].
 pub mod brain;
 mod channel;
 pub mod interface;
 mod sums;
 
-pub use brain::Steward;
+pub use brain::Controller;
 pub use interface::*;
--- a/src/sums.rs
+++ b/src/sums.rs
@@ -2,29 +2,29 @@
 use crate::interface::Seconds;
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sum {
+pub struct DecayingSum {
     pub value: f64,
     pub at: Seconds,
 }
 
-impl Sum {
+impl DecayingSum {
     pub fn read(&self, now: Seconds, memory: Seconds) -> f64 {
         self.value * (-(now - self.at).max(0.0) / memory).exp()
     }
 
     pub fn add(&mut self, now: Seconds, amount: f64, memory: Seconds) {
-        *self = Sum { value: self.read(now, memory) + amount, at: now };
+        *self = DecayingSum { value: self.read(now, memory) + amount, at: now };
     }
 }
 
 /// What came in a second, over the time that the reports cover: they come late, apart and not every second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
-    pub amount: Sum,
-    pub span: Sum,
+pub struct DecayingRate {
+    pub amount: DecayingSum,
+    pub span: DecayingSum,
 }
 
-impl Rate {
+impl DecayingRate {
     pub fn add(&mut self, now: Seconds, amount: f64, span: Seconds, memory: Seconds) {
         self.amount.add(now, amount, memory);
         self.span.add(now, span, memory);
