--- a/crates/railhub-platform-net/src/figures.rs
+++ b/crates/railhub-platform-net/src/figures.rs
@@ -2,8 +2,8 @@
 use crate::clock::now;
 use crate::monitor::Monitor;
 use crate::shared::Shared;
-use crate::RunFault;
-use railhub_platform::Assignment;
+use crate::RunError;
+use railhub_platform::NodeConfig;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const PAGE: usize = 4096;
 
 /// Goes on until the process ends.
-pub fn tell(shared: &Arc<Shared>, assignment: &Assignment) -> Result<(), RunFault> {
+pub fn tell(shared: &Arc<Shared>, assignment: &NodeConfig) -> Result<(), RunError> {
     let mut monitor = Monitor::default();
     for check in 1.. {
         std::thread::sleep(CHECK_INTERVAL);
--- a/crates/railhub-platform-net/src/health.rs
+++ b/crates/railhub-platform-net/src/health.rs
@@ -29,9 +29,9 @@
 
 impl PeerHealth {
     /// Counts a line until the guard is dropped.
-    pub fn line_stands(&self) -> LineStands<'_> {
+    pub fn line_stands(&self) -> ConnectionIsActive<'_> {
         self.0.lock().expect("no holder panics").standing += 1;
-        LineStands(self)
+        ConnectionIsActive(self)
     }
 
     /// Why the last try failed, or the line that stood ended.
@@ -46,9 +46,9 @@
 }
 
 /// A line that stands.
-pub struct LineStands<'a>(&'a PeerHealth);
+pub struct ConnectionIsActive<'a>(&'a PeerHealth);
 
-impl Drop for LineStands<'_> {
+impl Drop for ConnectionIsActive<'_> {
     fn drop(&mut self) {
         let mut state = self.0 .0.lock().expect("no holder panics");
         state.standing -= 1;
--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use signals::Signals;
 
-use railhub_platform::Assignment;
+use railhub_platform::NodeConfig;
 use std::path::Path;
 use thiserror::Error;
 
@@ -31,25 +31,25 @@
 const KEPT_STACKS: usize = 64;
 
 #[derive(Debug, Error)]
-pub enum RunFault {
+pub enum RunError {
     #[error("{0}: {1}")]
     File(String, std::io::Error),
     #[error("{0}: {1}")]
-    Assignment(String, railhub_platform::assignment::AssignmentFault),
+    NodeConfig(String, railhub_platform::assignment::ConfigError),
     #[error("cannot listen on {0}: {1}")]
     Listen(std::net::SocketAddr, std::io::Error),
     #[error("cannot start: {0}")]
     Start(std::io::Error),
 }
 
-pub fn read(path: &Path) -> Result<Assignment, RunFault> {
+pub fn read(path: &Path) -> Result<NodeConfig, RunError> {
     let shown = || path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| RunFault::File(shown(), e))?;
-    Assignment::read(&text).map_err(|e| RunFault::Assignment(shown(), e))
+    let text = std::fs::read_to_string(path).map_err(|e| RunError::File(shown(), e))?;
+    NodeConfig::read(&text).map_err(|e| RunError::NodeConfig(shown(), e))
 }
 
 /// Runs the steward that the file tells of, until a signal ends it.
-pub fn run(path: &Path, signals: Signals) -> Result<(), RunFault> {
+pub fn run(path: &Path, signals: Signals) -> Result<(), RunError> {
     end_on_panic();
     let assignment = read(path)?;
     let spoilt = assignment.known.spoilt.len();
@@ -67,9 +67,9 @@
     tracing::info!(name = assignment.name, address = %assignment.listen, "the steward listens");
     relay::follow(&shared);
     watch::follow(&shared);
-    signals.watch(path.to_owned(), shared.clone()).map_err(RunFault::Start)?;
+    signals.watch(path.to_owned(), shared.clone()).map_err(RunError::Start)?;
     let thread = std::thread::Builder::new().name("owner".into()).spawn(move || owner.run());
-    thread.map_err(RunFault::Start)?;
+    thread.map_err(RunError::Start)?;
     figures::tell(&shared, &assignment)
 }
 
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -1,13 +1,13 @@
 //! The steward's own address: collectors that report, signs of life, and strangers, who cost little and go soon.
 use crate::fairness::{ReadTurn, KNOWN_PEER_SPAN, STRANGER_SPAN};
 use crate::probes;
-use crate::shared::{cause, Holds, Shared, Sum};
-use crate::RunFault;
+use crate::shared::{cause, DescriptorGuard, LoadReport, Shared};
+use crate::RunError;
 use may::net::TcpStream;
 use railhub::{Seconds, ZoneId};
 use railhub_net::{go, Closer, Guard, Listener};
 use railhub_platform::collector::{self, Frame};
-use railhub_platform::{Assignment, Spoilt};
+use railhub_platform::{InvalidEntry, NodeConfig};
 use railhub_proto::Deframer;
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -33,40 +33,40 @@
 /// Bytes of a refused message that the log shows.
 const SHOWN: usize = 160;
 
-pub fn open(assignment: &Assignment, shared: &Arc<Shared>) -> Result<Listener, RunFault> {
+pub fn open(assignment: &NodeConfig, shared: &Arc<Shared>) -> Result<Listener, RunError> {
     let room = assignment.sockets.saturating_sub(OWN + probes::AT_ONCE).clamp(8, VISITORS_MOST);
-    let visits = Arc::new(Visits { room, next: AtomicU64::new(0), open: Mutex::default() });
+    let visits = Arc::new(ConnectionTracker { room, next: AtomicU64::new(0), open: Mutex::default() });
     let shared = shared.clone();
     Listener::open(assignment.listen, move |stream, _| {
         let (shared, visits) = (shared.clone(), visits.clone());
         let Some(visit) = visits.enter(&stream, &shared) else { return };
         go(move || serve(&shared, stream, visit));
     })
-    .map_err(|e| RunFault::Listen(assignment.listen, e))
+    .map_err(|e| RunError::Listen(assignment.listen, e))
 }
 
-struct Visitor {
+struct Connection {
     closer: Closer,
     zone: Option<ZoneId>,
 }
 
 /// The connections that stand, by when they came.
-struct Visits {
+struct ConnectionTracker {
     room: usize,
     next: AtomicU64,
-    open: Mutex<BTreeMap<u64, Visitor>>,
+    open: Mutex<BTreeMap<u64, Connection>>,
 }
 
 /// One connection's place; left when this is dropped.
-struct Visit {
+struct ConnectionGuard {
     number: u64,
-    visits: Arc<Visits>,
+    visits: Arc<ConnectionTracker>,
     guard: Guard,
 }
 
-impl Visits {
+impl ConnectionTracker {
     /// When there is no room, the oldest that has not joined must go; `None` if all have.
-    fn enter(self: &Arc<Visits>, stream: &TcpStream, shared: &Shared) -> Option<Visit> {
+    fn enter(self: &Arc<ConnectionTracker>, stream: &TcpStream, shared: &Shared) -> Option<ConnectionGuard> {
         // Nothing that it says before it has joined puts this off.
         let guard = Guard::both_ways(stream, JOIN_WITHIN);
         let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -76,19 +76,19 @@
             let oldest = open.iter().find(|(_, visitor)| visitor.zone.is_none()).map(|(number, _)| *number);
             open.remove(&oldest?)?.closer.close();
         }
-        open.insert(number, Visitor { closer: guard.closer(), zone: None });
+        open.insert(number, Connection { closer: guard.closer(), zone: None });
         drop(open);
-        Some(Visit { number, visits: self.clone(), guard })
+        Some(ConnectionGuard { number, visits: self.clone(), guard })
     }
 }
 
-impl Visit {
+impl ConnectionGuard {
     /// It is the zone's collector; the oldest of too many of them is cut off.
     fn join(&mut self, zone: ZoneId, stream: &TcpStream) {
         self.guard = Guard::both_ways(stream, SILENT);
         let mut open = self.visits.open.lock().expect("no holder panics");
         if let Some(visitor) = open.get_mut(&self.number) {
-            *visitor = Visitor { closer: self.guard.closer(), zone: Some(zone) };
+            *visitor = Connection { closer: self.guard.closer(), zone: Some(zone) };
         }
         let alike: Vec<u64> = open
             .iter()
@@ -100,20 +100,20 @@
     }
 }
 
-impl Drop for Visit {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.visits.open.lock().expect("no holder panics").remove(&self.number);
     }
 }
 
 /// The visit is the last parameter, so that its guard ends before the socket does.
-fn serve(shared: &Shared, mut stream: TcpStream, mut visit: Visit) {
-    let _held = Holds::one(&shared.held.visitors);
+fn serve(shared: &Shared, mut stream: TcpStream, mut visit: ConnectionGuard) {
+    let _held = DescriptorGuard::one(&shared.held.visitors);
     // Where the system refuses, a write that does not fit ends the visit all the same, only later.
     let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER);
     let mut deframer = Deframer::new(collector::FIRST_LIMIT);
     let mut turn = ReadTurn::start(STRANGER_SPAN);
-    let mut joined: Option<(ZoneId, Holds)> = None;
+    let mut joined: Option<(ZoneId, DescriptorGuard)> = None;
     loop {
         let mut shown = String::new();
         let frame = deframer.body(|body| {
@@ -141,24 +141,24 @@
                 visit.join(zone, &stream);
                 deframer.set_limit(collector::MESSAGE_LIMIT);
                 turn = ReadTurn::start(KNOWN_PEER_SPAN);
-                joined = Some((zone, Holds::one(&shared.held.collectors)));
+                joined = Some((zone, DescriptorGuard::one(&shared.held.collectors)));
                 continue;
             }
             Ok(Some(Ok(Frame::Tries(sum)))) if joined.is_some() => {
-                shared.inbox.report(Sum::Tries(sum));
+                shared.inbox.report(LoadReport::Tries(sum));
                 continue;
             }
             Ok(Some(Ok(Frame::Demand(sum)))) if joined.is_some() => {
-                shared.inbox.report(Sum::Demand(sum));
+                shared.inbox.report(LoadReport::Demand(sum));
                 continue;
             }
-            Ok(Some(Ok(_))) => Spoilt::Kind,
-            Ok(Some(Err(spoilt))) if joined.is_some() && spoilt != Spoilt::Unreadable => {
+            Ok(Some(Ok(_))) => InvalidEntry::Kind,
+            Ok(Some(Err(spoilt))) if joined.is_some() && spoilt != InvalidEntry::Unreadable => {
                 shared.refuse_all(cause(spoilt), || shown);
                 continue;
             }
             Ok(Some(Err(spoilt))) => spoilt,
-            Err(_) => Spoilt::Unreadable,
+            Err(_) => InvalidEntry::Unreadable,
         };
         let whose = if joined.is_some() { "collector's stream" } else { "stranger" };
         shared.refuse_all(whose, || format!("{refused}: {shown}"));
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -2,12 +2,12 @@
 use crate::clock::now;
 use crate::probes::Probes;
 use crate::relay::Calls;
-use crate::shared::{Shared, Sum, Word};
+use crate::shared::{ControllerEvent, LoadReport, Shared};
 use hdrhistogram::Histogram;
 use railhub::Seconds;
 use railhub_net::seconds;
 use railhub_platform::relay_events::Answer;
-use railhub_platform::{Assignment, PlatformController};
+use railhub_platform::{NodeConfig, PlatformController};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 
 /// What the log tells of the controller.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct StatusSnapshot {
     pub generation: u64,
     pub joined: usize,
     pub hosts: usize,
@@ -63,11 +63,11 @@
     started_at: Seconds,
     /// The relay has taken an order.
     has_ordered: bool,
-    shown: Shown,
+    shown: StatusSnapshot,
 }
 
 impl Owner {
-    pub fn new(assignment: &Assignment, shared: &Arc<Shared>, calls: Calls, probes: Probes) -> Owner {
+    pub fn new(assignment: &NodeConfig, shared: &Arc<Shared>, calls: Calls, probes: Probes) -> Owner {
         let times = || Histogram::new_with_max(LONGEST_TIME, 2).expect("two digits are allowed");
         let mut owner = Owner {
             controller: PlatformController::new(assignment),
@@ -83,7 +83,7 @@
             reported: times(),
             started_at: now(),
             has_ordered: false,
-            shown: Shown::default(),
+            shown: StatusSnapshot::default(),
         };
         // The watch asks for what came after the known list from the first.
         owner.show();
@@ -103,11 +103,11 @@
             while let Some(sum) = self.shared.inbox.next_report() {
                 self.reported_at.get_or_insert_with(now);
                 match sum {
-                    Sum::Tries(sum) => {
+                    LoadReport::Tries(sum) => {
                         tracing::debug!(?sum, "tries");
                         self.controller.hear_tries(sum);
                     }
-                    Sum::Demand(sum) => {
+                    LoadReport::Demand(sum) => {
                         tracing::trace!(?sum, "demand");
                         self.controller.hear_demand(sum);
                     }
@@ -130,9 +130,9 @@
         }
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: ControllerEvent) {
         match word {
-            Word::Page(page) => {
+            ControllerEvent::EndpointPage(page) => {
                 let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
                 if self.controller.hear_page(now(), &page) {
                     tracing::info!(generation, hosts, whole, "the host list has news");
@@ -143,14 +143,16 @@
                 }
                 self.shared.page_room.post();
             }
-            Word::Asked(source) => self.controller.hear_asked(source),
-            Word::RelayEvent(source, news) => self.controller.hear_relay_event(now(), source, news),
-            Word::Ended(source) => self.controller.hear_ended(source),
-            Word::Probe(probe, end) => {
+            ControllerEvent::Asked(source) => self.controller.hear_asked(source),
+            ControllerEvent::RelayEvent(source, news) => {
+                self.controller.hear_relay_event(now(), source, news)
+            }
+            ControllerEvent::Ended(source) => self.controller.hear_ended(source),
+            ControllerEvent::Probe(probe, end) => {
                 tracing::debug!(host = %probe.host, ?end, "probe");
                 self.controller.hear_probe(&probe, end);
             }
-            Word::CallEnded(answer) => self.end_call(answer),
+            ControllerEvent::CallEnded(answer) => self.end_call(answer),
         }
     }
 
--- a/crates/railhub-platform-net/src/patience.rs
+++ b/crates/railhub-platform-net/src/patience.rs
@@ -3,15 +3,15 @@
 
 /// A time-out that doubles with each connection that it ended, up to a limit: a peer that is slow, but not away, is
 /// heard at last.
-pub struct Patience {
+pub struct ConnectBackoff {
     first: Seconds,
     longest: Seconds,
     current: Seconds,
 }
 
-impl Patience {
-    pub fn new(first: Seconds, longest: Seconds) -> Patience {
-        Patience { first, longest, current: first }
+impl ConnectBackoff {
+    pub fn new(first: Seconds, longest: Seconds) -> ConnectBackoff {
+        ConnectBackoff { first, longest, current: first }
     }
 
     pub fn span(&self) -> Seconds {
--- a/crates/railhub-platform-net/src/probes.rs
+++ b/crates/railhub-platform-net/src/probes.rs
@@ -1,6 +1,6 @@
 //! Probes: so many at once, each on a connection of its own, as whether a host can be reached is half of the
 //! question. What does not fit the queue is not asked this time; the module asks again each turn.
-use crate::shared::{Holds, Shared, Word};
+use crate::shared::{ControllerEvent, DescriptorGuard, Shared};
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::http::{Caller, HttpFault};
 use railhub_net::{seconds, Pool};
@@ -19,9 +19,9 @@
 pub fn start(shared: &Arc<Shared>) -> Probes {
     let shared = shared.clone();
     Pool::start(AT_ONCE, WAITING, move |asked: Probe| {
-        let _held = Holds::one(&shared.held.probes);
+        let _held = DescriptorGuard::one(&shared.held.probes);
         match probe(asked.address) {
-            Some(end) => shared.inbox.tell(Word::Probe(asked, end)),
+            Some(end) => shared.inbox.tell(ControllerEvent::Probe(asked, end)),
             None => shared.refuse("probe answer"),
         }
     })
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -1,14 +1,14 @@
 //! The relay: news on one connection, calls on another, one at a time and in order.
 use crate::fairness::{ReadTurn, KNOWN_PEER_SPAN};
-use crate::patience::Patience;
-use crate::shared::{Addresses, Holds, Shared, Word};
+use crate::patience::ConnectBackoff;
+use crate::shared::{Addresses, ControllerEvent, DescriptorGuard, Shared};
 use may::net::TcpStream;
 use may::sync::Semphore;
 use railhub::Seconds;
 use railhub_net::{dial, go, now, seconds, Guard};
 use railhub_platform::orders::Call;
 use railhub_platform::relay_events::{self, Answer, RelayEvent, SubscriptionId};
-use railhub_platform::Spoilt;
+use railhub_platform::InvalidEntry;
 use railhub_proto::Lines;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 
 /// Why a connection to the relay, or a call on it, came to nothing.
 #[derive(Debug, Error)]
-enum RelayFault {
+enum RelayError {
     #[error("cannot connect: {0}")]
     Unreached(io::Error),
     #[error("cannot subscribe: {0}")]
@@ -53,17 +53,17 @@
     #[error("{0}")]
     Broken(io::Error),
     #[error("news: {0}")]
-    Unreadable(Spoilt),
+    Unreadable(InvalidEntry),
     /// With the start of the answer.
     #[error("{0}: {1}")]
-    Answer(Spoilt, String),
+    Answer(InvalidEntry, String),
 }
 
 /// Follows the news from the addresses that count now; an earlier follower ends by itself.
 pub fn follow(shared: &Arc<Shared>) {
     let (shared, addresses) = (shared.clone(), shared.addresses());
     go(move || {
-        let (mut failing, mut patience) = (false, Patience::new(SILENT, LONGEST_SILENT));
+        let (mut failing, mut patience) = (false, ConnectBackoff::new(SILENT, LONGEST_SILENT));
         while shared.addresses().version == addresses.version {
             let why = listen(&shared, addresses, &mut patience, &mut failing);
             shared.relay_health.failed(&why);
@@ -78,15 +78,15 @@
 fn listen(
     shared: &Arc<Shared>,
     addresses: Addresses,
-    patience: &mut Patience,
+    patience: &mut ConnectBackoff,
     failing: &mut bool,
-) -> RelayFault {
+) -> RelayError {
     let count = shared.asked.fetch_add(1, Ordering::Relaxed) + 1;
     let source = SubscriptionId { file: addresses.version, count };
     // The owner knows before the relay can.
-    shared.inbox.tell(Word::Asked(source));
+    shared.inbox.tell(ControllerEvent::Asked(source));
     let why = subscribe(shared, addresses, source, patience, failing);
-    shared.inbox.tell(Word::Ended(source));
+    shared.inbox.tell(ControllerEvent::Ended(source));
     why
 }
 
@@ -94,18 +94,18 @@
     shared: &Arc<Shared>,
     addresses: Addresses,
     source: SubscriptionId,
-    patience: &mut Patience,
+    patience: &mut ConnectBackoff,
     failing: &mut bool,
-) -> RelayFault {
+) -> RelayError {
     let mut stream = match dial(addresses.relay, CONNECT) {
         Ok(stream) => stream,
-        Err(fault) => return RelayFault::Unreached(fault),
+        Err(fault) => return RelayError::Unreached(fault),
     };
-    let _held = Holds::one(&shared.held.relay);
+    let _held = DescriptorGuard::one(&shared.held.relay);
     let mut guard = Guard::both_ways(&stream, patience.span());
     shared.counts.subscriptions.fetch_add(1, Ordering::Relaxed);
     if let Err(fault) = stream.write_all(&relay_events::subscribe(source.count)) {
-        return RelayFault::NotSubscribed(fault);
+        return RelayError::NotSubscribed(fault);
     }
     let mut lines = Lines::new(relay_events::LINE_LIMIT);
     let mut stands = None;
@@ -117,7 +117,7 @@
                     guard = Guard::both_ways(&stream, SILENT);
                     patience.reset();
                     if !shared.news_line.take_over(addresses.version, guard.closer()) {
-                        return RelayFault::Superseded;
+                        return RelayError::Superseded;
                     }
                     *failing = false;
                     stands = Some(shared.relay_health.line_stands());
@@ -125,16 +125,16 @@
                     tracing::info!(source, relay = %addresses.relay, "subscribed to the relay's news");
                 }
                 tracing::trace!(source = source.count, ?news, "news");
-                shared.inbox.tell(Word::RelayEvent(source, news));
+                shared.inbox.tell(ControllerEvent::RelayEvent(source, news));
                 turn.pause_if_long();
             }
             Ok(Err(spoilt)) => {
                 shared.refuse("news that cannot be read");
-                return RelayFault::Unreadable(spoilt);
+                return RelayError::Unreadable(spoilt);
             }
-            Err(RelayFault::Silent) if stands.is_none() => {
+            Err(RelayError::Silent) if stands.is_none() => {
                 patience.lengthen();
-                return RelayFault::NotAnswered;
+                return RelayError::NotAnswered;
             }
             Err(fault) => return fault,
         }
@@ -147,9 +147,9 @@
     guard: &Guard,
     lines: &mut Lines,
     read: impl FnOnce(&[u8]) -> T,
-) -> Result<T, RelayFault> {
+) -> Result<T, RelayError> {
     loop {
-        if lines.has_line().map_err(|fault| RelayFault::Endless(fault.to_string()))? {
+        if lines.has_line().map_err(|fault| RelayError::Endless(fault.to_string()))? {
             // Bytes that never make a line are no sign of life.
             guard.heard();
             return Ok(lines.line(read));
@@ -158,9 +158,9 @@
         match stream.read(&mut bytes) {
             // What came whole just as the guard fired counts.
             Ok(count) if count > 0 => lines.push(&bytes[..count]),
-            _ if guard.fired() => return Err(RelayFault::Silent),
-            Ok(_) => return Err(RelayFault::Closed),
-            Err(fault) => return Err(RelayFault::Broken(fault)),
+            _ if guard.fired() => return Err(RelayError::Silent),
+            Ok(_) => return Err(RelayError::Closed),
+            Err(fault) => return Err(RelayError::Broken(fault)),
         }
     }
 }
@@ -183,7 +183,7 @@
                 let answer = make(&shared, &mut line, &call);
                 let answer =
                     answer.map_err(|why| tracing::info!(%why, id = call.id, "a call has no known end"));
-                shared.inbox.tell(Word::CallEnded(answer.ok()));
+                shared.inbox.tell(ControllerEvent::CallEnded(answer.ok()));
             }
         });
         Calls { next }
@@ -203,24 +203,24 @@
     lines: Lines,
 }
 
-fn make(shared: &Shared, line: &mut Option<Line>, call: &Call) -> Result<Answer, RelayFault> {
+fn make(shared: &Shared, line: &mut Option<Line>, call: &Call) -> Result<Answer, RelayError> {
     let to = shared.addresses().relay;
     let fresh = |line: &Line| line.to == to && now() - line.used_at < IDLE && is_quiet(&line.stream);
     let kept = line.take().filter(fresh);
     let mut open = match kept {
         Some(open) => open,
         None => {
-            let stream = dial(to, CONNECT).map_err(RelayFault::Unreached)?;
+            let stream = dial(to, CONNECT).map_err(RelayError::Unreached)?;
             Line { to, used_at: now(), stream, lines: Lines::new(relay_events::LINE_LIMIT) }
         }
     };
-    let _held = Holds::one(&shared.held.relay);
+    let _held = DescriptorGuard::one(&shared.held.relay);
     let guard = Guard::both_ways(&open.stream, ANSWER);
-    open.stream.write_all(&call.bytes).map_err(RelayFault::Broken)?;
+    open.stream.write_all(&call.bytes).map_err(RelayError::Broken)?;
     let read = |bytes: &[u8]| {
         let end = bytes.len().min(200);
         let shown = String::from_utf8_lossy(&bytes[..end]).into_owned();
-        relay_events::answer(bytes, call.id, call.count).map_err(|spoilt| RelayFault::Answer(spoilt, shown))
+        relay_events::answer(bytes, call.id, call.count).map_err(|spoilt| RelayError::Answer(spoilt, shown))
     };
     let answer = next_line(&mut open.stream, &guard, &mut open.lines, read)??;
     open.used_at = now();
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -4,7 +4,7 @@
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::{Closer, Inbox};
 use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
-use railhub_platform::{Assignment, Names, Page, Probe, Spoilt};
+use railhub_platform::{EndpointPage, InvalidEntry, Names, NodeConfig, Probe};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -16,8 +16,8 @@
 /// Pages of the host list that may wait for the owner: each may be a whole list.
 const PAGES: usize = 4;
 
-pub enum Word {
-    Page(Page),
+pub enum ControllerEvent {
+    EndpointPage(EndpointPage),
     /// A subscription is about to be asked for, brings news, is no more.
     Asked(SubscriptionId),
     RelayEvent(SubscriptionId, RelayEvent),
@@ -27,7 +27,7 @@
     CallEnded(Option<Answer>),
 }
 
-pub enum Sum {
+pub enum LoadReport {
     Tries(HostLoadReport),
     Demand(SliceLoadReport),
 }
@@ -42,7 +42,7 @@
 
 /// Descriptors by what holds them.
 #[derive(Default)]
-pub struct Held {
+pub struct OpenDescriptors {
     pub visitors: AtomicUsize,
     pub collectors: AtomicUsize,
     pub relay: AtomicUsize,
@@ -53,9 +53,9 @@
 /// The line that stands for something, with the version of the file that named its peer. A newer one ends it; an older
 /// follower, however late it comes between two lines of ours, does not end a newer one's.
 #[derive(Default)]
-pub struct StandingLine(Mutex<Option<(u64, Closer)>>);
+pub struct ActiveConnection(Mutex<Option<(u64, Closer)>>);
 
-impl StandingLine {
+impl ActiveConnection {
     /// Whether the line stands now.
     pub fn take_over(&self, version: u64, line: Closer) -> bool {
         let mut standing = self.0.lock().expect("no holder panics");
@@ -90,26 +90,26 @@
 }
 
 pub struct Shared {
-    pub inbox: Inbox<Word, Sum>,
+    pub inbox: Inbox<ControllerEvent, LoadReport>,
     pub names: Names,
     pub slices: u16,
     addresses: Mutex<Addresses>,
     /// Subscriptions that were to be asked for, whether the relay could be reached or not.
     pub asked: AtomicU64,
     /// The subscription and the watch that stand.
-    pub news_line: StandingLine,
-    pub watch_line: StandingLine,
+    pub news_line: ActiveConnection,
+    pub watch_line: ActiveConnection,
     pub relay_health: PeerHealth,
     pub discovery_health: PeerHealth,
     /// Taken by the watch for each page that it tells, given back by the owner.
     pub page_room: Semphore,
-    pub held: Held,
+    pub held: OpenDescriptors,
     pub counts: Counts,
-    pub owner: Mutex<crate::owner::Shown>,
+    pub owner: Mutex<crate::owner::StatusSnapshot>,
 }
 
 impl Shared {
-    pub fn new(assignment: &Assignment) -> Arc<Shared> {
+    pub fn new(assignment: &NodeConfig) -> Arc<Shared> {
         Arc::new(Shared {
             inbox: Inbox::new(WORDS, SUMS),
             names: assignment.names.clone(),
@@ -120,12 +120,12 @@
                 discovery: assignment.discovery,
             }),
             asked: AtomicU64::new(0),
-            news_line: StandingLine::default(),
-            watch_line: StandingLine::default(),
+            news_line: ActiveConnection::default(),
+            watch_line: ActiveConnection::default(),
             relay_health: PeerHealth::default(),
             discovery_health: PeerHealth::default(),
             page_room: Semphore::new(PAGES),
-            held: Held::default(),
+            held: OpenDescriptors::default(),
             counts: Counts::default(),
             owner: Mutex::default(),
         })
@@ -161,27 +161,27 @@
     }
 }
 
-pub fn cause(spoilt: Spoilt) -> &'static str {
+pub fn cause(spoilt: InvalidEntry) -> &'static str {
     match spoilt {
-        Spoilt::Unreadable => "unreadable",
-        Spoilt::Fields => "fields",
-        Spoilt::Range => "range",
-        Spoilt::Unknown => "unknown",
-        Spoilt::Kind => "kind",
+        InvalidEntry::Unreadable => "unreadable",
+        InvalidEntry::Fields => "fields",
+        InvalidEntry::Range => "range",
+        InvalidEntry::Unknown => "unknown",
+        InvalidEntry::Kind => "kind",
     }
 }
 
 /// Counts a descriptor while it lives.
-pub struct Holds<'a>(&'a AtomicUsize);
+pub struct DescriptorGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Holds<'a> {
-    pub fn one(count: &'a AtomicUsize) -> Holds<'a> {
+impl<'a> DescriptorGuard<'a> {
+    pub fn one(count: &'a AtomicUsize) -> DescriptorGuard<'a> {
         count.fetch_add(1, Ordering::Relaxed);
-        Holds(count)
+        DescriptorGuard(count)
     }
 }
 
-impl Drop for Holds<'_> {
+impl Drop for DescriptorGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -1,11 +1,11 @@
 //! Discovery's watch: resumed from the last generation, given up when it is silent. What was told holds meanwhile.
 use crate::fairness::{ReadTurn, KNOWN_PEER_SPAN};
-use crate::patience::Patience;
-use crate::shared::{Addresses, Holds, Shared, Word};
+use crate::patience::ConnectBackoff;
+use crate::shared::{Addresses, ControllerEvent, DescriptorGuard, Shared};
 use railhub::Seconds;
 use railhub_net::http::{Feed, HttpFault};
 use railhub_net::{go, seconds};
-use railhub_platform::{discovery, Page};
+use railhub_platform::{discovery, EndpointPage};
 use std::sync::Arc;
 
 /// Seconds a connection may take to come up, and seconds of silence: an empty line comes every 2.
@@ -26,7 +26,7 @@
 pub fn follow(shared: &Arc<Shared>) {
     let (shared, addresses) = (shared.clone(), shared.addresses());
     go(move || {
-        let (mut failing, mut patience) = (false, Patience::new(SILENT, LONGEST_SILENT));
+        let (mut failing, mut patience) = (false, ConnectBackoff::new(SILENT, LONGEST_SILENT));
         while shared.addresses().version == addresses.version {
             let fault = watch(&shared, addresses, &mut patience, &mut failing);
             shared.discovery_health.failed(&fault);
@@ -39,14 +39,19 @@
 }
 
 /// What the controller knows is where the watch goes on: a page that it did not take in is told again.
-fn watch(shared: &Shared, addresses: Addresses, patience: &mut Patience, failing: &mut bool) -> HttpFault {
+fn watch(
+    shared: &Shared,
+    addresses: Addresses,
+    patience: &mut ConnectBackoff,
+    failing: &mut bool,
+) -> HttpFault {
     let mut generation = known(shared);
     let path = format!("/discovery/hosts?watch=1&after={generation}");
     let mut feed = match Feed::open(addresses.discovery, &path, CONNECT, patience.span()) {
         Ok(feed) => feed,
         Err(fault) => return unanswered(fault, patience),
     };
-    let _held = Holds::one(&shared.held.discovery);
+    let _held = DescriptorGuard::one(&shared.held.discovery);
     if !shared.watch_line.take_over(addresses.version, feed.closer()) {
         return HttpFault::Ended;
     }
@@ -90,11 +95,11 @@
 
 /// Hands a page to the owner, and waits for room first: a page may be a whole list. What was read before a newer file's
 /// watch closed this line is older than what that one tells: it is dropped, and the watch ends.
-fn tell(shared: &Shared, version: u64, page: Page) -> bool {
+fn tell(shared: &Shared, version: u64, page: EndpointPage) -> bool {
     shared.page_room.wait();
     let is_current = shared.watch_line.is_current(version);
     if is_current {
-        shared.inbox.tell(Word::Page(page));
+        shared.inbox.tell(ControllerEvent::EndpointPage(page));
     } else {
         shared.page_room.post();
     }
@@ -102,7 +107,7 @@
 }
 
 /// A connection that ended before its first line.
-fn unanswered(fault: HttpFault, patience: &mut Patience) -> HttpFault {
+fn unanswered(fault: HttpFault, patience: &mut ConnectBackoff) -> HttpFault {
     if matches!(fault, HttpFault::Silent) {
         patience.lengthen();
     }
--- a/crates/railhub-platform/src/assignment.rs
+++ b/crates/railhub-platform/src/assignment.rs
@@ -1,5 +1,5 @@
 //! What a steward on the platform is told when it starts, and again with each new file.
-use crate::discovery::Page;
+use crate::discovery::EndpointPage;
 use railhub::{ClassConfig, ClassId, ControllerConfig, EndpointList, Idempotency, KindId, Seconds, ZoneId};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 
 #[derive(Debug, Error)]
 #[error("{at}: {what}")]
-pub struct AssignmentFault {
+pub struct ConfigError {
     /// Where in the file.
     at: String,
     what: String,
 }
 
-fn fault(at: &str, what: impl ToString) -> AssignmentFault {
-    AssignmentFault { at: at.to_owned(), what: what.to_string() }
+fn fault(at: &str, what: impl ToString) -> ConfigError {
+    ConfigError { at: at.to_owned(), what: what.to_string() }
 }
 
 /// The names that messages use for what the module numbers.
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Assignment {
+pub struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -58,7 +58,7 @@
     pub sockets: usize,
     pub memory_mb: usize,
     /// The list of hosts as this steward last had it; it may be old.
-    pub known: Page,
+    pub known: EndpointPage,
     pub terms: ControllerConfig,
     pub names: Names,
     /// Least span between two rounds.
@@ -73,7 +73,7 @@
     registry: Registry,
     limits: Limits,
     #[serde(default)]
-    known: crate::discovery::RawPage,
+    known: crate::discovery::RawEndpointPage,
     settings: Told,
 }
 
@@ -91,7 +91,7 @@
 #[derive(Deserialize)]
 struct Told {
     ceilings: Ceilings,
-    family_info: Family,
+    family_info: SettingsFamily,
     host_types: Vec<String>,
     request_classes: Vec<Class>,
     rules: Rules,
@@ -105,7 +105,7 @@
 }
 
 #[derive(Deserialize)]
-struct Family {
+struct SettingsFamily {
     backlog: f64,
     envelope: f64,
     exclusive: bool,
@@ -143,7 +143,7 @@
     warm_within_us: u64,
 }
 
-fn seconds(micros: u64, at: &str) -> Result<Seconds, AssignmentFault> {
+fn seconds(micros: u64, at: &str) -> Result<Seconds, ConfigError> {
     let span = micros as f64 / 1e6;
     if span <= LONGEST {
         Ok(span)
@@ -152,7 +152,7 @@
     }
 }
 
-fn amount(value: f64, at: &str) -> Result<f64, AssignmentFault> {
+fn amount(value: f64, at: &str) -> Result<f64, ConfigError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
@@ -160,8 +160,8 @@
     }
 }
 
-impl Assignment {
-    pub fn read(text: &str) -> Result<Assignment, AssignmentFault> {
+impl NodeConfig {
+    pub fn read(text: &str) -> Result<NodeConfig, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let sheet: Sheet = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| fault(&e.path().to_string(), e.inner()))?;
@@ -184,7 +184,7 @@
             longest_wait: seconds(longest, "settings.request_classes")?,
         };
         let known = sheet.known.check(&names);
-        Ok(Assignment {
+        Ok(NodeConfig {
             name: sheet.name,
             listen: sheet.listen,
             discovery: sheet.discovery,
@@ -204,7 +204,7 @@
     }
 }
 
-fn class_terms(k: usize, class: &Class) -> Result<ClassConfig, AssignmentFault> {
+fn class_terms(k: usize, class: &Class) -> Result<ClassConfig, ConfigError> {
     let at = |field: &str| format!("settings.request_classes[{k}].{field}");
     Ok(ClassConfig {
         contract_time: seconds(class.aim_us, &at("aim_us"))?,
@@ -222,7 +222,7 @@
 }
 
 /// Taken for nothing where it is lacking, it would let two hosts have one owner's writes.
-fn write_time(family: &Family, micros: Option<u64>, at: &str) -> Result<Seconds, AssignmentFault> {
+fn write_time(family: &SettingsFamily, micros: Option<u64>, at: &str) -> Result<Seconds, ConfigError> {
     match micros {
         Some(micros) => seconds(micros, at),
         None if family.exclusive => Err(fault(at, "is needed where a slice has one owner")),
@@ -230,7 +230,7 @@
     }
 }
 
-fn terms(told: &Told, classes: Vec<ClassConfig>) -> Result<ControllerConfig, AssignmentFault> {
+fn terms(told: &Told, classes: Vec<ClassConfig>) -> Result<ControllerConfig, ConfigError> {
     let Told { ceilings, family_info: family, rules, .. } = told;
     Ok(ControllerConfig {
         classes,
--- a/crates/railhub-platform/src/collector.rs
+++ b/crates/railhub-platform/src/collector.rs
@@ -1,6 +1,6 @@
 //! What comes to the steward's own address: a zone's collector with its reports, signs of life, and strangers.
 use crate::assignment::Names;
-use crate::Spoilt;
+use crate::InvalidEntry;
 use railhub::{HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport, ZoneId};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -33,7 +33,7 @@
 }
 
 #[derive(Deserialize)]
-struct Heard {
+struct HostReportMessage {
     zone: String,
     server: String,
     tries: f64,
@@ -54,7 +54,7 @@
 }
 
 #[derive(Deserialize)]
-struct Heat {
+struct SliceReportMessage {
     slice: u16,
     class: String,
     tries: f64,
@@ -63,58 +63,58 @@
 }
 
 /// Fields into `T`; unknown ones are passed over without recursion.
-fn fields<T: DeserializeOwned>(body: &[u8]) -> Result<T, Spoilt> {
-    serde_json::from_slice(body).map_err(|_| Spoilt::Fields)
+fn fields<T: DeserializeOwned>(body: &[u8]) -> Result<T, InvalidEntry> {
+    serde_json::from_slice(body).map_err(|_| InvalidEntry::Fields)
 }
 
 /// JSON that lacks its kind is spoilt alone; what is no JSON spoils all that follows it.
-pub(crate) fn unreadable(fault: &serde_json::Error) -> Spoilt {
+pub(crate) fn unreadable(fault: &serde_json::Error) -> InvalidEntry {
     match fault.classify() {
-        serde_json::error::Category::Data => Spoilt::Fields,
-        _ => Spoilt::Unreadable,
+        serde_json::error::Category::Data => InvalidEntry::Fields,
+        _ => InvalidEntry::Unreadable,
     }
 }
 
 /// `slices`: how many there are.
-pub fn read(body: &[u8], names: &Names, slices: u16) -> Result<Frame, Spoilt> {
+pub fn read(body: &[u8], names: &Names, slices: u16) -> Result<Frame, InvalidEntry> {
     let kind: Kind = serde_json::from_slice(body).map_err(|fault| unreadable(&fault))?;
     match kind.t.as_str() {
         "ping" => Ok(Frame::Ping),
         "collector" => {
             let named: Collector = fields(body)?;
-            names.zone(&named.zone).map(Frame::Collector).ok_or(Spoilt::Unknown)
+            names.zone(&named.zone).map(Frame::Collector).ok_or(InvalidEntry::Unknown)
         }
-        "heard" => fields::<Heard>(body)?.check(names).map(Frame::Tries),
-        "heat" => fields::<Heat>(body)?.check(names, slices).map(Frame::Demand),
-        _ => Err(Spoilt::Kind),
+        "heard" => fields::<HostReportMessage>(body)?.check(names).map(Frame::Tries),
+        "heat" => fields::<SliceReportMessage>(body)?.check(names, slices).map(Frame::Demand),
+        _ => Err(InvalidEntry::Kind),
     }
 }
 
-fn within(figure: f64, most: f64) -> Result<f64, Spoilt> {
+fn within(figure: f64, most: f64) -> Result<f64, InvalidEntry> {
     if (0.0..=most).contains(&figure) {
         Ok(figure)
     } else {
-        Err(Spoilt::Range)
+        Err(InvalidEntry::Range)
     }
 }
 
-fn span(span_ms: f64) -> Result<Seconds, Spoilt> {
+fn span(span_ms: f64) -> Result<Seconds, InvalidEntry> {
     let span = within(span_ms / 1e3, LONGEST_SPAN)?;
     if span > 0.0 {
         Ok(span)
     } else {
-        Err(Spoilt::Range)
+        Err(InvalidEntry::Range)
     }
 }
 
-impl Heard {
-    fn check(&self, names: &Names) -> Result<HostLoadReport, Spoilt> {
+impl HostReportMessage {
+    fn check(&self, names: &Names) -> Result<HostLoadReport, InvalidEntry> {
         let tries = within(self.tries, MOST_TRIES)?;
         let load = self.load.as_ref();
         load.and_then(|load| load.inflight).map_or(Ok(0.0), |held| within(held, MOST_TRIES))?;
         Ok(HostLoadReport {
-            zone: names.zone(&self.zone).ok_or(Spoilt::Unknown)?,
-            host: HostId::new(&self.server).ok_or(Spoilt::Unknown)?,
+            zone: names.zone(&self.zone).ok_or(InvalidEntry::Unknown)?,
+            host: HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?,
             tries,
             failed: within(self.failed, tries)?,
             mean_time: within(self.mean_ms / 1e3, NOISE * names.longest_wait)?,
@@ -124,21 +124,21 @@
     }
 }
 
-impl Heat {
-    fn check(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, Spoilt> {
+impl SliceReportMessage {
+    fn check(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, InvalidEntry> {
         let operations = within(self.tries, MOST_TRIES)?;
         // An operation may fail in a later span than the one it came in.
         within(self.failed, MOST_TRIES)?;
         if self.slice >= slices {
-            return Err(Spoilt::Unknown);
+            return Err(InvalidEntry::Unknown);
         }
-        let class = names.class(&self.class).ok_or(Spoilt::Unknown)?;
+        let class = names.class(&self.class).ok_or(InvalidEntry::Unknown)?;
         Ok(SliceLoadReport { slice: SliceId(self.slice), class, operations, span: span(self.span_ms)? })
     }
 }
 
 /// What a stranger is told before its connection ends.
-pub fn refusal(why: Spoilt) -> Vec<u8> {
+pub fn refusal(why: InvalidEntry) -> Vec<u8> {
     framed(&format!("{{\"t\":\"refused\",\"why\":\"{why}\"}}"))
 }
 
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -1,8 +1,8 @@
 //! Gathers what came in into rounds, runs the module on them, and keeps what it orders until the relay took it.
 //! The snapshot that a subscription begins with replaces what the module believed of proxies, charges and lines.
-use crate::assignment::{Assignment, Names};
-use crate::discovery::Page;
-use crate::orders::{put, Call, CommandBatch, Order, PendingCommands, SAME_WEIGHT};
+use crate::assignment::{Names, NodeConfig};
+use crate::discovery::EndpointPage;
+use crate::orders::{put, Call, Command, CommandBatch, PendingCommands, SAME_WEIGHT};
 use crate::relay_events::{Answer, RelayEvent, SubscriptionId};
 use railhub::{
     Controller, EndpointList, EventBatch, HealthCheckOutcome, HealthCheckResult, HostId, HostLoadReport,
@@ -68,7 +68,7 @@
     /// Subscriptions asked for whose snapshot is not taken in, one a follower until its line ends; and the orders that
     /// the relay took meanwhile, each with the newest of them: the snapshot may have been told before they were taken.
     untold: BTreeSet<SubscriptionId>,
-    taken: Vec<(SubscriptionId, Order)>,
+    taken: Vec<(SubscriptionId, Command)>,
     /// A call has no known end: only a subscription asked for after this one shows it, and no call leaves before.
     doubt: Option<SubscriptionId>,
     ask_anew: Option<&'static str>,
@@ -92,7 +92,7 @@
 }
 
 impl PlatformController {
-    pub fn new(assignment: &Assignment) -> PlatformController {
+    pub fn new(assignment: &NodeConfig) -> PlatformController {
         let mut controller = PlatformController {
             steward: Controller::new(assignment.terms.clone()),
             names: assignment.names.clone(),
@@ -133,7 +133,7 @@
 
     /// A page that is older than what is known, or known already, says nothing. A whole list under a lower number that
     /// comes when nothing newer has for long is no late one: discovery began anew, and its old numbers with it.
-    pub fn hear_page(&mut self, now: Seconds, page: &Page) -> bool {
+    pub fn hear_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
         let late = page.generation < self.generation && !(page.whole && now - self.listed_at >= LATE_LIST);
         if late || page.generation == self.generation && !page.whole {
             return false;
@@ -216,18 +216,19 @@
             match news {
                 RelayEvent::Joined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
                 RelayEvent::Left(proxy) => _ = snapshot.proxies.remove(&proxy),
-                RelayEvent::Given { slice, on } => {
+                RelayEvent::SliceAssigned { slice, on } => {
                     // Told before in what stands, it changed hands since.
                     let changed = snapshot.charges.remove(&slice).is_some();
                     if on {
                         snapshot.charges.insert(slice, Vec::new());
                     }
                     if changed {
-                        self.taken.retain(|(_, order)| !matches!(order, Order::Line(of, ..) if *of == slice));
+                        self.taken
+                            .retain(|(_, order)| !matches!(order, Command::Line(of, ..) if *of == slice));
                         self.forget(slice, on);
                     }
                 }
-                RelayEvent::Held { slice, host, weight } => {
+                RelayEvent::StoredEntry { slice, host, weight } => {
                     snapshot.charges.entry(slice).or_default().push((host, weight));
                 }
                 RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
@@ -240,12 +241,12 @@
             RelayEvent::Joined { proxy, first } => self.stream(proxy, true, first),
             RelayEvent::Left(proxy) => self.stream(proxy, false, false),
             RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
-            RelayEvent::Given { slice, on } => {
+            RelayEvent::SliceAssigned { slice, on } => {
                 self.charges_at = now;
                 self.forget(slice, on);
                 self.charges.push(SliceAssignment { slice, given: on, lines: Vec::new() });
             }
-            RelayEvent::Held { slice, host, weight } => {
+            RelayEvent::StoredEntry { slice, host, weight } => {
                 self.charges_at = now;
                 self.hold(slice, host, weight);
             }
@@ -298,7 +299,7 @@
         self.settle_call();
         let Some(mut snapshot) = self.snapshot.take() else { return };
         for (asked, order) in &self.taken {
-            let Order::Line(slice, host, weight) = order else { continue };
+            let Command::Line(slice, host, weight) = order else { continue };
             if let Some(lines) = snapshot.charges.get_mut(slice).filter(|_| snapshot.source <= *asked) {
                 put(lines, *host, *weight, self.single_owner);
             }
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -4,7 +4,7 @@
 
 fn controller() -> PlatformController {
     PlatformController::new(
-        &Assignment::read(include_str!("../../tests/assignment.json")).expect("a good file"),
+        &NodeConfig::read(include_str!("../../tests/assignment.json")).expect("a good file"),
     )
 }
 
@@ -45,18 +45,18 @@
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
     );
-    let mut controller = PlatformController::new(&Assignment::read(&file).expect("a good file"));
+    let mut controller = PlatformController::new(&NodeConfig::read(&file).expect("a good file"));
     let slice = SliceId(3);
-    controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: true });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
     for name in ["s-1", "s-2"] {
         controller.hear_relay_event(
             1.0,
             NONE,
-            RelayEvent::Held { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
+            RelayEvent::StoredEntry { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
         );
     }
     assert_eq!(controller.charges[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
-    controller.waiting.push(Order::Line(slice, HostId::new("s-9").expect("a name"), 1.0));
+    controller.waiting.push(Command::Line(slice, HostId::new("s-9").expect("a name"), 1.0));
     let settled = controller.waiting.settled(slice, &controller.charges[0].lines);
     assert_eq!(settled, [(HostId::new("s-9").expect("a name"), 1.0)]);
 }
@@ -66,10 +66,10 @@
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.round.charges.push(SliceAssignment { slice, given: true, lines: Vec::new() });
-    controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: false });
-    controller.hear_relay_event(1.0, NONE, RelayEvent::Held { slice, host, weight: 1.0 });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: false });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
     assert!(controller.charges[0].lines.is_empty() && controller.round.charges[0].lines.is_empty());
-    controller.hear_relay_event(1.0, NONE, RelayEvent::Given { slice, on: true });
-    controller.hear_relay_event(1.0, NONE, RelayEvent::Held { slice, host, weight: 1.0 });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
+    controller.hear_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
     assert_eq!(controller.charges[1].lines, [(host, 1.0)]);
 }
--- a/crates/railhub-platform/src/discovery.rs
+++ b/crates/railhub-platform/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's pages: the list of hosts, whole or what changed.
 use crate::assignment::Names;
-use crate::Spoilt;
+use crate::InvalidEntry;
 use railhub::{EndpointEntry, EndpointList, HostId, Phase};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Page {
+pub struct EndpointPage {
     pub generation: u64,
     /// The whole list, so that what it lacks is gone.
     pub whole: bool,
     pub entries: Vec<Entry>,
     /// Why entries were left out.
-    pub spoilt: Vec<Spoilt>,
+    pub spoilt: Vec<InvalidEntry>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct RawPage {
+pub struct RawEndpointPage {
     generation: u64,
     reset: bool,
     instances: Vec<Entered>,
@@ -34,7 +34,7 @@
 #[serde(untagged)]
 enum Entered {
     Whole(Instance),
-    Spoilt(serde::de::IgnoredAny),
+    InvalidEntry(serde::de::IgnoredAny),
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -50,20 +50,25 @@
     started_at_ms: f64,
 }
 
-pub fn read(line: &[u8], names: &Names) -> Result<Page, Spoilt> {
-    let raw: RawPage = serde_json::from_slice(line).map_err(|fault| crate::collector::unreadable(&fault))?;
+pub fn read(line: &[u8], names: &Names) -> Result<EndpointPage, InvalidEntry> {
+    let raw: RawEndpointPage =
+        serde_json::from_slice(line).map_err(|fault| crate::collector::unreadable(&fault))?;
     Ok(raw.check(names))
 }
 
-impl RawPage {
+impl RawEndpointPage {
     /// A whole list that lacks an entry for being spoilt must not make that host gone: it counts as changes.
-    pub fn check(&self, names: &Names) -> Page {
-        let mut page =
-            Page { generation: self.generation, whole: self.reset, entries: Vec::new(), spoilt: Vec::new() };
+    pub fn check(&self, names: &Names) -> EndpointPage {
+        let mut page = EndpointPage {
+            generation: self.generation,
+            whole: self.reset,
+            entries: Vec::new(),
+            spoilt: Vec::new(),
+        };
         for instance in &self.instances {
             let checked = match instance {
                 Entered::Whole(instance) => instance.check(names),
-                Entered::Spoilt(_) => Err(Spoilt::Fields),
+                Entered::InvalidEntry(_) => Err(InvalidEntry::Fields),
             };
             match checked {
                 Ok(entry) => page.entries.push(entry),
@@ -75,26 +80,26 @@
     }
 }
 
-impl Page {
+impl EndpointPage {
     pub fn list(&self) -> EndpointList {
         EndpointList { whole: self.whole, entries: self.entries.iter().map(|entry| entry.listed).collect() }
     }
 }
 
 impl Instance {
-    fn check(&self, names: &Names) -> Result<Entry, Spoilt> {
+    fn check(&self, names: &Names) -> Result<Entry, InvalidEntry> {
         let phase = match self.lifecycle.as_str() {
             "ready" => Phase::Ready,
             "draining" => Phase::Draining,
             "gone" => Phase::Gone,
-            _ => return Err(Spoilt::Unknown),
+            _ => return Err(InvalidEntry::Unknown),
         };
         let sane = |figure: f64| figure.is_finite() && figure >= 0.0;
         if !sane(self.weight) || !sane(self.started_at_ms) {
-            return Err(Spoilt::Range);
+            return Err(InvalidEntry::Range);
         }
-        let host = HostId::new(&self.instance_id).ok_or(Spoilt::Fields)?;
-        let address = self.host_port.parse().map_err(|_| Spoilt::Fields)?;
+        let host = HostId::new(&self.instance_id).ok_or(InvalidEntry::Fields)?;
+        let address = self.host_port.parse().map_err(|_| InvalidEntry::Fields)?;
         let started = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
         let kind = names.kind(&self.machine_type);
         Ok(Entry { listed: EndpointEntry { host, phase, started, weight: self.weight, kind }, address })
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -3,7 +3,7 @@
 //! In: collectors' frames ([`collector`]), the relay's news ([`news`]) and discovery's pages ([`discovery`]) are
 //! read one by one, and what is spoilt is dropped alone. The [`controller`] gathers them into rounds for the module.
 //! Out: what the module orders is kept by the [`orders`] until the relay has taken it, and leaves as calls.
-//! [`Assignment`] is the configuration, checked.
+//! [`NodeConfig`] is the configuration, checked.
 pub mod assignment;
 pub mod collector;
 pub mod controller;
@@ -11,15 +11,15 @@
 pub mod orders;
 pub mod relay_events;
 
-pub use assignment::{Assignment, Names};
+pub use assignment::{Names, NodeConfig};
 pub use controller::{PlatformController, Probe};
-pub use discovery::Page;
+pub use discovery::EndpointPage;
 
 use thiserror::Error;
 
 /// Why a message is not believed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Spoilt {
+pub enum InvalidEntry {
     /// No JSON object that names its kind: nothing that follows can be trusted either.
     #[error("it cannot be read")]
     Unreadable,
--- a/crates/railhub-platform/src/orders.rs
+++ b/crates/railhub-platform/src/orders.rs
@@ -14,7 +14,7 @@
 
 /// What an order is about: a later one about the same makes an earlier one that still waits needless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum About {
+enum CommandKey {
     Line(SliceId, HostId),
     Host(HostId),
     Level(ClassId),
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     Line(SliceId, HostId, f64),
     Shut(HostId, bool),
     Level(ClassId, f64, RetryPolicy),
@@ -31,7 +31,7 @@
 
 #[derive(Serialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-enum Said<'a> {
+enum CommandMessage<'a> {
     Share { table: u16, server: &'a str, weight: f64 },
     Withdraw { server: &'a str },
     Restore { server: &'a str },
@@ -39,29 +39,29 @@
     Mark { ticket: u16, on: u8 },
 }
 
-impl Order {
-    fn about(&self) -> About {
+impl Command {
+    fn about(&self) -> CommandKey {
         match *self {
-            Order::Line(slice, host, _) => About::Line(slice, host),
-            Order::Shut(host, _) => About::Host(host),
-            Order::Level(class, ..) => About::Level(class),
-            Order::Mark(_) => About::Mark,
+            Command::Line(slice, host, _) => CommandKey::Line(slice, host),
+            Command::Shut(host, _) => CommandKey::Host(host),
+            Command::Level(class, ..) => CommandKey::Level(class),
+            Command::Mark(_) => CommandKey::Mark,
         }
     }
 
     fn say(&self, classes: &[String]) -> String {
         let said = match self {
-            Order::Line(slice, host, weight) => {
-                Said::Share { table: slice.0, server: host.name(), weight: *weight }
+            Command::Line(slice, host, weight) => {
+                CommandMessage::Share { table: slice.0, server: host.name(), weight: *weight }
             }
-            Order::Shut(host, true) => Said::Withdraw { server: host.name() },
-            Order::Shut(host, false) => Said::Restore { server: host.name() },
-            Order::Level(class, level, again) => Said::Admit {
+            Command::Shut(host, true) => CommandMessage::Withdraw { server: host.name() },
+            Command::Shut(host, false) => CommandMessage::Restore { server: host.name() },
+            Command::Level(class, level, again) => CommandMessage::Admit {
                 classes: [&classes[usize::from(class.0)]],
                 level: *level,
                 retry: retries(*again),
             },
-            Order::Mark(mark) => Said::Mark { ticket: mark.0, on: 1 },
+            Command::Mark(mark) => CommandMessage::Mark { ticket: mark.0, on: 1 },
         };
         serde_json::to_string(&said).expect("names and numbers can be said")
     }
@@ -102,11 +102,11 @@
 /// Commands that wait, in their order, and those of the call that is out.
 #[derive(Default)]
 pub struct PendingCommands {
-    queue: VecDeque<(u64, Order)>,
+    queue: VecDeque<(u64, Command)>,
     /// Where the order about a thing waits.
-    places: BTreeMap<About, u64>,
+    places: BTreeMap<CommandKey, u64>,
     next: u64,
-    out: Vec<Order>,
+    out: Vec<Command>,
     calls: u64,
     single_owner: bool,
     /// Commands were dropped for want of room: the relay's tables are not what the module believes.
@@ -121,7 +121,7 @@
         PendingCommands { single_owner: terms.single_owner, ..PendingCommands::default() }
     }
 
-    pub fn push(&mut self, order: Order) {
+    pub fn push(&mut self, order: Command) {
         let place = self.next;
         self.next += 1;
         if let Some(earlier) = self.places.insert(order.about(), place) {
@@ -141,9 +141,9 @@
     /// Lines of a table that wait are not ordered any more. Whether some of it are out: they may be carried out on
     /// the table as it was or as it is now.
     pub fn forget(&mut self, slice: SliceId) -> bool {
-        let kept = |order: &Order| !matches!(order, Order::Line(of, ..) if *of == slice);
+        let kept = |order: &Command| !matches!(order, Command::Line(of, ..) if *of == slice);
         self.queue.retain(|(_, order)| kept(order));
-        self.places.retain(|about, _| !matches!(about, About::Line(of, _) if *of == slice));
+        self.places.retain(|about, _| !matches!(about, CommandKey::Line(of, _) if *of == slice));
         !self.out.iter().all(kept)
     }
 
@@ -155,7 +155,7 @@
     /// The call to make now: what is out and not settled, said again, or else what waits.
     pub fn call(&mut self, classes: &[String]) -> Option<Call> {
         // A class without a name cannot be said; said of all classes it would do harm.
-        let named = |order: &Order| !matches!(order, Order::Level(class, ..) if usize::from(class.0) >= classes.len());
+        let named = |order: &Command| !matches!(order, Command::Level(class, ..) if usize::from(class.0) >= classes.len());
         let all = self.queue.len();
         self.queue.retain(|(_, order)| named(order));
         self.unnamed += (all - self.queue.len()) as u64;
@@ -198,14 +198,14 @@
 
     /// The relay took so many of the call that is out, which are handed back with the one it stopped at: that is
     /// dropped, and those behind it are said again.
-    pub fn taken(&mut self, count: usize) -> (Vec<Order>, Option<Order>) {
+    pub fn taken(&mut self, count: usize) -> (Vec<Command>, Option<Command>) {
         let taken = self.out.drain(..count.min(self.out.len())).collect();
         (taken, (!self.out.is_empty()).then(|| self.out.remove(0)))
     }
 
     /// Whether all tables that the call which is out names are among these.
     pub fn is_out_about(&self, tables: &BTreeMap<SliceId, Vec<(HostId, f64)>>) -> bool {
-        self.out.iter().all(|order| !matches!(order, Order::Line(slice, ..) if !tables.contains_key(slice)))
+        self.out.iter().all(|order| !matches!(order, Command::Line(slice, ..) if !tables.contains_key(slice)))
     }
 
     /// The call that is out has no known end, and this stands since: said again, what was carried out would wait in
@@ -214,7 +214,7 @@
     pub fn settle(&mut self, standing: &BTreeMap<SliceId, Vec<(HostId, f64)>>) {
         let mut last = BTreeMap::new();
         for order in &self.out {
-            if let Order::Line(slice, host, weight) = order {
+            if let Command::Line(slice, host, weight) = order {
                 last.insert(*slice, (*host, *weight));
             }
         }
@@ -226,7 +226,7 @@
         if held && last.keys().all(shown) {
             self.out.clear();
         } else {
-            self.out.retain(|order| !matches!(order, Order::Line(slice, ..) if shown(slice)));
+            self.out.retain(|order| !matches!(order, Command::Line(slice, ..) if shown(slice)));
         }
     }
 
@@ -240,7 +240,7 @@
         let mut lines = stored.to_vec();
         for order in self.out.iter().chain(self.queue.iter().map(|(_, order)| order)) {
             match order {
-                Order::Line(of, host, weight) if *of == slice => {
+                Command::Line(of, host, weight) if *of == slice => {
                     put(&mut lines, *host, *weight, self.single_owner);
                 }
                 _ => {}
@@ -261,20 +261,20 @@
 
 impl CommandSink for CommandBatch<'_> {
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
-        self.waiting.push(Order::Line(slice, host, weight));
+        self.waiting.push(Command::Line(slice, host, weight));
     }
     fn hand_table(&mut self, table: SliceId, proxy: ProxyId) {
         self.notes
             .push(format!("the platform hands no table: {} for proxy {} is left out", table.0, proxy.0));
     }
     fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy) {
-        self.waiting.push(Order::Level(class, share, second_try));
+        self.waiting.push(Command::Level(class, share, second_try));
     }
     fn shut_out(&mut self, host: HostId, out: bool) {
-        self.waiting.push(Order::Shut(host, out));
+        self.waiting.push(Command::Shut(host, out));
     }
     fn mark(&mut self, mark: BarrierId) {
-        self.waiting.push(Order::Mark(mark));
+        self.waiting.push(Command::Mark(mark));
     }
     fn probe(&mut self, host: HostId) {
         self.probes.push(host);
--- a/crates/railhub-platform/src/relay_events.rs
+++ b/crates/railhub-platform/src/relay_events.rs
@@ -1,5 +1,5 @@
 //! The relay's lines: news that a subscription brings, and answers to calls.
-use crate::Spoilt;
+use crate::InvalidEntry;
 use railhub::{BarrierAck, BarrierId, HostId, ProxyId, SliceId};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -26,11 +26,11 @@
     },
     Left(ProxyId),
     Applied(BarrierAck),
-    Given {
+    SliceAssigned {
         slice: SliceId,
         on: bool,
     },
-    Held {
+    StoredEntry {
         slice: SliceId,
         host: HostId,
         weight: f64,
@@ -77,26 +77,26 @@
 }
 
 #[derive(Deserialize)]
-struct Given {
+struct SliceAssigned {
     slice: u16,
     on: bool,
 }
 
 #[derive(Deserialize)]
-struct Held {
+struct StoredEntry {
     slice: u16,
     server: String,
     weight: f64,
 }
 
-fn params<T: DeserializeOwned>(line: &[u8]) -> Result<T, Spoilt> {
-    serde_json::from_slice::<Line<T>>(line).map(|line| line.params).map_err(|_| Spoilt::Fields)
+fn params<T: DeserializeOwned>(line: &[u8]) -> Result<T, InvalidEntry> {
+    serde_json::from_slice::<Line<T>>(line).map(|line| line.params).map_err(|_| InvalidEntry::Fields)
 }
 
-pub fn read(line: &[u8]) -> Result<RelayEvent, Spoilt> {
-    let head: Head = serde_json::from_slice(line).map_err(|_| Spoilt::Unreadable)?;
+pub fn read(line: &[u8]) -> Result<RelayEvent, InvalidEntry> {
+    let head: Head = serde_json::from_slice(line).map_err(|_| InvalidEntry::Unreadable)?;
     let Some(method) = head.method else {
-        return if head.result == Some(true) { Ok(RelayEvent::Subscribed) } else { Err(Spoilt::Kind) };
+        return if head.result == Some(true) { Ok(RelayEvent::Subscribed) } else { Err(InvalidEntry::Kind) };
     };
     Ok(match method.as_str() {
         "ping" => RelayEvent::Ping,
@@ -110,18 +110,18 @@
             RelayEvent::Applied(BarrierAck { proxy: ProxyId(applied.proxy), mark: BarrierId(applied.mark) })
         }
         "given" => {
-            let given: Given = params(line)?;
-            RelayEvent::Given { slice: SliceId(given.slice), on: given.on }
+            let given: SliceAssigned = params(line)?;
+            RelayEvent::SliceAssigned { slice: SliceId(given.slice), on: given.on }
         }
         "held" => {
-            let held: Held = params(line)?;
-            let host = HostId::new(&held.server).ok_or(Spoilt::Unknown)?;
+            let held: StoredEntry = params(line)?;
+            let host = HostId::new(&held.server).ok_or(InvalidEntry::Unknown)?;
             if !(held.weight.is_finite() && held.weight >= 0.0) {
-                return Err(Spoilt::Range);
+                return Err(InvalidEntry::Range);
             }
-            RelayEvent::Held { slice: SliceId(held.slice), host, weight: held.weight }
+            RelayEvent::StoredEntry { slice: SliceId(held.slice), host, weight: held.weight }
         }
-        _ => return Err(Spoilt::Kind),
+        _ => return Err(InvalidEntry::Kind),
     })
 }
 
@@ -140,24 +140,24 @@
 }
 
 /// The answer to call `id` of so many orders; whatever else a line says, the call's outcome is not known.
-pub fn answer(line: &[u8], id: u64, count: usize) -> Result<Answer, Spoilt> {
-    let ended: Ended = serde_json::from_slice(line).map_err(|_| Spoilt::Fields)?;
+pub fn answer(line: &[u8], id: u64, count: usize) -> Result<Answer, InvalidEntry> {
+    let ended: Ended = serde_json::from_slice(line).map_err(|_| InvalidEntry::Fields)?;
     if ended.id != id {
-        return Err(Spoilt::Unknown);
+        return Err(InvalidEntry::Unknown);
     }
     match (ended.result, ended.error) {
         (Some(Taken { taken }), None) if taken <= count => Ok(Answer::Taken(taken)),
-        (Some(_), None) => Err(Spoilt::Range),
+        (Some(_), None) => Err(InvalidEntry::Range),
         // The error's form is not stated: it names its cause somewhere.
         (None, Some(_)) => {
             let says = |word: &[u8]| line.windows(word.len()).any(|part| part == word);
             match (says(b"limit"), says(b"malformed")) {
                 (true, false) => Ok(Answer::Rejected),
                 (false, true) => Ok(Answer::Malformed),
-                _ => Err(Spoilt::Fields),
+                _ => Err(InvalidEntry::Fields),
             }
         }
-        _ => Err(Spoilt::Fields),
+        _ => Err(InvalidEntry::Fields),
     }
 }
 
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,16 +1,16 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
 use railhub::{BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId};
-use railhub_platform::orders::{Call, Order, PendingCommands};
+use railhub_platform::orders::{Call, Command, PendingCommands};
 use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
-use railhub_platform::{Assignment, PlatformController as Core};
+use railhub_platform::{NodeConfig, PlatformController as Core};
 use std::ops::{Deref, DerefMut};
 
 const FILE: &str = include_str!("assignment.json");
 const START: f64 = 1_700_000_100.0;
 
-fn assignment() -> Assignment {
+fn assignment() -> NodeConfig {
     // Without probes the module trusts the list, so that a few rounds are enough.
-    Assignment::read(&FILE.replace("\"probes\": true", "\"probes\": false")).expect("a good file")
+    NodeConfig::read(&FILE.replace("\"probes\": true", "\"probes\": false")).expect("a good file")
 }
 
 fn host(n: u8) -> HostId {
@@ -18,11 +18,11 @@
 }
 
 fn given(slice: u16) -> RelayEvent {
-    RelayEvent::Given { slice: SliceId(slice), on: true }
+    RelayEvent::SliceAssigned { slice: SliceId(slice), on: true }
 }
 
 fn held(slice: u16, n: u8) -> RelayEvent {
-    RelayEvent::Held { slice: SliceId(slice), host: host(n), weight: 1.0 }
+    RelayEvent::StoredEntry { slice: SliceId(slice), host: host(n), weight: 1.0 }
 }
 
 fn joined(proxy: u16) -> RelayEvent {
@@ -36,7 +36,7 @@
 }
 
 impl PlatformController {
-    fn new(assignment: &Assignment) -> PlatformController {
+    fn new(assignment: &NodeConfig) -> PlatformController {
         PlatformController { core: Core::new(assignment), source: SubscriptionId::default() }
     }
 
@@ -113,7 +113,7 @@
     settle(&mut controller, START);
     assert_eq!(controller.joined(), 2);
     // Proxy 2 and slice 4 are absent now; slice 3 is as it was ordered: nothing to say.
-    let standby = RelayEvent::Held { slice: SliceId(3), host: host(2), weight: 0.0 };
+    let standby = RelayEvent::StoredEntry { slice: SliceId(3), host: host(2), weight: 0.0 };
     stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1), standby]);
     // The relay tells a standby's weight rounded to 0. Who is shut out is said again, as a proxy may have missed it.
     assert!(!settle(&mut controller, START + 0.1).contains("share"));
@@ -138,7 +138,7 @@
 }
 
 fn standby(weight: f64) -> RelayEvent {
-    RelayEvent::Held { slice: SliceId(3), host: host(2), weight }
+    RelayEvent::StoredEntry { slice: SliceId(3), host: host(2), weight }
 }
 
 #[test]
@@ -304,7 +304,7 @@
 #[test]
 fn a_slice_given_while_a_call_about_it_is_out_is_asked_for_anew() {
     let (mut controller, call) = with_a_call_out();
-    controller.hear_relay_event(START + 0.1, RelayEvent::Given { slice: SliceId(3), on: false });
+    controller.hear_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
     assert!(controller.must_ask_anew().is_none(), "what is not held is changed by no order");
     [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_relay_event(START + 0.11, news));
     assert!(controller.must_ask_anew().is_some(), "its line may be on the table as it is now");
@@ -320,7 +320,7 @@
 
 #[test]
 fn a_probe_that_ends_after_its_host_moved_started_anew_or_went_says_nothing_of_what_is_there_now() {
-    let read = Assignment::read(FILE).expect("a good file");
+    let read = NodeConfig::read(FILE).expect("a good file");
     let page = |generation: u64, address: &str, lifecycle: &str, started: f64| {
         let text = format!(
             "{{\"generation\":{generation},\"reset\":false,\"instances\":[{{\"instanceId\":\"s-1\",\"hostPort\":\
@@ -369,7 +369,7 @@
     for carried_out in [true, false] {
         let (mut first, _) = with_a_call_out();
         first.end_call(None);
-        first.hear_relay_event(START + 0.1, RelayEvent::Given { slice: SliceId(3), on: false });
+        first.hear_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
         let mut heir = PlatformController::new(&assignment());
         stands(&mut heir, START, &[joined(1)]);
         settle(&mut heir, START);
@@ -400,8 +400,8 @@
 #[test]
 fn a_level_for_a_class_that_has_no_name_is_never_said_of_all() {
     let mut waiting = PendingCommands::default();
-    waiting.push(Order::Level(ClassId(1), 0.5, RetryPolicy::Never));
-    waiting.push(Order::Level(ClassId(0), 0.7, RetryPolicy::Never));
+    waiting.push(Command::Level(ClassId(1), 0.5, RetryPolicy::Never));
+    waiting.push(Command::Level(ClassId(0), 0.7, RetryPolicy::Never));
     let call = waiting.call(&["view".to_owned()]).expect("a call");
     assert_eq!(waiting.unnamed, 1);
     assert!(call.count == 1 && text(&call).contains("view") && !text(&call).contains('*'), "{}", text(&call));
@@ -417,7 +417,7 @@
     controller.hear_relay_event(START + 0.51, held(7, 2));
     let said = settle(&mut controller, START + 0.55);
     assert!(said.contains(r#""table":7,"server":"s-1","weight":0.0001"#), "{said}");
-    controller.hear_relay_event(START + 1.2, RelayEvent::Given { slice: SliceId(7), on: false });
+    controller.hear_relay_event(START + 1.2, RelayEvent::SliceAssigned { slice: SliceId(7), on: false });
     assert_eq!(settle(&mut controller, START + 1.25), "");
 }
 
@@ -438,7 +438,7 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
     controller.act(START);
-    controller.hear_relay_event(START + 0.01, RelayEvent::Given { slice: SliceId(3), on: false });
+    controller.hear_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
@@ -461,7 +461,7 @@
 }
 
 fn push_lines(waiting: &mut PendingCommands, count: u16) {
-    (0..count).for_each(|slice| waiting.push(Order::Line(SliceId(slice), host(1), 1.0)));
+    (0..count).for_each(|slice| waiting.push(Command::Line(SliceId(slice), host(1), 1.0)));
 }
 
 #[test]
@@ -484,7 +484,7 @@
     push_lines(&mut waiting, 5);
     assert_eq!(waiting.call(&[]).expect("a call").count, 5);
     push_lines(&mut waiting, 6);
-    assert_eq!(waiting.taken(2).1, Some(Order::Line(SliceId(2), host(1), 1.0)));
+    assert_eq!(waiting.taken(2).1, Some(Command::Line(SliceId(2), host(1), 1.0)));
     let rest = waiting.call(&[]).expect("the rest of it first");
     assert_eq!(rest.count, 2);
     assert!(text(&rest).contains("\"table\":3") && text(&rest).contains("\"table\":4"));
@@ -495,11 +495,11 @@
 #[test]
 fn orders_that_wait_fold_by_what_they_are_about_and_are_bounded() {
     let mut waiting = PendingCommands::default();
-    waiting.push(Order::Line(SliceId(1), host(1), 0.0));
-    waiting.push(Order::Line(SliceId(1), host(2), 1.0));
-    waiting.push(Order::Shut(host(2), true));
-    waiting.push(Order::Line(SliceId(1), host(1), 1.0));
-    waiting.push(Order::Shut(host(2), false));
+    waiting.push(Command::Line(SliceId(1), host(1), 0.0));
+    waiting.push(Command::Line(SliceId(1), host(2), 1.0));
+    waiting.push(Command::Shut(host(2), true));
+    waiting.push(Command::Line(SliceId(1), host(1), 1.0));
+    waiting.push(Command::Shut(host(2), false));
     let call = waiting.call(&[]).expect("a call");
     assert_eq!((call.count, waiting.folded), (3, 2));
     let said = text(&call);
@@ -511,7 +511,7 @@
     assert_eq!(waiting.settled(SliceId(1), &[(host(3), 0.5)]).len(), 3);
     waiting.taken(3);
     for slice in 0..u16::MAX {
-        waiting.push(Order::Line(SliceId(slice), host(1), 1.0));
+        waiting.push(Command::Line(SliceId(slice), host(1), 1.0));
         assert!(waiting.count() <= 20_000);
     }
     assert!(waiting.overflowed, "what was dropped must be asked for anew");
@@ -539,7 +539,7 @@
     let drains = FILE
         .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
         .replacen("draining", "ready", 1);
-    let known = Assignment::read(&drains.replace("\"generation\": 41", "\"generation\": 42"))
+    let known = NodeConfig::read(&drains.replace("\"generation\": 41", "\"generation\": 42"))
         .expect("a good file")
         .known;
     assert!(controller.hear_page(START + 0.1, &known));
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -2,23 +2,23 @@
 use railhub::{BarrierId, ClassId, HostId, Idempotency, Phase, ProxyId, SliceId, ZoneId};
 use railhub_platform::collector::{self, Frame};
 use railhub_platform::relay_events::{self, Answer, RelayEvent};
-use railhub_platform::{discovery, Assignment, Names, Spoilt};
+use railhub_platform::{discovery, InvalidEntry, Names, NodeConfig};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const FILE: &str = include_str!("assignment.json");
 
 fn names() -> Names {
-    Assignment::read(FILE).expect("a good file").names
+    NodeConfig::read(FILE).expect("a good file").names
 }
 
-fn frame(text: &str) -> Result<Frame, Spoilt> {
+fn frame(text: &str) -> Result<Frame, InvalidEntry> {
     collector::read(text.as_bytes(), &names(), 40)
 }
 
 #[test]
 fn a_file_becomes_terms_and_the_first_list() {
-    let read = Assignment::read(FILE).expect("a good file");
+    let read = NodeConfig::read(FILE).expect("a good file");
     assert_eq!((read.name.as_str(), read.sockets, read.memory_mb), ("n0", 256, 32));
     assert_eq!(read.relay.to_string(), "127.0.0.1:6400");
     assert_eq!((read.terms.slices, read.terms.warm_within, read.terms.may_probe), (40, 18.0, true));
@@ -33,7 +33,7 @@
 fn what_is_wrong_in_a_file_is_named_with_its_place() {
     let fault = |from: &str, to: &str| {
         assert!(FILE.contains(from), "{from}");
-        Assignment::read(&FILE.replace(from, to)).expect_err("wrong").to_string()
+        NodeConfig::read(&FILE.replace(from, to)).expect_err("wrong").to_string()
     };
     let place = fault("\"127.0.0.1:6400\"", "17");
     assert!(place.starts_with("registry.address: "), "{place}");
@@ -42,7 +42,7 @@
     assert!(fault("\"backlog\": 900.5", "\"backlog\": -1").starts_with("settings.family_info.backlog: "));
     let one_owner = fault("\"exclusive\": false", "\"exclusive\": true");
     assert_eq!(one_owner, "settings.family_info.write_lease_us: is needed where a slice has one owner");
-    assert!(Assignment::read(&FILE[..FILE.len() / 2]).is_err());
+    assert!(NodeConfig::read(&FILE[..FILE.len() / 2]).is_err());
 }
 
 #[test]
@@ -51,13 +51,13 @@
         [("127.0.0.2:7070", "nowhere"), ("\"weight\": 2.0", "\"weight\": \"two\""), ("\"weight\": 2.0,", "")]
     {
         assert!(FILE.contains(from), "{from}");
-        let read = Assignment::read(&FILE.replace(from, to)).expect("a start");
+        let read = NodeConfig::read(&FILE.replace(from, to)).expect("a start");
         assert_eq!((read.known.spoilt.len(), read.known.entries.len(), read.known.whole), (1, 1, false));
         // The list is asked for whole, and counts under whatever number it comes.
         assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
     let empty = FILE.replace("\"instances\": [", "\"instances\": [], \"old\": [");
-    assert_eq!(Assignment::read(&empty).expect("a start").known.entries.len(), 0);
+    assert_eq!(NodeConfig::read(&empty).expect("a start").known.entries.len(), 0);
 }
 
 #[test]
@@ -98,32 +98,32 @@
     };
     assert_eq!(heard("none", ""), Ok(()));
     for (field, value, fault) in [
-        ("zone", "\"z\"", Spoilt::Unknown),
-        ("server", "\"\"", Spoilt::Unknown),
-        ("tries", "-1", Spoilt::Range),
-        ("tries", "\"10\"", Spoilt::Fields),
-        ("tries", "null", Spoilt::Fields),
-        ("failed", "11", Spoilt::Range),
-        ("mean_ms", "1e300", Spoilt::Range),
-        ("span_ms", "0", Spoilt::Range),
-        ("span_ms", "1e9", Spoilt::Range),
-        ("span_ms", "[]", Spoilt::Fields),
+        ("zone", "\"z\"", InvalidEntry::Unknown),
+        ("server", "\"\"", InvalidEntry::Unknown),
+        ("tries", "-1", InvalidEntry::Range),
+        ("tries", "\"10\"", InvalidEntry::Fields),
+        ("tries", "null", InvalidEntry::Fields),
+        ("failed", "11", InvalidEntry::Range),
+        ("mean_ms", "1e300", InvalidEntry::Range),
+        ("span_ms", "0", InvalidEntry::Range),
+        ("span_ms", "1e9", InvalidEntry::Range),
+        ("span_ms", "[]", InvalidEntry::Fields),
     ] {
         assert_eq!(heard(field, value), Err(fault), "{field} {value}");
     }
     let fault = |text: &str| frame(text).map(drop).expect_err("spoilt");
-    assert_eq!(fault(r#"{"zone":"a"}"#), Spoilt::Fields);
-    assert_eq!(fault(r#"{"t":7}"#), Spoilt::Fields);
-    assert_eq!(fault(r#"{"t":"joined","proxy":1}"#), Spoilt::Kind);
-    assert_eq!(fault(r#"{"t":"collector","zone":"x"}"#), Spoilt::Unknown);
+    assert_eq!(fault(r#"{"zone":"a"}"#), InvalidEntry::Fields);
+    assert_eq!(fault(r#"{"t":7}"#), InvalidEntry::Fields);
+    assert_eq!(fault(r#"{"t":"joined","proxy":1}"#), InvalidEntry::Kind);
+    assert_eq!(fault(r#"{"t":"collector","zone":"x"}"#), InvalidEntry::Unknown);
     assert_eq!(
         fault(r#"{"t":"heat","slice":40,"class":"deposit","tries":1,"failed":0,"span_ms":1}"#),
-        Spoilt::Unknown
+        InvalidEntry::Unknown
     );
-    assert_eq!(fault(r#"{"t":"heard","zone":"#), Spoilt::Unreadable);
-    assert_eq!(fault("GET / HTTP/1.1"), Spoilt::Unreadable);
+    assert_eq!(fault(r#"{"t":"heard","zone":"#), InvalidEntry::Unreadable);
+    assert_eq!(fault("GET / HTTP/1.1"), InvalidEntry::Unreadable);
     let deep = format!("{{\"t\":\"ping\",\"x\":{}", "[".repeat(900_000));
-    assert_eq!(fault(&deep), Spoilt::Unreadable);
+    assert_eq!(fault(&deep), InvalidEntry::Unreadable);
 }
 
 #[test]
@@ -144,11 +144,15 @@
     let held = said("held", r#"{"slice":88,"server":"s-1","weight":1.0}"#);
     assert_eq!(
         held,
-        Ok(RelayEvent::Held { slice: SliceId(88), host: HostId::new("s-1").expect("a name"), weight: 1.0 })
+        Ok(RelayEvent::StoredEntry {
+            slice: SliceId(88),
+            host: HostId::new("s-1").expect("a name"),
+            weight: 1.0
+        })
     );
-    assert_eq!(said("held", r#"{"slice":88,"server":"s-1","weight":-1.0}"#), Err(Spoilt::Range));
-    assert_eq!(said("given", r#"{"slice":70000,"on":true}"#), Err(Spoilt::Fields));
-    assert_eq!(said("heard", "{}"), Err(Spoilt::Kind));
+    assert_eq!(said("held", r#"{"slice":88,"server":"s-1","weight":-1.0}"#), Err(InvalidEntry::Range));
+    assert_eq!(said("given", r#"{"slice":70000,"on":true}"#), Err(InvalidEntry::Fields));
+    assert_eq!(said("heard", "{}"), Err(InvalidEntry::Kind));
 }
 
 #[test]
@@ -177,13 +181,13 @@
         {"instanceId":"s-1","hostPort":"127.0.0.1:7070","lifecycle":"draining","weight":1.0},
         {"instanceId":"s-2","hostPort":"127.0.0.2:7070","lifecycle":"ready","weight":"heavy"}]}"#;
     let read = |text: &str| discovery::read(text.as_bytes(), &names());
-    for (weight, fault) in [("\"heavy\"", Spoilt::Fields), ("-1", Spoilt::Range)] {
+    for (weight, fault) in [("\"heavy\"", InvalidEntry::Fields), ("-1", InvalidEntry::Range)] {
         let page = read(&page.replace("\"heavy\"", weight)).expect("a page");
         assert_eq!((page.whole, page.entries.len(), page.spoilt.as_slice()), (false, 1, &[fault][..]));
         assert_eq!(page.entries[0].listed.phase, Phase::Draining);
     }
-    assert_eq!(read(&page.replace("true", "9")).map(drop), Err(Spoilt::Fields));
-    assert_eq!(read("{\"generation\":43,").map(drop), Err(Spoilt::Unreadable));
+    assert_eq!(read(&page.replace("true", "9")).map(drop), Err(InvalidEntry::Fields));
+    assert_eq!(read("{\"generation\":43,").map(drop), Err(InvalidEntry::Unreadable));
 }
 
 /// Bytes changed, cut, doubled and put in at random places.
@@ -235,7 +239,7 @@
     });
     let held = r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-1","weight":1.0}}"#;
     feed(held, 3, |bytes| match relay_events::read(bytes) {
-        Ok(RelayEvent::Held { weight, .. }) => sane(weight),
+        Ok(RelayEvent::StoredEntry { weight, .. }) => sane(weight),
         read => read.is_ok(),
     });
     let answer = r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#;
@@ -249,5 +253,5 @@
         discovery::read(bytes, &names)
             .is_ok_and(|page| page.entries.iter().all(|entry| sane(entry.listed.weight)))
     });
-    feed(FILE, 6, |bytes| std::str::from_utf8(bytes).is_ok_and(|text| Assignment::read(text).is_ok()));
+    feed(FILE, 6, |bytes| std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::read(text).is_ok()));
 }
