--- a/crates/railhub-chaos/src/bed/looker.rs
+++ b/crates/railhub-chaos/src/bed/looker.rs
@@ -1,7 +1,7 @@
 //! Asks each steward for its view, again and again, as an operator would: by datagrams that bear nothing.
 use crate::view::{Node, Seen};
 use railhub_membership::packet::{decode, encode, Packet, View, BYTES_MOST};
-use railhub_membership::StewardId;
+use railhub_membership::NodeId;
 use railhub_net::now;
 use std::collections::BTreeMap;
 use std::io;
@@ -85,11 +85,11 @@
         self.turn += 1;
         let asked = self.asked.lock().expect("no holder panics").clone();
         for (node, address) in asked {
-            self.ask((node.0 as u64) << 32 | (self.turn & 0xffff_ffff), StewardId(0), address);
+            self.ask((node.0 as u64) << 32 | (self.turn & 0xffff_ffff), NodeId(0), address);
         }
     }
 
-    fn ask(&self, nonce: u64, from: StewardId, address: SocketAddr) {
+    fn ask(&self, nonce: u64, from: NodeId, address: SocketAddr) {
         let bytes = encode(&self.installation, &Packet::Look { nonce, from });
         let _ = self.socket.send_to(&bytes, address);
     }
--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -7,7 +7,7 @@
 use crate::view::{ends, Node, Seen};
 use railhub_links::udp::UdpLinks;
 use railhub_links::{Board, Crossing, Faults};
-use railhub_membership::entry::Standing;
+use railhub_membership::entry::Status;
 use railhub_membership::packet::{decode, Packet};
 use railhub_membership::table::Safeguard;
 use railhub_net::{now, seconds};
@@ -449,7 +449,7 @@
                 heard.news.insert(at.max(0.0) as u32);
             }
             let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
-            if word.standing == Standing::Dead && heard.told_dead.insert(incarnation) {
+            if word.standing == Status::Dead && heard.told_dead.insert(incarnation) {
                 let (by, (about, process, count)) = (message.from.about.0, incarnation);
                 let seen = Seen::Dead { at, by, about, process, count };
                 events.lock().expect("no holder panics").push(seen);
--- a/crates/railhub-chaos/src/explore.rs
+++ b/crates/railhub-chaos/src/explore.rs
@@ -5,9 +5,9 @@
 //!
 //! Checked in each state: nobody holds an incarnation of another that this one never had; who has held a process
 //! never goes back to an older one; and, if from now on all words arrive, everyone ends with the truth.
-use railhub_membership::entry::{Entry, Incarnation, NodeMetadata, Standing};
+use railhub_membership::entry::{Entry, Incarnation, NodeMetadata, Status};
 use railhub_membership::table::{Safeguard, Table};
-use railhub_membership::StewardId;
+use railhub_membership::NodeId;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -46,8 +46,8 @@
 
 type Key = (Vec<Option<Vec<Entry>>>, Vec<(usize, Entry)>, u8, u8, [u64; STEWARDS]);
 
-fn id(place: usize) -> StewardId {
-    StewardId(place as u16)
+fn id(place: usize) -> NodeId {
+    NodeId(place as u16)
 }
 
 fn fresh(place: usize, process: u64, without: Option<Safeguard>) -> Table {
@@ -121,13 +121,13 @@
         for about in (0..STEWARDS).filter(|about| *about != place) {
             let Some(held) = table.get(id(about)) else { continue };
             let worse = match held.standing {
-                Standing::Alive if self.suspicions > 0 => Standing::Suspect,
-                Standing::Suspect => Standing::Dead,
+                Status::Alive if self.suspicions > 0 => Status::Suspect,
+                Status::Suspect => Status::Dead,
                 _ => continue,
             };
             let word = Entry { standing: worse, by: None, ..held.clone() };
             let mut state = self.clone();
-            state.suspicions -= u8::from(worse == Standing::Suspect);
+            state.suspicions -= u8::from(worse == Status::Suspect);
             state.tables[place].as_mut().into_iter().for_each(|table| _ = table.learn(&word, false));
             all.push((format!("{place} holds {about} to be {worse:?}"), state));
         }
@@ -192,9 +192,9 @@
                 let Some(other) = other else { continue };
                 let held = table.get(id(about));
                 let true_incarnation = other.me().incarnation;
-                if held.is_none_or(|held| {
-                    held.incarnation != true_incarnation || held.standing != Standing::Alive
-                }) {
+                if held
+                    .is_none_or(|held| held.incarnation != true_incarnation || held.standing != Status::Alive)
+                {
                     let held = held.map(|held| (held.incarnation, held.standing));
                     return Err(format!("when all has arrived, {place} holds {held:?} of {about}, which lives as {true_incarnation:?}"));
                 }
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -1,9 +1,9 @@
 //! The plain baseline: each steward sends a word to all whose addresses it knows, and holds for gone whoever was silent
 //! for one fixed time. It is played in the same runs as the view, so that both are weighed by the same faults.
-use railhub_membership::entry::{Entry, Load, Standing};
-use railhub_membership::swim::Shown;
-use railhub_membership::words::{Ask, Mail, Message, To};
-use railhub_membership::StewardId;
+use railhub_membership::entry::{Entry, Load, Status};
+use railhub_membership::swim::ViewEntry;
+use railhub_membership::words::{Message, OutgoingMessage, Request, To};
+use railhub_membership::NodeId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 pub struct Heartbeat {
     me: Entry,
     seeds: Vec<SocketAddr>,
-    heard: BTreeMap<StewardId, (Entry, f64)>,
+    heard: BTreeMap<NodeId, (Entry, f64)>,
     beat_at: f64,
     turn: u64,
 }
@@ -32,11 +32,11 @@
         self.me.incarnation.process
     }
 
-    pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
+    pub fn address(&self, id: NodeId) -> Option<SocketAddr> {
         self.heard.get(&id).and_then(|(entry, _)| entry.metadata.address)
     }
 
-    fn mail(&mut self, ask: Ask) -> Mail {
+    fn mail(&mut self, ask: Request) -> OutgoingMessage {
         self.turn += 1;
         let message = Message {
             from: self.me.clone(),
@@ -54,12 +54,12 @@
         to.into_iter().map(|address| (To::Address(address), message.clone())).collect()
     }
 
-    pub fn tick(&mut self, now: f64) -> Mail {
+    pub fn tick(&mut self, now: f64) -> OutgoingMessage {
         if now < self.beat_at {
-            return Mail::new();
+            return OutgoingMessage::new();
         }
         self.beat_at = now + BEAT;
-        self.mail(Ask::Tell)
+        self.mail(Request::Tell)
     }
 
     pub fn hear(&mut self, now: f64, message: &Message) {
@@ -73,20 +73,20 @@
         }
     }
 
-    pub fn leave(&mut self) -> Mail {
-        self.me.standing = Standing::Left;
-        self.mail(Ask::Tell)
+    pub fn leave(&mut self) -> OutgoingMessage {
+        self.me.standing = Status::Left;
+        self.mail(Request::Tell)
     }
 
-    pub fn shown(&self, now: f64) -> Vec<Shown> {
+    pub fn shown(&self, now: f64) -> Vec<ViewEntry> {
         let show = |entry: &Entry, heard_ago: f64| {
-            let lives = heard_ago <= SILENT_FOR && entry.standing != Standing::Left;
-            let standing = if lives { Standing::Alive } else { Standing::Dead };
+            let lives = heard_ago <= SILENT_FOR && entry.standing != Status::Left;
+            let standing = if lives { Status::Alive } else { Status::Dead };
             let entry = Entry { standing, ..entry.clone() };
-            Shown { entry, load: Load::default(), stands_for: 0.0, heard_ago, withdrawn: false }
+            ViewEntry { entry, load: Load::default(), stands_for: 0.0, heard_ago, withdrawn: false }
         };
         let others = self.heard.values().map(|(entry, at)| show(entry, now - at));
-        let mut all: Vec<Shown> = others.chain([show(&self.me, 0.0)]).collect();
+        let mut all: Vec<ViewEntry> = others.chain([show(&self.me, 0.0)]).collect();
         all.sort_by_key(|shown| shown.entry.about);
         all
     }
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -4,12 +4,12 @@
 use crate::faults::{links_on, Chaos, Fault, What};
 use crate::view::heartbeat::Heartbeat;
 use crate::view::{ends, Node, Seen};
-use railhub_membership::entry::{Entry, NodeMetadata, Standing};
+use railhub_membership::entry::{Entry, NodeMetadata, Status};
 use railhub_membership::packet::{decode, encode, Packet};
-use railhub_membership::swim::{Membership, MembershipConfig, Shown};
+use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
 use railhub_membership::table::Safeguard;
-use railhub_membership::words::{Mail, Message, To};
-use railhub_membership::StewardId;
+use railhub_membership::words::{Message, OutgoingMessage, To};
+use railhub_membership::NodeId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,19 +57,19 @@
 }
 
 impl Watcher {
-    fn tick(&mut self, now: f64) -> Mail {
+    fn tick(&mut self, now: f64) -> OutgoingMessage {
         match self {
             Watcher::Membership(membership) => membership.tick(now).0,
             Watcher::Heartbeat(plain) => plain.tick(now),
         }
     }
 
-    fn hear(&mut self, now: f64, message: &Message) -> Mail {
+    fn hear(&mut self, now: f64, message: &Message) -> OutgoingMessage {
         match self {
             Watcher::Membership(membership) => membership.hear(now, message).0,
             Watcher::Heartbeat(plain) => {
                 plain.hear(now, message);
-                Mail::new()
+                OutgoingMessage::new()
             }
         }
     }
@@ -81,21 +81,21 @@
         }
     }
 
-    fn address(&self, id: StewardId) -> Option<SocketAddr> {
+    fn address(&self, id: NodeId) -> Option<SocketAddr> {
         match self {
             Watcher::Membership(membership) => membership.address(id),
             Watcher::Heartbeat(plain) => plain.address(id),
         }
     }
 
-    fn leave(&mut self, now: f64) -> Mail {
+    fn leave(&mut self, now: f64) -> OutgoingMessage {
         match self {
             Watcher::Membership(membership) => membership.leave(now),
             Watcher::Heartbeat(plain) => plain.leave(),
         }
     }
 
-    fn shown(&self, now: f64) -> Vec<Shown> {
+    fn shown(&self, now: f64) -> Vec<ViewEntry> {
         match self {
             Watcher::Membership(membership) => membership.shown(now),
             Watcher::Heartbeat(plain) => plain.shown(now),
@@ -117,7 +117,7 @@
 enum Due {
     Tick(Node),
     Look,
-    Mail { to: SocketAddr, bytes: Vec<u8> },
+    OutgoingMessage { to: SocketAddr, bytes: Vec<u8> },
     On(usize),
     Off(usize),
     Flap { number: usize, until: f64 },
@@ -241,7 +241,7 @@
         let seeds = self.addresses.iter().filter(|(id, _)| **id != steward && **id < most);
         let seeds = seeds.map(|(_, address)| *address).collect();
         let config = MembershipConfig { seeds, forget_after, without: self.how.without };
-        let own = Entry::alive(StewardId(steward), process, metadata);
+        let own = Entry::alive(NodeId(steward), process, metadata);
         let local = self.now + offset;
         let watcher = match self.how.heartbeats {
             true => Watcher::Heartbeat(Heartbeat::new(own, config.seeds, local)),
@@ -281,7 +281,7 @@
             },
             Due::Tick(_) => {}
             Due::Look => self.look(),
-            Due::Mail { to, bytes } => self.arrives(to, bytes),
+            Due::OutgoingMessage { to, bytes } => self.arrives(to, bytes),
             Due::On(number) => self.fault_on(number),
             Due::Off(number) => self.fault_off(number),
             Due::Flap { number, until } => self.flap(number, until),
@@ -307,7 +307,7 @@
         let node = self.nodes.iter().find(|(_, process)| process.address == to).map(|(node, _)| *node);
         let Some(node) = node else { return };
         if let Some(wakes) = self.wakes(node) {
-            return self.due(wakes, Due::Mail { to, bytes });
+            return self.due(wakes, Due::OutgoingMessage { to, bytes });
         }
         let Ok(Packet::Words(message)) = decode(INSTALLATION, &bytes) else { return };
         let process = self.nodes.get_mut(&node).expect("found above");
@@ -315,7 +315,7 @@
         self.post(node, mail);
     }
 
-    fn post(&mut self, from: Node, mail: Mail) {
+    fn post(&mut self, from: Node, mail: OutgoingMessage) {
         for (to, message) in mail {
             let process = &self.nodes[&from];
             let address = match to {
@@ -344,7 +344,7 @@
                 self.news.insert(self.now as u32);
             }
             let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
-            if word.standing == Standing::Dead && self.told_dead.insert(incarnation) {
+            if word.standing == Status::Dead && self.told_dead.insert(incarnation) {
                 let (at, (about, process, count)) = (self.now, incarnation);
                 self.events.push(Seen::Dead { at, by, about, process, count });
             }
@@ -366,7 +366,7 @@
             if self.chance.random::<f64>() < links.reordered {
                 way += 0.05 * self.chance.random::<f64>();
             }
-            self.due(self.now + way, Due::Mail { to, bytes: bytes.clone() });
+            self.due(self.now + way, Due::OutgoingMessage { to, bytes: bytes.clone() });
         }
     }
 
@@ -431,7 +431,7 @@
             What::Replay => {
                 for (to, bytes) in self.kept.clone() {
                     let at = self.now + REPLAYED_IN * self.chance.random::<f64>();
-                    self.due(at, Due::Mail { to, bytes });
+                    self.due(at, Due::OutgoingMessage { to, bytes });
                 }
             }
             _ => {}
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -5,11 +5,11 @@
 use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::Fence;
 use railhub_membership::lease_manager::{
-    Acts, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
+    Effects, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
 };
 use railhub_membership::swim::MembershipConfig;
 use railhub_membership::words::{Message, To};
-use railhub_membership::{Epoch, StewardId};
+use railhub_membership::{Epoch, NodeId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -174,12 +174,12 @@
     fn start(&mut self, id: u16) {
         self.last_process += 1;
         let process = self.last_process;
-        let weights = (0..self.chaos.stewards).map(|id| (StewardId(id), 1.0)).collect();
+        let weights = (0..self.chaos.stewards).map(|id| (NodeId(id), 1.0)).collect();
         let seed = self.chance.random();
         let (slices, span) = (self.chaos.slices, self.chaos.span);
         let (metadata, config) = (Default::default(), MembershipConfig::default());
         let options = LeaseManagerOptions {
-            me: StewardId(id),
+            me: NodeId(id),
             process,
             weights: &weights,
             metadata,
@@ -270,14 +270,14 @@
         }
     }
 
-    fn with_lease_manager(&mut self, id: u16, act: impl FnOnce(&mut LeaseManager, f64) -> Acts) {
+    fn with_lease_manager(&mut self, id: u16, act: impl FnOnce(&mut LeaseManager, f64) -> Effects) {
         let now = self.now;
         let Some(steward) = self.stewards.get_mut(&id) else { return };
         let acts = act(&mut steward.lease_manager, now * steward.speed + steward.offset);
         self.carry_out(id, acts);
     }
 
-    fn carry_out(&mut self, id: u16, acts: Acts) {
+    fn carry_out(&mut self, id: u16, acts: Effects) {
         for (to, message) in acts.mail {
             let To::Steward(to) = to else { continue };
             let (lost, way) = (self.chance.random::<f64>() < self.chaos.lost, self.way());
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -4,10 +4,10 @@
 use crate::Ending;
 use clap::{Args, Subcommand};
 use railhub_ini::Sheet;
-use railhub_membership::entry::Standing;
+use railhub_membership::entry::Status;
 use railhub_membership::packet::{decode, encode, Packet, View, BYTES_MOST};
-use railhub_membership::swim::Shown;
-use railhub_membership::StewardId;
+use railhub_membership::swim::ViewEntry;
+use railhub_membership::NodeId;
 use railhub_steward::fleet::FleetTerms;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -63,7 +63,7 @@
     pub steward: u16,
     pub process: u64,
     count: u64,
-    standing: Standing,
+    standing: Status,
     stands_for: f64,
     /// Seconds since its own word came, if any did.
     heard_ago: Option<f64>,
@@ -150,12 +150,12 @@
     }
     silent.retain(|address| named.contains(address));
     let views: Vec<View> = views.into_values().collect();
-    let living: BTreeSet<Vec<(StewardId, u64)>> = views.iter().filter(|v| !v.yielded).map(living).collect();
+    let living: BTreeSet<Vec<(NodeId, u64)>> = views.iter().filter(|v| !v.yielded).map(living).collect();
     let agree = living.len() == 1 && silent.is_empty();
     Told { installation: terms.installation.clone(), agree, views: views.iter().map(told).collect(), silent }
 }
 
-fn living(view: &View) -> Vec<(StewardId, u64)> {
+fn living(view: &View) -> Vec<(NodeId, u64)> {
     let lives = view.lines.iter().filter(|line| line.entry.standing.lives());
     lives.map(|line| (line.entry.about, line.entry.incarnation.process)).collect()
 }
@@ -163,7 +163,7 @@
 /// One steward's whole view, page by page; `None`: it does not answer.
 fn ask(socket: &UdpSocket, installation: &str, address: SocketAddr) -> Option<View> {
     let mut whole: Option<View> = None;
-    let mut from = StewardId(0);
+    let mut from = NodeId(0);
     loop {
         let page = ask_page(socket, installation, address, from)?;
         let next = page.next;
@@ -178,7 +178,7 @@
     }
 }
 
-fn ask_page(socket: &UdpSocket, installation: &str, address: SocketAddr, from: StewardId) -> Option<View> {
+fn ask_page(socket: &UdpSocket, installation: &str, address: SocketAddr, from: NodeId) -> Option<View> {
     let nonce = u64::from(address.port()) << 32 | u64::from(from.0) << 8 | 1;
     let question = encode(installation, &Packet::Look { nonce, from });
     let until = Instant::now() + PATIENCE;
@@ -205,7 +205,7 @@
     ToldView { viewer, process, yielded: view.yielded, dropped: view.dropped, lines }
 }
 
-fn told_line(shown: &Shown) -> ToldLine {
+fn told_line(shown: &ViewEntry) -> ToldLine {
     let (entry, load) = (&shown.entry, shown.load);
     ToldLine {
         steward: entry.about.0,
@@ -278,14 +278,14 @@
 
 fn cell(line: &ToldLine) -> String {
     let standing = match line.standing {
-        Standing::Alive if line.withdrawn => "slow",
-        Standing::Alive if line.no_store => "no store",
-        Standing::Alive if line.drains => "drains",
-        Standing::Alive => "alive",
-        Standing::Suspect => "suspect",
-        Standing::Left => "left",
-        Standing::Dead => "dead",
-        Standing::Forgotten => "forgotten",
+        Status::Alive if line.withdrawn => "slow",
+        Status::Alive if line.no_store => "no store",
+        Status::Alive if line.drains => "drains",
+        Status::Alive => "alive",
+        Status::Suspect => "suspect",
+        Status::Left => "left",
+        Status::Dead => "dead",
+        Status::Forgotten => "forgotten",
     };
     format!("{standing} {:.0} s", line.stands_for)
 }
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use railhub_ini::Sheet;
 use railhub_membership::packet::{encode, Packet};
-use railhub_membership::StewardId;
+use railhub_membership::NodeId;
 use railhub_net::http::{Caller, HttpFault};
 use railhub_steward::fleet::FleetTerms;
 use railhub_steward::Installation;
@@ -124,7 +124,7 @@
             return Ok(());
         }
         if !line.drains {
-            let word = Packet::Drain { steward: StewardId(arguments.steward), process: line.process };
+            let word = Packet::Drain { steward: NodeId(arguments.steward), process: line.process };
             let _ = socket.send_to(&encode(&terms.installation, &word), address);
         }
         if Instant::now() > until {
--- a/crates/railhub-membership/src/entry.rs
+++ b/crates/railhub-membership/src/entry.rs
@@ -1,7 +1,7 @@
 //! What is known of one steward. Its owner alone writes the metadata, under an incarnation that only it
 //! raises; others can add nothing to an entry but a worse standing under the incarnation they know. So any two words
 //! about a steward are in order, whoever brings them, and however late.
-use crate::StewardId;
+use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
 /// From good to bad: of two standings under one incarnation the later one here holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum Status {
     #[default]
     Alive,
     Suspect,
@@ -27,9 +27,9 @@
     Forgotten,
 }
 
-impl Standing {
+impl Status {
     pub fn lives(self) -> bool {
-        self <= Standing::Suspect
+        self <= Status::Suspect
     }
 }
 
@@ -62,22 +62,22 @@
 /// One word about a steward.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    pub about: StewardId,
+    pub about: NodeId,
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    pub standing: Standing,
+    pub standing: Status,
     #[serde(rename = "card")]
     pub metadata: NodeMetadata,
     /// Who found it missing, where it is suspect or dead.
-    pub by: Option<StewardId>,
+    pub by: Option<NodeId>,
 }
 
 impl Entry {
-    pub fn alive(about: StewardId, process: u64, metadata: NodeMetadata) -> Entry {
+    pub fn alive(about: NodeId, process: u64, metadata: NodeMetadata) -> Entry {
         Entry {
             about,
             incarnation: Incarnation { process, count: 0 },
-            standing: Standing::Alive,
+            standing: Status::Alive,
             metadata,
             by: None,
         }
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -2,10 +2,10 @@
 //! slices it has gained and which it has lost. All that it may order it asks [`LeaseManager::may_order`], each time.
 use crate::entry::{Entry, Load, NodeMetadata};
 use crate::lease::Leases;
-use crate::share::{heir, Sharing};
+use crate::share::{heir, Placement};
 use crate::swim::{Membership, MembershipConfig};
-use crate::words::{Changed, Mail, Message};
-use crate::{Epoch, Seconds, StewardId};
+use crate::words::{Changed, Message, OutgoingMessage};
+use crate::{Epoch, NodeId, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,8 +43,8 @@
 
 /// What follows from something heard.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Acts {
-    pub mail: Mail,
+pub struct Effects {
+    pub mail: OutgoingMessage,
     pub request: Option<LeaseRequest>,
     pub gained: Vec<(u16, Epoch)>,
     /// Given up, or another's by the store's word.
@@ -56,11 +56,11 @@
 
 /// Decides for one steward which slices to lease, renew and release.
 pub struct LeaseManager {
-    me: StewardId,
+    me: NodeId,
     process: u64,
     slices: u16,
     membership: Membership,
-    sharing: Sharing,
+    sharing: Placement,
     leases: Leases,
     number: u64,
     /// The question that is out, and since when.
@@ -74,11 +74,11 @@
 
 /// What a lease manager is given at its start.
 pub struct LeaseManagerOptions<'a> {
-    pub me: StewardId,
+    pub me: NodeId,
     /// Tells this process from all others; higher than those of earlier processes of the same steward.
     pub process: u64,
     /// All stewards of the installation with what they can bear.
-    pub weights: &'a BTreeMap<StewardId, f64>,
+    pub weights: &'a BTreeMap<NodeId, f64>,
     pub metadata: NodeMetadata,
     pub config: MembershipConfig,
     pub slices: u16,
@@ -91,8 +91,8 @@
 
 impl LeaseManager {
     pub fn new(options: &LeaseManagerOptions, now: Seconds) -> LeaseManager {
-        let others: Vec<StewardId> = options.weights.keys().copied().collect();
-        let mut sharing = Sharing::new(options.weights.clone());
+        let others: Vec<NodeId> = options.weights.keys().copied().collect();
+        let mut sharing = Placement::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
         let own = Entry::alive(options.me, options.process, options.metadata.clone());
         let mut membership = Membership::new(own, options.config.clone(), now, options.seed);
@@ -157,14 +157,14 @@
     }
 
     /// Tells the others that we go.
-    pub fn leave(&mut self, now: Seconds) -> Acts {
-        Acts { mail: self.membership.leave(now), ..Acts::default() }
+    pub fn leave(&mut self, now: Seconds) -> Effects {
+        Effects { mail: self.membership.leave(now), ..Effects::default() }
     }
 
-    pub fn hear(&mut self, now: Seconds, message: &Message) -> Acts {
+    pub fn hear(&mut self, now: Seconds, message: &Message) -> Effects {
         let (mail, changed) = self.membership.hear(now, message);
         self.follow(now, &changed);
-        Acts { mail, changed, ..Acts::default() }
+        Effects { mail, changed, ..Effects::default() }
     }
 
     fn follow(&mut self, now: Seconds, changed: &[Changed]) {
@@ -176,9 +176,9 @@
         self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
     }
 
-    pub fn tick(&mut self, now: Seconds) -> Acts {
+    pub fn tick(&mut self, now: Seconds) -> Effects {
         // Before anything else: what a pause or a store that was away has cost.
-        let mut acts = Acts { lapsed: self.leases.lapse(now), ..Acts::default() };
+        let mut acts = Effects { lapsed: self.leases.lapse(now), ..Effects::default() };
         (acts.mail, acts.changed) = self.membership.tick(now);
         self.follow(now, &acts.changed);
         if self.asked.is_some_and(|(_, at)| now - at > ANSWER_WITHIN) {
@@ -231,9 +231,9 @@
 
     /// The store's answer. One to a question that was given up still counts from when that was asked: it is known
     /// only for the question that is out, so a late one is left alone, and the store's grant lapses unused.
-    pub fn take_response(&mut self, now: Seconds, response: &LeaseResponse) -> Acts {
+    pub fn take_response(&mut self, now: Seconds, response: &LeaseResponse) -> Effects {
         let Some((_, asked)) = self.asked.filter(|asked| asked.0 == response.number) else {
-            return Acts::default();
+            return Effects::default();
         };
         self.asked = None;
         self.unanswered = 0;
@@ -244,10 +244,10 @@
         self.refused.extend(response.refused.iter().map(|slice| (*slice, now)));
         let after: BTreeMap<u16, Epoch> = self.leases.held().collect();
         let gained = after.iter().filter(|(slice, epoch)| before.get(slice) != Some(epoch));
-        Acts {
+        Effects {
             gained: gained.map(|(slice, epoch)| (*slice, *epoch)).collect(),
             lost: before.into_keys().filter(|slice| !after.contains_key(slice)).collect(),
-            ..Acts::default()
+            ..Effects::default()
         }
     }
 
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -32,7 +32,7 @@
 
 /// One of the stewards that an installation names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct StewardId(pub u16);
+pub struct NodeId(pub u16);
 
 /// How often a slice has changed hands: the store raises it with each grant to another steward or process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/railhub-membership/src/packet.rs
+++ b/crates/railhub-membership/src/packet.rs
@@ -4,10 +4,10 @@
 //!
 //! Head: `RHF`, version (1 byte), CRC-32 of all that follows (4 bytes, big end first), length of the installation's
 //! name (1 byte), the name; then the body.
-use crate::entry::{Entry, Incarnation, Load, NodeMetadata, Standing};
-use crate::swim::Shown;
-use crate::words::{Ask, Line, Message, LINES_MOST, NEWS_MOST};
-use crate::StewardId;
+use crate::entry::{Entry, Incarnation, Load, NodeMetadata, Status};
+use crate::swim::ViewEntry;
+use crate::words::{DigestEntry, Message, Request, LINES_MOST, NEWS_MOST};
+use crate::NodeId;
 use prost::{Message as Wire, Oneof};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fault {
+pub enum DecodeError {
     #[error("it is longer than {BYTES_MOST} bytes")]
     Oversized,
     #[error("it is spoilt, or no datagram of stewards")]
@@ -45,10 +45,10 @@
 
 /// Dropped datagrams by cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Drops(pub BTreeMap<Fault, u64>);
+pub struct Drops(pub BTreeMap<DecodeError, u64>);
 
 impl Drops {
-    pub fn count(&mut self, fault: Fault) {
+    pub fn count(&mut self, fault: DecodeError) {
         *self.0.entry(fault).or_default() += 1;
     }
 
@@ -61,12 +61,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
     pub nonce: u64,
-    pub viewer: StewardId,
+    pub viewer: NodeId,
     pub process: u64,
     pub digest: u64,
-    pub lines: Vec<Shown>,
+    pub lines: Vec<ViewEntry>,
     /// Where the next part begins, if there is one.
-    pub next: Option<StewardId>,
+    pub next: Option<NodeId>,
     pub dropped: u64,
     pub yielded: bool,
 }
@@ -77,12 +77,12 @@
     /// Show your view from a steward on. The one who asks bears nothing and is never counted.
     Look {
         nonce: u64,
-        from: StewardId,
+        from: NodeId,
     },
     View(Box<View>),
     /// Hand your slices over, if you are this process: an old word must not drain the next one.
     Drain {
-        steward: StewardId,
+        steward: NodeId,
         process: u64,
     },
 }
@@ -147,16 +147,16 @@
 }
 
 #[derive(Clone, PartialEq, Wire)]
-struct Nothing {}
+struct NoReply {}
 
 #[derive(Clone, PartialEq, Oneof)]
 enum WireAsk {
     #[prost(message, tag = "10")]
-    Probe(Nothing),
+    Probe(NoReply),
     #[prost(uint32, tag = "11")]
     ProbeFor(u32),
     #[prost(message, tag = "12")]
-    Answer(Nothing),
+    Answer(NoReply),
     #[prost(uint32, tag = "13")]
     AnswerOf(u32),
     #[prost(uint32, tag = "14")]
@@ -166,7 +166,7 @@
     #[prost(message, tag = "16")]
     Want(WireIds),
     #[prost(message, tag = "17")]
-    Tell(Nothing),
+    Tell(NoReply),
 }
 
 #[derive(Clone, PartialEq, Wire)]
@@ -190,7 +190,7 @@
 }
 
 #[derive(Clone, PartialEq, Wire)]
-struct WireLook {
+struct WireViewRequest {
     #[prost(uint64, tag = "1")]
     nonce: u64,
     #[prost(uint32, tag = "2")]
@@ -198,7 +198,7 @@
 }
 
 #[derive(Clone, PartialEq, Wire)]
-struct WireShown {
+struct WireViewEntry {
     #[prost(message, required, tag = "1")]
     entry: WireEntry,
     #[prost(message, required, tag = "2")]
@@ -222,7 +222,7 @@
     #[prost(fixed64, tag = "4")]
     digest: u64,
     #[prost(message, repeated, tag = "5")]
-    lines: Vec<WireShown>,
+    lines: Vec<WireViewEntry>,
     #[prost(uint32, optional, tag = "6")]
     next: Option<u32>,
     #[prost(uint64, tag = "7")]
@@ -236,7 +236,7 @@
     #[prost(message, tag = "1")]
     Words(WireMessage),
     #[prost(message, tag = "2")]
-    Look(WireLook),
+    Look(WireViewRequest),
     #[prost(message, tag = "3")]
     View(WireView),
     #[prost(message, tag = "4")]
@@ -262,7 +262,7 @@
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let body = match packet {
         Packet::Words(message) => Body::Words(wire_message(message)),
-        Packet::Look { nonce, from } => Body::Look(WireLook { nonce: *nonce, from: from.0.into() }),
+        Packet::Look { nonce, from } => Body::Look(WireViewRequest { nonce: *nonce, from: from.0.into() }),
         Packet::View(view) => Body::View(wire_view(view)),
         Packet::Drain { steward, process } => {
             Body::Drain(WireDrain { steward: steward.0.into(), process: *process })
@@ -284,27 +284,27 @@
 ///
 /// # Errors
 /// The cause to drop and count it under.
-pub fn decode(installation: &str, bytes: &[u8]) -> Result<Packet, Fault> {
+pub fn decode(installation: &str, bytes: &[u8]) -> Result<Packet, DecodeError> {
     if bytes.len() > BYTES_MOST {
-        return Err(Fault::Oversized);
+        return Err(DecodeError::Oversized);
     }
     if bytes.len() < HEAD || &bytes[..3] != MAGIC {
-        return Err(Fault::Spoilt);
+        return Err(DecodeError::Spoilt);
     }
     if bytes[3] != VERSION {
-        return Err(Fault::Version);
+        return Err(DecodeError::Version);
     }
     let sum = u32::from_be_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]);
     if crc32fast::hash(&bytes[8..]) != sum {
-        return Err(Fault::Spoilt);
+        return Err(DecodeError::Spoilt);
     }
     let length = usize::from(bytes[8]);
-    let body = bytes.get(HEAD + length..).ok_or(Fault::Spoilt)?;
+    let body = bytes.get(HEAD + length..).ok_or(DecodeError::Spoilt)?;
     if &bytes[HEAD..HEAD + length] != installation.as_bytes() {
-        return Err(Fault::Foreign);
+        return Err(DecodeError::Foreign);
     }
-    let packet = WirePacket::decode(body).map_err(|_| Fault::Malformed)?;
-    match packet.body.ok_or(Fault::Malformed)? {
+    let packet = WirePacket::decode(body).map_err(|_| DecodeError::Malformed)?;
+    match packet.body.ok_or(DecodeError::Malformed)? {
         Body::Words(message) => Ok(Packet::Words(Box::new(read_message(message)?))),
         Body::Look(look) => Ok(Packet::Look { nonce: look.nonce, from: id(look.from)? }),
         Body::View(view) => Ok(Packet::View(Box::new(read_view(view)?))),
@@ -312,11 +312,11 @@
     }
 }
 
-fn id(number: u32) -> Result<StewardId, Fault> {
-    u16::try_from(number).map(StewardId).map_err(|_| Fault::Malformed)
+fn id(number: u32) -> Result<NodeId, DecodeError> {
+    u16::try_from(number).map(NodeId).map_err(|_| DecodeError::Malformed)
 }
 
-fn wire_line(about: StewardId, incarnation: Incarnation, standing: Standing) -> WireLine {
+fn wire_line(about: NodeId, incarnation: Incarnation, standing: Status) -> WireLine {
     WireLine {
         about: about.0.into(),
         process: incarnation.process,
@@ -325,15 +325,15 @@
     }
 }
 
-fn read_line(line: &WireLine) -> Result<Line, Fault> {
-    let standings = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead, Standing::Forgotten];
-    let standing = standings.get(line.standing as usize).copied().ok_or(Fault::Malformed)?;
+fn read_line(line: &WireLine) -> Result<DigestEntry, DecodeError> {
+    let standings = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
+    let standing = standings.get(line.standing as usize).copied().ok_or(DecodeError::Malformed)?;
     // An incarnation at the very end could not be refuted: nothing is above it.
     if line.count == u64::MAX || line.process == u64::MAX {
-        return Err(Fault::Malformed);
+        return Err(DecodeError::Malformed);
     }
     let incarnation = Incarnation { process: line.process, count: line.count };
-    Ok(Line { about: id(line.about)?, incarnation, standing })
+    Ok(DigestEntry { about: id(line.about)?, incarnation, standing })
 }
 
 fn wire_entry(entry: &Entry) -> WireEntry {
@@ -349,14 +349,14 @@
     }
 }
 
-fn read_entry(entry: WireEntry) -> Result<Entry, Fault> {
+fn read_entry(entry: WireEntry) -> Result<Entry, DecodeError> {
     let line = read_line(&entry.line)?;
     if entry.address.len() > ADDRESS_MOST || entry.program.len() > PROGRAM_MOST {
-        return Err(Fault::Malformed);
+        return Err(DecodeError::Malformed);
     }
     let address: Option<SocketAddr> = match entry.address.as_str() {
         "" => None,
-        text => Some(text.parse().map_err(|_| Fault::Malformed)?),
+        text => Some(text.parse().map_err(|_| DecodeError::Malformed)?),
     };
     let metadata = NodeMetadata {
         address,
@@ -374,27 +374,27 @@
     WireLoad { slices: load.slices, proxies: load.proxies, busy: load.busy }
 }
 
-fn read_load(load: &WireLoad) -> Result<Load, Fault> {
+fn read_load(load: &WireLoad) -> Result<Load, DecodeError> {
     let is_share = load.busy.is_finite() && load.busy >= 0.0;
     is_share
         .then_some(Load { slices: load.slices, proxies: load.proxies, busy: load.busy })
-        .ok_or(Fault::Malformed)
+        .ok_or(DecodeError::Malformed)
 }
 
 fn wire_message(message: &Message) -> WireMessage {
     let ask = match &message.ask {
-        Ask::Probe => WireAsk::Probe(Nothing {}),
-        Ask::ProbeFor(id) => WireAsk::ProbeFor(id.0.into()),
-        Ask::Answer => WireAsk::Answer(Nothing {}),
-        Ask::AnswerOf(id) => WireAsk::AnswerOf(id.0.into()),
-        Ask::NoAnswerOf(id) => WireAsk::NoAnswerOf(id.0.into()),
-        Ask::Compare { from, to, lines } => WireAsk::Compare(WireCompare {
+        Request::Probe => WireAsk::Probe(NoReply {}),
+        Request::ProbeFor(id) => WireAsk::ProbeFor(id.0.into()),
+        Request::Answer => WireAsk::Answer(NoReply {}),
+        Request::AnswerOf(id) => WireAsk::AnswerOf(id.0.into()),
+        Request::NoAnswerOf(id) => WireAsk::NoAnswerOf(id.0.into()),
+        Request::Compare { from, to, lines } => WireAsk::Compare(WireCompare {
             from: from.0.into(),
             to: to.0.into(),
             lines: lines.iter().map(|line| wire_line(line.about, line.incarnation, line.standing)).collect(),
         }),
-        Ask::Want(ids) => WireAsk::Want(WireIds { ids: ids.iter().map(|id| id.0.into()).collect() }),
-        Ask::Tell => WireAsk::Tell(Nothing {}),
+        Request::Want(ids) => WireAsk::Want(WireIds { ids: ids.iter().map(|id| id.0.into()).collect() }),
+        Request::Tell => WireAsk::Tell(NoReply {}),
     };
     WireMessage {
         from: wire_entry(&message.from),
@@ -408,17 +408,17 @@
     }
 }
 
-fn read_message(message: WireMessage) -> Result<Message, Fault> {
+fn read_message(message: WireMessage) -> Result<Message, DecodeError> {
     if message.news.len() > NEWS_MOST + 1 {
-        return Err(Fault::Malformed);
+        return Err(DecodeError::Malformed);
     }
     let from = read_entry(message.from)?;
     // Nobody says of itself that it is suspect or dead.
-    if !matches!(from.standing, Standing::Alive | Standing::Left) {
-        return Err(Fault::Malformed);
+    if !matches!(from.standing, Status::Alive | Status::Left) {
+        return Err(DecodeError::Malformed);
     }
     // A kind of question that a later version asks is no reason to lose what else the message says.
-    let ask = message.ask.map_or(Ok(Ask::Tell), read_ask)?;
+    let ask = message.ask.map_or(Ok(Request::Tell), read_ask)?;
     Ok(Message {
         from,
         turn: message.turn,
@@ -431,32 +431,32 @@
     })
 }
 
-fn read_ask(ask: WireAsk) -> Result<Ask, Fault> {
+fn read_ask(ask: WireAsk) -> Result<Request, DecodeError> {
     Ok(match ask {
-        WireAsk::Probe(_) => Ask::Probe,
-        WireAsk::ProbeFor(of) => Ask::ProbeFor(id(of)?),
-        WireAsk::Answer(_) => Ask::Answer,
-        WireAsk::AnswerOf(of) => Ask::AnswerOf(id(of)?),
-        WireAsk::NoAnswerOf(of) => Ask::NoAnswerOf(id(of)?),
+        WireAsk::Probe(_) => Request::Probe,
+        WireAsk::ProbeFor(of) => Request::ProbeFor(id(of)?),
+        WireAsk::Answer(_) => Request::Answer,
+        WireAsk::AnswerOf(of) => Request::AnswerOf(id(of)?),
+        WireAsk::NoAnswerOf(of) => Request::NoAnswerOf(id(of)?),
         WireAsk::Compare(compare) => {
             if compare.lines.len() > LINES_MOST {
-                return Err(Fault::Malformed);
+                return Err(DecodeError::Malformed);
             }
             let lines = compare.lines.iter().map(read_line).collect::<Result<_, _>>()?;
-            Ask::Compare { from: id(compare.from)?, to: id(compare.to)?, lines }
+            Request::Compare { from: id(compare.from)?, to: id(compare.to)?, lines }
         }
         WireAsk::Want(want) => {
             if want.ids.len() > LINES_MOST {
-                return Err(Fault::Malformed);
+                return Err(DecodeError::Malformed);
             }
-            Ask::Want(want.ids.into_iter().map(id).collect::<Result<_, _>>()?)
+            Request::Want(want.ids.into_iter().map(id).collect::<Result<_, _>>()?)
         }
-        WireAsk::Tell(_) => Ask::Tell,
+        WireAsk::Tell(_) => Request::Tell,
     })
 }
 
 fn wire_view(view: &View) -> WireView {
-    let line = |line: &Shown| WireShown {
+    let line = |line: &ViewEntry| WireViewEntry {
         entry: wire_entry(&line.entry),
         load: wire_load(&line.load),
         stands_for: line.stands_for,
@@ -475,9 +475,9 @@
     }
 }
 
-fn read_view(view: WireView) -> Result<View, Fault> {
-    let line = |line: WireShown| {
-        Ok(Shown {
+fn read_view(view: WireView) -> Result<View, DecodeError> {
+    let line = |line: WireViewEntry| {
+        Ok(ViewEntry {
             entry: read_entry(line.entry)?,
             load: read_load(&line.load)?,
             stands_for: line.stands_for,
@@ -486,7 +486,7 @@
         })
     };
     if view.lines.len() > SHOWN_MOST {
-        return Err(Fault::Malformed);
+        return Err(DecodeError::Malformed);
     }
     Ok(View {
         nonce: view.nonce,
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -11,25 +11,30 @@
         no_store: true,
     };
     let incarnation = Incarnation { process: u64::MAX - 1, count: u64::MAX - 1 };
-    let by = Some(StewardId(u16::MAX));
-    Entry { about: StewardId(u16::MAX), incarnation, standing: Standing::Alive, metadata, by }
+    let by = Some(NodeId(u16::MAX));
+    Entry { about: NodeId(u16::MAX), incarnation, standing: Status::Alive, metadata, by }
 }
 
-fn message(ask: Ask, news: usize) -> Packet {
+fn message(ask: Request, news: usize) -> Packet {
     let load = Load { slices: u32::MAX, proxies: u32::MAX, busy: 1.0 };
-    let (news, names) = (vec![longest(); news], Some(StewardId(u16::MAX)));
+    let (news, names) = (vec![longest(); news], Some(NodeId(u16::MAX)));
     let (from, max) = (longest(), u64::MAX);
     Packet::Words(Box::new(Message { from, turn: max, load, number: max, ask, news, names, digest: max }))
 }
 
 #[test]
 fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
-    let ids = vec![StewardId(u16::MAX); LINES_MOST];
-    let line = Line { about: ids[0], incarnation: longest().incarnation, standing: Standing::Dead };
+    let ids = vec![NodeId(u16::MAX); LINES_MOST];
+    let line = DigestEntry { about: ids[0], incarnation: longest().incarnation, standing: Status::Dead };
     let lines = vec![line; LINES_MOST];
-    let compare = Ask::Compare { from: StewardId(0), to: StewardId(u16::MAX), lines };
-    let shown =
-        Shown { entry: longest(), load: Load::default(), stands_for: 1e9, heard_ago: 1.0, withdrawn: true };
+    let compare = Request::Compare { from: NodeId(0), to: NodeId(u16::MAX), lines };
+    let shown = ViewEntry {
+        entry: longest(),
+        load: Load::default(),
+        stands_for: 1e9,
+        heard_ago: 1.0,
+        withdrawn: true,
+    };
     let view = View {
         nonce: u64::MAX,
         viewer: ids[0],
@@ -41,10 +46,10 @@
         yielded: true,
     };
     let all = [
-        message(Ask::Want(ids), NEWS_MOST),
+        message(Request::Want(ids), NEWS_MOST),
         message(compare, 0),
-        Packet::Look { nonce: 7, from: StewardId(9) },
-        Packet::Drain { steward: StewardId(3), process: 12 },
+        Packet::Look { nonce: 7, from: NodeId(9) },
+        Packet::Drain { steward: NodeId(3), process: 12 },
         Packet::View(Box::new(view)),
     ];
     for packet in all {
@@ -56,17 +61,17 @@
 
 #[test]
 fn what_is_foreign_older_spoilt_or_oversized_is_told_apart() {
-    let bytes = encode("here", &message(Ask::Probe, 1));
-    assert_eq!(decode("there", &bytes), Err(Fault::Foreign));
-    assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(Fault::Spoilt));
-    assert_eq!(decode("here", &[0; BYTES_MOST + 1]), Err(Fault::Oversized));
+    let bytes = encode("here", &message(Request::Probe, 1));
+    assert_eq!(decode("there", &bytes), Err(DecodeError::Foreign));
+    assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(DecodeError::Spoilt));
+    assert_eq!(decode("here", &[0; BYTES_MOST + 1]), Err(DecodeError::Oversized));
     let mut older = bytes.clone();
     older[3] = 0;
-    assert_eq!(decode("here", &older), Err(Fault::Version));
+    assert_eq!(decode("here", &older), Err(DecodeError::Version));
     let mut spoilt = bytes;
     let last = spoilt.len() - 1;
     spoilt[last] ^= 1;
-    assert_eq!(decode("here", &spoilt), Err(Fault::Spoilt));
+    assert_eq!(decode("here", &spoilt), Err(DecodeError::Spoilt));
 }
 
 proptest! {
--- a/crates/railhub-membership/src/rumours.rs
+++ b/crates/railhub-membership/src/rumours.rs
@@ -1,18 +1,18 @@
 //! News that are passed on with messages, each a few times. Of each steward one word waits, the latest: whoever
 //! tells, and however often, there are no more words than stewards.
 use crate::entry::Entry;
-use crate::StewardId;
+use crate::NodeId;
 use std::collections::VecDeque;
 
 /// Times that each word is passed on, times the logarithm of the stewards' number.
 const PASSED_ON: f64 = 3.0;
 
 #[derive(Clone, Debug, Default)]
-pub struct Rumours {
+pub struct GossipQueue {
     waiting: VecDeque<(Entry, u32)>,
 }
 
-impl Rumours {
+impl GossipQueue {
     pub fn tell_first(&mut self, entry: Entry) {
         self.drop_word(entry.about);
         self.waiting.push_front((entry, 0));
@@ -23,7 +23,7 @@
         self.waiting.push_back((entry, 0));
     }
 
-    pub fn drop_word(&mut self, about: StewardId) {
+    pub fn drop_word(&mut self, about: NodeId) {
         self.waiting.retain(|(known, _)| known.about != about);
     }
 
--- a/crates/railhub-membership/src/share.rs
+++ b/crates/railhub-membership/src/share.rs
@@ -1,7 +1,7 @@
 //! Whose a slice should be: weighted rendezvous over the stewards that live, so that a steward that comes or goes
 //! moves its own slices and no others; and how fast that is followed, so that nobody is flooded and nothing goes
 //! to and fro.
-use crate::{Seconds, StewardId};
+use crate::{NodeId, Seconds};
 use std::collections::BTreeMap;
 
 /// Handovers of slices that nobody must have at once, a second: a planned change is in no hurry, and each
@@ -17,14 +17,14 @@
 const FORGOTTEN_AFTER: Seconds = 60.0;
 
 /// The steward that a slice falls to; weights are what stewards can bear relative to each other.
-pub fn heir(slice: u16, stewards: &BTreeMap<StewardId, f64>) -> Option<StewardId> {
-    let score = |id: &StewardId, weight: f64| -weight.max(1e-6) / unit(slice, *id).ln();
+pub fn heir(slice: u16, stewards: &BTreeMap<NodeId, f64>) -> Option<NodeId> {
+    let score = |id: &NodeId, weight: f64| -weight.max(1e-6) / unit(slice, *id).ln();
     let best = stewards.iter().max_by(|a, b| score(a.0, *a.1).total_cmp(&score(b.0, *b.1)));
     best.map(|(id, _)| *id)
 }
 
 /// A number between 0 and 1 that depends on slice and steward alone.
-fn unit(slice: u16, steward: StewardId) -> f64 {
+fn unit(slice: u16, steward: NodeId) -> f64 {
     let mut bits = (u64::from(steward.0) << 32 | u64::from(slice)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -34,13 +34,13 @@
 
 /// How often a steward went away, decaying.
 #[derive(Clone, Copy, Debug, Default)]
-struct Past {
+struct FlapHistory {
     up_since: Option<Seconds>,
     went: f64,
     went_at: Seconds,
 }
 
-impl Past {
+impl FlapHistory {
     fn went_by(&self, now: Seconds) -> f64 {
         self.went * (-(now - self.went_at).max(0.0) / FORGOTTEN_AFTER).exp()
     }
@@ -55,26 +55,26 @@
 
 /// Which stewards may have slices, and how many slices may change hands now.
 #[derive(Clone, Debug, Default)]
-pub struct Sharing {
-    weights: BTreeMap<StewardId, f64>,
-    past: BTreeMap<StewardId, Past>,
-    draining: BTreeMap<StewardId, bool>,
+pub struct Placement {
+    weights: BTreeMap<NodeId, f64>,
+    past: BTreeMap<NodeId, FlapHistory>,
+    draining: BTreeMap<NodeId, bool>,
     allowance: f64,
     counted_at: Seconds,
 }
 
-impl Sharing {
-    pub fn new(weights: BTreeMap<StewardId, f64>) -> Sharing {
-        Sharing { weights, ..Sharing::default() }
+impl Placement {
+    pub fn new(weights: BTreeMap<NodeId, f64>) -> Placement {
+        Placement { weights, ..Placement::default() }
     }
 
     /// One that the file did not name bears as much as any other.
-    pub fn meet(&mut self, id: StewardId) {
+    pub fn meet(&mut self, id: NodeId) {
         self.weights.entry(id).or_insert(1.0);
     }
 
     /// What membership says of a steward.
-    pub fn hear(&mut self, now: Seconds, id: StewardId, lives: bool) {
+    pub fn hear(&mut self, now: Seconds, id: NodeId, lives: bool) {
         let past = self.past.entry(id).or_default();
         match (past.up_since, lives) {
             (None, true) => past.up_since = Some(now),
@@ -87,16 +87,16 @@
     }
 
     /// It is to go: its slices are handed over in order.
-    pub fn drain(&mut self, id: StewardId, drains: bool) {
+    pub fn drain(&mut self, id: NodeId, drains: bool) {
         self.draining.insert(id, drains);
     }
 
     /// Those that slices fall to. If nobody has earned trust, all that live have to do.
-    pub fn bearers(&self, now: Seconds) -> BTreeMap<StewardId, f64> {
-        let lives = |id: &StewardId| self.past.get(id).is_some_and(|past| past.up_since.is_some());
-        let drains = |id: &StewardId| self.draining.get(id).copied().unwrap_or(false);
-        let trusted = |id: &StewardId| self.past.get(id).is_some_and(|past| past.trusted(now));
-        let of = |pass: &dyn Fn(&StewardId) -> bool| -> BTreeMap<StewardId, f64> {
+    pub fn bearers(&self, now: Seconds) -> BTreeMap<NodeId, f64> {
+        let lives = |id: &NodeId| self.past.get(id).is_some_and(|past| past.up_since.is_some());
+        let drains = |id: &NodeId| self.draining.get(id).copied().unwrap_or(false);
+        let trusted = |id: &NodeId| self.past.get(id).is_some_and(|past| past.trusted(now));
+        let of = |pass: &dyn Fn(&NodeId) -> bool| -> BTreeMap<NodeId, f64> {
             self.weights.iter().filter(|(id, _)| pass(id)).map(|(id, weight)| (*id, *weight)).collect()
         };
         let best = of(&|id| lives(id) && trusted(id) && !drains(id));
--- a/crates/railhub-membership/src/share/tests.rs
+++ b/crates/railhub-membership/src/share/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use proptest::prelude::*;
 
-fn stewards(ids: &[u16]) -> BTreeMap<StewardId, f64> {
-    ids.iter().map(|id| (StewardId(*id), 1.0)).collect()
+fn stewards(ids: &[u16]) -> BTreeMap<NodeId, f64> {
+    ids.iter().map(|id| (NodeId(*id), 1.0)).collect()
 }
 
 #[test]
 fn slices_are_spread_by_weight() {
     let mut all = stewards(&[1, 2, 3]);
-    all.insert(StewardId(3), 2.0);
-    let of = |id: u16| (0..4000).filter(|slice| heir(*slice, &all) == Some(StewardId(id))).count();
+    all.insert(NodeId(3), 2.0);
+    let of = |id: u16| (0..4000).filter(|slice| heir(*slice, &all) == Some(NodeId(id))).count();
     assert!(of(1).abs_diff(1000) < 90 && of(2).abs_diff(1000) < 90, "{} {}", of(1), of(2));
     assert!(of(3).abs_diff(2000) < 120, "{}", of(3));
 }
@@ -18,7 +18,7 @@
     #[test]
     fn a_steward_that_goes_moves_its_own_slices_and_no_others(ids in prop::collection::btree_set(0..50u16, 2..9), gone in 0..9usize) {
         let ids: Vec<u16> = ids.into_iter().collect();
-        let gone = StewardId(ids[gone % ids.len()]);
+        let gone = NodeId(ids[gone % ids.len()]);
         let all = stewards(&ids);
         let mut left = all.clone();
         left.remove(&gone);
@@ -31,42 +31,43 @@
 
 #[test]
 fn one_that_flaps_gets_no_slices_until_it_has_stood_for_long() {
-    let mut sharing = Sharing::new(stewards(&[1, 2]));
-    sharing.hear(0.0, StewardId(1), true);
-    sharing.hear(0.0, StewardId(2), true);
+    let mut sharing = Placement::new(stewards(&[1, 2]));
+    sharing.hear(0.0, NodeId(1), true);
+    sharing.hear(0.0, NodeId(2), true);
     assert_eq!(sharing.bearers(0.0).len(), 2, "at the start nobody has a past");
     let mut changes = 0;
     let mut bore = true;
     for step in 0..40 {
         // Up and down every 3 s.
         let now = 10.0 + f64::from(step) * 1.5;
-        sharing.hear(now, StewardId(2), (step / 2) % 2 == 1);
-        let bears = sharing.bearers(now).contains_key(&StewardId(2));
+        sharing.hear(now, NodeId(2), (step / 2) % 2 == 1);
+        let bears = sharing.bearers(now).contains_key(&NodeId(2));
         changes += usize::from(bears != std::mem::replace(&mut bore, bears));
     }
     assert_eq!(changes, 1, "it lost its slices once and got none back");
-    sharing.hear(71.0, StewardId(2), true);
-    assert!(!sharing.bearers(90.0).contains_key(&StewardId(2)));
-    assert!(sharing.bearers(71.0 + TRUSTED_AFTER_MOST).contains_key(&StewardId(2)));
+    sharing.hear(71.0, NodeId(2), true);
+    assert!(!sharing.bearers(90.0).contains_key(&NodeId(2)));
+    assert!(sharing.bearers(71.0 + TRUSTED_AFTER_MOST).contains_key(&NodeId(2)));
 }
 
 #[test]
 fn when_nobody_has_earned_trust_all_that_live_have_to_do() {
-    let mut sharing = Sharing::new(stewards(&[1, 2]));
+    let mut sharing = Placement::new(stewards(&[1, 2]));
     for id in [1, 2] {
-        sharing.hear(0.0, StewardId(id), true);
-        sharing.hear(1.0, StewardId(id), false);
-        sharing.hear(1.5, StewardId(id), true);
+        sharing.hear(0.0, NodeId(id), true);
+        sharing.hear(1.0, NodeId(id), false);
+        sharing.hear(1.5, NodeId(id), true);
     }
     assert_eq!(sharing.bearers(2.0).len(), 2);
-    sharing.drain(StewardId(1), true);
-    assert_eq!(sharing.bearers(2.0).into_keys().collect::<Vec<_>>(), [StewardId(2)]);
+    sharing.drain(NodeId(1), true);
+    assert_eq!(sharing.bearers(2.0).into_keys().collect::<Vec<_>>(), [NodeId(2)]);
 }
 
 #[test]
 fn handovers_are_paced() {
-    let mut sharing = Sharing::new(stewards(&[1]));
-    let counted = |sharing: &mut Sharing, now: f64| (0..1000).filter(|_| sharing.may_hand_over(now)).count();
+    let mut sharing = Placement::new(stewards(&[1]));
+    let counted =
+        |sharing: &mut Placement, now: f64| (0..1000).filter(|_| sharing.may_hand_over(now)).count();
     assert_eq!(counted(&mut sharing, 10.0), (HANDOVERS_A_SECOND * SAVED) as usize);
     assert_eq!(counted(&mut sharing, 10.0), 0);
     assert_eq!(counted(&mut sharing, 10.25), (HANDOVERS_A_SECOND * 0.25) as usize);
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -12,13 +12,13 @@
 mod probing;
 mod slowness;
 
-use crate::entry::{Entry, Incarnation, Load, Standing};
+use crate::entry::{Entry, Incarnation, Load, Status};
 use crate::health::Health;
-use crate::rumours::Rumours;
+use crate::rumours::GossipQueue;
 use crate::score::{Answers, GAP, LATE_LEAST};
 use crate::table::{MergeOutcome, Safeguard, Table};
-use crate::words::{Ask, Changed, Mail, Message, To, LINES_MOST, NEWS_MOST};
-use crate::{Seconds, StewardId};
+use crate::words::{Changed, Message, OutgoingMessage, Request, To, LINES_MOST, NEWS_MOST};
+use crate::{NodeId, Seconds};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -82,8 +82,8 @@
     withdrawn: bool,
     answers: Answers,
     /// Whom it names, and since when.
-    names: Option<(StewardId, Seconds)>,
-    accusers: BTreeSet<StewardId>,
+    names: Option<(NodeId, Seconds)>,
+    accusers: BTreeSet<NodeId>,
     ask_at: Seconds,
     ask_span: Seconds,
 }
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug)]
 struct PendingProbe {
     number: u64,
-    to: StewardId,
+    to: NodeId,
     at: Seconds,
     /// How often others were asked to probe it too.
     through: u8,
@@ -124,7 +124,7 @@
 /// A probe that another steward asked us to make.
 #[derive(Clone, Copy, Debug)]
 struct IndirectProbe {
-    asker: StewardId,
+    asker: NodeId,
     /// The asker's number for it.
     number: u64,
     /// The asker said that it doubts the other: it wants to hear what that one says of itself.
@@ -141,7 +141,7 @@
 
 /// One line of a view, for those who look at it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct ViewEntry {
     pub entry: Entry,
     pub load: Load,
     /// Seconds since it stands so, and since its own word came; none has come where this is infinite.
@@ -155,10 +155,10 @@
 pub struct Membership {
     table: Table,
     config: MembershipConfig,
-    peers: BTreeMap<StewardId, Peer>,
-    order: Vec<StewardId>,
+    peers: BTreeMap<NodeId, Peer>,
+    order: Vec<NodeId>,
     pending: Vec<PendingProbe>,
-    rumours: Rumours,
+    rumours: GossipQueue,
     health: Health,
     load: Load,
     began: Seconds,
@@ -167,7 +167,7 @@
     probes_at: Seconds,
     ticked_at: Seconds,
     compare_at: Seconds,
-    compare_from: StewardId,
+    compare_from: NodeId,
     seek_at: Seconds,
     seek_span: Seconds,
     slow_span: Seconds,
@@ -182,7 +182,7 @@
     /// `me`: under a process number that is higher than that of any earlier process of ours, as far as is known.
     pub fn new(me: Entry, config: MembershipConfig, now: Seconds, seed: u64) -> Membership {
         let chance = ChaCha8Rng::seed_from_u64(seed ^ u64::from(me.about.0));
-        let mut rumours = Rumours::default();
+        let mut rumours = GossipQueue::default();
         rumours.tell_first(me.clone());
         Membership {
             table: Table::new(me, config.without),
@@ -199,7 +199,7 @@
             probes_at: now,
             ticked_at: now,
             compare_at: now,
-            compare_from: StewardId(0),
+            compare_from: NodeId(0),
             seek_at: now,
             seek_span: SEEK,
             slow_span: SEEK_SLOWLY,
@@ -212,7 +212,7 @@
 
     /// Others that the installation names count as alive until they prove not to be: a steward that starts must
     /// not take what others hold.
-    pub fn expect(&mut self, others: &[StewardId], now: Seconds) {
+    pub fn expect(&mut self, others: &[NodeId], now: Seconds) {
         let me = self.me();
         for id in others.iter().filter(|id| **id != me) {
             let word = Entry::alive(*id, 0, Default::default());
@@ -222,7 +222,7 @@
         }
     }
 
-    pub fn me(&self) -> StewardId {
+    pub fn me(&self) -> NodeId {
         self.table.me().about
     }
 
@@ -230,11 +230,11 @@
         self.table.me()
     }
 
-    pub fn standing(&self, id: StewardId) -> Standing {
-        self.table.get(id).map_or(Standing::Forgotten, |entry| entry.standing)
+    pub fn standing(&self, id: NodeId) -> Status {
+        self.table.get(id).map_or(Status::Forgotten, |entry| entry.standing)
     }
 
-    pub fn address(&self, id: StewardId) -> Option<SocketAddr> {
+    pub fn address(&self, id: NodeId) -> Option<SocketAddr> {
         self.table.get(id).and_then(|entry| entry.metadata.address)
     }
 
@@ -255,7 +255,7 @@
 
     /// It may bear slices, as far as we know; a suspect still does: taking what it holds is no hurry before it is
     /// held for dead, and not possible before its leases end.
-    pub fn may_bear(&self, id: StewardId) -> bool {
+    pub fn may_bear(&self, id: NodeId) -> bool {
         if self.table.get(id).is_some_and(|entry| entry.metadata.no_store) {
             return false;
         }
@@ -270,7 +270,7 @@
         1 + self.living().count()
     }
 
-    fn living(&self) -> impl Iterator<Item = StewardId> + '_ {
+    fn living(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.table.others().filter(|entry| entry.standing.lives()).map(|entry| entry.about)
     }
 
@@ -280,8 +280,8 @@
     }
 
     /// Our view, ourselves included, in the order of ids.
-    pub fn shown(&self, now: Seconds) -> Vec<Shown> {
-        let mine = Shown {
+    pub fn shown(&self, now: Seconds) -> Vec<ViewEntry> {
+        let mine = ViewEntry {
             entry: self.table.me().clone(),
             load: self.load,
             stands_for: now - self.began,
@@ -292,9 +292,9 @@
             let peer = self.peers.get(&entry.about)?;
             let (load, withdrawn) = (peer.load, peer.withdrawn);
             let (stands_for, heard_ago) = (now - peer.since, now - peer.heard_at);
-            Some(Shown { entry: entry.clone(), load, stands_for, heard_ago, withdrawn })
+            Some(ViewEntry { entry: entry.clone(), load, stands_for, heard_ago, withdrawn })
         });
-        let mut all: Vec<Shown> = others.chain([mine]).collect();
+        let mut all: Vec<ViewEntry> = others.chain([mine]).collect();
         all.sort_by_key(|shown| shown.entry.about);
         all
     }
@@ -318,10 +318,11 @@
         }
     }
 
-    fn message(&mut self, number: u64, ask: Ask, first: Vec<Entry>) -> Message {
+    fn message(&mut self, number: u64, ask: Request, first: Vec<Entry>) -> Message {
         let endless = self.table.lacks(Safeguard::RumourBound);
         // A comparison fills its datagram by itself.
-        let room = if matches!(ask, Ask::Compare { .. }) { 0 } else { NEWS_MOST.saturating_sub(first.len()) };
+        let room =
+            if matches!(ask, Request::Compare { .. }) { 0 } else { NEWS_MOST.saturating_sub(first.len()) };
         let mut news = first;
         let more = self.rumours.take(room, &news, self.peers.len() + 1, endless);
         news.extend(more);
@@ -338,7 +339,7 @@
         }
     }
 
-    fn send(&mut self, to: To, number: u64, ask: Ask, first: Vec<Entry>, mail: &mut Mail) {
+    fn send(&mut self, to: To, number: u64, ask: Request, first: Vec<Entry>, mail: &mut OutgoingMessage) {
         let message = self.message(number, ask, first);
         mail.push((to, message));
     }
@@ -368,8 +369,8 @@
 
     /// What is due: probes, those that ended without an answer, suspicions that are over, the dead to be asked, those
     /// to be forgotten, someone to join.
-    pub fn tick(&mut self, now: Seconds) -> (Mail, Vec<Changed>) {
-        let (mut mail, mut changed) = (Mail::new(), Vec::new());
+    pub fn tick(&mut self, now: Seconds) -> (OutgoingMessage, Vec<Changed>) {
+        let (mut mail, mut changed) = (OutgoingMessage::new(), Vec::new());
         if self.yielded {
             (self.ticked_at, self.probes_at) = (now, now + PERIOD);
             return (mail, changed);
@@ -407,8 +408,8 @@
     }
 
     /// Takes in a message; what is to be answered.
-    pub fn hear(&mut self, now: Seconds, message: &Message) -> (Mail, Vec<Changed>) {
-        let (mut mail, mut changed) = (Mail::new(), Vec::new());
+    pub fn hear(&mut self, now: Seconds, message: &Message) -> (OutgoingMessage, Vec<Changed>) {
+        let (mut mail, mut changed) = (OutgoingMessage::new(), Vec::new());
         let from = message.from.about;
         if self.yielded {
             return (mail, changed);
@@ -442,14 +443,20 @@
 
     /// A process that was followed or forgotten is told, at the address that it gives; what it says of us alone
     /// counts. Being told is not answered: two that have forgotten each other would tell each other so for ever.
-    fn hear_old(&mut self, now: Seconds, message: &Message, mail: &mut Mail, changed: &mut Vec<Changed>) {
+    fn hear_old(
+        &mut self,
+        now: Seconds,
+        message: &Message,
+        mail: &mut OutgoingMessage,
+        changed: &mut Vec<Changed>,
+    ) {
         let (old, me) = (&message.from, self.me());
         for word in message.news.iter().filter(|word| word.about == me) {
             self.take_in(now, word, "by word of one that was forgotten", changed);
         }
-        let Some(address) = old.metadata.address.filter(|_| message.ask != Ask::Tell) else { return };
+        let Some(address) = old.metadata.address.filter(|_| message.ask != Request::Tell) else { return };
         let word = self.table.answer_to_old(old);
-        self.send(To::Address(address), 0, Ask::Tell, vec![word], mail);
+        self.send(To::Address(address), 0, Request::Tell, vec![word], mail);
     }
 
     /// What only the sender's latest message may tell; one that comes late or again tells nothing of it.
@@ -472,29 +479,35 @@
         fresh
     }
 
-    fn answer(&mut self, now: Seconds, message: &Message, mail: &mut Mail, changed: &mut Vec<Changed>) {
+    fn answer(
+        &mut self,
+        now: Seconds,
+        message: &Message,
+        mail: &mut OutgoingMessage,
+        changed: &mut Vec<Changed>,
+    ) {
         let from = message.from.about;
         match &message.ask {
-            Ask::Probe => {
+            Request::Probe => {
                 // One that we hold for dead is told, so that it can say otherwise.
-                let held = self.table.get(from).filter(|entry| entry.standing != Standing::Alive);
+                let held = self.table.get(from).filter(|entry| entry.standing != Status::Alive);
                 let doubts = held.filter(|entry| entry.incarnation == message.from.incarnation).cloned();
                 let first = doubts.into_iter().collect();
-                self.send(To::Steward(from), message.number, Ask::Answer, first, mail);
+                self.send(To::Steward(from), message.number, Request::Answer, first, mail);
             }
-            Ask::ProbeFor(target)
+            Request::ProbeFor(target)
                 if self.peers.contains_key(target) && self.pending.len() < MAX_PENDING_PROBES =>
             {
                 // A suspect is told, so that its own word comes back by us: it may have no other way.
-                let word = self.table.get(*target).filter(|entry| entry.standing == Standing::Suspect);
+                let word = self.table.get(*target).filter(|entry| entry.standing == Status::Suspect);
                 let first = word.cloned().into_iter().collect();
                 let doubts = message.news.iter().any(|word| word.about == *target);
                 let indirect = IndirectProbe { asker: from, number: message.number, doubts };
                 self.send_probe(now, *target, Some(indirect), first, mail);
             }
-            Ask::ProbeFor(_) | Ask::Tell => {}
-            Ask::Answer => self.answered(now, from, message.number, mail, changed),
-            Ask::AnswerOf(target) => {
+            Request::ProbeFor(_) | Request::Tell => {}
+            Request::Answer => self.answered(now, from, message.number, mail, changed),
+            Request::AnswerOf(target) => {
                 // It lives, though not for us: badly, but not silent.
                 let probe = self
                     .pending
@@ -508,29 +521,29 @@
                     }
                 }
             }
-            Ask::NoAnswerOf(target) => {
+            Request::NoAnswerOf(target) => {
                 let probe = self
                     .pending
                     .iter_mut()
                     .find(|probe| probe.number == message.number && probe.to == *target);
                 probe.into_iter().for_each(|probe| probe.helped = true);
             }
-            Ask::Compare { from: first, to, lines } => {
+            Request::Compare { from: first, to, lines } => {
                 let (better, want) = self.table.compare(*first, *to, lines);
                 if !better.is_empty() || !want.is_empty() {
-                    self.send(To::Steward(from), 0, Ask::Want(want), better, mail);
+                    self.send(To::Steward(from), 0, Request::Want(want), better, mail);
                 }
             }
-            Ask::Want(ids) => {
+            Request::Want(ids) => {
                 let known: Vec<Entry> = ids.iter().filter_map(|id| self.table.get(*id).cloned()).collect();
                 for part in known.chunks(NEWS_MOST).take(LINES_MOST / NEWS_MOST) {
-                    self.send(To::Steward(from), 0, Ask::Tell, part.to_vec(), mail);
+                    self.send(To::Steward(from), 0, Request::Tell, part.to_vec(), mail);
                 }
             }
         }
     }
 
-    fn begin_compare(&mut self, now: Seconds, with: StewardId, mail: &mut Mail) {
+    fn begin_compare(&mut self, now: Seconds, with: NodeId, mail: &mut OutgoingMessage) {
         if self.table.lacks(Safeguard::AntiEntropy) {
             return;
         }
@@ -538,7 +551,7 @@
         let from = self.compare_from;
         let (lines, to, next) = self.table.page(from);
         self.compare_from = next;
-        self.send(To::Steward(with), 0, Ask::Compare { from, to, lines }, Vec::new(), mail);
+        self.send(To::Steward(with), 0, Request::Compare { from, to, lines }, Vec::new(), mail);
     }
 
     /// Takes in one word, whoever brought it.
@@ -557,7 +570,7 @@
             }
             MergeOutcome::Rival => self.note_conflict(now, word),
             MergeOutcome::Full => self.refused += 1,
-            MergeOutcome::Nothing => self.answer_to_stale(word),
+            MergeOutcome::NoReply => self.answer_to_stale(word),
             MergeOutcome::Old => {}
         }
         learnt
@@ -567,24 +580,24 @@
         &mut self,
         now: Seconds,
         word: &Entry,
-        was: Option<Standing>,
+        was: Option<Status>,
         metadata_changed: bool,
         why: &str,
         changed: &mut Vec<Changed>,
     ) {
         let Some(held) = self.table.get(word.about).cloned() else { return };
         let peer = self.peers.entry(word.about).or_insert_with(|| Peer::new(now));
-        if was.is_some_and(|was| was > Standing::Suspect) && held.standing == Standing::Alive {
+        if was.is_some_and(|was| was > Status::Suspect) && held.standing == Status::Alive {
             peer.answers.forgive();
         }
         if was != Some(held.standing) {
             peer.since = now;
             (peer.ask_span, peer.ask_at) = (ASK_DEAD, now + ASK_DEAD);
         }
-        if metadata_changed || held.standing == Standing::Alive {
+        if metadata_changed || held.standing == Status::Alive {
             peer.accusers.clear();
         }
-        if held.standing == Standing::Suspect {
+        if held.standing == Status::Suspect {
             peer.accusers.extend(word.by);
         }
         if was != Some(held.standing) || metadata_changed {
@@ -600,8 +613,8 @@
     fn answer_to_stale(&mut self, word: &Entry) {
         let stale = |held: &&Entry| {
             held.incarnation > word.incarnation
-                && held.standing == Standing::Alive
-                && word.standing != Standing::Alive
+                && held.standing == Status::Alive
+                && word.standing != Status::Alive
         };
         match self.table.get(word.about).filter(stale).cloned() {
             Some(held) => self.rumours.tell_first(held),
@@ -612,8 +625,8 @@
     /// One more that finds a suspect missing makes the suspicion shorter; it is passed on, a few times at the most.
     fn count_accuser(&mut self, word: &Entry) {
         let Some(held) = self.table.get(word.about) else { return };
-        let same = held.standing == Standing::Suspect
-            && word.standing == Standing::Suspect
+        let same = held.standing == Status::Suspect
+            && word.standing == Status::Suspect
             && held.incarnation == word.incarnation;
         let Some(peer) = self.peers.get_mut(&word.about).filter(|_| same) else { return };
         if let Some(by) = word.by.filter(|_| peer.accusers.len() <= ACCUSERS) {
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/joining.rs
@@ -6,7 +6,7 @@
 
 impl Membership {
     /// While nobody is known to live, each address of the file is asked; else one of them now and then.
-    pub(super) fn seek(&mut self, now: Seconds, mail: &mut Mail) {
+    pub(super) fn seek(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
         // One that has just been left alone does not wait for the slow look that was due while others lived.
         if self.alive() == 1 {
             self.seek_at = self.seek_at.min(now + self.seek_span);
@@ -28,7 +28,7 @@
             (self.seek_span, self.slow_span) = ((self.seek_span * 1.5).min(SEEK_MOST), SEEK_SLOWLY);
         }
         for seed in seeds {
-            self.send(To::Address(seed), 0, Ask::Probe, Vec::new(), mail);
+            self.send(To::Address(seed), 0, Request::Probe, Vec::new(), mail);
         }
     }
 
@@ -38,13 +38,13 @@
         &mut self,
         now: Seconds,
         message: &Message,
-        mail: &mut Mail,
+        mail: &mut OutgoingMessage,
         changed: &mut Vec<Changed>,
     ) {
         let (theirs, ours) = (message.from.incarnation.process, self.table.me().incarnation.process);
         if theirs < ours {
             if let Some(address) = message.from.metadata.address {
-                self.send(To::Address(address), message.number, Ask::Answer, Vec::new(), mail);
+                self.send(To::Address(address), message.number, Request::Answer, Vec::new(), mail);
             }
         }
         if theirs <= ours || self.table.lacks(Safeguard::Process) {
@@ -55,7 +55,7 @@
         let me = self.table.me();
         let why = format!("process {theirs} lives under our name: ours, {ours}, takes no part any more");
         let (about, incarnation) = (me.about, me.incarnation);
-        changed.push(Changed { about, incarnation, standing: Standing::Left, withdrawn: true, why });
+        changed.push(Changed { about, incarnation, standing: Status::Left, withdrawn: true, why });
     }
 
     /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
@@ -67,9 +67,9 @@
         }
     }
 
-    pub(super) fn probe_rival(&mut self, mail: &mut Mail) {
+    pub(super) fn probe_rival(&mut self, mail: &mut OutgoingMessage) {
         if let Some(address) = self.conflict.and_then(|conflict| conflict.address) {
-            self.send(To::Address(address), 0, Ask::Probe, Vec::new(), mail);
+            self.send(To::Address(address), 0, Request::Probe, Vec::new(), mail);
         }
     }
 
--- a/crates/railhub-membership/src/swim/own.rs
+++ b/crates/railhub-membership/src/swim/own.rs
@@ -17,7 +17,7 @@
     }
 
     /// It hands its slices over, and says so.
-    pub fn drains(&self, id: StewardId) -> bool {
+    pub fn drains(&self, id: NodeId) -> bool {
         self.table.get(id).is_some_and(|entry| entry.metadata.drains)
     }
 
@@ -26,11 +26,11 @@
     }
 
     /// Tells the others that we go.
-    pub fn leave(&mut self, _now: Seconds) -> Mail {
+    pub fn leave(&mut self, _now: Seconds) -> OutgoingMessage {
         self.table.leave();
-        let mut mail = Mail::new();
+        let mut mail = OutgoingMessage::new();
         for id in self.living().collect::<Vec<_>>() {
-            self.send(To::Steward(id), 0, Ask::Tell, Vec::new(), &mut mail);
+            self.send(To::Steward(id), 0, Request::Tell, Vec::new(), &mut mail);
         }
         mail
     }
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probing.rs
@@ -11,14 +11,14 @@
     pub(super) fn send_probe(
         &mut self,
         now: Seconds,
-        to: StewardId,
+        to: NodeId,
         indirect: Option<IndirectProbe>,
         first: Vec<Entry>,
-        mail: &mut Mail,
+        mail: &mut OutgoingMessage,
     ) {
         self.number += 1;
         let number = self.number;
-        self.send(To::Steward(to), number, Ask::Probe, first, mail);
+        self.send(To::Steward(to), number, Request::Probe, first, mail);
         // Nobody else is asked for one that we probe for another.
         let through = if indirect.is_some() { THROUGH_TIMES } else { 0 };
         self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, indirect });
@@ -26,8 +26,8 @@
 
     /// A suspect is asked once more each time, and told what it is suspected of: on a net that loses messages its
     /// own word must have more than one way back.
-    pub(super) fn warn_suspect(&mut self, now: Seconds, mail: &mut Mail) {
-        let suspects = self.table.others().filter(|entry| entry.standing == Standing::Suspect);
+    pub(super) fn warn_suspect(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
+        let suspects = self.table.others().filter(|entry| entry.standing == Status::Suspect);
         let suspects: Vec<Entry> = suspects.cloned().collect();
         if let Some(word) = suspects.choose(&mut self.chance).cloned() {
             self.send_probe(now, word.about, None, vec![word], mail);
@@ -36,7 +36,7 @@
 
     /// Each other that lives in turn, in an order that is shuffled anew each time: a dead one is met within two
     /// rounds.
-    pub(super) fn next_target(&mut self) -> Option<StewardId> {
+    pub(super) fn next_target(&mut self) -> Option<NodeId> {
         loop {
             if self.order.is_empty() {
                 self.order = self.living().collect();
@@ -51,11 +51,11 @@
 
     /// Two halves of a split find each other again only if those held for dead are asked now and then; ever less
     /// often, since most of the dead are dead.
-    pub(super) fn ask_a_dead(&mut self, now: Seconds, mail: &mut Mail) {
+    pub(super) fn ask_a_dead(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
         if self.table.lacks(Safeguard::AskingTheDead) {
             return;
         }
-        let dead = self.table.others().filter(|entry| entry.standing == Standing::Dead);
+        let dead = self.table.others().filter(|entry| entry.standing == Status::Dead);
         let due = dead.filter_map(|entry| Some((self.peers.get(&entry.about)?.ask_at, entry.clone())));
         let first = due.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.about.cmp(&b.1.about)));
         let Some((_, word)) = first.filter(|(at, _)| *at <= now) else { return };
@@ -64,10 +64,15 @@
             peer.ask_span = (peer.ask_span * 2.0).min(ASK_DEAD_MOST);
             peer.ask_at = now + peer.ask_span * part;
         }
-        self.send(To::Steward(word.about), 0, Ask::Probe, vec![word], mail);
+        self.send(To::Steward(word.about), 0, Request::Probe, vec![word], mail);
     }
 
-    pub(super) fn end_probes(&mut self, now: Seconds, mail: &mut Mail, changed: &mut Vec<Changed>) {
+    pub(super) fn end_probes(
+        &mut self,
+        now: Seconds,
+        mail: &mut OutgoingMessage,
+        changed: &mut Vec<Changed>,
+    ) {
         self.ask_through_others(now, mail);
         let ends = PROBE_ENDS * self.patience();
         let is_over = |probe: &PendingProbe| {
@@ -77,7 +82,7 @@
         self.pending.retain(|probe| !is_over(probe));
         for probe in over {
             if let Some(IndirectProbe { asker, number, .. }) = probe.indirect {
-                self.send(To::Steward(asker), number, Ask::NoAnswerOf(probe.to), Vec::new(), mail);
+                self.send(To::Steward(asker), number, Request::NoAnswerOf(probe.to), Vec::new(), mail);
                 continue;
             }
             if probe.helpers > 0 && !probe.helped {
@@ -90,9 +95,9 @@
         }
     }
 
-    pub(super) fn ask_through_others(&mut self, now: Seconds, mail: &mut Mail) {
+    pub(super) fn ask_through_others(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
         let patience = self.patience();
-        let late_after = |id: &StewardId| {
+        let late_after = |id: &NodeId| {
             let answers = self.peers.get(id).map(|peer| peer.answers).unwrap_or_default();
             answers.late_after(PROBE_ENDS / 2.0) * patience
         };
@@ -102,10 +107,10 @@
             1 => !probe.helped && now - probe.at >= again_after,
             _ => false,
         });
-        let late: Vec<(u64, StewardId)> = late.map(|probe| (probe.number, probe.to)).collect();
+        let late: Vec<(u64, NodeId)> = late.map(|probe| (probe.number, probe.to)).collect();
         for (number, to) in late {
-            let mut others: Vec<StewardId> =
-                self.living().filter(|id| *id != to && self.standing(*id) == Standing::Alive).collect();
+            let mut others: Vec<NodeId> =
+                self.living().filter(|id| *id != to && self.standing(*id) == Status::Alive).collect();
             others.shuffle(&mut self.chance);
             others.truncate(THROUGH);
             let mut again = false;
@@ -113,14 +118,14 @@
                 again = probe.through > 0;
                 (probe.through, probe.helpers) = (probe.through + 1, others.len());
             }
-            let word = self.table.get(to).filter(|entry| entry.standing == Standing::Suspect).cloned();
+            let word = self.table.get(to).filter(|entry| entry.standing == Status::Suspect).cloned();
             if again {
                 // It may be the only one that we reach: one lost message must not be a suspicion there either.
-                self.send(To::Steward(to), number, Ask::Probe, word.iter().cloned().collect(), mail);
+                self.send(To::Steward(to), number, Request::Probe, word.iter().cloned().collect(), mail);
             }
             for other in others {
                 let first = word.iter().cloned().collect();
-                self.send(To::Steward(other), number, Ask::ProbeFor(to), first, mail);
+                self.send(To::Steward(other), number, Request::ProbeFor(to), first, mail);
             }
         }
     }
@@ -128,9 +133,9 @@
     pub(super) fn answered(
         &mut self,
         now: Seconds,
-        from: StewardId,
+        from: NodeId,
         number: u64,
-        mail: &mut Mail,
+        mail: &mut OutgoingMessage,
         changed: &mut Vec<Changed>,
     ) {
         let Some(place) = self.pending.iter().position(|probe| probe.number == number && probe.to == from)
@@ -141,7 +146,7 @@
         if let Some(IndirectProbe { asker, number, doubts }) = probe.indirect {
             // With what it says of itself: it may have refuted what the asker holds of it.
             let first = self.table.get(from).filter(|_| doubts).cloned().into_iter().collect();
-            self.send(To::Steward(asker), number, Ask::AnswerOf(from), first, mail);
+            self.send(To::Steward(asker), number, Request::AnswerOf(from), first, mail);
             return;
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
@@ -157,12 +162,12 @@
     pub(super) fn suspect(
         &mut self,
         now: Seconds,
-        about: StewardId,
+        about: NodeId,
         helpers: usize,
         changed: &mut Vec<Changed>,
     ) {
         let Some(entry) = self.table.get(about).filter(|entry| entry.standing.lives()) else { return };
-        let word = Entry { standing: Standing::Suspect, by: Some(self.me()), ..entry.clone() };
+        let word = Entry { standing: Status::Suspect, by: Some(self.me()), ..entry.clone() };
         let why = format!("it answered neither us nor {helpers} others that we asked to probe it");
         self.take_in(now, &word, &why, changed);
     }
@@ -183,7 +188,7 @@
     }
 
     pub(super) fn end_suspicions(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
-        let suspects = self.table.others().filter(|entry| entry.standing == Standing::Suspect);
+        let suspects = self.table.others().filter(|entry| entry.standing == Status::Suspect);
         let over = suspects.filter(|entry| {
             let peer = self.peers.get(&entry.about);
             peer.is_some_and(|peer| now - peer.since >= self.suspected_for(peer))
@@ -192,7 +197,7 @@
             let accusers = self.peers.get(&entry.about).map(|peer| peer.accusers.clone()).unwrap_or_default();
             let accusers: Vec<String> = accusers.iter().map(|id| id.0.to_string()).collect();
             let why = format!("suspected by {}, and it said nothing", accusers.join(", "));
-            let word = Entry { standing: Standing::Dead, by: Some(self.me()), ..entry };
+            let word = Entry { standing: Status::Dead, by: Some(self.me()), ..entry };
             self.take_in(now, &word, &why, changed);
         }
     }
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,8 +1,8 @@
 //! What one steward holds of all: the merge of entries, free of time. Any order and any repetition of the same
 //! words ends in the same table, but for words about ourselves, which are answered by a higher count.
-use crate::entry::{mix, Entry, Incarnation, NodeMetadata, Standing};
-use crate::words::{Line, LINES_MOST, NEWS_MOST};
-use crate::StewardId;
+use crate::entry::{mix, Entry, Incarnation, NodeMetadata, Status};
+use crate::words::{DigestEntry, LINES_MOST, NEWS_MOST};
+use crate::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Stewards held at once; further ones are refused and counted, those that are known stay.
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// Known already, or older than what is known.
-    Nothing,
+    NoReply,
     /// Of a process that has been followed by another, or forgotten.
     Old,
     /// No room for one more steward.
     Full,
     /// It changed what is held; what was held before.
-    News { was: Option<Standing>, metadata_changed: bool },
+    News { was: Option<Status>, metadata_changed: bool },
     /// It doubted us; our entry has a higher incarnation now.
     Refuted,
     /// Another process with our name and a higher number is spoken of.
@@ -51,10 +51,10 @@
 #[derive(Clone, Debug)]
 pub struct Table {
     me: Entry,
-    others: BTreeMap<StewardId, Entry>,
+    others: BTreeMap<NodeId, Entry>,
     /// The highest process that was forgotten, and in which order that was.
-    tombstones: BTreeMap<StewardId, u64>,
-    tombstone_order: VecDeque<StewardId>,
+    tombstones: BTreeMap<NodeId, u64>,
+    tombstone_order: VecDeque<NodeId>,
     without: Option<Safeguard>,
     digest: u64,
 }
@@ -83,7 +83,7 @@
         &self.me
     }
 
-    pub fn get(&self, id: StewardId) -> Option<&Entry> {
+    pub fn get(&self, id: NodeId) -> Option<&Entry> {
         if id == self.me.about {
             Some(&self.me)
         } else {
@@ -118,7 +118,7 @@
 
     pub fn leave(&mut self) {
         self.me.incarnation.count += 1;
-        self.me.standing = Standing::Left;
+        self.me.standing = Status::Left;
         self.sum_up();
     }
 
@@ -152,14 +152,14 @@
             true => (word.incarnation.count, word.standing) > (known.incarnation.count, known.standing),
             false => word.beats(known),
         };
-        if word.standing == Standing::Forgotten || !beats {
-            return if older && !ignores { MergeOutcome::Old } else { MergeOutcome::Nothing };
+        if word.standing == Status::Forgotten || !beats {
+            return if older && !ignores { MergeOutcome::Old } else { MergeOutcome::NoReply };
         }
         let mut word = word.clone();
-        if heard_lately && word.standing == Standing::Dead && word.incarnation == known.incarnation {
-            word.standing = Standing::Suspect;
-            if known.standing == Standing::Suspect {
-                return MergeOutcome::Nothing;
+        if heard_lately && word.standing == Status::Dead && word.incarnation == known.incarnation {
+            word.standing = Status::Suspect;
+            if known.standing == Status::Suspect {
+                return MergeOutcome::NoReply;
             }
         }
         let news = MergeOutcome::News {
@@ -172,8 +172,8 @@
     }
 
     fn meet(&mut self, word: &Entry) -> MergeOutcome {
-        if word.standing == Standing::Forgotten {
-            return MergeOutcome::Nothing;
+        if word.standing == Status::Forgotten {
+            return MergeOutcome::NoReply;
         }
         if self.others.len() >= STEWARDS_MOST {
             return MergeOutcome::Full;
@@ -194,11 +194,11 @@
                 MergeOutcome::Old
             };
         }
-        let doubts = word.standing != Standing::Alive && self.me.standing == Standing::Alive;
+        let doubts = word.standing != Status::Alive && self.me.standing == Status::Alive;
         if !doubts || self.lacks(Safeguard::Refutation) {
-            return MergeOutcome::Nothing;
+            return MergeOutcome::NoReply;
         }
-        if word.standing == Standing::Forgotten {
+        if word.standing == Status::Forgotten {
             self.rise_above(mine.process);
         } else if word.incarnation.count >= mine.count {
             self.me.incarnation.count = word.incarnation.count.saturating_add(1);
@@ -208,7 +208,7 @@
     }
 
     /// Gives up what is held of one that is long gone; its process is refused from now on.
-    pub fn forget(&mut self, id: StewardId) {
+    pub fn forget(&mut self, id: NodeId) {
         let Some(entry) = self.others.remove(&id) else { return };
         if self.tombstones.insert(id, entry.incarnation.process).is_none() {
             self.tombstone_order.push_back(id);
@@ -225,30 +225,30 @@
             .others
             .get(&word.about)
             .filter(|known| known.incarnation.process >= word.incarnation.process);
-        let forgotten = || Entry { standing: Standing::Forgotten, ..word.clone() };
+        let forgotten = || Entry { standing: Status::Forgotten, ..word.clone() };
         known.cloned().unwrap_or_else(forgotten)
     }
 
     /// One page of what we hold, from a steward on; where the next page begins.
-    pub fn page(&self, from: StewardId) -> (Vec<Line>, StewardId, StewardId) {
+    pub fn page(&self, from: NodeId) -> (Vec<DigestEntry>, NodeId, NodeId) {
         let me = std::iter::once((&self.me.about, &self.me));
-        let mut all: Vec<(&StewardId, &Entry)> = self.others.iter().chain(me).collect();
+        let mut all: Vec<(&NodeId, &Entry)> = self.others.iter().chain(me).collect();
         all.sort_by_key(|(id, _)| **id);
         let lines = all.iter().filter(|(id, _)| **id >= from);
-        let lines = lines.map(|(id, entry)| Line {
+        let lines = lines.map(|(id, entry)| DigestEntry {
             about: **id,
             incarnation: entry.incarnation,
             standing: entry.standing,
         });
-        let mut lines: Vec<Line> = lines.take(LINES_MOST + 1).collect();
+        let mut lines: Vec<DigestEntry> = lines.take(LINES_MOST + 1).collect();
         let next = (lines.len() > LINES_MOST).then(|| lines[LINES_MOST].about);
         lines.truncate(LINES_MOST);
-        let to = next.map_or(StewardId(u16::MAX), |next| StewardId(next.0 - 1));
-        (lines, to, next.unwrap_or(StewardId(0)))
+        let to = next.map_or(NodeId(u16::MAX), |next| NodeId(next.0 - 1));
+        (lines, to, next.unwrap_or(NodeId(0)))
     }
 
     /// What we know better than such a page, and whom we want to hear of.
-    pub fn compare(&self, from: StewardId, to: StewardId, lines: &[Line]) -> (Vec<Entry>, Vec<StewardId>) {
+    pub fn compare(&self, from: NodeId, to: NodeId, lines: &[DigestEntry]) -> (Vec<Entry>, Vec<NodeId>) {
         let (mut better, mut want) = (Vec::new(), Vec::new());
         for line in lines {
             let theirs = (line.incarnation, line.standing);
@@ -265,7 +265,7 @@
                 _ => {}
             }
         }
-        let listed: std::collections::BTreeSet<StewardId> = lines.iter().map(|line| line.about).collect();
+        let listed: std::collections::BTreeSet<NodeId> = lines.iter().map(|line| line.about).collect();
         let me = std::iter::once(&self.me);
         let lacking = self.others.values().chain(me).filter(|entry| {
             (from..=to).contains(&entry.about) && !listed.contains(&entry.about) && entry.standing.lives()
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -2,14 +2,14 @@
 use proptest::prelude::*;
 
 fn word(about: u16, process: u64, count: u64, standing: usize) -> Entry {
-    let standing = [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Dead][standing % 4];
+    let standing = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][standing % 4];
     let metadata = NodeMetadata { settings: process * 100 + count, ..NodeMetadata::default() };
-    let entry = Entry::alive(StewardId(about), process, metadata);
+    let entry = Entry::alive(NodeId(about), process, metadata);
     Entry { incarnation: Incarnation { process, count }, standing, ..entry }
 }
 
 fn table() -> Table {
-    Table::new(Entry::alive(StewardId(0), 1, NodeMetadata::default()), None)
+    Table::new(Entry::alive(NodeId(0), 1, NodeMetadata::default()), None)
 }
 
 proptest! {
@@ -32,12 +32,12 @@
         ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
-        let (mut a, mut b) = (table(), Table::new(Entry::alive(StewardId(9), 1, NodeMetadata::default()), None));
+        let (mut a, mut b) = (table(), Table::new(Entry::alive(NodeId(9), 1, NodeMetadata::default()), None));
         ours.into_iter().for_each(|(id, p, c, s)| _ = a.learn(&word(id, p, c, s), false));
         theirs.into_iter().for_each(|(id, p, c, s)| _ = b.learn(&word(id, p, c, s), false));
         for _ in 0..4 {
-            let (lines, to, _) = a.page(StewardId(0));
-            let (better, want) = b.compare(StewardId(0), to, &lines);
+            let (lines, to, _) = a.page(NodeId(0));
+            let (better, want) = b.compare(NodeId(0), to, &lines);
             better.iter().for_each(|word| _ = a.learn(word, false));
             want.iter().for_each(|id| _ = b.learn(&a.get(*id).cloned().expect("listed"), false));
         }
@@ -49,16 +49,16 @@
 fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
     let mut table = table();
     table.learn(&word(1, 5, 0, 3), false);
-    table.forget(StewardId(1));
+    table.forget(NodeId(1));
     assert_eq!(table.learn(&word(1, 5, 7, 0), false), MergeOutcome::Old);
-    assert_eq!(table.answer_to_old(&word(1, 5, 7, 0)).standing, Standing::Forgotten);
+    assert_eq!(table.answer_to_old(&word(1, 5, 7, 0)).standing, Status::Forgotten);
     assert!(matches!(table.learn(&word(1, 6, 0, 0), false), MergeOutcome::News { was: None, .. }));
 }
 
 #[test]
 fn one_that_was_forgotten_takes_a_higher_process_number() {
     let mut table = table();
-    let forgotten = Entry { standing: Standing::Forgotten, ..table.me().clone() };
+    let forgotten = Entry { standing: Status::Forgotten, ..table.me().clone() };
     assert_eq!(table.learn(&forgotten, false), MergeOutcome::Refuted);
     assert_eq!(table.me().incarnation, Incarnation { process: 2, count: 0 });
 }
--- a/crates/railhub-membership/src/words.rs
+++ b/crates/railhub-membership/src/words.rs
@@ -1,6 +1,6 @@
 //! What stewards say to each other.
-use crate::entry::{Entry, Incarnation, Load, Standing};
-use crate::StewardId;
+use crate::entry::{Entry, Incarnation, Load, Status};
+use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -11,30 +11,30 @@
 
 /// One line of a comparison: what the sender holds of a steward, without its metadata.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
-    pub about: StewardId,
+pub struct DigestEntry {
+    pub about: NodeId,
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    pub standing: Standing,
+    pub standing: Status,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Request {
     Probe,
     /// Probe another for me.
-    ProbeFor(StewardId),
+    ProbeFor(NodeId),
     Answer,
     /// The one I was asked to probe has answered, or has not.
-    AnswerOf(StewardId),
-    NoAnswerOf(StewardId),
+    AnswerOf(NodeId),
+    NoAnswerOf(NodeId),
     /// This is what I hold of all stewards from one to another: say what you know better.
     Compare {
-        from: StewardId,
-        to: StewardId,
-        lines: Vec<Line>,
+        from: NodeId,
+        to: NodeId,
+        lines: Vec<DigestEntry>,
     },
     /// Tell me of these.
-    Want(Vec<StewardId>),
+    Want(Vec<NodeId>),
     /// Nothing is asked: the news are the matter.
     Tell,
 }
@@ -46,10 +46,10 @@
     pub turn: u64,
     pub load: Load,
     pub number: u64,
-    pub ask: Ask,
+    pub ask: Request,
     pub news: Vec<Entry>,
     /// Whom the sender finds to stand out.
-    pub names: Option<StewardId>,
+    pub names: Option<NodeId>,
     /// Digest of the sender's view.
     pub digest: u64,
 }
@@ -57,18 +57,18 @@
 /// Where a message goes: to a steward at the address in its metadata, or to an address of which no more is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum To {
-    Steward(StewardId),
+    Steward(NodeId),
     Address(SocketAddr),
 }
 
-pub type Mail = Vec<(To, Message)>;
+pub type OutgoingMessage = Vec<(To, Message)>;
 
 /// Something that operators and the sharing of slices want to know.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changed {
-    pub about: StewardId,
+    pub about: NodeId,
     pub incarnation: Incarnation,
-    pub standing: Standing,
+    pub standing: Status,
     pub withdrawn: bool,
     /// What it rests on: who missed what, or who said so.
     pub why: String,
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -1,8 +1,8 @@
 //! Stewards on a simulated net: who finds whom dead, how soon, and whom nobody must.
-use railhub_membership::entry::{Entry, NodeMetadata, Standing};
+use railhub_membership::entry::{Entry, NodeMetadata, Status};
 use railhub_membership::swim::{Membership, MembershipConfig};
-use railhub_membership::words::{Changed, Mail, Message, To};
-use railhub_membership::StewardId;
+use railhub_membership::words::{Changed, Message, OutgoingMessage, To};
+use railhub_membership::NodeId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -11,9 +11,9 @@
 /// Seconds a message takes at the least, and at the most in usual times.
 const WAY: (f64, f64) = (0.0005, 0.004);
 
-type Seen = Vec<(f64, StewardId, Changed)>;
+type Seen = Vec<(f64, NodeId, Changed)>;
 
-fn member(id: StewardId, ids: &[StewardId], process: u64, now: f64, seed: u64) -> Membership {
+fn member(id: NodeId, ids: &[NodeId], process: u64, now: f64, seed: u64) -> Membership {
     let mut membership = Membership::new(
         Entry::alive(id, process, NodeMetadata::default()),
         MembershipConfig::default(),
@@ -26,17 +26,17 @@
 
 struct Net {
     now: f64,
-    stewards: BTreeMap<StewardId, Membership>,
+    stewards: BTreeMap<NodeId, Membership>,
     /// Down from when on.
-    down: BTreeMap<StewardId, bool>,
-    paused_until: BTreeMap<StewardId, f64>,
+    down: BTreeMap<NodeId, bool>,
+    paused_until: BTreeMap<NodeId, f64>,
     /// One way from the first to the second.
-    cut: Vec<(StewardId, StewardId)>,
+    cut: Vec<(NodeId, NodeId)>,
     /// Seconds that a steward takes for each message.
-    slow: BTreeMap<StewardId, f64>,
+    slow: BTreeMap<NodeId, f64>,
     lost: f64,
     mail: BinaryHeap<Reverse<(u64, u64)>>,
-    bodies: BTreeMap<u64, (StewardId, StewardId, Message)>,
+    bodies: BTreeMap<u64, (NodeId, NodeId, Message)>,
     last: u64,
     chance: ChaCha8Rng,
     seen: Seen,
@@ -44,8 +44,8 @@
 
 impl Net {
     fn new(count: u16, seed: u64) -> Net {
-        let ids: Vec<StewardId> = (0..count).map(StewardId).collect();
-        let membership = |id: &StewardId| (*id, member(*id, &ids, 1, 0.0, seed));
+        let ids: Vec<NodeId> = (0..count).map(NodeId).collect();
+        let membership = |id: &NodeId| (*id, member(*id, &ids, 1, 0.0, seed));
         Net {
             now: 0.0,
             stewards: ids.iter().map(membership).collect(),
@@ -62,17 +62,17 @@
         }
     }
 
-    fn acts(&self, id: StewardId) -> bool {
+    fn acts(&self, id: NodeId) -> bool {
         !self.down.get(&id).copied().unwrap_or(false)
             && self.paused_until.get(&id).is_none_or(|at| *at <= self.now)
     }
 
-    fn send(&mut self, from: StewardId, mail: Mail) {
+    fn send(&mut self, from: NodeId, mail: OutgoingMessage) {
         for (to, message) in mail {
             let To::Steward(to) = to else { continue };
             let cut = self.cut.contains(&(from, to)) || self.chance.random::<f64>() < self.lost;
             let way = WAY.0 + (WAY.1 - WAY.0) * self.chance.random::<f64>();
-            let slow = |id: &StewardId| self.slow.get(id).copied().unwrap_or(0.0);
+            let slow = |id: &NodeId| self.slow.get(id).copied().unwrap_or(0.0);
             let arrives = self.now + way + slow(&from) + slow(&to);
             if !cut {
                 self.last += 1;
@@ -82,12 +82,12 @@
         }
     }
 
-    fn note(&mut self, who: StewardId, changed: Vec<Changed>) {
+    fn note(&mut self, who: NodeId, changed: Vec<Changed>) {
         self.seen.extend(changed.into_iter().map(|change| (self.now, who, change)));
     }
 
     fn run(&mut self, until: f64) {
-        let ids: Vec<StewardId> = self.stewards.keys().copied().collect();
+        let ids: Vec<NodeId> = self.stewards.keys().copied().collect();
         while self.now < until {
             self.now += 0.01;
             while self.mail.peek().is_some_and(|Reverse((at, _))| *at as f64 / 1e6 <= self.now) {
@@ -120,12 +120,12 @@
         }
     }
 
-    fn standing(&self, viewer: u16, of: u16) -> Standing {
-        self.stewards[&StewardId(viewer)].standing(StewardId(of))
+    fn standing(&self, viewer: u16, of: u16) -> Status {
+        self.stewards[&NodeId(viewer)].standing(NodeId(of))
     }
 
     fn held_dead(&self) -> usize {
-        self.seen.iter().filter(|(_, _, change)| change.standing == Standing::Dead).count()
+        self.seen.iter().filter(|(_, _, change)| change.standing == Status::Dead).count()
     }
 }
 
@@ -135,17 +135,17 @@
         let mut net = Net::new(5, seed);
         net.run(5.0);
         assert_eq!(net.held_dead(), 0);
-        net.down.insert(StewardId(2), true);
+        net.down.insert(NodeId(2), true);
         net.run(10.0);
         for viewer in [0, 1, 3, 4] {
-            assert_eq!(net.standing(viewer, 2), Standing::Dead, "seed {seed}, {viewer}");
+            assert_eq!(net.standing(viewer, 2), Status::Dead, "seed {seed}, {viewer}");
         }
-        let ids: Vec<StewardId> = (0..5).map(StewardId).collect();
-        net.stewards.insert(StewardId(2), member(StewardId(2), &ids, 2, 10.0, seed + 1));
+        let ids: Vec<NodeId> = (0..5).map(NodeId).collect();
+        net.stewards.insert(NodeId(2), member(NodeId(2), &ids, 2, 10.0, seed + 1));
         net.down.clear();
         net.run(16.0);
         for viewer in [0, 1, 3, 4] {
-            assert_eq!(net.standing(viewer, 2), Standing::Alive, "seed {seed}, {viewer}");
+            assert_eq!(net.standing(viewer, 2), Status::Alive, "seed {seed}, {viewer}");
         }
     }
 }
@@ -155,15 +155,15 @@
     let mut net = Net::new(7, 3);
     net.run(4.0);
     for (n, id) in [1, 3, 5].into_iter().enumerate() {
-        net.down.insert(StewardId(id), true);
+        net.down.insert(NodeId(id), true);
         net.run(4.3 + 0.3 * n as f64);
     }
     net.run(12.0);
     for viewer in [0, 2, 4, 6] {
         for of in [1, 3, 5] {
-            assert_eq!(net.standing(viewer, of), Standing::Dead, "{viewer} of {of}");
+            assert_eq!(net.standing(viewer, of), Status::Dead, "{viewer} of {of}");
         }
-        assert_eq!(net.stewards[&StewardId(viewer)].alive(), 4);
+        assert_eq!(net.stewards[&NodeId(viewer)].alive(), 4);
     }
 }
 
@@ -172,7 +172,7 @@
     for seed in 0..10 {
         let mut net = Net::new(6, seed);
         net.lost = 0.1;
-        net.cut = vec![(StewardId(1), StewardId(4))];
+        net.cut = vec![(NodeId(1), NodeId(4))];
         net.run(40.0);
         assert_eq!(net.held_dead(), 0, "seed {seed}: {:?}", net.seen);
     }
@@ -182,18 +182,18 @@
 fn a_short_pause_kills_nobody_and_a_long_one_is_undone_by_the_one_that_wakes() {
     let mut net = Net::new(5, 9);
     net.run(3.0);
-    net.paused_until.insert(StewardId(1), 4.0);
+    net.paused_until.insert(NodeId(1), 4.0);
     net.run(8.0);
     assert_eq!(net.held_dead(), 0, "{:?}", net.seen);
-    net.paused_until.insert(StewardId(1), 20.0);
+    net.paused_until.insert(NodeId(1), 20.0);
     net.run(19.0);
-    assert_eq!(net.standing(0, 1), Standing::Dead);
+    assert_eq!(net.standing(0, 1), Status::Dead);
     net.run(26.0);
     for viewer in [0, 2, 3, 4] {
-        assert_eq!(net.standing(viewer, 1), Standing::Alive, "{viewer}");
+        assert_eq!(net.standing(viewer, 1), Status::Alive, "{viewer}");
     }
     let blamed =
-        net.seen.iter().filter(|(_, who, change)| *who == StewardId(1) && change.standing == Standing::Dead);
+        net.seen.iter().filter(|(_, who, change)| *who == NodeId(1) && change.standing == Status::Dead);
     assert_eq!(blamed.count(), 0, "the one that slept holds nobody for dead");
 }
 
@@ -203,16 +203,16 @@
     net.run(3.0);
     for a in [0, 1] {
         for b in [2, 3, 4] {
-            net.cut.extend([(StewardId(a), StewardId(b)), (StewardId(b), StewardId(a))]);
+            net.cut.extend([(NodeId(a), NodeId(b)), (NodeId(b), NodeId(a))]);
         }
     }
     net.run(12.0);
-    assert_eq!((net.standing(0, 3), net.standing(3, 0)), (Standing::Dead, Standing::Dead));
-    assert_eq!((net.standing(0, 1), net.standing(3, 4)), (Standing::Alive, Standing::Alive));
+    assert_eq!((net.standing(0, 3), net.standing(3, 0)), (Status::Dead, Status::Dead));
+    assert_eq!((net.standing(0, 1), net.standing(3, 4)), (Status::Alive, Status::Alive));
     net.cut.clear();
     net.run(30.0);
     for viewer in 0..5 {
-        assert_eq!(net.stewards[&StewardId(viewer)].alive(), 5, "{viewer}");
+        assert_eq!(net.stewards[&NodeId(viewer)].alive(), 5, "{viewer}");
     }
 }
 
@@ -221,18 +221,18 @@
     for seed in 0..10 {
         let mut net = Net::new(5, seed);
         net.run(5.0);
-        net.slow.insert(StewardId(3), 0.15);
+        net.slow.insert(NodeId(3), 0.15);
         net.run(25.0);
         for viewer in [0, 1, 2, 4] {
-            let membership = &net.stewards[&StewardId(viewer)];
-            assert!(!membership.may_bear(StewardId(3)), "seed {seed}, {viewer}");
-            let others = (0..5).filter(|id| *id != 3 && membership.may_bear(StewardId(*id)));
+            let membership = &net.stewards[&NodeId(viewer)];
+            assert!(!membership.may_bear(NodeId(3)), "seed {seed}, {viewer}");
+            let others = (0..5).filter(|id| *id != 3 && membership.may_bear(NodeId(*id)));
             assert_eq!(others.count(), 4, "seed {seed}, {viewer}");
         }
         assert_eq!(net.held_dead(), 0, "seed {seed}: it lives");
         net.slow.clear();
         net.run(60.0);
-        assert!(net.stewards[&StewardId(0)].may_bear(StewardId(3)), "seed {seed}");
+        assert!(net.stewards[&NodeId(0)].may_bear(NodeId(3)), "seed {seed}");
     }
 }
 
@@ -240,12 +240,12 @@
 fn a_steward_that_leaves_is_known_to_have_left_at_once() {
     let mut net = Net::new(4, 2);
     net.run(3.0);
-    let mail = net.stewards.get_mut(&StewardId(1)).expect("known").leave(3.0);
-    net.send(StewardId(1), mail);
-    net.down.insert(StewardId(1), true);
+    let mail = net.stewards.get_mut(&NodeId(1)).expect("known").leave(3.0);
+    net.send(NodeId(1), mail);
+    net.down.insert(NodeId(1), true);
     net.run(3.1);
     for viewer in [0, 2, 3] {
-        assert_eq!(net.standing(viewer, 1), Standing::Left, "{viewer}");
+        assert_eq!(net.standing(viewer, 1), Status::Left, "{viewer}");
     }
 }
 
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -11,12 +11,12 @@
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
 use railhub_membership::entry::{Load, NodeMetadata};
-use railhub_membership::lease_manager::{Acts, LeaseManager, LeaseManagerOptions};
+use railhub_membership::lease_manager::{Effects, LeaseManager, LeaseManagerOptions};
 use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
-use railhub_membership::swim::{Membership, MembershipConfig, Shown};
+use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
 use railhub_membership::table::Safeguard;
 use railhub_membership::words::To;
-use railhub_membership::StewardId;
+use railhub_membership::NodeId;
 use railhub_net::{now, seconds};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
 /// What the file says of the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetTerms {
-    pub id: StewardId,
+    pub id: NodeId,
     /// Datagrams of other installations are dropped.
     pub installation: String,
     pub listen: SocketAddr,
@@ -125,7 +125,7 @@
                 || section == "steward" && matches!(key, "listen" | "traffic")
         };
         let terms = FleetTerms {
-            id: StewardId(fleet.need_within("id", 0.0, f64::from(u16::MAX - 1))? as u16),
+            id: NodeId(fleet.need_within("id", 0.0, f64::from(u16::MAX - 1))? as u16),
             installation,
             listen: fleet.or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
             advertise: fleet.text("advertise").map(|_| fleet.need("advertise")).transpose()?,
@@ -246,7 +246,7 @@
 fn options<'a>(
     terms: &FleetTerms,
     address: SocketAddr,
-    weights: &'a BTreeMap<StewardId, f64>,
+    weights: &'a BTreeMap<NodeId, f64>,
     shares: &Option<Shares>,
 ) -> LeaseManagerOptions<'a> {
     // Microseconds since 1970: higher than any earlier process of ours, unless the clock was set back, which the
@@ -386,7 +386,7 @@
 
     /// Slices that were gained, with their tables, and lost. The book of leases goes first: what is written from now on
     /// must not rest on one that is gone.
-    fn pass_on(&self, acts: &Acts, tables: Vec<StoredTable>) {
+    fn pass_on(&self, acts: &Effects, tables: Vec<StoredTable>) {
         let Some(shares) = &self.shares else { return };
         shares.leases.note(self.lease_manager.leases());
         let slices = |ids: &[u16]| match self.overruns {
@@ -428,7 +428,7 @@
         }
     }
 
-    fn carry_out(&mut self, acts: Acts) {
+    fn carry_out(&mut self, acts: Effects) {
         if let (Some(request), Some(shares)) = (acts.request, &self.shares) {
             shares.store.request(request);
         }
@@ -454,7 +454,7 @@
         }
     }
 
-    fn show(&mut self, nonce: u64, first: StewardId, to: SocketAddr) {
+    fn show(&mut self, nonce: u64, first: NodeId, to: SocketAddr) {
         let at = self.clock.now();
         if at - self.looks.0 >= 1.0 {
             self.looks = (at, 0);
@@ -466,7 +466,7 @@
         }
         let membership = self.membership();
         let all = membership.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
-        let mut lines: Vec<Shown> = all.take(SHOWN_MOST + 1).collect();
+        let mut lines: Vec<ViewEntry> = all.take(SHOWN_MOST + 1).collect();
         let next = (lines.len() > SHOWN_MOST).then(|| lines[SHOWN_MOST].entry.about);
         lines.truncate(SHOWN_MOST);
         let view = View {
