--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -5,7 +5,7 @@
 use railhub_ini::Sheet;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
-use railhub_net::http::{Caller, HttpFault};
+use railhub_net::http::{Caller, HttpError};
 use railhub_steward::fleet::FleetTerms;
 use railhub_steward::Installation;
 use serde::{Deserialize, Serialize};
@@ -72,13 +72,13 @@
     Ok(())
 }
 
-fn ask(store: SocketAddr) -> Result<Vec<Held>, HttpFault> {
+fn ask(store: SocketAddr) -> Result<Vec<Held>, HttpError> {
     railhub_net::start();
     let (sender, receiver) = channel();
     railhub_net::go(move || {
         let _ = sender.send(Caller::new(store, STORE_WITHIN).ask("/leases"));
     });
-    receiver.recv().unwrap_or(Err(HttpFault::Ended))
+    receiver.recv().unwrap_or(Err(HttpError::Ended))
 }
 
 fn names(told: &Told) -> BTreeMap<u64, u16> {
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -10,8 +10,8 @@
 use railhub_proto::{Subscribe, Sums};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
 use railhub_steward::inbox::StreamId;
-use railhub_steward::kernel::{Gate, Kernel, Surroundings};
-use railhub_steward::outbox::{MessageCap, Next, Outbox, Publication};
+use railhub_steward::kernel::{ControllerCore, Environment, ProxyChannel};
+use railhub_steward::outbox::{MessageCap, Outbox, Publication, WriterAction};
 use railhub_steward::tables::Change;
 use railhub_versions::Version;
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Gate for ModelGate {
+impl ProxyChannel for ModelGate {
     fn push(&self, publication: Arc<Publication>) {
         let state = &mut *self.0.borrow_mut();
         state.outbox.push(publication);
@@ -94,7 +94,7 @@
     stored: Vec<(SliceId, Vec<(HostId, f64)>)>,
 }
 
-impl Surroundings for Asked {
+impl Environment for Asked {
     fn probe(&mut self, host: HostId) {
         self.probes.push(host);
     }
@@ -108,7 +108,7 @@
 
 /// Who steers: the kernel, or a plain policy that goes by the list.
 enum Mind {
-    Kernel(Box<Kernel<ModelGate>>),
+    ControllerCore(Box<ControllerCore<ModelGate>>),
     Plain(Box<Plain>),
 }
 
@@ -138,7 +138,12 @@
                     Ok((version, fault)) => {
                         self.faults.push(fault);
                         let version = Box::new(version);
-                        Mind::Kernel(Box::new(Kernel::led_by(version, installation, incarnation, now)))
+                        Mind::ControllerCore(Box::new(ControllerCore::led_by(
+                            version,
+                            installation,
+                            incarnation,
+                            now,
+                        )))
                     }
                     Err(fault) => {
                         self.faults.push(Arc::new(std::sync::Mutex::new(Some(fault))));
@@ -146,7 +151,7 @@
                     }
                 }
             }
-            _ => Mind::Kernel(Box::new(Kernel::new(installation, incarnation, now))),
+            _ => Mind::ControllerCore(Box::new(ControllerCore::new(installation, incarnation, now))),
         };
         if let Mind::Plain(plain) = &mind {
             plain.wakes().into_iter().for_each(|after| self.agenda.after(after, Due::StewardWakes));
@@ -195,7 +200,7 @@
         });
         let charges: Vec<SliceAssignment> = tables.collect();
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
-            Some(Mind::Kernel(kernel)) => kernel.hear_charges(charges),
+            Some(Mind::ControllerCore(kernel)) => kernel.hear_charges(charges),
             Some(Mind::Plain(plain)) => plain.hear_charges(&charges),
             None => {}
         }
@@ -207,7 +212,8 @@
         for (slice, lines) in std::mem::take(&mut self.unstored) {
             self.tables.insert(slice, lines);
         }
-        let waits = |steward: &Steward| matches!(&steward.mind, Mind::Kernel(kernel) if !kernel.is_ready());
+        let waits =
+            |steward: &Steward| matches!(&steward.mind, Mind::ControllerCore(kernel) if !kernel.is_ready());
         if self.steward.as_ref().is_some_and(waits) {
             self.give_charges();
             self.steward_acts();
@@ -233,7 +239,7 @@
         self.known.extend(lines.iter().copied());
         let list = to_list(whole, lines);
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
-            Some(Mind::Kernel(kernel)) => kernel.hear_list(list),
+            Some(Mind::ControllerCore(kernel)) => kernel.hear_list(list),
             Some(Mind::Plain(_)) => self.plain_acts(),
             None => {}
         }
@@ -274,7 +280,7 @@
         let Some(steward) = self.steward.as_mut() else { return };
         steward.gathers = false;
         let mut asked = Asked::default();
-        if let Mind::Kernel(kernel) = &mut steward.mind {
+        if let Mind::ControllerCore(kernel) = &mut steward.mind {
             if !kernel.is_ready() {
                 return;
             }
@@ -325,9 +331,9 @@
         loop {
             let next = gate.0.borrow_mut().outbox.take(now);
             match next {
-                Next::Nothing => return,
-                Next::WaitUntil(until) => return self.agenda.at(until, Due::Mail(proxy)),
-                Next::Write(publication) => {
+                WriterAction::Nothing => return,
+                WriterAction::WaitUntil(until) => return self.agenda.at(until, Due::Mail(proxy)),
+                WriterAction::Write(publication) => {
                     let lines = publication.change.cost() as f64 + self.day.limits.message_cost;
                     let took = lines * self.channel_slower / self.day.lines_a_second;
                     self.channel_free = self.channel_free.max(now) + took;
@@ -365,7 +371,7 @@
         let process = proxy as u64 + 1;
         let subscribe = Subscribe { proxy: proxy as u32, zone, process, incarnation: held_by, version };
         match &mut steward.mind {
-            Mind::Kernel(kernel) => kernel.join(now, stream, subscribe, gate, &mut Asked::default()),
+            Mind::ControllerCore(kernel) => kernel.join(now, stream, subscribe, gate, &mut Asked::default()),
             Mind::Plain(plain) => {
                 let (whole, version) = plain.whole();
                 gate.push(Arc::new(Publication::new(whole, steward.incarnation, version, now, None)));
@@ -381,7 +387,7 @@
         let Some(stream) = self.proxies[proxy].stream else { return };
         if let Some(steward) = self.steward.as_mut() {
             steward.gates[proxy] = None;
-            if let Mind::Kernel(kernel) = &mut steward.mind {
+            if let Mind::ControllerCore(kernel) = &mut steward.mind {
                 kernel.leave(now, stream, ProxyId(proxy as u16), "broken", &mut Asked::default());
             }
         }
@@ -422,7 +428,7 @@
         let now = self.agenda.now;
         let Some(steward) = self.steward.as_mut() else { return };
         match &mut steward.mind {
-            Mind::Kernel(kernel) => {
+            Mind::ControllerCore(kernel) => {
                 kernel.settle(now, ProxyId(proxy as u16), stream, nonce, refused);
                 kernel.let_in(now);
                 kernel.act(now, || now, &mut Asked::default());
@@ -473,7 +479,7 @@
 
     pub fn probe_ends(&mut self, place: HostAt, end: HealthCheckOutcome) {
         let host = HostId::from(self.hosts[place].address);
-        if let Some(Mind::Kernel(kernel)) = self.steward.as_mut().map(|steward| &mut steward.mind) {
+        if let Some(Mind::ControllerCore(kernel)) = self.steward.as_mut().map(|steward| &mut steward.mind) {
             kernel.hear_probe(HealthCheckResult { host, end });
             let steward = self.steward.as_mut().expect("its kernel has just heard");
             if !std::mem::replace(&mut steward.gathers, true) {
--- a/crates/railhub-net/src/http.rs
+++ b/crates/railhub-net/src/http.rs
@@ -18,7 +18,7 @@
 const READ_AT_ONCE: usize = 2048;
 
 #[derive(Debug, Error)]
-pub enum HttpFault {
+pub enum HttpError {
     #[error("cannot be reached: {0}")]
     Unreached(io::Error),
     #[error("no answer in time")]
@@ -47,11 +47,11 @@
 }
 
 /// Reads one request; `None` when the peer ends between two. `read` are bytes taken from the stream already.
-pub fn read_request(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<Option<Request>, HttpFault> {
+pub fn read_request(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<Option<Request>, HttpError> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let status = request.parse(read).map_err(|e| HttpFault::Malformed(e.to_string()))?;
+        let status = request.parse(read).map_err(|e| HttpError::Malformed(e.to_string()))?;
         if let httparse::Status::Complete(head) = status {
             let method = request.method.unwrap_or_default().to_owned();
             let path = request.path.unwrap_or_default().to_owned();
@@ -61,7 +61,7 @@
         }
         let was_empty = read.is_empty();
         match read_head(stream, read) {
-            Err(HttpFault::Ended) if was_empty => return Ok(None),
+            Err(HttpError::Ended) if was_empty => return Ok(None),
             other => other?,
         }
     }
@@ -89,10 +89,10 @@
         Caller { address, within, stream: None }
     }
 
-    pub fn call(&mut self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, HttpFault> {
+    pub fn call(&mut self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, HttpError> {
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
-            None => dial(self.address, self.within.as_secs_f64()).map_err(HttpFault::Unreached)?,
+            None => dial(self.address, self.within.as_secs_f64()).map_err(HttpError::Unreached)?,
         };
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: {}\r\ncontent-length: {}\r\n\r\n",
@@ -102,22 +102,22 @@
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(body);
         let guard = Guard::both_ways(&stream, self.within.as_secs_f64());
-        stream.write_all(&bytes).map_err(HttpFault::Broken)?;
+        stream.write_all(&bytes).map_err(HttpError::Broken)?;
         let read = read_answer(&mut stream);
         // What was read whole counts, though the guard fired just then; the stream is not used again.
         let whole = guard.let_go();
-        let (status, body) = read.map_err(|fault| if whole { fault } else { HttpFault::Silent })?;
+        let (status, body) = read.map_err(|fault| if whole { fault } else { HttpError::Silent })?;
         self.stream = whole.then_some(stream);
         if status == 200 {
             Ok(body)
         } else {
-            Err(HttpFault::Status(status))
+            Err(HttpError::Status(status))
         }
     }
 
-    pub fn ask<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, HttpFault> {
+    pub fn ask<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, HttpError> {
         let body = self.call("GET", path, &[])?;
-        serde_json::from_slice(&body).map_err(|e| HttpFault::Malformed(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| HttpError::Malformed(e.to_string()))
     }
 
     /// Sends a body and reads one.
@@ -126,14 +126,14 @@
         method: &str,
         path: &str,
         body: &impl Serialize,
-    ) -> Result<T, HttpFault> {
-        let bytes = serde_json::to_vec(body).map_err(|e| HttpFault::Malformed(e.to_string()))?;
+    ) -> Result<T, HttpError> {
+        let bytes = serde_json::to_vec(body).map_err(|e| HttpError::Malformed(e.to_string()))?;
         let body = self.call(method, path, &bytes)?;
-        serde_json::from_slice(&body).map_err(|e| HttpFault::Malformed(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| HttpError::Malformed(e.to_string()))
     }
 
-    pub fn tell(&mut self, path: &str, body: &impl Serialize) -> Result<(), HttpFault> {
-        let bytes = serde_json::to_vec(body).map_err(|e| HttpFault::Malformed(e.to_string()))?;
+    pub fn tell(&mut self, path: &str, body: &impl Serialize) -> Result<(), HttpError> {
+        let bytes = serde_json::to_vec(body).map_err(|e| HttpError::Malformed(e.to_string()))?;
         self.call("PUT", path, &bytes).map(drop)
     }
 }
@@ -152,25 +152,25 @@
 
 impl Feed {
     /// Asks; the peer may be silent for a span at most, from now on.
-    pub fn open(address: SocketAddr, path: &str, connect: f64, silent: f64) -> Result<Feed, HttpFault> {
-        let mut stream = dial(address, connect).map_err(HttpFault::Unreached)?;
+    pub fn open(address: SocketAddr, path: &str, connect: f64, silent: f64) -> Result<Feed, HttpError> {
+        let mut stream = dial(address, connect).map_err(HttpError::Unreached)?;
         let guard = Guard::both_ways(&stream, silent);
         let ask = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
-        stream.write_all(ask.as_bytes()).map_err(HttpFault::Broken)?;
+        stream.write_all(ask.as_bytes()).map_err(HttpError::Broken)?;
         let mut read = Vec::new();
         let head = loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADERS];
             let mut response = httparse::Response::new(&mut headers);
-            let status = response.parse(&read).map_err(|e| HttpFault::Malformed(e.to_string()))?;
+            let status = response.parse(&read).map_err(|e| HttpError::Malformed(e.to_string()))?;
             if let httparse::Status::Complete(head) = status {
                 match response.code {
                     Some(200) => break head,
-                    code => return Err(HttpFault::Status(code.unwrap_or_default())),
+                    code => return Err(HttpError::Status(code.unwrap_or_default())),
                 }
             }
             let more = read_head(&mut stream, &mut read);
             if guard.fired() {
-                return Err(HttpFault::Silent);
+                return Err(HttpError::Silent);
             }
             more?;
         };
@@ -184,7 +184,7 @@
     }
 
     /// What `read` makes of the next line.
-    pub fn line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<T, HttpFault> {
+    pub fn line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<T, HttpError> {
         loop {
             match self.lines.has_line() {
                 Ok(true) => {
@@ -192,9 +192,9 @@
                     self.guard.heard();
                     break;
                 }
-                Ok(false) if self.chunks.ended => return Err(HttpFault::Ended),
+                Ok(false) if self.chunks.ended => return Err(HttpError::Ended),
                 Ok(false) => {}
-                Err(fault) => return Err(HttpFault::Malformed(fault.to_string())),
+                Err(fault) => return Err(HttpError::Malformed(fault.to_string())),
             }
             let mut bytes = [0; READ_AT_ONCE];
             match self.stream.read(&mut bytes) {
@@ -202,9 +202,9 @@
                     let lines = &mut self.lines;
                     self.chunks.push(&bytes[..count], |part| lines.push(part))?;
                 }
-                _ if self.guard.fired() => return Err(HttpFault::Silent),
-                Ok(_) => return Err(HttpFault::Ended),
-                Err(e) => return Err(HttpFault::Broken(e)),
+                _ if self.guard.fired() => return Err(HttpError::Silent),
+                Ok(_) => return Err(HttpError::Ended),
+                Err(e) => return Err(HttpError::Broken(e)),
             }
         }
         Ok(self.lines.line(read))
@@ -226,7 +226,7 @@
 const SIZE_LINE: usize = 256;
 
 impl Chunks {
-    fn push(&mut self, mut bytes: &[u8], mut part: impl FnMut(&[u8])) -> Result<(), HttpFault> {
+    fn push(&mut self, mut bytes: &[u8], mut part: impl FnMut(&[u8])) -> Result<(), HttpError> {
         while !bytes.is_empty() && !self.ended {
             if self.left > 0 {
                 let here = usize::try_from(self.left).unwrap_or(usize::MAX).min(bytes.len());
@@ -246,17 +246,17 @@
         Ok(())
     }
 
-    fn read_size(&mut self) -> Result<(), HttpFault> {
+    fn read_size(&mut self) -> Result<(), HttpError> {
         if !self.size.ends_with(b"\n") {
             let short = self.size.len() < SIZE_LINE;
-            return if short { Ok(()) } else { Err(HttpFault::Malformed("a chunk without size".into())) };
+            return if short { Ok(()) } else { Err(HttpError::Malformed("a chunk without size".into())) };
         }
         match httparse::parse_chunk_size(&self.size) {
             // The parser takes a line without a digit for the last chunk.
             Ok(httparse::Status::Complete((_, size))) if self.size[0].is_ascii_hexdigit() => {
                 (self.left, self.tail) = (size, 2);
             }
-            _ => return Err(HttpFault::Malformed("a chunk's size that cannot be".into())),
+            _ => return Err(HttpError::Malformed("a chunk's size that cannot be".into())),
         }
         self.ended = self.left == 0;
         self.size.clear();
@@ -264,12 +264,12 @@
     }
 }
 
-fn read_answer(stream: &mut TcpStream) -> Result<(u16, Vec<u8>), HttpFault> {
+fn read_answer(stream: &mut TcpStream) -> Result<(u16, Vec<u8>), HttpError> {
     let mut read = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let status = response.parse(&read).map_err(|e| HttpFault::Malformed(e.to_string()))?;
+        let status = response.parse(&read).map_err(|e| HttpError::Malformed(e.to_string()))?;
         if let httparse::Status::Complete(head) = status {
             let code = response.code.unwrap_or_default();
             let length = body_length(response.headers)?;
@@ -279,7 +279,7 @@
     }
 }
 
-fn body_length(headers: &[httparse::Header]) -> Result<usize, HttpFault> {
+fn body_length(headers: &[httparse::Header]) -> Result<usize, HttpError> {
     let Some(header) = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"))
     else {
         return Ok(0);
@@ -287,13 +287,13 @@
     let text = std::str::from_utf8(header.value).unwrap_or_default();
     match text.trim().parse() {
         Ok(length) if length <= BODY_LIMIT => Ok(length),
-        _ => Err(HttpFault::Malformed(format!("a body of {text} bytes"))),
+        _ => Err(HttpError::Malformed(format!("a body of {text} bytes"))),
     }
 }
 
-fn read_head(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<(), HttpFault> {
+fn read_head(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<(), HttpError> {
     if read.len() > HEAD_LIMIT {
-        return Err(HttpFault::Malformed("a head too long".into()));
+        return Err(HttpError::Malformed("a head too long".into()));
     }
     read_more(stream, read)
 }
@@ -303,7 +303,7 @@
     read: &mut Vec<u8>,
     head: usize,
     length: usize,
-) -> Result<Vec<u8>, HttpFault> {
+) -> Result<Vec<u8>, HttpError> {
     while read.len() < head + length {
         read_more(stream, read)?;
     }
@@ -312,15 +312,15 @@
     Ok(body)
 }
 
-fn read_more(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<(), HttpFault> {
+fn read_more(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<(), HttpError> {
     let mut bytes = [0; READ_AT_ONCE];
     match stream.read(&mut bytes) {
-        Ok(0) => Err(HttpFault::Ended),
+        Ok(0) => Err(HttpError::Ended),
         Ok(count) => {
             read.extend_from_slice(&bytes[..count]);
             Ok(())
         }
-        Err(e) => Err(HttpFault::Broken(e)),
+        Err(e) => Err(HttpError::Broken(e)),
     }
 }
 
--- a/crates/railhub-net/src/http/tests.rs
+++ b/crates/railhub-net/src/http/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn unpack(bytes: &[u8], piece: usize) -> Result<(Vec<u8>, bool), HttpFault> {
+fn unpack(bytes: &[u8], piece: usize) -> Result<(Vec<u8>, bool), HttpError> {
     let (mut chunks, mut body) = (Chunks::default(), Vec::new());
     for part in bytes.chunks(piece) {
         chunks.push(part, |part| body.extend_from_slice(part))?;
@@ -22,7 +22,7 @@
 fn sizes_that_cannot_be_end_the_feed() {
     for packed in [&b"zz\r\nx"[..], b"\r\n", b"-1\r\n", &[b'1'; 300], b"fffffffffffffffff\r\n"] {
         for piece in [1, 7, 400] {
-            assert!(matches!(unpack(packed, piece), Err(HttpFault::Malformed(_))), "{packed:?}");
+            assert!(matches!(unpack(packed, piece), Err(HttpError::Malformed(_))), "{packed:?}");
         }
     }
 }
--- a/crates/railhub-net/src/stream.rs
+++ b/crates/railhub-net/src/stream.rs
@@ -3,7 +3,7 @@
 use may::io::{SplitIo, SplitReader, SplitWriter};
 use may::net::TcpStream;
 use prost::Message;
-use railhub_proto::{frame, Deframer, FrameFault};
+use railhub_proto::{frame, Deframer, FrameError};
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 use std::os::fd::AsRawFd;
@@ -21,7 +21,7 @@
     #[error("silent for too long")]
     Silent,
     #[error(transparent)]
-    Fault(#[from] FrameFault),
+    Fault(#[from] FrameError),
     #[error("broken: {0}")]
     Broken(io::Error),
 }
--- a/crates/railhub-platform-net/src/probes.rs
+++ b/crates/railhub-platform-net/src/probes.rs
@@ -2,7 +2,7 @@
 //! question. What does not fit the queue is not asked this time; the module asks again each turn.
 use crate::shared::{ControllerEvent, DescriptorGuard, Shared};
 use railhub::{HealthCheckOutcome, Seconds};
-use railhub_net::http::{Caller, HttpFault};
+use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Pool};
 use railhub_platform::Probe;
 use std::net::SocketAddr;
@@ -31,13 +31,13 @@
 fn probe(address: SocketAddr) -> Option<HealthCheckOutcome> {
     Some(match Caller::new(address, seconds(WITHIN)).call("GET", "/alive", &[]) {
         Ok(_) => HealthCheckOutcome::Answered,
-        Err(HttpFault::Status(503)) => HealthCheckOutcome::Rejected,
-        Err(HttpFault::Silent | HttpFault::Status(_)) => HealthCheckOutcome::Failed,
-        Err(HttpFault::Unreached(fault)) if is_ours(&fault) => return None,
-        Err(HttpFault::Unreached(_) | HttpFault::Broken(_) | HttpFault::Ended) => {
+        Err(HttpError::Status(503)) => HealthCheckOutcome::Rejected,
+        Err(HttpError::Silent | HttpError::Status(_)) => HealthCheckOutcome::Failed,
+        Err(HttpError::Unreached(fault)) if is_ours(&fault) => return None,
+        Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended) => {
             HealthCheckOutcome::Unreachable
         }
-        Err(HttpFault::Malformed(_)) => return None,
+        Err(HttpError::Malformed(_)) => return None,
     })
 }
 
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::patience::ConnectBackoff;
 use crate::shared::{Addresses, ControllerEvent, DescriptorGuard, Shared};
 use railhub::Seconds;
-use railhub_net::http::{Feed, HttpFault};
+use railhub_net::http::{Feed, HttpError};
 use railhub_net::{go, seconds};
 use railhub_platform::{discovery, EndpointPage};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     addresses: Addresses,
     patience: &mut ConnectBackoff,
     failing: &mut bool,
-) -> HttpFault {
+) -> HttpError {
     let mut generation = known(shared);
     let path = format!("/discovery/hosts?watch=1&after={generation}");
     let mut feed = match Feed::open(addresses.discovery, &path, CONNECT, patience.span()) {
@@ -53,7 +53,7 @@
     };
     let _held = DescriptorGuard::one(&shared.held.discovery);
     if !shared.watch_line.take_over(addresses.version, feed.closer()) {
-        return HttpFault::Ended;
+        return HttpError::Ended;
     }
     tracing::info!(discovery = %addresses.discovery, after = generation, "watching the list");
     let mut stands = None;
@@ -75,18 +75,18 @@
                 let (spoilt, older) = (!page.spoilt.is_empty(), page.generation < generation);
                 generation = page.generation;
                 if !tell(shared, addresses.version, page) {
-                    return HttpFault::Ended;
+                    return HttpError::Ended;
                 }
                 // It is asked for again: the next telling may be readable, or count by then.
                 if spoilt || older {
                     let what =
                         if spoilt { "an entry of the list" } else { "a list older than the one known" };
-                    return HttpFault::Malformed(what.into());
+                    return HttpError::Malformed(what.into());
                 }
             }
             Some(Err(spoilt)) => {
                 shared.refuse("list page");
-                return HttpFault::Malformed(spoilt.to_string());
+                return HttpError::Malformed(spoilt.to_string());
             }
         }
         turn.pause_if_long();
@@ -107,8 +107,8 @@
 }
 
 /// A connection that ended before its first line.
-fn unanswered(fault: HttpFault, patience: &mut ConnectBackoff) -> HttpFault {
-    if matches!(fault, HttpFault::Silent) {
+fn unanswered(fault: HttpError, patience: &mut ConnectBackoff) -> HttpError {
+    if matches!(fault, HttpError::Silent) {
         patience.lengthen();
     }
     fault
--- a/crates/railhub-proto/src/frame.rs
+++ b/crates/railhub-proto/src/frame.rs
@@ -9,7 +9,7 @@
 
 /// What a peer did wrong.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum FrameFault {
+pub enum FrameError {
     #[error("a frame of {length} bytes, {limit} are allowed")]
     TooLong { length: usize, limit: usize },
     #[error("an empty frame")]
@@ -56,21 +56,21 @@
     }
 
     /// The next whole message, if its bytes are there.
-    pub fn message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameFault> {
-        let decode = |body: &[u8]| M::decode(body).map_err(|e| FrameFault::Malformed(e.to_string()));
+    pub fn message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
+        let decode = |body: &[u8]| M::decode(body).map_err(|e| FrameError::Malformed(e.to_string()));
         self.body(decode)?.transpose()
     }
 
     /// What `read` makes of the next whole message, whatever it is written in.
-    pub fn body<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<Option<T>, FrameFault> {
+    pub fn body<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<Option<T>, FrameError> {
         let rest = &self.bytes[self.from..];
         let Some(prefix) = rest.first_chunk::<PREFIX>() else { return Ok(None) };
         let length = u32::from_be_bytes(*prefix) as usize;
         if length > self.limit {
-            return Err(FrameFault::TooLong { length, limit: self.limit });
+            return Err(FrameError::TooLong { length, limit: self.limit });
         }
         if length == 0 {
-            return Err(FrameFault::Empty);
+            return Err(FrameError::Empty);
         }
         let Some(body) = rest.get(PREFIX..PREFIX + length) else { return Ok(None) };
         let made = read(body);
@@ -84,11 +84,11 @@
     }
 
     /// Whether the stream may end here.
-    pub fn finish(&self) -> Result<(), FrameFault> {
+    pub fn finish(&self) -> Result<(), FrameError> {
         if self.from == self.bytes.len() {
             Ok(())
         } else {
-            Err(FrameFault::CutOff)
+            Err(FrameError::CutOff)
         }
     }
 }
@@ -116,12 +116,12 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    pub fn has_line(&mut self) -> Result<bool, FrameFault> {
+    pub fn has_line(&mut self) -> Result<bool, FrameError> {
         let end = self.bytes[self.looked..].iter().position(|byte| *byte == b'\n');
         self.looked = end.map_or(self.bytes.len(), |end| self.looked + end);
         let length = self.looked - self.from;
         if length > self.limit {
-            return Err(FrameFault::TooLong { length, limit: self.limit });
+            return Err(FrameError::TooLong { length, limit: self.limit });
         }
         Ok(end.is_some())
     }
--- a/crates/railhub-proto/src/frame/tests.rs
+++ b/crates/railhub-proto/src/frame/tests.rs
@@ -27,7 +27,7 @@
     let mut deframer = Deframer::new(100);
     deframer.push(&101u32.to_be_bytes());
     let fault = deframer.message::<FromProxy>().expect_err("too long");
-    assert_eq!(fault, FrameFault::TooLong { length: 101, limit: 100 });
+    assert_eq!(fault, FrameError::TooLong { length: 101, limit: 100 });
 }
 
 #[test]
@@ -35,7 +35,7 @@
     let mut deframer = Deframer::new(100);
     deframer.push(&frame(&ack(77))[..5]);
     assert_eq!(deframer.message::<FromProxy>(), Ok(None));
-    assert_eq!(deframer.finish(), Err(FrameFault::CutOff));
+    assert_eq!(deframer.finish(), Err(FrameError::CutOff));
 }
 
 #[test]
@@ -55,5 +55,5 @@
     lines.push(&[b'x'; 20]);
     assert_eq!(lines.has_line(), Ok(false));
     lines.push(b"y");
-    assert_eq!(lines.has_line(), Err(FrameFault::TooLong { length: 21, limit: 20 }));
+    assert_eq!(lines.has_line(), Err(FrameError::TooLong { length: 21, limit: 20 }));
 }
--- a/crates/railhub-proto/src/lib.rs
+++ b/crates/railhub-proto/src/lib.rs
@@ -9,5 +9,5 @@
 mod frame;
 mod messages;
 
-pub use frame::{frame, Deframer, FrameFault, Lines};
+pub use frame::{frame, Deframer, FrameError, Lines};
 pub use messages::*;
--- a/crates/railhub-steward/src/claims.rs
+++ b/crates/railhub-steward/src/claims.rs
@@ -7,7 +7,7 @@
 const MESSAGES_AT_ONCE: f64 = 500.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum RegistrationOutcome {
     /// Nobody speaks for the proxy yet.
     Free,
     /// The same process dials again: its older stream is dead, or soon will be.
@@ -17,11 +17,11 @@
 }
 
 /// `holder`: the process that speaks for the proxy now.
-pub fn claim(holder: Option<u64>, newcomer: u64) -> Claim {
+pub fn claim(holder: Option<u64>, newcomer: u64) -> RegistrationOutcome {
     match holder {
-        None => Claim::Free,
-        Some(process) if process == newcomer => Claim::Replaces,
-        Some(_) => Claim::Taken,
+        None => RegistrationOutcome::Free,
+        Some(process) if process == newcomer => RegistrationOutcome::Replaces,
+        Some(_) => RegistrationOutcome::Taken,
     }
 }
 
--- a/crates/railhub-steward/src/claims/tests.rs
+++ b/crates/railhub-steward/src/claims/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn two_processes_do_not_throw_each_other_out_in_turn() {
-    assert_eq!(claim(None, 7), Claim::Free);
-    assert_eq!(claim(Some(7), 7), Claim::Replaces);
-    assert_eq!(claim(Some(7), 8), Claim::Taken);
+    assert_eq!(claim(None, 7), RegistrationOutcome::Free);
+    assert_eq!(claim(Some(7), 7), RegistrationOutcome::Replaces);
+    assert_eq!(claim(Some(7), 8), RegistrationOutcome::Taken);
 }
--- a/crates/railhub-steward/src/decides.rs
+++ b/crates/railhub-steward/src/decides.rs
@@ -1,10 +1,10 @@
 //! Who decides: the module, or another version of it that runs elsewhere.
-use crate::draft::Draft;
+use crate::draft::DeltaBuilder;
 use railhub::{Controller, EventBatch, Seconds, SliceHandoff, SliceId};
 
 /// Takes what came in since the last round and drafts what follows from it.
-pub trait Decides {
-    fn round(&mut self, round: &EventBatch, draft: &mut Draft);
+pub trait DecisionEngine {
+    fn round(&mut self, round: &EventBatch, draft: &mut DeltaBuilder);
 
     /// What the next one in charge of a slice is told, if this one tells anything.
     fn save(&self, _now: Seconds, _slice: SliceId) -> Option<SliceHandoff> {
@@ -15,8 +15,8 @@
     fn restore(&mut self, _now: Seconds, _slice: SliceId, _state: &SliceHandoff, _age: Seconds) {}
 }
 
-impl Decides for Controller {
-    fn round(&mut self, round: &EventBatch, draft: &mut Draft) {
+impl DecisionEngine for Controller {
+    fn round(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) {
         Controller::round(self, round, draft);
     }
 
--- a/crates/railhub-steward/src/draft.rs
+++ b/crates/railhub-steward/src/draft.rs
@@ -3,7 +3,7 @@
 use railhub::{BarrierId, ClassId, CommandSink, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId};
 
 #[derive(Default)]
-pub struct Draft {
+pub struct DeltaBuilder {
     pub change: Change,
     pub mark: Option<BarrierId>,
     pub handed: Vec<(SliceId, ProxyId)>,
@@ -12,7 +12,7 @@
     pub notes: Vec<String>,
 }
 
-impl CommandSink for Draft {
+impl CommandSink for DeltaBuilder {
     fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
         self.change.lines.insert((slice, host), weight);
     }
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -6,7 +6,7 @@
 //! waits for it.
 use crate::inbox::{Inbox, Word};
 use crate::kernel::Figures;
-use crate::leases::LeaseBook;
+use crate::leases::LeaseTable;
 use crate::store::{StoreWriter, StoredTable};
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
@@ -163,10 +163,10 @@
 }
 
 /// What a steward that shares slices works with.
-pub struct Shares {
+pub struct SliceSharing {
     pub store: Arc<StoreWriter>,
     pub inbox: Arc<Inbox>,
-    pub leases: Arc<LeaseBook>,
+    pub leases: Arc<LeaseTable>,
     pub slices: u16,
 }
 
@@ -186,14 +186,14 @@
     pub fn start(
         terms: &FleetTerms,
         steward: Arc<Mutex<Figures>>,
-        shares: Option<Shares>,
+        shares: Option<SliceSharing>,
         slices: u16,
     ) -> io::Result<FleetService> {
         let socket = UdpSocket::bind(terms.listen)?;
         let address = socket.local_addr()?;
         let (ends, leaves) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let shown = Arc::new(Mutex::new(FleetFigures::default()));
-        let mut desk = Desk {
+        let mut desk = LeaseCoordinator {
             lease_manager: LeaseManager::new(
                 &options(terms, address, &BTreeMap::from([(terms.id, 1.0)]), &shares),
                 terms.clock.now(),
@@ -247,7 +247,7 @@
     terms: &FleetTerms,
     address: SocketAddr,
     weights: &'a BTreeMap<NodeId, f64>,
-    shares: &Option<Shares>,
+    shares: &Option<SliceSharing>,
 ) -> LeaseManagerOptions<'a> {
     // Microseconds since 1970: higher than any earlier process of ours, unless the clock was set back, which the
     // others tell us then.
@@ -283,10 +283,10 @@
     of(usage.ru_utime) + of(usage.ru_stime)
 }
 
-struct Desk {
+struct LeaseCoordinator {
     lease_manager: LeaseManager,
     clock: LeaseClock,
-    shares: Option<Shares>,
+    shares: Option<SliceSharing>,
     /// For tests of the judge alone: slices whose leases are over are kept.
     overruns: bool,
     socket: UdpSocket,
@@ -302,7 +302,7 @@
     looks: (f64, u32),
 }
 
-impl Desk {
+impl LeaseCoordinator {
     fn membership(&self) -> &Membership {
         self.lease_manager.membership()
     }
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -3,8 +3,8 @@
 use railhub_proto::{Subscribe, Sums};
 use std::sync::Arc;
 
-use crate::kernel::Gained;
-use crate::streams::Door;
+use crate::kernel::SliceAcquired;
+use crate::streams::StreamHandle;
 
 /// Words and sums that may wait: some seconds' worth from thousands of proxies.
 const WORDS: usize = 16 << 10;
@@ -20,7 +20,7 @@
     /// Where stewards share: slices with the epochs that they came under, those that are another's, and those whose
     /// leases are over.
     Grants {
-        gained: Vec<Gained>,
+        gained: Vec<SliceAcquired>,
         lost: Vec<SliceId>,
         lapsed: Vec<SliceId>,
     },
@@ -28,7 +28,7 @@
     Joins {
         stream: StreamId,
         subscribe: Subscribe,
-        door: Arc<Door>,
+        door: Arc<StreamHandle>,
     },
     Leaves {
         stream: StreamId,
--- a/crates/railhub-steward/src/intake.rs
+++ b/crates/railhub-steward/src/intake.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Default)]
-pub struct Intake {
+pub struct ReportAggregator {
     totals: BTreeMap<Key, Total>,
     /// Time that reports have covered for the mean proxy since the start.
     cover: Seconds,
@@ -62,7 +62,7 @@
     None
 }
 
-impl Intake {
+impl ReportAggregator {
     /// Takes in one report of one of so many joined proxies.
     pub fn add(&mut self, zone: ZoneId, sums: &Sums, proxies: usize) {
         self.cover += sums.span / proxies.max(1) as f64;
--- a/crates/railhub-steward/src/intake/tests.rs
+++ b/crates/railhub-steward/src/intake/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn rates_hold_when_reports_come_late_and_in_heaps() {
     // Ten proxies of 5 tries a second each; for a while nothing comes, then all at once.
-    let mut intake = Intake::default();
+    let mut intake = ReportAggregator::default();
     let (mut operations, mut span) = (0.0, 0.0);
     for second in 0..30 {
         let reports = if (10..14).contains(&second) { 0 } else { 10 };
@@ -30,7 +30,7 @@
 
 #[test]
 fn past_the_limit_the_oldest_go_first_and_nothing_is_lost() {
-    let mut intake = Intake::default();
+    let mut intake = ReportAggregator::default();
     for slice in 0..50u32 {
         let demand = vec![SliceSum { slice, class: 0, operations: 2 }];
         intake.add(ZoneId(0), &Sums { span: 1.0, hosts: vec![], demand }, 1);
--- a/crates/railhub-steward/src/kernel.rs
+++ b/crates/railhub-steward/src/kernel.rs
@@ -1,15 +1,15 @@
 //! All that a steward is, but for its sockets, its threads and its clock: the decisions, the tables, who is
 //! joined, what each proxy owes. The running steward and the model of a fleet drive the same kernel; each passes
-//! in the time, a [`Gate`] for each proxy and the [`Surroundings`].
-use crate::claims::{claim, Claim};
-use crate::decides::Decides;
-use crate::draft::Draft;
+//! in the time, a [`ProxyChannel`] for each proxy and the [`Environment`].
+use crate::claims::{claim, RegistrationOutcome};
+use crate::decides::DecisionEngine;
+use crate::draft::DeltaBuilder;
 use crate::inbox::StreamId;
 use crate::installation::Installation;
-use crate::intake::Intake;
+use crate::intake::ReportAggregator;
 use crate::outbox::Publication;
 use crate::pace::may_join;
-use crate::standing::Standing;
+use crate::standing::PublishedState;
 use crate::tables::{Change, Tables};
 use hdrhistogram::Histogram;
 use railhub::{
@@ -25,7 +25,7 @@
 const STUCK_LOOK: Seconds = 0.5;
 
 /// Where a proxy's deltas go: its outbox, and what empties it.
-pub trait Gate {
+pub trait ProxyChannel {
     fn push(&self, publication: Arc<Publication>);
     /// The proxy's word on a delta: the latest mark that it settles, if it settles anything.
     fn settle(&self, nonce: u64, refused: bool) -> Option<Option<BarrierId>>;
@@ -38,7 +38,7 @@
 
 /// A slice that has come into charge.
 #[derive(Clone, Debug)]
-pub struct Gained {
+pub struct SliceAcquired {
     pub charge: SliceAssignment,
     pub epoch: u64,
     /// What the former steward told of it, and how long ago, if it did.
@@ -46,7 +46,7 @@
 }
 
 /// What the kernel asks of the world besides its proxies, and tells it.
-pub trait Surroundings {
+pub trait Environment {
     fn probe(&mut self, host: HostId);
     /// `epoch`: under which the slice is in charge; 0 where this steward is alone.
     fn store(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>);
@@ -87,7 +87,7 @@
 }
 
 /// A proxy with a stream.
-struct Member<G> {
+struct ProxySession<G> {
     stream: StreamId,
     process: u64,
     subscribe: Subscribe,
@@ -97,18 +97,18 @@
     table: Option<SliceId>,
 }
 
-pub struct Kernel<G> {
+pub struct ControllerCore<G> {
     installation: Installation,
-    brain: Box<dyn Decides + Send>,
+    brain: Box<dyn DecisionEngine + Send>,
     tables: Tables,
     /// This process; a version is of one of them.
     incarnation: u64,
-    members: BTreeMap<ProxyId, Member<G>>,
+    members: BTreeMap<ProxyId, ProxySession<G>>,
     /// Proxies that wait for their snapshot, in the order they came.
     joining: VecDeque<(ProxyId, StreamId)>,
     /// Proxies that had a stream to this process before.
     met: BTreeSet<ProxyId>,
-    intake: Intake,
+    intake: ReportAggregator,
     flushed_at: Seconds,
     timers: Vec<(Seconds, TimerId)>,
     round: EventBatch,
@@ -121,7 +121,7 @@
     /// What is told of slices that have come, and when it was saved.
     restoring: BTreeMap<SliceId, (SliceHandoff, Seconds)>,
     /// Slices whose leases are over, and whom the decisions have shut out.
-    standing: Standing,
+    standing: PublishedState,
     shut_out: BTreeSet<HostId>,
     looked_at: Seconds,
     /// Proxies that owe a word on something, and when the oldest of it was ordered.
@@ -132,37 +132,37 @@
     figures: Figures,
 }
 
-impl<G: Gate> Kernel<G> {
+impl<G: ProxyChannel> ControllerCore<G> {
     /// `incarnation`: tells this process from every other one.
-    pub fn new(installation: Installation, incarnation: u64, now: Seconds) -> Kernel<G> {
+    pub fn new(installation: Installation, incarnation: u64, now: Seconds) -> ControllerCore<G> {
         let brain = Box::new(Controller::new(installation.terms.clone()));
-        Kernel::led_by(brain, installation, incarnation, now)
+        ControllerCore::led_by(brain, installation, incarnation, now)
     }
 
     /// With decisions that come from elsewhere than the module in this program.
     pub fn led_by(
-        brain: Box<dyn Decides + Send>,
+        brain: Box<dyn DecisionEngine + Send>,
         installation: Installation,
         incarnation: u64,
         now: Seconds,
-    ) -> Kernel<G> {
+    ) -> ControllerCore<G> {
         let times = || Histogram::new(3).expect("three digits are allowed");
         let shares = installation.shares();
-        Kernel {
+        ControllerCore {
             brain,
             // Where stewards share, one that is in charge of nothing yet serves its proxies all the same.
             charged: installation.terms.slices == 0 || shares,
             shares,
             opened: BTreeSet::new(),
             restoring: BTreeMap::new(),
-            standing: Standing::default(),
+            standing: PublishedState::default(),
             shut_out: BTreeSet::new(),
             tables: Tables::default(),
             incarnation,
             members: BTreeMap::new(),
             joining: VecDeque::new(),
             met: BTreeSet::new(),
-            intake: Intake::default(),
+            intake: ReportAggregator::default(),
             flushed_at: now,
             timers: Vec::new(),
             round: EventBatch::default(),
@@ -196,10 +196,10 @@
     pub fn hear_grants(
         &mut self,
         now: Seconds,
-        gained: Vec<Gained>,
+        gained: Vec<SliceAcquired>,
         lost: &[SliceId],
         lapsed: &[SliceId],
-        around: &mut impl Surroundings,
+        around: &mut impl Environment,
     ) {
         for slice in lapsed {
             let hosts = self.tables.lines_of(*slice).into_iter().map(|line| line.0);
@@ -218,7 +218,7 @@
             self.restoring.remove(slice);
             self.round.charges.push(SliceAssignment { slice: *slice, given: false, lines: Vec::new() });
         }
-        for Gained { charge, epoch, state } in gained {
+        for SliceAcquired { charge, epoch, state } in gained {
             self.standing.is_settled(charge.slice);
             self.tables.take_charge(charge.slice, epoch, &charge.lines);
             self.opened.insert(charge.slice);
@@ -290,27 +290,27 @@
         stream: StreamId,
         subscribe: Subscribe,
         gate: G,
-        around: &mut impl Surroundings,
+        around: &mut impl Environment,
     ) {
         let proxy = ProxyId(subscribe.proxy as u16);
         let holder = self.members.get(&proxy);
         match claim(holder.map(|member| member.process), subscribe.process) {
-            Claim::Taken => {
+            RegistrationOutcome::Taken => {
                 around.proxy(proxy, "a second process claims to be this proxy: turned away", "");
                 gate.close("another process speaks for this proxy");
                 return;
             }
-            Claim::Replaces => {
+            RegistrationOutcome::Replaces => {
                 if let Some(holder) = holder {
                     holder.gate.close("a newer stream of this proxy is open");
                     let old = holder.stream;
                     self.leave(now, old, proxy, "replaced by a newer stream", around);
                 }
             }
-            Claim::Free => {}
+            RegistrationOutcome::Free => {}
         }
         let process = subscribe.process;
-        let member = Member { stream, process, subscribe, gate, joined: false, table: None };
+        let member = ProxySession { stream, process, subscribe, gate, joined: false, table: None };
         self.members.insert(proxy, member);
         self.joining.push_back((proxy, stream));
     }
@@ -321,7 +321,7 @@
         stream: StreamId,
         proxy: ProxyId,
         why: &str,
-        around: &mut impl Surroundings,
+        around: &mut impl Environment,
     ) {
         if self.members.get(&proxy).is_none_or(|member| member.stream != stream) {
             return;
@@ -419,7 +419,7 @@
     }
 
     /// Runs a round if anything came, and carries out what it decided. `clock`: the time it is then.
-    pub fn act(&mut self, now: Seconds, clock: impl Fn() -> Seconds, around: &mut impl Surroundings) {
+    pub fn act(&mut self, now: Seconds, clock: impl Fn() -> Seconds, around: &mut impl Environment) {
         let round = &self.round;
         let has_news = !round.lists.is_empty()
             || !round.charges.is_empty()
@@ -432,7 +432,7 @@
         }
         let mut round = std::mem::take(&mut self.round);
         round.now = now;
-        let mut draft = Draft::default();
+        let mut draft = DeltaBuilder::default();
         self.brain.round(&round, &mut draft);
         for (slice, (state, saved_at)) in std::mem::take(&mut self.restoring) {
             self.brain.restore(now, slice, &state, now - saved_at);
@@ -443,7 +443,7 @@
         self.carry_out(draft, at, around);
     }
 
-    fn carry_out(&mut self, mut draft: Draft, at: Seconds, around: &mut impl Surroundings) {
+    fn carry_out(&mut self, mut draft: DeltaBuilder, at: Seconds, around: &mut impl Environment) {
         if self.shares {
             let mut change = self.tables.opening(&std::mem::take(&mut self.opened));
             change.fold(&draft.change);
@@ -486,7 +486,7 @@
         change: &Arc<Change>,
         mark: Option<BarrierId>,
         at: Seconds,
-        around: &mut impl Surroundings,
+        around: &mut impl Environment,
     ) {
         let version = self.tables.apply(change.clone());
         let bare = (self.installation.terms.slices == 0).then(|| change.without_lines());
@@ -510,7 +510,7 @@
     }
 
     /// Cuts off proxies that owe a word for too long: what waits for them would count for ever.
-    pub fn look_for_stuck(&mut self, now: Seconds, around: &mut impl Surroundings) {
+    pub fn look_for_stuck(&mut self, now: Seconds, around: &mut impl Environment) {
         if now - self.looked_at < STUCK_LOOK {
             return;
         }
--- a/crates/railhub-steward/src/leases.rs
+++ b/crates/railhub-steward/src/leases.rs
@@ -9,16 +9,16 @@
 
 /// A copy of the leases, as they were noted last. A lease ends by the clock alone, whoever sleeps.
 #[derive(Debug)]
-pub struct LeaseBook {
+pub struct LeaseTable {
     leases: Mutex<Leases>,
     clock: LeaseClock,
     /// For tests of the judge alone: leases are never over.
     overruns: bool,
 }
 
-impl LeaseBook {
-    pub fn new(clock: LeaseClock, overruns: bool) -> LeaseBook {
-        LeaseBook { leases: Mutex::default(), clock, overruns }
+impl LeaseTable {
+    pub fn new(clock: LeaseClock, overruns: bool) -> LeaseTable {
+        LeaseTable { leases: Mutex::default(), clock, overruns }
     }
 
     pub fn note(&self, leases: &Leases) {
--- a/crates/railhub-steward/src/leases/tests.rs
+++ b/crates/railhub-steward/src/leases/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn what_is_written_goes_by_the_lease_of_that_moment() {
     let clock = LeaseClock { speed: 1.0, jumps_after: 0.0, jumps_by: 0.0, began: 0.0 };
-    let (book, now) = (LeaseBook::new(clock, false), clock.now());
+    let (book, now) = (LeaseTable::new(clock, false), clock.now());
     let epochs = |epoch| BTreeMap::from([(SliceId(4), epoch)]);
     assert_eq!(book.over(&epochs(2)), BTreeSet::from([SliceId(4)]), "never held");
     let mut leases = Leases::new(60.0);
@@ -13,7 +13,7 @@
     assert!(book.over(&epochs(2)).is_empty());
     assert_eq!(book.over(&epochs(1)), BTreeSet::from([SliceId(4)]), "decided under an older one");
     // Nobody notes anything while the process stands still: the clock alone ends it.
-    let later = LeaseBook::new(LeaseClock { jumps_by: 55.0, ..clock }, false);
+    let later = LeaseTable::new(LeaseClock { jumps_by: 55.0, ..clock }, false);
     later.note(&leases);
     assert_eq!(later.over(&epochs(2)), BTreeSet::from([SliceId(4)]));
 }
--- a/crates/railhub-steward/src/lib.rs
+++ b/crates/railhub-steward/src/lib.rs
@@ -42,4 +42,4 @@
 
 pub use installation::Installation;
 pub use kernel::Figures;
-pub use service::{Running, StartFault};
+pub use service::{Running, StartError};
--- a/crates/railhub-steward/src/outbox.rs
+++ b/crates/railhub-steward/src/outbox.rs
@@ -48,7 +48,7 @@
     }
 }
 
-struct Sent {
+struct InFlightDelta {
     publication: Arc<Publication>,
     at: Seconds,
 }
@@ -62,7 +62,7 @@
 
 /// What a writer is to do next.
 #[derive(Debug)]
-pub enum Next {
+pub enum WriterAction {
     Write(Arc<Publication>),
     /// The cap lets the next message leave then; until then what comes is folded.
     WaitUntil(Seconds),
@@ -75,7 +75,7 @@
     /// When the latest messages left, as many as the cap looks at.
     left_at: VecDeque<Seconds>,
     waiting: Option<Arc<Publication>>,
-    in_flight: VecDeque<Sent>,
+    in_flight: VecDeque<InFlightDelta>,
     /// What the proxy refused: it goes along with the next change, not by itself.
     held: Option<Change>,
     pub folded: u64,
@@ -106,28 +106,30 @@
     }
 
     /// What to write next, if the proxy has confirmed enough of what went before and the cap allows it.
-    pub fn take(&mut self, now: Seconds) -> Next {
+    pub fn take(&mut self, now: Seconds) -> WriterAction {
         if self.in_flight.len() >= IN_FLIGHT {
-            return Next::Nothing;
+            return WriterAction::Nothing;
         }
         // The same sum as told below: a writer that waits until then finds the message gone.
         while self.left_at.front().is_some_and(|at| at + self.cap.span + CAP_SLACK <= now) {
             self.left_at.pop_front();
         }
-        let Some(publication) = self.waiting.take() else { return Next::Nothing };
+        let Some(publication) = self.waiting.take() else { return WriterAction::Nothing };
         let most = match publication.change.is_urgent() {
             true => self.cap.most as usize,
             false => (f64::from(self.cap.most) * ORDINARY_PART).ceil() as usize,
         };
         if self.cap.most > 0 && self.left_at.len() >= most {
             self.waiting = Some(publication);
-            return Next::WaitUntil(self.left_at[self.left_at.len() - most] + self.cap.span + CAP_SLACK);
+            return WriterAction::WaitUntil(
+                self.left_at[self.left_at.len() - most] + self.cap.span + CAP_SLACK,
+            );
         }
         if self.cap.most > 0 {
             self.left_at.push_back(now);
         }
-        self.in_flight.push_back(Sent { publication: publication.clone(), at: now });
-        Next::Write(publication)
+        self.in_flight.push_back(InFlightDelta { publication: publication.clone(), at: now });
+        WriterAction::Write(publication)
     }
 
     /// The proxy has taken in the delta of this nonce, and so all before it; the latest mark among them.
--- a/crates/railhub-steward/src/outbox/tests.rs
+++ b/crates/railhub-steward/src/outbox/tests.rs
@@ -3,8 +3,8 @@
 
 fn take(outbox: &mut Outbox, now: Seconds) -> Option<Arc<Publication>> {
     match outbox.take(now) {
-        Next::Write(publication) => Some(publication),
-        Next::WaitUntil(_) | Next::Nothing => None,
+        WriterAction::Write(publication) => Some(publication),
+        WriterAction::WaitUntil(_) | WriterAction::Nothing => None,
     }
 }
 
@@ -105,7 +105,7 @@
         assert!(take(&mut outbox, began).is_some());
         outbox.confirm(1);
         outbox.push(line(2, 1, 2.0));
-        let Next::WaitUntil(until) = outbox.take(began + 0.5) else { panic!("the cap allows one") };
+        let WriterAction::WaitUntil(until) = outbox.take(began + 0.5) else { panic!("the cap allows one") };
         assert!(take(&mut outbox, until).is_some(), "told {until}, began {began}");
     }
 }
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -1,10 +1,10 @@
 //! The thread that owns a steward's kernel: takes in words, runs rounds, and passes on what they ask for.
 use crate::inbox::{Inbox, Word};
 use crate::installation::Installation;
-use crate::kernel::{Figures, Kernel, Surroundings};
+use crate::kernel::{ControllerCore, Environment, Figures};
 use crate::probes::Probes;
 use crate::store::StoreWriter;
-use crate::streams::Door;
+use crate::streams::StreamHandle;
 use crate::tables::Change;
 use crate::traffic::TrafficWriter;
 use railhub::{HostId, Phase, ProxyId, Seconds, SliceHandoff, SliceId};
@@ -21,7 +21,7 @@
 const WORDS_A_ROUND: usize = 4096;
 
 pub struct Owner {
-    kernel: Kernel<Arc<Door>>,
+    kernel: ControllerCore<Arc<StreamHandle>>,
     around: Around,
     inbox: Arc<Inbox>,
     /// The last look brought nothing but words on deltas.
@@ -30,7 +30,7 @@
 }
 
 /// Where an owner's orders go besides the proxies.
-pub struct Outlets {
+pub struct CommandTargets {
     pub probes: Probes,
     pub store: Option<Arc<StoreWriter>>,
     pub traffic: Option<TrafficWriter>,
@@ -39,10 +39,10 @@
 /// What the kernel asks of the rest of the process.
 struct Around {
     class_names: Vec<String>,
-    outlets: Outlets,
+    outlets: CommandTargets,
 }
 
-impl Surroundings for Around {
+impl Environment for Around {
     fn probe(&mut self, host: HostId) {
         self.outlets.probes.ask(host);
     }
@@ -92,12 +92,12 @@
         installation: Installation,
         incarnation: Option<u64>,
         inbox: Arc<Inbox>,
-        outlets: Outlets,
+        outlets: CommandTargets,
         shown: Arc<Mutex<Figures>>,
     ) -> Owner {
         let now = now();
         let around = Around { class_names: installation.class_names.clone(), outlets };
-        let kernel = Kernel::new(installation, incarnation.unwrap_or((now * 1e9) as u64), now);
+        let kernel = ControllerCore::new(installation, incarnation.unwrap_or((now * 1e9) as u64), now);
         Owner { kernel, around, inbox, only_acks: false, shown }
     }
 
--- a/crates/railhub-steward/src/probes.rs
+++ b/crates/railhub-steward/src/probes.rs
@@ -2,7 +2,7 @@
 //! decisions ask again each turn, and a missing answer proves nothing.
 use crate::inbox::{Inbox, Word};
 use railhub::{HealthCheckOutcome, HealthCheckResult, HostId, Seconds};
-use railhub_net::http::{Caller, HttpFault};
+use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Pool};
 use std::sync::Arc;
 
@@ -24,9 +24,9 @@
     let Some(address) = host.address() else { return HealthCheckOutcome::Unreachable };
     match Caller::new(address, seconds(within)).call("GET", "/probe", &[]) {
         Ok(_) => HealthCheckOutcome::Answered,
-        Err(HttpFault::Status(503)) => HealthCheckOutcome::Rejected,
-        Err(HttpFault::Silent | HttpFault::Status(_)) => HealthCheckOutcome::Failed,
-        Err(HttpFault::Unreached(_) | HttpFault::Broken(_) | HttpFault::Ended | HttpFault::Malformed(_)) => {
+        Err(HttpError::Status(503)) => HealthCheckOutcome::Rejected,
+        Err(HttpError::Silent | HttpError::Status(_)) => HealthCheckOutcome::Failed,
+        Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended | HttpError::Malformed(_)) => {
             HealthCheckOutcome::Unreachable
         }
     }
--- a/crates/railhub-steward/src/roster.rs
+++ b/crates/railhub-steward/src/roster.rs
@@ -1,7 +1,7 @@
 //! Follows the host list: asks for what is newer than what it has, and waits for the answer.
 use crate::inbox::{Inbox, Word};
 use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
-use railhub_net::http::{Caller, HttpFault};
+use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Task};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -57,21 +57,21 @@
     })
 }
 
-fn ask(caller: &mut Caller, version: u64) -> Result<(u64, EndpointList), HttpFault> {
+fn ask(caller: &mut Caller, version: u64) -> Result<(u64, EndpointList), HttpError> {
     let page: Page = caller.ask(&format!("/hosts?after={version}"))?;
     let entries = page.hosts.iter().map(listed).collect::<Result<_, _>>()?;
     Ok((page.version, EndpointList { whole: page.whole, entries }))
 }
 
-fn listed(entry: &PageEntry) -> Result<EndpointEntry, HttpFault> {
+fn listed(entry: &PageEntry) -> Result<EndpointEntry, HttpError> {
     let phase = match entry.phase.as_str() {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
         "gone" => Phase::Gone,
-        other => return Err(HttpFault::Malformed(format!("phase {other} of {}", entry.host))),
+        other => return Err(HttpError::Malformed(format!("phase {other} of {}", entry.host))),
     };
     if !(entry.weight.is_finite() && entry.weight >= 0.0) {
-        return Err(HttpFault::Malformed(format!("weight {} of {}", entry.weight, entry.host)));
+        return Err(HttpError::Malformed(format!("weight {} of {}", entry.weight, entry.host)));
     }
     let started = entry.started.filter(|at| at.is_finite());
     Ok(EndpointEntry {
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -1,15 +1,15 @@
 //! Starts a steward's parts in their order, and stops them.
-use crate::fleet::{FleetFigures, FleetService, Shares};
+use crate::fleet::{FleetFigures, FleetService, SliceSharing};
 use crate::inbox::{inbox, Inbox, Word};
 use crate::installation::Installation;
 use crate::kernel::Figures;
-use crate::leases::LeaseBook;
+use crate::leases::LeaseTable;
 use crate::outbox::MessageCap;
-use crate::owner::{Outlets, Owner};
+use crate::owner::{CommandTargets, Owner};
 use crate::probes;
 use crate::roster;
 use crate::store::StoreWriter;
-use crate::streams::{serve, Doors, StreamTerms};
+use crate::streams::{serve, StreamRegistry, StreamTerms};
 use crate::traffic::TrafficWriter;
 use railhub_membership::table::Safeguard;
 use railhub_net::{now, Listener, Task};
@@ -20,7 +20,7 @@
 use thiserror::Error;
 
 #[derive(Debug, Error)]
-pub enum StartFault {
+pub enum StartError {
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     #[error("cannot write traffic: {0}")]
@@ -41,7 +41,7 @@
 }
 
 impl Running {
-    pub fn start(installation: Installation) -> Result<Running, StartFault> {
+    pub fn start(installation: Installation) -> Result<Running, StartError> {
         let traffic = TrafficWriter::start(&installation, now())?;
         let inbox = Arc::new(inbox());
         let shown = Arc::new(Mutex::new(Figures::default()));
@@ -51,21 +51,21 @@
             streams_most: installation.streams_most,
             cap: MessageCap { most: installation.terms.message_cap, span: installation.terms.messages_span },
         };
-        let doors = Arc::new(Doors::default());
+        let doors = Arc::new(StreamRegistry::default());
         let overruns =
             installation.fleet.as_ref().is_some_and(|fleet| fleet.without == Some(Safeguard::LeaseEnd));
         let sharing = installation.fleet.as_ref().filter(|fleet| fleet.share);
-        let leases = sharing.map(|fleet| Arc::new(LeaseBook::new(fleet.clock, overruns)));
+        let leases = sharing.map(|fleet| Arc::new(LeaseTable::new(fleet.clock, overruns)));
         let (taking, writing) = (inbox.clone(), leases.clone());
         let each = move |stream, _| serve(stream, &taking, &doors, streams, writing.clone());
         let listener = Listener::open(installation.listen, each)
-            .map_err(|e| StartFault::Listen(installation.listen, e))?;
+            .map_err(|e| StartError::Listen(installation.listen, e))?;
         let store = installation.store.map(|store| match installation.shares() {
             true => StoreWriter::share(store),
             false => StoreWriter::start(store, inbox.clone()),
         });
         let store = store.map(Arc::new);
-        let shares = store.clone().zip(leases).map(|(store, leases)| Shares {
+        let shares = store.clone().zip(leases).map(|(store, leases)| SliceSharing {
             store,
             inbox: inbox.clone(),
             leases,
@@ -73,14 +73,14 @@
         });
         let fleet = installation.fleet.as_ref().map(|terms| {
             FleetService::start(terms, shown.clone(), shares, installation.terms.slices)
-                .map_err(|e| StartFault::Fleet(terms.listen, e))
+                .map_err(|e| StartError::Fleet(terms.listen, e))
         });
         let fleet = fleet.transpose()?;
         let probes = probes::start(installation.probes_at_once, installation.probe_within, &inbox);
         let roster = roster::follow(installation.roster, inbox.clone());
         // Where stewards share, versions and leases are of the same process.
         let incarnation = fleet.as_ref().filter(|_| installation.shares()).map(|fleet| fleet.process);
-        let outlets = Outlets { probes, store, traffic };
+        let outlets = CommandTargets { probes, store, traffic };
         let owner = Owner::new(installation, incarnation, inbox.clone(), outlets, shown.clone());
         let owner = std::thread::spawn(move || owner.run());
         tracing::info!(address = %listener.address, "the steward listens");
--- a/crates/railhub-steward/src/standing.rs
+++ b/crates/railhub-steward/src/standing.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct PublishedState {
     /// Slices whose leases are over, with the hosts of their tables.
     slices: BTreeMap<SliceId, Vec<HostId>>,
     phases: BTreeMap<HostId, Phase>,
@@ -14,7 +14,7 @@
     ours: BTreeSet<HostId>,
 }
 
-impl Standing {
+impl PublishedState {
     /// The list, as the decisions hear it; hosts that it has dropped are gone.
     pub fn hear(&mut self, list: &EndpointList) {
         if list.whole {
--- a/crates/railhub-steward/src/standing/tests.rs
+++ b/crates/railhub-steward/src/standing/tests.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_host_that_drains_is_left_once_and_let_in_when_the_slice_is_settled() {
-    let (mut standing, said) = (Standing::default(), BTreeSet::new());
+    let (mut standing, said) = (PublishedState::default(), BTreeSet::new());
     standing.hear(&list(&[(1, Phase::Ready), (2, Phase::Ready)]));
     standing.stands(SliceId(4), vec![host(1), host(2)]);
     assert!(standing.words(true, &said).is_empty());
@@ -31,7 +31,7 @@
 
 #[test]
 fn of_two_that_drain_the_first_is_left_and_the_last_of_a_slice_is_not() {
-    let (mut standing, said) = (Standing::default(), BTreeSet::new());
+    let (mut standing, said) = (PublishedState::default(), BTreeSet::new());
     standing.hear(&list(&[(1, Phase::Draining), (2, Phase::Ready), (3, Phase::Ready)]));
     standing.stands(SliceId(1), vec![host(1), host(2)]);
     standing.stands(SliceId(2), vec![host(1), host(3)]);
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -3,11 +3,11 @@
 //!
 //! Tables that wait go first, then the question: what a steward gives up is written before another can be granted it.
 use crate::inbox::{Inbox, Word};
-use crate::kernel::Gained;
+use crate::kernel::SliceAcquired;
 use may::sync::{Mutex, Semphore};
 use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
 use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
-use railhub_net::http::{Caller, HttpFault};
+use railhub_net::http::{Caller, HttpError};
 use railhub_net::{now, seconds, Task};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -86,14 +86,14 @@
     }
 
     /// As it comes into charge. A state that cannot be believed is left out, and the slice is taken without.
-    pub fn gained(self, epoch: u64) -> Gained {
+    pub fn gained(self, epoch: u64) -> SliceAcquired {
         let told = self.state.as_ref().and_then(|state| serde_json::from_value(state.clone()).ok());
         let read = told.and_then(|state: StoredState| state.read());
         if self.state.is_some() && read.is_none() {
             tracing::warn!(slice = self.slice, "what the former steward told of a slice cannot be believed");
         }
         let state = read.zip(Some(self.age)).filter(|(_, age)| *age >= 0.0);
-        Gained { charge: self.charge(), epoch, state }
+        SliceAcquired { charge: self.charge(), epoch, state }
     }
 }
 
@@ -106,11 +106,11 @@
 }
 
 type Lines = Vec<(HostId, f64)>;
-type Waiting = BTreeMap<SliceId, Told>;
+type Waiting = BTreeMap<SliceId, PendingWrite>;
 
 /// What waits to be written of a slice.
 #[derive(Clone, Debug)]
-struct Told {
+struct PendingWrite {
     epoch: u64,
     lines: Lines,
     state: Option<StoredState>,
@@ -167,13 +167,13 @@
             .waiting
             .lock()
             .expect("no holder panics")
-            .insert(slice, Told { epoch, lines, state: None });
+            .insert(slice, PendingWrite { epoch, lines, state: None });
         self.shared.wake.post();
     }
 
     /// The table of a slice that is given up, with what its heir is told.
     pub fn hand_on(&self, slice: SliceId, epoch: u64, lines: Lines, state: SliceHandoff) {
-        let told = Told { epoch, lines, state: Some(StoredState::of(&state)) };
+        let told = PendingWrite { epoch, lines, state: Some(StoredState::of(&state)) };
         self.shared.waiting.lock().expect("no holder panics").insert(slice, told);
     }
 
@@ -244,7 +244,7 @@
 }
 
 /// Writes what waits; what could not be written waits on, unless there is a later word on it.
-fn write(caller: &mut Caller, shared: &Shared) -> Result<(), HttpFault> {
+fn write(caller: &mut Caller, shared: &Shared) -> Result<(), HttpError> {
     let batch = std::mem::take(&mut *shared.waiting.lock().expect("no holder panics"));
     if batch.is_empty() {
         return Ok(());
@@ -270,7 +270,7 @@
 }
 
 /// The slices that the store refuses.
-fn put(caller: &mut Caller, batch: &Waiting) -> Result<Vec<u16>, HttpFault> {
+fn put(caller: &mut Caller, batch: &Waiting) -> Result<Vec<u16>, HttpError> {
     let lines =
         |lines: &Lines| lines.iter().filter_map(|(host, weight)| Some((host.address()?, *weight))).collect();
     let tables: Vec<StoredTable> = (batch.iter())
@@ -285,7 +285,7 @@
     caller.exchange("PUT", "/tables", &tables)
 }
 
-fn question(caller: &mut Caller, shared: &Shared) -> Result<(), HttpFault> {
+fn question(caller: &mut Caller, shared: &Shared) -> Result<(), HttpError> {
     let asked = shared.question.lock().expect("no holder panics").take();
     let Some((_, request)) = asked.filter(|(at, _)| now() - at < QUESTION_LASTS) else { return Ok(()) };
     let leased = caller.exchange("POST", "/leases", &request)?;
--- a/crates/railhub-steward/src/streams.rs
+++ b/crates/railhub-steward/src/streams.rs
@@ -2,9 +2,9 @@
 use crate::claims::Allowance;
 use crate::inbox::{Inbox, Report, StreamId, Word};
 use crate::intake;
-use crate::kernel::Gate;
-use crate::leases::LeaseBook;
-use crate::outbox::{MessageCap, Next, Outbox, Publication};
+use crate::kernel::ProxyChannel;
+use crate::leases::LeaseTable;
+use crate::outbox::{MessageCap, Outbox, Publication, WriterAction};
 use crate::tables::Change;
 use may::net::TcpStream;
 use may::sync::{Mutex, Semphore};
@@ -25,11 +25,11 @@
 }
 
 /// Between the owner and a stream's writer.
-pub struct Door {
+pub struct StreamHandle {
     inner: Mutex<Inner>,
     wake: Semphore,
     /// What this steward may order, where it shares the slices with others.
-    leases: Option<Arc<LeaseBook>>,
+    leases: Option<Arc<LeaseTable>>,
 }
 
 struct Inner {
@@ -37,10 +37,10 @@
     goodbye: Option<String>,
 }
 
-impl Door {
-    fn new(cap: MessageCap, leases: Option<Arc<LeaseBook>>) -> Door {
+impl StreamHandle {
+    fn new(cap: MessageCap, leases: Option<Arc<LeaseTable>>) -> StreamHandle {
         let inner = Inner { outbox: Outbox::new(cap), goodbye: None };
-        Door { inner: Mutex::new(inner), wake: Semphore::new(0), leases }
+        StreamHandle { inner: Mutex::new(inner), wake: Semphore::new(0), leases }
     }
 
     /// The bytes of a delta without what may not be ordered at this moment: it was decided under leases that are
@@ -61,7 +61,7 @@
     }
 }
 
-impl Gate for Arc<Door> {
+impl ProxyChannel for Arc<StreamHandle> {
     fn push(&self, publication: Arc<Publication>) {
         self.with(|inner| inner.outbox.push(publication));
         self.wake.post();
@@ -108,7 +108,7 @@
 
 /// Counts streams and gives each its number.
 #[derive(Default)]
-pub struct Doors {
+pub struct StreamRegistry {
     last: AtomicU64,
     open: AtomicUsize,
 }
@@ -117,9 +117,9 @@
 pub fn serve(
     stream: TcpStream,
     inbox: &Arc<Inbox>,
-    doors: &Arc<Doors>,
+    doors: &Arc<StreamRegistry>,
     terms: StreamTerms,
-    leases: Option<Arc<LeaseBook>>,
+    leases: Option<Arc<LeaseTable>>,
 ) {
     if doors.open.fetch_add(1, Ordering::Relaxed) >= terms.streams_most {
         doors.open.fetch_sub(1, Ordering::Relaxed);
@@ -143,7 +143,7 @@
     mut writer: FrameWriter,
     inbox: &Arc<Inbox>,
     terms: StreamTerms,
-    leases: Option<Arc<LeaseBook>>,
+    leases: Option<Arc<LeaseTable>>,
 ) {
     reader.patience(Some(terms.first_within));
     writer.patience(terms.silent_after);
@@ -156,7 +156,7 @@
         }
     };
     let (proxy, zone) = (ProxyId(subscribe.proxy as u16), ZoneId(subscribe.zone as u16));
-    let door = Arc::new(Door::new(terms.cap, leases));
+    let door = Arc::new(StreamHandle::new(terms.cap, leases));
     let (_ending, behind) = (Ending(door.clone()), door.clone());
     go(move || write(writer, &behind));
     inbox.tell(Word::Joins { stream: id, subscribe, door: door.clone() });
@@ -175,7 +175,7 @@
 }
 
 /// Ends the writer however the reader ends.
-struct Ending(Arc<Door>);
+struct Ending(Arc<StreamHandle>);
 
 impl Drop for Ending {
     fn drop(&mut self) {
@@ -226,7 +226,7 @@
 }
 
 /// Writes what the outbox gives until the stream ends. It holds no lock while it writes.
-fn write(mut writer: FrameWriter, door: &Arc<Door>) {
+fn write(mut writer: FrameWriter, door: &Arc<StreamHandle>) {
     loop {
         let next = door.with(|inner| match inner.goodbye.clone() {
             Some(reason) => Err(reason),
@@ -234,13 +234,13 @@
         });
         match next {
             Err(reason) => return say_goodbye(&mut writer, &reason),
-            Ok(Next::Nothing) => door.wake.wait(),
-            Ok(Next::WaitUntil(until)) => {
+            Ok(WriterAction::Nothing) => door.wake.wait(),
+            Ok(WriterAction::WaitUntil(until)) => {
                 let waking = door.clone();
                 after(until - now(), move || waking.wake.post());
                 door.wake.wait();
             }
-            Ok(Next::Write(publication)) => {
+            Ok(WriterAction::Write(publication)) => {
                 let lawful = door.lawful(&publication);
                 if writer.send_bytes(lawful.as_ref().unwrap_or(&publication.bytes)).is_err() {
                     return writer.close();
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -7,7 +7,7 @@
 use railhub_ini::Sheet;
 use railhub_proto::{SliceSum, Subscribe, Sums};
 use railhub_steward::inbox::StreamId;
-use railhub_steward::kernel::{Gained, Gate, Kernel, Surroundings};
+use railhub_steward::kernel::{ControllerCore, Environment, ProxyChannel, SliceAcquired};
 use railhub_steward::outbox::Publication;
 use railhub_steward::tables::Change;
 use railhub_steward::Installation;
@@ -15,9 +15,9 @@
 
 /// A proxy that confirms nothing and keeps what it is sent.
 #[derive(Clone, Default)]
-struct Sent(Arc<Mutex<Vec<Arc<Publication>>>>);
+struct InFlightDelta(Arc<Mutex<Vec<Arc<Publication>>>>);
 
-impl Gate for Sent {
+impl ProxyChannel for InFlightDelta {
     fn push(&self, publication: Arc<Publication>) {
         self.0.lock().expect("whole").push(publication);
     }
@@ -44,7 +44,7 @@
     handed_on: Vec<(SliceId, u64, SliceHandoff)>,
 }
 
-impl Surroundings for Around {
+impl Environment for Around {
     fn probe(&mut self, _: HostId) {}
     fn store(&mut self, _: SliceId, _: u64, _: Vec<(HostId, f64)>) {}
     fn hand_on(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceHandoff) {
@@ -62,27 +62,27 @@
     HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
 }
 
-fn kernel(process: u64) -> Kernel<Sent> {
+fn kernel(process: u64) -> ControllerCore<InFlightDelta> {
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
     let installation = Installation::read(&Sheet::read("s.ini", text).expect("readable")).expect("right");
     let classes = vec![ClassConfig { contract_time: 1.0, gain: 1.0, repeat: Idempotency::Safe }];
     let terms = ControllerConfig { classes, ..installation.terms.clone() };
-    let mut kernel = Kernel::new(Installation { terms, ..installation }, process, 0.0);
+    let mut kernel = ControllerCore::new(Installation { terms, ..installation }, process, 0.0);
     let entry =
         |n| EndpointEntry { host: host(n), phase: Phase::Ready, started: None, weight: 4.0, kind: KindId(0) };
     kernel.hear_list(EndpointList { whole: true, entries: (1..4).map(entry).collect() });
     kernel
 }
 
-fn gained(epoch: u64, state: Option<(SliceHandoff, Seconds)>) -> Vec<Gained> {
+fn gained(epoch: u64, state: Option<(SliceHandoff, Seconds)>) -> Vec<SliceAcquired> {
     let charge = SliceAssignment { slice: SLICE, given: true, lines: vec![(host(1), 1.0)] };
-    vec![Gained { charge, epoch, state }]
+    vec![SliceAcquired { charge, epoch, state }]
 }
 
 /// A second of the kernel's life, with what a proxy met meanwhile.
-fn second(kernel: &mut Kernel<Sent>, now: Seconds, operations: u32, around: &mut Around) {
+fn second(kernel: &mut ControllerCore<InFlightDelta>, now: Seconds, operations: u32, around: &mut Around) {
     let demand = vec![SliceSum { slice: SLICE.0.into(), class: 0, operations }];
     let sums = Sums { span: 1.0, hosts: Vec::new(), demand };
     kernel.take_sums(StreamId(1), ProxyId(0), ZoneId(0), &sums);
@@ -93,8 +93,8 @@
     kernel.act(now, || now, around);
 }
 
-fn join(kernel: &mut Kernel<Sent>, around: &mut Around) -> Sent {
-    let gate = Sent::default();
+fn join(kernel: &mut ControllerCore<InFlightDelta>, around: &mut Around) -> InFlightDelta {
+    let gate = InFlightDelta::default();
     kernel.join(0.0, StreamId(1), Subscribe { process: 5, ..Subscribe::default() }, gate.clone(), around);
     gate
 }
--- a/crates/railhub-versions/src/process.rs
+++ b/crates/railhub-versions/src/process.rs
@@ -1,8 +1,8 @@
 //! The program that decides. It is asked and waited for: a simulated run goes on when it has answered.
 use crate::wire;
 use railhub::{ControllerConfig, EventBatch};
-use railhub_steward::decides::Decides;
-use railhub_steward::draft::Draft;
+use railhub_steward::decides::DecisionEngine;
+use railhub_steward::draft::DeltaBuilder;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -101,7 +101,7 @@
         Ok((version, fault))
     }
 
-    fn ask(&mut self, round: &EventBatch, draft: &mut Draft) -> Result<(), String> {
+    fn ask(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) -> Result<(), String> {
         let batch = wire::batch(round, self.start.take().as_deref());
         let to = self.to.as_ref().ok_or("has no input")?;
         if to.try_send(batch).is_err() {
@@ -126,13 +126,13 @@
     }
 }
 
-impl Decides for Version {
-    fn round(&mut self, round: &EventBatch, draft: &mut Draft) {
+impl DecisionEngine for Version {
+    fn round(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) {
         if self.to.is_none() {
             return;
         }
         if let Err(what) = self.ask(round, draft) {
-            *draft = Draft::default();
+            *draft = DeltaBuilder::default();
             self.to = None;
             let program = self.program.display().to_string();
             *self.fault.lock().expect("no holder panics") = Some(Fault { program, what });
--- a/crates/railhub-versions/src/wire.rs
+++ b/crates/railhub-versions/src/wire.rs
@@ -3,7 +3,7 @@
     BarrierId, ClassId, CommandSink, ControllerConfig, EventBatch, HealthCheckOutcome, HostId, Idempotency,
     Phase, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
 };
-use railhub_steward::draft::Draft;
+use railhub_steward::draft::DeltaBuilder;
 use std::fmt::{Display, Write};
 use std::str::FromStr;
 
@@ -177,7 +177,7 @@
 
 /// Takes one line of a reply into a draft; whether it was the last. An order that proxies here do not know is a
 /// fault: left out in silence, it would make the version look worse or better than it is.
-pub fn take_in(line: &str, classes: usize, draft: &mut Draft) -> Result<bool, String> {
+pub fn take_in(line: &str, classes: usize, draft: &mut DeltaBuilder) -> Result<bool, String> {
     let text = line.trim_end();
     let name = text.split(' ').next().unwrap_or_default();
     let action = Action { text, name };
@@ -209,7 +209,7 @@
     Ok(false)
 }
 
-fn throttle(action: &Action, classes: usize, draft: &mut Draft) -> Result<(), String> {
+fn throttle(action: &Action, classes: usize, draft: &mut DeltaBuilder) -> Result<(), String> {
     if action.get::<u16>("sheet")? != ALL_TABLES {
         return Err(action.wrong("sheet", "names one table: levels of one table are not known here"));
     }
--- a/crates/railhub-versions/src/wire/tests.rs
+++ b/crates/railhub-versions/src/wire/tests.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn orders_are_read_and_those_unknown_here_are_refused() {
-    let mut draft = Draft::default();
+    let mut draft = DeltaBuilder::default();
     let mut read = |line: &str| take_in(line, 2, &mut draft);
     assert_eq!(read("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(false));
     assert_eq!(read("THROTTLE sheet=65535 only=2 amount=0.75 second_try=2"), Ok(false));
@@ -67,6 +67,6 @@
     /// What a broken version writes is an error or an order, never a panic.
     #[test]
     fn no_line_of_a_reply_can_bring_us_down(line in "(SET_LINE|THROTTLE|AFTER|BENCH|BARRIER|HAND_TABLE)?( [a-z_]{1,9}=[-0-9a-zA-Z.:]{0,24}){0,5}") {
-        let _ = take_in(&line, 64, &mut Draft::default());
+        let _ = take_in(&line, 64, &mut DeltaBuilder::default());
     }
 }
