--- a/crates/railhub-proto/src/frame/tests.rs
+++ b/crates/railhub-proto/src/frame/tests.rs
@@ -2,7 +2,7 @@
 use crate::{from_proxy, Ack, FromProxy};
 
 fn ack(nonce: u64) -> FromProxy {
-    FromProxy { word: Some(from_proxy::Word::Ack(Ack { nonce })) }
+    FromProxy { payload: Some(from_proxy::Payload::Ack(Ack { nonce })) }
 }
 
 #[test]
--- a/crates/railhub-proto/src/messages.rs
+++ b/crates/railhub-proto/src/messages.rs
@@ -11,14 +11,14 @@
 
 #[derive(Clone, PartialEq, Message)]
 pub struct FromProxy {
-    #[prost(oneof = "from_proxy::Word", tags = "1, 2, 3, 4")]
-    pub word: Option<from_proxy::Word>,
+    #[prost(oneof = "from_proxy::Payload", tags = "1, 2, 3, 4")]
+    pub payload: Option<from_proxy::Payload>,
 }
 
 pub mod from_proxy {
     use super::*;
     #[derive(Clone, PartialEq, Oneof)]
-    pub enum Word {
+    pub enum Payload {
         #[prost(message, tag = "1")]
         Subscribe(Subscribe),
         #[prost(message, tag = "2")]
@@ -101,14 +101,14 @@
 
 #[derive(Clone, PartialEq, Message)]
 pub struct FromSteward {
-    #[prost(oneof = "from_steward::Word", tags = "1, 2")]
-    pub word: Option<from_steward::Word>,
+    #[prost(oneof = "from_steward::Payload", tags = "1, 2")]
+    pub payload: Option<from_steward::Payload>,
 }
 
 pub mod from_steward {
     use super::*;
     #[derive(Clone, PartialEq, Oneof)]
-    pub enum Word {
+    pub enum Payload {
         #[prost(message, tag = "1")]
         Delta(Delta),
         #[prost(message, tag = "2")]
@@ -214,14 +214,14 @@
 /// From a proxy to a host.
 #[derive(Clone, PartialEq, Message)]
 pub struct ToHost {
-    #[prost(oneof = "to_host::Word", tags = "1, 2, 3")]
-    pub word: Option<to_host::Word>,
+    #[prost(oneof = "to_host::Payload", tags = "1, 2, 3")]
+    pub payload: Option<to_host::Payload>,
 }
 
 pub mod to_host {
     use super::*;
     #[derive(Clone, PartialEq, Oneof)]
-    pub enum Word {
+    pub enum Payload {
         #[prost(message, tag = "1")]
         Hail(Hail),
         #[prost(message, tag = "2")]
@@ -266,14 +266,14 @@
 
 #[derive(Clone, PartialEq, Message)]
 pub struct FromHost {
-    #[prost(oneof = "from_host::Word", tags = "1, 2")]
-    pub word: Option<from_host::Word>,
+    #[prost(oneof = "from_host::Payload", tags = "1, 2")]
+    pub payload: Option<from_host::Payload>,
 }
 
 pub mod from_host {
     use super::*;
     #[derive(Clone, PartialEq, Oneof)]
-    pub enum Word {
+    pub enum Payload {
         #[prost(message, tag = "1")]
         Hello(HostHello),
         #[prost(message, tag = "2")]
--- a/crates/railhub-standin/src/host.rs
+++ b/crates/railhub-standin/src/host.rs
@@ -269,17 +269,17 @@
             state.connections.insert(state.last_connection, writer.clone());
             (state.last_connection, state.started)
         });
-        while let Ok(ToHost { word: Some(word) }) = reader.receive() {
+        while let Ok(ToHost { payload: Some(word) }) = reader.receive() {
             match word {
-                to_host::Word::Hail(_) => {
-                    let hello = from_host::Word::Hello(HostHello { started });
+                to_host::Payload::Hail(_) => {
+                    let hello = from_host::Payload::Hello(HostHello { started });
                     say(&writer, hello);
                 }
-                to_host::Word::Operation(operation) => {
+                to_host::Payload::Operation(operation) => {
                     let writer = writer.clone();
                     self.clone().take(Job { connection, writer, operation, came: now() });
                 }
-                to_host::Word::Cancel(cancel) => self.with(|state| {
+                to_host::Payload::Cancel(cancel) => self.with(|state| {
                     if state
                         .queue
                         .iter()
@@ -319,7 +319,7 @@
             Taken::Waits => {}
             Taken::Full => {
                 let answer = Answer { try_id, ending: Ending::Refused.into(), busy: Some(1.0) };
-                say(&writer, from_host::Word::Answer(answer));
+                say(&writer, from_host::Payload::Answer(answer));
             }
         }
     }
@@ -436,7 +436,7 @@
         });
         if !lost {
             let answer = Answer { try_id: job.operation.try_id, ending: ending.into(), busy };
-            say(&job.writer, from_host::Word::Answer(answer));
+            say(&job.writer, from_host::Payload::Answer(answer));
         }
     }
 }
@@ -472,6 +472,6 @@
     }
 }
 
-fn say(writer: &Mutex<FrameWriter>, word: from_host::Word) {
-    let _ = writer.lock().expect("no holder panics").send(&FromHost { word: Some(word) });
+fn say(writer: &Mutex<FrameWriter>, word: from_host::Payload) {
+    let _ = writer.lock().expect("no holder panics").send(&FromHost { payload: Some(word) });
 }
--- a/crates/railhub-standin/src/lane.rs
+++ b/crates/railhub-standin/src/lane.rs
@@ -86,7 +86,7 @@
         self.pending.lock().expect("no holder panics").insert(try_id, (connection, pending.clone()));
         sent();
         let operation = Operation { try_id, ..operation };
-        if say(&writer, to_host::Word::Operation(operation)).is_err() {
+        if say(&writer, to_host::Payload::Operation(operation)).is_err() {
             self.pending.lock().expect("no holder panics").remove(&try_id);
             return CallEnd::Failed;
         }
@@ -98,7 +98,7 @@
             return end;
         }
         self.pending.lock().expect("no holder panics").remove(&try_id);
-        let _ = say(&writer, to_host::Word::Cancel(Cancel { try_id }));
+        let _ = say(&writer, to_host::Payload::Cancel(Cancel { try_id }));
         CallEnd::TimedOut
     }
 
@@ -110,8 +110,10 @@
         let stream = connect(self.host, seconds(self.within)).ok()?;
         let (mut reader, mut writer) = split(stream, OPERATION_LIMIT).ok()?;
         reader.patience(Some(self.within));
-        writer.send(&ToHost { word: Some(to_host::Word::Hail(Hail { proxy: self.proxy })) }).ok()?;
-        let FromHost { word: Some(from_host::Word::Hello(_)) } = reader.receive().ok()? else { return None };
+        writer.send(&ToHost { payload: Some(to_host::Payload::Hail(Hail { proxy: self.proxy })) }).ok()?;
+        let FromHost { payload: Some(from_host::Payload::Hello(_)) } = reader.receive().ok()? else {
+            return None;
+        };
         reader.patience(None);
         let writer = Arc::new(Mutex::new(writer));
         open.0 += 1;
@@ -122,8 +124,8 @@
     }
 
     fn follow(&self, connection: u64, mut reader: FrameReader) {
-        while let Ok(FromHost { word: Some(word) }) = reader.receive() {
-            if let from_host::Word::Answer(answer) = word {
+        while let Ok(FromHost { payload: Some(word) }) = reader.receive() {
+            if let from_host::Payload::Answer(answer) = word {
                 self.finish(&answer);
             }
         }
@@ -160,6 +162,6 @@
     }
 }
 
-fn say(writer: &Mutex<FrameWriter>, word: to_host::Word) -> std::io::Result<()> {
-    writer.lock().expect("no holder panics").send(&ToHost { word: Some(word) })
+fn say(writer: &Mutex<FrameWriter>, word: to_host::Payload) -> std::io::Result<()> {
+    writer.lock().expect("no holder panics").send(&ToHost { payload: Some(word) })
 }
--- a/crates/railhub-standin/src/proxy.rs
+++ b/crates/railhub-standin/src/proxy.rs
@@ -191,7 +191,7 @@
         };
         let (proxy, zone) = (self.facts.number, self.facts.zone);
         let subscribe = Subscribe { proxy, zone, process, incarnation, version };
-        let subscribe = FromProxy { word: Some(from_proxy::Word::Subscribe(subscribe)) };
+        let subscribe = FromProxy { payload: Some(from_proxy::Payload::Subscribe(subscribe)) };
         if writer.send(&subscribe).is_err() {
             return;
         }
@@ -199,14 +199,14 @@
         self.streams.lock().expect("no holder panics").insert(steward, writer.clone());
         let stream = |up| What::Stream(Stream { proxy, up, steward: steward as u32 });
         self.around.recorder.note(now(), stream(true));
-        while let Ok(FromSteward { word: Some(word) }) = reader.receive() {
+        while let Ok(FromSteward { payload: Some(word) }) = reader.receive() {
             match word {
-                from_steward::Word::Delta(delta) => {
+                from_steward::Payload::Delta(delta) => {
                     if self.receive(steward, delta, &writer).is_err() {
                         break;
                     }
                 }
-                from_steward::Word::Goodbye(goodbye) => {
+                from_steward::Payload::Goodbye(goodbye) => {
                     tracing::debug!(proxy, reason = goodbye.reason, "the steward ends the stream");
                     break;
                 }
@@ -234,13 +234,13 @@
         let answered = Answered { proxy, nonce, refused, steward: steward as u32, left_out };
         recorder.note(now(), What::Answered(answered));
         let word = match taken {
-            Ok(_) => from_proxy::Word::Ack(Ack { nonce }),
+            Ok(_) => from_proxy::Payload::Ack(Ack { nonce }),
             Err(reason) => {
                 self.held.lock().expect("no holder panics").of_mut(steward).has_gap = true;
-                from_proxy::Word::Refusal(Refusal { nonce, reason })
+                from_proxy::Payload::Refusal(Refusal { nonce, reason })
             }
         };
-        writer.lock().expect("no holder panics").send(&FromProxy { word: Some(word) })
+        writer.lock().expect("no holder panics").send(&FromProxy { payload: Some(word) })
     }
 
     /// What a broken link or a broken proxy makes of a delta; nothing on an honest day.
@@ -276,7 +276,7 @@
             go(move || {
                 may::coroutine::sleep(seconds(proxy.facts.report_late + extra));
                 let streams = proxy.streams.lock().expect("no holder panics").clone();
-                let sums = FromProxy { word: Some(from_proxy::Word::Sums(sums)) };
+                let sums = FromProxy { payload: Some(from_proxy::Payload::Sums(sums)) };
                 for writer in streams.into_values() {
                     let _ = writer.lock().expect("no holder panics").send(&sums);
                 }
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -162,7 +162,7 @@
         let mut stream = subscribe(address, number);
         if let Some(sums) = report {
             let mut writer = stream.try_clone().expect("handles left");
-            let sums = frame(&FromProxy { word: Some(from_proxy::Word::Sums(sums)) });
+            let sums = frame(&FromProxy { payload: Some(from_proxy::Payload::Sums(sums)) });
             go(move || loop {
                 may::coroutine::sleep(seconds(1.0));
                 if writer.write_all(&sums).is_err() {
@@ -181,7 +181,7 @@
                 return;
             }
             let Some(nonce) = nonce(&body) else { return };
-            let ack = frame(&FromProxy { word: Some(from_proxy::Word::Ack(Ack { nonce })) });
+            let ack = frame(&FromProxy { payload: Some(from_proxy::Payload::Ack(Ack { nonce })) });
             if stream.write_all(&ack).is_err() {
                 return;
             }
@@ -198,7 +198,7 @@
     let mut stream = connect(address, seconds(5.0)).expect("it listens");
     stream.set_nodelay(true).expect("open");
     let subscribe = Subscribe { proxy: number, zone: number % 3, process: 1, incarnation: 0, version: 0 };
-    let subscribe = frame(&FromProxy { word: Some(from_proxy::Word::Subscribe(subscribe)) });
+    let subscribe = frame(&FromProxy { payload: Some(from_proxy::Payload::Subscribe(subscribe)) });
     stream.write_all(&subscribe).expect("open");
     stream
 }
@@ -243,7 +243,7 @@
             let figures = bench.wait("versions", before + 1);
             let sample = peers.sample.lock().expect("no holder panics").clone();
             let message: FromSteward = prost::Message::decode(&sample[..]).expect("a message");
-            let Some(railhub_proto::from_steward::Word::Delta(delta)) = message.word else { continue };
+            let Some(railhub_proto::from_steward::Payload::Delta(delta)) = message.payload else { continue };
             lines = delta.cost();
             times.push(f64::from_bits(peers.last.load(Ordering::Relaxed)) - delta.ordered_at);
             if bare {
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -4,7 +4,7 @@
 //! foreign, of another version or too long; the lease manager hears the message and says what to send; each letter
 //! goes to the address in its receiver's metadata. Whatever goes wrong here, the steward serves on: nothing else
 //! waits for it.
-use crate::inbox::{Inbox, Word};
+use crate::inbox::{Inbox, OwnerEvent};
 use crate::kernel::Figures;
 use crate::leases::LeaseTable;
 use crate::store::{StoreWriter, StoredTable};
@@ -403,7 +403,7 @@
         });
         let gained: Vec<_> = gained.collect();
         if !gained.is_empty() || !lost.is_empty() || !lapsed.is_empty() {
-            shares.inbox.tell(Word::Grants { gained, lost, lapsed });
+            shares.inbox.tell(OwnerEvent::Grants { gained, lost, lapsed });
         }
     }
 
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
-pub enum Word {
+pub enum OwnerEvent {
     List(EndpointList),
     Charges(Vec<SliceAssignment>),
     /// Where stewards share: slices with the epochs that they came under, those that are another's, and those whose
@@ -56,7 +56,7 @@
     pub sums: Sums,
 }
 
-pub type Inbox = railhub_net::Inbox<Word, Report>;
+pub type Inbox = railhub_net::Inbox<OwnerEvent, Report>;
 
 pub fn inbox() -> Inbox {
     Inbox::new(WORDS, SUMS)
--- a/crates/railhub-steward/src/outbox.rs
+++ b/crates/railhub-steward/src/outbox.rs
@@ -35,7 +35,7 @@
     ) -> Publication {
         let change = change.into();
         let delta = change.to_delta(incarnation, version, ordered_at);
-        let bytes = frame(&FromSteward { word: Some(from_steward::Word::Delta(delta)) });
+        let bytes = frame(&FromSteward { payload: Some(from_steward::Payload::Delta(delta)) });
         Publication { change, incarnation, version, ordered_at, mark, bytes }
     }
 
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -1,5 +1,5 @@
 //! The thread that owns a steward's kernel: takes in words, runs rounds, and passes on what they ask for.
-use crate::inbox::{Inbox, Word};
+use crate::inbox::{Inbox, OwnerEvent};
 use crate::installation::Installation;
 use crate::kernel::{ControllerCore, Environment, Figures};
 use crate::probes::Probes;
@@ -109,9 +109,9 @@
             let (mut acks, mut others) = (0, 0);
             for _ in 0..WORDS_A_ROUND {
                 match self.inbox.next_word() {
-                    Some(Word::Stop) => return,
+                    Some(OwnerEvent::Stop) => return,
                     Some(word) => {
-                        *(if matches!(word, Word::Ack { .. }) { &mut acks } else { &mut others }) += 1;
+                        *(if matches!(word, OwnerEvent::Ack { .. }) { &mut acks } else { &mut others }) += 1;
                         self.hear(word);
                     }
                     None => break,
@@ -139,21 +139,21 @@
         }
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: OwnerEvent) {
         let Owner { kernel, around, .. } = self;
         match word {
-            Word::List(list) => {
+            OwnerEvent::List(list) => {
                 let of = |phase| list.entries.iter().filter(|entry| entry.phase == phase).count();
                 let (draining, gone) = (of(Phase::Draining), of(Phase::Gone));
                 let (hosts, whole) = (list.entries.len(), list.whole);
                 tracing::info!(hosts, whole, draining, gone, "the host list has news");
                 kernel.hear_list(list);
             }
-            Word::Charges(charges) => {
+            OwnerEvent::Charges(charges) => {
                 tracing::info!(slices = charges.len(), "slices are in charge, with their tables");
                 kernel.hear_charges(charges);
             }
-            Word::Grants { gained, lost, lapsed } => {
+            OwnerEvent::Grants { gained, lost, lapsed } => {
                 let slices = |ids: &mut dyn Iterator<Item = u16>| {
                     ids.map(|id| id.to_string()).collect::<Vec<_>>().join(" ")
                 };
@@ -163,16 +163,18 @@
                 tracing::info!(come, gone, over, "slices come into charge and go");
                 kernel.hear_grants(now(), gained, &lost, &lapsed, around);
             }
-            Word::Probe(result) => kernel.hear_probe(result),
-            Word::Joins { stream, subscribe, door } => kernel.join(now(), stream, subscribe, door, around),
-            Word::Leaves { stream, proxy, why } => kernel.leave(now(), stream, proxy, &why, around),
-            Word::Ack { stream, proxy, nonce } => _ = kernel.settle(now(), proxy, stream, nonce, false),
-            Word::Refusal { stream, proxy, nonce, reason } => {
+            OwnerEvent::Probe(result) => kernel.hear_probe(result),
+            OwnerEvent::Joins { stream, subscribe, door } => {
+                kernel.join(now(), stream, subscribe, door, around)
+            }
+            OwnerEvent::Leaves { stream, proxy, why } => kernel.leave(now(), stream, proxy, &why, around),
+            OwnerEvent::Ack { stream, proxy, nonce } => _ = kernel.settle(now(), proxy, stream, nonce, false),
+            OwnerEvent::Refusal { stream, proxy, nonce, reason } => {
                 if kernel.settle(now(), proxy, stream, nonce, true) {
                     tracing::error!(proxy = proxy.0, version = nonce, reason, "a version is refused");
                 }
             }
-            Word::Stop => {}
+            OwnerEvent::Stop => {}
         }
     }
 
--- a/crates/railhub-steward/src/probes.rs
+++ b/crates/railhub-steward/src/probes.rs
@@ -1,6 +1,6 @@
 //! Probes: so many at once, each with a time-out. What does not fit the queue is not asked this time; the
 //! decisions ask again each turn, and a missing answer proves nothing.
-use crate::inbox::{Inbox, Word};
+use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{HealthCheckOutcome, HealthCheckResult, HostId, Seconds};
 use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Pool};
@@ -14,7 +14,7 @@
 pub fn start(at_once: usize, within: Seconds, inbox: &Arc<Inbox>) -> Probes {
     let inbox = inbox.clone();
     Pool::start(at_once, WAITING, move |host| {
-        inbox.tell(Word::Probe(HealthCheckResult { host, end: probe(host, within) }));
+        inbox.tell(OwnerEvent::Probe(HealthCheckResult { host, end: probe(host, within) }));
     })
 }
 
--- a/crates/railhub-steward/src/roster.rs
+++ b/crates/railhub-steward/src/roster.rs
@@ -1,5 +1,5 @@
 //! Follows the host list: asks for what is newer than what it has, and waits for the answer.
-use crate::inbox::{Inbox, Word};
+use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
 use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Task};
@@ -42,7 +42,7 @@
                     failing = false;
                     if newer != version {
                         version = newer;
-                        inbox.tell(Word::List(list));
+                        inbox.tell(OwnerEvent::List(list));
                     }
                     may::coroutine::sleep(seconds(LEAST_BETWEEN));
                 }
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -1,6 +1,6 @@
 //! Starts a steward's parts in their order, and stops them.
 use crate::fleet::{FleetFigures, FleetService, SliceSharing};
-use crate::inbox::{inbox, Inbox, Word};
+use crate::inbox::{inbox, Inbox, OwnerEvent};
 use crate::installation::Installation;
 use crate::kernel::Figures;
 use crate::leases::LeaseTable;
@@ -119,7 +119,7 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.inbox.tell(Word::Stop);
+        self.inbox.tell(OwnerEvent::Stop);
         if let Some(owner) = self.owner.take() {
             let _ = owner.join();
         }
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -2,7 +2,7 @@
 //! start; stewards that share ask for some, again and again, under leases.
 //!
 //! Tables that wait go first, then the question: what a steward gives up is written before another can be granted it.
-use crate::inbox::{Inbox, Word};
+use crate::inbox::{Inbox, OwnerEvent};
 use crate::kernel::SliceAcquired;
 use may::sync::{Mutex, Semphore};
 use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
@@ -202,7 +202,7 @@
     loop {
         match caller.ask::<Vec<StoredTable>>("/charges") {
             Ok(tables) => {
-                inbox.tell(Word::Charges(tables.into_iter().map(StoredTable::charge).collect()));
+                inbox.tell(OwnerEvent::Charges(tables.into_iter().map(StoredTable::charge).collect()));
                 return;
             }
             Err(fault) => {
--- a/crates/railhub-steward/src/streams.rs
+++ b/crates/railhub-steward/src/streams.rs
@@ -1,6 +1,6 @@
 //! The proxies' streams: a reader and a writer coroutine each, and the door between them and the owner.
 use crate::claims::Allowance;
-use crate::inbox::{Inbox, Report, StreamId, Word};
+use crate::inbox::{Inbox, OwnerEvent, Report, StreamId};
 use crate::intake;
 use crate::kernel::ProxyChannel;
 use crate::leases::LeaseTable;
@@ -159,7 +159,7 @@
     let door = Arc::new(StreamHandle::new(terms.cap, leases));
     let (_ending, behind) = (Ending(door.clone()), door.clone());
     go(move || write(writer, &behind));
-    inbox.tell(Word::Joins { stream: id, subscribe, door: door.clone() });
+    inbox.tell(OwnerEvent::Joins { stream: id, subscribe, door: door.clone() });
     reader.patience(Some(terms.silent_after));
     let mut allowance = Allowance::new(now());
     let why = loop {
@@ -171,7 +171,7 @@
         }
     };
     door.close(&why);
-    inbox.tell(Word::Leaves { stream: id, proxy, why });
+    inbox.tell(OwnerEvent::Leaves { stream: id, proxy, why });
 }
 
 /// Ends the writer however the reader ends.
@@ -185,8 +185,8 @@
 
 fn first_word(reader: &mut FrameReader) -> Result<Subscribe, String> {
     let message: FromProxy = reader.receive().map_err(|end| end.to_string())?;
-    match message.word {
-        Some(from_proxy::Word::Subscribe(subscribe)) => {
+    match message.payload {
+        Some(from_proxy::Payload::Subscribe(subscribe)) => {
             match u16::try_from(subscribe.proxy.max(subscribe.zone)) {
                 Ok(_) => Ok(subscribe),
                 Err(_) => {
@@ -208,18 +208,20 @@
     inbox: &Inbox,
 ) -> Result<(), String> {
     let message: FromProxy = reader.receive().map_err(|end: StreamEnd| end.to_string())?;
-    match message.word {
-        Some(from_proxy::Word::Ack(ack)) => inbox.tell(Word::Ack { stream, proxy, nonce: ack.nonce }),
-        Some(from_proxy::Word::Refusal(refusal)) => {
-            inbox.tell(Word::Refusal { stream, proxy, nonce: refusal.nonce, reason: refusal.reason });
+    match message.payload {
+        Some(from_proxy::Payload::Ack(ack)) => {
+            inbox.tell(OwnerEvent::Ack { stream, proxy, nonce: ack.nonce })
         }
-        Some(from_proxy::Word::Sums(sums)) => {
+        Some(from_proxy::Payload::Refusal(refusal)) => {
+            inbox.tell(OwnerEvent::Refusal { stream, proxy, nonce: refusal.nonce, reason: refusal.reason });
+        }
+        Some(from_proxy::Payload::Sums(sums)) => {
             if let Some(fault) = intake::fault(&sums) {
                 return Err(format!("sums with {fault}"));
             }
             inbox.report(Report { stream, proxy, zone, sums });
         }
-        Some(from_proxy::Word::Subscribe(_)) => return Err("a second subscription on one stream".into()),
+        Some(from_proxy::Payload::Subscribe(_)) => return Err("a second subscription on one stream".into()),
         None => return Err("a message without a word".into()),
     }
     Ok(())
@@ -253,6 +255,6 @@
 fn say_goodbye(writer: &mut FrameWriter, reason: &str) {
     writer.patience(0.2);
     let goodbye = Goodbye { reason: reason.to_owned() };
-    let _ = writer.send(&FromSteward { word: Some(from_steward::Word::Goodbye(goodbye)) });
+    let _ = writer.send(&FromSteward { payload: Some(from_steward::Payload::Goodbye(goodbye)) });
     writer.close();
 }
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -151,7 +151,7 @@
         let mut peer = Peer::new(stream, held);
         let (incarnation, version) = (peer.held.incarnation, peer.held.version);
         let subscribe = Subscribe { proxy: number, zone: number % 2, process, incarnation, version };
-        peer.say(from_proxy::Word::Subscribe(subscribe));
+        peer.say(from_proxy::Payload::Subscribe(subscribe));
         peer
     }
 
@@ -174,18 +174,18 @@
         Peer { stream, deframer: Deframer::new(FROM_STEWARD_LIMIT), held }
     }
 
-    pub fn say(&mut self, word: from_proxy::Word) {
-        let _ = self.stream.write_all(&frame(&FromProxy { word: Some(word) }));
+    pub fn say(&mut self, word: from_proxy::Payload) {
+        let _ = self.stream.write_all(&frame(&FromProxy { payload: Some(word) }));
     }
 
     pub fn hear(&mut self, within: Duration) -> Heard {
         let until = Instant::now() + within;
         loop {
             match self.deframer.message::<FromSteward>().expect("a steward sends messages") {
-                Some(FromSteward { word: Some(from_steward::Word::Delta(delta)) }) => {
+                Some(FromSteward { payload: Some(from_steward::Payload::Delta(delta)) }) => {
                     return Heard::Delta(Box::new(delta))
                 }
-                Some(FromSteward { word: Some(from_steward::Word::Goodbye(goodbye)) }) => {
+                Some(FromSteward { payload: Some(from_steward::Payload::Goodbye(goodbye)) }) => {
                     return Heard::Goodbye(goodbye.reason)
                 }
                 _ => {}
@@ -220,12 +220,12 @@
     /// Takes a delta in and says so.
     pub fn accept(&mut self, delta: &Delta) {
         self.held.take_in(delta).expect("a good delta");
-        self.say(from_proxy::Word::Ack(Ack { nonce: delta.nonce }));
+        self.say(from_proxy::Payload::Ack(Ack { nonce: delta.nonce }));
     }
 
     pub fn refuse(&mut self, delta: &Delta) {
         self.held.has_gap = true;
-        self.say(from_proxy::Word::Refusal(Refusal { nonce: delta.nonce, reason: "a test".into() }));
+        self.say(from_proxy::Payload::Refusal(Refusal { nonce: delta.nonce, reason: "a test".into() }));
     }
 
     /// Obeys until what it holds is as wanted.
@@ -252,7 +252,7 @@
     }
 
     pub fn report(&mut self, sums: Sums) {
-        self.say(from_proxy::Word::Sums(sums));
+        self.say(from_proxy::Payload::Sums(sums));
     }
 }
 
--- a/crates/railhub-steward/tests/streams.rs
+++ b/crates/railhub-steward/tests/streams.rs
@@ -135,7 +135,7 @@
     others.iter_mut().for_each(|peer| peer.obey_until(|held| !names(held, gone)));
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     eventually("the slow one is cut off", || steward.figures().cut_off == 1);
-    others.iter_mut().for_each(|peer| peer.say(from_proxy::Word::Sums(Sums::default())));
+    others.iter_mut().for_each(|peer| peer.say(from_proxy::Payload::Sums(Sums::default())));
     eventually("all others stay", || steward.figures().joined == 299);
     drop(reader);
 }
@@ -213,7 +213,7 @@
     assert_eq!(reason(&mut silent), "silent for too long");
     let mut flood = Peer::dial(steward.address, 1);
     for nonce in 0..2000 {
-        flood.say(from_proxy::Word::Ack(Ack { nonce }));
+        flood.say(from_proxy::Payload::Ack(Ack { nonce }));
     }
     assert_eq!(reason(&mut flood), "too many messages");
     let mut liar = Peer::dial(steward.address, 2);
