--- a/crates/railhub-chaos/src/bed/process.rs
+++ b/crates/railhub-chaos/src/bed/process.rs
@@ -55,7 +55,7 @@
     /// What went wrong.
     pub fn start_with(binary: &Path, conf: &Path, log: Log) -> Result<Process, String> {
         let mut command = Command::new(binary);
-        command.args(["steward", "--until-stdin-ends", "--log", log.form, "--conf"]).arg(conf);
+        command.args(["controller", "--until-stdin-ends", "--log", log.form, "--conf"]).arg(conf);
         command.env("RAILHUB_LOG", log.level).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log.to);
         // SAFETY: prctl is safe to call between fork and exec, and touches nothing of ours.
         unsafe {
--- a/crates/railhub-cli/src/steward.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -1,4 +1,4 @@
-//! `railhub steward` and `railhub conf check`.
+//! `railhub controller` and `railhub conf check`.
 use crate::Ending;
 use clap::Args;
 use railhub_day::Day;
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between lines of figures in the log.
-const FIGURES_EVERY: Duration = Duration::from_secs(10);
-/// Between looks at whether it was told to end.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Between two lines of figures in the log.
+const FIGURES_INTERVAL: Duration = Duration::from_secs(10);
+/// Between two checks for a signal to end.
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Args)]
-pub struct StewardArguments {
+pub struct ControllerArguments {
     /// Settings, INI.
     #[arg(long, required_unless_present = "platform")]
     conf: Option<PathBuf>,
@@ -35,7 +35,7 @@
 #[derive(Serialize)]
 struct Listening {
     listening: SocketAddr,
-    /// Where other stewards reach it and which process it is, if it is in a fleet.
+    /// Where other controllers reach it and which process it is, if it is in a fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
     fleet: Option<SocketAddr>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -50,7 +50,7 @@
     std::env::args_os().any(|argument| argument == "--platform")
 }
 
-pub fn run(arguments: &StewardArguments, signals: Option<Signals>) -> Result<(), Ending> {
+pub fn run(arguments: &ControllerArguments, signals: Option<Signals>) -> Result<(), Ending> {
     if let Some(signals) = signals {
         let file = std::env::var_os(PLATFORM_FILE).map(PathBuf::from);
         let file = file.ok_or_else(|| Ending::Input(format!("{PLATFORM_FILE} names no file")))?;
@@ -75,9 +75,9 @@
             std::process::exit(0);
         });
     }
-    let mut figures_at = Instant::now() + FIGURES_EVERY;
+    let mut figures_at = Instant::now() + FIGURES_INTERVAL;
     loop {
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(SIGNAL_POLL_INTERVAL);
         if told.load(Ordering::Acquire) {
             running.leave();
             return Ok(());
@@ -85,7 +85,7 @@
         if Instant::now() < figures_at {
             continue;
         }
-        figures_at = Instant::now() + FIGURES_EVERY;
+        figures_at = Instant::now() + FIGURES_INTERVAL;
         if let Some(fleet) = running.fleet_figures() {
             let (dropped, looks_dropped) = (fleet.dropped.all(), fleet.looks_dropped);
             let causes = serde_json::to_string(&fleet.dropped)?;
@@ -119,7 +119,7 @@
     }
 }
 
-/// A file with a [day] is a day's, any other a steward's.
+/// A file with a [day] section is a scenario, any other a controller's settings.
 pub fn check(file: &Path) -> Result<(), Ending> {
     let sheet = Sheet::open(file)?;
     if sheet.section("day").is_there() {
--- a/crates/railhub-cli/src/main.rs
+++ b/crates/railhub-cli/src/main.rs
@@ -1,18 +1,18 @@
-//! `railhub`: the steward, scripted days, and the checker. Results go to standard output, logs to standard
+//! `railhub`: the controller, scenarios, and the checker of recordings. Results go to standard output, logs to standard
 //! error; exit 0 good, 2 bad usage or input, 3 a rule broke or a check failed.
 mod chaos;
 mod chaos_leases;
 mod chaos_view;
 mod compare;
-mod day;
+mod controller;
 mod fleet;
 mod fleet_shares;
 mod launch;
 mod logs;
 mod model;
 mod runs;
+mod scenario;
 mod standin;
-mod steward;
 mod traffic;
 mod watch;
 
@@ -39,30 +39,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a steward until it is told to end.
-    Steward(steward::StewardArguments),
-    /// Checks a steward's or a day's file.
+    /// Runs a controller until a signal ends it.
+    #[command(visible_alias = "steward")]
+    Controller(controller::ControllerArguments),
+    /// Checks the settings of a controller or a scenario.
     Conf(ConfArguments),
-    /// Plays a scripted day on loopback and judges the rules.
-    Day(day::DayArguments),
-    /// Plays a day's stand-ins against a steward that runs elsewhere on this machine.
+    /// Plays a scenario on loopback and judges the rules.
+    #[command(visible_alias = "day")]
+    Scenario(scenario::ScenarioArguments),
+    /// Plays the emulated side of a scenario against a controller that runs elsewhere on this machine.
     Standin(standin::StandinArguments),
-    /// Runs a day in the model of a fleet, in simulated time.
+    /// Runs a scenario in simulated time.
     Model(model::ModelArguments),
-    /// Runs arms of a day side by side in the model, until the difference is known.
+    /// Compares the arms of an experiment in simulated time, until the difference is known.
     Compare(compare::CompareArguments),
-    /// Recorded operations: takes, shows, fits, cuts and scales them.
+    /// Workload traces: extracts, shows, fits, cuts and scales them.
     Traffic(traffic::TrafficArguments),
-    /// Plays stewards that share a fleet, with faults drawn from seeds, and judges what they order.
+    /// Plays controllers that share slices, with faults drawn from seeds, and judges what they publish.
     Chaos(chaos::ChaosArguments),
-    /// Shows what stewards that share a fleet hold of each other.
+    /// Shows the membership views and leases of controllers that share slices.
     Fleet(fleet::FleetArguments),
-    /// Shows a running day, a finished record or an experiment's folder in the terminal.
+    /// Shows a running scenario, a recording or the folder of an experiment in the terminal.
     Watch(watch::WatchArguments),
-    /// What `day` says of a run, from its record alone: service, its changes, rules.
-    Report(day::CheckArguments),
-    /// Judges the rules from a record alone.
-    Check(day::CheckArguments),
+    /// Reports service, its changes and the rules of a run from its recording alone.
+    Report(scenario::CheckArguments),
+    /// Judges the rules from a recording alone.
+    Check(scenario::CheckArguments),
 }
 
 #[derive(Args)]
@@ -73,15 +75,15 @@
 
 #[derive(Subcommand)]
 enum ConfCommand {
-    /// Names file, line and what is wrong; says nothing else if all is well.
+    /// Prints file, line and what is wrong; nothing if the file is valid.
     Check { file: PathBuf },
 }
 
-/// Why a command ends otherwise than well.
+/// Why a command fails.
 enum Ending {
-    /// One line: what is wrong with the call or its input.
+    /// One line: what is wrong with the arguments or their input.
     Input(String),
-    /// A rule broke or a check failed; said already.
+    /// A rule broke or a check failed; printed already.
     Check,
 }
 
@@ -92,9 +94,9 @@
 }
 
 fn main() -> ExitCode {
-    let signals = steward::is_for_platform().then(railhub_platform_net::Signals::take).transpose();
+    let signals = controller::is_for_platform().then(railhub_platform_net::Signals::take).transpose();
     let arguments = Arguments::parse();
-    let runs = matches!(arguments.command, Command::Steward(_) | Command::Standin(_));
+    let runs = matches!(arguments.command, Command::Controller(_) | Command::Standin(_));
     let signals = match signals {
         Ok(signals) => signals,
         Err(fault) => {
@@ -107,9 +109,9 @@
         railhub_net::start();
     }
     let ended = match arguments.command {
-        Command::Steward(arguments) => steward::run(&arguments, signals),
-        Command::Conf(ConfArguments { what: ConfCommand::Check { file } }) => steward::check(&file),
-        Command::Day(given) => day::run(&given, arguments.log),
+        Command::Controller(arguments) => controller::run(&arguments, signals),
+        Command::Conf(ConfArguments { what: ConfCommand::Check { file } }) => controller::check(&file),
+        Command::Scenario(given) => scenario::run(&given, arguments.log),
         Command::Standin(given) => standin::run(&given),
         Command::Model(given) => model::run(&given),
         Command::Compare(given) => compare::run(&given),
@@ -117,8 +119,8 @@
         Command::Chaos(given) => chaos::run(&given),
         Command::Fleet(given) => fleet::run(&given),
         Command::Watch(given) => watch::run(&given),
-        Command::Report(given) => day::report(&given),
-        Command::Check(given) => day::check(&given),
+        Command::Report(given) => scenario::report(&given),
+        Command::Check(given) => scenario::check(&given),
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -1,5 +1,5 @@
 //! `railhub model`: a day in simulated time.
-use crate::day::{finish, Run};
+use crate::scenario::{finish, Run};
 use crate::Ending;
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_day::report::service;
--- a/crates/railhub-cli/src/day.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `railhub day` and `railhub check`.
+//! `railhub scenario`, `railhub report` and `railhub check`.
 use crate::launch::as_process;
 use crate::{Ending, LogForm};
 use clap::{Args, Subcommand, ValueEnum};
@@ -14,9 +14,9 @@
 
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true)]
-pub struct DayArguments {
+pub struct ScenarioArguments {
     #[command(subcommand)]
-    other: Option<DayCommand>,
+    other: Option<ScenarioCommand>,
     /// The day, INI.
     #[arg(required = true)]
     file: Option<PathBuf>,
@@ -38,7 +38,7 @@
 }
 
 #[derive(Subcommand)]
-enum DayCommand {
+enum ScenarioCommand {
     /// Makes a script of a day that was drawn for the users' bench.
     Import {
         /// A day file, JSON.
@@ -85,8 +85,8 @@
     }
 }
 
-pub fn run(arguments: &DayArguments, log: LogForm) -> Result<(), Ending> {
-    if let Some(DayCommand::Import { file, output, hosts }) = &arguments.other {
+pub fn run(arguments: &ScenarioArguments, log: LogForm) -> Result<(), Ending> {
+    if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.other {
         let lost = import::import(file, output, *hosts).map_err(Ending::Input)?;
         lost.iter().for_each(|what| eprintln!("not carried over: {what}"));
         return Ok(());
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -1,5 +1,5 @@
 //! `railhub standin`: a day's stand-ins for a steward that somebody else starts.
-use crate::day::{finish, progress_bar, Run};
+use crate::scenario::{finish, progress_bar, Run};
 use crate::Ending;
 use clap::Args;
 use railhub_day::{play, Day, Launch, Launched};
--- a/crates/railhub-cli/tests/commands.rs
+++ b/crates/railhub-cli/tests/commands.rs
@@ -128,3 +128,13 @@
     assert!(fault(&["chaos", &day]).contains("[day] is not known"));
     assert!(fault(&["compare", &day]).contains("[day] is not known"));
 }
+
+#[test]
+fn earlier_command_words_stay_as_aliases() {
+    for (earlier, now) in [("steward", "controller"), ("day", "scenario")] {
+        let (earlier, now) = (railhub(&[earlier, "--help"]), railhub(&[now, "--help"]));
+        assert_eq!(earlier.status.code(), Some(0));
+        assert_eq!(now.status.code(), Some(0));
+        assert_eq!(earlier.stdout, now.stdout);
+    }
+}
--- a/scripts/mixed_versions.py
+++ b/scripts/mixed_versions.py
@@ -24,7 +24,10 @@
 settings = configparser.ConfigParser(strict=False, inline_comment_prefixes=(";",))
 settings.read(arguments[arguments.index("--conf") + 1])
 controller = settings["fleet"]["id"]
-program = {earlier!r} if controller in {ids!r} else {player!r}
+is_earlier = controller in {ids!r}
+program = {earlier!r} if is_earlier else {player!r}
+if is_earlier and arguments[0] == "controller":
+    arguments[0] = "steward"  # the command's name in builds before its rename
 with open({starts!r}, "a") as starts:
     starts.write(f"controller {{controller}}: {{program}}\\n")
 os.execv(program, [program] + arguments)
