--- /dev/null
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -0,0 +1,264 @@
+//! The bytes of each message, both ways: what is sent byte for byte, what is read from literal bytes to typed values.
+use railhub::{
+    BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
+    RetryPolicy, SliceId, SliceLoadReport, ZoneId,
+};
+use railhub_platform::collector::{self, Frame};
+use railhub_platform::orders::{Command, PendingCommands};
+use railhub_platform::relay_events::{self, Answer, RelayEvent};
+use railhub_platform::{discovery, EndpointPage, InvalidEntry, Names, NodeConfig};
+
+fn names() -> Names {
+    NodeConfig::read(include_str!("assignment.json")).expect("a valid file").names
+}
+
+fn host(name: &str) -> HostId {
+    HostId::new(name).expect("a valid name")
+}
+
+fn framed(body: &str) -> Vec<u8> {
+    [&(body.len() as u32).to_be_bytes(), body.as_bytes()].concat()
+}
+
+fn text(bytes: &[u8]) -> &str {
+    std::str::from_utf8(bytes).expect("text")
+}
+
+/// The bytes of the next call that carries these commands.
+fn call(commands: &[Command]) -> Vec<u8> {
+    let mut pending = PendingCommands::default();
+    commands.iter().for_each(|command| pending.push(*command));
+    pending.call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
+}
+
+fn relay_event(line: &str) -> Result<RelayEvent, InvalidEntry> {
+    relay_events::read(line.as_bytes())
+}
+
+fn response(line: &str) -> Result<Answer, InvalidEntry> {
+    relay_events::answer(line.as_bytes(), 8, 2)
+}
+
+fn collector_message(body: &str) -> Result<Frame, InvalidEntry> {
+    collector::read(body.as_bytes(), &names(), 40)
+}
+
+fn page(line: &str) -> Result<EndpointPage, InvalidEntry> {
+    discovery::read(line.as_bytes(), &names())
+}
+
+#[test]
+fn sends_each_command_in_these_bytes() {
+    for (command, order) in [
+        (
+            Command::Line(SliceId(4), host("s-5be2a07c"), 1.5),
+            r#"{"op":"share","table":4,"server":"s-5be2a07c","weight":1.5}"#,
+        ),
+        (
+            Command::Line(SliceId(65535), host("s-1"), 0.0),
+            r#"{"op":"share","table":65535,"server":"s-1","weight":0.0}"#,
+        ),
+        (
+            Command::Line(SliceId(0), host("s-1"), 0.0001),
+            r#"{"op":"share","table":0,"server":"s-1","weight":0.0001}"#,
+        ),
+        (Command::Shut(host("s-5be2a07c"), true), r#"{"op":"withdraw","server":"s-5be2a07c"}"#),
+        (Command::Shut(host("s-5be2a07c"), false), r#"{"op":"restore","server":"s-5be2a07c"}"#),
+        (
+            Command::Level(ClassId(0), 0.9, RetryPolicy::Never),
+            r#"{"op":"admit","classes":["view"],"level":0.9,"retry":0}"#,
+        ),
+        (
+            Command::Level(ClassId(1), 1.0, RetryPolicy::IfNotExecuted),
+            r#"{"op":"admit","classes":["deposit"],"level":1.0,"retry":1}"#,
+        ),
+        (
+            Command::Level(ClassId(1), 0.0, RetryPolicy::AfterFailure),
+            r#"{"op":"admit","classes":["deposit"],"level":0.0,"retry":2}"#,
+        ),
+        (Command::Mark(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
+    ] {
+        let expected = format!(
+            "{}{order}{}",
+            r#"{"jsonrpc":"2.0","id":1,"method":"commit","params":{"orders":["#, "]}}\n"
+        );
+        assert_eq!(text(&call(&[command])), expected);
+    }
+}
+
+#[test]
+fn sends_commands_in_order_in_one_call_and_a_retry_in_the_same_bytes_under_the_next_id() {
+    let mut pending = PendingCommands::default();
+    pending.push(Command::Line(SliceId(4), host("s-1"), 1.0));
+    pending.push(Command::Shut(host("s-2"), true));
+    pending.push(Command::Mark(BarrierId(7)));
+    for id in 1..=12 {
+        let call = pending.call(&[]).expect("a call");
+        assert_eq!((call.id, call.count), (id, 3));
+        let expected = format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{id},{}",
+            concat!(
+                r#""method":"commit","params":{"orders":[{"op":"share","table":4,"server":"s-1","weight":1.0},"#,
+                r#"{"op":"withdraw","server":"s-2"},{"op":"mark","ticket":7,"on":1}]}}"#,
+                "\n"
+            )
+        );
+        assert_eq!(text(&call.bytes), expected);
+    }
+}
+
+#[test]
+fn sends_these_bytes_to_subscribe_and_to_answer_a_visitor() {
+    assert_eq!(
+        text(&relay_events::subscribe(10)),
+        "{\"jsonrpc\":\"2.0\",\"id\":10,\"method\":\"subscribe\"}\n"
+    );
+    assert_eq!(collector::pong(), framed(r#"{"t":"pong"}"#));
+    assert_eq!(collector::pong()[..4], [0, 0, 0, 12]);
+    for (cause, why) in [
+        (InvalidEntry::Unreadable, "it cannot be read"),
+        (InvalidEntry::Fields, "a field is missing or of another type"),
+        (InvalidEntry::Range, "a figure is out of range"),
+        (InvalidEntry::Unknown, "it names what does not exist"),
+        (InvalidEntry::Kind, "it is of a kind that is not taken here"),
+    ] {
+        assert_eq!(collector::refusal(cause), framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#)));
+    }
+}
+
+#[test]
+fn reads_each_event_of_the_relay_from_these_bytes() {
+    let slice = SliceId(88);
+    for (line, event) in [
+        (r#"{"jsonrpc":"2.0","id":10,"result":true}"#, RelayEvent::Subscribed),
+        (r#"{"jsonrpc":"2.0","method":"ping"}"#, RelayEvent::Ping),
+        (
+            r#"{"jsonrpc":"2.0","method":"joined","params":{"proxy":17,"zone":"a","weight":21.5,"fresh":true}}"#,
+            RelayEvent::Joined { proxy: ProxyId(17), first: true },
+        ),
+        (r#"{"jsonrpc":"2.0","method":"left","params":{"proxy":17}}"#, RelayEvent::Left(ProxyId(17))),
+        (
+            r#"{"jsonrpc":"2.0","method":"applied","params":{"proxy":17,"mark":905,"took_ms":310.4}}"#,
+            RelayEvent::Applied(BarrierAck { proxy: ProxyId(17), mark: BarrierId(905) }),
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":true}}"#,
+            RelayEvent::SliceAssigned { slice, on: true },
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":false}}"#,
+            RelayEvent::SliceAssigned { slice, on: false },
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-5be2a07c","weight":1.0}}"#,
+            RelayEvent::StoredEntry { slice, host: host("s-5be2a07c"), weight: 1.0 },
+        ),
+    ] {
+        assert_eq!(relay_event(line), Ok(event), "{line}");
+    }
+    for (line, cause) in [
+        ("", InvalidEntry::Unreadable),
+        (r#"{"jsonrpc":"2.0","id":10,"result":false}"#, InvalidEntry::Kind),
+        (r#"{"jsonrpc":"2.0","id":10}"#, InvalidEntry::Kind),
+        (r#"{"jsonrpc":"2.0","method":"joined"}"#, InvalidEntry::Fields),
+        (r#"{"jsonrpc":"2.0","method":"moved","params":{}}"#, InvalidEntry::Kind),
+        (r#"{"method":"held","params":{"slice":88,"server":"","weight":1.0}}"#, InvalidEntry::Unknown),
+    ] {
+        assert_eq!(relay_event(line), Err(cause), "{line}");
+    }
+}
+
+#[test]
+fn reads_each_answer_to_a_call_from_these_bytes() {
+    for (line, answer) in [
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#, Ok(Answer::Taken(2))),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(Answer::Taken(0))),
+        (r#"{"jsonrpc":"2.0","id":8,"error":{"code":-1,"message":"limit"}}"#, Ok(Answer::Rejected)),
+        (r#"{"jsonrpc":"2.0","id":8,"error":"malformed"}"#, Ok(Answer::Malformed)),
+        (r#"{"jsonrpc":"2.0","id":8,"error":"limit malformed"}"#, Err(InvalidEntry::Fields)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2},"error":{}}"#, Err(InvalidEntry::Fields)),
+        (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(InvalidEntry::Unknown)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(InvalidEntry::Range)),
+    ] {
+        assert_eq!(response(line), answer, "{line}");
+    }
+}
+
+#[test]
+fn reads_each_collector_message_from_these_bytes() {
+    assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(Frame::Ping)));
+    assert!(matches!(collector_message(r#"{"t":"collector","zone":"a"}"#), Ok(Frame::Collector(ZoneId(0)))));
+    let body = r#"{"t":"heard","zone":"a","server":"s-5be2a07c","tries":212,"failed":3,"mean_ms":41.5,"span_ms":1000.0,"load":{"inflight":7,"util":0.61}}"#;
+    let expected = HostLoadReport {
+        zone: ZoneId(0),
+        host: host("s-5be2a07c"),
+        tries: 212.0,
+        failed: 3.0,
+        mean_time: 0.0415,
+        span: 1.0,
+        busy: Some(0.61),
+    };
+    let without_load = HostLoadReport { busy: None, ..expected.clone() };
+    for (body, expected) in [
+        (body.to_owned(), expected.clone()),
+        (body.replace("inflight", "rif").replace("util", "busy"), expected.clone()),
+        (body.replace(r#","load":{"inflight":7,"util":0.61}"#, ""), without_load),
+    ] {
+        let Ok(Frame::Tries(report)) = collector_message(&body) else { panic!("{body}") };
+        assert_eq!(format!("{report:?}"), format!("{expected:?}"), "{body}");
+    }
+    let body = r#"{"t":"heat","slice":38,"class":"view","tries":40,"failed":1,"span_ms":1000.0}"#;
+    let Ok(Frame::Demand(report)) = collector_message(body) else { panic!("{body}") };
+    let expected = SliceLoadReport { slice: SliceId(38), class: ClassId(0), operations: 40.0, span: 1.0 };
+    assert_eq!(format!("{report:?}"), format!("{expected:?}"));
+}
+
+#[test]
+fn reads_a_page_of_discovery_from_these_bytes() {
+    let list = page(concat!(
+        r#"{"generation":41,"reset":true,"instances":["#,
+        r#"{"instanceId":"s-1","hostPort":"10.1.0.18:7070","zone":"a","machineType":"m","cell":3,"lifecycle":"ready","weight":1.0,"startedAtMs":0},"#,
+        r#"{"instanceId":"s-2","hostPort":"10.1.0.19:7070","zone":"a","machineType":"m2","cell":3,"lifecycle":"draining","weight":2.5,"startedAtMs":1700000000250},"#,
+        r#"{"instanceId":"s-3","hostPort":"10.1.0.20:7070","lifecycle":"gone","weight":0}]}"#,
+    ))
+    .expect("a page");
+    let expected = [
+        ("s-1", Phase::Ready, None, 1.0, "m"),
+        ("s-2", Phase::Draining, Some(1_700_000_000.25), 2.5, "m2"),
+        ("s-3", Phase::Gone, None, 0.0, ""),
+    ]
+    .map(|(name, phase, started, weight, kind)| EndpointEntry {
+        host: host(name),
+        phase,
+        started,
+        weight,
+        kind: names().kind(kind),
+    });
+    assert_eq!(format!("{:?}", list.list().entries), format!("{expected:?}"));
+    assert!(list.list().whole && list.generation == 41);
+    let addresses: Vec<String> = list.entries.iter().map(|entry| entry.address.to_string()).collect();
+    assert_eq!(addresses, ["10.1.0.18:7070", "10.1.0.19:7070", "10.1.0.20:7070"]);
+    let changes = page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
+    assert!(!changes.list().whole && changes.generation == 43 && changes.entries.is_empty());
+}
+
+#[test]
+fn reads_the_configuration_from_these_bytes() {
+    let read = NodeConfig::read(include_str!("assignment.json")).expect("a valid file");
+    assert_eq!(
+        [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
+        ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
+    );
+    assert_eq!((read.sockets, read.memory_mb, read.tick, read.known.generation), (256, 32, 0.001, 41));
+    assert_eq!(read.names.classes, ["view", "deposit"]);
+    assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
+    let terms = read.terms;
+    assert_eq!((terms.slices, terms.single_owner, terms.may_probe), (40, false, true));
+    assert_eq!((terms.levels_by_share, terms.cold_from, terms.warm_within), (true, 0.16, 18.0));
+    assert_eq!((terms.fall_multiple, terms.backlog, terms.message_cost), (2.5, 900.5, 12.0));
+    assert_eq!((terms.message_cap, terms.messages_span, terms.first_wait), (20, 10.0, 1.2));
+    assert_eq!((terms.write_lease, terms.write_life, terms.dropped_may_stay), (0.0, 0.0, false));
+    let classes: Vec<_> =
+        terms.classes.iter().map(|class| (class.contract_time, class.gain, class.repeat)).collect();
+    assert_eq!(classes, [(0.8, 1.0, Idempotency::Safe), (1.2, 2.0, Idempotency::Never)]);
+}
