--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -45,14 +45,14 @@
 pub fn read(path: &Path) -> Result<NodeConfig, RunError> {
     let shown = || path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| RunError::File(shown(), e))?;
-    NodeConfig::read(&text).map_err(|e| RunError::NodeConfig(shown(), e))
+    NodeConfig::parse(&text).map_err(|e| RunError::NodeConfig(shown(), e))
 }
 
 /// Runs the steward that the file tells of, until a signal ends it.
 pub fn run(path: &Path, signals: Signals) -> Result<(), RunError> {
     end_on_panic();
     let assignment = read(path)?;
-    let spoilt = assignment.known.spoilt.len();
+    let spoilt = assignment.known.invalid.len();
     if spoilt > 0 {
         // A start that is refused for it would leave nobody in charge.
         tracing::warn!(spoilt, "entries of the known list cannot be read: the list is asked for whole");
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -6,7 +6,7 @@
 use may::net::TcpStream;
 use railhub::{Seconds, ZoneId};
 use railhub_net::{go, Closer, Guard, Listener};
-use railhub_platform::collector::{self, Frame};
+use railhub_platform::collector::{self, CollectorMessage};
 use railhub_platform::{InvalidEntry, NodeConfig};
 use railhub_proto::Deframer;
 use socket2::SockRef;
@@ -111,7 +111,7 @@
     let _held = DescriptorGuard::one(&shared.held.visitors);
     // Where the system refuses, a write that does not fit ends the visit all the same, only later.
     let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER);
-    let mut deframer = Deframer::new(collector::FIRST_LIMIT);
+    let mut deframer = Deframer::new(collector::MAX_FIRST_MESSAGE_BYTES);
     let mut turn = ReadTurn::start(STRANGER_SPAN);
     let mut joined: Option<(ZoneId, DescriptorGuard)> = None;
     loop {
@@ -131,25 +131,25 @@
                 continue;
             }
             Ok(None) => return,
-            Ok(Some(Ok(Frame::Ping))) => {
+            Ok(Some(Ok(CollectorMessage::Ping))) => {
                 if !say(&stream, &collector::pong()) {
                     return;
                 }
                 continue;
             }
-            Ok(Some(Ok(Frame::Collector(zone)))) if joined.is_none() => {
+            Ok(Some(Ok(CollectorMessage::Collector(zone)))) if joined.is_none() => {
                 visit.join(zone, &stream);
-                deframer.set_limit(collector::MESSAGE_LIMIT);
+                deframer.set_limit(collector::MAX_MESSAGE_BYTES);
                 turn = ReadTurn::start(KNOWN_PEER_SPAN);
                 joined = Some((zone, DescriptorGuard::one(&shared.held.collectors)));
                 continue;
             }
-            Ok(Some(Ok(Frame::Tries(sum)))) if joined.is_some() => {
-                shared.inbox.report(LoadReport::Tries(sum));
+            Ok(Some(Ok(CollectorMessage::HostLoad(sum)))) if joined.is_some() => {
+                shared.inbox.report(LoadReport::HostLoad(sum));
                 continue;
             }
-            Ok(Some(Ok(Frame::Demand(sum)))) if joined.is_some() => {
-                shared.inbox.report(LoadReport::Demand(sum));
+            Ok(Some(Ok(CollectorMessage::SliceLoad(sum)))) if joined.is_some() => {
+                shared.inbox.report(LoadReport::SliceLoad(sum));
                 continue;
             }
             Ok(Some(Ok(_))) => InvalidEntry::Kind,
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use railhub::Seconds;
 use railhub_net::seconds;
-use railhub_platform::relay_events::Answer;
+use railhub_platform::relay_events::CallResponse;
 use railhub_platform::{NodeConfig, PlatformController};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -103,13 +103,13 @@
             while let Some(sum) = self.shared.inbox.next_report() {
                 self.reported_at.get_or_insert_with(now);
                 match sum {
-                    LoadReport::Tries(sum) => {
+                    LoadReport::HostLoad(sum) => {
                         tracing::debug!(?sum, "tries");
-                        self.controller.hear_tries(sum);
+                        self.controller.on_host_load(sum);
                     }
-                    LoadReport::Demand(sum) => {
+                    LoadReport::SliceLoad(sum) => {
                         tracing::trace!(?sum, "demand");
-                        self.controller.hear_demand(sum);
+                        self.controller.on_slice_load(sum);
                     }
                 }
             }
@@ -122,9 +122,11 @@
     fn sleep(&self) {
         let now = now();
         let again =
-            (self.controller.orders_waiting() > 0).then_some(self.call_not_before).filter(|at| *at > now);
-        let due =
-            [self.controller.next_due(), again].into_iter().flatten().fold(now + LONGEST_SLEEP, f64::min);
+            (self.controller.commands_pending() > 0).then_some(self.call_not_before).filter(|at| *at > now);
+        let due = [self.controller.next_deadline(), again]
+            .into_iter()
+            .flatten()
+            .fold(now + LONGEST_SLEEP, f64::min);
         if self.shared.inbox.is_quiet() && due > now {
             std::thread::park_timeout(seconds(due - now));
         }
@@ -134,7 +136,7 @@
         match word {
             ControllerEvent::EndpointPage(page) => {
                 let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
-                if self.controller.hear_page(now(), &page) {
+                if self.controller.on_endpoint_page(now(), &page) {
                     tracing::info!(generation, hosts, whole, "the host list has news");
                 } else if generation < self.controller.generation() {
                     // An older file's watch overtook it: what this one says next would build on what was not taken.
@@ -143,22 +145,20 @@
                 }
                 self.shared.page_room.post();
             }
-            ControllerEvent::Asked(source) => self.controller.hear_asked(source),
-            ControllerEvent::RelayEvent(source, news) => {
-                self.controller.hear_relay_event(now(), source, news)
-            }
-            ControllerEvent::Ended(source) => self.controller.hear_ended(source),
+            ControllerEvent::Asked(source) => self.controller.on_subscription_requested(source),
+            ControllerEvent::RelayEvent(source, news) => self.controller.on_relay_event(now(), source, news),
+            ControllerEvent::Ended(source) => self.controller.on_subscription_ended(source),
             ControllerEvent::Probe(probe, end) => {
                 tracing::debug!(host = %probe.host, ?end, "probe");
-                self.controller.hear_probe(&probe, end);
+                self.controller.on_probe_result(&probe, end);
             }
             ControllerEvent::CallEnded(answer) => self.end_call(answer),
         }
     }
 
-    fn end_call(&mut self, answer: Option<Answer>) {
+    fn end_call(&mut self, answer: Option<CallResponse>) {
         let counts = &self.shared.counts;
-        if !matches!(answer, Some(Answer::Taken(_) | Answer::Malformed)) {
+        if !matches!(answer, Some(CallResponse::Accepted(_) | CallResponse::Malformed)) {
             let count = if answer.is_none() { &counts.calls_unknown } else { &counts.calls_turned_away };
             count.fetch_add(1, Ordering::Relaxed);
             self.call_not_before = now() + CALL_PAUSE;
@@ -173,14 +173,14 @@
                 self.reported.saturating_record(micros(now - reported_at));
             }
         }
-        if let Some(dropped) = self.controller.end_call(answer) {
+        if let Some(dropped) = self.controller.on_call_ended(answer) {
             tracing::error!("{dropped}");
         }
     }
 
     fn act(&mut self) {
         let began = now();
-        let effects = self.controller.act(began);
+        let effects = self.controller.poll(began);
         for late in &effects.late {
             self.late.saturating_record(micros(*late));
         }
@@ -190,7 +190,7 @@
         }
         self.shown.rounds += effects.rounds;
         self.shown.longest_round = self.shown.longest_round.max(now() - began);
-        if let Some(why) = self.controller.must_ask_anew() {
+        if let Some(why) = self.controller.take_resubscribe_reason() {
             tracing::warn!(why, "what the relay holds is asked for anew");
             self.shared.news_line.close();
         }
@@ -214,13 +214,14 @@
         let span = |micros: u64| micros as f64 / 1e6;
         let shown = &mut self.shown;
         shown.generation = self.controller.generation();
-        (shown.joined, shown.hosts) = (self.controller.joined(), self.controller.hosts());
-        (shown.waiting, shown.informed) = (self.controller.orders_waiting(), self.controller.is_informed());
+        (shown.joined, shown.hosts) = (self.controller.proxies_joined(), self.controller.hosts_listed());
+        (shown.waiting, shown.informed) =
+            (self.controller.commands_pending(), self.controller.is_synchronized());
         shown.sums_dropped =
-            self.controller.sums_dropped + self.shared.inbox.sums_dropped.load(Ordering::Relaxed);
-        (shown.probes_dropped, shown.folded) = (self.probes.dropped(), self.controller.orders_folded());
+            self.controller.load_reports_dropped + self.shared.inbox.sums_dropped.load(Ordering::Relaxed);
+        (shown.probes_dropped, shown.folded) = (self.probes.dropped(), self.controller.commands_folded());
         (shown.probes_outrun, shown.unnamed) =
-            (self.controller.probes_outrun, self.controller.orders_unnamed());
+            (self.controller.probes_outdated, self.controller.commands_unnamed());
         let tail = |times: &Histogram<u64>| (span(times.value_at_quantile(0.99)), span(times.max()));
         (shown.late_99, shown.late_most) = tail(&self.late);
         (shown.call_99, shown.call_most) = tail(&self.called);
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -7,7 +7,7 @@
 use railhub::Seconds;
 use railhub_net::{dial, go, now, seconds, Guard};
 use railhub_platform::orders::Call;
-use railhub_platform::relay_events::{self, Answer, RelayEvent, SubscriptionId};
+use railhub_platform::relay_events::{self, CallResponse, RelayEvent, SubscriptionId};
 use railhub_platform::InvalidEntry;
 use railhub_proto::Lines;
 use std::io::{self, Read, Write};
@@ -56,7 +56,7 @@
     Unreadable(InvalidEntry),
     /// With the start of the answer.
     #[error("{0}: {1}")]
-    Answer(InvalidEntry, String),
+    CallResponse(InvalidEntry, String),
 }
 
 /// Follows the news from the addresses that count now; an earlier follower ends by itself.
@@ -107,7 +107,7 @@
     if let Err(fault) = stream.write_all(&relay_events::subscribe(source.count)) {
         return RelayError::NotSubscribed(fault);
     }
-    let mut lines = Lines::new(relay_events::LINE_LIMIT);
+    let mut lines = Lines::new(relay_events::MAX_LINE_BYTES);
     let mut stands = None;
     let mut turn = ReadTurn::start(KNOWN_PEER_SPAN);
     loop {
@@ -203,7 +203,7 @@
     lines: Lines,
 }
 
-fn make(shared: &Shared, line: &mut Option<Line>, call: &Call) -> Result<Answer, RelayError> {
+fn make(shared: &Shared, line: &mut Option<Line>, call: &Call) -> Result<CallResponse, RelayError> {
     let to = shared.addresses().relay;
     let fresh = |line: &Line| line.to == to && now() - line.used_at < IDLE && is_quiet(&line.stream);
     let kept = line.take().filter(fresh);
@@ -211,7 +211,7 @@
         Some(open) => open,
         None => {
             let stream = dial(to, CONNECT).map_err(RelayError::Unreached)?;
-            Line { to, used_at: now(), stream, lines: Lines::new(relay_events::LINE_LIMIT) }
+            Line { to, used_at: now(), stream, lines: Lines::new(relay_events::MAX_LINE_BYTES) }
         }
     };
     let _held = DescriptorGuard::one(&shared.held.relay);
@@ -220,7 +220,8 @@
     let read = |bytes: &[u8]| {
         let end = bytes.len().min(200);
         let shown = String::from_utf8_lossy(&bytes[..end]).into_owned();
-        relay_events::answer(bytes, call.id, call.count).map_err(|spoilt| RelayError::Answer(spoilt, shown))
+        relay_events::answer(bytes, call.id, call.count)
+            .map_err(|spoilt| RelayError::CallResponse(spoilt, shown))
     };
     let answer = next_line(&mut open.stream, &guard, &mut open.lines, read)??;
     open.used_at = now();
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -3,7 +3,7 @@
 use may::sync::Semphore;
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::{Closer, Inbox};
-use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
+use railhub_platform::relay_events::{CallResponse, RelayEvent, SubscriptionId};
 use railhub_platform::{EndpointPage, InvalidEntry, Names, NodeConfig, Probe};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,12 +24,12 @@
     Ended(SubscriptionId),
     Probe(Probe, HealthCheckOutcome),
     /// How the call that was out ended; without an answer its outcome is not known.
-    CallEnded(Option<Answer>),
+    CallEnded(Option<CallResponse>),
 }
 
 pub enum LoadReport {
-    Tries(HostLoadReport),
-    Demand(SliceLoadReport),
+    HostLoad(HostLoadReport),
+    SliceLoad(SliceLoadReport),
 }
 
 /// Where the relay and discovery are now; `version` counts the files that said so.
@@ -101,7 +101,7 @@
     pub watch_line: ActiveConnection,
     pub relay_health: PeerHealth,
     pub discovery_health: PeerHealth,
-    /// Taken by the watch for each page that it tells, given back by the owner.
+    /// Accepted by the watch for each page that it tells, given back by the owner.
     pub page_room: Semphore,
     pub held: OpenDescriptors,
     pub counts: Counts,
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -71,8 +71,8 @@
         match line {
             None => {}
             Some(Ok(page)) => {
-                page.spoilt.iter().for_each(|_| shared.refuse("list entry"));
-                let (spoilt, older) = (!page.spoilt.is_empty(), page.generation < generation);
+                page.invalid.iter().for_each(|_| shared.refuse("list entry"));
+                let (spoilt, older) = (!page.invalid.is_empty(), page.generation < generation);
                 generation = page.generation;
                 if !tell(shared, addresses.version, page) {
                     return HttpError::Ended;
--- a/crates/railhub-platform/src/assignment.rs
+++ b/crates/railhub-platform/src/assignment.rs
@@ -6,8 +6,8 @@
 use thiserror::Error;
 
 /// Most classes and the longest time or window believed, in seconds.
-const CLASSES_MOST: usize = 64;
-const LONGEST: Seconds = 86_400.0;
+const MAX_CLASSES: usize = 64;
+const MAX_DURATION: Seconds = 86_400.0;
 
 #[derive(Debug, Error)]
 #[error("{at}: {what}")]
@@ -28,7 +28,7 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// The longest time a client waits, past which no mean of good tries can lie.
-    pub longest_wait: Seconds,
+    pub max_client_timeout: Seconds,
 }
 
 impl Names {
@@ -66,7 +66,7 @@
 }
 
 #[derive(Deserialize)]
-struct Sheet {
+struct ConfigMessage {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -74,7 +74,7 @@
     limits: Limits,
     #[serde(default)]
     known: crate::discovery::RawEndpointPage,
-    settings: Told,
+    settings: SettingsMessage,
 }
 
 #[derive(Deserialize)]
@@ -89,7 +89,7 @@
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct SettingsMessage {
     ceilings: Ceilings,
     family_info: SettingsFamily,
     host_types: Vec<String>,
@@ -145,7 +145,7 @@
 
 fn seconds(micros: u64, at: &str) -> Result<Seconds, ConfigError> {
     let span = micros as f64 / 1e6;
-    if span <= LONGEST {
+    if span <= MAX_DURATION {
         Ok(span)
     } else {
         Err(fault(at, "is longer than a day"))
@@ -161,17 +161,17 @@
 }
 
 impl NodeConfig {
-    pub fn read(text: &str) -> Result<NodeConfig, ConfigError> {
+    pub fn parse(text: &str) -> Result<NodeConfig, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let sheet: Sheet = serde_path_to_error::deserialize(&mut json)
+        let sheet: ConfigMessage = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| fault(&e.path().to_string(), e.inner()))?;
         json.end().map_err(|e| fault("the end", e))?;
-        let Told { host_types, request_classes, zones, .. } = &sheet.settings;
-        if request_classes.is_empty() || request_classes.len() > CLASSES_MOST {
+        let SettingsMessage { host_types, request_classes, zones, .. } = &sheet.settings;
+        if request_classes.is_empty() || request_classes.len() > MAX_CLASSES {
             let many = request_classes.len();
             return Err(fault(
                 "settings.request_classes",
-                format!("{many} classes, 1 to {CLASSES_MOST} can be"),
+                format!("{many} classes, 1 to {MAX_CLASSES} can be"),
             ));
         }
         let classes = request_classes.iter().enumerate().map(|(k, class)| class_terms(k, class));
@@ -181,7 +181,7 @@
             classes: request_classes.iter().map(|class| class.name.clone()).collect(),
             zones: zones.clone(),
             kinds: host_types.clone(),
-            longest_wait: seconds(longest, "settings.request_classes")?,
+            max_client_timeout: seconds(longest, "settings.request_classes")?,
         };
         let known = sheet.known.check(&names);
         Ok(NodeConfig {
@@ -230,8 +230,8 @@
     }
 }
 
-fn terms(told: &Told, classes: Vec<ClassConfig>) -> Result<ControllerConfig, ConfigError> {
-    let Told { ceilings, family_info: family, rules, .. } = told;
+fn terms(told: &SettingsMessage, classes: Vec<ClassConfig>) -> Result<ControllerConfig, ConfigError> {
+    let SettingsMessage { ceilings, family_info: family, rules, .. } = told;
     Ok(ControllerConfig {
         classes,
         slices: family.key_ranges,
--- a/crates/railhub-platform/src/collector.rs
+++ b/crates/railhub-platform/src/collector.rs
@@ -6,20 +6,20 @@
 use serde::Deserialize;
 
 /// Seconds one report may cover, and tries it may tell of: what is past them is no report.
-const LONGEST_SPAN: Seconds = 60.0;
-const MOST_TRIES: f64 = 1e6;
+const MAX_REPORT_SPAN: Seconds = 60.0;
+const MAX_ATTEMPTS_PER_REPORT: f64 = 1e6;
 /// Times the longest wait of a client that a mean of good tries may seem to be: reports are noisy.
-const NOISE: f64 = 2.0;
+const REPORT_NOISE_FACTOR: f64 = 2.0;
 /// Bytes a message may have, and one of a peer that has not joined: it has nothing long to say.
-pub const MESSAGE_LIMIT: usize = 1 << 20;
-pub const FIRST_LIMIT: usize = 1 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
+pub const MAX_FIRST_MESSAGE_BYTES: usize = 1 << 10;
 
 #[derive(Clone, Debug)]
-pub enum Frame {
+pub enum CollectorMessage {
     Ping,
     Collector(ZoneId),
-    Tries(HostLoadReport),
-    Demand(SliceLoadReport),
+    HostLoad(HostLoadReport),
+    SliceLoad(SliceLoadReport),
 }
 
 #[derive(Deserialize)]
@@ -67,7 +67,7 @@
     serde_json::from_slice(body).map_err(|_| InvalidEntry::Fields)
 }
 
-/// JSON that lacks its kind is spoilt alone; what is no JSON spoils all that follows it.
+/// JSON that lacks its kind is invalid alone; what is no JSON spoils all that follows it.
 pub(crate) fn unreadable(fault: &serde_json::Error) -> InvalidEntry {
     match fault.classify() {
         serde_json::error::Category::Data => InvalidEntry::Fields,
@@ -76,16 +76,16 @@
 }
 
 /// `slices`: how many there are.
-pub fn read(body: &[u8], names: &Names, slices: u16) -> Result<Frame, InvalidEntry> {
+pub fn read(body: &[u8], names: &Names, slices: u16) -> Result<CollectorMessage, InvalidEntry> {
     let kind: Kind = serde_json::from_slice(body).map_err(|fault| unreadable(&fault))?;
     match kind.t.as_str() {
-        "ping" => Ok(Frame::Ping),
+        "ping" => Ok(CollectorMessage::Ping),
         "collector" => {
             let named: Collector = fields(body)?;
-            names.zone(&named.zone).map(Frame::Collector).ok_or(InvalidEntry::Unknown)
+            names.zone(&named.zone).map(CollectorMessage::Collector).ok_or(InvalidEntry::Unknown)
         }
-        "heard" => fields::<HostReportMessage>(body)?.check(names).map(Frame::Tries),
-        "heat" => fields::<SliceReportMessage>(body)?.check(names, slices).map(Frame::Demand),
+        "heard" => fields::<HostReportMessage>(body)?.check(names).map(CollectorMessage::HostLoad),
+        "heat" => fields::<SliceReportMessage>(body)?.check(names, slices).map(CollectorMessage::SliceLoad),
         _ => Err(InvalidEntry::Kind),
     }
 }
@@ -99,7 +99,7 @@
 }
 
 fn span(span_ms: f64) -> Result<Seconds, InvalidEntry> {
-    let span = within(span_ms / 1e3, LONGEST_SPAN)?;
+    let span = within(span_ms / 1e3, MAX_REPORT_SPAN)?;
     if span > 0.0 {
         Ok(span)
     } else {
@@ -109,26 +109,29 @@
 
 impl HostReportMessage {
     fn check(&self, names: &Names) -> Result<HostLoadReport, InvalidEntry> {
-        let tries = within(self.tries, MOST_TRIES)?;
+        let tries = within(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
         let load = self.load.as_ref();
-        load.and_then(|load| load.inflight).map_or(Ok(0.0), |held| within(held, MOST_TRIES))?;
+        load.and_then(|load| load.inflight).map_or(Ok(0.0), |held| within(held, MAX_ATTEMPTS_PER_REPORT))?;
         Ok(HostLoadReport {
             zone: names.zone(&self.zone).ok_or(InvalidEntry::Unknown)?,
             host: HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?,
             tries,
             failed: within(self.failed, tries)?,
-            mean_time: within(self.mean_ms / 1e3, NOISE * names.longest_wait)?,
+            mean_time: within(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
             span: span(self.span_ms)?,
-            busy: load.and_then(|load| load.util).map(|util| within(util, NOISE)).transpose()?,
+            busy: load
+                .and_then(|load| load.util)
+                .map(|util| within(util, REPORT_NOISE_FACTOR))
+                .transpose()?,
         })
     }
 }
 
 impl SliceReportMessage {
     fn check(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, InvalidEntry> {
-        let operations = within(self.tries, MOST_TRIES)?;
+        let operations = within(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
         // An operation may fail in a later span than the one it came in.
-        within(self.failed, MOST_TRIES)?;
+        within(self.failed, MAX_ATTEMPTS_PER_REPORT)?;
         if self.slice >= slices {
             return Err(InvalidEntry::Unknown);
         }
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -2,8 +2,8 @@
 //! The snapshot that a subscription begins with replaces what the module believed of proxies, charges and lines.
 use crate::assignment::{Names, NodeConfig};
 use crate::discovery::EndpointPage;
-use crate::orders::{put, Call, Command, CommandBatch, PendingCommands, SAME_WEIGHT};
-use crate::relay_events::{Answer, RelayEvent, SubscriptionId};
+use crate::orders::{put, Call, Command, CommandBatch, PendingCommands, WEIGHT_TOLERANCE};
+use crate::relay_events::{CallResponse, RelayEvent, SubscriptionId};
 use railhub::{
     Controller, EndpointList, EventBatch, HealthCheckOutcome, HealthCheckResult, HostId, HostLoadReport,
     Phase, ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceId, SliceLoadReport, TimerId,
@@ -13,16 +13,16 @@
 
 /// Seconds without a word after which what stands has been told whole, unless a sign of life says so sooner: at the
 /// first telling, when what comes late is only added, and at later ones, when what is missing counts as lost.
-const FIRST_QUIET: Seconds = 0.1;
-const LATER_QUIET: Seconds = 1.5;
+const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
+const SNAPSHOT_IDLE_TIMEOUT: Seconds = 1.5;
 /// Seconds without a word after which a slice that was given has all its lines: they follow at once.
-const CHARGE_QUIET: Seconds = 0.02;
+const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
 /// Commands accepted while a subscription has not told what stands: past them it is asked for anew.
-const TAKEN_MOST: usize = 20_000;
+const MAX_ACCEPTED_SINCE_SNAPSHOT: usize = 20_000;
 /// Seconds a list may be late: what discovery has to tell counts as told by then.
-const LATE_LIST: Seconds = 6.0;
+const GENERATION_RESET_TIMEOUT: Seconds = 6.0;
 /// Sums that a round may hold; further ones are dropped, as the next say more.
-const SUMS_A_ROUND: usize = 8192;
+const MAX_LOAD_REPORTS_PER_BATCH: usize = 8192;
 
 /// What the relay tells to stand, while it tells it.
 #[derive(Default)]
@@ -86,9 +86,9 @@
     /// When the oldest orders were given that the relay has not taken.
     pending_since: Option<Seconds>,
     calling: bool,
-    pub sums_dropped: u64,
+    pub load_reports_dropped: u64,
     /// Probes whose host was another by the time they ended.
-    pub probes_outrun: u64,
+    pub probes_outdated: u64,
 }
 
 impl PlatformController {
@@ -119,10 +119,10 @@
             waiting: PendingCommands::new(&assignment.terms),
             pending_since: None,
             calling: false,
-            sums_dropped: 0,
-            probes_outrun: 0,
+            load_reports_dropped: 0,
+            probes_outdated: 0,
         };
-        controller.hear_page(0.0, &assignment.known);
+        controller.on_endpoint_page(0.0, &assignment.known);
         controller
     }
 
@@ -133,14 +133,15 @@
 
     /// A page that is older than what is known, or known already, says nothing. A whole list under a lower number that
     /// comes when nothing newer has for long is no late one: discovery began anew, and its old numbers with it.
-    pub fn hear_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
-        let late = page.generation < self.generation && !(page.whole && now - self.listed_at >= LATE_LIST);
+    pub fn on_endpoint_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
+        let late = page.generation < self.generation
+            && !(page.whole && now - self.listed_at >= GENERATION_RESET_TIMEOUT);
         if late || page.generation == self.generation && !page.whole {
             return false;
         }
         self.listed_at = now;
-        // What was spoilt is told again under the same number.
-        if page.spoilt.is_empty() {
+        // What was invalid is told again under the same number.
+        if page.invalid.is_empty() {
             self.generation = page.generation;
         }
         if page.whole {
@@ -158,46 +159,46 @@
         true
     }
 
-    pub fn hear_tries(&mut self, sum: HostLoadReport) {
+    pub fn on_host_load(&mut self, sum: HostLoadReport) {
         let kept = push(&mut self.round.tries, sum);
         self.count_sum(kept);
     }
 
-    pub fn hear_demand(&mut self, sum: SliceLoadReport) {
+    pub fn on_slice_load(&mut self, sum: SliceLoadReport) {
         let kept = push(&mut self.round.demand, sum);
         self.count_sum(kept);
     }
 
     fn count_sum(&mut self, kept: bool) {
         self.news |= kept;
-        self.sums_dropped += u64::from(!kept);
+        self.load_reports_dropped += u64::from(!kept);
     }
 
     /// How a probe ended says nothing of a host that is gone, moved or started anew since it was asked for.
-    pub fn hear_probe(&mut self, probe: &Probe, end: HealthCheckOutcome) {
+    pub fn on_probe_result(&mut self, probe: &Probe, end: HealthCheckOutcome) {
         if self.addresses.get(&probe.host) == Some(&(probe.address, probe.started)) {
             self.round.probes.push(HealthCheckResult { host: probe.host, end });
             self.news = true;
         } else {
-            self.probes_outrun += 1;
+            self.probes_outdated += 1;
         }
     }
 
     /// A subscription is about to be asked for: to be told before the relay can know.
-    pub fn hear_asked(&mut self, source: SubscriptionId) {
+    pub fn on_subscription_requested(&mut self, source: SubscriptionId) {
         self.asked = self.asked.max(source);
         self.untold.insert(source);
     }
 
     /// Its line is no more. What it was just telling to stand was not told whole and counts for nothing.
-    pub fn hear_ended(&mut self, source: SubscriptionId) {
+    pub fn on_subscription_ended(&mut self, source: SubscriptionId) {
         self.snapshot = self.snapshot.take().filter(|snapshot| snapshot.source != source);
         self.untold.remove(&source);
         self.drop_taken();
     }
 
     /// Only the newest subscription counts, whatever an older one still says.
-    pub fn hear_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
+    pub fn on_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
         if news == RelayEvent::Subscribed && source > self.source {
             self.source = source;
             self.snapshot = Some(Snapshot { told_at: now, source, ..Snapshot::default() });
@@ -209,13 +210,13 @@
             return;
         }
         if let Some(snapshot) = &mut self.snapshot {
-            if news == RelayEvent::Ping {
+            if news == RelayEvent::Heartbeat {
                 return self.take_snapshot();
             }
             snapshot.told_at = now;
             match news {
-                RelayEvent::Joined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
-                RelayEvent::Left(proxy) => _ = snapshot.proxies.remove(&proxy),
+                RelayEvent::ProxyJoined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
+                RelayEvent::ProxyLeft(proxy) => _ = snapshot.proxies.remove(&proxy),
                 RelayEvent::SliceAssigned { slice, on } => {
                     // Told before in what stands, it changed hands since.
                     let changed = snapshot.charges.remove(&slice).is_some();
@@ -231,16 +232,16 @@
                 RelayEvent::StoredEntry { slice, host, weight } => {
                     snapshot.charges.entry(slice).or_default().push((host, weight));
                 }
-                RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
-                RelayEvent::Subscribed | RelayEvent::Ping => {}
+                RelayEvent::BarrierAcked(confirmed) => self.round.confirmed.push(confirmed),
+                RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
             }
             return;
         }
-        self.news |= news != RelayEvent::Ping;
+        self.news |= news != RelayEvent::Heartbeat;
         match news {
-            RelayEvent::Joined { proxy, first } => self.stream(proxy, true, first),
-            RelayEvent::Left(proxy) => self.stream(proxy, false, false),
-            RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
+            RelayEvent::ProxyJoined { proxy, first } => self.stream(proxy, true, first),
+            RelayEvent::ProxyLeft(proxy) => self.stream(proxy, false, false),
+            RelayEvent::BarrierAcked(confirmed) => self.round.confirmed.push(confirmed),
             RelayEvent::SliceAssigned { slice, on } => {
                 self.charges_at = now;
                 self.forget(slice, on);
@@ -250,7 +251,7 @@
                 self.charges_at = now;
                 self.hold(slice, host, weight);
             }
-            RelayEvent::Subscribed | RelayEvent::Ping => {}
+            RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
         }
     }
 
@@ -355,17 +356,17 @@
 
     fn snapshot_quiet(&self) -> Seconds {
         if self.informed {
-            LATER_QUIET
+            SNAPSHOT_IDLE_TIMEOUT
         } else {
-            FIRST_QUIET
+            FIRST_SNAPSHOT_IDLE_TIMEOUT
         }
     }
 
-    /// When [`PlatformController::act`] has something to do, if nothing comes in before.
-    pub fn next_due(&self) -> Option<Seconds> {
+    /// When [`PlatformController::poll`] has something to do, if nothing comes in before.
+    pub fn next_deadline(&self) -> Option<Seconds> {
         let snapshot = self.snapshot.as_ref().map(|snapshot| snapshot.told_at + self.snapshot_quiet());
-        let settled = self.shows_call_early().map(|snapshot| snapshot.told_at + FIRST_QUIET);
-        let charges = (!self.charges.is_empty()).then_some(self.charges_at + CHARGE_QUIET);
+        let settled = self.shows_call_early().map(|snapshot| snapshot.told_at + FIRST_SNAPSHOT_IDLE_TIMEOUT);
+        let charges = (!self.charges.is_empty()).then_some(self.charges_at + ASSIGNMENT_IDLE_TIMEOUT);
         let timer = self.timers.iter().map(|(at, _)| *at).min_by(f64::total_cmp);
         let news = self.news.then_some(self.ran_at + self.tick);
         let running = [charges, timer, news].into_iter().flatten().filter(|_| self.informed);
@@ -373,16 +374,19 @@
     }
 
     /// Runs a round if one is due.
-    pub fn act(&mut self, now: Seconds) -> Effects {
+    pub fn poll(&mut self, now: Seconds) -> Effects {
         let mut effects = Effects::default();
         let quiet = self.snapshot_quiet();
         if self.snapshot.as_ref().is_some_and(|snapshot| now - snapshot.told_at >= quiet) {
             self.take_snapshot();
         }
-        if self.shows_call_early().is_some_and(|snapshot| now - snapshot.told_at >= FIRST_QUIET) {
+        if self
+            .shows_call_early()
+            .is_some_and(|snapshot| now - snapshot.told_at >= FIRST_SNAPSHOT_IDLE_TIMEOUT)
+        {
             self.settle_call();
         }
-        if !self.charges.is_empty() && now - self.charges_at >= CHARGE_QUIET {
+        if !self.charges.is_empty() && now - self.charges_at >= ASSIGNMENT_IDLE_TIMEOUT {
             self.round.charges.append(&mut self.charges);
             self.news = true;
         }
@@ -432,7 +436,7 @@
     }
 
     /// How the call ended; `None`: not known, so that what stands must show it. Tells the log what was dropped.
-    pub fn end_call(&mut self, answer: Option<Answer>) -> Option<String> {
+    pub fn on_call_ended(&mut self, answer: Option<CallResponse>) -> Option<String> {
         self.calling = false;
         if self.doubt.is_some() {
             self.doubt("a call ended while it was in doubt what stands");
@@ -442,18 +446,18 @@
                 self.doubt("a call has no known end");
                 None
             }
-            Some(Answer::Rejected) => None,
-            Some(Answer::Malformed) => {
+            Some(CallResponse::Rejected) => None,
+            Some(CallResponse::Malformed) => {
                 let count = self.waiting.drop_call();
                 Some(format!("the relay cannot read a call: {count} orders are dropped"))
             }
-            Some(Answer::Taken(count)) => {
+            Some(CallResponse::Accepted(count)) => {
                 let (taken, stopped) = self.waiting.taken(count);
                 if !self.untold.is_empty() {
                     let asked = self.asked;
                     self.taken.extend(taken.into_iter().map(|order| (asked, order)));
                 }
-                if self.taken.len() > TAKEN_MOST {
+                if self.taken.len() > MAX_ACCEPTED_SINCE_SNAPSHOT {
                     self.taken.clear();
                     self.doubt("a subscription takes long to tell what stands");
                 }
@@ -463,39 +467,39 @@
     }
 
     /// Why what the relay holds must be asked for anew, if it must: by a new subscription.
-    pub fn must_ask_anew(&mut self) -> Option<&'static str> {
+    pub fn take_resubscribe_reason(&mut self) -> Option<&'static str> {
         let overflowed = std::mem::take(&mut self.waiting.overflowed);
         self.ask_anew.take().or(overflowed.then_some("orders were dropped for want of room"))
     }
 
-    pub fn is_informed(&self) -> bool {
+    pub fn is_synchronized(&self) -> bool {
         self.informed
     }
 
-    pub fn joined(&self) -> usize {
+    pub fn proxies_joined(&self) -> usize {
         self.proxies.len()
     }
 
-    pub fn hosts(&self) -> usize {
+    pub fn hosts_listed(&self) -> usize {
         self.addresses.len()
     }
 
-    pub fn orders_waiting(&self) -> usize {
+    pub fn commands_pending(&self) -> usize {
         self.waiting.count()
     }
 
-    pub fn orders_folded(&self) -> u64 {
+    pub fn commands_folded(&self) -> u64 {
         self.waiting.folded
     }
 
-    pub fn orders_unnamed(&self) -> u64 {
+    pub fn commands_unnamed(&self) -> u64 {
         self.waiting.unnamed
     }
 }
 
 /// Whether there was room.
 fn push<T>(sums: &mut Vec<T>, sum: T) -> bool {
-    let room = sums.len() < SUMS_A_ROUND;
+    let room = sums.len() < MAX_LOAD_REPORTS_PER_BATCH;
     if room {
         sums.push(sum);
     }
@@ -518,7 +522,7 @@
 }
 
 fn same_lines(believed: &[(HostId, f64)], stored: &[(HostId, f64)]) -> bool {
-    let alike = |a: f64, b: f64| (a - b).abs() <= SAME_WEIGHT;
+    let alike = |a: f64, b: f64| (a - b).abs() <= WEIGHT_TOLERANCE;
     believed.len() == stored.len()
         && believed.iter().all(|(host, weight)| stored.iter().any(|(h, w)| h == host && alike(*w, *weight)))
 }
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -4,7 +4,7 @@
 
 fn controller() -> PlatformController {
     PlatformController::new(
-        &NodeConfig::read(include_str!("../../tests/assignment.json")).expect("a good file"),
+        &NodeConfig::parse(include_str!("../../tests/assignment.json")).expect("a good file"),
     )
 }
 
@@ -12,12 +12,12 @@
 fn a_proxy_that_left_just_before_a_new_subscription_is_told_to_have_left() {
     let mut controller = controller();
     let (proxy, now) = (ProxyId(5), 1.0);
-    controller.hear_relay_event(now, NONE, RelayEvent::Joined { proxy, first: true });
-    controller.hear_relay_event(now, NONE, RelayEvent::Left(proxy));
+    controller.on_relay_event(now, NONE, RelayEvent::ProxyJoined { proxy, first: true });
+    controller.on_relay_event(now, NONE, RelayEvent::ProxyLeft(proxy));
     let first = SubscriptionId { file: 0, count: 1 };
-    [RelayEvent::Subscribed, RelayEvent::Ping]
+    [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
-        .for_each(|news| controller.hear_relay_event(now, first, news));
+        .for_each(|news| controller.on_relay_event(now, first, news));
     assert!(controller.round.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
 }
 
@@ -32,7 +32,8 @@
              {{\"instanceId\":\"n-{old}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"gone\",\"weight\":1}},\
              {{\"instanceId\":\"n-{new}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"ready\",\"weight\":1}}]}}"
         );
-        assert!(controller.hear_page(1.0, &crate::discovery::read(page.as_bytes(), &names).expect("a page")));
+        assert!(controller
+            .on_endpoint_page(1.0, &crate::discovery::read(page.as_bytes(), &names).expect("a page")));
     }
     let [list] = controller.round.lists.as_slice() else { panic!("one list") };
     let hosts: Vec<&str> = list.entries.iter().map(|entry| entry.host.name()).collect();
@@ -45,11 +46,11 @@
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
     );
-    let mut controller = PlatformController::new(&NodeConfig::read(&file).expect("a good file"));
+    let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a good file"));
     let slice = SliceId(3);
-    controller.hear_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
     for name in ["s-1", "s-2"] {
-        controller.hear_relay_event(
+        controller.on_relay_event(
             1.0,
             NONE,
             RelayEvent::StoredEntry { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
@@ -66,10 +67,10 @@
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.round.charges.push(SliceAssignment { slice, given: true, lines: Vec::new() });
-    controller.hear_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: false });
-    controller.hear_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: false });
+    controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
     assert!(controller.charges[0].lines.is_empty() && controller.round.charges[0].lines.is_empty());
-    controller.hear_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
-    controller.hear_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
+    controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
     assert_eq!(controller.charges[1].lines, [(host, 1.0)]);
 }
--- a/crates/railhub-platform/src/discovery.rs
+++ b/crates/railhub-platform/src/discovery.rs
@@ -19,7 +19,7 @@
     pub whole: bool,
     pub entries: Vec<Entry>,
     /// Why entries were left out.
-    pub spoilt: Vec<InvalidEntry>,
+    pub invalid: Vec<InvalidEntry>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -57,13 +57,13 @@
 }
 
 impl RawEndpointPage {
-    /// A whole list that lacks an entry for being spoilt must not make that host gone: it counts as changes.
+    /// A whole list that lacks an entry for being invalid must not make that host gone: it counts as changes.
     pub fn check(&self, names: &Names) -> EndpointPage {
         let mut page = EndpointPage {
             generation: self.generation,
             whole: self.reset,
             entries: Vec::new(),
-            spoilt: Vec::new(),
+            invalid: Vec::new(),
         };
         for instance in &self.instances {
             let checked = match instance {
@@ -72,10 +72,10 @@
             };
             match checked {
                 Ok(entry) => page.entries.push(entry),
-                Err(fault) => page.spoilt.push(fault),
+                Err(fault) => page.invalid.push(fault),
             }
         }
-        page.whole &= page.spoilt.is_empty();
+        page.whole &= page.invalid.is_empty();
         page
     }
 }
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol, free of I/O and of clocks.
 //!
 //! In: collectors' frames ([`collector`]), the relay's news ([`news`]) and discovery's pages ([`discovery`]) are
-//! read one by one, and what is spoilt is dropped alone. The [`controller`] gathers them into rounds for the module.
+//! read one by one, and what is invalid is dropped alone. The [`controller`] gathers them into rounds for the module.
 //! Out: what the module orders is kept by the [`orders`] until the relay has taken it, and leaves as calls.
 //! [`NodeConfig`] is the configuration, checked.
 pub mod assignment;
--- a/crates/railhub-platform/src/orders.rs
+++ b/crates/railhub-platform/src/orders.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes of a call: the relay takes 60,000 of orders, and the frame round them needs some.
-const CALL_BYTES: usize = 58_000;
+const MAX_CALL_BYTES: usize = 58_000;
 /// Commands that wait while the relay is out of reach: whole tables of some hundred slices, many times over.
 /// Past them all are dropped, and what the relay holds is asked for anew.
-const WAITING_MOST: usize = 20_000;
+const MAX_PENDING_COMMANDS: usize = 20_000;
 
 /// What an order is about: a later one about the same makes an earlier one that still waits needless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,12 +69,12 @@
 
 /// By how much two weights of a line may differ and be the same: the relay tells weights in few decimals, so that a
 /// standby's comes back as 0.
-pub(crate) const SAME_WEIGHT: f64 = 0.005;
+pub(crate) const WEIGHT_TOLERANCE: f64 = 0.005;
 
 /// Whether a table says of a host what a line orders.
 fn stands(lines: &[(HostId, f64)], host: HostId, weight: f64) -> bool {
     let held = lines.iter().find(|line| line.0 == host);
-    held.map_or(weight == 0.0, |line| weight > 0.0 && (line.1 - weight).abs() <= SAME_WEIGHT)
+    held.map_or(weight == 0.0, |line| weight > 0.0 && (line.1 - weight).abs() <= WEIGHT_TOLERANCE)
 }
 
 /// What a line makes of a table; where a slice has one owner, a new one takes the old one's place.
@@ -131,7 +131,7 @@
             }
         }
         self.queue.push_back((place, order));
-        if self.queue.len() > WAITING_MOST {
+        if self.queue.len() > MAX_PENDING_COMMANDS {
             self.queue.clear();
             self.places.clear();
             self.overflowed = true;
@@ -173,7 +173,7 @@
             let next = if again { self.out.get(place) } else { self.queue.front().map(|(_, order)| order) };
             let Some(order) = next else { break };
             let said = order.say(classes);
-            if !again && place > 0 && bytes.len() + said.len() + 1 > CALL_BYTES {
+            if !again && place > 0 && bytes.len() + said.len() + 1 > MAX_CALL_BYTES {
                 break;
             }
             if place > 0 {
--- a/crates/railhub-platform/src/relay_events.rs
+++ b/crates/railhub-platform/src/relay_events.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 /// Bytes of a line: a call is far shorter, and a piece of news shorter still.
-pub const LINE_LIMIT: usize = 64 << 10;
+pub const MAX_LINE_BYTES: usize = 64 << 10;
 
 /// One subscription of this process: by the file that named its relay, then in the order in which they were asked
 /// for. A follower of an older file may ask later and is older all the same.
@@ -19,13 +19,13 @@
 pub enum RelayEvent {
     /// The subscription stands; what the relay holds follows.
     Subscribed,
-    Ping,
-    Joined {
+    Heartbeat,
+    ProxyJoined {
         proxy: ProxyId,
         first: bool,
     },
-    Left(ProxyId),
-    Applied(BarrierAck),
+    ProxyLeft(ProxyId),
+    BarrierAcked(BarrierAck),
     SliceAssigned {
         slice: SliceId,
         on: bool,
@@ -39,8 +39,8 @@
 
 /// How the relay ended a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    Taken(usize),
+pub enum CallResponse {
+    Accepted(usize),
     /// Calls are not let in yet.
     Rejected,
     /// It is no call to the relay: said again it would end alike.
@@ -60,18 +60,18 @@
 }
 
 #[derive(Deserialize)]
-struct Joined {
+struct ProxyJoined {
     proxy: u16,
     fresh: bool,
 }
 
 #[derive(Deserialize)]
-struct Left {
+struct ProxyLeft {
     proxy: u16,
 }
 
 #[derive(Deserialize)]
-struct Applied {
+struct BarrierAcked {
     proxy: u16,
     mark: u16,
 }
@@ -99,15 +99,18 @@
         return if head.result == Some(true) { Ok(RelayEvent::Subscribed) } else { Err(InvalidEntry::Kind) };
     };
     Ok(match method.as_str() {
-        "ping" => RelayEvent::Ping,
+        "ping" => RelayEvent::Heartbeat,
         "joined" => {
-            let joined: Joined = params(line)?;
-            RelayEvent::Joined { proxy: ProxyId(joined.proxy), first: joined.fresh }
+            let joined: ProxyJoined = params(line)?;
+            RelayEvent::ProxyJoined { proxy: ProxyId(joined.proxy), first: joined.fresh }
         }
-        "left" => RelayEvent::Left(ProxyId(params::<Left>(line)?.proxy)),
+        "left" => RelayEvent::ProxyLeft(ProxyId(params::<ProxyLeft>(line)?.proxy)),
         "applied" => {
-            let applied: Applied = params(line)?;
-            RelayEvent::Applied(BarrierAck { proxy: ProxyId(applied.proxy), mark: BarrierId(applied.mark) })
+            let applied: BarrierAcked = params(line)?;
+            RelayEvent::BarrierAcked(BarrierAck {
+                proxy: ProxyId(applied.proxy),
+                mark: BarrierId(applied.mark),
+            })
         }
         "given" => {
             let given: SliceAssigned = params(line)?;
@@ -129,31 +132,31 @@
 struct Ended {
     id: u64,
     #[serde(default)]
-    result: Option<Taken>,
+    result: Option<Accepted>,
     #[serde(default)]
     error: Option<serde::de::IgnoredAny>,
 }
 
 #[derive(Deserialize)]
-struct Taken {
+struct Accepted {
     taken: usize,
 }
 
 /// The answer to call `id` of so many orders; whatever else a line says, the call's outcome is not known.
-pub fn answer(line: &[u8], id: u64, count: usize) -> Result<Answer, InvalidEntry> {
+pub fn answer(line: &[u8], id: u64, count: usize) -> Result<CallResponse, InvalidEntry> {
     let ended: Ended = serde_json::from_slice(line).map_err(|_| InvalidEntry::Fields)?;
     if ended.id != id {
         return Err(InvalidEntry::Unknown);
     }
     match (ended.result, ended.error) {
-        (Some(Taken { taken }), None) if taken <= count => Ok(Answer::Taken(taken)),
+        (Some(Accepted { taken }), None) if taken <= count => Ok(CallResponse::Accepted(taken)),
         (Some(_), None) => Err(InvalidEntry::Range),
         // The error's form is not stated: it names its cause somewhere.
         (None, Some(_)) => {
             let says = |word: &[u8]| line.windows(word.len()).any(|part| part == word);
             match (says(b"limit"), says(b"malformed")) {
-                (true, false) => Ok(Answer::Rejected),
-                (false, true) => Ok(Answer::Malformed),
+                (true, false) => Ok(CallResponse::Rejected),
+                (false, true) => Ok(CallResponse::Malformed),
                 _ => Err(InvalidEntry::Fields),
             }
         }
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,7 +1,7 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
 use railhub::{BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId};
 use railhub_platform::orders::{Call, Command, PendingCommands};
-use railhub_platform::relay_events::{Answer, RelayEvent, SubscriptionId};
+use railhub_platform::relay_events::{CallResponse, RelayEvent, SubscriptionId};
 use railhub_platform::{NodeConfig, PlatformController as Core};
 use std::ops::{Deref, DerefMut};
 
@@ -10,7 +10,7 @@
 
 fn assignment() -> NodeConfig {
     // Without probes the module trusts the list, so that a few rounds are enough.
-    NodeConfig::read(&FILE.replace("\"probes\": true", "\"probes\": false")).expect("a good file")
+    NodeConfig::parse(&FILE.replace("\"probes\": true", "\"probes\": false")).expect("a good file")
 }
 
 fn host(n: u8) -> HostId {
@@ -26,7 +26,7 @@
 }
 
 fn joined(proxy: u16) -> RelayEvent {
-    RelayEvent::Joined { proxy: ProxyId(proxy), first: false }
+    RelayEvent::ProxyJoined { proxy: ProxyId(proxy), first: false }
 }
 
 /// A controller and the subscription that it hears; each further one is asked for as it comes.
@@ -40,16 +40,16 @@
         PlatformController { core: Core::new(assignment), source: SubscriptionId::default() }
     }
 
-    fn ask(&mut self) {
+    fn request_subscription(&mut self) {
         self.source.count += 1;
-        self.core.hear_asked(self.source);
+        self.core.on_subscription_requested(self.source);
     }
 
-    fn hear_relay_event(&mut self, now: f64, news: RelayEvent) {
+    fn on_relay_event(&mut self, now: f64, news: RelayEvent) {
         if news == RelayEvent::Subscribed {
-            self.ask();
+            self.request_subscription();
         }
-        self.core.hear_relay_event(now, self.source, news);
+        self.core.on_relay_event(now, self.source, news);
     }
 }
 
@@ -69,9 +69,9 @@
 
 /// What stands, told by a fresh subscription.
 fn stands(controller: &mut PlatformController, now: f64, news: &[RelayEvent]) {
-    controller.hear_relay_event(now, RelayEvent::Subscribed);
-    news.iter().for_each(|news| controller.hear_relay_event(now, *news));
-    controller.hear_relay_event(now, RelayEvent::Ping);
+    controller.on_relay_event(now, RelayEvent::Subscribed);
+    news.iter().for_each(|news| controller.on_relay_event(now, *news));
+    controller.on_relay_event(now, RelayEvent::Heartbeat);
 }
 
 fn text(call: &Call) -> &str {
@@ -80,11 +80,11 @@
 
 /// Acts and takes all calls, answered in full; their text.
 fn settle(controller: &mut PlatformController, now: f64) -> String {
-    controller.act(now);
+    controller.poll(now);
     let mut said = String::new();
     while let Some(call) = controller.next_call() {
         said.push_str(text(&call));
-        assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
+        assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.count))).is_none());
     }
     said
 }
@@ -93,13 +93,13 @@
 fn nothing_is_ordered_before_the_relay_has_told_what_stands() {
     let mut controller = PlatformController::new(&assignment());
     assert_eq!(settle(&mut controller, START), "");
-    controller.hear_relay_event(START, RelayEvent::Subscribed);
-    controller.hear_relay_event(START, given(3));
+    controller.on_relay_event(START, RelayEvent::Subscribed);
+    controller.on_relay_event(START, given(3));
     assert_eq!(settle(&mut controller, START + 0.01), "", "the table is not told whole");
-    controller.hear_relay_event(START + 0.02, held(3, 1));
-    assert!(controller.next_due().is_some_and(|due| due < START + 0.2));
+    controller.on_relay_event(START + 0.02, held(3, 1));
+    assert!(controller.next_deadline().is_some_and(|due| due < START + 0.2));
     let said = settle(&mut controller, START + 0.2);
-    assert!(controller.is_informed());
+    assert!(controller.is_synchronized());
     // It keeps the owner that the store names and adds a standby; it never empties the table.
     assert!(said.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{said}");
     assert!(!said.contains("\"weight\":0.0}"), "{said}");
@@ -111,13 +111,13 @@
     let first = [joined(1), joined(2), given(3), held(3, 1), given(4), held(4, 1)];
     stands(&mut controller, START, &first);
     settle(&mut controller, START);
-    assert_eq!(controller.joined(), 2);
+    assert_eq!(controller.proxies_joined(), 2);
     // Proxy 2 and slice 4 are absent now; slice 3 is as it was ordered: nothing to say.
     let standby = RelayEvent::StoredEntry { slice: SliceId(3), host: host(2), weight: 0.0 };
     stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1), standby]);
     // The relay tells a standby's weight rounded to 0. Who is shut out is said again, as a proxy may have missed it.
     assert!(!settle(&mut controller, START + 0.1).contains("share"));
-    assert_eq!(controller.joined(), 1);
+    assert_eq!(controller.proxies_joined(), 1);
     // The store lost the standby: it is ordered again, and slice 4 is no more.
     stands(&mut controller, START + 0.2, &[joined(1), given(3), held(3, 1)]);
     let said = settle(&mut controller, START + 0.2);
@@ -132,7 +132,7 @@
 fn with_a_call_out() -> (PlatformController, Call) {
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
-    controller.act(START);
+    controller.poll(START);
     let call = controller.next_call().expect("a standby is ordered");
     (controller, call)
 }
@@ -146,10 +146,10 @@
     let (mut controller, call) = with_a_call_out();
     // The news breaks while the call is out; its line is not in what stands.
     stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1)]);
-    controller.act(START + 0.1);
+    controller.poll(START + 0.1);
     assert!(controller.next_call().is_none(), "one call at a time");
-    assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
-    controller.act(START + 0.2);
+    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.count))).is_none());
+    controller.poll(START + 0.2);
     assert!(
         !controller.next_call().is_some_and(|call| text(&call).contains("share")),
         "it was no difference"
@@ -160,13 +160,13 @@
 fn a_call_without_known_end_is_said_again_only_if_what_stands_since_shows_that_it_was_not_carried_out() {
     for carried_out in [false, true] {
         let (mut controller, call) = with_a_call_out();
-        assert!(controller.end_call(None).is_none());
-        assert!(controller.must_ask_anew().is_some(), "the relay alone can tell");
-        controller.act(START + 0.1);
+        assert!(controller.on_call_ended(None).is_none());
+        assert!(controller.take_resubscribe_reason().is_some(), "the relay alone can tell");
+        controller.poll(START + 0.1);
         assert!(controller.next_call().is_none(), "carried out, it would wait in the channel twice");
         let table = [joined(1), given(3), held(3, 1), standby(0.0)];
         stands(&mut controller, START + 0.2, &table[..3 + usize::from(carried_out)]);
-        controller.act(START + 0.2);
+        controller.poll(START + 0.2);
         let again = controller.next_call();
         if carried_out {
             assert!(!again.is_some_and(|call| text(&call).contains("share")));
@@ -175,7 +175,7 @@
         let again = again.expect("it was not carried out");
         assert_eq!(orders(&again), orders(&call));
         assert!(again.id > call.id, "an answer to the first must not pass for this one's");
-        controller.end_call(Some(Answer::Taken(again.count)));
+        controller.on_call_ended(Some(CallResponse::Accepted(again.count)));
         assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
     }
 }
@@ -183,32 +183,32 @@
 #[test]
 fn a_subscription_asked_for_before_a_call_ended_shows_nothing_of_it() {
     let (mut controller, _) = with_a_call_out();
-    controller.ask();
+    controller.request_subscription();
     let early = controller.source;
-    controller.end_call(None);
-    assert!(controller.must_ask_anew().is_some());
+    controller.on_call_ended(None);
+    assert!(controller.take_resubscribe_reason().is_some());
     // It was told before the call was carried out: by it the call would be said again.
-    for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Ping] {
-        controller.core.hear_relay_event(START + 0.1, early, news);
+    for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Heartbeat] {
+        controller.core.on_relay_event(START + 0.1, early, news);
     }
-    controller.act(START + 0.3);
+    controller.poll(START + 0.3);
     assert!(controller.next_call().is_none());
-    assert!(controller.must_ask_anew().is_some(), "one more is asked for");
+    assert!(controller.take_resubscribe_reason().is_some(), "one more is asked for");
     stands(&mut controller, START + 0.4, &[joined(1), given(3), held(3, 1), standby(0.0)]);
-    controller.act(START + 0.4);
+    controller.poll(START + 0.4);
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
 #[test]
 fn what_stands_shows_a_call_before_all_of_it_counts() {
     let (mut controller, _) = with_a_call_out();
-    controller.end_call(None);
-    controller.hear_relay_event(START + 0.2, RelayEvent::Subscribed);
-    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_relay_event(START + 0.2, news));
-    controller.act(START + 0.25);
+    controller.on_call_ended(None);
+    controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
+    [given(3), held(3, 1)].into_iter().for_each(|news| controller.on_relay_event(START + 0.2, news));
+    controller.poll(START + 0.25);
     assert!(controller.next_call().is_none(), "the rest may be on its way");
-    assert!(controller.next_due().is_some_and(|due| due < START + 0.35));
-    controller.act(START + 0.31);
+    assert!(controller.next_deadline().is_some_and(|due| due < START + 0.35));
+    controller.poll(START + 0.31);
     assert!(controller.next_call().is_some(), "no sign of life need be waited for");
 }
 
@@ -217,19 +217,21 @@
     let mut controller = PlatformController::new(&assignment());
     let tables = [joined(1), given(3), held(3, 1), given(4), held(4, 1)];
     stands(&mut controller, START, &tables);
-    controller.act(START);
+    controller.poll(START);
     let call = controller.next_call().expect("two standbys");
-    controller.end_call(None);
-    controller.hear_relay_event(START + 0.2, RelayEvent::Subscribed);
-    tables[..3].iter().for_each(|news| controller.hear_relay_event(START + 0.2, *news));
+    controller.on_call_ended(None);
+    controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
+    tables[..3].iter().for_each(|news| controller.on_relay_event(START + 0.2, *news));
     // The telling pauses for longer than it takes to see how a call ended.
-    controller.act(START + 0.4);
-    assert!(controller.next_call().is_none() && controller.next_due().is_some_and(|due| due > START + 0.4));
+    controller.poll(START + 0.4);
+    assert!(
+        controller.next_call().is_none() && controller.next_deadline().is_some_and(|due| due > START + 0.4)
+    );
     tables[3..]
         .iter()
-        .chain([&RelayEvent::Ping])
-        .for_each(|news| controller.hear_relay_event(START + 0.5, *news));
-    controller.act(START + 0.5);
+        .chain([&RelayEvent::Heartbeat])
+        .for_each(|news| controller.on_relay_event(START + 0.5, *news));
+    controller.poll(START + 0.5);
     assert_eq!(orders(&controller.next_call().expect("it was not carried out")), orders(&call));
 }
 
@@ -239,18 +241,18 @@
     // or even its begin, as the two come on connections of their own.
     for answered_first in [true, false] {
         let (mut controller, call) = with_a_call_out();
-        controller.ask();
+        controller.request_subscription();
         let source = controller.source;
         let told = [RelayEvent::Subscribed, joined(1), given(3), held(3, 1)];
         if !answered_first {
-            told.into_iter().for_each(|news| controller.core.hear_relay_event(START + 0.1, source, news));
+            told.into_iter().for_each(|news| controller.core.on_relay_event(START + 0.1, source, news));
         }
-        controller.end_call(Some(Answer::Taken(call.count)));
+        controller.on_call_ended(Some(CallResponse::Accepted(call.count)));
         if answered_first {
-            told.into_iter().for_each(|news| controller.core.hear_relay_event(START + 0.1, source, news));
+            told.into_iter().for_each(|news| controller.core.on_relay_event(START + 0.1, source, news));
         }
-        controller.core.hear_relay_event(START + 0.2, source, RelayEvent::Ping);
-        controller.act(START + 0.2);
+        controller.core.on_relay_event(START + 0.2, source, RelayEvent::Heartbeat);
+        controller.poll(START + 0.2);
         let said = controller.next_call();
         assert!(!said.is_some_and(|call| text(&call).contains("share")), "answered first: {answered_first}");
     }
@@ -261,66 +263,66 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), joined(2), given(3), held(3, 1), given(4), held(4, 1)]);
     settle(&mut controller, START);
-    controller.hear_relay_event(START + 1.0, RelayEvent::Subscribed);
-    [joined(1), given(3)].into_iter().for_each(|news| controller.hear_relay_event(START + 1.0, news));
+    controller.on_relay_event(START + 1.0, RelayEvent::Subscribed);
+    [joined(1), given(3)].into_iter().for_each(|news| controller.on_relay_event(START + 1.0, news));
     let source = controller.source;
-    controller.hear_ended(source);
+    controller.on_subscription_ended(source);
     // The relay stays away for long.
     assert_eq!(settle(&mut controller, START + 20.0), "");
-    assert_eq!(controller.joined(), 2, "what was told whole before holds");
-    controller.hear_relay_event(START + 21.0, RelayEvent::Left(ProxyId(1)));
+    assert_eq!(controller.proxies_joined(), 2, "what was told whole before holds");
+    controller.on_relay_event(START + 21.0, RelayEvent::ProxyLeft(ProxyId(1)));
     stands(&mut controller, START + 22.0, &[joined(1), given(3), held(3, 1), standby(0.0)]);
     settle(&mut controller, START + 22.0);
-    assert_eq!(controller.joined(), 1);
+    assert_eq!(controller.proxies_joined(), 1);
 }
 
 #[test]
 fn a_first_telling_that_breaks_off_leaves_the_steward_uninformed() {
     let mut controller = PlatformController::new(&assignment());
-    controller.hear_relay_event(START, RelayEvent::Subscribed);
-    controller.hear_relay_event(START, given(3));
+    controller.on_relay_event(START, RelayEvent::Subscribed);
+    controller.on_relay_event(START, given(3));
     let source = controller.source;
-    controller.hear_ended(source);
+    controller.on_subscription_ended(source);
     assert_eq!(settle(&mut controller, START + 5.0), "");
-    assert!(!controller.is_informed());
+    assert!(!controller.is_synchronized());
 }
 
 #[test]
 fn an_older_files_subscription_counts_for_nothing_once_a_newer_files_stands() {
     let mut controller = Core::new(&assignment());
     let (older, newer) = (SubscriptionId { file: 0, count: 5 }, SubscriptionId { file: 1, count: 4 });
-    [older, newer].into_iter().for_each(|source| controller.hear_asked(source));
-    for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Ping] {
-        controller.hear_relay_event(START, newer, news);
+    [older, newer].into_iter().for_each(|source| controller.on_subscription_requested(source));
+    for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Heartbeat] {
+        controller.on_relay_event(START, newer, news);
     }
-    for news in [RelayEvent::Subscribed, RelayEvent::Left(ProxyId(1)), RelayEvent::Ping] {
-        controller.hear_relay_event(START + 0.1, older, news);
+    for news in [RelayEvent::Subscribed, RelayEvent::ProxyLeft(ProxyId(1)), RelayEvent::Heartbeat] {
+        controller.on_relay_event(START + 0.1, older, news);
     }
-    controller.hear_ended(older);
-    controller.hear_relay_event(START + 0.2, newer, joined(2));
-    assert_eq!(controller.joined(), 2);
+    controller.on_subscription_ended(older);
+    controller.on_relay_event(START + 0.2, newer, joined(2));
+    assert_eq!(controller.proxies_joined(), 2);
 }
 
 #[test]
 fn a_slice_given_while_a_call_about_it_is_out_is_asked_for_anew() {
     let (mut controller, call) = with_a_call_out();
-    controller.hear_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
-    assert!(controller.must_ask_anew().is_none(), "what is not held is changed by no order");
-    [given(3), held(3, 1)].into_iter().for_each(|news| controller.hear_relay_event(START + 0.11, news));
-    assert!(controller.must_ask_anew().is_some(), "its line may be on the table as it is now");
-    controller.end_call(Some(Answer::Taken(call.count)));
+    controller.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
+    assert!(controller.take_resubscribe_reason().is_none(), "what is not held is changed by no order");
+    [given(3), held(3, 1)].into_iter().for_each(|news| controller.on_relay_event(START + 0.11, news));
+    assert!(controller.take_resubscribe_reason().is_some(), "its line may be on the table as it is now");
+    controller.on_call_ended(Some(CallResponse::Accepted(call.count)));
     assert!(
-        controller.must_ask_anew().is_some() && controller.next_call().is_none(),
+        controller.take_resubscribe_reason().is_some() && controller.next_call().is_none(),
         "of which the end is seen now"
     );
     stands(&mut controller, START + 0.3, &[joined(1), given(3), held(3, 1), standby(0.0)]);
-    controller.act(START + 0.3);
+    controller.poll(START + 0.3);
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
 #[test]
 fn a_probe_that_ends_after_its_host_moved_started_anew_or_went_says_nothing_of_what_is_there_now() {
-    let read = NodeConfig::read(FILE).expect("a good file");
+    let read = NodeConfig::parse(FILE).expect("a good file");
     let page = |generation: u64, address: &str, lifecycle: &str, started: f64| {
         let text = format!(
             "{{\"generation\":{generation},\"reset\":false,\"instances\":[{{\"instanceId\":\"s-1\",\"hostPort\":\
@@ -334,12 +336,12 @@
     {
         let mut controller = PlatformController::new(&read);
         stands(&mut controller, START, &[joined(1), given(3), held(3, 2)]);
-        let asked = controller.act(START).probes;
+        let asked = controller.poll(START).probes;
         let probe = asked.into_iter().find(|probe| probe.host == host(1)).expect("it is probed");
-        controller.hear_page(START, &page(42, address, lifecycle, started));
-        (0..3).for_each(|_| controller.hear_probe(&probe, HealthCheckOutcome::Unreachable));
-        assert_eq!(controller.probes_outrun, 3);
-        let notes = controller.act(START + 0.1).notes;
+        controller.on_endpoint_page(START, &page(42, address, lifecycle, started));
+        (0..3).for_each(|_| controller.on_probe_result(&probe, HealthCheckOutcome::Unreachable));
+        assert_eq!(controller.probes_outdated, 3);
+        let notes = controller.poll(START + 0.1).notes;
         assert!(!notes.iter().any(|note| note.contains("down")), "{notes:?}");
     }
 }
@@ -355,12 +357,17 @@
         railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
     };
     let mut controller = PlatformController::new(&read);
-    assert!(controller.hear_page(START, &page(60, true, "s-7")));
-    assert!(!controller.hear_page(START + 5.0, &page(3, true, "s-8")), "it may be a late one");
-    assert!(!controller.hear_page(START + 20.0, &page(4, false, "s-8")), "changes of what is not known");
-    assert!(controller.hear_page(START + 20.0, &page(3, true, "s-8")), "discovery began anew");
-    assert!(controller.hear_page(START + 20.1, &page(4, false, "s-9")) && controller.generation() == 4);
-    assert_eq!(controller.hosts(), 2);
+    assert!(controller.on_endpoint_page(START, &page(60, true, "s-7")));
+    assert!(!controller.on_endpoint_page(START + 5.0, &page(3, true, "s-8")), "it may be a late one");
+    assert!(
+        !controller.on_endpoint_page(START + 20.0, &page(4, false, "s-8")),
+        "changes of what is not known"
+    );
+    assert!(controller.on_endpoint_page(START + 20.0, &page(3, true, "s-8")), "discovery began anew");
+    assert!(
+        controller.on_endpoint_page(START + 20.1, &page(4, false, "s-9")) && controller.generation() == 4
+    );
+    assert_eq!(controller.hosts_listed(), 2);
 }
 
 #[test]
@@ -368,17 +375,15 @@
     // Both hold desks of their own; the relay carried the call out or not, and gave the slice on meanwhile.
     for carried_out in [true, false] {
         let (mut first, _) = with_a_call_out();
-        first.end_call(None);
-        first.hear_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
+        first.on_call_ended(None);
+        first.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
         let mut heir = PlatformController::new(&assignment());
         stands(&mut heir, START, &[joined(1)]);
         settle(&mut heir, START);
         let table = [given(3), held(3, 1), standby(0.0)];
-        table[..2 + usize::from(carried_out)]
-            .iter()
-            .for_each(|news| heir.hear_relay_event(START + 0.1, *news));
+        table[..2 + usize::from(carried_out)].iter().for_each(|news| heir.on_relay_event(START + 0.1, *news));
         stands(&mut first, START + 0.2, &[joined(1)]);
-        first.act(START + 0.2);
+        first.poll(START + 0.2);
         assert!(!first.next_call().is_some_and(|call| text(&call).contains("\"table\":3")));
         // The heir says what the table lacks, once.
         assert_eq!(settle(&mut heir, START + 0.2).contains("\"table\":3"), !carried_out);
@@ -412,12 +417,12 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1)]);
     settle(&mut controller, START);
-    controller.hear_relay_event(START + 0.5, given(7));
+    controller.on_relay_event(START + 0.5, given(7));
     assert_eq!(settle(&mut controller, START + 0.505), "", "its lines may be on their way");
-    controller.hear_relay_event(START + 0.51, held(7, 2));
+    controller.on_relay_event(START + 0.51, held(7, 2));
     let said = settle(&mut controller, START + 0.55);
     assert!(said.contains(r#""table":7,"server":"s-1","weight":0.0001"#), "{said}");
-    controller.hear_relay_event(START + 1.2, RelayEvent::SliceAssigned { slice: SliceId(7), on: false });
+    controller.on_relay_event(START + 1.2, RelayEvent::SliceAssigned { slice: SliceId(7), on: false });
     assert_eq!(settle(&mut controller, START + 1.25), "");
 }
 
@@ -428,7 +433,7 @@
     settle(&mut controller, START);
     // The table was given empty and got an owner; now the store's own line follows, of a host the module does
     // not want there: it must be known, or it would stay for ever.
-    controller.hear_relay_event(START + 0.1, held(7, 9));
+    controller.on_relay_event(START + 0.1, held(7, 9));
     let said = settle(&mut controller, START + 0.2);
     assert!(said.contains(r#""table":7,"server":"s-9","weight":0.0"#), "{said}");
 }
@@ -437,8 +442,8 @@
 fn orders_about_a_table_that_is_given_anew_are_not_made() {
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
-    controller.act(START);
-    controller.hear_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
+    controller.poll(START);
+    controller.on_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
@@ -453,11 +458,11 @@
         );
         railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
     };
-    controller.hear_page(START, &page("-1"));
-    assert_eq!((controller.hosts(), controller.generation()), (2, 41));
-    assert!(controller.hear_page(START, &page("1")));
-    assert_eq!((controller.hosts(), controller.generation()), (3, 42));
-    assert!(!controller.hear_page(START, &page("1")), "told already");
+    controller.on_endpoint_page(START, &page("-1"));
+    assert_eq!((controller.hosts_listed(), controller.generation()), (2, 41));
+    assert!(controller.on_endpoint_page(START, &page("1")));
+    assert_eq!((controller.hosts_listed(), controller.generation()), (3, 42));
+    assert!(!controller.on_endpoint_page(START, &page("1")), "told already");
 }
 
 fn push_lines(waiting: &mut PendingCommands, count: u16) {
@@ -531,24 +536,24 @@
     let mut first = vec![given(3), held(3, 1)];
     first.extend((0..LATE_PROXIES.start).map(joined));
     stands(&mut controller, START, &first);
-    controller.act(START);
+    controller.poll(START);
     let call = controller.next_call().expect("a standby is due");
-    LATE_PROXIES.for_each(|proxy| controller.hear_relay_event(START + 0.01, joined(proxy)));
-    controller.act(START + 0.02);
-    assert!(controller.end_call(Some(Answer::Taken(call.count))).is_none());
+    LATE_PROXIES.for_each(|proxy| controller.on_relay_event(START + 0.01, joined(proxy)));
+    controller.poll(START + 0.02);
+    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.count))).is_none());
     let drains = FILE
         .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
         .replacen("draining", "ready", 1);
-    let known = NodeConfig::read(&drains.replace("\"generation\": 41", "\"generation\": 42"))
+    let known = NodeConfig::parse(&drains.replace("\"generation\": 41", "\"generation\": 42"))
         .expect("a good file")
         .known;
-    assert!(controller.hear_page(START + 0.1, &known));
-    controller.act(START + 0.1);
+    assert!(controller.on_endpoint_page(START + 0.1, &known));
+    controller.poll(START + 0.1);
     assert!(controller.next_call().is_none(), "the first message may wait for all that have joined since");
     let mark = ticket(&call);
     for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
-        controller.hear_relay_event(START + 0.9, RelayEvent::Applied(BarrierAck { proxy, mark }));
+        controller.on_relay_event(START + 0.9, RelayEvent::BarrierAcked(BarrierAck { proxy, mark }));
     }
-    controller.act(START + 1.1);
+    controller.poll(START + 1.1);
     assert!(controller.next_call().is_some(), "it has left the channel");
 }
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -1,7 +1,7 @@
-//! Each decoder on good input, on spoilt input that must be told apart, and on damaged bytes without end.
+//! Each decoder on good input, on invalid input that must be told apart, and on damaged bytes without end.
 use railhub::{BarrierId, ClassId, HostId, Idempotency, Phase, ProxyId, SliceId, ZoneId};
-use railhub_platform::collector::{self, Frame};
-use railhub_platform::relay_events::{self, Answer, RelayEvent};
+use railhub_platform::collector::{self, CollectorMessage};
+use railhub_platform::relay_events::{self, CallResponse, RelayEvent};
 use railhub_platform::{discovery, InvalidEntry, Names, NodeConfig};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,16 +9,16 @@
 const FILE: &str = include_str!("assignment.json");
 
 fn names() -> Names {
-    NodeConfig::read(FILE).expect("a good file").names
+    NodeConfig::parse(FILE).expect("a good file").names
 }
 
-fn frame(text: &str) -> Result<Frame, InvalidEntry> {
+fn frame(text: &str) -> Result<CollectorMessage, InvalidEntry> {
     collector::read(text.as_bytes(), &names(), 40)
 }
 
 #[test]
 fn a_file_becomes_terms_and_the_first_list() {
-    let read = NodeConfig::read(FILE).expect("a good file");
+    let read = NodeConfig::parse(FILE).expect("a good file");
     assert_eq!((read.name.as_str(), read.sockets, read.memory_mb), ("n0", 256, 32));
     assert_eq!(read.relay.to_string(), "127.0.0.1:6400");
     assert_eq!((read.terms.slices, read.terms.warm_within, read.terms.may_probe), (40, 18.0, true));
@@ -33,7 +33,7 @@
 fn what_is_wrong_in_a_file_is_named_with_its_place() {
     let fault = |from: &str, to: &str| {
         assert!(FILE.contains(from), "{from}");
-        NodeConfig::read(&FILE.replace(from, to)).expect_err("wrong").to_string()
+        NodeConfig::parse(&FILE.replace(from, to)).expect_err("wrong").to_string()
     };
     let place = fault("\"127.0.0.1:6400\"", "17");
     assert!(place.starts_with("registry.address: "), "{place}");
@@ -42,7 +42,7 @@
     assert!(fault("\"backlog\": 900.5", "\"backlog\": -1").starts_with("settings.family_info.backlog: "));
     let one_owner = fault("\"exclusive\": false", "\"exclusive\": true");
     assert_eq!(one_owner, "settings.family_info.write_lease_us: is needed where a slice has one owner");
-    assert!(NodeConfig::read(&FILE[..FILE.len() / 2]).is_err());
+    assert!(NodeConfig::parse(&FILE[..FILE.len() / 2]).is_err());
 }
 
 #[test]
@@ -51,31 +51,31 @@
         [("127.0.0.2:7070", "nowhere"), ("\"weight\": 2.0", "\"weight\": \"two\""), ("\"weight\": 2.0,", "")]
     {
         assert!(FILE.contains(from), "{from}");
-        let read = NodeConfig::read(&FILE.replace(from, to)).expect("a start");
-        assert_eq!((read.known.spoilt.len(), read.known.entries.len(), read.known.whole), (1, 1, false));
+        let read = NodeConfig::parse(&FILE.replace(from, to)).expect("a start");
+        assert_eq!((read.known.invalid.len(), read.known.entries.len(), read.known.whole), (1, 1, false));
         // The list is asked for whole, and counts under whatever number it comes.
         assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
     let empty = FILE.replace("\"instances\": [", "\"instances\": [], \"old\": [");
-    assert_eq!(NodeConfig::read(&empty).expect("a start").known.entries.len(), 0);
+    assert_eq!(NodeConfig::parse(&empty).expect("a start").known.entries.len(), 0);
 }
 
 #[test]
 fn good_frames_become_sums() {
-    assert!(matches!(frame(r#"{"t":"ping"}"#), Ok(Frame::Ping)));
-    assert!(matches!(frame(r#"{"t":"collector","zone":"b"}"#), Ok(Frame::Collector(ZoneId(1)))));
+    assert!(matches!(frame(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
+    assert!(matches!(frame(r#"{"t":"collector","zone":"b"}"#), Ok(CollectorMessage::Collector(ZoneId(1)))));
     let heard = r#"{"t":"heard","zone":"a","server":"s-1","tries":212,"failed":3,"mean_ms":41.5,
         "span_ms":1000.0,"load":{"inflight":7,"util":0.61},"new":[[{}]]}"#;
-    let Ok(Frame::Tries(sum)) = frame(heard) else { panic!("a report") };
+    let Ok(CollectorMessage::HostLoad(sum)) = frame(heard) else { panic!("a report") };
     assert_eq!((sum.tries, sum.failed, sum.mean_time, sum.span), (212.0, 3.0, 0.0415, 1.0));
     assert_eq!((sum.zone, sum.busy), (ZoneId(0), Some(0.61)));
     // As the settings of another customer name the same figures.
     let renamed = heard.replace("inflight", "rif").replace("util", "busy");
-    assert!(matches!(frame(&renamed), Ok(Frame::Tries(sum)) if sum.busy == Some(0.61)));
+    assert!(matches!(frame(&renamed), Ok(CollectorMessage::HostLoad(sum)) if sum.busy == Some(0.61)));
     assert!(frame(&renamed.replace("0.61", "61")).is_err(), "a share out of range");
     // An operation may fail in a later span than the one it came in.
     let heat = r#"{"t":"heat","slice":30,"class":"deposit","tries":0,"failed":1,"span_ms":500}"#;
-    let Ok(Frame::Demand(sum)) = frame(heat) else { panic!("a report") };
+    let Ok(CollectorMessage::SliceLoad(sum)) = frame(heat) else { panic!("a report") };
     assert_eq!((sum.slice, sum.class, sum.operations, sum.span), (SliceId(30), ClassId(1), 0.0, 0.5));
 }
 
@@ -133,10 +133,10 @@
         read(&format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}"))
     };
     assert_eq!(read(r#"{"jsonrpc":"2.0","id":10,"result":true}"#), Ok(RelayEvent::Subscribed));
-    assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(RelayEvent::Ping));
+    assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(RelayEvent::Heartbeat));
     let joined = said("joined", r#"{"proxy":17,"zone":"a","weight":21.5,"fresh":true}"#);
-    assert_eq!(joined, Ok(RelayEvent::Joined { proxy: ProxyId(17), first: true }));
-    let Ok(RelayEvent::Applied(applied)) = said("applied", r#"{"proxy":17,"mark":905,"took_ms":310.4}"#)
+    assert_eq!(joined, Ok(RelayEvent::ProxyJoined { proxy: ProxyId(17), first: true }));
+    let Ok(RelayEvent::BarrierAcked(applied)) = said("applied", r#"{"proxy":17,"mark":905,"took_ms":310.4}"#)
     else {
         panic!("an answer to a mark")
     };
@@ -158,10 +158,10 @@
 #[test]
 fn only_the_answer_to_this_very_call_settles_it() {
     let answer = |text: &str| relay_events::answer(text.as_bytes(), 8, 2);
-    assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(Answer::Taken(2)));
-    assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(Answer::Rejected));
-    assert_eq!(answer(r#"{"id":8,"error":{"message":"malformed"}}"#), Ok(Answer::Malformed));
-    for spoilt in [
+    assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(CallResponse::Accepted(2)));
+    assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(CallResponse::Rejected));
+    assert_eq!(answer(r#"{"id":8,"error":{"message":"malformed"}}"#), Ok(CallResponse::Malformed));
+    for invalid in [
         r#"{"id":9,"result":{"taken":2}}"#,
         r#"{"id":8,"result":{"taken":3}}"#,
         r#"{"id":8,"result":{"taken":-1}}"#,
@@ -171,7 +171,7 @@
         r#"{"id":8,"error":{"message":"what"}}"#,
         r#"{"id":8,"result":{"taken":2}"#,
     ] {
-        assert!(answer(spoilt).is_err(), "{spoilt}");
+        assert!(answer(invalid).is_err(), "{invalid}");
     }
 }
 
@@ -183,7 +183,7 @@
     let read = |text: &str| discovery::read(text.as_bytes(), &names());
     for (weight, fault) in [("\"heavy\"", InvalidEntry::Fields), ("-1", InvalidEntry::Range)] {
         let page = read(&page.replace("\"heavy\"", weight)).expect("a page");
-        assert_eq!((page.whole, page.entries.len(), page.spoilt.as_slice()), (false, 1, &[fault][..]));
+        assert_eq!((page.whole, page.entries.len(), page.invalid.as_slice()), (false, 1, &[fault][..]));
         assert_eq!(page.entries[0].listed.phase, Phase::Draining);
     }
     assert_eq!(read(&page.replace("true", "9")).map(drop), Err(InvalidEntry::Fields));
@@ -223,7 +223,7 @@
     let heard =
         r#"{"t":"heard","zone":"a","server":"s-1","tries":12,"failed":3,"mean_ms":4.5,"span_ms":1000.0}"#;
     feed(heard, 1, |bytes| match collector::read(bytes, &names, 40) {
-        Ok(Frame::Tries(sum)) => {
+        Ok(CollectorMessage::HostLoad(sum)) => {
             assert!(sane(sum.tries) && sum.failed <= sum.tries && sane(sum.mean_time) && sum.span > 0.0);
             true
         }
@@ -231,7 +231,7 @@
     });
     let heat = r#"{"t":"heat","slice":8,"class":"deposit","tries":40,"failed":1,"span_ms":1000.0}"#;
     feed(heat, 2, |bytes| match collector::read(bytes, &names, 40) {
-        Ok(Frame::Demand(sum)) => {
+        Ok(CollectorMessage::SliceLoad(sum)) => {
             assert!(sum.slice.0 < 40 && sum.class.0 < 2 && sane(sum.operations) && sum.span > 0.0);
             true
         }
@@ -244,7 +244,7 @@
     });
     let answer = r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#;
     feed(answer, 4, |bytes| match relay_events::answer(bytes, 8, 2) {
-        Ok(Answer::Taken(taken)) => taken <= 2,
+        Ok(CallResponse::Accepted(taken)) => taken <= 2,
         read => read.is_ok(),
     });
     let page = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:7070",
@@ -253,5 +253,5 @@
         discovery::read(bytes, &names)
             .is_ok_and(|page| page.entries.iter().all(|entry| sane(entry.listed.weight)))
     });
-    feed(FILE, 6, |bytes| std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::read(text).is_ok()));
+    feed(FILE, 6, |bytes| std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::parse(text).is_ok()));
 }
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -3,13 +3,13 @@
     BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
     RetryPolicy, SliceId, SliceLoadReport, ZoneId,
 };
-use railhub_platform::collector::{self, Frame};
+use railhub_platform::collector::{self, CollectorMessage};
 use railhub_platform::orders::{Command, PendingCommands};
-use railhub_platform::relay_events::{self, Answer, RelayEvent};
+use railhub_platform::relay_events::{self, CallResponse, RelayEvent};
 use railhub_platform::{discovery, EndpointPage, InvalidEntry, Names, NodeConfig};
 
 fn names() -> Names {
-    NodeConfig::read(include_str!("assignment.json")).expect("a valid file").names
+    NodeConfig::parse(include_str!("assignment.json")).expect("a valid file").names
 }
 
 fn host(name: &str) -> HostId {
@@ -35,11 +35,11 @@
     relay_events::read(line.as_bytes())
 }
 
-fn response(line: &str) -> Result<Answer, InvalidEntry> {
+fn response(line: &str) -> Result<CallResponse, InvalidEntry> {
     relay_events::answer(line.as_bytes(), 8, 2)
 }
 
-fn collector_message(body: &str) -> Result<Frame, InvalidEntry> {
+fn collector_message(body: &str) -> Result<CollectorMessage, InvalidEntry> {
     collector::read(body.as_bytes(), &names(), 40)
 }
 
@@ -131,15 +131,15 @@
     let slice = SliceId(88);
     for (line, event) in [
         (r#"{"jsonrpc":"2.0","id":10,"result":true}"#, RelayEvent::Subscribed),
-        (r#"{"jsonrpc":"2.0","method":"ping"}"#, RelayEvent::Ping),
+        (r#"{"jsonrpc":"2.0","method":"ping"}"#, RelayEvent::Heartbeat),
         (
             r#"{"jsonrpc":"2.0","method":"joined","params":{"proxy":17,"zone":"a","weight":21.5,"fresh":true}}"#,
-            RelayEvent::Joined { proxy: ProxyId(17), first: true },
+            RelayEvent::ProxyJoined { proxy: ProxyId(17), first: true },
         ),
-        (r#"{"jsonrpc":"2.0","method":"left","params":{"proxy":17}}"#, RelayEvent::Left(ProxyId(17))),
+        (r#"{"jsonrpc":"2.0","method":"left","params":{"proxy":17}}"#, RelayEvent::ProxyLeft(ProxyId(17))),
         (
             r#"{"jsonrpc":"2.0","method":"applied","params":{"proxy":17,"mark":905,"took_ms":310.4}}"#,
-            RelayEvent::Applied(BarrierAck { proxy: ProxyId(17), mark: BarrierId(905) }),
+            RelayEvent::BarrierAcked(BarrierAck { proxy: ProxyId(17), mark: BarrierId(905) }),
         ),
         (
             r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":true}}"#,
@@ -171,10 +171,10 @@
 #[test]
 fn reads_each_answer_to_a_call_from_these_bytes() {
     for (line, answer) in [
-        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#, Ok(Answer::Taken(2))),
-        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(Answer::Taken(0))),
-        (r#"{"jsonrpc":"2.0","id":8,"error":{"code":-1,"message":"limit"}}"#, Ok(Answer::Rejected)),
-        (r#"{"jsonrpc":"2.0","id":8,"error":"malformed"}"#, Ok(Answer::Malformed)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#, Ok(CallResponse::Accepted(2))),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(CallResponse::Accepted(0))),
+        (r#"{"jsonrpc":"2.0","id":8,"error":{"code":-1,"message":"limit"}}"#, Ok(CallResponse::Rejected)),
+        (r#"{"jsonrpc":"2.0","id":8,"error":"malformed"}"#, Ok(CallResponse::Malformed)),
         (r#"{"jsonrpc":"2.0","id":8,"error":"limit malformed"}"#, Err(InvalidEntry::Fields)),
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2},"error":{}}"#, Err(InvalidEntry::Fields)),
         (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(InvalidEntry::Unknown)),
@@ -186,8 +186,11 @@
 
 #[test]
 fn reads_each_collector_message_from_these_bytes() {
-    assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(Frame::Ping)));
-    assert!(matches!(collector_message(r#"{"t":"collector","zone":"a"}"#), Ok(Frame::Collector(ZoneId(0)))));
+    assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
+    assert!(matches!(
+        collector_message(r#"{"t":"collector","zone":"a"}"#),
+        Ok(CollectorMessage::Collector(ZoneId(0)))
+    ));
     let body = r#"{"t":"heard","zone":"a","server":"s-5be2a07c","tries":212,"failed":3,"mean_ms":41.5,"span_ms":1000.0,"load":{"inflight":7,"util":0.61}}"#;
     let expected = HostLoadReport {
         zone: ZoneId(0),
@@ -204,11 +207,11 @@
         (body.replace("inflight", "rif").replace("util", "busy"), expected.clone()),
         (body.replace(r#","load":{"inflight":7,"util":0.61}"#, ""), without_load),
     ] {
-        let Ok(Frame::Tries(report)) = collector_message(&body) else { panic!("{body}") };
+        let Ok(CollectorMessage::HostLoad(report)) = collector_message(&body) else { panic!("{body}") };
         assert_eq!(format!("{report:?}"), format!("{expected:?}"), "{body}");
     }
     let body = r#"{"t":"heat","slice":38,"class":"view","tries":40,"failed":1,"span_ms":1000.0}"#;
-    let Ok(Frame::Demand(report)) = collector_message(body) else { panic!("{body}") };
+    let Ok(CollectorMessage::SliceLoad(report)) = collector_message(body) else { panic!("{body}") };
     let expected = SliceLoadReport { slice: SliceId(38), class: ClassId(0), operations: 40.0, span: 1.0 };
     assert_eq!(format!("{report:?}"), format!("{expected:?}"));
 }
@@ -244,7 +247,7 @@
 
 #[test]
 fn reads_the_configuration_from_these_bytes() {
-    let read = NodeConfig::read(include_str!("assignment.json")).expect("a valid file");
+    let read = NodeConfig::parse(include_str!("assignment.json")).expect("a valid file");
     assert_eq!(
         [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
