--- /dev/null
+++ b/crates/railhub-membership/tests/wire_compatibility.rs
@@ -0,0 +1,148 @@
+//! The bytes of each datagram between controllers, as literals: other builds read them, so they must not change while
+//! the names in the code do.
+use railhub_membership::entry::{Entry, Incarnation, Load, NodeMetadata, Status};
+use railhub_membership::packet::{decode, encode, Packet, View};
+use railhub_membership::swim::ViewEntry;
+use railhub_membership::words::{DigestEntry, Message, Request};
+use railhub_membership::NodeId;
+
+const INSTALLATION: &str = "here";
+
+fn entry(id: u16, status: Status, by: Option<u16>) -> Entry {
+    let metadata = NodeMetadata {
+        address: Some("[2001:db8::1]:7946".parse().expect("an address")),
+        program: "0.2.0".to_owned(),
+        protocol: 1,
+        settings: 0x0123_4567_89ab_cdef,
+        drains: true,
+        no_store: true,
+    };
+    let incarnation = Incarnation { process: 1_700_000_000_000_000, count: 300 };
+    Entry { about: NodeId(id), incarnation, standing: status, metadata, by: by.map(NodeId) }
+}
+
+fn load() -> Load {
+    Load { slices: 700, proxies: 12, busy: 0.25 }
+}
+
+fn message(request: Request) -> Packet {
+    let news = vec![entry(7, Status::Suspect, Some(2)), entry(8, Status::Forgotten, None)];
+    let from = entry(3, Status::Alive, None);
+    Packet::Words(Box::new(Message {
+        from,
+        turn: 41,
+        load: load(),
+        number: 99,
+        ask: request,
+        news,
+        names: Some(NodeId(5)),
+        digest: 0xfeed_beef_0000_0001,
+    }))
+}
+
+fn digest_entry(id: u16, status: Status) -> DigestEntry {
+    DigestEntry { about: NodeId(id), incarnation: Incarnation { process: 5, count: 6 }, standing: status }
+}
+
+fn view() -> Packet {
+    let line = |id: u16, status: Status, heard_ago: f64| ViewEntry {
+        entry: entry(id, status, Some(1)),
+        load: load(),
+        stands_for: 12.5,
+        heard_ago,
+        withdrawn: true,
+    };
+    let lines = vec![line(1, Status::Dead, 0.5), line(2, Status::Left, f64::INFINITY)];
+    Packet::View(Box::new(View {
+        nonce: 77,
+        viewer: NodeId(9),
+        process: 1_000_000,
+        digest: 0x0102_0304_0506_0708,
+        lines,
+        next: Some(NodeId(300)),
+        dropped: 4,
+        yielded: true,
+    }))
+}
+
+#[track_caller]
+fn assert_packet(packet: &Packet, hex: &str) {
+    let bytes = encode(INSTALLATION, packet);
+    let written: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(written, hex);
+    assert_eq!(decode(INSTALLATION, &bytes).as_ref(), Ok(packet));
+}
+
+#[test]
+fn probe_bytes() {
+    assert_packet(&message(Request::Probe), "524846014d494bf704686572650ad7010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe5200");
+}
+
+#[test]
+fn indirect_probe_bytes() {
+    assert_packet(&message(Request::ProbeFor(NodeId(513))), "52484601e0e396f704686572650ad8010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe588104");
+}
+
+#[test]
+fn ack_bytes() {
+    assert_packet(&message(Request::Answer), "52484601920f7d0404686572650ad7010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe6200");
+}
+
+#[test]
+fn indirect_ack_bytes() {
+    assert_packet(&message(Request::AnswerOf(NodeId(513))), "52484601c488736704686572650ad8010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe688104");
+}
+
+#[test]
+fn nack_bytes() {
+    assert_packet(&message(Request::NoAnswerOf(NodeId(513))), "52484601d6bd81af04686572650ad8010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe708104");
+}
+
+#[test]
+fn sync_digest_bytes() {
+    let lines = vec![digest_entry(1, Status::Alive), digest_entry(2, Status::Left)];
+    let compare = Request::Compare { from: NodeId(1), to: NodeId(65535), lines };
+    assert_packet(&message(compare), "524846016568e2b904686572650aef010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe7a18080110ffff031a060801100518061a080802100518062002");
+}
+
+#[test]
+fn sync_pull_bytes() {
+    assert_packet(&message(Request::Want(vec![NodeId(1), NodeId(200)])), "524846013529bc6004686572650add010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe8201050a0301c801");
+}
+
+#[test]
+fn gossip_bytes() {
+    assert_packet(&message(Request::Tell), "5248460152002bfb04686572650ad8010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe8a0100");
+}
+
+#[test]
+fn view_request_bytes() {
+    assert_packet(
+        &Packet::Look { nonce: 1 << 40, from: NodeId(9) },
+        "52484601f43cd8b104686572651209088080808080201009",
+    );
+}
+
+#[test]
+fn view_bytes() {
+    assert_packet(&view(), "52484601dca081ad04686572651adc01084d100918c0843d2108070605040302012a600a3e0a100801108080f9c0c1c4820318ac02200312125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab8967452301300138014001120a08bc05100c1d0000803e19000000000000294021000000000000e03f28012a600a3e0a100802108080f9c0c1c4820318ac02200212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab8967452301300138014001120a08bc05100c1d0000803e19000000000000294021000000000000f0bf280130ac0238044001");
+}
+
+#[test]
+fn drain_bytes() {
+    assert_packet(
+        &Packet::Drain { steward: NodeId(3), process: 1_700_000_000_000_000 },
+        "524846018b304b1a0468657265220b0803108080f9c0c1c48203",
+    );
+}
+
+#[test]
+fn each_status_has_its_number_on_the_wire() {
+    let all = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
+    let lines = all.iter().enumerate().map(|(id, status)| digest_entry(id as u16, *status)).collect();
+    let compare = Request::Compare { from: NodeId(0), to: NodeId(4), lines };
+    let from = Entry::alive(NodeId(1), 1, NodeMetadata::default());
+    let (ask, news, load) = (compare, Vec::new(), Load::default());
+    let bare = Message { from, turn: 1, load, number: 0, ask, news, names: None, digest: 0 };
+    assert_packet(&Packet::Words(Box::new(bare)), "524846019db07b5004686572650a3e0a060a040801100110011a007a3010041a04100518061a0808011005180620011a0808021005180620021a0808031005180620031a080804100518062004");
+}
--- /dev/null
+++ b/crates/railhub-steward/tests/membership_json.rs
@@ -0,0 +1,136 @@
+//! The JSON forms of membership's and leases' types as literals: the store, scripts and other builds read them, so they
+//! must not change while the names in the code do.
+use railhub_membership::entry::{Entry, Incarnation, Load, NodeMetadata, Status};
+use railhub_membership::grants::Broken;
+use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
+use railhub_membership::packet::{DecodeError, Drops};
+use railhub_membership::words::{DigestEntry, Message, Request};
+use railhub_membership::{Epoch, NodeId};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+
+fn entry(id: u16, status: Status, by: Option<u16>) -> Entry {
+    let metadata = NodeMetadata {
+        address: Some("[2001:db8::1]:7946".parse().expect("an address")),
+        program: "0.2.0".to_owned(),
+        protocol: 1,
+        settings: 0x0123_4567_89ab_cdef,
+        drains: true,
+        no_store: true,
+    };
+    let incarnation = Incarnation { process: 1_700_000_000_000_000, count: 300 };
+    Entry { about: NodeId(id), incarnation, standing: status, metadata, by: by.map(NodeId) }
+}
+
+fn load() -> Load {
+    Load { slices: 700, proxies: 12, busy: 0.25 }
+}
+
+fn digest_entry(id: u16, status: Status) -> DigestEntry {
+    DigestEntry { about: NodeId(id), incarnation: Incarnation { process: 5, count: 6 }, standing: status }
+}
+
+#[track_caller]
+fn assert_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, json: &str) {
+    assert_eq!(serde_json::to_string(value).expect("it can be written"), json);
+    assert_eq!(&serde_json::from_str::<T>(json).expect("it can be read"), value);
+}
+
+#[test]
+fn lease_request_json() {
+    let request = LeaseRequest {
+        number: 7,
+        process: 1_700_000_000_000_000,
+        span: 3.0,
+        take: vec![1, 2],
+        renew: vec![(3, Epoch(4))],
+        release: vec![(5, Epoch(6))],
+    };
+    assert_json(
+        &request,
+        r#"{"number":7,"process":1700000000000000,"span":3.0,"take":[1,2],"renew":[[3,4]],"release":[[5,6]]}"#,
+    );
+}
+
+#[test]
+fn lease_response_json() {
+    let response = LeaseResponse { number: 7, granted: vec![(1, Epoch(1_048_576))], refused: vec![2, 3] };
+    assert_json(&response, r#"{"number":7,"granted":[[1,1048576]],"refused":[2,3]}"#);
+}
+
+#[test]
+fn store_faults_json() {
+    let broken = Broken { reuses_epochs: true, writes_unchecked: false, not_quiet: true };
+    assert_json(&broken, r#"{"reuses_epochs":true,"writes_unchecked":false,"not_quiet":true}"#);
+}
+
+#[test]
+fn status_json() {
+    let all = vec![Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
+    assert_json(&all, r#"["alive","suspect","left","dead","forgotten"]"#);
+}
+
+#[test]
+fn member_json() {
+    assert_json(
+        &entry(3, Status::Suspect, Some(2)),
+        r#"{"about":3,"life":{"process":1700000000000000,"count":300},"standing":"suspect","card":{"address":"[2001:db8::1]:7946","program":"0.2.0","protocol":1,"settings":81985529216486895,"drains":true,"no_store":true},"by":2}"#,
+    );
+    assert_json(&load(), r#"{"slices":700,"proxies":12,"busy":0.25}"#);
+    assert_json(
+        &digest_entry(4, Status::Dead),
+        r#"{"about":4,"life":{"process":5,"count":6},"standing":"dead"}"#,
+    );
+}
+
+#[test]
+fn message_json() {
+    let requests = vec![
+        Request::Probe,
+        Request::ProbeFor(NodeId(1)),
+        Request::Answer,
+        Request::AnswerOf(NodeId(2)),
+        Request::NoAnswerOf(NodeId(3)),
+        Request::Compare { from: NodeId(1), to: NodeId(2), lines: vec![digest_entry(1, Status::Alive)] },
+        Request::Want(vec![NodeId(4)]),
+        Request::Tell,
+    ];
+    assert_json(
+        &requests,
+        r#"["Probe",{"ProbeFor":1},"Answer",{"AnswerOf":2},{"NoAnswerOf":3},{"Compare":{"from":1,"to":2,"lines":[{"about":1,"life":{"process":5,"count":6},"standing":"alive"}]}},{"Want":[4]},"Tell"]"#,
+    );
+    let message = Message {
+        from: entry(3, Status::Alive, None),
+        turn: 41,
+        load: load(),
+        number: 99,
+        ask: Request::Tell,
+        news: vec![entry(7, Status::Dead, Some(2))],
+        names: Some(NodeId(5)),
+        digest: 0xfeed_beef,
+    };
+    assert_json(
+        &message,
+        r#"{"from":{"about":3,"life":{"process":1700000000000000,"count":300},"standing":"alive","card":{"address":"[2001:db8::1]:7946","program":"0.2.0","protocol":1,"settings":81985529216486895,"drains":true,"no_store":true},"by":null},"turn":41,"load":{"slices":700,"proxies":12,"busy":0.25},"number":99,"ask":"Tell","news":[{"about":7,"life":{"process":1700000000000000,"count":300},"standing":"dead","card":{"address":"[2001:db8::1]:7946","program":"0.2.0","protocol":1,"settings":81985529216486895,"drains":true,"no_store":true},"by":2}],"names":5,"digest":4276993775}"#,
+    );
+}
+
+#[test]
+fn dropped_datagrams_json() {
+    let mut drops = Drops::default();
+    let all = [
+        DecodeError::Oversized,
+        DecodeError::Spoilt,
+        DecodeError::Version,
+        DecodeError::Foreign,
+        DecodeError::Malformed,
+    ];
+    for (count, cause) in all.into_iter().enumerate() {
+        (0..=count).for_each(|_| drops.count(cause));
+    }
+    assert_eq!(
+        serde_json::to_string(&drops).expect("it can be written"),
+        r#"{"oversized":1,"spoilt":2,"version":3,"foreign":4,"malformed":5}"#
+    );
+}
