--- a/crates/railhub-chaos/src/bed/looker.rs
+++ b/crates/railhub-chaos/src/bed/looker.rs
@@ -1,6 +1,6 @@
 //! Asks each steward for its view, again and again, as an operator would: by datagrams that bear nothing.
 use crate::view::{Node, Seen};
-use railhub_membership::packet::{decode, encode, Packet, View, BYTES_MOST};
+use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::NodeId;
 use railhub_net::now;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
 impl Desk {
     fn run(&mut self, ended: &AtomicBool) {
         let mut next = 0.0;
-        let mut bytes = [0; BYTES_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         while !ended.load(Ordering::Acquire) {
             if now() >= next {
                 next = now() + LOOK_EVERY;
@@ -110,8 +110,8 @@
             }
             return self.ask(nonce, next, from);
         }
-        let of = |lives: bool| -> Vec<(u16, u64)> {
-            let some = whole.lines.iter().filter(|line| line.entry.standing.lives() == lives);
+        let of = |is_live: bool| -> Vec<(u16, u64)> {
+            let some = whole.lines.iter().filter(|line| line.entry.status.is_live() == is_live);
             some.map(|line| (line.entry.about.0, line.entry.incarnation.process)).collect()
         };
         let seen = Seen::View {
@@ -119,7 +119,7 @@
             node: Node((nonce >> 32) as usize),
             steward: whole.viewer.0,
             process: whole.process,
-            yielded: whole.yielded,
+            yielded: whole.superseded,
             living: of(true),
             gone: of(false),
         };
--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -7,7 +7,7 @@
 use crate::view::{ends, Node, Seen};
 use railhub_links::udp::UdpLinks;
 use railhub_links::{Board, Crossing, Faults};
-use railhub_membership::entry::Status;
+use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, Packet};
 use railhub_membership::table::Safeguard;
 use railhub_net::{now, seconds};
@@ -415,13 +415,13 @@
     match safeguard {
         None => "",
         Some(Safeguard::Refutation) => "without = refutation\n",
-        Some(Safeguard::AskingTheDead) => "without = asking the dead\n",
-        Some(Safeguard::Process) => "without = process\n",
+        Some(Safeguard::DeadProbing) => "without = asking the dead\n",
+        Some(Safeguard::ProcessOrder) => "without = process\n",
         Some(Safeguard::AntiEntropy) => "without = anti-entropy\n",
-        Some(Safeguard::RumourBound) => "without = rumour bound\n",
-        Some(Safeguard::OwnTrouble) => "without = own trouble\n",
-        Some(Safeguard::Additions) => "without = additions\n",
-        Some(Safeguard::LeaseEnd) => "without = lease end\n",
+        Some(Safeguard::GossipLimit) => "without = rumour bound\n",
+        Some(Safeguard::LocalHealth) => "without = own trouble\n",
+        Some(Safeguard::Extensions) => "without = additions\n",
+        Some(Safeguard::LeaseExpiry) => "without = lease end\n",
     }
 }
 
@@ -449,7 +449,7 @@
                 heard.news.insert(at.max(0.0) as u32);
             }
             let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
-            if word.standing == Status::Dead && heard.told_dead.insert(incarnation) {
+            if word.status == Status::Dead && heard.told_dead.insert(incarnation) {
                 let (by, (about, process, count)) = (message.from.about.0, incarnation);
                 let seen = Seen::Dead { at, by, about, process, count };
                 events.lock().expect("no holder panics").push(seen);
--- a/crates/railhub-chaos/src/explore.rs
+++ b/crates/railhub-chaos/src/explore.rs
@@ -5,8 +5,8 @@
 //!
 //! Checked in each state: nobody holds an incarnation of another that this one never had; who has held a process
 //! never goes back to an older one; and, if from now on all words arrive, everyone ends with the truth.
-use railhub_membership::entry::{Entry, Incarnation, NodeMetadata, Status};
-use railhub_membership::table::{Safeguard, Table};
+use railhub_membership::member::{Incarnation, Member, NodeMetadata, Status};
+use railhub_membership::table::{MemberTable, Safeguard};
 use railhub_membership::NodeId;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -36,25 +36,25 @@
 
 #[derive(Clone)]
 struct State {
-    tables: Vec<Option<Table>>,
+    tables: Vec<Option<MemberTable>>,
     processes: [u64; STEWARDS],
     /// Words under way: to whom, about whom.
-    mail: Vec<(usize, Entry)>,
+    mail: Vec<(usize, Member)>,
     suspicions: u8,
     crashes: u8,
 }
 
-type Key = (Vec<Option<Vec<Entry>>>, Vec<(usize, Entry)>, u8, u8, [u64; STEWARDS]);
+type Key = (Vec<Option<Vec<Member>>>, Vec<(usize, Member)>, u8, u8, [u64; STEWARDS]);
 
 fn id(place: usize) -> NodeId {
     NodeId(place as u16)
 }
 
-fn fresh(place: usize, process: u64, without: Option<Safeguard>) -> Table {
-    let mut table = Table::new(Entry::alive(id(place), process, NodeMetadata::default()), without);
+fn fresh(place: usize, process: u64, without: Option<Safeguard>) -> MemberTable {
+    let mut table = MemberTable::new(Member::alive(id(place), process, NodeMetadata::default()), without);
     // All have met once.
     for other in (0..STEWARDS).filter(|other| *other != place) {
-        table.learn(&Entry::alive(id(other), 1, NodeMetadata::default()), false);
+        table.learn(&Member::alive(id(other), 1, NodeMetadata::default()), false);
     }
     table
 }
@@ -66,8 +66,8 @@
     }
 
     fn key(&self) -> Key {
-        let of = |table: &Table| {
-            let mut all: Vec<Entry> = table.others().cloned().collect();
+        let of = |table: &MemberTable| {
+            let mut all: Vec<Member> = table.others().cloned().collect();
             all.push(table.me().clone());
             all
         };
@@ -98,7 +98,7 @@
         for (number, (to, word)) in self.mail.iter().enumerate() {
             let told = format!(
                 "{} {:?} {}.{}",
-                word.about.0, word.standing, word.incarnation.process, word.incarnation.count
+                word.about.0, word.status, word.incarnation.process, word.incarnation.count
             );
             let mut lost = self.clone();
             lost.mail.remove(number);
@@ -112,7 +112,7 @@
         }
     }
 
-    fn moves_of(&self, place: usize, table: &Table, all: &mut Vec<(String, State)>) {
+    fn moves_of(&self, place: usize, table: &MemberTable, all: &mut Vec<(String, State)>) {
         if self.crashes > 0 {
             let mut state = self.clone();
             (state.tables[place], state.crashes) = (None, self.crashes - 1);
@@ -120,12 +120,12 @@
         }
         for about in (0..STEWARDS).filter(|about| *about != place) {
             let Some(held) = table.get(id(about)) else { continue };
-            let worse = match held.standing {
+            let worse = match held.status {
                 Status::Alive if self.suspicions > 0 => Status::Suspect,
                 Status::Suspect => Status::Dead,
                 _ => continue,
             };
-            let word = Entry { standing: worse, by: None, ..held.clone() };
+            let word = Member { status: worse, by: None, ..held.clone() };
             let mut state = self.clone();
             state.suspicions -= u8::from(worse == Status::Suspect);
             state.tables[place].as_mut().into_iter().for_each(|table| _ = table.learn(&word, false));
@@ -137,7 +137,7 @@
                     let Some(word) = table.get(id(about)).cloned() else { continue };
                     let mut state = self.clone();
                     state.mail.push((to, word));
-                    state.mail.sort_by_key(|(to, word)| (*to, word.about, word.incarnation, word.standing));
+                    state.mail.sort_by_key(|(to, word)| (*to, word.about, word.incarnation, word.status));
                     all.push((format!("{place} tells {to} of {about}"), state));
                 }
             }
@@ -180,7 +180,7 @@
             for from in 0..STEWARDS {
                 for to in (0..STEWARDS).filter(|to| *to != from) {
                     let Some(teller) = &tables[from] else { continue };
-                    let words: Vec<Entry> = teller.others().chain([teller.me()]).cloned().collect();
+                    let words: Vec<Member> = teller.others().chain([teller.me()]).cloned().collect();
                     let Some(hearer) = &mut tables[to] else { continue };
                     words.iter().for_each(|word| _ = hearer.learn(word, false));
                 }
@@ -193,9 +193,9 @@
                 let held = table.get(id(about));
                 let true_incarnation = other.me().incarnation;
                 if held
-                    .is_none_or(|held| held.incarnation != true_incarnation || held.standing != Status::Alive)
+                    .is_none_or(|held| held.incarnation != true_incarnation || held.status != Status::Alive)
                 {
-                    let held = held.map(|held| (held.incarnation, held.standing));
+                    let held = held.map(|held| (held.incarnation, held.status));
                     return Err(format!("when all has arrived, {place} holds {held:?} of {about}, which lives as {true_incarnation:?}"));
                 }
             }
--- a/crates/railhub-chaos/src/explore_leases.rs
+++ b/crates/railhub-chaos/src/explore_leases.rs
@@ -7,9 +7,9 @@
 //! Checked in each state: never may both order; an epoch is ordered by one process; the proxy never goes back to an
 //! earlier epoch, nor obeys an epoch of another process than the one that it obeyed under it.
 use crate::explore::{Counterexample, Explored};
-use railhub_membership::grants::{Broken, Grants};
-use railhub_membership::lease::{Fence, Leases};
+use railhub_membership::lease::{Fence, HeldLeases};
 use railhub_membership::lease_manager::LeaseRequest;
+use railhub_membership::lease_store::{LeaseStore, StoreFaults};
 use railhub_membership::Epoch;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 struct Steward {
     process: u64,
-    leases: Leases,
+    leases: HeldLeases,
     /// The question that is out, and when it was asked.
     question: Option<(u8, Question)>,
     /// The last epoch that it had: what one orders under that overruns its lease.
@@ -57,8 +57,8 @@
 #[derive(Clone, Debug)]
 struct State {
     now: u8,
-    store: Grants,
-    copy: Option<Grants>,
+    store: LeaseStore,
+    copy: Option<LeaseStore>,
     stewards: [Steward; 2],
     /// Commands in flight: epoch and process.
     orders: Vec<(Epoch, u64)>,
@@ -73,15 +73,15 @@
 
 impl State {
     fn first(without: Without) -> State {
-        let broken = Broken {
+        let broken = StoreFaults {
             reuses_epochs: without == Without::NewEpochs,
             not_quiet: without == Without::Quiet,
-            ..Broken::default()
+            ..StoreFaults::default()
         };
-        let steward = |process| Steward { process, leases: Leases::new(SPAN), question: None, had: None };
+        let steward = |process| Steward { process, leases: HeldLeases::new(SPAN), question: None, had: None };
         State {
             now: 0,
-            store: Grants::new(SPAN, broken),
+            store: LeaseStore::new(SPAN, broken),
             copy: None,
             stewards: [steward(1), steward(2)],
             orders: Vec::new(),
@@ -100,7 +100,7 @@
     }
 
     fn may(&self, place: usize) -> Option<Epoch> {
-        self.stewards[place].leases.may_order(self.at(), SLICE)
+        self.stewards[place].leases.valid_epoch(self.at(), SLICE)
     }
 
     /// What is wrong in this state, if anything is.
@@ -169,7 +169,8 @@
             let mut state = self.clone();
             (state.last_process, state.crashes_left) = (self.last_process + 1, self.crashes_left - 1);
             let process = state.last_process;
-            state.stewards[place] = Steward { process, leases: Leases::new(SPAN), question: None, had: None };
+            state.stewards[place] =
+                Steward { process, leases: HeldLeases::new(SPAN), question: None, had: None };
             all.push((format!("{place} starts again as process {process}"), Ok(state)));
         }
     }
@@ -226,7 +227,7 @@
                 all.push(("the store is copied".to_owned(), Ok(state)));
             }
             Some(copy) => {
-                state.store = copy.start_again(self.at(), u64::from(self.now) + 1);
+                state.store = copy.restart(self.at(), u64::from(self.now) + 1);
                 state.copies_left -= 1;
                 all.push(("the store starts again from the copy".to_owned(), Ok(state)));
             }
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -1,8 +1,8 @@
 //! The plain baseline: each steward sends a word to all whose addresses it knows, and holds for gone whoever was silent
 //! for one fixed time. It is played in the same runs as the view, so that both are weighed by the same faults.
-use railhub_membership::entry::{Entry, Load, Status};
+use railhub_membership::member::{Load, Member, Status};
+use railhub_membership::messages::{Destination, Message, OutgoingMessage, Payload};
 use railhub_membership::swim::ViewEntry;
-use railhub_membership::words::{Message, OutgoingMessage, Request, To};
 use railhub_membership::NodeId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,15 +12,15 @@
 const SILENT_FOR: f64 = 2.0;
 
 pub struct Heartbeat {
-    me: Entry,
+    me: Member,
     seeds: Vec<SocketAddr>,
-    heard: BTreeMap<NodeId, (Entry, f64)>,
+    heard: BTreeMap<NodeId, (Member, f64)>,
     beat_at: f64,
     turn: u64,
 }
 
 impl Heartbeat {
-    pub fn new(me: Entry, seeds: Vec<SocketAddr>, now: f64) -> Heartbeat {
+    pub fn new(me: Member, seeds: Vec<SocketAddr>, now: f64) -> Heartbeat {
         Heartbeat { me, seeds, heard: BTreeMap::new(), beat_at: now, turn: 0 }
     }
 
@@ -36,7 +36,7 @@
         self.heard.get(&id).and_then(|(entry, _)| entry.metadata.address)
     }
 
-    fn mail(&mut self, ask: Request) -> OutgoingMessage {
+    fn mail(&mut self, ask: Payload) -> OutgoingMessage {
         self.turn += 1;
         let message = Message {
             from: self.me.clone(),
@@ -51,7 +51,7 @@
         };
         let known = self.heard.values().filter_map(|(entry, _)| entry.metadata.address);
         let to: std::collections::BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
-        to.into_iter().map(|address| (To::Address(address), message.clone())).collect()
+        to.into_iter().map(|address| (Destination::Address(address), message.clone())).collect()
     }
 
     pub fn tick(&mut self, now: f64) -> OutgoingMessage {
@@ -59,7 +59,7 @@
             return OutgoingMessage::new();
         }
         self.beat_at = now + BEAT;
-        self.mail(Request::Tell)
+        self.mail(Payload::Gossip)
     }
 
     pub fn hear(&mut self, now: f64, message: &Message) {
@@ -74,15 +74,15 @@
     }
 
     pub fn leave(&mut self) -> OutgoingMessage {
-        self.me.standing = Status::Left;
-        self.mail(Request::Tell)
+        self.me.status = Status::Left;
+        self.mail(Payload::Gossip)
     }
 
     pub fn shown(&self, now: f64) -> Vec<ViewEntry> {
-        let show = |entry: &Entry, heard_ago: f64| {
-            let lives = heard_ago <= SILENT_FOR && entry.standing != Status::Left;
-            let standing = if lives { Status::Alive } else { Status::Dead };
-            let entry = Entry { standing, ..entry.clone() };
+        let show = |entry: &Member, heard_ago: f64| {
+            let is_live = heard_ago <= SILENT_FOR && entry.status != Status::Left;
+            let status = if is_live { Status::Alive } else { Status::Dead };
+            let entry = Member { status, ..entry.clone() };
             ViewEntry { entry, load: Load::default(), stands_for: 0.0, heard_ago, withdrawn: false }
         };
         let others = self.heard.values().map(|(entry, at)| show(entry, now - at));
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -4,11 +4,11 @@
 use crate::faults::{links_on, Chaos, Fault, What};
 use crate::view::heartbeat::Heartbeat;
 use crate::view::{ends, Node, Seen};
-use railhub_membership::entry::{Entry, NodeMetadata, Status};
+use railhub_membership::member::{Member, NodeMetadata, Status};
+use railhub_membership::messages::{Destination, Message, OutgoingMessage};
 use railhub_membership::packet::{decode, encode, Packet};
 use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
 use railhub_membership::table::Safeguard;
-use railhub_membership::words::{Message, OutgoingMessage, To};
 use railhub_membership::NodeId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -97,7 +97,7 @@
 
     fn shown(&self, now: f64) -> Vec<ViewEntry> {
         match self {
-            Watcher::Membership(membership) => membership.shown(now),
+            Watcher::Membership(membership) => membership.view(now),
             Watcher::Heartbeat(plain) => plain.shown(now),
         }
     }
@@ -109,8 +109,8 @@
         }
     }
 
-    fn has_yielded(&self) -> bool {
-        matches!(self, Watcher::Membership(membership) if membership.has_yielded())
+    fn is_superseded(&self) -> bool {
+        matches!(self, Watcher::Membership(membership) if membership.is_superseded())
     }
 }
 
@@ -241,7 +241,7 @@
         let seeds = self.addresses.iter().filter(|(id, _)| **id != steward && **id < most);
         let seeds = seeds.map(|(_, address)| *address).collect();
         let config = MembershipConfig { seeds, forget_after, without: self.how.without };
-        let own = Entry::alive(NodeId(steward), process, metadata);
+        let own = Member::alive(NodeId(steward), process, metadata);
         let local = self.now + offset;
         let watcher = match self.how.heartbeats {
             true => Watcher::Heartbeat(Heartbeat::new(own, config.seeds, local)),
@@ -319,8 +319,8 @@
         for (to, message) in mail {
             let process = &self.nodes[&from];
             let address = match to {
-                To::Steward(id) => process.watcher.address(id),
-                To::Address(address) => Some(address),
+                Destination::Node(id) => process.watcher.address(id),
+                Destination::Address(address) => Some(address),
             };
             let Some(address) = address else { continue };
             let steward = process.steward;
@@ -344,7 +344,7 @@
                 self.news.insert(self.now as u32);
             }
             let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
-            if word.standing == Status::Dead && self.told_dead.insert(incarnation) {
+            if word.status == Status::Dead && self.told_dead.insert(incarnation) {
                 let (at, (about, process, count)) = (self.now, incarnation);
                 self.events.push(Seen::Dead { at, by, about, process, count });
             }
@@ -375,8 +375,8 @@
         for node in ready {
             let process = &self.nodes[&node];
             let shown = process.watcher.shown(self.now + process.offset);
-            let of = |lives: bool| -> Vec<(u16, u64)> {
-                let some = shown.iter().filter(|shown| shown.entry.standing.lives() == lives);
+            let of = |is_live: bool| -> Vec<(u16, u64)> {
+                let some = shown.iter().filter(|shown| shown.entry.status.is_live() == is_live);
                 some.map(|shown| (shown.entry.about.0, shown.entry.incarnation.process)).collect()
             };
             self.events.push(Seen::View {
@@ -384,7 +384,7 @@
                 node,
                 steward: process.steward,
                 process: process.watcher.process(),
-                yielded: process.watcher.has_yielded(),
+                yielded: process.watcher.is_superseded(),
                 living: of(true),
                 gone: of(false),
             });
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -2,13 +2,13 @@
 //! take their time.
 use crate::agenda::Agenda;
 use crate::faults::{Chaos, Fault, What};
-use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease::Fence;
 use railhub_membership::lease_manager::{
     Effects, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
 };
+use railhub_membership::lease_store::{LeaseStore, StoreFaults};
+use railhub_membership::messages::{Destination, Message};
 use railhub_membership::swim::MembershipConfig;
-use railhub_membership::words::{Message, To};
 use railhub_membership::{Epoch, NodeId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -107,9 +107,9 @@
     last_process: u64,
     last_order: u64,
     on: BTreeSet<usize>,
-    store: Grants,
+    store: LeaseStore,
     /// Copies of the store as it was, the oldest first.
-    copies: VecDeque<(f64, Grants)>,
+    copies: VecDeque<(f64, LeaseStore)>,
     fences: Vec<Fence>,
     seen: Vec<BTreeSet<u64>>,
     chance: ChaCha8Rng,
@@ -129,9 +129,9 @@
         last_process: 0,
         last_order: 0,
         on: BTreeSet::new(),
-        store: Grants::new(
+        store: LeaseStore::new(
             chaos.span,
-            Broken { reuses_epochs: sabotage == Some(Sabotage::EpochReused), ..Broken::default() },
+            StoreFaults { reuses_epochs: sabotage == Some(Sabotage::EpochReused), ..StoreFaults::default() },
         ),
         copies: VecDeque::new(),
         fences: vec![Fence::default(); chaos.proxies as usize],
@@ -253,7 +253,7 @@
                     self.due(wakes, Due::LeaseResponse { steward, process, response })
                 }
                 Some(_) => self.with_lease_manager(steward, |lease_manager, now| {
-                    lease_manager.take_response(now, &response)
+                    lease_manager.on_response(now, &response)
                 }),
                 None => {}
             },
@@ -279,7 +279,7 @@
 
     fn carry_out(&mut self, id: u16, acts: Effects) {
         for (to, message) in acts.mail {
-            let To::Steward(to) = to else { continue };
+            let Destination::Node(to) = to else { continue };
             let (lost, way) = (self.chance.random::<f64>() < self.chaos.lost, self.way());
             if !lost && !self.is_cut(id, to.0) {
                 self.due(self.now + way, Due::Mail { to: to.0, message });
@@ -325,7 +325,7 @@
         let (process, sane_clock, slow) = (steward.process, steward.sane_clock, steward.slow_orders);
         let may = |(slice, epoch): (&u16, &Epoch)| match overruns {
             true => Some((*slice, *epoch)),
-            false => steward.lease_manager.may_order(local, *slice).map(|epoch| (*slice, epoch)),
+            false => steward.lease_manager.valid_epoch(local, *slice).map(|epoch| (*slice, epoch)),
         };
         let slices: Vec<(u16, Epoch)> = steward.believes.iter().filter_map(may).collect();
         for (slice, epoch) in slices {
@@ -442,7 +442,7 @@
         let before = self.now - by;
         let copy = self.copies.iter().rev().find(|(at, _)| *at <= before).or(self.copies.front());
         let Some((_, copy)) = copy else { return };
-        self.store = copy.start_again(self.now, STORE_STARTS + self.now as u64);
+        self.store = copy.restart(self.now, STORE_STARTS + self.now as u64);
     }
 
     fn fault_off(&mut self, number: usize) {
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -47,12 +47,12 @@
 
 #[test]
 fn the_dead_that_are_not_asked_again_are_found() {
-    found(Safeguard::AskingTheDead, &[NO_SPLIT]);
+    found(Safeguard::DeadProbing, &[NO_SPLIT]);
 }
 
 #[test]
 fn older_processes_that_count_are_found() {
-    found(Safeguard::Process, &[NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES]);
+    found(Safeguard::ProcessOrder, &[NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES]);
 }
 
 #[test]
@@ -62,7 +62,7 @@
 
 #[test]
 fn rumours_without_end_are_found() {
-    found(Safeguard::RumourBound, &[RUMOURS_END]);
+    found(Safeguard::GossipLimit, &[RUMOURS_END]);
 }
 
 fn with(faults: &[Fault], how: How) -> Vec<Seen> {
@@ -157,7 +157,7 @@
 
 #[test]
 fn the_explorer_finds_missing_refutation_and_ignored_processes() {
-    for without in [Safeguard::Refutation, Safeguard::Process] {
+    for without in [Safeguard::Refutation, Safeguard::ProcessOrder] {
         let explored = explore(Some(without), 60_000);
         assert!(explored.counterexample.is_some(), "{without:?}: none in {} states", explored.states);
     }
--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -82,12 +82,12 @@
     pub fn without(self) -> Option<Safeguard> {
         Some(match self {
             Broken::NoRefutation => Safeguard::Refutation,
-            Broken::DeadNotAsked => Safeguard::AskingTheDead,
-            Broken::ProcessIgnored => Safeguard::Process,
+            Broken::DeadNotAsked => Safeguard::DeadProbing,
+            Broken::ProcessIgnored => Safeguard::ProcessOrder,
             Broken::NoAntiEntropy => Safeguard::AntiEntropy,
-            Broken::EndlessRumours => Safeguard::RumourBound,
-            Broken::NoOwnTrouble => Safeguard::OwnTrouble,
-            Broken::NoAdditions => Safeguard::Additions,
+            Broken::EndlessRumours => Safeguard::GossipLimit,
+            Broken::NoOwnTrouble => Safeguard::LocalHealth,
+            Broken::NoAdditions => Safeguard::Extensions,
             _ => return None,
         })
     }
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::Ending;
 use clap::{Args, Subcommand};
 use railhub_ini::Sheet;
-use railhub_membership::entry::Status;
-use railhub_membership::packet::{decode, encode, Packet, View, BYTES_MOST};
+use railhub_membership::member::Status;
+use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::swim::ViewEntry;
 use railhub_membership::NodeId;
 use railhub_steward::fleet::FleetTerms;
@@ -139,7 +139,7 @@
         }
         match ask(socket, &terms.installation, address) {
             Some(view) => {
-                let lives = view.lines.iter().filter(|line| line.entry.standing.lives());
+                let lives = view.lines.iter().filter(|line| line.entry.status.is_live());
                 let found: Vec<SocketAddr> = lives.filter_map(|line| line.entry.metadata.address).collect();
                 named.extend(found.iter().copied());
                 to_ask.extend(found);
@@ -150,13 +150,13 @@
     }
     silent.retain(|address| named.contains(address));
     let views: Vec<View> = views.into_values().collect();
-    let living: BTreeSet<Vec<(NodeId, u64)>> = views.iter().filter(|v| !v.yielded).map(living).collect();
+    let living: BTreeSet<Vec<(NodeId, u64)>> = views.iter().filter(|v| !v.superseded).map(living).collect();
     let agree = living.len() == 1 && silent.is_empty();
     Told { installation: terms.installation.clone(), agree, views: views.iter().map(told).collect(), silent }
 }
 
 fn living(view: &View) -> Vec<(NodeId, u64)> {
-    let lives = view.lines.iter().filter(|line| line.entry.standing.lives());
+    let lives = view.lines.iter().filter(|line| line.entry.status.is_live());
     lives.map(|line| (line.entry.about, line.entry.incarnation.process)).collect()
 }
 
@@ -182,7 +182,7 @@
     let nonce = u64::from(address.port()) << 32 | u64::from(from.0) << 8 | 1;
     let question = encode(installation, &Packet::Look { nonce, from });
     let until = Instant::now() + PATIENCE;
-    let mut bytes = [0; BYTES_MOST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     while Instant::now() < until {
         let _ = socket.send_to(&question, address);
         let again = (Instant::now() + AGAIN_AFTER).min(until);
@@ -202,7 +202,7 @@
 fn told(view: &View) -> ToldView {
     let (viewer, process) = (view.viewer.0, view.process);
     let lines = view.lines.iter().map(told_line).collect();
-    ToldView { viewer, process, yielded: view.yielded, dropped: view.dropped, lines }
+    ToldView { viewer, process, yielded: view.superseded, dropped: view.dropped, lines }
 }
 
 fn told_line(shown: &ViewEntry) -> ToldLine {
@@ -211,15 +211,15 @@
         steward: entry.about.0,
         process: entry.incarnation.process,
         count: entry.incarnation.count,
-        standing: entry.standing,
+        standing: entry.status,
         stands_for: shown.stands_for,
         heard_ago: shown.heard_ago.is_finite().then_some(shown.heard_ago),
         address: entry.metadata.address,
         program: entry.metadata.program.clone(),
         protocol: entry.metadata.protocol,
         settings: format!("{:016x}", entry.metadata.settings),
-        drains: entry.metadata.drains,
-        no_store: entry.metadata.no_store,
+        drains: entry.metadata.draining,
+        no_store: entry.metadata.store_unreachable,
         withdrawn: shown.withdrawn,
         slices: load.slices,
         proxies: load.proxies,
@@ -252,7 +252,8 @@
             .filter(|view| !view.yielded)
             .map(|view| {
                 let line = view.lines.iter().find(|line| line.steward == id);
-                line.filter(|line| line.standing.lives()).map_or("-".into(), |line| line.process.to_string())
+                line.filter(|line| line.standing.is_live())
+                    .map_or("-".into(), |line| line.process.to_string())
             })
             .collect();
         let own = told.views.iter().find(|view| view.viewer == id && !view.yielded);
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -8,7 +8,7 @@
 use railhub_day::{Launch, Launched};
 use railhub_links::tcp::TcpLink;
 use railhub_links::{Board, Faults};
-use railhub_membership::packet::{encode, Packet, BYTES_MOST};
+use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
 use railhub_membership::table::Safeguard;
 use railhub_membership::NodeId;
 use serde_json::Value;
@@ -136,7 +136,7 @@
 #[test]
 fn a_fleet_that_ignores_process_numbers_is_found() {
     let faults = [fault(2.0, 7.0, What::Kill { steward: 1 })];
-    breaks(7, Safeguard::Process, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
+    breaks(7, Safeguard::ProcessOrder, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
 }
 
 #[test]
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_fleet_with_endless_rumours_is_found() {
-    breaks(9, Safeguard::RumourBound, &[], &[RUMOURS_END]);
+    breaks(9, Safeguard::GossipLimit, &[], &[RUMOURS_END]);
 }
 
 /// A folder of its own for each test; gone when the test has passed.
@@ -178,7 +178,7 @@
     older[3] = 0;
     let mut spoilt = look.clone();
     spoilt[10] ^= 4;
-    let long = vec![1; BYTES_MOST + 100];
+    let long = vec![1; MAX_DATAGRAM_BYTES + 100];
     let kinds: [&[u8]; 5] = [&foreign, &older, &spoilt, &long, &look[..7]];
     for number in 0..count {
         let _ = socket.send_to(kinds[number % kinds.len()], to);
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -3,7 +3,7 @@
 use crate::stewards::TestClock;
 use crate::troubles::{self, Trouble};
 use railhub_ini::{Complaint, Section, Sheet};
-use railhub_membership::grants::Broken;
+use railhub_membership::lease_store::StoreFaults;
 use railhub_record::{ClassLimits, Limits, Repeats};
 use railhub_standin::client::ClientFacts;
 use railhub_standin::held::Pick;
@@ -80,7 +80,7 @@
     /// Clocks of stewards, for tests; none: as they are.
     pub clocks: Vec<TestClock>,
     /// What the store must not be, for tests of the judge alone.
-    pub broken_store: Broken,
+    pub broken_store: StoreFaults,
     /// A safeguard that stewards go without, for the same.
     pub stewards_without: Option<&'static str>,
 }
@@ -171,7 +171,7 @@
             stewards: stewards.within("count", 1.0, 1.0, STEWARDS_MOST)? as usize,
             lease: stewards.within("lease", 3.0, 0.5, 60.0)?,
             clocks: Vec::new(),
-            broken_store: Broken::default(),
+            broken_store: StoreFaults::default(),
             stewards_without: None,
             zones,
             kinds,
--- a/crates/railhub-membership/src/lease.rs
+++ b/crates/railhub-membership/src/lease.rs
@@ -12,7 +12,7 @@
 
 /// One slice that was granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Grant {
+pub struct Lease {
     pub epoch: Epoch,
     /// On this steward's clock: nothing is ordered from then on.
     until: Seconds,
@@ -20,16 +20,16 @@
 
 /// All that a steward holds.
 #[derive(Clone, Debug, Default)]
-pub struct Leases {
+pub struct HeldLeases {
     span: Seconds,
-    grants: BTreeMap<u16, Grant>,
+    lease_store: BTreeMap<u16, Lease>,
     renewed: Seconds,
 }
 
-impl Leases {
+impl HeldLeases {
     /// `span`: seconds that the store grants a slice for.
-    pub fn new(span: Seconds) -> Leases {
-        Leases { span, ..Leases::default() }
+    pub fn new(span: Seconds) -> HeldLeases {
+        HeldLeases { span, ..HeldLeases::default() }
     }
 
     pub fn span(&self) -> Seconds {
@@ -41,55 +41,55 @@
         let until = asked + self.span * (1.0 - DRIFT);
         self.renewed = self.renewed.max(asked);
         for (slice, epoch) in slices.iter().filter(|_| until > now) {
-            let known = self.grants.get(slice).copied();
+            let known = self.lease_store.get(slice).copied();
             // Answers may come out of order: an older epoch says nothing.
             if known.is_none_or(|known| known.epoch <= *epoch) {
                 let until =
                     known.filter(|known| known.epoch == *epoch).map_or(until, |known| known.until.max(until));
-                self.grants.insert(*slice, Grant { epoch: *epoch, until });
+                self.lease_store.insert(*slice, Lease { epoch: *epoch, until });
             }
         }
     }
 
     /// The store said that these are not ours.
     pub fn refused(&mut self, slices: &[u16]) {
-        slices.iter().for_each(|slice| _ = self.grants.remove(slice));
+        slices.iter().for_each(|slice| _ = self.lease_store.remove(slice));
     }
 
     /// We give it up: from now on nothing is ordered for it.
-    pub fn give_up(&mut self, slice: u16) -> Option<Epoch> {
-        self.grants.remove(&slice).map(|grant| grant.epoch)
+    pub fn release_slice(&mut self, slice: u16) -> Option<Epoch> {
+        self.lease_store.remove(&slice).map(|grant| grant.epoch)
     }
 
     /// Takes out the slices whose time is over.
-    pub fn lapse(&mut self, now: Seconds) -> Vec<u16> {
+    pub fn take_expired(&mut self, now: Seconds) -> Vec<u16> {
         let over: Vec<u16> =
-            self.grants.iter().filter(|(_, grant)| grant.until <= now).map(|(s, _)| *s).collect();
-        over.iter().for_each(|slice| _ = self.grants.remove(slice));
+            self.lease_store.iter().filter(|(_, grant)| grant.until <= now).map(|(s, _)| *s).collect();
+        over.iter().for_each(|slice| _ = self.lease_store.remove(slice));
         over
     }
 
     /// The epoch under which a slice may be ordered at this moment, if it may be.
-    pub fn may_order(&self, now: Seconds, slice: u16) -> Option<Epoch> {
-        self.grants.get(&slice).filter(|grant| now < grant.until).map(|grant| grant.epoch)
+    pub fn valid_epoch(&self, now: Seconds, slice: u16) -> Option<Epoch> {
+        self.lease_store.get(&slice).filter(|grant| now < grant.until).map(|grant| grant.epoch)
     }
 
     pub fn held(&self) -> impl Iterator<Item = (u16, Epoch)> + '_ {
-        self.grants.iter().map(|(slice, grant)| (*slice, grant.epoch))
+        self.lease_store.iter().map(|(slice, grant)| (*slice, grant.epoch))
     }
 
     pub fn count(&self) -> usize {
-        self.grants.len()
+        self.lease_store.len()
     }
 
     /// When the leases should be renewed next, on this steward's clock.
-    pub fn renew_at(&self) -> Seconds {
+    pub fn renewal_due_at(&self) -> Seconds {
         self.renewed + self.span * (1.0 - DRIFT) * (1.0 - RENEW_AT)
     }
 
     /// When the first of them ends, if any is held.
-    pub fn first_end(&self) -> Option<Seconds> {
-        self.grants.values().map(|grant| grant.until).min_by(Seconds::total_cmp)
+    pub fn earliest_expiry(&self) -> Option<Seconds> {
+        self.lease_store.values().map(|grant| grant.until).min_by(Seconds::total_cmp)
     }
 }
 
@@ -115,14 +115,14 @@
 /// The store's side of a slice: who holds it, until when on the store's clock. Linearisable as long as one store
 /// changes it at a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Holding {
+pub struct LeaseRecord {
     pub epoch: Epoch,
     /// The process that holds it: a steward that starts again is another one.
     pub holder: Option<u64>,
     pub until: Seconds,
 }
 
-impl Holding {
+impl LeaseRecord {
     pub fn is_held(&self, now: Seconds) -> bool {
         self.holder.is_some() && now < self.until
     }
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -1,10 +1,10 @@
 //! One steward's part in sharing a fleet: it hears from the others and from the store, and says what to send, which
 //! slices it has gained and which it has lost. All that it may order it asks [`LeaseManager::may_order`], each time.
-use crate::entry::{Entry, Load, NodeMetadata};
-use crate::lease::Leases;
-use crate::share::{heir, Placement};
+use crate::lease::HeldLeases;
+use crate::member::{Load, Member, NodeMetadata};
+use crate::messages::{MemberChange, Message, OutgoingMessage};
+use crate::placement::{rendezvous_owner, Placement};
 use crate::swim::{Membership, MembershipConfig};
-use crate::words::{Changed, Message, OutgoingMessage};
 use crate::{Epoch, NodeId, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,7 +51,7 @@
     pub lost: Vec<u16>,
     /// Their leases are over, and nobody has said whose they are.
     pub lapsed: Vec<u16>,
-    pub changed: Vec<Changed>,
+    pub changed: Vec<MemberChange>,
 }
 
 /// Decides for one steward which slices to lease, renew and release.
@@ -61,13 +61,13 @@
     slices: u16,
     membership: Membership,
     sharing: Placement,
-    leases: Leases,
+    leases: HeldLeases,
     number: u64,
     /// The question that is out, and since when.
     asked: Option<(u64, Seconds)>,
     ask_at: Seconds,
     refused: BTreeMap<u16, Seconds>,
-    drains: bool,
+    draining: bool,
     /// Questions to the store without an answer, one after another.
     unanswered: u32,
 }
@@ -94,7 +94,7 @@
         let others: Vec<NodeId> = options.weights.keys().copied().collect();
         let mut sharing = Placement::new(options.weights.clone());
         others.iter().for_each(|id| sharing.hear(now, *id, true));
-        let own = Entry::alive(options.me, options.process, options.metadata.clone());
+        let own = Member::alive(options.me, options.process, options.metadata.clone());
         let mut membership = Membership::new(own, options.config.clone(), now, options.seed);
         membership.expect(&others, now);
         LeaseManager {
@@ -103,28 +103,28 @@
             slices: options.slices,
             membership,
             sharing,
-            leases: Leases::new(options.span),
+            leases: HeldLeases::new(options.span),
             number: 0,
             asked: None,
             ask_at: now + options.settle,
             refused: BTreeMap::new(),
-            drains: false,
+            draining: false,
             unanswered: 0,
         }
     }
 
     /// The epoch under which a slice may be ordered at this moment, if it may be.
-    pub fn may_order(&self, now: Seconds, slice: u16) -> Option<Epoch> {
-        self.leases.may_order(now, slice)
+    pub fn valid_epoch(&self, now: Seconds, slice: u16) -> Option<Epoch> {
+        self.leases.valid_epoch(now, slice)
     }
 
     /// A question to the store is out.
-    pub fn is_asking(&self) -> bool {
+    pub fn request_in_flight(&self) -> bool {
         self.asked.is_some()
     }
 
     /// All that is held, to be asked at the moment of writing by those that write.
-    pub fn leases(&self) -> &Leases {
+    pub fn leases(&self) -> &HeldLeases {
         &self.leases
     }
 
@@ -134,17 +134,17 @@
 
     /// It is to go: its slices are handed over, and nothing new is taken.
     pub fn drain(&mut self) {
-        self.drains = true;
+        self.draining = true;
         self.membership.drain();
         self.sharing.drain(self.me, true);
     }
 
-    pub fn drains(&self) -> bool {
-        self.drains
+    pub fn draining(&self) -> bool {
+        self.draining
     }
 
     pub fn is_drained(&self) -> bool {
-        self.drains && self.leases.count() == 0
+        self.draining && self.leases.count() == 0
     }
 
     /// Who lives, and what is known of them.
@@ -167,18 +167,18 @@
         Effects { mail, changed, ..Effects::default() }
     }
 
-    fn follow(&mut self, now: Seconds, changed: &[Changed]) {
+    fn follow(&mut self, now: Seconds, changed: &[MemberChange]) {
         for change in changed {
             self.sharing.meet(change.about);
-            self.sharing.hear(now, change.about, self.membership.may_bear(change.about));
-            self.sharing.drain(change.about, self.membership.drains(change.about));
+            self.sharing.hear(now, change.about, self.membership.may_own_slices(change.about));
+            self.sharing.drain(change.about, self.membership.draining(change.about));
         }
-        self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
+        self.sharing.hear(now, self.me, self.membership.may_own_slices(self.me));
     }
 
     pub fn tick(&mut self, now: Seconds) -> Effects {
         // Before anything else: what a pause or a store that was away has cost.
-        let mut acts = Effects { lapsed: self.leases.lapse(now), ..Effects::default() };
+        let mut acts = Effects { lapsed: self.leases.take_expired(now), ..Effects::default() };
         (acts.mail, acts.changed) = self.membership.tick(now);
         self.follow(now, &acts.changed);
         if self.asked.is_some_and(|(_, at)| now - at > ANSWER_WITHIN) {
@@ -186,9 +186,9 @@
             self.unanswered += 1;
         }
         // One that lives and cannot hold anything would keep its slices from everyone for as long as it lives.
-        let no_store = self.unanswered >= UNANSWERED_MOST && self.leases.count() == 0;
-        self.membership.set_no_store(no_store);
-        self.sharing.hear(now, self.me, self.membership.may_bear(self.me));
+        let store_unreachable = self.unanswered >= UNANSWERED_MOST && self.leases.count() == 0;
+        self.membership.set_no_store(store_unreachable);
+        self.sharing.hear(now, self.me, self.membership.may_own_slices(self.me));
         if self.asked.is_none() && now >= self.ask_at {
             acts.request = self.next_request(now, &mut acts.lost);
         }
@@ -196,8 +196,8 @@
     }
 
     fn next_request(&mut self, now: Seconds, lost: &mut Vec<u16>) -> Option<LeaseRequest> {
-        let bearers = self.sharing.bearers(now);
-        let ours = |slice: u16| heir(slice, &bearers) == Some(self.me);
+        let eligible_nodes = self.sharing.eligible_nodes(now);
+        let ours = |slice: u16| rendezvous_owner(slice, &eligible_nodes) == Some(self.me);
         let held: BTreeSet<u16> = self.leases.held().map(|(slice, _)| slice).collect();
         let refused = |slice: &u16| self.refused.get(slice).is_some_and(|at| now - at < REFUSED_FOR);
         let wanted =
@@ -205,18 +205,18 @@
         let take: Vec<u16> = wanted.take(TAKEN_AT_ONCE).collect();
         // Without anyone to give them to, slices are kept: a poor steward is better than none.
         let to_give: Vec<u16> =
-            held.iter().copied().filter(|slice| !bearers.is_empty() && !ours(*slice)).collect();
+            held.iter().copied().filter(|slice| !eligible_nodes.is_empty() && !ours(*slice)).collect();
         let mut release = Vec::new();
         for slice in to_give {
-            if !self.sharing.may_hand_over(now) {
+            if !self.sharing.take_handover_permit(now) {
                 break;
             }
-            if let Some(epoch) = self.leases.give_up(slice) {
+            if let Some(epoch) = self.leases.release_slice(slice) {
                 release.push((slice, epoch));
                 lost.push(slice);
             }
         }
-        let renews = now >= self.leases.renew_at();
+        let renews = now >= self.leases.renewal_due_at();
         let renew: Vec<(u16, Epoch)> = if renews { self.leases.held().collect() } else { Vec::new() };
         self.ask_at = now + ASK_EVERY;
         // One that the store did not answer asks on, for nothing if need be: else it would never hear that it is back.
@@ -231,7 +231,7 @@
 
     /// The store's answer. One to a question that was given up still counts from when that was asked: it is known
     /// only for the question that is out, so a late one is left alone, and the store's grant lapses unused.
-    pub fn take_response(&mut self, now: Seconds, response: &LeaseResponse) -> Effects {
+    pub fn on_response(&mut self, now: Seconds, response: &LeaseResponse) -> Effects {
         let Some((_, asked)) = self.asked.filter(|asked| asked.0 == response.number) else {
             return Effects::default();
         };
@@ -257,7 +257,7 @@
         self.membership
             .next_at()
             .min(ask)
-            .min(self.leases.first_end().unwrap_or(f64::INFINITY))
+            .min(self.leases.earliest_expiry().unwrap_or(f64::INFINITY))
             .max(now + 0.005)
     }
 }
--- a/crates/railhub-membership/src/grants.rs
+++ b/crates/railhub-membership/src/lease_store.rs
@@ -7,20 +7,20 @@
 //! longest span that it ever grants: whoever holds something that the copy does not know of has renewed it by then,
 //! and is taken at its word, or has stopped. That span is the store's own, fixed figure (the explorer found that the
 //! longest one *so far* is not enough: a copy may know of none).
-use crate::lease::Holding;
+use crate::lease::LeaseRecord;
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
 use crate::{Epoch, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Epochs of one start: a million grants of one slice. Starts are told apart by seconds since 1970.
-const EPOCHS_A_START: u64 = 1 << 20;
+const EPOCHS_PER_START: u64 = 1 << 20;
 /// Slices that the store answers for.
-const SLICES_MOST: usize = 1 << 16;
+const MAX_SLICES: usize = 1 << 16;
 
 /// What the judge must find: a store that is broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Broken {
+pub struct StoreFaults {
     /// A slice is granted anew under the epoch it had.
     pub reuses_epochs: bool,
     /// Tables are written under any epoch.
@@ -31,7 +31,7 @@
 
 /// What follows from a question.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct LeaseDecision {
     pub response: LeaseResponse,
     /// Granted to another process than before, or after a break.
     pub anew: Vec<(u16, Epoch)>,
@@ -39,29 +39,29 @@
 
 /// All holdings; what a copy holds of them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Grants {
-    holdings: BTreeMap<u16, Holding>,
+pub struct LeaseStore {
+    holdings: BTreeMap<u16, LeaseRecord>,
     /// Epochs granted since this start are at least this.
     base: u64,
     /// Seconds of the longest lease that it grants; questions for longer ones are refused.
     longest: Seconds,
     /// Nothing is granted anew before.
     quiet_until: Seconds,
-    pub broken: Broken,
+    pub broken: StoreFaults,
 }
 
-impl Grants {
+impl LeaseStore {
     /// A store that starts for the first time.
-    pub fn new(longest: Seconds, broken: Broken) -> Grants {
-        Grants { longest, broken, ..Grants::default() }
+    pub fn new(longest: Seconds, broken: StoreFaults) -> LeaseStore {
+        LeaseStore { longest, broken, ..LeaseStore::default() }
     }
 
     /// Starts again from what was kept, which may be older than what was last granted.
     /// `start`: seconds since 1970, higher than at the start before.
-    pub fn start_again(&self, now: Seconds, start: u64) -> Grants {
-        let base = (start.saturating_mul(EPOCHS_A_START)).max(self.base + 1);
+    pub fn restart(&self, now: Seconds, start: u64) -> LeaseStore {
+        let base = (start.saturating_mul(EPOCHS_PER_START)).max(self.base + 1);
         let quiet = if self.broken.not_quiet { 0.0 } else { self.longest };
-        let mut again = Grants { base, quiet_until: now + quiet, ..self.clone() };
+        let mut again = LeaseStore { base, quiet_until: now + quiet, ..self.clone() };
         // Whom the copy names may have lost the slice since: it holds it if it renews, and not because of the copy.
         again.holdings.values_mut().for_each(|held| (held.holder, held.until) = (None, now));
         again
@@ -72,8 +72,8 @@
     }
 
     /// Releases, renews and takes, in this order, in one step.
-    pub fn answer(&mut self, now: Seconds, request: &LeaseRequest) -> Answer {
-        let mut answer = Answer::default();
+    pub fn answer(&mut self, now: Seconds, request: &LeaseRequest) -> LeaseDecision {
+        let mut answer = LeaseDecision::default();
         answer.response.number = request.number;
         let span = request.span;
         // What it would count shorter than the asker does must not be granted at all.
@@ -114,12 +114,12 @@
         }
         // While the store is quiet nobody was given the slice since: who renews it last had it.
         if quiet && epoch >= held.epoch && (held.holder.is_none() || epoch > held.epoch) {
-            *held = Holding { epoch, holder: Some(process), until: now + span };
+            *held = LeaseRecord { epoch, holder: Some(process), until: now + span };
             return true;
         }
         // It is behind, and this comes too late to be believed: what it grants next is above it.
         if epoch > held.epoch {
-            *held = Holding { epoch, holder: None, until: now };
+            *held = LeaseRecord { epoch, holder: None, until: now };
         }
         false
     }
@@ -144,8 +144,8 @@
     }
 
     /// `None`: more slices than the store answers for.
-    fn holding(&mut self, slice: u16) -> Option<&mut Holding> {
-        let full = self.holdings.len() >= SLICES_MOST && !self.holdings.contains_key(&slice);
+    fn holding(&mut self, slice: u16) -> Option<&mut LeaseRecord> {
+        let full = self.holdings.len() >= MAX_SLICES && !self.holdings.contains_key(&slice);
         (!full).then(|| self.holdings.entry(slice).or_default())
     }
 
@@ -156,7 +156,7 @@
             || self.holdings.get(&slice).map_or(epoch == Epoch(0), |held| held.may_write(epoch))
     }
 
-    pub fn holding_of(&self, slice: u16) -> Option<&Holding> {
+    pub fn record(&self, slice: u16) -> Option<&LeaseRecord> {
         self.holdings.get(&slice)
     }
 }
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -13,18 +13,18 @@
 //! 4. If 3 lives, it rewrites its entry under a higher count, which beats the word wherever the two meet.
 //! 5. If it says nothing, it is dead for whoever's suspicion ends first, and for all by rumour or comparison.
 //! 6. It is asked again, ever less often, and forgotten in the end; of its process there stays a number.
-pub mod entry;
-pub mod grants;
-pub mod health;
+pub mod gossip;
 pub mod lease;
 pub mod lease_manager;
+pub mod lease_store;
+pub mod local_health;
+pub mod member;
+pub mod messages;
 pub mod packet;
-pub mod rumours;
-pub mod score;
-pub mod share;
+pub mod placement;
+pub mod probe_score;
 pub mod swim;
 pub mod table;
-pub mod words;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/railhub-membership/src/health.rs
+++ b/crates/railhub-membership/src/local_health.rs
@@ -16,11 +16,11 @@
 
 /// Marks against oneself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct LocalHealth {
     marks: u32,
 }
 
-impl Health {
+impl LocalHealth {
     fn worse(&mut self, by: u32) {
         self.marks = (self.marks + by).min(MARKS_MOST);
     }
--- a/crates/railhub-membership/src/entry.rs
+++ b/crates/railhub-membership/src/member.rs
@@ -28,7 +28,7 @@
 }
 
 impl Status {
-    pub fn lives(self) -> bool {
+    pub fn is_live(self) -> bool {
         self <= Status::Suspect
     }
 }
@@ -44,9 +44,11 @@
     /// Digest of its settings.
     pub settings: u64,
     /// It hands its slices over and takes none.
-    pub drains: bool,
+    #[serde(rename = "drains")]
+    pub draining: bool,
     /// The store does not answer it, and its leases are over: others take what it cannot hold.
-    pub no_store: bool,
+    #[serde(rename = "no_store")]
+    pub store_unreachable: bool,
 }
 
 /// What a steward tells of itself with each message; nobody passes it on.
@@ -61,31 +63,32 @@
 
 /// One word about a steward.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Member {
     pub about: NodeId,
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    pub standing: Status,
+    #[serde(rename = "standing")]
+    pub status: Status,
     #[serde(rename = "card")]
     pub metadata: NodeMetadata,
     /// Who found it missing, where it is suspect or dead.
     pub by: Option<NodeId>,
 }
 
-impl Entry {
-    pub fn alive(about: NodeId, process: u64, metadata: NodeMetadata) -> Entry {
-        Entry {
+impl Member {
+    pub fn alive(about: NodeId, process: u64, metadata: NodeMetadata) -> Member {
+        Member {
             about,
             incarnation: Incarnation { process, count: 0 },
-            standing: Status::Alive,
+            status: Status::Alive,
             metadata,
             by: None,
         }
     }
 
     /// Whether this word says more than another about the same steward.
-    pub fn beats(&self, known: &Entry) -> bool {
-        (self.incarnation, self.standing) > (known.incarnation, known.standing)
+    pub fn supersedes(&self, known: &Member) -> bool {
+        (self.incarnation, self.status) > (known.incarnation, known.status)
     }
 
     /// The same for all that know the same; what changes all the time stays out of it.
@@ -98,7 +101,7 @@
         let address = self.metadata.address.map(|address| address.to_string()).unwrap_or_default();
         for byte in text
             .chain(address.bytes().map(u64::from))
-            .chain([u64::from(self.metadata.drains) + 2 * u64::from(self.metadata.no_store)])
+            .chain([u64::from(self.metadata.draining) + 2 * u64::from(self.metadata.store_unreachable)])
         {
             sum = mix(sum ^ byte);
         }
--- a/crates/railhub-membership/src/packet.rs
+++ b/crates/railhub-membership/src/packet.rs
@@ -4,9 +4,9 @@
 //!
 //! Head: `RHF`, version (1 byte), CRC-32 of all that follows (4 bytes, big end first), length of the installation's
 //! name (1 byte), the name; then the body.
-use crate::entry::{Entry, Incarnation, Load, NodeMetadata, Status};
+use crate::member::{Incarnation, Load, Member, NodeMetadata, Status};
+use crate::messages::{DigestEntry, Message, Payload, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE};
 use crate::swim::ViewEntry;
-use crate::words::{DigestEntry, Message, Request, LINES_MOST, NEWS_MOST};
 use crate::NodeId;
 use prost::{Message as Wire, Oneof};
 use serde::Serialize;
@@ -18,36 +18,39 @@
 /// Version of the words between stewards.
 pub const VERSION: u8 = 1;
 /// Bytes of a datagram at the most: one Ethernet frame, with room for what tunnels add.
-pub const BYTES_MOST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Bytes of an installation's name, of a program's version and of an address at the most.
-pub const NAME_MOST: usize = 32;
-const PROGRAM_MOST: usize = 24;
-const ADDRESS_MOST: usize = 48;
-const HEAD: usize = 9;
+pub const MAX_INSTALLATION_BYTES: usize = 32;
+const MAX_PROGRAM_VERSION_BYTES: usize = 24;
+const MAX_ADDRESS_BYTES: usize = 48;
+const HEADER_BYTES: usize = 9;
 /// Lines of a view that one datagram shows.
-pub const SHOWN_MOST: usize = 8;
+pub const MAX_VIEW_ENTRIES: usize = 8;
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecodeError {
-    #[error("it is longer than {BYTES_MOST} bytes")]
+    #[error("it is longer than {MAX_DATAGRAM_BYTES} bytes")]
     Oversized,
     #[error("it is spoilt, or no datagram of stewards")]
-    Spoilt,
+    #[serde(rename = "spoilt")]
+    Corrupt,
     #[error("it is of a version that is not spoken here")]
-    Version,
+    #[serde(rename = "version")]
+    UnsupportedVersion,
     #[error("it is of another installation")]
-    Foreign,
+    #[serde(rename = "foreign")]
+    ForeignInstallation,
     #[error("its fields make no message")]
     Malformed,
 }
 
 /// Dropped datagrams by cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Drops(pub BTreeMap<DecodeError, u64>);
+pub struct DroppedDatagrams(pub BTreeMap<DecodeError, u64>);
 
-impl Drops {
+impl DroppedDatagrams {
     pub fn count(&mut self, fault: DecodeError) {
         *self.0.entry(fault).or_default() += 1;
     }
@@ -68,7 +71,7 @@
     /// Where the next part begins, if there is one.
     pub next: Option<NodeId>,
     pub dropped: u64,
-    pub yielded: bool,
+    pub superseded: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -96,7 +99,7 @@
     #[prost(uint64, tag = "3")]
     count: u64,
     #[prost(uint32, tag = "4")]
-    standing: u32,
+    status: u32,
 }
 
 #[derive(Clone, PartialEq, Wire)]
@@ -112,12 +115,12 @@
     #[prost(fixed64, tag = "5")]
     settings: u64,
     #[prost(bool, tag = "6")]
-    drains: bool,
+    draining: bool,
     #[prost(uint32, optional, tag = "7")]
     by: Option<u32>,
     /// Absent in builds before 0.2.0 shared slices.
     #[prost(bool, tag = "8")]
-    no_store: bool,
+    store_unreachable: bool,
 }
 
 #[derive(Clone, PartialEq, Wire)]
@@ -131,7 +134,7 @@
 }
 
 #[derive(Clone, PartialEq, Wire)]
-struct WireCompare {
+struct WireSyncDigest {
     #[prost(uint32, tag = "1")]
     from: u32,
     #[prost(uint32, tag = "2")]
@@ -147,26 +150,26 @@
 }
 
 #[derive(Clone, PartialEq, Wire)]
-struct NoReply {}
+struct Empty {}
 
 #[derive(Clone, PartialEq, Oneof)]
-enum WireAsk {
+enum WirePayload {
     #[prost(message, tag = "10")]
-    Probe(NoReply),
+    Probe(Empty),
     #[prost(uint32, tag = "11")]
-    ProbeFor(u32),
+    IndirectProbe(u32),
     #[prost(message, tag = "12")]
-    Answer(NoReply),
+    Ack(Empty),
     #[prost(uint32, tag = "13")]
-    AnswerOf(u32),
+    IndirectAck(u32),
     #[prost(uint32, tag = "14")]
-    NoAnswerOf(u32),
+    Nack(u32),
     #[prost(message, tag = "15")]
-    Compare(WireCompare),
+    SyncDigest(WireSyncDigest),
     #[prost(message, tag = "16")]
-    Want(WireIds),
+    SyncRequest(WireIds),
     #[prost(message, tag = "17")]
-    Tell(NoReply),
+    Gossip(Empty),
 }
 
 #[derive(Clone, PartialEq, Wire)]
@@ -185,8 +188,8 @@
     names: Option<u32>,
     #[prost(fixed64, tag = "7")]
     digest: u64,
-    #[prost(oneof = "WireAsk", tags = "10, 11, 12, 13, 14, 15, 16, 17")]
-    ask: Option<WireAsk>,
+    #[prost(oneof = "WirePayload", tags = "10, 11, 12, 13, 14, 15, 16, 17")]
+    ask: Option<WirePayload>,
 }
 
 #[derive(Clone, PartialEq, Wire)]
@@ -228,7 +231,7 @@
     #[prost(uint64, tag = "7")]
     dropped: u64,
     #[prost(bool, tag = "8")]
-    yielded: bool,
+    superseded: bool,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
@@ -268,11 +271,11 @@
             Body::Drain(WireDrain { steward: steward.0.into(), process: *process })
         }
     };
-    let name = &installation.as_bytes()[..installation.len().min(NAME_MOST)];
+    let name = &installation.as_bytes()[..installation.len().min(MAX_INSTALLATION_BYTES)];
     let mut rest = vec![name.len() as u8];
     rest.extend_from_slice(name);
     rest.extend(WirePacket { body: Some(body) }.encode_to_vec());
-    let mut bytes = Vec::with_capacity(HEAD + rest.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + rest.len());
     bytes.extend_from_slice(MAGIC);
     bytes.push(VERSION);
     bytes.extend_from_slice(&crc32fast::hash(&rest).to_be_bytes());
@@ -285,23 +288,23 @@
 /// # Errors
 /// The cause to drop and count it under.
 pub fn decode(installation: &str, bytes: &[u8]) -> Result<Packet, DecodeError> {
-    if bytes.len() > BYTES_MOST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::Oversized);
     }
-    if bytes.len() < HEAD || &bytes[..3] != MAGIC {
-        return Err(DecodeError::Spoilt);
+    if bytes.len() < HEADER_BYTES || &bytes[..3] != MAGIC {
+        return Err(DecodeError::Corrupt);
     }
     if bytes[3] != VERSION {
-        return Err(DecodeError::Version);
+        return Err(DecodeError::UnsupportedVersion);
     }
     let sum = u32::from_be_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]);
     if crc32fast::hash(&bytes[8..]) != sum {
-        return Err(DecodeError::Spoilt);
+        return Err(DecodeError::Corrupt);
     }
     let length = usize::from(bytes[8]);
-    let body = bytes.get(HEAD + length..).ok_or(DecodeError::Spoilt)?;
-    if &bytes[HEAD..HEAD + length] != installation.as_bytes() {
-        return Err(DecodeError::Foreign);
+    let body = bytes.get(HEADER_BYTES + length..).ok_or(DecodeError::Corrupt)?;
+    if &bytes[HEADER_BYTES..HEADER_BYTES + length] != installation.as_bytes() {
+        return Err(DecodeError::ForeignInstallation);
     }
     let packet = WirePacket::decode(body).map_err(|_| DecodeError::Malformed)?;
     match packet.body.ok_or(DecodeError::Malformed)? {
@@ -316,42 +319,42 @@
     u16::try_from(number).map(NodeId).map_err(|_| DecodeError::Malformed)
 }
 
-fn wire_line(about: NodeId, incarnation: Incarnation, standing: Status) -> WireLine {
+fn wire_line(about: NodeId, incarnation: Incarnation, status: Status) -> WireLine {
     WireLine {
         about: about.0.into(),
         process: incarnation.process,
         count: incarnation.count,
-        standing: standing as u32,
+        status: status as u32,
     }
 }
 
 fn read_line(line: &WireLine) -> Result<DigestEntry, DecodeError> {
     let standings = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
-    let standing = standings.get(line.standing as usize).copied().ok_or(DecodeError::Malformed)?;
+    let status = standings.get(line.status as usize).copied().ok_or(DecodeError::Malformed)?;
     // An incarnation at the very end could not be refuted: nothing is above it.
     if line.count == u64::MAX || line.process == u64::MAX {
         return Err(DecodeError::Malformed);
     }
     let incarnation = Incarnation { process: line.process, count: line.count };
-    Ok(DigestEntry { about: id(line.about)?, incarnation, standing })
+    Ok(DigestEntry { about: id(line.about)?, incarnation, status })
 }
 
-fn wire_entry(entry: &Entry) -> WireEntry {
+fn wire_entry(entry: &Member) -> WireEntry {
     WireEntry {
-        line: wire_line(entry.about, entry.incarnation, entry.standing),
+        line: wire_line(entry.about, entry.incarnation, entry.status),
         address: entry.metadata.address.map(|address| address.to_string()).unwrap_or_default(),
-        program: entry.metadata.program.chars().take(PROGRAM_MOST).collect(),
+        program: entry.metadata.program.chars().take(MAX_PROGRAM_VERSION_BYTES).collect(),
         protocol: entry.metadata.protocol,
         settings: entry.metadata.settings,
-        drains: entry.metadata.drains,
-        no_store: entry.metadata.no_store,
+        draining: entry.metadata.draining,
+        store_unreachable: entry.metadata.store_unreachable,
         by: entry.by.map(|by| by.0.into()),
     }
 }
 
-fn read_entry(entry: WireEntry) -> Result<Entry, DecodeError> {
+fn read_entry(entry: WireEntry) -> Result<Member, DecodeError> {
     let line = read_line(&entry.line)?;
-    if entry.address.len() > ADDRESS_MOST || entry.program.len() > PROGRAM_MOST {
+    if entry.address.len() > MAX_ADDRESS_BYTES || entry.program.len() > MAX_PROGRAM_VERSION_BYTES {
         return Err(DecodeError::Malformed);
     }
     let address: Option<SocketAddr> = match entry.address.as_str() {
@@ -363,11 +366,11 @@
         program: entry.program,
         protocol: entry.protocol,
         settings: entry.settings,
-        drains: entry.drains,
-        no_store: entry.no_store,
+        draining: entry.draining,
+        store_unreachable: entry.store_unreachable,
     };
     let by = entry.by.map(id).transpose()?;
-    Ok(Entry { about: line.about, incarnation: line.incarnation, standing: line.standing, metadata, by })
+    Ok(Member { about: line.about, incarnation: line.incarnation, status: line.status, metadata, by })
 }
 
 fn wire_load(load: &Load) -> WireLoad {
@@ -383,18 +386,20 @@
 
 fn wire_message(message: &Message) -> WireMessage {
     let ask = match &message.ask {
-        Request::Probe => WireAsk::Probe(NoReply {}),
-        Request::ProbeFor(id) => WireAsk::ProbeFor(id.0.into()),
-        Request::Answer => WireAsk::Answer(NoReply {}),
-        Request::AnswerOf(id) => WireAsk::AnswerOf(id.0.into()),
-        Request::NoAnswerOf(id) => WireAsk::NoAnswerOf(id.0.into()),
-        Request::Compare { from, to, lines } => WireAsk::Compare(WireCompare {
+        Payload::Probe => WirePayload::Probe(Empty {}),
+        Payload::IndirectProbe(id) => WirePayload::IndirectProbe(id.0.into()),
+        Payload::Ack => WirePayload::Ack(Empty {}),
+        Payload::IndirectAck(id) => WirePayload::IndirectAck(id.0.into()),
+        Payload::Nack(id) => WirePayload::Nack(id.0.into()),
+        Payload::SyncDigest { from, to, entries } => WirePayload::SyncDigest(WireSyncDigest {
             from: from.0.into(),
             to: to.0.into(),
-            lines: lines.iter().map(|line| wire_line(line.about, line.incarnation, line.standing)).collect(),
+            lines: entries.iter().map(|line| wire_line(line.about, line.incarnation, line.status)).collect(),
         }),
-        Request::Want(ids) => WireAsk::Want(WireIds { ids: ids.iter().map(|id| id.0.into()).collect() }),
-        Request::Tell => WireAsk::Tell(NoReply {}),
+        Payload::SyncRequest(ids) => {
+            WirePayload::SyncRequest(WireIds { ids: ids.iter().map(|id| id.0.into()).collect() })
+        }
+        Payload::Gossip => WirePayload::Gossip(Empty {}),
     };
     WireMessage {
         from: wire_entry(&message.from),
@@ -409,16 +414,16 @@
 }
 
 fn read_message(message: WireMessage) -> Result<Message, DecodeError> {
-    if message.news.len() > NEWS_MOST + 1 {
+    if message.news.len() > MAX_GOSSIP_PER_MESSAGE + 1 {
         return Err(DecodeError::Malformed);
     }
     let from = read_entry(message.from)?;
     // Nobody says of itself that it is suspect or dead.
-    if !matches!(from.standing, Status::Alive | Status::Left) {
+    if !matches!(from.status, Status::Alive | Status::Left) {
         return Err(DecodeError::Malformed);
     }
     // A kind of question that a later version asks is no reason to lose what else the message says.
-    let ask = message.ask.map_or(Ok(Request::Tell), read_ask)?;
+    let ask = message.ask.map_or(Ok(Payload::Gossip), read_ask)?;
     Ok(Message {
         from,
         turn: message.turn,
@@ -431,27 +436,27 @@
     })
 }
 
-fn read_ask(ask: WireAsk) -> Result<Request, DecodeError> {
+fn read_ask(ask: WirePayload) -> Result<Payload, DecodeError> {
     Ok(match ask {
-        WireAsk::Probe(_) => Request::Probe,
-        WireAsk::ProbeFor(of) => Request::ProbeFor(id(of)?),
-        WireAsk::Answer(_) => Request::Answer,
-        WireAsk::AnswerOf(of) => Request::AnswerOf(id(of)?),
-        WireAsk::NoAnswerOf(of) => Request::NoAnswerOf(id(of)?),
-        WireAsk::Compare(compare) => {
-            if compare.lines.len() > LINES_MOST {
+        WirePayload::Probe(_) => Payload::Probe,
+        WirePayload::IndirectProbe(of) => Payload::IndirectProbe(id(of)?),
+        WirePayload::Ack(_) => Payload::Ack,
+        WirePayload::IndirectAck(of) => Payload::IndirectAck(id(of)?),
+        WirePayload::Nack(of) => Payload::Nack(id(of)?),
+        WirePayload::SyncDigest(compare) => {
+            if compare.lines.len() > MAX_DIGEST_ENTRIES {
                 return Err(DecodeError::Malformed);
             }
-            let lines = compare.lines.iter().map(read_line).collect::<Result<_, _>>()?;
-            Request::Compare { from: id(compare.from)?, to: id(compare.to)?, lines }
+            let entries = compare.lines.iter().map(read_line).collect::<Result<_, _>>()?;
+            Payload::SyncDigest { from: id(compare.from)?, to: id(compare.to)?, entries }
         }
-        WireAsk::Want(want) => {
-            if want.ids.len() > LINES_MOST {
+        WirePayload::SyncRequest(want) => {
+            if want.ids.len() > MAX_DIGEST_ENTRIES {
                 return Err(DecodeError::Malformed);
             }
-            Request::Want(want.ids.into_iter().map(id).collect::<Result<_, _>>()?)
+            Payload::SyncRequest(want.ids.into_iter().map(id).collect::<Result<_, _>>()?)
         }
-        WireAsk::Tell(_) => Request::Tell,
+        WirePayload::Gossip(_) => Payload::Gossip,
     })
 }
 
@@ -471,7 +476,7 @@
         lines: view.lines.iter().map(line).collect(),
         next: view.next.map(|id| id.0.into()),
         dropped: view.dropped,
-        yielded: view.yielded,
+        superseded: view.superseded,
     }
 }
 
@@ -485,7 +490,7 @@
             withdrawn: line.withdrawn,
         })
     };
-    if view.lines.len() > SHOWN_MOST {
+    if view.lines.len() > MAX_VIEW_ENTRIES {
         return Err(DecodeError::Malformed);
     }
     Ok(View {
@@ -496,7 +501,7 @@
         lines: view.lines.into_iter().map(line).collect::<Result<_, _>>()?,
         next: view.next.map(id).transpose()?,
         dropped: view.dropped,
-        yielded: view.yielded,
+        superseded: view.superseded,
     })
 }
 
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use proptest::prelude::*;
 
-fn longest() -> Entry {
+fn longest() -> Member {
     let metadata = NodeMetadata {
         address: Some("[1111:2222:3333:4444:5555:6666:7777:8888]:65535".parse().expect("an address")),
-        program: "9".repeat(PROGRAM_MOST),
+        program: "9".repeat(MAX_PROGRAM_VERSION_BYTES),
         protocol: u32::MAX,
         settings: u64::MAX,
-        drains: true,
-        no_store: true,
+        draining: true,
+        store_unreachable: true,
     };
     let incarnation = Incarnation { process: u64::MAX - 1, count: u64::MAX - 1 };
     let by = Some(NodeId(u16::MAX));
-    Entry { about: NodeId(u16::MAX), incarnation, standing: Status::Alive, metadata, by }
+    Member { about: NodeId(u16::MAX), incarnation, status: Status::Alive, metadata, by }
 }
 
-fn message(ask: Request, news: usize) -> Packet {
+fn message(ask: Payload, news: usize) -> Packet {
     let load = Load { slices: u32::MAX, proxies: u32::MAX, busy: 1.0 };
     let (news, names) = (vec![longest(); news], Some(NodeId(u16::MAX)));
     let (from, max) = (longest(), u64::MAX);
@@ -24,11 +24,11 @@
 
 #[test]
 fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
-    let ids = vec![NodeId(u16::MAX); LINES_MOST];
-    let line = DigestEntry { about: ids[0], incarnation: longest().incarnation, standing: Status::Dead };
-    let lines = vec![line; LINES_MOST];
-    let compare = Request::Compare { from: NodeId(0), to: NodeId(u16::MAX), lines };
-    let shown = ViewEntry {
+    let ids = vec![NodeId(u16::MAX); MAX_DIGEST_ENTRIES];
+    let line = DigestEntry { about: ids[0], incarnation: longest().incarnation, status: Status::Dead };
+    let lines = vec![line; MAX_DIGEST_ENTRIES];
+    let compare = Payload::SyncDigest { from: NodeId(0), to: NodeId(u16::MAX), entries: lines };
+    let view = ViewEntry {
         entry: longest(),
         load: Load::default(),
         stands_for: 1e9,
@@ -40,38 +40,38 @@
         viewer: ids[0],
         process: u64::MAX,
         digest: u64::MAX,
-        lines: vec![shown; SHOWN_MOST],
+        lines: vec![view; MAX_VIEW_ENTRIES],
         next: Some(ids[0]),
         dropped: u64::MAX,
-        yielded: true,
+        superseded: true,
     };
     let all = [
-        message(Request::Want(ids), NEWS_MOST),
+        message(Payload::SyncRequest(ids), MAX_GOSSIP_PER_MESSAGE),
         message(compare, 0),
         Packet::Look { nonce: 7, from: NodeId(9) },
         Packet::Drain { steward: NodeId(3), process: 12 },
         Packet::View(Box::new(view)),
     ];
     for packet in all {
-        let bytes = encode(&"n".repeat(NAME_MOST), &packet);
-        assert!(bytes.len() <= BYTES_MOST, "{} bytes: {packet:?}", bytes.len());
-        assert_eq!(decode(&"n".repeat(NAME_MOST), &bytes), Ok(packet));
+        let bytes = encode(&"n".repeat(MAX_INSTALLATION_BYTES), &packet);
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes: {packet:?}", bytes.len());
+        assert_eq!(decode(&"n".repeat(MAX_INSTALLATION_BYTES), &bytes), Ok(packet));
     }
 }
 
 #[test]
 fn what_is_foreign_older_spoilt_or_oversized_is_told_apart() {
-    let bytes = encode("here", &message(Request::Probe, 1));
-    assert_eq!(decode("there", &bytes), Err(DecodeError::Foreign));
-    assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(DecodeError::Spoilt));
-    assert_eq!(decode("here", &[0; BYTES_MOST + 1]), Err(DecodeError::Oversized));
+    let bytes = encode("here", &message(Payload::Probe, 1));
+    assert_eq!(decode("there", &bytes), Err(DecodeError::ForeignInstallation));
+    assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(DecodeError::Corrupt));
+    assert_eq!(decode("here", &[0; MAX_DATAGRAM_BYTES + 1]), Err(DecodeError::Oversized));
     let mut older = bytes.clone();
     older[3] = 0;
-    assert_eq!(decode("here", &older), Err(DecodeError::Version));
+    assert_eq!(decode("here", &older), Err(DecodeError::UnsupportedVersion));
     let mut spoilt = bytes;
     let last = spoilt.len() - 1;
     spoilt[last] ^= 1;
-    assert_eq!(decode("here", &spoilt), Err(DecodeError::Spoilt));
+    assert_eq!(decode("here", &spoilt), Err(DecodeError::Corrupt));
 }
 
 proptest! {
--- a/crates/railhub-membership/src/share.rs
+++ b/crates/railhub-membership/src/placement.rs
@@ -6,18 +6,18 @@
 
 /// Handovers of slices that nobody must have at once, a second: a planned change is in no hurry, and each
 /// handover costs the heir a look at the store and the proxies a delta.
-const HANDOVERS_A_SECOND: f64 = 40.0;
+const HANDOVER_RATE: f64 = 40.0;
 /// Seconds of handovers that may be saved up.
-const SAVED: Seconds = 0.5;
+const HANDOVER_BURST: Seconds = 0.5;
 /// Seconds a steward must have lived before slices go back to it, times two for each time that it went away of
 /// late, and the most that this may come to.
-const TRUSTED_AFTER: Seconds = 4.0;
-const TRUSTED_AFTER_MOST: Seconds = 120.0;
+const HOLD_DOWN: Seconds = 4.0;
+const MAX_HOLD_DOWN: Seconds = 120.0;
 /// Seconds after which one going away is forgotten.
-const FORGOTTEN_AFTER: Seconds = 60.0;
+const FLAP_DECAY_TIME: Seconds = 60.0;
 
 /// The steward that a slice falls to; weights are what stewards can bear relative to each other.
-pub fn heir(slice: u16, stewards: &BTreeMap<NodeId, f64>) -> Option<NodeId> {
+pub fn rendezvous_owner(slice: u16, stewards: &BTreeMap<NodeId, f64>) -> Option<NodeId> {
     let score = |id: &NodeId, weight: f64| -weight.max(1e-6) / unit(slice, *id).ln();
     let best = stewards.iter().max_by(|a, b| score(a.0, *a.1).total_cmp(&score(b.0, *b.1)));
     best.map(|(id, _)| *id)
@@ -42,12 +42,12 @@
 
 impl FlapHistory {
     fn went_by(&self, now: Seconds) -> f64 {
-        self.went * (-(now - self.went_at).max(0.0) / FORGOTTEN_AFTER).exp()
+        self.went * (-(now - self.went_at).max(0.0) / FLAP_DECAY_TIME).exp()
     }
 
     fn trusted(&self, now: Seconds) -> bool {
         let Some(since) = self.up_since else { return false };
-        let wait = (TRUSTED_AFTER * (self.went_by(now)).exp2()).min(TRUSTED_AFTER_MOST);
+        let wait = (HOLD_DOWN * (self.went_by(now)).exp2()).min(MAX_HOLD_DOWN);
         // One that was there when we started has no past: nothing is held against it.
         self.went == 0.0 || now - since >= wait
     }
@@ -74,9 +74,9 @@
     }
 
     /// What membership says of a steward.
-    pub fn hear(&mut self, now: Seconds, id: NodeId, lives: bool) {
+    pub fn hear(&mut self, now: Seconds, id: NodeId, is_live: bool) {
         let past = self.past.entry(id).or_default();
-        match (past.up_since, lives) {
+        match (past.up_since, is_live) {
             (None, true) => past.up_since = Some(now),
             (Some(_), false) => {
                 (past.went, past.went_at) = (past.went_by(now) + 1.0, now);
@@ -87,31 +87,31 @@
     }
 
     /// It is to go: its slices are handed over in order.
-    pub fn drain(&mut self, id: NodeId, drains: bool) {
-        self.draining.insert(id, drains);
+    pub fn drain(&mut self, id: NodeId, draining: bool) {
+        self.draining.insert(id, draining);
     }
 
     /// Those that slices fall to. If nobody has earned trust, all that live have to do.
-    pub fn bearers(&self, now: Seconds) -> BTreeMap<NodeId, f64> {
-        let lives = |id: &NodeId| self.past.get(id).is_some_and(|past| past.up_since.is_some());
-        let drains = |id: &NodeId| self.draining.get(id).copied().unwrap_or(false);
+    pub fn eligible_nodes(&self, now: Seconds) -> BTreeMap<NodeId, f64> {
+        let is_live = |id: &NodeId| self.past.get(id).is_some_and(|past| past.up_since.is_some());
+        let draining = |id: &NodeId| self.draining.get(id).copied().unwrap_or(false);
         let trusted = |id: &NodeId| self.past.get(id).is_some_and(|past| past.trusted(now));
         let of = |pass: &dyn Fn(&NodeId) -> bool| -> BTreeMap<NodeId, f64> {
             self.weights.iter().filter(|(id, _)| pass(id)).map(|(id, weight)| (*id, *weight)).collect()
         };
-        let best = of(&|id| lives(id) && trusted(id) && !drains(id));
+        let best = of(&|id| is_live(id) && trusted(id) && !draining(id));
         if best.is_empty() {
-            of(&|id| lives(id) && !drains(id))
+            of(&|id| is_live(id) && !draining(id))
         } else {
             best
         }
     }
 
     /// Whether one more slice may be handed over now; counts it if so.
-    pub fn may_hand_over(&mut self, now: Seconds) -> bool {
-        let earned = (now - self.counted_at).max(0.0) * HANDOVERS_A_SECOND;
+    pub fn take_handover_permit(&mut self, now: Seconds) -> bool {
+        let earned = (now - self.counted_at).max(0.0) * HANDOVER_RATE;
         self.counted_at = self.counted_at.max(now);
-        self.allowance = (self.allowance + earned).min(HANDOVERS_A_SECOND * SAVED);
+        self.allowance = (self.allowance + earned).min(HANDOVER_RATE * HANDOVER_BURST);
         let may = self.allowance >= 1.0;
         self.allowance -= f64::from(u8::from(may));
         may
--- a/crates/railhub-membership/src/share/tests.rs
+++ b/crates/railhub-membership/src/placement/tests.rs
@@ -9,7 +9,7 @@
 fn slices_are_spread_by_weight() {
     let mut all = stewards(&[1, 2, 3]);
     all.insert(NodeId(3), 2.0);
-    let of = |id: u16| (0..4000).filter(|slice| heir(*slice, &all) == Some(NodeId(id))).count();
+    let of = |id: u16| (0..4000).filter(|slice| rendezvous_owner(*slice, &all) == Some(NodeId(id))).count();
     assert!(of(1).abs_diff(1000) < 90 && of(2).abs_diff(1000) < 90, "{} {}", of(1), of(2));
     assert!(of(3).abs_diff(2000) < 120, "{}", of(3));
 }
@@ -23,7 +23,7 @@
         let mut left = all.clone();
         left.remove(&gone);
         for slice in 0..300 {
-            let (before, after) = (heir(slice, &all), heir(slice, &left));
+            let (before, after) = (rendezvous_owner(slice, &all), rendezvous_owner(slice, &left));
             prop_assert!(before == Some(gone) || before == after);
         }
     }
@@ -34,20 +34,20 @@
     let mut sharing = Placement::new(stewards(&[1, 2]));
     sharing.hear(0.0, NodeId(1), true);
     sharing.hear(0.0, NodeId(2), true);
-    assert_eq!(sharing.bearers(0.0).len(), 2, "at the start nobody has a past");
+    assert_eq!(sharing.eligible_nodes(0.0).len(), 2, "at the start nobody has a past");
     let mut changes = 0;
     let mut bore = true;
     for step in 0..40 {
         // Up and down every 3 s.
         let now = 10.0 + f64::from(step) * 1.5;
         sharing.hear(now, NodeId(2), (step / 2) % 2 == 1);
-        let bears = sharing.bearers(now).contains_key(&NodeId(2));
+        let bears = sharing.eligible_nodes(now).contains_key(&NodeId(2));
         changes += usize::from(bears != std::mem::replace(&mut bore, bears));
     }
     assert_eq!(changes, 1, "it lost its slices once and got none back");
     sharing.hear(71.0, NodeId(2), true);
-    assert!(!sharing.bearers(90.0).contains_key(&NodeId(2)));
-    assert!(sharing.bearers(71.0 + TRUSTED_AFTER_MOST).contains_key(&NodeId(2)));
+    assert!(!sharing.eligible_nodes(90.0).contains_key(&NodeId(2)));
+    assert!(sharing.eligible_nodes(71.0 + MAX_HOLD_DOWN).contains_key(&NodeId(2)));
 }
 
 #[test]
@@ -58,17 +58,17 @@
         sharing.hear(1.0, NodeId(id), false);
         sharing.hear(1.5, NodeId(id), true);
     }
-    assert_eq!(sharing.bearers(2.0).len(), 2);
+    assert_eq!(sharing.eligible_nodes(2.0).len(), 2);
     sharing.drain(NodeId(1), true);
-    assert_eq!(sharing.bearers(2.0).into_keys().collect::<Vec<_>>(), [NodeId(2)]);
+    assert_eq!(sharing.eligible_nodes(2.0).into_keys().collect::<Vec<_>>(), [NodeId(2)]);
 }
 
 #[test]
 fn handovers_are_paced() {
     let mut sharing = Placement::new(stewards(&[1]));
     let counted =
-        |sharing: &mut Placement, now: f64| (0..1000).filter(|_| sharing.may_hand_over(now)).count();
-    assert_eq!(counted(&mut sharing, 10.0), (HANDOVERS_A_SECOND * SAVED) as usize);
+        |sharing: &mut Placement, now: f64| (0..1000).filter(|_| sharing.take_handover_permit(now)).count();
+    assert_eq!(counted(&mut sharing, 10.0), (HANDOVER_RATE * HANDOVER_BURST) as usize);
     assert_eq!(counted(&mut sharing, 10.0), 0);
-    assert_eq!(counted(&mut sharing, 10.25), (HANDOVERS_A_SECOND * 0.25) as usize);
+    assert_eq!(counted(&mut sharing, 10.25), (HANDOVER_RATE * 0.25) as usize);
 }
--- a/crates/railhub-membership/src/score.rs
+++ b/crates/railhub-membership/src/probe_score.rs
@@ -20,7 +20,7 @@
 
 /// How a steward answers our probes: decaying sums of times, the share that went badly, the score it drives.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Answers {
+pub struct ProbeScore {
     count: f64,
     time: f64,
     at: Seconds,
@@ -29,9 +29,9 @@
     scored_at: Seconds,
 }
 
-impl Answers {
-    pub fn since(now: Seconds) -> Answers {
-        Answers { scored_at: now, ..Answers::default() }
+impl ProbeScore {
+    pub fn since(now: Seconds) -> ProbeScore {
+        ProbeScore { scored_at: now, ..ProbeScore::default() }
     }
 
     /// One came after `time` seconds.
@@ -41,7 +41,7 @@
     }
 
     /// Seconds after which an answer is late; `most` at the most.
-    pub fn late_after(&self, most: Seconds) -> Seconds {
+    pub fn ack_timeout(&self, most: Seconds) -> Seconds {
         let mean = if self.count > 0.0 { self.time / self.count } else { 0.0 };
         (mean * LATE_TIMES).clamp(LATE_LEAST, most.max(LATE_LEAST))
     }
@@ -57,7 +57,7 @@
     }
 
     /// It was away, which has been held against it already.
-    pub fn forgive(&mut self) {
+    pub fn reset(&mut self) {
         (self.score, self.badly) = (0.0, 0.0);
     }
 }
--- a/crates/railhub-membership/src/swim.rs
+++ b/crates/railhub-membership/src/swim.rs
@@ -4,20 +4,22 @@
 //! views are compared and what differs is sent; the dead are asked again at a falling rate; and a steward that
 //! fares badly itself waits longer before it blames anyone (Lifeguard, 2017).
 //!
-//! A *slow* steward is scored ([`crate::score`]): each steward names the one that stands out, and one that most of
+//! A *slow* steward is scored ([`crate::probe_score`]): each steward names the one that stands out, and one that most of
 //! the others name is withdrawn: it lives, and bears no slices. Each names one at the most, so at most one can be
 //! named by most.
-mod joining;
-mod own;
-mod probing;
-mod slowness;
-
-use crate::entry::{Entry, Incarnation, Load, Status};
-use crate::health::Health;
-use crate::rumours::GossipQueue;
-use crate::score::{Answers, GAP, LATE_LEAST};
-use crate::table::{MergeOutcome, Safeguard, Table};
-use crate::words::{Changed, Message, OutgoingMessage, Request, To, LINES_MOST, NEWS_MOST};
+mod join;
+mod local;
+mod outlier;
+mod probe;
+
+use crate::gossip::GossipQueue;
+use crate::local_health::LocalHealth;
+use crate::member::{Incarnation, Load, Member, Status};
+use crate::messages::{
+    Destination, MemberChange, Message, OutgoingMessage, Payload, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE,
+};
+use crate::probe_score::{ProbeScore, GAP, LATE_LEAST};
+use crate::table::{MemberTable, MergeOutcome, Safeguard};
 use crate::{NodeId, Seconds};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
@@ -80,7 +82,7 @@
     turn: u64,
     load: Load,
     withdrawn: bool,
-    answers: Answers,
+    answers: ProbeScore,
     /// Whom it names, and since when.
     names: Option<(NodeId, Seconds)>,
     accusers: BTreeSet<NodeId>,
@@ -97,7 +99,7 @@
             turn: 0,
             load: Load::default(),
             withdrawn: false,
-            answers: Answers::since(now),
+            answers: ProbeScore::since(now),
             names: None,
             accusers: BTreeSet::new(),
             ask_at: now + ASK_DEAD,
@@ -142,7 +144,7 @@
 /// One line of a view, for those who look at it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ViewEntry {
-    pub entry: Entry,
+    pub entry: Member,
     pub load: Load,
     /// Seconds since it stands so, and since its own word came; none has come where this is infinite.
     pub stands_for: Seconds,
@@ -153,13 +155,13 @@
 /// One steward's view of who lives, and the probes, suspicions and rumours that keep it up to date.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    table: Table,
+    table: MemberTable,
     config: MembershipConfig,
     peers: BTreeMap<NodeId, Peer>,
     order: Vec<NodeId>,
     pending: Vec<PendingProbe>,
-    rumours: GossipQueue,
-    health: Health,
+    gossip: GossipQueue,
+    health: LocalHealth,
     load: Load,
     began: Seconds,
     number: u64,
@@ -173,25 +175,25 @@
     slow_span: Seconds,
     /// A process of our name with a higher number that was spoken of, where it is reached, and since when.
     conflict: Option<IdentityConflict>,
-    yielded: bool,
+    superseded: bool,
     refused: u64,
     chance: ChaCha8Rng,
 }
 
 impl Membership {
     /// `me`: under a process number that is higher than that of any earlier process of ours, as far as is known.
-    pub fn new(me: Entry, config: MembershipConfig, now: Seconds, seed: u64) -> Membership {
+    pub fn new(me: Member, config: MembershipConfig, now: Seconds, seed: u64) -> Membership {
         let chance = ChaCha8Rng::seed_from_u64(seed ^ u64::from(me.about.0));
-        let mut rumours = GossipQueue::default();
-        rumours.tell_first(me.clone());
+        let mut gossip = GossipQueue::default();
+        gossip.enqueue_front(me.clone());
         Membership {
-            table: Table::new(me, config.without),
+            table: MemberTable::new(me, config.without),
             config,
             peers: BTreeMap::new(),
             order: Vec::new(),
             pending: Vec::new(),
-            rumours,
-            health: Health::default(),
+            gossip,
+            health: LocalHealth::default(),
             load: Load::default(),
             began: now,
             number: 0,
@@ -204,7 +206,7 @@
             seek_span: SEEK,
             slow_span: SEEK_SLOWLY,
             conflict: None,
-            yielded: false,
+            superseded: false,
             refused: 0,
             chance,
         }
@@ -215,8 +217,8 @@
     pub fn expect(&mut self, others: &[NodeId], now: Seconds) {
         let me = self.me();
         for id in others.iter().filter(|id| **id != me) {
-            let word = Entry::alive(*id, 0, Default::default());
-            if let MergeOutcome::News { .. } = self.table.learn(&word, false) {
+            let word = Member::alive(*id, 0, Default::default());
+            if let MergeOutcome::Updated { .. } = self.table.learn(&word, false) {
                 self.peers.insert(*id, Peer::new(now));
             }
         }
@@ -226,12 +228,12 @@
         self.table.me().about
     }
 
-    pub fn entry(&self) -> &Entry {
+    pub fn entry(&self) -> &Member {
         self.table.me()
     }
 
-    pub fn standing(&self, id: NodeId) -> Status {
-        self.table.get(id).map_or(Status::Forgotten, |entry| entry.standing)
+    pub fn status(&self, id: NodeId) -> Status {
+        self.table.get(id).map_or(Status::Forgotten, |entry| entry.status)
     }
 
     pub fn address(&self, id: NodeId) -> Option<SocketAddr> {
@@ -239,8 +241,8 @@
     }
 
     /// Another process with our name and a higher number lives: we take no part any more.
-    pub fn has_yielded(&self) -> bool {
-        self.yielded
+    pub fn is_superseded(&self) -> bool {
+        self.superseded
     }
 
     /// Digest of our view: the same for all that hold the same to live.
@@ -255,14 +257,14 @@
 
     /// It may bear slices, as far as we know; a suspect still does: taking what it holds is no hurry before it is
     /// held for dead, and not possible before its leases end.
-    pub fn may_bear(&self, id: NodeId) -> bool {
-        if self.table.get(id).is_some_and(|entry| entry.metadata.no_store) {
+    pub fn may_own_slices(&self, id: NodeId) -> bool {
+        if self.table.get(id).is_some_and(|entry| entry.metadata.store_unreachable) {
             return false;
         }
         if id == self.me() {
             !self.is_named(id, self.ticked_at)
         } else {
-            self.standing(id).lives() && !self.peers.get(&id).is_some_and(|peer| peer.withdrawn)
+            self.status(id).is_live() && !self.peers.get(&id).is_some_and(|peer| peer.withdrawn)
         }
     }
 
@@ -271,7 +273,7 @@
     }
 
     fn living(&self) -> impl Iterator<Item = NodeId> + '_ {
-        self.table.others().filter(|entry| entry.standing.lives()).map(|entry| entry.about)
+        self.table.others().filter(|entry| entry.status.is_live()).map(|entry| entry.about)
     }
 
     /// Messages sent so far.
@@ -280,13 +282,13 @@
     }
 
     /// Our view, ourselves included, in the order of ids.
-    pub fn shown(&self, now: Seconds) -> Vec<ViewEntry> {
+    pub fn view(&self, now: Seconds) -> Vec<ViewEntry> {
         let mine = ViewEntry {
             entry: self.table.me().clone(),
             load: self.load,
             stands_for: now - self.began,
             heard_ago: 0.0,
-            withdrawn: !self.may_bear(self.me()),
+            withdrawn: !self.may_own_slices(self.me()),
         };
         let others = self.table.others().filter_map(|entry| {
             let peer = self.peers.get(&entry.about)?;
@@ -295,7 +297,7 @@
             Some(ViewEntry { entry: entry.clone(), load, stands_for, heard_ago, withdrawn })
         });
         let mut all: Vec<ViewEntry> = others.chain([mine]).collect();
-        all.sort_by_key(|shown| shown.entry.about);
+        all.sort_by_key(|view| view.entry.about);
         all
     }
 
@@ -311,20 +313,23 @@
     }
 
     fn patience(&self) -> f64 {
-        if self.table.lacks(Safeguard::OwnTrouble) {
+        if self.table.lacks(Safeguard::LocalHealth) {
             1.0
         } else {
             self.health.patience()
         }
     }
 
-    fn message(&mut self, number: u64, ask: Request, first: Vec<Entry>) -> Message {
-        let endless = self.table.lacks(Safeguard::RumourBound);
+    fn message(&mut self, number: u64, ask: Payload, first: Vec<Member>) -> Message {
+        let endless = self.table.lacks(Safeguard::GossipLimit);
         // A comparison fills its datagram by itself.
-        let room =
-            if matches!(ask, Request::Compare { .. }) { 0 } else { NEWS_MOST.saturating_sub(first.len()) };
+        let room = if matches!(ask, Payload::SyncDigest { .. }) {
+            0
+        } else {
+            MAX_GOSSIP_PER_MESSAGE.saturating_sub(first.len())
+        };
         let mut news = first;
-        let more = self.rumours.take(room, &news, self.peers.len() + 1, endless);
+        let more = self.gossip.take(room, &news, self.peers.len() + 1, endless);
         news.extend(more);
         self.turn += 1;
         Message {
@@ -339,7 +344,14 @@
         }
     }
 
-    fn send(&mut self, to: To, number: u64, ask: Request, first: Vec<Entry>, mail: &mut OutgoingMessage) {
+    fn send(
+        &mut self,
+        to: Destination,
+        number: u64,
+        ask: Payload,
+        first: Vec<Member>,
+        mail: &mut OutgoingMessage,
+    ) {
         let message = self.message(number, ask, first);
         mail.push((to, message));
     }
@@ -351,7 +363,7 @@
         if (0.0..=PROBE_ENDS).contains(&since) {
             return;
         }
-        if self.table.lacks(Safeguard::OwnTrouble) && since > 0.0 {
+        if self.table.lacks(Safeguard::LocalHealth) && since > 0.0 {
             return;
         }
         self.health.turned(since.abs());
@@ -369,9 +381,9 @@
 
     /// What is due: probes, those that ended without an answer, suspicions that are over, the dead to be asked, those
     /// to be forgotten, someone to join.
-    pub fn tick(&mut self, now: Seconds) -> (OutgoingMessage, Vec<Changed>) {
+    pub fn tick(&mut self, now: Seconds) -> (OutgoingMessage, Vec<MemberChange>) {
         let (mut mail, mut changed) = (OutgoingMessage::new(), Vec::new());
-        if self.yielded {
+        if self.superseded {
             (self.ticked_at, self.probes_at) = (now, now + PERIOD);
             return (mail, changed);
         }
@@ -397,21 +409,21 @@
     }
 
     fn forget_the_gone(&mut self, now: Seconds) {
-        let gone = self.table.others().filter(|entry| !entry.standing.lives()).map(|entry| entry.about);
+        let gone = self.table.others().filter(|entry| !entry.status.is_live()).map(|entry| entry.about);
         let gone =
             gone.filter(|id| self.peers.get(id).is_none_or(|p| now - p.since > self.config.forget_after));
         for id in gone.collect::<Vec<_>>() {
             self.table.forget(id);
-            self.rumours.drop_word(id);
+            self.gossip.remove(id);
             self.peers.remove(&id);
         }
     }
 
     /// Takes in a message; what is to be answered.
-    pub fn hear(&mut self, now: Seconds, message: &Message) -> (OutgoingMessage, Vec<Changed>) {
+    pub fn hear(&mut self, now: Seconds, message: &Message) -> (OutgoingMessage, Vec<MemberChange>) {
         let (mut mail, mut changed) = (OutgoingMessage::new(), Vec::new());
         let from = message.from.about;
-        if self.yielded {
+        if self.superseded {
             return (mail, changed);
         }
         if from == self.me() {
@@ -420,7 +432,7 @@
         }
         self.wake(now);
         match self.take_in(now, &message.from, "it says so itself", &mut changed) {
-            MergeOutcome::Old | MergeOutcome::Full => {
+            MergeOutcome::Stale | MergeOutcome::TableFull => {
                 self.hear_old(now, message, &mut mail, &mut changed);
                 return (mail, changed);
             }
@@ -448,15 +460,15 @@
         now: Seconds,
         message: &Message,
         mail: &mut OutgoingMessage,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
         let (old, me) = (&message.from, self.me());
         for word in message.news.iter().filter(|word| word.about == me) {
             self.take_in(now, word, "by word of one that was forgotten", changed);
         }
-        let Some(address) = old.metadata.address.filter(|_| message.ask != Request::Tell) else { return };
-        let word = self.table.answer_to_old(old);
-        self.send(To::Address(address), 0, Request::Tell, vec![word], mail);
+        let Some(address) = old.metadata.address.filter(|_| message.ask != Payload::Gossip) else { return };
+        let word = self.table.correction_for(old);
+        self.send(Destination::Address(address), 0, Payload::Gossip, vec![word], mail);
     }
 
     /// What only the sender's latest message may tell; one that comes late or again tells nothing of it.
@@ -484,30 +496,30 @@
         now: Seconds,
         message: &Message,
         mail: &mut OutgoingMessage,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
         let from = message.from.about;
         match &message.ask {
-            Request::Probe => {
+            Payload::Probe => {
                 // One that we hold for dead is told, so that it can say otherwise.
-                let held = self.table.get(from).filter(|entry| entry.standing != Status::Alive);
+                let held = self.table.get(from).filter(|entry| entry.status != Status::Alive);
                 let doubts = held.filter(|entry| entry.incarnation == message.from.incarnation).cloned();
                 let first = doubts.into_iter().collect();
-                self.send(To::Steward(from), message.number, Request::Answer, first, mail);
+                self.send(Destination::Node(from), message.number, Payload::Ack, first, mail);
             }
-            Request::ProbeFor(target)
+            Payload::IndirectProbe(target)
                 if self.peers.contains_key(target) && self.pending.len() < MAX_PENDING_PROBES =>
             {
                 // A suspect is told, so that its own word comes back by us: it may have no other way.
-                let word = self.table.get(*target).filter(|entry| entry.standing == Status::Suspect);
+                let word = self.table.get(*target).filter(|entry| entry.status == Status::Suspect);
                 let first = word.cloned().into_iter().collect();
                 let doubts = message.news.iter().any(|word| word.about == *target);
                 let indirect = IndirectProbe { asker: from, number: message.number, doubts };
                 self.send_probe(now, *target, Some(indirect), first, mail);
             }
-            Request::ProbeFor(_) | Request::Tell => {}
-            Request::Answer => self.answered(now, from, message.number, mail, changed),
-            Request::AnswerOf(target) => {
+            Payload::IndirectProbe(_) | Payload::Gossip => {}
+            Payload::Ack => self.answered(now, from, message.number, mail, changed),
+            Payload::IndirectAck(target) => {
                 // It lives, though not for us: badly, but not silent.
                 let probe = self
                     .pending
@@ -521,23 +533,25 @@
                     }
                 }
             }
-            Request::NoAnswerOf(target) => {
+            Payload::Nack(target) => {
                 let probe = self
                     .pending
                     .iter_mut()
                     .find(|probe| probe.number == message.number && probe.to == *target);
                 probe.into_iter().for_each(|probe| probe.helped = true);
             }
-            Request::Compare { from: first, to, lines } => {
+            Payload::SyncDigest { from: first, to, entries: lines } => {
                 let (better, want) = self.table.compare(*first, *to, lines);
                 if !better.is_empty() || !want.is_empty() {
-                    self.send(To::Steward(from), 0, Request::Want(want), better, mail);
+                    self.send(Destination::Node(from), 0, Payload::SyncRequest(want), better, mail);
                 }
             }
-            Request::Want(ids) => {
-                let known: Vec<Entry> = ids.iter().filter_map(|id| self.table.get(*id).cloned()).collect();
-                for part in known.chunks(NEWS_MOST).take(LINES_MOST / NEWS_MOST) {
-                    self.send(To::Steward(from), 0, Request::Tell, part.to_vec(), mail);
+            Payload::SyncRequest(ids) => {
+                let known: Vec<Member> = ids.iter().filter_map(|id| self.table.get(*id).cloned()).collect();
+                for part in
+                    known.chunks(MAX_GOSSIP_PER_MESSAGE).take(MAX_DIGEST_ENTRIES / MAX_GOSSIP_PER_MESSAGE)
+                {
+                    self.send(Destination::Node(from), 0, Payload::Gossip, part.to_vec(), mail);
                 }
             }
         }
@@ -551,27 +565,39 @@
         let from = self.compare_from;
         let (lines, to, next) = self.table.page(from);
         self.compare_from = next;
-        self.send(To::Steward(with), 0, Request::Compare { from, to, lines }, Vec::new(), mail);
+        self.send(
+            Destination::Node(with),
+            0,
+            Payload::SyncDigest { from, to, entries: lines },
+            Vec::new(),
+            mail,
+        );
     }
 
     /// Takes in one word, whoever brought it.
-    fn take_in(&mut self, now: Seconds, word: &Entry, why: &str, changed: &mut Vec<Changed>) -> MergeOutcome {
-        let protects = !self.table.lacks(Safeguard::OwnTrouble);
+    fn take_in(
+        &mut self,
+        now: Seconds,
+        word: &Member,
+        why: &str,
+        changed: &mut Vec<MemberChange>,
+    ) -> MergeOutcome {
+        let protects = !self.table.lacks(Safeguard::LocalHealth);
         let heard = self.peers.get(&word.about).map_or(f64::NEG_INFINITY, |peer| peer.heard_at);
         let heard_lately = protects && word.by != Some(self.me()) && now - heard < HEARD_LATELY;
         let learnt = self.table.learn(word, heard_lately);
         match &learnt {
-            MergeOutcome::News { was, metadata_changed } => {
+            MergeOutcome::Updated { was, metadata_changed } => {
                 self.follow(now, word, *was, *metadata_changed, why, changed)
             }
             MergeOutcome::Refuted => {
                 self.health.was_suspected();
-                self.rumours.tell_first(self.table.me().clone());
+                self.gossip.enqueue_front(self.table.me().clone());
             }
-            MergeOutcome::Rival => self.note_conflict(now, word),
-            MergeOutcome::Full => self.refused += 1,
-            MergeOutcome::NoReply => self.answer_to_stale(word),
-            MergeOutcome::Old => {}
+            MergeOutcome::IdentityConflict => self.note_conflict(now, word),
+            MergeOutcome::TableFull => self.refused += 1,
+            MergeOutcome::Unchanged => self.answer_to_stale(word),
+            MergeOutcome::Stale => {}
         }
         learnt
     }
@@ -579,59 +605,59 @@
     fn follow(
         &mut self,
         now: Seconds,
-        word: &Entry,
+        word: &Member,
         was: Option<Status>,
         metadata_changed: bool,
         why: &str,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
         let Some(held) = self.table.get(word.about).cloned() else { return };
         let peer = self.peers.entry(word.about).or_insert_with(|| Peer::new(now));
-        if was.is_some_and(|was| was > Status::Suspect) && held.standing == Status::Alive {
-            peer.answers.forgive();
+        if was.is_some_and(|was| was > Status::Suspect) && held.status == Status::Alive {
+            peer.answers.reset();
         }
-        if was != Some(held.standing) {
+        if was != Some(held.status) {
             peer.since = now;
             (peer.ask_span, peer.ask_at) = (ASK_DEAD, now + ASK_DEAD);
         }
-        if metadata_changed || held.standing == Status::Alive {
+        if metadata_changed || held.status == Status::Alive {
             peer.accusers.clear();
         }
-        if held.standing == Status::Suspect {
+        if held.status == Status::Suspect {
             peer.accusers.extend(word.by);
         }
-        if was != Some(held.standing) || metadata_changed {
-            let (about, incarnation, standing, withdrawn) =
-                (held.about, held.incarnation, held.standing, peer.withdrawn);
-            changed.push(Changed { about, incarnation, standing, withdrawn, why: why.to_owned() });
+        if was != Some(held.status) || metadata_changed {
+            let (about, incarnation, status, withdrawn) =
+                (held.about, held.incarnation, held.status, peer.withdrawn);
+            changed.push(MemberChange { about, incarnation, status, withdrawn, why: why.to_owned() });
         }
-        self.rumours.tell(held);
+        self.gossip.tell(held);
     }
 
     /// Whoever tells that someone is missing may not have heard what that one has said since: it is told again. A word
     /// that is not out of date may be one more accuser's.
-    fn answer_to_stale(&mut self, word: &Entry) {
-        let stale = |held: &&Entry| {
+    fn answer_to_stale(&mut self, word: &Member) {
+        let stale = |held: &&Member| {
             held.incarnation > word.incarnation
-                && held.standing == Status::Alive
-                && word.standing != Status::Alive
+                && held.status == Status::Alive
+                && word.status != Status::Alive
         };
         match self.table.get(word.about).filter(stale).cloned() {
-            Some(held) => self.rumours.tell_first(held),
+            Some(held) => self.gossip.enqueue_front(held),
             None => self.count_accuser(word),
         }
     }
 
     /// One more that finds a suspect missing makes the suspicion shorter; it is passed on, a few times at the most.
-    fn count_accuser(&mut self, word: &Entry) {
+    fn count_accuser(&mut self, word: &Member) {
         let Some(held) = self.table.get(word.about) else { return };
-        let same = held.standing == Status::Suspect
-            && word.standing == Status::Suspect
+        let same = held.status == Status::Suspect
+            && word.status == Status::Suspect
             && held.incarnation == word.incarnation;
         let Some(peer) = self.peers.get_mut(&word.about).filter(|_| same) else { return };
         if let Some(by) = word.by.filter(|_| peer.accusers.len() <= ACCUSERS) {
             if peer.accusers.insert(by) {
-                self.rumours.tell(word.clone());
+                self.gossip.tell(word.clone());
             }
         }
     }
@@ -642,8 +668,8 @@
     }
 
     /// Words that wait to be passed on.
-    pub fn rumours(&self) -> usize {
-        self.rumours.len()
+    pub fn gossip(&self) -> usize {
+        self.gossip.len()
     }
 }
 
--- a/crates/railhub-membership/src/swim/joining.rs
+++ b/crates/railhub-membership/src/swim/join.rs
@@ -28,7 +28,7 @@
             (self.seek_span, self.slow_span) = ((self.seek_span * 1.5).min(SEEK_MOST), SEEK_SLOWLY);
         }
         for seed in seeds {
-            self.send(To::Address(seed), 0, Request::Probe, Vec::new(), mail);
+            self.send(Destination::Address(seed), 0, Payload::Probe, Vec::new(), mail);
         }
     }
 
@@ -39,27 +39,27 @@
         now: Seconds,
         message: &Message,
         mail: &mut OutgoingMessage,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
         let (theirs, ours) = (message.from.incarnation.process, self.table.me().incarnation.process);
         if theirs < ours {
             if let Some(address) = message.from.metadata.address {
-                self.send(To::Address(address), message.number, Request::Answer, Vec::new(), mail);
+                self.send(Destination::Address(address), message.number, Payload::Ack, Vec::new(), mail);
             }
         }
-        if theirs <= ours || self.table.lacks(Safeguard::Process) {
+        if theirs <= ours || self.table.lacks(Safeguard::ProcessOrder) {
             return;
         }
-        self.yielded = true;
+        self.superseded = true;
         self.wake(now);
         let me = self.table.me();
         let why = format!("process {theirs} lives under our name: ours, {ours}, takes no part any more");
         let (about, incarnation) = (me.about, me.incarnation);
-        changed.push(Changed { about, incarnation, standing: Status::Left, withdrawn: true, why });
+        changed.push(MemberChange { about, incarnation, status: Status::Left, withdrawn: true, why });
     }
 
     /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
-    pub(super) fn note_conflict(&mut self, now: Seconds, word: &Entry) {
+    pub(super) fn note_conflict(&mut self, now: Seconds, word: &Member) {
         if self.conflict.is_none_or(|conflict| conflict.process < word.incarnation.process) {
             let own = self.table.me().metadata.address;
             let address = word.metadata.address.filter(|address| Some(*address) != own);
@@ -69,30 +69,30 @@
 
     pub(super) fn probe_rival(&mut self, mail: &mut OutgoingMessage) {
         if let Some(address) = self.conflict.and_then(|conflict| conflict.address) {
-            self.send(To::Address(address), 0, Request::Probe, Vec::new(), mail);
+            self.send(Destination::Address(address), 0, Payload::Probe, Vec::new(), mail);
         }
     }
 
-    pub(super) fn end_conflict(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
+    pub(super) fn end_conflict(&mut self, now: Seconds, changed: &mut Vec<MemberChange>) {
         let Some(IdentityConflict { process, at, .. }) =
             self.conflict.filter(|conflict| now - conflict.at >= CONFLICT_ENDS_AFTER)
         else {
             return;
         };
         self.conflict = None;
-        self.table.rise_above(process);
+        self.table.adopt_process_above(process);
         let me = self.table.me().clone();
         let why = format!(
             "process {process} of ours is spoken of and silent since {:.1} s: we go above it",
             now - at
         );
-        changed.push(Changed {
+        changed.push(MemberChange {
             about: me.about,
             incarnation: me.incarnation,
-            standing: me.standing,
+            status: me.status,
             withdrawn: false,
             why,
         });
-        self.rumours.tell_first(me);
+        self.gossip.enqueue_front(me);
     }
 }
--- a/crates/railhub-membership/src/swim/own.rs
+++ b/crates/railhub-membership/src/swim/local.rs
@@ -4,21 +4,21 @@
 impl Membership {
     /// We hand our slices over; the others learn of it.
     pub fn drain(&mut self) {
-        self.table.rewrite(|metadata| metadata.drains = true);
-        self.rumours.tell_first(self.table.me().clone());
+        self.table.rewrite(|metadata| metadata.draining = true);
+        self.gossip.enqueue_front(self.table.me().clone());
     }
 
     /// The store does not answer us, or does again; the others learn of it.
-    pub fn set_no_store(&mut self, no_store: bool) {
-        if self.table.me().metadata.no_store != no_store {
-            self.table.rewrite(|metadata| metadata.no_store = no_store);
-            self.rumours.tell_first(self.table.me().clone());
+    pub fn set_no_store(&mut self, store_unreachable: bool) {
+        if self.table.me().metadata.store_unreachable != store_unreachable {
+            self.table.rewrite(|metadata| metadata.store_unreachable = store_unreachable);
+            self.gossip.enqueue_front(self.table.me().clone());
         }
     }
 
     /// It hands its slices over, and says so.
-    pub fn drains(&self, id: NodeId) -> bool {
-        self.table.get(id).is_some_and(|entry| entry.metadata.drains)
+    pub fn draining(&self, id: NodeId) -> bool {
+        self.table.get(id).is_some_and(|entry| entry.metadata.draining)
     }
 
     pub fn set_load(&mut self, load: Load) {
@@ -30,7 +30,7 @@
         self.table.leave();
         let mut mail = OutgoingMessage::new();
         for id in self.living().collect::<Vec<_>>() {
-            self.send(To::Steward(id), 0, Request::Tell, Vec::new(), &mut mail);
+            self.send(Destination::Node(id), 0, Payload::Gossip, Vec::new(), &mut mail);
         }
         mail
     }
--- a/crates/railhub-membership/src/swim/probing.rs
+++ b/crates/railhub-membership/src/swim/probe.rs
@@ -13,12 +13,12 @@
         now: Seconds,
         to: NodeId,
         indirect: Option<IndirectProbe>,
-        first: Vec<Entry>,
+        first: Vec<Member>,
         mail: &mut OutgoingMessage,
     ) {
         self.number += 1;
         let number = self.number;
-        self.send(To::Steward(to), number, Request::Probe, first, mail);
+        self.send(Destination::Node(to), number, Payload::Probe, first, mail);
         // Nobody else is asked for one that we probe for another.
         let through = if indirect.is_some() { THROUGH_TIMES } else { 0 };
         self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, indirect });
@@ -27,8 +27,8 @@
     /// A suspect is asked once more each time, and told what it is suspected of: on a net that loses messages its
     /// own word must have more than one way back.
     pub(super) fn warn_suspect(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
-        let suspects = self.table.others().filter(|entry| entry.standing == Status::Suspect);
-        let suspects: Vec<Entry> = suspects.cloned().collect();
+        let suspects = self.table.others().filter(|entry| entry.status == Status::Suspect);
+        let suspects: Vec<Member> = suspects.cloned().collect();
         if let Some(word) = suspects.choose(&mut self.chance).cloned() {
             self.send_probe(now, word.about, None, vec![word], mail);
         }
@@ -43,7 +43,7 @@
                 self.order.shuffle(&mut self.chance);
             }
             let id = self.order.pop()?;
-            if self.standing(id).lives() {
+            if self.status(id).is_live() {
                 return Some(id);
             }
         }
@@ -52,10 +52,10 @@
     /// Two halves of a split find each other again only if those held for dead are asked now and then; ever less
     /// often, since most of the dead are dead.
     pub(super) fn ask_a_dead(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
-        if self.table.lacks(Safeguard::AskingTheDead) {
+        if self.table.lacks(Safeguard::DeadProbing) {
             return;
         }
-        let dead = self.table.others().filter(|entry| entry.standing == Status::Dead);
+        let dead = self.table.others().filter(|entry| entry.status == Status::Dead);
         let due = dead.filter_map(|entry| Some((self.peers.get(&entry.about)?.ask_at, entry.clone())));
         let first = due.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.about.cmp(&b.1.about)));
         let Some((_, word)) = first.filter(|(at, _)| *at <= now) else { return };
@@ -64,14 +64,14 @@
             peer.ask_span = (peer.ask_span * 2.0).min(ASK_DEAD_MOST);
             peer.ask_at = now + peer.ask_span * part;
         }
-        self.send(To::Steward(word.about), 0, Request::Probe, vec![word], mail);
+        self.send(Destination::Node(word.about), 0, Payload::Probe, vec![word], mail);
     }
 
     pub(super) fn end_probes(
         &mut self,
         now: Seconds,
         mail: &mut OutgoingMessage,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
         self.ask_through_others(now, mail);
         let ends = PROBE_ENDS * self.patience();
@@ -82,7 +82,7 @@
         self.pending.retain(|probe| !is_over(probe));
         for probe in over {
             if let Some(IndirectProbe { asker, number, .. }) = probe.indirect {
-                self.send(To::Steward(asker), number, Request::NoAnswerOf(probe.to), Vec::new(), mail);
+                self.send(Destination::Node(asker), number, Payload::Nack(probe.to), Vec::new(), mail);
                 continue;
             }
             if probe.helpers > 0 && !probe.helped {
@@ -97,20 +97,20 @@
 
     pub(super) fn ask_through_others(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
         let patience = self.patience();
-        let late_after = |id: &NodeId| {
+        let ack_timeout = |id: &NodeId| {
             let answers = self.peers.get(id).map(|peer| peer.answers).unwrap_or_default();
-            answers.late_after(PROBE_ENDS / 2.0) * patience
+            answers.ack_timeout(PROBE_ENDS / 2.0) * patience
         };
         let again_after = PROBE_ENDS / 2.0 * patience;
         let late = self.pending.iter().filter(|probe| match probe.through {
-            0 => now - probe.at >= late_after(&probe.to),
+            0 => now - probe.at >= ack_timeout(&probe.to),
             1 => !probe.helped && now - probe.at >= again_after,
             _ => false,
         });
         let late: Vec<(u64, NodeId)> = late.map(|probe| (probe.number, probe.to)).collect();
         for (number, to) in late {
             let mut others: Vec<NodeId> =
-                self.living().filter(|id| *id != to && self.standing(*id) == Status::Alive).collect();
+                self.living().filter(|id| *id != to && self.status(*id) == Status::Alive).collect();
             others.shuffle(&mut self.chance);
             others.truncate(THROUGH);
             let mut again = false;
@@ -118,14 +118,20 @@
                 again = probe.through > 0;
                 (probe.through, probe.helpers) = (probe.through + 1, others.len());
             }
-            let word = self.table.get(to).filter(|entry| entry.standing == Status::Suspect).cloned();
+            let word = self.table.get(to).filter(|entry| entry.status == Status::Suspect).cloned();
             if again {
                 // It may be the only one that we reach: one lost message must not be a suspicion there either.
-                self.send(To::Steward(to), number, Request::Probe, word.iter().cloned().collect(), mail);
+                self.send(
+                    Destination::Node(to),
+                    number,
+                    Payload::Probe,
+                    word.iter().cloned().collect(),
+                    mail,
+                );
             }
             for other in others {
                 let first = word.iter().cloned().collect();
-                self.send(To::Steward(other), number, Request::ProbeFor(to), first, mail);
+                self.send(Destination::Node(other), number, Payload::IndirectProbe(to), first, mail);
             }
         }
     }
@@ -136,7 +142,7 @@
         from: NodeId,
         number: u64,
         mail: &mut OutgoingMessage,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
         let Some(place) = self.pending.iter().position(|probe| probe.number == number && probe.to == from)
         else {
@@ -146,11 +152,11 @@
         if let Some(IndirectProbe { asker, number, doubts }) = probe.indirect {
             // With what it says of itself: it may have refuted what the asker holds of it.
             let first = self.table.get(from).filter(|_| doubts).cloned().into_iter().collect();
-            self.send(To::Steward(asker), number, Request::AnswerOf(from), first, mail);
+            self.send(Destination::Node(asker), number, Payload::IndirectAck(from), first, mail);
             return;
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        let was_late = now - probe.at > peer.answers.late_after(PROBE_ENDS / 2.0);
+        let was_late = now - probe.at > peer.answers.ack_timeout(PROBE_ENDS / 2.0);
         peer.answers.add(now, (now - probe.at).min(PROBE_ENDS));
         peer.answers.judge(now, was_late);
         if !was_late {
@@ -164,10 +170,10 @@
         now: Seconds,
         about: NodeId,
         helpers: usize,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<MemberChange>,
     ) {
-        let Some(entry) = self.table.get(about).filter(|entry| entry.standing.lives()) else { return };
-        let word = Entry { standing: Status::Suspect, by: Some(self.me()), ..entry.clone() };
+        let Some(entry) = self.table.get(about).filter(|entry| entry.status.is_live()) else { return };
+        let word = Member { status: Status::Suspect, by: Some(self.me()), ..entry.clone() };
         let why = format!("it answered neither us nor {helpers} others that we asked to probe it");
         self.take_in(now, &word, &why, changed);
     }
@@ -177,7 +183,7 @@
     pub(super) fn suspected_for(&self, peer: &Peer) -> Seconds {
         let alive = self.alive();
         let base = SUSPECTED_FOR * (alive as f64).ln().max(1.0);
-        if self.table.lacks(Safeguard::OwnTrouble) {
+        if self.table.lacks(Safeguard::LocalHealth) {
             return base;
         }
         let needed = ACCUSERS.min(alive.saturating_sub(2));
@@ -187,8 +193,8 @@
         (longest - (longest - base) * share) * self.patience()
     }
 
-    pub(super) fn end_suspicions(&mut self, now: Seconds, changed: &mut Vec<Changed>) {
-        let suspects = self.table.others().filter(|entry| entry.standing == Status::Suspect);
+    pub(super) fn end_suspicions(&mut self, now: Seconds, changed: &mut Vec<MemberChange>) {
+        let suspects = self.table.others().filter(|entry| entry.status == Status::Suspect);
         let over = suspects.filter(|entry| {
             let peer = self.peers.get(&entry.about);
             peer.is_some_and(|peer| now - peer.since >= self.suspected_for(peer))
@@ -197,7 +203,7 @@
             let accusers = self.peers.get(&entry.about).map(|peer| peer.accusers.clone()).unwrap_or_default();
             let accusers: Vec<String> = accusers.iter().map(|id| id.0.to_string()).collect();
             let why = format!("suspected by {}, and it said nothing", accusers.join(", "));
-            let word = Entry { standing: Status::Dead, by: Some(self.me()), ..entry };
+            let word = Member { status: Status::Dead, by: Some(self.me()), ..entry };
             self.take_in(now, &word, &why, changed);
         }
     }
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,12 +1,12 @@
 //! What one steward holds of all: the merge of entries, free of time. Any order and any repetition of the same
 //! words ends in the same table, but for words about ourselves, which are answered by a higher count.
-use crate::entry::{mix, Entry, Incarnation, NodeMetadata, Status};
-use crate::words::{DigestEntry, LINES_MOST, NEWS_MOST};
+use crate::member::{mix, Incarnation, Member, NodeMetadata, Status};
+use crate::messages::{DigestEntry, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE};
 use crate::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Stewards held at once; further ones are refused and counted, those that are known stay.
-pub const STEWARDS_MOST: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 /// Processes that are remembered as forgotten; the one that was forgotten first makes room.
 const MAX_TOMBSTONES: usize = 4096;
 
@@ -16,42 +16,42 @@
     /// One that is suspected says otherwise.
     Refutation,
     /// The dead are asked again.
-    AskingTheDead,
+    DeadProbing,
     /// Words of older processes are dropped.
-    Process,
+    ProcessOrder,
     /// Views are compared and what differs is sent.
     AntiEntropy,
     /// A rumour is passed on a few times, then no more.
-    RumourBound,
+    GossipLimit,
     /// An observer counts its own trouble first.
-    OwnTrouble,
+    LocalHealth,
     /// All but refutation, processes and the bound: SWIM as it was first published.
-    Additions,
+    Extensions,
     /// Slices are given up when their leases end.
-    LeaseEnd,
+    LeaseExpiry,
 }
 
 /// What a word was worth.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// Known already, or older than what is known.
-    NoReply,
+    Unchanged,
     /// Of a process that has been followed by another, or forgotten.
-    Old,
+    Stale,
     /// No room for one more steward.
-    Full,
+    TableFull,
     /// It changed what is held; what was held before.
-    News { was: Option<Status>, metadata_changed: bool },
+    Updated { was: Option<Status>, metadata_changed: bool },
     /// It doubted us; our entry has a higher incarnation now.
     Refuted,
     /// Another process with our name and a higher number is spoken of.
-    Rival,
+    IdentityConflict,
 }
 
 #[derive(Clone, Debug)]
-pub struct Table {
-    me: Entry,
-    others: BTreeMap<NodeId, Entry>,
+pub struct MemberTable {
+    me: Member,
+    others: BTreeMap<NodeId, Member>,
     /// The highest process that was forgotten, and in which order that was.
     tombstones: BTreeMap<NodeId, u64>,
     tombstone_order: VecDeque<NodeId>,
@@ -59,9 +59,9 @@
     digest: u64,
 }
 
-impl Table {
-    pub fn new(me: Entry, without: Option<Safeguard>) -> Table {
-        let mut table = Table {
+impl MemberTable {
+    pub fn new(me: Member, without: Option<Safeguard>) -> MemberTable {
+        let mut table = MemberTable {
             me,
             others: BTreeMap::new(),
             tombstones: BTreeMap::new(),
@@ -75,15 +75,15 @@
 
     pub fn lacks(&self, safeguard: Safeguard) -> bool {
         use Safeguard::*;
-        let plain = matches!(safeguard, AskingTheDead | AntiEntropy | OwnTrouble);
-        self.without == Some(safeguard) || (self.without == Some(Additions) && plain)
+        let plain = matches!(safeguard, DeadProbing | AntiEntropy | LocalHealth);
+        self.without == Some(safeguard) || (self.without == Some(Extensions) && plain)
     }
 
-    pub fn me(&self) -> &Entry {
+    pub fn me(&self) -> &Member {
         &self.me
     }
 
-    pub fn get(&self, id: NodeId) -> Option<&Entry> {
+    pub fn get(&self, id: NodeId) -> Option<&Member> {
         if id == self.me.about {
             Some(&self.me)
         } else {
@@ -91,7 +91,7 @@
         }
     }
 
-    pub fn others(&self) -> impl Iterator<Item = &Entry> {
+    pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values()
     }
 
@@ -101,10 +101,10 @@
     }
 
     fn sum_up(&mut self) {
-        let lives = self.others.values().filter(|entry| entry.standing.lives());
-        let own = if self.me.standing.lives() { self.me.digest() } else { 0 };
-        self.digest = lives.map(Entry::digest).fold(own, |sum, part| sum ^ mix(part));
-        if self.me.standing.lives() {
+        let is_live = self.others.values().filter(|entry| entry.status.is_live());
+        let own = if self.me.status.is_live() { self.me.digest() } else { 0 };
+        self.digest = is_live.map(Member::digest).fold(own, |sum, part| sum ^ mix(part));
+        if self.me.status.is_live() {
             self.digest ^= own ^ mix(own);
         }
     }
@@ -118,12 +118,12 @@
 
     pub fn leave(&mut self) {
         self.me.incarnation.count += 1;
-        self.me.standing = Status::Left;
+        self.me.status = Status::Left;
         self.sum_up();
     }
 
     /// Our process takes a higher number: one of ours had it before, or we were forgotten.
-    pub fn rise_above(&mut self, process: u64) {
+    pub fn adopt_process_above(&mut self, process: u64) {
         self.me.incarnation =
             Incarnation { process: process.max(self.me.incarnation.process).saturating_add(1), count: 0 };
         self.sum_up();
@@ -131,39 +131,39 @@
 
     /// Takes in a word about a steward. `heard_lately`: we had its own word a moment ago, so that it is dead can at
     /// most be suspected; it is asked.
-    pub fn learn(&mut self, word: &Entry, heard_lately: bool) -> MergeOutcome {
+    pub fn learn(&mut self, word: &Member, heard_lately: bool) -> MergeOutcome {
         if word.about == self.me.about {
             return self.doubted(word);
         }
-        let ignores = self.lacks(Safeguard::Process);
+        let ignores = self.lacks(Safeguard::ProcessOrder);
         if !ignores
             && self
                 .tombstones
                 .get(&word.about)
                 .is_some_and(|tombstone| word.incarnation.process <= *tombstone)
         {
-            return MergeOutcome::Old;
+            return MergeOutcome::Stale;
         }
         let Some(known) = self.others.get(&word.about) else {
             return self.meet(word);
         };
         let older = word.incarnation.process < known.incarnation.process;
-        let beats = match ignores {
-            true => (word.incarnation.count, word.standing) > (known.incarnation.count, known.standing),
-            false => word.beats(known),
+        let supersedes = match ignores {
+            true => (word.incarnation.count, word.status) > (known.incarnation.count, known.status),
+            false => word.supersedes(known),
         };
-        if word.standing == Status::Forgotten || !beats {
-            return if older && !ignores { MergeOutcome::Old } else { MergeOutcome::NoReply };
+        if word.status == Status::Forgotten || !supersedes {
+            return if older && !ignores { MergeOutcome::Stale } else { MergeOutcome::Unchanged };
         }
         let mut word = word.clone();
-        if heard_lately && word.standing == Status::Dead && word.incarnation == known.incarnation {
-            word.standing = Status::Suspect;
-            if known.standing == Status::Suspect {
-                return MergeOutcome::NoReply;
+        if heard_lately && word.status == Status::Dead && word.incarnation == known.incarnation {
+            word.status = Status::Suspect;
+            if known.status == Status::Suspect {
+                return MergeOutcome::Unchanged;
             }
         }
-        let news = MergeOutcome::News {
-            was: Some(known.standing),
+        let news = MergeOutcome::Updated {
+            was: Some(known.status),
             metadata_changed: known.metadata != word.metadata,
         };
         self.others.insert(word.about, word);
@@ -171,35 +171,35 @@
         news
     }
 
-    fn meet(&mut self, word: &Entry) -> MergeOutcome {
-        if word.standing == Status::Forgotten {
-            return MergeOutcome::NoReply;
+    fn meet(&mut self, word: &Member) -> MergeOutcome {
+        if word.status == Status::Forgotten {
+            return MergeOutcome::Unchanged;
         }
-        if self.others.len() >= STEWARDS_MOST {
-            return MergeOutcome::Full;
+        if self.others.len() >= MAX_MEMBERS {
+            return MergeOutcome::TableFull;
         }
         self.others.insert(word.about, word.clone());
         self.sum_up();
-        MergeOutcome::News { was: None, metadata_changed: true }
+        MergeOutcome::Updated { was: None, metadata_changed: true }
     }
 
     /// A word about us. Whoever says that we are not alive is told otherwise, also when we have said so before:
     /// what we said then did not reach it.
-    fn doubted(&mut self, word: &Entry) -> MergeOutcome {
+    fn doubted(&mut self, word: &Member) -> MergeOutcome {
         let mine = self.me.incarnation;
         if word.incarnation.process != mine.process {
             return if word.incarnation.process > mine.process {
-                MergeOutcome::Rival
+                MergeOutcome::IdentityConflict
             } else {
-                MergeOutcome::Old
+                MergeOutcome::Stale
             };
         }
-        let doubts = word.standing != Status::Alive && self.me.standing == Status::Alive;
+        let doubts = word.status != Status::Alive && self.me.status == Status::Alive;
         if !doubts || self.lacks(Safeguard::Refutation) {
-            return MergeOutcome::NoReply;
+            return MergeOutcome::Unchanged;
         }
-        if word.standing == Status::Forgotten {
-            self.rise_above(mine.process);
+        if word.status == Status::Forgotten {
+            self.adopt_process_above(mine.process);
         } else if word.incarnation.count >= mine.count {
             self.me.incarnation.count = word.incarnation.count.saturating_add(1);
             self.sum_up();
@@ -220,41 +220,41 @@
     }
 
     /// What a process that was followed or forgotten is told, so that it knows.
-    pub fn answer_to_old(&self, word: &Entry) -> Entry {
+    pub fn correction_for(&self, word: &Member) -> Member {
         let known = self
             .others
             .get(&word.about)
             .filter(|known| known.incarnation.process >= word.incarnation.process);
-        let forgotten = || Entry { standing: Status::Forgotten, ..word.clone() };
+        let forgotten = || Member { status: Status::Forgotten, ..word.clone() };
         known.cloned().unwrap_or_else(forgotten)
     }
 
     /// One page of what we hold, from a steward on; where the next page begins.
     pub fn page(&self, from: NodeId) -> (Vec<DigestEntry>, NodeId, NodeId) {
         let me = std::iter::once((&self.me.about, &self.me));
-        let mut all: Vec<(&NodeId, &Entry)> = self.others.iter().chain(me).collect();
+        let mut all: Vec<(&NodeId, &Member)> = self.others.iter().chain(me).collect();
         all.sort_by_key(|(id, _)| **id);
         let lines = all.iter().filter(|(id, _)| **id >= from);
         let lines = lines.map(|(id, entry)| DigestEntry {
             about: **id,
             incarnation: entry.incarnation,
-            standing: entry.standing,
+            status: entry.status,
         });
-        let mut lines: Vec<DigestEntry> = lines.take(LINES_MOST + 1).collect();
-        let next = (lines.len() > LINES_MOST).then(|| lines[LINES_MOST].about);
-        lines.truncate(LINES_MOST);
+        let mut lines: Vec<DigestEntry> = lines.take(MAX_DIGEST_ENTRIES + 1).collect();
+        let next = (lines.len() > MAX_DIGEST_ENTRIES).then(|| lines[MAX_DIGEST_ENTRIES].about);
+        lines.truncate(MAX_DIGEST_ENTRIES);
         let to = next.map_or(NodeId(u16::MAX), |next| NodeId(next.0 - 1));
         (lines, to, next.unwrap_or(NodeId(0)))
     }
 
     /// What we know better than such a page, and whom we want to hear of.
-    pub fn compare(&self, from: NodeId, to: NodeId, lines: &[DigestEntry]) -> (Vec<Entry>, Vec<NodeId>) {
+    pub fn compare(&self, from: NodeId, to: NodeId, lines: &[DigestEntry]) -> (Vec<Member>, Vec<NodeId>) {
         let (mut better, mut want) = (Vec::new(), Vec::new());
         for line in lines {
-            let theirs = (line.incarnation, line.standing);
+            let theirs = (line.incarnation, line.status);
             match self.get(line.about) {
-                Some(ours) if (ours.incarnation, ours.standing) > theirs => better.push(ours.clone()),
-                Some(ours) if (ours.incarnation, ours.standing) < theirs => want.push(line.about),
+                Some(ours) if (ours.incarnation, ours.status) > theirs => better.push(ours.clone()),
+                Some(ours) if (ours.incarnation, ours.status) < theirs => want.push(line.about),
                 None if self
                     .tombstones
                     .get(&line.about)
@@ -268,11 +268,11 @@
         let listed: std::collections::BTreeSet<NodeId> = lines.iter().map(|line| line.about).collect();
         let me = std::iter::once(&self.me);
         let lacking = self.others.values().chain(me).filter(|entry| {
-            (from..=to).contains(&entry.about) && !listed.contains(&entry.about) && entry.standing.lives()
+            (from..=to).contains(&entry.about) && !listed.contains(&entry.about) && entry.status.is_live()
         });
         better.extend(lacking.cloned());
-        better.truncate(NEWS_MOST);
-        want.truncate(LINES_MOST);
+        better.truncate(MAX_GOSSIP_PER_MESSAGE);
+        want.truncate(MAX_DIGEST_ENTRIES);
         (better, want)
     }
 }
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word(about: u16, process: u64, count: u64, standing: usize) -> Entry {
-    let standing = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][standing % 4];
+fn word(about: u16, process: u64, count: u64, status: usize) -> Member {
+    let status = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][status % 4];
     let metadata = NodeMetadata { settings: process * 100 + count, ..NodeMetadata::default() };
-    let entry = Entry::alive(NodeId(about), process, metadata);
-    Entry { incarnation: Incarnation { process, count }, standing, ..entry }
+    let entry = Member::alive(NodeId(about), process, metadata);
+    Member { incarnation: Incarnation { process, count }, status, ..entry }
 }
 
-fn table() -> Table {
-    Table::new(Entry::alive(NodeId(0), 1, NodeMetadata::default()), None)
+fn table() -> MemberTable {
+    MemberTable::new(Member::alive(NodeId(0), 1, NodeMetadata::default()), None)
 }
 
 proptest! {
@@ -18,7 +18,7 @@
         words in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        let words: Vec<Entry> = words.into_iter().map(|(a, p, c, s)| word(a, p, c, s)).collect();
+        let words: Vec<Member> = words.into_iter().map(|(a, p, c, s)| word(a, p, c, s)).collect();
         let (mut straight, mut mixed) = (table(), table());
         words.iter().for_each(|word| _ = straight.learn(word, false));
         order.iter().for_each(|index| _ = mixed.learn(&words[index.index(words.len())], false));
@@ -32,7 +32,7 @@
         ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
-        let (mut a, mut b) = (table(), Table::new(Entry::alive(NodeId(9), 1, NodeMetadata::default()), None));
+        let (mut a, mut b) = (table(), MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None));
         ours.into_iter().for_each(|(id, p, c, s)| _ = a.learn(&word(id, p, c, s), false));
         theirs.into_iter().for_each(|(id, p, c, s)| _ = b.learn(&word(id, p, c, s), false));
         for _ in 0..4 {
@@ -50,15 +50,15 @@
     let mut table = table();
     table.learn(&word(1, 5, 0, 3), false);
     table.forget(NodeId(1));
-    assert_eq!(table.learn(&word(1, 5, 7, 0), false), MergeOutcome::Old);
-    assert_eq!(table.answer_to_old(&word(1, 5, 7, 0)).standing, Status::Forgotten);
-    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), MergeOutcome::News { was: None, .. }));
+    assert_eq!(table.learn(&word(1, 5, 7, 0), false), MergeOutcome::Stale);
+    assert_eq!(table.correction_for(&word(1, 5, 7, 0)).status, Status::Forgotten);
+    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), MergeOutcome::Updated { was: None, .. }));
 }
 
 #[test]
 fn one_that_was_forgotten_takes_a_higher_process_number() {
     let mut table = table();
-    let forgotten = Entry { standing: Status::Forgotten, ..table.me().clone() };
+    let forgotten = Member { status: Status::Forgotten, ..table.me().clone() };
     assert_eq!(table.learn(&forgotten, false), MergeOutcome::Refuted);
     assert_eq!(table.me().incarnation, Incarnation { process: 2, count: 0 });
 }
@@ -66,7 +66,7 @@
 #[test]
 fn a_crowd_of_stewards_fills_the_table_and_no_more() {
     let mut table = table();
-    (1..=STEWARDS_MOST as u16).for_each(|id| _ = table.learn(&word(id, 1, 0, 0), false));
-    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), MergeOutcome::Full);
-    assert_eq!(table.others().count(), STEWARDS_MOST);
+    (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.learn(&word(id, 1, 0, 0), false));
+    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
+    assert_eq!(table.others().count(), MAX_MEMBERS);
 }
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -1,7 +1,7 @@
 //! Stewards on a simulated net: who finds whom dead, how soon, and whom nobody must.
-use railhub_membership::entry::{Entry, NodeMetadata, Status};
+use railhub_membership::member::{Member, NodeMetadata, Status};
+use railhub_membership::messages::{Destination, MemberChange, Message, OutgoingMessage};
 use railhub_membership::swim::{Membership, MembershipConfig};
-use railhub_membership::words::{Changed, Message, OutgoingMessage, To};
 use railhub_membership::NodeId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,11 +11,11 @@
 /// Seconds a message takes at the least, and at the most in usual times.
 const WAY: (f64, f64) = (0.0005, 0.004);
 
-type Seen = Vec<(f64, NodeId, Changed)>;
+type Seen = Vec<(f64, NodeId, MemberChange)>;
 
 fn member(id: NodeId, ids: &[NodeId], process: u64, now: f64, seed: u64) -> Membership {
     let mut membership = Membership::new(
-        Entry::alive(id, process, NodeMetadata::default()),
+        Member::alive(id, process, NodeMetadata::default()),
         MembershipConfig::default(),
         now,
         seed,
@@ -69,7 +69,7 @@
 
     fn send(&mut self, from: NodeId, mail: OutgoingMessage) {
         for (to, message) in mail {
-            let To::Steward(to) = to else { continue };
+            let Destination::Node(to) = to else { continue };
             let cut = self.cut.contains(&(from, to)) || self.chance.random::<f64>() < self.lost;
             let way = WAY.0 + (WAY.1 - WAY.0) * self.chance.random::<f64>();
             let slow = |id: &NodeId| self.slow.get(id).copied().unwrap_or(0.0);
@@ -82,7 +82,7 @@
         }
     }
 
-    fn note(&mut self, who: NodeId, changed: Vec<Changed>) {
+    fn note(&mut self, who: NodeId, changed: Vec<MemberChange>) {
         self.seen.extend(changed.into_iter().map(|change| (self.now, who, change)));
     }
 
@@ -120,12 +120,12 @@
         }
     }
 
-    fn standing(&self, viewer: u16, of: u16) -> Status {
-        self.stewards[&NodeId(viewer)].standing(NodeId(of))
+    fn status(&self, viewer: u16, of: u16) -> Status {
+        self.stewards[&NodeId(viewer)].status(NodeId(of))
     }
 
     fn held_dead(&self) -> usize {
-        self.seen.iter().filter(|(_, _, change)| change.standing == Status::Dead).count()
+        self.seen.iter().filter(|(_, _, change)| change.status == Status::Dead).count()
     }
 }
 
@@ -138,14 +138,14 @@
         net.down.insert(NodeId(2), true);
         net.run(10.0);
         for viewer in [0, 1, 3, 4] {
-            assert_eq!(net.standing(viewer, 2), Status::Dead, "seed {seed}, {viewer}");
+            assert_eq!(net.status(viewer, 2), Status::Dead, "seed {seed}, {viewer}");
         }
         let ids: Vec<NodeId> = (0..5).map(NodeId).collect();
         net.stewards.insert(NodeId(2), member(NodeId(2), &ids, 2, 10.0, seed + 1));
         net.down.clear();
         net.run(16.0);
         for viewer in [0, 1, 3, 4] {
-            assert_eq!(net.standing(viewer, 2), Status::Alive, "seed {seed}, {viewer}");
+            assert_eq!(net.status(viewer, 2), Status::Alive, "seed {seed}, {viewer}");
         }
     }
 }
@@ -161,7 +161,7 @@
     net.run(12.0);
     for viewer in [0, 2, 4, 6] {
         for of in [1, 3, 5] {
-            assert_eq!(net.standing(viewer, of), Status::Dead, "{viewer} of {of}");
+            assert_eq!(net.status(viewer, of), Status::Dead, "{viewer} of {of}");
         }
         assert_eq!(net.stewards[&NodeId(viewer)].alive(), 4);
     }
@@ -187,13 +187,13 @@
     assert_eq!(net.held_dead(), 0, "{:?}", net.seen);
     net.paused_until.insert(NodeId(1), 20.0);
     net.run(19.0);
-    assert_eq!(net.standing(0, 1), Status::Dead);
+    assert_eq!(net.status(0, 1), Status::Dead);
     net.run(26.0);
     for viewer in [0, 2, 3, 4] {
-        assert_eq!(net.standing(viewer, 1), Status::Alive, "{viewer}");
+        assert_eq!(net.status(viewer, 1), Status::Alive, "{viewer}");
     }
     let blamed =
-        net.seen.iter().filter(|(_, who, change)| *who == NodeId(1) && change.standing == Status::Dead);
+        net.seen.iter().filter(|(_, who, change)| *who == NodeId(1) && change.status == Status::Dead);
     assert_eq!(blamed.count(), 0, "the one that slept holds nobody for dead");
 }
 
@@ -207,8 +207,8 @@
         }
     }
     net.run(12.0);
-    assert_eq!((net.standing(0, 3), net.standing(3, 0)), (Status::Dead, Status::Dead));
-    assert_eq!((net.standing(0, 1), net.standing(3, 4)), (Status::Alive, Status::Alive));
+    assert_eq!((net.status(0, 3), net.status(3, 0)), (Status::Dead, Status::Dead));
+    assert_eq!((net.status(0, 1), net.status(3, 4)), (Status::Alive, Status::Alive));
     net.cut.clear();
     net.run(30.0);
     for viewer in 0..5 {
@@ -225,14 +225,14 @@
         net.run(25.0);
         for viewer in [0, 1, 2, 4] {
             let membership = &net.stewards[&NodeId(viewer)];
-            assert!(!membership.may_bear(NodeId(3)), "seed {seed}, {viewer}");
-            let others = (0..5).filter(|id| *id != 3 && membership.may_bear(NodeId(*id)));
+            assert!(!membership.may_own_slices(NodeId(3)), "seed {seed}, {viewer}");
+            let others = (0..5).filter(|id| *id != 3 && membership.may_own_slices(NodeId(*id)));
             assert_eq!(others.count(), 4, "seed {seed}, {viewer}");
         }
         assert_eq!(net.held_dead(), 0, "seed {seed}: it lives");
         net.slow.clear();
         net.run(60.0);
-        assert!(net.stewards[&NodeId(0)].may_bear(NodeId(3)), "seed {seed}");
+        assert!(net.stewards[&NodeId(0)].may_own_slices(NodeId(3)), "seed {seed}");
     }
 }
 
@@ -245,7 +245,7 @@
     net.down.insert(NodeId(1), true);
     net.run(3.1);
     for viewer in [0, 2, 3] {
-        assert_eq!(net.standing(viewer, 1), Status::Left, "{viewer}");
+        assert_eq!(net.status(viewer, 1), Status::Left, "{viewer}");
     }
 }
 
--- a/crates/railhub-standin/src/store.rs
+++ b/crates/railhub-standin/src/store.rs
@@ -2,8 +2,8 @@
 //! be away or slow, lose its answers, or start again from an older copy of itself.
 use may::net::TcpStream;
 use may::sync::Mutex;
-use railhub_membership::grants::{Broken, Grants};
 use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
+use railhub_membership::lease_store::{LeaseStore, StoreFaults};
 use railhub_membership::Epoch;
 use railhub_net::{go, http, now, seconds, Listener};
 use railhub_record::{Granted, Recorder, Stored, What};
@@ -62,7 +62,7 @@
     tables: Tables,
     /// What was told of slices that were given up, and when.
     told: BTreeMap<u32, (f64, serde_json::Value)>,
-    grants: Grants,
+    grants: LeaseStore,
 }
 
 #[derive(Default)]
@@ -87,7 +87,7 @@
 
 impl Store {
     pub fn open(tables: Tables) -> io::Result<Store> {
-        Store::open_as(tables, LONGEST, None, Broken::default())
+        Store::open_as(tables, LONGEST, None, StoreFaults::default())
     }
 
     /// `longest`: seconds of the longest lease it grants. One whose grants and writes are recorded, and that may be broken for tests of the judge.
@@ -95,9 +95,10 @@
         tables: Tables,
         longest: f64,
         recorder: Option<Recorder>,
-        broken: Broken,
+        broken: StoreFaults,
     ) -> io::Result<Store> {
-        let state = Mutex::new(State { tables, told: BTreeMap::new(), grants: Grants::new(longest, broken) });
+        let state =
+            Mutex::new(State { tables, told: BTreeMap::new(), grants: LeaseStore::new(longest, broken) });
         let shared = Arc::new(Shared { state, recorder, ..Shared::default() });
         let serving = shared.clone();
         let door = Listener::open(SocketAddr::from(([127, 0, 0, 1], 0)), move |stream, _| {
@@ -143,7 +144,7 @@
         if let Some(copy) = copy.filter(|_| older_by > 0.0) {
             *state = copy;
         }
-        state.grants = state.grants.start_again(now(), start);
+        state.grants = state.grants.restart(now(), start);
         self.shared.starts.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -214,7 +215,7 @@
         let state = self.state.lock().expect("no holder panics");
         let at = now();
         let of = |slice: &u32| {
-            let holding = u16::try_from(*slice).ok().and_then(|slice| state.grants.holding_of(slice));
+            let holding = u16::try_from(*slice).ok().and_then(|slice| state.grants.record(slice));
             let process = holding.and_then(|holding| holding.holder);
             let left = holding.map_or(0.0, |holding| holding.until - at).max(0.0);
             Held { slice: *slice, epoch: holding.map_or(0, |holding| holding.epoch.0), process, left }
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -10,12 +10,14 @@
 use crate::store::{StoreWriter, StoredTable};
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
-use railhub_membership::entry::{Load, NodeMetadata};
 use railhub_membership::lease_manager::{Effects, LeaseManager, LeaseManagerOptions};
-use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
+use railhub_membership::member::{Load, NodeMetadata};
+use railhub_membership::messages::Destination;
+use railhub_membership::packet::{
+    self, DroppedDatagrams, Packet, View, MAX_DATAGRAM_BYTES, MAX_VIEW_ENTRIES,
+};
 use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
 use railhub_membership::table::Safeguard;
-use railhub_membership::words::To;
 use railhub_membership::NodeId;
 use railhub_net::{now, seconds};
 use serde::Serialize;
@@ -97,8 +99,10 @@
             return Ok(None);
         }
         let installation: String = fleet.need("installation")?;
-        if installation.is_empty() || installation.len() > packet::NAME_MOST {
-            return Err(fleet.wrong("installation", format!("needs 1 to {} bytes", packet::NAME_MOST)));
+        if installation.is_empty() || installation.len() > packet::MAX_INSTALLATION_BYTES {
+            return Err(
+                fleet.wrong("installation", format!("needs 1 to {} bytes", packet::MAX_INSTALLATION_BYTES))
+            );
         }
         let join = fleet.list("join").into_iter().map(|text| {
             text.parse().map_err(|_| fleet.wrong("join", format!("cannot be '{text}': addresses are needed")))
@@ -112,13 +116,13 @@
         let safeguards = [
             ("nothing", None),
             ("refutation", Some(Safeguard::Refutation)),
-            ("asking the dead", Some(Safeguard::AskingTheDead)),
-            ("process", Some(Safeguard::Process)),
+            ("asking the dead", Some(Safeguard::DeadProbing)),
+            ("process", Some(Safeguard::ProcessOrder)),
             ("anti-entropy", Some(Safeguard::AntiEntropy)),
-            ("rumour bound", Some(Safeguard::RumourBound)),
-            ("own trouble", Some(Safeguard::OwnTrouble)),
-            ("additions", Some(Safeguard::Additions)),
-            ("lease end", Some(Safeguard::LeaseEnd)),
+            ("rumour bound", Some(Safeguard::GossipLimit)),
+            ("own trouble", Some(Safeguard::LocalHealth)),
+            ("additions", Some(Safeguard::Extensions)),
+            ("lease end", Some(Safeguard::LeaseExpiry)),
         ];
         let own = |section: &str, key: &str| {
             section == "fleet" && !matches!(key, "installation" | "share" | "lease")
@@ -154,7 +158,7 @@
     pub alive: usize,
     pub sent: u64,
     pub heard: u64,
-    pub dropped: Drops,
+    pub dropped: DroppedDatagrams,
     pub looks_dropped: u64,
     pub yielded: bool,
     /// Slices in charge, and tables that the store did not take, where slices are shared.
@@ -200,7 +204,7 @@
             ),
             clock: terms.clock,
             shares,
-            overruns: terms.without == Some(Safeguard::LeaseEnd),
+            overruns: terms.without == Some(Safeguard::LeaseExpiry),
             socket,
             installation: terms.installation.clone(),
             figures: FleetFigures::default(),
@@ -258,8 +262,8 @@
         program: PROGRAM.to_owned(),
         protocol: u32::from(packet::VERSION),
         settings: terms.settings,
-        drains: false,
-        no_store: false,
+        draining: false,
+        store_unreachable: false,
     };
     let config = MembershipConfig {
         seeds: terms.join.clone(),
@@ -308,7 +312,7 @@
     }
 
     fn run(&mut self, ends: &AtomicBool, leaves: &AtomicBool) {
-        let mut bytes = [0; BYTES_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         // When the next turn is due. A message may bring it forward and never puts it off: words that come without end
         // must not hold up turns.
         let mut due = 0.0;
@@ -320,7 +324,7 @@
                 due = self.lease_manager.next_at(at);
                 continue;
             }
-            let longest = if self.lease_manager.is_asking() { ANSWER_LOOK } else { LONGEST_SLEEP };
+            let longest = if self.lease_manager.request_in_flight() { ANSWER_LOOK } else { LONGEST_SLEEP };
             let wait = seconds((due - at).min(longest)).max(std::time::Duration::from_micros(100));
             if self.socket.set_read_timeout(Some(wait)).is_err() {
                 std::thread::sleep(wait);
@@ -345,7 +349,7 @@
         }
         self.lease_manager.drain();
         let until = now() + LEAVES_WITHIN;
-        while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.is_asking()) {
+        while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.request_in_flight()) {
             self.take_answer();
             self.turn(self.clock.now());
             std::thread::sleep(seconds(ANSWER_LOOK));
@@ -372,14 +376,14 @@
         self.figures.tables_refused = self.shares.as_ref().map_or(0, |shares| shares.store.refused());
         self.figures.alive = self.membership().alive();
         self.figures.sent = self.membership().sent();
-        self.figures.yielded = self.membership().has_yielded();
+        self.figures.yielded = self.membership().is_superseded();
         *self.shown.lock().expect("no holder panics") = self.figures.clone();
     }
 
     /// What the store has granted and refused, if it has answered.
     fn take_answer(&mut self) {
         let Some(leased) = self.shares.as_ref().and_then(|shares| shares.store.answer()) else { return };
-        let acts = self.lease_manager.take_response(self.clock.now(), &leased.response);
+        let acts = self.lease_manager.on_response(self.clock.now(), &leased.response);
         self.pass_on(&acts, leased.tables);
         self.carry_out(acts);
     }
@@ -419,7 +423,7 @@
             Ok(Packet::Drain { steward, process }) => {
                 let is_us =
                     steward == self.membership().me() && process == self.membership().incarnation().process;
-                if is_us && !self.lease_manager.drains() {
+                if is_us && !self.lease_manager.draining() {
                     tracing::info!("the steward is told to hand its slices over");
                     self.lease_manager.drain();
                 }
@@ -434,8 +438,8 @@
         }
         for (to, message) in acts.mail {
             let address = match to {
-                To::Steward(id) => self.membership().address(id),
-                To::Address(address) => Some(address),
+                Destination::Node(id) => self.membership().address(id),
+                Destination::Address(address) => Some(address),
             };
             let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
             // One that cannot be sent is one that was lost.
@@ -446,7 +450,7 @@
                 steward = change.about.0,
                 process = change.incarnation.process,
                 count = change.incarnation.count,
-                standing = ?change.standing,
+                standing = ?change.status,
                 withdrawn = change.withdrawn,
                 cause = change.why,
                 "the view of the fleet changes"
@@ -465,10 +469,10 @@
             return;
         }
         let membership = self.membership();
-        let all = membership.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
-        let mut lines: Vec<ViewEntry> = all.take(SHOWN_MOST + 1).collect();
-        let next = (lines.len() > SHOWN_MOST).then(|| lines[SHOWN_MOST].entry.about);
-        lines.truncate(SHOWN_MOST);
+        let all = membership.view(at).into_iter().filter(|shown| shown.entry.about >= first);
+        let mut lines: Vec<ViewEntry> = all.take(MAX_VIEW_ENTRIES + 1).collect();
+        let next = (lines.len() > MAX_VIEW_ENTRIES).then(|| lines[MAX_VIEW_ENTRIES].entry.about);
+        lines.truncate(MAX_VIEW_ENTRIES);
         let view = View {
             nonce,
             viewer: membership.me(),
@@ -477,7 +481,7 @@
             lines,
             next,
             dropped: self.figures.dropped.all(),
-            yielded: membership.has_yielded(),
+            superseded: membership.is_superseded(),
         };
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
--- a/crates/railhub-steward/src/leases.rs
+++ b/crates/railhub-steward/src/leases.rs
@@ -2,7 +2,7 @@
 //! which notes them here after each change.
 use crate::fleet::LeaseClock;
 use railhub::SliceId;
-use railhub_membership::lease::Leases;
+use railhub_membership::lease::HeldLeases;
 use railhub_membership::Epoch;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
@@ -10,7 +10,7 @@
 /// A copy of the leases, as they were noted last. A lease ends by the clock alone, whoever sleeps.
 #[derive(Debug)]
 pub struct LeaseTable {
-    leases: Mutex<Leases>,
+    leases: Mutex<HeldLeases>,
     clock: LeaseClock,
     /// For tests of the judge alone: leases are never over.
     overruns: bool,
@@ -21,7 +21,7 @@
         LeaseTable { leases: Mutex::default(), clock, overruns }
     }
 
-    pub fn note(&self, leases: &Leases) {
+    pub fn note(&self, leases: &HeldLeases) {
         *self.leases.lock().expect("no holder panics") = leases.clone();
     }
 
@@ -32,7 +32,8 @@
         }
         let now = self.clock.now();
         let leases = self.leases.lock().expect("no holder panics");
-        let may = |(slice, epoch): &(&SliceId, &u64)| leases.may_order(now, slice.0) == Some(Epoch(**epoch));
+        let may =
+            |(slice, epoch): &(&SliceId, &u64)| leases.valid_epoch(now, slice.0) == Some(Epoch(**epoch));
         epochs.iter().filter(|each| !may(each)).map(|(slice, _)| *slice).collect()
     }
 }
--- a/crates/railhub-steward/src/leases/tests.rs
+++ b/crates/railhub-steward/src/leases/tests.rs
@@ -7,7 +7,7 @@
     let (book, now) = (LeaseTable::new(clock, false), clock.now());
     let epochs = |epoch| BTreeMap::from([(SliceId(4), epoch)]);
     assert_eq!(book.over(&epochs(2)), BTreeSet::from([SliceId(4)]), "never held");
-    let mut leases = Leases::new(60.0);
+    let mut leases = HeldLeases::new(60.0);
     leases.granted(now, now, &[(4, Epoch(2))]);
     book.note(&leases);
     assert!(book.over(&epochs(2)).is_empty());
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -53,7 +53,7 @@
         };
         let doors = Arc::new(StreamRegistry::default());
         let overruns =
-            installation.fleet.as_ref().is_some_and(|fleet| fleet.without == Some(Safeguard::LeaseEnd));
+            installation.fleet.as_ref().is_some_and(|fleet| fleet.without == Some(Safeguard::LeaseExpiry));
         let sharing = installation.fleet.as_ref().filter(|fleet| fleet.share);
         let leases = sharing.map(|fleet| Arc::new(LeaseTable::new(fleet.clock, overruns)));
         let (taking, writing) = (inbox.clone(), leases.clone());
--- a/crates/railhub-steward/tests/membership_json.rs
+++ b/crates/railhub-steward/tests/membership_json.rs
@@ -1,26 +1,26 @@
 //! The JSON forms of membership's and leases' types as literals: the store, scripts and other builds read them, so they
 //! must not change while the names in the code do.
-use railhub_membership::entry::{Entry, Incarnation, Load, NodeMetadata, Status};
-use railhub_membership::grants::Broken;
 use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
-use railhub_membership::packet::{DecodeError, Drops};
-use railhub_membership::words::{DigestEntry, Message, Request};
+use railhub_membership::lease_store::StoreFaults;
+use railhub_membership::member::{Incarnation, Load, Member, NodeMetadata, Status};
+use railhub_membership::messages::{DigestEntry, Message, Payload};
+use railhub_membership::packet::{DecodeError, DroppedDatagrams};
 use railhub_membership::{Epoch, NodeId};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
 
-fn entry(id: u16, status: Status, by: Option<u16>) -> Entry {
+fn entry(id: u16, status: Status, by: Option<u16>) -> Member {
     let metadata = NodeMetadata {
         address: Some("[2001:db8::1]:7946".parse().expect("an address")),
         program: "0.2.0".to_owned(),
         protocol: 1,
         settings: 0x0123_4567_89ab_cdef,
-        drains: true,
-        no_store: true,
+        draining: true,
+        store_unreachable: true,
     };
     let incarnation = Incarnation { process: 1_700_000_000_000_000, count: 300 };
-    Entry { about: NodeId(id), incarnation, standing: status, metadata, by: by.map(NodeId) }
+    Member { about: NodeId(id), incarnation, status, metadata, by: by.map(NodeId) }
 }
 
 fn load() -> Load {
@@ -28,7 +28,7 @@
 }
 
 fn digest_entry(id: u16, status: Status) -> DigestEntry {
-    DigestEntry { about: NodeId(id), incarnation: Incarnation { process: 5, count: 6 }, standing: status }
+    DigestEntry { about: NodeId(id), incarnation: Incarnation { process: 5, count: 6 }, status }
 }
 
 #[track_caller]
@@ -61,7 +61,7 @@
 
 #[test]
 fn store_faults_json() {
-    let broken = Broken { reuses_epochs: true, writes_unchecked: false, not_quiet: true };
+    let broken = StoreFaults { reuses_epochs: true, writes_unchecked: false, not_quiet: true };
     assert_json(&broken, r#"{"reuses_epochs":true,"writes_unchecked":false,"not_quiet":true}"#);
 }
 
@@ -87,14 +87,14 @@
 #[test]
 fn message_json() {
     let requests = vec![
-        Request::Probe,
-        Request::ProbeFor(NodeId(1)),
-        Request::Answer,
-        Request::AnswerOf(NodeId(2)),
-        Request::NoAnswerOf(NodeId(3)),
-        Request::Compare { from: NodeId(1), to: NodeId(2), lines: vec![digest_entry(1, Status::Alive)] },
-        Request::Want(vec![NodeId(4)]),
-        Request::Tell,
+        Payload::Probe,
+        Payload::IndirectProbe(NodeId(1)),
+        Payload::Ack,
+        Payload::IndirectAck(NodeId(2)),
+        Payload::Nack(NodeId(3)),
+        Payload::SyncDigest { from: NodeId(1), to: NodeId(2), entries: vec![digest_entry(1, Status::Alive)] },
+        Payload::SyncRequest(vec![NodeId(4)]),
+        Payload::Gossip,
     ];
     assert_json(
         &requests,
@@ -105,7 +105,7 @@
         turn: 41,
         load: load(),
         number: 99,
-        ask: Request::Tell,
+        ask: Payload::Gossip,
         news: vec![entry(7, Status::Dead, Some(2))],
         names: Some(NodeId(5)),
         digest: 0xfeed_beef,
@@ -118,12 +118,12 @@
 
 #[test]
 fn dropped_datagrams_json() {
-    let mut drops = Drops::default();
+    let mut drops = DroppedDatagrams::default();
     let all = [
         DecodeError::Oversized,
-        DecodeError::Spoilt,
-        DecodeError::Version,
-        DecodeError::Foreign,
+        DecodeError::Corrupt,
+        DecodeError::UnsupportedVersion,
+        DecodeError::ForeignInstallation,
         DecodeError::Malformed,
     ];
     for (count, cause) in all.into_iter().enumerate() {
