--- a/crates/railhub-fleet/src/baseline.rs
+++ b/crates/railhub-fleet/src/baseline.rs
@@ -1,7 +1,7 @@
 //! What plain policies publish, for comparing: they go by the list, one of them by sums as well.
 use crate::list::Line;
 use railhub::{HostId, Phase, SliceAssignment, SliceId};
-use railhub_proto::Sums;
+use railhub_proto::LoadReport;
 use railhub_steward::tables::{Change, Tables};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -61,13 +61,14 @@
         }
     }
 
-    pub fn hear_sums(&mut self, now: f64, all: impl Iterator<Item = Box<Sums>>) {
+    pub fn hear_sums(&mut self, now: f64, all: impl Iterator<Item = Box<LoadReport>>) {
         for sum in all.flat_map(|sums| sums.hosts) {
             let Ok(host) = sum.host.parse() else { continue };
             let met = self.met.entry(host).or_default();
             let left = (-(now - met.at) / MEMORY).exp();
-            let good = f64::from(sum.tries.saturating_sub(sum.failed));
-            (met.tries, met.time, met.at) = (met.tries * left + good, met.time * left + sum.good_time, now);
+            let good = f64::from(sum.attempts.saturating_sub(sum.failed));
+            (met.tries, met.time, met.at) =
+                (met.tries * left + good, met.time * left + sum.success_time, now);
         }
     }
 
--- a/crates/railhub-fleet/src/events.rs
+++ b/crates/railhub-fleet/src/events.rs
@@ -1,6 +1,6 @@
 //! What is due, in the order of its time; of what is due at once, the first said is the first done.
 use crate::operations::OpId;
-use railhub_proto::Sums;
+use railhub_proto::LoadReport;
 use railhub_standin::CallEnd;
 use railhub_steward::inbox::StreamId;
 use railhub_steward::outbox::Publication;
@@ -23,7 +23,7 @@
     Done(HostAt, u64, Job, bool),
     Dials(ProxyAt),
     Reports(ProxyAt),
-    SumsArrive(ProxyAt, Box<Sums>),
+    SumsArrive(ProxyAt, Box<LoadReport>),
     Delta(ProxyAt, StreamId, Arc<Publication>),
     Word(ProxyAt, StreamId, u64, bool),
     Mail(ProxyAt),
--- a/crates/railhub-fleet/src/operations.rs
+++ b/crates/railhub-fleet/src/operations.rs
@@ -2,7 +2,7 @@
 use crate::events::{Due, HostAt, Job};
 use crate::hosts::Taken;
 use crate::world::World;
-use railhub_proto::Again;
+use railhub_proto::RetryCondition;
 use railhub_record::{Effect, OperationEnd, Outcome, Repeats, Try, TryEnd, What};
 use railhub_standin::client::Drawn;
 use railhub_standin::held::Pick;
@@ -33,7 +33,7 @@
     /// When this coming is given up, and when it stops looking for a host.
     until: f64,
     looks_until: f64,
-    again: Again,
+    again: RetryCondition,
     tried: Vec<SocketAddr>,
     end: ComingEnd,
     /// The try that is out: its number among all, where, since when, how long it is waited for.
@@ -54,7 +54,7 @@
             comings: 0,
             until: 0.0,
             looks_until: 0.0,
-            again: Again::Never,
+            again: RetryCondition::Never,
             tried: Vec::new(),
             end: ComingEnd::Refused,
             attempt: 0,
@@ -120,7 +120,7 @@
             return self.coming_ends(id);
         }
         let mut chance = proxy.chance.clone();
-        let may_follow = op.tried.len() < 2 && op.again == Again::AfterFailure && {
+        let may_follow = op.tried.len() < 2 && op.again == RetryCondition::AfterFailure && {
             proxy.held.pick(op.drawn.slice, &op.tried, Pick::Weighted, &mut chance, |_| 0).is_some()
         };
         op.wait = if may_follow { left.min(self.day.first_wait * class.contract_time) } else { left };
@@ -278,9 +278,9 @@
             op.end = ComingEnd::Failed;
         }
         let goes_on = match op.again {
-            Again::Never => false,
-            Again::IfNotExecuted => end.never_ran(),
-            Again::AfterFailure => true,
+            RetryCondition::Never => false,
+            RetryCondition::IfNotExecuted => end.never_ran(),
+            RetryCondition::AfterFailure => true,
         };
         let more = time.is_none() && goes_on && op.tried.len() < 2;
         self.note(What::TryEnd(ended));
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -7,7 +7,7 @@
     BarrierId, HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId,
     ZoneId,
 };
-use railhub_proto::{Subscribe, Sums};
+use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
 use railhub_steward::inbox::StreamId;
 use railhub_steward::kernel::{ControllerCore, Environment, ProxyChannel};
@@ -116,7 +116,7 @@
     mind: Mind,
     incarnation: u64,
     gates: Vec<Option<(StreamId, ModelGate)>>,
-    sums: Vec<(StreamId, ProxyAt, Box<Sums>)>,
+    sums: Vec<(StreamId, ProxyAt, Box<LoadReport>)>,
     wakes_at: f64,
     touched: Touched,
     /// Verdicts wait for a round that is due.
@@ -451,7 +451,7 @@
         self.agenda.after(self.day.report_every, Due::Reports(proxy));
     }
 
-    pub fn sums_arrive(&mut self, proxy: ProxyAt, sums: Box<Sums>) {
+    pub fn sums_arrive(&mut self, proxy: ProxyAt, sums: Box<LoadReport>) {
         let stream = self.proxies[proxy].stream;
         if let (Some(stream), Some(steward)) = (stream, self.steward.as_mut()) {
             steward.sums.push((stream, proxy, sums));
--- a/crates/railhub-proto/src/frame.rs
+++ b/crates/railhub-proto/src/frame.rs
@@ -1,70 +1,66 @@
-//! Frames out of bytes. What waits here never exceeds one frame and one read.
+//! Length-prefixed frames. A [`Deframer`] owns the bytes of one stream that are not consumed yet: never more than one
+//! frame and one read.
+use crate::error::FrameError;
 use prost::Message;
-use thiserror::Error;
 
 /// Bytes of the length before each message.
-const PREFIX: usize = 4;
-/// Bytes of room an empty buffer may keep: idle peers are many and should cost little.
-const KEPT: usize = 512;
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Capacity in bytes that an empty buffer keeps: idle streams are many and should cost little.
+pub(crate) const IDLE_BUFFER_BYTES: usize = 512;
 
-/// What a peer did wrong.
-#[derive(Debug, Error, PartialEq, Eq)]
-pub enum FrameError {
-    #[error("a frame of {length} bytes, {limit} are allowed")]
-    TooLong { length: usize, limit: usize },
-    #[error("an empty frame")]
-    Empty,
-    #[error("a frame that is no message: {0}")]
-    Malformed(String),
-    #[error("the stream ended inside a frame")]
-    CutOff,
-}
-
-/// A message as a frame.
+/// Encodes a message as one frame.
 pub fn frame(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
-    let mut bytes = Vec::with_capacity(PREFIX + length);
+    let mut bytes = Vec::with_capacity(LENGTH_PREFIX_BYTES + length);
     bytes.extend_from_slice(&(length as u32).to_be_bytes());
     message.encode(&mut bytes).expect("a vector grows as needed");
     bytes
 }
 
-/// Cuts a stream of bytes into messages.
+/// Splits a stream of bytes into messages.
 pub struct Deframer {
     bytes: Vec<u8>,
-    from: usize,
+    /// Where the bytes that are not consumed begin.
+    start: usize,
     limit: usize,
 }
 
 impl Deframer {
-    /// `limit`: the most bytes a message may have.
+    /// A deframer for messages of at most `limit` bytes.
     pub fn new(limit: usize) -> Deframer {
-        Deframer { bytes: Vec::new(), from: 0, limit }
+        Deframer { bytes: Vec::new(), start: 0, limit }
     }
 
+    /// Appends bytes read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.from > 0 {
-            self.bytes.drain(..self.from);
-            self.from = 0;
+        if self.start > 0 {
+            self.bytes.drain(..self.start);
+            self.start = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// From now on.
+    /// Sets the limit in bytes for the messages that follow.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// The next whole message, if its bytes are there.
+    /// The next message, if all of its bytes are there.
+    ///
+    /// # Errors
+    /// The next frame breaks the limit, is empty or is no such message.
     pub fn message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let decode = |body: &[u8]| M::decode(body).map_err(|e| FrameError::Malformed(e.to_string()));
         self.body(decode)?.transpose()
     }
 
-    /// What `read` makes of the next whole message, whatever it is written in.
+    /// The result of `read` for the body of the next frame, if all of its bytes are there.
+    ///
+    /// # Errors
+    /// The next frame breaks the limit or is empty.
     pub fn body<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<Option<T>, FrameError> {
-        let rest = &self.bytes[self.from..];
-        let Some(prefix) = rest.first_chunk::<PREFIX>() else { return Ok(None) };
+        let pending = &self.bytes[self.start..];
+        let Some(prefix) = pending.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*prefix) as usize;
         if length > self.limit {
             return Err(FrameError::TooLong { length, limit: self.limit });
@@ -72,20 +68,25 @@
         if length == 0 {
             return Err(FrameError::Empty);
         }
-        let Some(body) = rest.get(PREFIX..PREFIX + length) else { return Ok(None) };
-        let made = read(body);
-        self.from += PREFIX + length;
-        if self.from == self.bytes.len() {
-            self.from = 0;
+        let Some(body) = pending.get(LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length) else {
+            return Ok(None);
+        };
+        let result = read(body);
+        self.start += LENGTH_PREFIX_BYTES + length;
+        if self.start == self.bytes.len() {
+            self.start = 0;
             self.bytes.clear();
-            self.bytes.shrink_to(KEPT);
+            self.bytes.shrink_to(IDLE_BUFFER_BYTES);
         }
-        Ok(Some(made))
+        Ok(Some(result))
     }
 
-    /// Whether the stream may end here.
+    /// Checks that the stream may end here.
+    ///
+    /// # Errors
+    /// Bytes of an incomplete frame are left.
     pub fn finish(&self) -> Result<(), FrameError> {
-        if self.from == self.bytes.len() {
+        if self.start == self.bytes.len() {
             Ok(())
         } else {
             Err(FrameError::CutOff)
@@ -93,53 +94,5 @@
     }
 }
 
-/// Cuts a stream of bytes into lines, without their ends.
-pub struct Lines {
-    bytes: Vec<u8>,
-    from: usize,
-    /// Bytes that were looked at and hold no line end.
-    looked: usize,
-    limit: usize,
-}
-
-impl Lines {
-    /// `limit`: the most bytes a line may have.
-    pub fn new(limit: usize) -> Lines {
-        Lines { bytes: Vec::new(), from: 0, looked: 0, limit }
-    }
-
-    pub fn push(&mut self, bytes: &[u8]) {
-        if self.from > 0 {
-            self.bytes.drain(..self.from);
-            (self.from, self.looked) = (0, self.looked.saturating_sub(self.from));
-        }
-        self.bytes.extend_from_slice(bytes);
-    }
-
-    pub fn has_line(&mut self) -> Result<bool, FrameError> {
-        let end = self.bytes[self.looked..].iter().position(|byte| *byte == b'\n');
-        self.looked = end.map_or(self.bytes.len(), |end| self.looked + end);
-        let length = self.looked - self.from;
-        if length > self.limit {
-            return Err(FrameError::TooLong { length, limit: self.limit });
-        }
-        Ok(end.is_some())
-    }
-
-    /// What `read` makes of the line that is there; of an empty one if there is none.
-    pub fn line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> T {
-        let line = &self.bytes[self.from..self.looked];
-        let made = read(line.strip_suffix(b"\r").unwrap_or(line));
-        self.from = (self.looked + 1).min(self.bytes.len());
-        self.looked = self.from;
-        if self.from == self.bytes.len() {
-            (self.from, self.looked) = (0, 0);
-            self.bytes.clear();
-            self.bytes.shrink_to(KEPT);
-        }
-        made
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/railhub-proto/src/lib.rs
+++ b/crates/railhub-proto/src/lib.rs
@@ -1,13 +1,36 @@
-//! The messages between stewards and proxies, and between proxies and hosts, and how they are framed.
+//! The messages between controllers and proxies, and between proxies and hosts, and their framing.
 //!
-//! A frame is its length in four bytes, the highest first, then one message. This package owns no socket and
-//! no clock: a [`Deframer`] takes bytes and gives frames, and what a peer may send is bounded by it.
+//! A frame is the length of a message as four bytes in network order, then the message in protobuf encoding. This
+//! package owns no socket and no clock: a [`Deframer`] takes bytes and returns messages, and bounds what a peer can
+//! make it hold.
 //!
-//! The way of one delta: a steward sends a [`Delta`] with a version and a nonce. The proxy takes in all of it
-//! or none, and answers with an [`Ack`] or a [`Refusal`] of that nonce. The shape is that of a delta discovery
-//! response: each line, level and shut-out is a resource with a name of its own, and the latest word holds.
+//! The way of one delta:
+//! 1. A proxy opens its stream with a [`Subscribe`], which names the version that it holds.
+//! 2. The controller sends a [`Delta`] with a version and a nonce: each endpoint weight, admission rate and exclusion
+//!    in it is a resource with a name of its own, as in a delta discovery response, and the latest value holds.
+//! 3. The proxy applies all of it or nothing, and answers with an [`Ack`] or a [`Nack`] of that nonce.
+//!
+//! The way of one load report: a proxy adds up what its attempts met, and sends the totals each second as a
+//! [`LoadReport`] on the same stream.
+//!
+//! The way of one failure: a frame that is too long, empty or no message is a [`FrameError`]. The reader ends the
+//! stream; a controller sends a [`Goodbye`] with the reason first.
+#![warn(missing_docs)]
+mod controller_messages;
+mod error;
 mod frame;
-mod messages;
+mod host_messages;
+mod lines;
 
-pub use frame::{frame, Deframer, FrameError, Lines};
-pub use messages::*;
+pub use controller_messages::{
+    from_controller, from_proxy, Ack, AdmissionRate, Delta, FromController, FromProxy, Goodbye,
+    HostExclusion, HostLoad, LoadReport, Nack, RetryCondition, SliceEpoch, SliceLoad, Subscribe, TableLine,
+    MAX_FROM_CONTROLLER_BYTES, MAX_FROM_PROXY_BYTES,
+};
+pub use error::FrameError;
+pub use frame::{frame, Deframer};
+pub use host_messages::{
+    from_host, to_host, AttemptOutcome, Cancel, FromHost, HostHello, Operation, ProxyHello, Response, ToHost,
+    MAX_HOST_MESSAGE_BYTES,
+};
+pub use lines::Lines;
--- /dev/null
+++ b/crates/railhub-proto/src/lines.rs
@@ -0,0 +1,61 @@
+//! Line splitting. A [`Lines`] owns the bytes of one stream that are not consumed yet: never more than one line and
+//! one read.
+use crate::error::FrameError;
+use crate::frame::IDLE_BUFFER_BYTES;
+
+/// Splits a stream of bytes into lines, without their ends.
+pub struct Lines {
+    bytes: Vec<u8>,
+    /// Where the bytes that are not consumed begin.
+    start: usize,
+    /// Up to where no line end was found.
+    scanned: usize,
+    limit: usize,
+}
+
+impl Lines {
+    /// A splitter for lines of at most `limit` bytes.
+    pub fn new(limit: usize) -> Lines {
+        Lines { bytes: Vec::new(), start: 0, scanned: 0, limit }
+    }
+
+    /// Appends bytes read from the stream.
+    pub fn push(&mut self, bytes: &[u8]) {
+        if self.start > 0 {
+            self.bytes.drain(..self.start);
+            (self.start, self.scanned) = (0, self.scanned.saturating_sub(self.start));
+        }
+        self.bytes.extend_from_slice(bytes);
+    }
+
+    /// Whether a complete line is there.
+    ///
+    /// # Errors
+    /// The line breaks the limit.
+    pub fn has_line(&mut self) -> Result<bool, FrameError> {
+        let end = self.bytes[self.scanned..].iter().position(|byte| *byte == b'\n');
+        self.scanned = end.map_or(self.bytes.len(), |end| self.scanned + end);
+        let length = self.scanned - self.start;
+        if length > self.limit {
+            return Err(FrameError::TooLong { length, limit: self.limit });
+        }
+        Ok(end.is_some())
+    }
+
+    /// The result of `read` for the line that [`Lines::has_line`] found; for an empty line if it found none.
+    pub fn line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> T {
+        let line = &self.bytes[self.start..self.scanned];
+        let result = read(line.strip_suffix(b"\r").unwrap_or(line));
+        self.start = (self.scanned + 1).min(self.bytes.len());
+        self.scanned = self.start;
+        if self.start == self.bytes.len() {
+            (self.start, self.scanned) = (0, 0);
+            self.bytes.clear();
+            self.bytes.shrink_to(IDLE_BUFFER_BYTES);
+        }
+        result
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/railhub-proto/tests/wire_format.rs
+++ b/crates/railhub-proto/tests/wire_format.rs
@@ -1,9 +1,10 @@
 //! The protobuf bytes of every message, both ways: what peers of any version write and read.
 use prost::Message;
 use railhub_proto::{
-    frame, from_host, from_proxy, from_steward, to_host, Ack, Again, Answer, Cancel, Deframer, Delta, Ending,
-    FromHost, FromProxy, FromSteward, Goodbye, Hail, HostHello, HostSum, Level, Operation, Refusal, Shut,
-    SliceEpoch, SliceSum, Subscribe, Sums, TableLine, ToHost, FROM_STEWARD_LIMIT,
+    frame, from_controller, from_host, from_proxy, to_host, Ack, AdmissionRate, AttemptOutcome, Cancel,
+    Deframer, Delta, FromController, FromHost, FromProxy, Goodbye, HostExclusion, HostHello, HostLoad,
+    LoadReport, Nack, Operation, ProxyHello, Response, RetryCondition, SliceEpoch, SliceLoad, Subscribe,
+    TableLine, ToHost, MAX_FROM_CONTROLLER_BYTES,
 };
 use std::fmt::Debug;
 
@@ -24,7 +25,7 @@
     assert_eq!(&M::decode(&wire[..]).expect("readable"), message);
     let framed = [&(wire.len() as u32).to_be_bytes()[..], &wire].concat();
     assert_eq!(hex(&frame(message)), hex(&framed));
-    let mut deframer = Deframer::new(FROM_STEWARD_LIMIT);
+    let mut deframer = Deframer::new(MAX_FROM_CONTROLLER_BYTES);
     deframer.push(&framed);
     assert_eq!(deframer.message::<M>().expect("a good frame").as_ref(), Some(message));
 }
@@ -33,8 +34,8 @@
     same_on_the_wire(&FromProxy { payload: Some(payload) }, wire);
 }
 
-fn from_a_controller(payload: from_steward::Payload, wire: &str) {
-    same_on_the_wire(&FromSteward { payload: Some(payload) }, wire);
+fn from_a_controller(payload: from_controller::Payload, wire: &str) {
+    same_on_the_wire(&FromController { payload: Some(payload) }, wire);
 }
 
 fn to_a_host(payload: to_host::Payload, wire: &str) {
@@ -54,16 +55,22 @@
 #[test]
 fn an_acknowledgement_and_a_refusal_keep_their_bytes() {
     from_a_proxy(from_proxy::Payload::Ack(Ack { nonce: 513 }), "1203088104");
-    let refusal = Refusal { nonce: 514, reason: "line 3".into() };
-    from_a_proxy(from_proxy::Payload::Refusal(refusal), "1a0b08820412066c696e652033");
+    let refusal = Nack { nonce: 514, reason: "line 3".into() };
+    from_a_proxy(from_proxy::Payload::Nack(refusal), "1a0b08820412066c696e652033");
 }
 
 #[test]
 fn a_load_report_keeps_its_bytes() {
-    let host = |busy| HostSum { host: "10.0.0.1:80".into(), tries: 250, failed: 3, good_time: 20.5, busy };
-    let demand = vec![SliceSum { slice: 40, class: 1, operations: 1000 }];
-    let sums = Sums { span: 1.25, hosts: vec![host(Some(0.5)), host(None)], demand };
-    from_a_proxy(from_proxy::Payload::Sums(sums), "225509000000000000f43f12240a0b31302e302e302e313a383010fa01180321000000000080344029000000000000e03f121b0a0b31302e302e302e313a383010fa0118032100000000008034401a070828100118e807");
+    let host = |busy| HostLoad {
+        host: "10.0.0.1:80".into(),
+        attempts: 250,
+        failed: 3,
+        success_time: 20.5,
+        utilization: busy,
+    };
+    let demand = vec![SliceLoad { slice: 40, class: 1, operations: 1000 }];
+    let sums = LoadReport { span: 1.25, hosts: vec![host(Some(0.5)), host(None)], slices: demand };
+    from_a_proxy(from_proxy::Payload::LoadReport(sums), "225509000000000000f43f12240a0b31302e302e302e313a383010fa01180321000000000080344029000000000000e03f121b0a0b31302e302e302e313a383010fa0118032100000000008034401a070828100118e807");
 }
 
 #[test]
@@ -77,52 +84,56 @@
         reset: true,
         cleared: vec![5, 600],
         lines: vec![line(5, 1.0), line(600, 0.0)],
-        levels: vec![
-            Level { class: 0, share: 0.75, again: Again::Never.into() },
-            Level { class: 1, share: 1.0, again: Again::IfNotExecuted.into() },
-            Level { class: 2, share: 0.0, again: Again::AfterFailure.into() },
+        admission_rates: vec![
+            AdmissionRate { class: 0, rate: 0.75, retry: RetryCondition::Never.into() },
+            AdmissionRate { class: 1, rate: 1.0, retry: RetryCondition::IfNotExecuted.into() },
+            AdmissionRate { class: 2, rate: 0.0, retry: RetryCondition::AfterFailure.into() },
         ],
-        shut: vec![
-            Shut { host: "10.0.0.2:80".into(), out: true },
-            Shut { host: "10.0.0.3:80".into(), out: false },
+        exclusions: vec![
+            HostExclusion { host: "10.0.0.2:80".into(), excluded: true },
+            HostExclusion { host: "10.0.0.3:80".into(), excluded: false },
         ],
-        handed: Some(0),
+        assigned_table: Some(0),
         epochs: vec![SliceEpoch { slice: 5, epoch: 70_000 }],
     };
-    from_a_controller(from_steward::Payload::Delta(delta), "0a8c010801100218032100000000000012402801320305d8043a180805120b31302e302e302e313a383019000000000000f03f3a1008d804120b31302e302e302e313a3830420911000000000000e83f420d080111000000000000f03f18014204080218024a0f0a0b31302e302e302e323a383010014a0d0a0b31302e302e302e333a383050005a06080510f0a204");
-    from_a_controller(from_steward::Payload::Delta(Delta::default()), "0a00");
+    from_a_controller(from_controller::Payload::Delta(delta), "0a8c010801100218032100000000000012402801320305d8043a180805120b31302e302e302e313a383019000000000000f03f3a1008d804120b31302e302e302e313a3830420911000000000000e83f420d080111000000000000f03f18014204080218024a0f0a0b31302e302e302e323a383010014a0d0a0b31302e302e302e333a383050005a06080510f0a204");
+    from_a_controller(from_controller::Payload::Delta(Delta::default()), "0a00");
 }
 
 #[test]
 fn a_goodbye_keeps_its_bytes() {
     let goodbye = Goodbye { reason: "too many messages".into() };
-    from_a_controller(from_steward::Payload::Goodbye(goodbye), "12130a11746f6f206d616e79206d65737361676573");
+    from_a_controller(
+        from_controller::Payload::Goodbye(goodbye),
+        "12130a11746f6f206d616e79206d65737361676573",
+    );
 }
 
 #[test]
 fn what_a_host_is_sent_keeps_its_bytes() {
-    to_a_host(to_host::Payload::Hail(Hail { proxy: 300 }), "0a0308ac02");
-    let operation = Operation { try_id: 1, operation: 2, key: 3, class: 4, slice: 5, work: 0.006 };
+    to_a_host(to_host::Payload::ProxyHello(ProxyHello { proxy: 300 }), "0a0308ac02");
+    let operation = Operation { attempt_id: 1, operation_id: 2, key: 3, class: 4, slice: 5, work: 0.006 };
     to_a_host(to_host::Payload::Operation(operation), "1213080210031804200529fa7e6abc7493783f3001");
-    to_a_host(to_host::Payload::Cancel(Cancel { try_id: 300 }), "1a0308ac02");
+    to_a_host(to_host::Payload::Cancel(Cancel { attempt_id: 300 }), "1a0308ac02");
 }
 
 #[test]
 fn what_a_host_sends_keeps_its_bytes() {
     from_a_host(from_host::Payload::Hello(HostHello { started: 12.5 }), "0a09090000000000002940");
-    let answer = |ending: Ending, busy| Answer { try_id: 7, ending: ending.into(), busy };
+    let answer =
+        |ending: AttemptOutcome, busy| Response { attempt_id: 7, outcome: ending.into(), utilization: busy };
     from_a_host(
-        from_host::Payload::Answer(answer(Ending::Completed, Some(0.25))),
+        from_host::Payload::Response(answer(AttemptOutcome::Completed, Some(0.25))),
         "120b080719000000000000d03f",
     );
-    from_a_host(from_host::Payload::Answer(answer(Ending::Refused, None)), "120408071001");
-    from_a_host(from_host::Payload::Answer(answer(Ending::Failed, None)), "120408071002");
+    from_a_host(from_host::Payload::Response(answer(AttemptOutcome::Refused, None)), "120408071001");
+    from_a_host(from_host::Payload::Response(answer(AttemptOutcome::Failed, None)), "120408071002");
 }
 
 #[test]
 fn an_empty_envelope_has_no_bytes() {
     assert_eq!(FromProxy { payload: None }.encode_to_vec(), []);
-    assert_eq!(FromSteward::decode(&[][..]).expect("readable"), FromSteward { payload: None });
+    assert_eq!(FromController::decode(&[][..]).expect("readable"), FromController { payload: None });
     assert_eq!(ToHost { payload: None }.encode_to_vec(), []);
     assert_eq!(FromHost::decode(&[][..]).expect("readable"), FromHost { payload: None });
 }
--- a/crates/railhub-rules/src/lost.rs
+++ b/crates/railhub-rules/src/lost.rs
@@ -34,15 +34,15 @@
                 table.remove(&line.host);
             }
         }
-        for word in &delta.shut {
-            if word.out {
+        for word in &delta.exclusions {
+            if word.excluded {
                 self.shut.insert(word.host.clone());
             } else {
                 self.shut.remove(&word.host);
             }
         }
-        self.on_table = delta.handed.or(self.on_table);
-        if slices == 0 || self.on_table.is_some() || delta.reset || !delta.shut.is_empty() {
+        self.on_table = delta.assigned_table.or(self.on_table);
+        if slices == 0 || self.on_table.is_some() || delta.reset || !delta.exclusions.is_empty() {
             return self.look(at, slices);
         }
         // Nothing but what the delta names can have changed.
--- a/crates/railhub-standin/src/held.rs
+++ b/crates/railhub-standin/src/held.rs
@@ -1,5 +1,5 @@
 //! What a proxy holds, and how it picks. Plain functions over plain state.
-use railhub_proto::{Again, Delta};
+use railhub_proto::{Delta, RetryCondition};
 use rand::{Rng, RngExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Held {
     tables: BTreeMap<u32, Table>,
-    levels: BTreeMap<u32, (f64, Again)>,
+    levels: BTreeMap<u32, (f64, RetryCondition)>,
     shut: BTreeSet<SocketAddr>,
     pub on_table: Option<u32>,
     pub incarnation: u64,
@@ -41,13 +41,15 @@
             }
             lines.push((line.slice, host, line.weight));
         }
-        let mut shut = Vec::with_capacity(delta.shut.len());
-        for word in &delta.shut {
+        let mut shut = Vec::with_capacity(delta.exclusions.len());
+        for word in &delta.exclusions {
             let host = word.host.parse().map_err(|_| format!("'{}' is no address", word.host))?;
-            shut.push((host, word.out));
+            shut.push((host, word.excluded));
         }
-        if let Some(level) = delta.levels.iter().find(|level| level.share.is_nan() || level.share < 0.0) {
-            return Err(format!("level {} of class {}", level.share, level.class));
+        if let Some(level) =
+            delta.admission_rates.iter().find(|level| level.rate.is_nan() || level.rate < 0.0)
+        {
+            return Err(format!("level {} of class {}", level.rate, level.class));
         }
         if delta.reset {
             self.levels.clear();
@@ -64,8 +66,8 @@
                 table.push((host, weight));
             }
         }
-        for level in &delta.levels {
-            self.levels.insert(level.class, (level.share, level.again()));
+        for level in &delta.admission_rates {
+            self.levels.insert(level.class, (level.rate, level.retry()));
         }
         for (host, out) in shut {
             if out {
@@ -74,14 +76,14 @@
                 self.shut.remove(&host);
             }
         }
-        self.on_table = delta.handed.or(self.on_table);
+        self.on_table = delta.assigned_table.or(self.on_table);
         (self.incarnation, self.version) = (delta.incarnation, delta.version);
         Ok(())
     }
 
     /// The share of a class let in and its way of trying again.
-    pub fn level(&self, class: u32) -> (f64, Again) {
-        self.levels.get(&class).copied().unwrap_or((1.0, Again::IfNotExecuted))
+    pub fn level(&self, class: u32) -> (f64, RetryCondition) {
+        self.levels.get(&class).copied().unwrap_or((1.0, RetryCondition::IfNotExecuted))
     }
 
     /// A host for an operation of a slice; `work`: how much of the proxy's own each has out.
@@ -164,7 +166,7 @@
         Ok(old.into_iter().collect())
     }
 
-    pub fn level(&self, slice: u32, class: u32) -> (f64, Again) {
+    pub fn level(&self, slice: u32, class: u32) -> (f64, RetryCondition) {
         self.in_charge(slice).level(class)
     }
 
--- a/crates/railhub-standin/src/held/tests.rs
+++ b/crates/railhub-standin/src/held/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use railhub_proto::{Shut, TableLine};
+use railhub_proto::{HostExclusion, TableLine};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -47,8 +47,8 @@
 fn picks_go_by_weight_and_never_to_a_host_that_is_shut_out() {
     let mut held = Held::default();
     let lines = vec![line(1, 3.0), line(2, 1.0), line(3, 9.0)];
-    let shut = vec![Shut { host: host(3).to_string(), out: true }];
-    held.take_in(&Delta { lines, shut, ..Delta::default() }).expect("good");
+    let shut = vec![HostExclusion { host: host(3).to_string(), excluded: true }];
+    held.take_in(&Delta { lines, exclusions: shut, ..Delta::default() }).expect("good");
     let mut chance = ChaCha8Rng::seed_from_u64(1);
     let mut pick = || held.pick(1, &[], Pick::Weighted, &mut chance, |_| 0).expect("two are open");
     let first = (0..4000).filter(|_| pick() == host(1)).count();
--- a/crates/railhub-standin/src/host.rs
+++ b/crates/railhub-standin/src/host.rs
@@ -4,7 +4,8 @@
 use may::sync::Mutex;
 use railhub_net::{go, http, now, reset, seconds, split, FrameReader, FrameWriter, Guard, Listener};
 use railhub_proto::{
-    from_host, to_host, Answer, Ending, FromHost, HostHello, Operation, ToHost, OPERATION_LIMIT,
+    from_host, to_host, AttemptOutcome, FromHost, HostHello, Operation, Response, ToHost,
+    MAX_HOST_MESSAGE_BYTES,
 };
 use railhub_record::{Effect, HostDown, HostUp, Recorder, Repeats, What};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -229,7 +230,7 @@
             return self.answer_probe(&mut stream);
         }
         drop(guard);
-        let (reader, writer) = split(stream, OPERATION_LIMIT)?;
+        let (reader, writer) = split(stream, MAX_HOST_MESSAGE_BYTES)?;
         self.follow(reader, Arc::new(Mutex::new(writer)));
         Ok(())
     }
@@ -271,7 +272,7 @@
         });
         while let Ok(ToHost { payload: Some(word) }) = reader.receive() {
             match word {
-                to_host::Payload::Hail(_) => {
+                to_host::Payload::ProxyHello(_) => {
                     let hello = from_host::Payload::Hello(HostHello { started });
                     say(&writer, hello);
                 }
@@ -280,12 +281,10 @@
                     self.clone().take(Job { connection, writer, operation, came: now() });
                 }
                 to_host::Payload::Cancel(cancel) => self.with(|state| {
-                    if state
-                        .queue
-                        .iter()
-                        .any(|job| (job.connection, job.operation.try_id) == (connection, cancel.try_id))
-                    {
-                        state.cancelled.insert((connection, cancel.try_id));
+                    if state.queue.iter().any(|job| {
+                        (job.connection, job.operation.attempt_id) == (connection, cancel.attempt_id)
+                    }) {
+                        state.cancelled.insert((connection, cancel.attempt_id));
                     }
                 }),
             }
@@ -296,7 +295,7 @@
 
     fn take(self: Arc<Host>, job: Job) {
         let cores = self.facts.cores;
-        let (try_id, writer) = (job.operation.try_id, job.writer.clone());
+        let (try_id, writer) = (job.operation.attempt_id, job.writer.clone());
         enum Taken {
             Run(u64, Job),
             Waits,
@@ -318,8 +317,12 @@
             Taken::Run(life, job) => _ = go(move || self.work(life, job)),
             Taken::Waits => {}
             Taken::Full => {
-                let answer = Answer { try_id, ending: Ending::Refused.into(), busy: Some(1.0) };
-                say(&writer, from_host::Payload::Answer(answer));
+                let answer = Response {
+                    attempt_id: try_id,
+                    outcome: AttemptOutcome::Refused.into(),
+                    utilization: Some(1.0),
+                };
+                say(&writer, from_host::Payload::Response(answer));
             }
         }
     }
@@ -336,7 +339,7 @@
                     return None;
                 }
                 while let Some(job) = state.queue.pop_front() {
-                    if !state.cancelled.remove(&(job.connection, job.operation.try_id)) {
+                    if !state.cancelled.remove(&(job.connection, job.operation.attempt_id)) {
                         return Some(job);
                     }
                 }
@@ -353,11 +356,11 @@
             return false;
         }
         let Some(class) = self.classes.get(job.operation.class as usize) else {
-            self.answer(job, Ending::Failed);
+            self.answer(job, AttemptOutcome::Failed);
             return true;
         };
         let began = now();
-        let repeat = self.repeated.is_repeat(class, self.facts.zone, job.operation.operation, began);
+        let repeat = self.repeated.is_repeat(class, self.facts.zone, job.operation.operation_id, began);
         let (took, fails) = self.with(|state| {
             let warmth = self.warmth(state, began);
             let saved = self.meet(state, job.operation.key, began);
@@ -370,11 +373,11 @@
             return false;
         }
         if fails {
-            self.answer(job, Ending::Failed);
+            self.answer(job, AttemptOutcome::Failed);
             return true;
         }
         let effect = Effect {
-            operation: job.operation.operation,
+            operation: job.operation.operation_id,
             host: self.address.to_string(),
             class: job.operation.class,
             slice: job.operation.slice,
@@ -382,7 +385,7 @@
             dropped: repeat,
         };
         self.recorder.note(now(), What::Effect(effect));
-        self.answer(job, Ending::Completed);
+        self.answer(job, AttemptOutcome::Completed);
         true
     }
 
@@ -425,7 +428,7 @@
         }
     }
 
-    fn answer(&self, job: &Job, ending: Ending) {
+    fn answer(&self, job: &Job, ending: AttemptOutcome) {
         let at = now();
         let (lost, busy) = self.with(|state| {
             state.answered += 1;
@@ -435,8 +438,9 @@
             (is_lost, state.busy.tell(state.running, self.facts.cores, self.facts.busy_every, at))
         });
         if !lost {
-            let answer = Answer { try_id: job.operation.try_id, ending: ending.into(), busy };
-            say(&job.writer, from_host::Payload::Answer(answer));
+            let answer =
+                Response { attempt_id: job.operation.attempt_id, outcome: ending.into(), utilization: busy };
+            say(&job.writer, from_host::Payload::Response(answer));
         }
     }
 }
--- a/crates/railhub-standin/src/lane.rs
+++ b/crates/railhub-standin/src/lane.rs
@@ -2,7 +2,8 @@
 use may::sync::{Mutex, SyncFlag};
 use railhub_net::{after, connect, go, seconds, split, FrameReader, FrameWriter};
 use railhub_proto::{
-    from_host, to_host, Answer, Cancel, Ending, FromHost, Hail, Operation, ToHost, OPERATION_LIMIT,
+    from_host, to_host, AttemptOutcome, Cancel, FromHost, Operation, ProxyHello, Response, ToHost,
+    MAX_HOST_MESSAGE_BYTES,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -85,7 +86,7 @@
         let pending = Arc::new(Pending::default());
         self.pending.lock().expect("no holder panics").insert(try_id, (connection, pending.clone()));
         sent();
-        let operation = Operation { try_id, ..operation };
+        let operation = Operation { attempt_id: try_id, ..operation };
         if say(&writer, to_host::Payload::Operation(operation)).is_err() {
             self.pending.lock().expect("no holder panics").remove(&try_id);
             return CallEnd::Failed;
@@ -98,7 +99,7 @@
             return end;
         }
         self.pending.lock().expect("no holder panics").remove(&try_id);
-        let _ = say(&writer, to_host::Payload::Cancel(Cancel { try_id }));
+        let _ = say(&writer, to_host::Payload::Cancel(Cancel { attempt_id: try_id }));
         CallEnd::TimedOut
     }
 
@@ -108,9 +109,11 @@
             return Some((*connection, writer.clone()));
         }
         let stream = connect(self.host, seconds(self.within)).ok()?;
-        let (mut reader, mut writer) = split(stream, OPERATION_LIMIT).ok()?;
+        let (mut reader, mut writer) = split(stream, MAX_HOST_MESSAGE_BYTES).ok()?;
         reader.patience(Some(self.within));
-        writer.send(&ToHost { payload: Some(to_host::Payload::Hail(Hail { proxy: self.proxy })) }).ok()?;
+        writer
+            .send(&ToHost { payload: Some(to_host::Payload::ProxyHello(ProxyHello { proxy: self.proxy })) })
+            .ok()?;
         let FromHost { payload: Some(from_host::Payload::Hello(_)) } = reader.receive().ok()? else {
             return None;
         };
@@ -125,7 +128,7 @@
 
     fn follow(&self, connection: u64, mut reader: FrameReader) {
         while let Ok(FromHost { payload: Some(word) }) = reader.receive() {
-            if let from_host::Payload::Answer(answer) = word {
+            if let from_host::Payload::Response(answer) = word {
                 self.finish(&answer);
             }
         }
@@ -144,13 +147,13 @@
         }
     }
 
-    fn finish(&self, answer: &Answer) {
-        let pending = self.pending.lock().expect("no holder panics").remove(&answer.try_id);
+    fn finish(&self, answer: &Response) {
+        let pending = self.pending.lock().expect("no holder panics").remove(&answer.attempt_id);
         if let Some((_, pending)) = pending {
-            pending.finish(match answer.ending() {
-                Ending::Completed => CallEnd::Completed(answer.busy),
-                Ending::Refused => CallEnd::Refused,
-                Ending::Failed => CallEnd::Failed,
+            pending.finish(match answer.outcome() {
+                AttemptOutcome::Completed => CallEnd::Completed(answer.utilization),
+                AttemptOutcome::Refused => CallEnd::Refused,
+                AttemptOutcome::Failed => CallEnd::Failed,
             });
         }
     }
--- a/crates/railhub-standin/src/proxy.rs
+++ b/crates/railhub-standin/src/proxy.rs
@@ -9,8 +9,8 @@
 use may::sync::Mutex;
 use railhub_net::{connect, go, now, seconds, split, FrameReader, FrameWriter, Task};
 use railhub_proto::{
-    from_proxy, from_steward, Ack, Again, Delta, FromProxy, FromSteward, Operation, Refusal, Subscribe,
-    FROM_STEWARD_LIMIT,
+    from_controller, from_proxy, Ack, Delta, FromController, FromProxy, Nack, Operation, RetryCondition,
+    Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
 use railhub_record::{Answered, Received, Recorder, Stream, Try, TryEnd, What};
 use rand::{RngExt, SeedableRng};
@@ -41,7 +41,7 @@
     pub first_wait: f64,
     pub connect_within: f64,
     pub report_every: f64,
-    /// Sums arrive so late.
+    /// Load reports arrive so late.
     pub report_late: f64,
     /// Longest wait before it dials its steward again.
     pub redial: f64,
@@ -172,7 +172,7 @@
             };
             let dialled = now();
             if let Ok(stream) = connect(address, seconds(1.0)) {
-                if let Ok((reader, writer)) = split(stream, FROM_STEWARD_LIMIT) {
+                if let Ok((reader, writer)) = split(stream, MAX_FROM_CONTROLLER_BYTES) {
                     self.one_stream(steward, reader, writer, process);
                 }
             }
@@ -199,14 +199,14 @@
         self.streams.lock().expect("no holder panics").insert(steward, writer.clone());
         let stream = |up| What::Stream(Stream { proxy, up, steward: steward as u32 });
         self.around.recorder.note(now(), stream(true));
-        while let Ok(FromSteward { payload: Some(word) }) = reader.receive() {
+        while let Ok(FromController { payload: Some(word) }) = reader.receive() {
             match word {
-                from_steward::Payload::Delta(delta) => {
+                from_controller::Payload::Delta(delta) => {
                     if self.receive(steward, delta, &writer).is_err() {
                         break;
                     }
                 }
-                from_steward::Payload::Goodbye(goodbye) => {
+                from_controller::Payload::Goodbye(goodbye) => {
                     tracing::debug!(proxy, reason = goodbye.reason, "the steward ends the stream");
                     break;
                 }
@@ -237,7 +237,7 @@
             Ok(_) => from_proxy::Payload::Ack(Ack { nonce }),
             Err(reason) => {
                 self.held.lock().expect("no holder panics").of_mut(steward).has_gap = true;
-                from_proxy::Payload::Refusal(Refusal { nonce, reason })
+                from_proxy::Payload::Nack(Nack { nonce, reason })
             }
         };
         writer.lock().expect("no holder panics").send(&FromProxy { payload: Some(word) })
@@ -258,7 +258,7 @@
             }
             Some(Sabotage::IgnoresLeaving) => {
                 let mut left = self.left.lock().expect("no holder panics");
-                let out = delta.shut.iter().filter(|word| word.out);
+                let out = delta.exclusions.iter().filter(|word| word.excluded);
                 left.extend(out.filter_map(|word| word.host.parse::<SocketAddr>().ok()));
             }
             _ => {}
@@ -276,7 +276,7 @@
             go(move || {
                 may::coroutine::sleep(seconds(proxy.facts.report_late + extra));
                 let streams = proxy.streams.lock().expect("no holder panics").clone();
-                let sums = FromProxy { payload: Some(from_proxy::Payload::Sums(sums)) };
+                let sums = FromProxy { payload: Some(from_proxy::Payload::LoadReport(sums)) };
                 for writer in streams.into_values() {
                     let _ = writer.lock().expect("no holder panics").send(&sums);
                 }
@@ -304,7 +304,7 @@
                 return end;
             }
             let may_follow =
-                tried.len() < 2 && again == Again::AfterFailure && self.has_other(&drawn, &tried);
+                tried.len() < 2 && again == RetryCondition::AfterFailure && self.has_other(&drawn, &tried);
             let wait = if may_follow { left.min(self.facts.first_wait * class.contract_time) } else { left };
             let call = self.call(&coming, host, tried.len() as u32, wait);
             match call {
@@ -316,9 +316,9 @@
                 end = ProxyEnd::Failed;
             }
             let goes_on = match again {
-                Again::Never => false,
-                Again::IfNotExecuted => call.never_ran(),
-                Again::AfterFailure => true,
+                RetryCondition::Never => false,
+                RetryCondition::IfNotExecuted => call.never_ran(),
+                RetryCondition::AfterFailure => true,
             };
             if !goes_on && !self.repeats_blindly(&drawn) {
                 return end;
@@ -409,7 +409,7 @@
             lanes.entry(host).or_insert_with(|| Arc::new(Lane::new(host, proxy, within))).clone()
         };
         let Drawn { operation, class, key, slice, work, .. } = drawn;
-        let message = Operation { try_id: 0, operation, key, class, slice, work };
+        let message = Operation { attempt_id: 0, operation_id: operation, key, class, slice, work };
         lane.call(message, wait, || {
             let (coming, proxy, host) = (coming.coming, self.facts.number, host.to_string());
             let tried = Try { operation, coming, number, proxy, host, class, slice, work };
--- a/crates/railhub-standin/src/sums.rs
+++ b/crates/railhub-standin/src/sums.rs
@@ -1,11 +1,11 @@
 //! What a proxy has met since its last sums.
-use railhub_proto::{HostSum, SliceSum, Sums};
+use railhub_proto::{HostLoad, LoadReport, SliceLoad};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 #[derive(Default)]
 pub struct Totals {
-    hosts: BTreeMap<SocketAddr, HostSum>,
+    hosts: BTreeMap<SocketAddr, HostLoad>,
     demand: BTreeMap<(u32, u32), u32>,
     since: f64,
 }
@@ -24,24 +24,24 @@
         let sum = self
             .hosts
             .entry(host)
-            .or_insert_with(|| HostSum { host: host.to_string(), ..HostSum::default() });
-        sum.tries += 1;
+            .or_insert_with(|| HostLoad { host: host.to_string(), ..HostLoad::default() });
+        sum.attempts += 1;
         match time {
-            Some(time) => sum.good_time += time,
+            Some(time) => sum.success_time += time,
             None => sum.failed += 1,
         }
-        sum.busy = busy.or(sum.busy);
+        sum.utilization = busy.or(sum.utilization);
     }
 
     /// All of it, to be sent; starts over.
-    pub fn take(&mut self, now: f64) -> Sums {
+    pub fn take(&mut self, now: f64) -> LoadReport {
         let all = std::mem::replace(self, Totals::new(now));
         let demand = all.demand.into_iter();
-        Sums {
+        LoadReport {
             span: now - all.since,
             hosts: all.hosts.into_values().collect(),
-            demand: demand
-                .map(|((slice, class), operations)| SliceSum { slice, class, operations })
+            slices: demand
+                .map(|((slice, class), operations)| SliceLoad { slice, class, operations })
                 .collect(),
         }
     }
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -4,7 +4,9 @@
 //! frames and acknowledge them without taking them in.
 use may::net::{TcpListener, TcpStream};
 use railhub_net::{connect, go, now, seconds, Task};
-use railhub_proto::{frame, from_proxy, Ack, FromProxy, FromSteward, HostSum, SliceSum, Subscribe, Sums};
+use railhub_proto::{
+    frame, from_proxy, Ack, FromController, FromProxy, HostLoad, LoadReport, SliceLoad, Subscribe,
+};
 use railhub_standin::host::{HostFacts, OpenHost, Repeated};
 use railhub_standin::roster::{Roster, RosterEntry, DRAINING, READY};
 use railhub_standin::store::Store;
@@ -149,7 +151,7 @@
 }
 
 impl Peers {
-    fn join(&self, address: SocketAddr, from: u32, count: u32, report: Option<Sums>) -> Vec<Task> {
+    fn join(&self, address: SocketAddr, from: u32, count: u32, report: Option<LoadReport>) -> Vec<Task> {
         (from..from + count)
             .map(|number| {
                 let (peers, report) = (self.clone(), report.clone());
@@ -158,11 +160,11 @@
             .collect()
     }
 
-    fn follow(&self, address: SocketAddr, number: u32, report: Option<Sums>) {
+    fn follow(&self, address: SocketAddr, number: u32, report: Option<LoadReport>) {
         let mut stream = subscribe(address, number);
         if let Some(sums) = report {
             let mut writer = stream.try_clone().expect("handles left");
-            let sums = frame(&FromProxy { payload: Some(from_proxy::Payload::Sums(sums)) });
+            let sums = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(sums)) });
             go(move || loop {
                 may::coroutine::sleep(seconds(1.0));
                 if writer.write_all(&sums).is_err() {
@@ -242,8 +244,10 @@
             bench.roster.tell(drained);
             let figures = bench.wait("versions", before + 1);
             let sample = peers.sample.lock().expect("no holder panics").clone();
-            let message: FromSteward = prost::Message::decode(&sample[..]).expect("a message");
-            let Some(railhub_proto::from_steward::Payload::Delta(delta)) = message.payload else { continue };
+            let message: FromController = prost::Message::decode(&sample[..]).expect("a message");
+            let Some(railhub_proto::from_controller::Payload::Delta(delta)) = message.payload else {
+                continue;
+            };
             lines = delta.cost();
             times.push(f64::from_bits(peers.last.load(Ordering::Relaxed)) - delta.ordered_at);
             if bare {
@@ -382,15 +386,15 @@
 /// How late turns are with 150 hosts, 975 slices and 300 proxies that report each second while hosts drain.
 fn lateness() {
     let mut bench = Bench::start(150, SLICES, 60.0);
-    let hosts = bench.hosts.iter().step_by(5).map(|host| HostSum {
+    let hosts = bench.hosts.iter().step_by(5).map(|host| HostLoad {
         host: host.host.address.to_string(),
-        tries: 5,
+        attempts: 5,
         failed: 0,
-        good_time: 0.5,
-        busy: None,
+        success_time: 0.5,
+        utilization: None,
     });
-    let demand = (0..SLICES).step_by(9).map(|slice| SliceSum { slice, class: 0, operations: 2 });
-    let sums = Sums { span: 1.0, hosts: hosts.collect(), demand: demand.collect() };
+    let demand = (0..SLICES).step_by(9).map(|slice| SliceLoad { slice, class: 0, operations: 2 });
+    let sums = LoadReport { span: 1.0, hosts: hosts.collect(), slices: demand.collect() };
     let peers = Peers::default();
     let _tasks = peers.join(bench.address, 0, 300, Some(sums));
     bench.wait("joined", 300);
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -1,6 +1,6 @@
 //! What the owner is told.
 use railhub::{EndpointList, HealthCheckResult, ProxyId, SliceAssignment, SliceId, ZoneId};
-use railhub_proto::{Subscribe, Sums};
+use railhub_proto::{LoadReport, Subscribe};
 use std::sync::Arc;
 
 use crate::kernel::SliceAcquired;
@@ -40,7 +40,7 @@
         proxy: ProxyId,
         nonce: u64,
     },
-    Refusal {
+    Nack {
         stream: StreamId,
         proxy: ProxyId,
         nonce: u64,
@@ -53,7 +53,7 @@
     pub stream: StreamId,
     pub proxy: ProxyId,
     pub zone: ZoneId,
-    pub sums: Sums,
+    pub sums: LoadReport,
 }
 
 pub type Inbox = railhub_net::Inbox<OwnerEvent, Report>;
--- a/crates/railhub-steward/src/intake.rs
+++ b/crates/railhub-steward/src/intake.rs
@@ -4,7 +4,7 @@
 //! Proxies report at their own moments, late and not always. What came is therefore spread over the time that
 //! the reports cover on average, whoever sent them: a proxy that is late lowers both alike, so rates hold.
 use railhub::{ClassId, HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport, ZoneId};
-use railhub_proto::{SliceSum, Sums};
+use railhub_proto::{LoadReport, SliceLoad};
 use std::collections::BTreeMap;
 
 /// Seconds one report may cover, the longest that is believed.
@@ -44,19 +44,19 @@
 }
 
 /// Why a report is not believed.
-pub fn fault(sums: &Sums) -> Option<&'static str> {
+pub fn fault(sums: &LoadReport) -> Option<&'static str> {
     if !(0.0..=LONGEST_SPAN).contains(&sums.span) {
         return Some("a span that cannot be");
     }
     let sane = |time: f64| time.is_finite() && time >= 0.0;
-    if !sums.hosts.iter().all(|sum| sane(sum.good_time) && sum.failed <= sum.tries) {
+    if !sums.hosts.iter().all(|sum| sane(sum.success_time) && sum.failed <= sum.attempts) {
         return Some("times or counts that cannot be");
     }
-    if !sums.hosts.iter().filter_map(|sum| sum.busy).all(sane) {
+    if !sums.hosts.iter().filter_map(|sum| sum.utilization).all(sane) {
         return Some("a load that cannot be");
     }
-    let known = |sum: &SliceSum| u16::try_from(sum.slice).is_ok() && u8::try_from(sum.class).is_ok();
-    if !sums.demand.iter().all(known) {
+    let known = |sum: &SliceLoad| u16::try_from(sum.slice).is_ok() && u8::try_from(sum.class).is_ok();
+    if !sums.slices.iter().all(known) {
         return Some("a slice or class that cannot be");
     }
     None
@@ -64,17 +64,17 @@
 
 impl ReportAggregator {
     /// Takes in one report of one of so many joined proxies.
-    pub fn add(&mut self, zone: ZoneId, sums: &Sums, proxies: usize) {
+    pub fn add(&mut self, zone: ZoneId, sums: &LoadReport, proxies: usize) {
         self.cover += sums.span / proxies.max(1) as f64;
         for sum in &sums.hosts {
             let Some(host) = HostId::new(&sum.host) else { continue };
             let Some(total) = self.total(Key::Tries(zone, host)) else { continue };
-            total.amount += f64::from(sum.tries);
+            total.amount += f64::from(sum.attempts);
             total.failed += f64::from(sum.failed);
-            total.good_time += sum.good_time;
-            total.busy = sum.busy.or(total.busy);
+            total.good_time += sum.success_time;
+            total.busy = sum.utilization.or(total.busy);
         }
-        for sum in &sums.demand {
+        for sum in &sums.slices {
             let key = Key::Demand(SliceId(sum.slice as u16), ClassId(sum.class as u8));
             if let Some(total) = self.total(key) {
                 total.amount += f64::from(sum.operations);
--- a/crates/railhub-steward/src/intake/tests.rs
+++ b/crates/railhub-steward/src/intake/tests.rs
@@ -1,10 +1,16 @@
 use super::*;
-use railhub_proto::HostSum;
+use railhub_proto::HostLoad;
 
-fn sums(span: f64, tries: u32) -> Sums {
+fn sums(span: f64, tries: u32) -> LoadReport {
     let host = "127.0.0.1:8000".to_owned();
-    let hosts = vec![HostSum { host, tries, failed: 0, good_time: 0.1 * f64::from(tries), busy: None }];
-    Sums { span, hosts, demand: vec![SliceSum { slice: 3, class: 0, operations: tries }] }
+    let hosts = vec![HostLoad {
+        host,
+        attempts: tries,
+        failed: 0,
+        success_time: 0.1 * f64::from(tries),
+        utilization: None,
+    }];
+    LoadReport { span, hosts, slices: vec![SliceLoad { slice: 3, class: 0, operations: tries }] }
 }
 
 #[test]
@@ -32,8 +38,8 @@
 fn past_the_limit_the_oldest_go_first_and_nothing_is_lost() {
     let mut intake = ReportAggregator::default();
     for slice in 0..50u32 {
-        let demand = vec![SliceSum { slice, class: 0, operations: 2 }];
-        intake.add(ZoneId(0), &Sums { span: 1.0, hosts: vec![], demand }, 1);
+        let demand = vec![SliceLoad { slice, class: 0, operations: 2 }];
+        intake.add(ZoneId(0), &LoadReport { span: 1.0, hosts: vec![], slices: demand }, 1);
         if slice == 24 {
             assert!(intake.flush(0.0, 10.0).1.is_empty());
         }
@@ -52,6 +58,6 @@
     lies.hosts[0].failed = 4;
     assert!(fault(&lies).is_some());
     let mut wraps = sums(1.0, 3);
-    wraps.demand[0].class = 256;
+    wraps.slices[0].class = 256;
     assert!(fault(&wraps).is_some());
 }
--- a/crates/railhub-steward/src/kernel.rs
+++ b/crates/railhub-steward/src/kernel.rs
@@ -16,7 +16,7 @@
     BarrierAck, BarrierId, Controller, EndpointList, EventBatch, HealthCheckResult, HostId, ProxyId,
     ProxyStreamEvent, Seconds, SliceAssignment, SliceHandoff, SliceId, TimerId, ZoneId,
 };
-use railhub_proto::{Subscribe, Sums};
+use railhub_proto::{LoadReport, Subscribe};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -400,7 +400,7 @@
     }
 
     /// Adds a report of a proxy that is joined by this stream.
-    pub fn take_sums(&mut self, stream: StreamId, proxy: ProxyId, zone: ZoneId, sums: &Sums) {
+    pub fn take_sums(&mut self, stream: StreamId, proxy: ProxyId, zone: ZoneId, sums: &LoadReport) {
         if self.members.get(&proxy).is_some_and(|m| m.stream == stream && m.joined) {
             self.intake.add(zone, sums, self.joined());
         }
--- a/crates/railhub-steward/src/outbox.rs
+++ b/crates/railhub-steward/src/outbox.rs
@@ -3,7 +3,7 @@
 //! Free of I/O and of clocks.
 use crate::tables::Change;
 use railhub::{BarrierId, Seconds};
-use railhub_proto::{frame, from_steward, FromSteward};
+use railhub_proto::{frame, from_controller, FromController};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
     ) -> Publication {
         let change = change.into();
         let delta = change.to_delta(incarnation, version, ordered_at);
-        let bytes = frame(&FromSteward { payload: Some(from_steward::Payload::Delta(delta)) });
+        let bytes = frame(&FromController { payload: Some(from_controller::Payload::Delta(delta)) });
         Publication { change, incarnation, version, ordered_at, mark, bytes }
     }
 
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -169,7 +169,7 @@
             }
             OwnerEvent::Leaves { stream, proxy, why } => kernel.leave(now(), stream, proxy, &why, around),
             OwnerEvent::Ack { stream, proxy, nonce } => _ = kernel.settle(now(), proxy, stream, nonce, false),
-            OwnerEvent::Refusal { stream, proxy, nonce, reason } => {
+            OwnerEvent::Nack { stream, proxy, nonce, reason } => {
                 if kernel.settle(now(), proxy, stream, nonce, true) {
                     tracing::error!(proxy = proxy.0, version = nonce, reason, "a version is refused");
                 }
--- a/crates/railhub-steward/src/streams.rs
+++ b/crates/railhub-steward/src/streams.rs
@@ -10,7 +10,9 @@
 use may::sync::{Mutex, Semphore};
 use railhub::{BarrierId, ProxyId, Seconds, ZoneId};
 use railhub_net::{after, go, now, split, FrameReader, FrameWriter, StreamEnd};
-use railhub_proto::{from_proxy, from_steward, FromProxy, FromSteward, Goodbye, Subscribe, FROM_PROXY_LIMIT};
+use railhub_proto::{
+    from_controller, from_proxy, FromController, FromProxy, Goodbye, Subscribe, MAX_FROM_PROXY_BYTES,
+};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
@@ -129,7 +131,7 @@
     let (inbox, doors) = (inbox.clone(), doors.clone());
     go(move || {
         let id = StreamId(doors.last.fetch_add(1, Ordering::Relaxed) + 1);
-        if let Ok((reader, writer)) = split(stream, FROM_PROXY_LIMIT) {
+        if let Ok((reader, writer)) = split(stream, MAX_FROM_PROXY_BYTES) {
             follow(id, reader, writer, &inbox, terms, leases);
         }
         doors.open.fetch_sub(1, Ordering::Relaxed);
@@ -212,10 +214,10 @@
         Some(from_proxy::Payload::Ack(ack)) => {
             inbox.tell(OwnerEvent::Ack { stream, proxy, nonce: ack.nonce })
         }
-        Some(from_proxy::Payload::Refusal(refusal)) => {
-            inbox.tell(OwnerEvent::Refusal { stream, proxy, nonce: refusal.nonce, reason: refusal.reason });
+        Some(from_proxy::Payload::Nack(refusal)) => {
+            inbox.tell(OwnerEvent::Nack { stream, proxy, nonce: refusal.nonce, reason: refusal.reason });
         }
-        Some(from_proxy::Payload::Sums(sums)) => {
+        Some(from_proxy::Payload::LoadReport(sums)) => {
             if let Some(fault) = intake::fault(&sums) {
                 return Err(format!("sums with {fault}"));
             }
@@ -255,6 +257,6 @@
 fn say_goodbye(writer: &mut FrameWriter, reason: &str) {
     writer.patience(0.2);
     let goodbye = Goodbye { reason: reason.to_owned() };
-    let _ = writer.send(&FromSteward { payload: Some(from_steward::Payload::Goodbye(goodbye)) });
+    let _ = writer.send(&FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) });
     writer.close();
 }
--- a/crates/railhub-steward/src/tables.rs
+++ b/crates/railhub-steward/src/tables.rs
@@ -1,7 +1,7 @@
 //! What proxies are to hold: lines, levels and shut-outs in versions, and the latest changes between them.
 //! Free of I/O and of clocks.
 use railhub::{ClassId, HostId, RetryPolicy, Seconds, SliceId};
-use railhub_proto::{Again, Delta, Level, Shut, SliceEpoch, TableLine};
+use railhub_proto::{AdmissionRate, Delta, HostExclusion, RetryCondition, SliceEpoch, TableLine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -99,15 +99,17 @@
                     weight: *weight,
                 })
                 .collect(),
-            levels: (self.levels.iter())
-                .map(|(class, (share, again))| Level {
+            admission_rates: (self.levels.iter())
+                .map(|(class, (share, again))| AdmissionRate {
                     class: class.0.into(),
-                    share: *share,
-                    again: way_again(*again).into(),
+                    rate: *share,
+                    retry: way_again(*again).into(),
                 })
                 .collect(),
-            shut: (self.shut.iter()).map(|(host, out)| Shut { host: host.to_string(), out: *out }).collect(),
-            handed: self.handed.map(|table| table.0.into()),
+            exclusions: (self.shut.iter())
+                .map(|(host, out)| HostExclusion { host: host.to_string(), excluded: *out })
+                .collect(),
+            assigned_table: self.handed.map(|table| table.0.into()),
             epochs: (self.epochs.iter())
                 .map(|(slice, epoch)| SliceEpoch { slice: slice.0.into(), epoch: *epoch })
                 .collect(),
@@ -115,11 +117,11 @@
     }
 }
 
-fn way_again(second_try: RetryPolicy) -> Again {
+fn way_again(second_try: RetryPolicy) -> RetryCondition {
     match second_try {
-        RetryPolicy::Never => Again::Never,
-        RetryPolicy::IfNotExecuted => Again::IfNotExecuted,
-        RetryPolicy::AfterFailure => Again::AfterFailure,
+        RetryPolicy::Never => RetryCondition::Never,
+        RetryPolicy::IfNotExecuted => RetryCondition::IfNotExecuted,
+        RetryPolicy::AfterFailure => RetryCondition::AfterFailure,
     }
 }
 
--- a/crates/railhub-steward/src/traffic.rs
+++ b/crates/railhub-steward/src/traffic.rs
@@ -2,7 +2,7 @@
 //! for the disk: what does not fit the queue is counted and left out.
 use crate::installation::Installation;
 use railhub::{ProxyId, Seconds, ZoneId};
-use railhub_proto::Sums;
+use railhub_proto::LoadReport;
 use railhub_traffic::file::{TrafficFault, Writer};
 use railhub_traffic::{Facts, Row};
 use std::fs::File;
@@ -58,16 +58,16 @@
         Ok(Some(TrafficWriter { to, writing, began: now, classes, slices, dropped: 0 }))
     }
 
-    pub fn take(&mut self, now: Seconds, proxy: ProxyId, zone: ZoneId, sums: &Sums) {
+    pub fn take(&mut self, now: Seconds, proxy: ProxyId, zone: ZoneId, sums: &LoadReport) {
         if usize::from(zone.0) >= ZONES {
             self.dropped += 1;
             return;
         }
         let at = (now - self.began).max(0.0);
-        let known = sums.demand.iter().filter(|sum| {
+        let known = sums.slices.iter().filter(|sum| {
             (sum.class as usize) < self.classes && sum.slice < self.slices.max(1) && sum.operations > 0
         });
-        let row = |sum: &railhub_proto::SliceSum| Row {
+        let row = |sum: &railhub_proto::SliceLoad| Row {
             at,
             class: sum.class,
             slice: sum.slice,
--- a/crates/railhub-steward/src/traffic/tests.rs
+++ b/crates/railhub-steward/src/traffic/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use railhub_ini::Sheet;
-use railhub_proto::SliceSum;
+use railhub_proto::SliceLoad;
 use railhub_traffic::file;
 
 fn installation(path: &str) -> Installation {
@@ -11,9 +11,9 @@
     Installation::read(&Sheet::read("s.ini", &text).expect("readable")).expect("right")
 }
 
-fn sums(slice: u32, class: u32) -> Sums {
-    let demand = vec![SliceSum { slice, class, operations: 30 }];
-    Sums { span: 2.0, hosts: Vec::new(), demand }
+fn sums(slice: u32, class: u32) -> LoadReport {
+    let demand = vec![SliceLoad { slice, class, operations: 30 }];
+    LoadReport { span: 2.0, hosts: Vec::new(), slices: demand }
 }
 
 #[test]
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
 use railhub_proto::{
-    frame, from_proxy, from_steward, Ack, Deframer, Delta, FromProxy, FromSteward, Refusal, Subscribe, Sums,
-    FROM_STEWARD_LIMIT,
+    frame, from_controller, from_proxy, Ack, Deframer, Delta, FromController, FromProxy, LoadReport, Nack,
+    Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
 use railhub_record::{Recorder, Repeats};
 use railhub_standin::held::Held;
@@ -171,7 +171,7 @@
 
     /// A connection that has said nothing yet.
     pub fn new(stream: TcpStream, held: Held) -> Peer {
-        Peer { stream, deframer: Deframer::new(FROM_STEWARD_LIMIT), held }
+        Peer { stream, deframer: Deframer::new(MAX_FROM_CONTROLLER_BYTES), held }
     }
 
     pub fn say(&mut self, word: from_proxy::Payload) {
@@ -181,11 +181,11 @@
     pub fn hear(&mut self, within: Duration) -> Heard {
         let until = Instant::now() + within;
         loop {
-            match self.deframer.message::<FromSteward>().expect("a steward sends messages") {
-                Some(FromSteward { payload: Some(from_steward::Payload::Delta(delta)) }) => {
+            match self.deframer.message::<FromController>().expect("a steward sends messages") {
+                Some(FromController { payload: Some(from_controller::Payload::Delta(delta)) }) => {
                     return Heard::Delta(Box::new(delta))
                 }
-                Some(FromSteward { payload: Some(from_steward::Payload::Goodbye(goodbye)) }) => {
+                Some(FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) }) => {
                     return Heard::Goodbye(goodbye.reason)
                 }
                 _ => {}
@@ -225,7 +225,7 @@
 
     pub fn refuse(&mut self, delta: &Delta) {
         self.held.has_gap = true;
-        self.say(from_proxy::Payload::Refusal(Refusal { nonce: delta.nonce, reason: "a test".into() }));
+        self.say(from_proxy::Payload::Nack(Nack { nonce: delta.nonce, reason: "a test".into() }));
     }
 
     /// Obeys until what it holds is as wanted.
@@ -251,8 +251,8 @@
         }
     }
 
-    pub fn report(&mut self, sums: Sums) {
-        self.say(from_proxy::Payload::Sums(sums));
+    pub fn report(&mut self, sums: LoadReport) {
+        self.say(from_proxy::Payload::LoadReport(sums));
     }
 }
 
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -5,7 +5,7 @@
 };
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
 use railhub_ini::Sheet;
-use railhub_proto::{SliceSum, Subscribe, Sums};
+use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use railhub_steward::inbox::StreamId;
 use railhub_steward::kernel::{ControllerCore, Environment, ProxyChannel, SliceAcquired};
 use railhub_steward::outbox::Publication;
@@ -83,8 +83,8 @@
 
 /// A second of the kernel's life, with what a proxy met meanwhile.
 fn second(kernel: &mut ControllerCore<InFlightDelta>, now: Seconds, operations: u32, around: &mut Around) {
-    let demand = vec![SliceSum { slice: SLICE.0.into(), class: 0, operations }];
-    let sums = Sums { span: 1.0, hosts: Vec::new(), demand };
+    let demand = vec![SliceLoad { slice: SLICE.0.into(), class: 0, operations }];
+    let sums = LoadReport { span: 1.0, hosts: Vec::new(), slices: demand };
     kernel.take_sums(StreamId(1), ProxyId(0), ZoneId(0), &sums);
     if kernel.ring(now) {
         kernel.flush_sums(now);
--- a/crates/railhub-steward/tests/streams.rs
+++ b/crates/railhub-steward/tests/streams.rs
@@ -4,7 +4,7 @@
 use common::{eventually, fleet, names, tables, Heard, Peer, LONG};
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
-use railhub_proto::{from_proxy, Ack, HostSum, Sums};
+use railhub_proto::{from_proxy, Ack, HostLoad, LoadReport};
 use railhub_standin::held::Held;
 use railhub_standin::roster::{DRAINING, READY};
 use std::io::Write;
@@ -26,7 +26,9 @@
     // The delta has left for the first and is not acknowledged while the others join.
     let delta = loop {
         let delta = first.delta();
-        if delta.shut.iter().any(|word| word.out) || delta.lines.iter().any(|line| line.weight == 0.0) {
+        if delta.exclusions.iter().any(|word| word.excluded)
+            || delta.lines.iter().any(|line| line.weight == 0.0)
+        {
             break delta;
         }
         first.accept(&delta);
@@ -135,7 +137,7 @@
     others.iter_mut().for_each(|peer| peer.obey_until(|held| !names(held, gone)));
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     eventually("the slow one is cut off", || steward.figures().cut_off == 1);
-    others.iter_mut().for_each(|peer| peer.say(from_proxy::Payload::Sums(Sums::default())));
+    others.iter_mut().for_each(|peer| peer.say(from_proxy::Payload::LoadReport(LoadReport::default())));
     eventually("all others stay", || steward.figures().joined == 299);
     drop(reader);
 }
@@ -218,8 +220,8 @@
     assert_eq!(reason(&mut flood), "too many messages");
     let mut liar = Peer::dial(steward.address, 2);
     let host = fleet.address(0).to_string();
-    let hosts = vec![HostSum { host, tries: 1, failed: 2, ..HostSum::default() }];
-    liar.report(Sums { span: 1.0, hosts, demand: Vec::new() });
+    let hosts = vec![HostLoad { host, attempts: 1, failed: 2, ..HostLoad::default() }];
+    liar.report(LoadReport { span: 1.0, hosts, slices: Vec::new() });
     assert_eq!(reason(&mut liar), "sums with times or counts that cannot be");
     fleet.list(0, DRAINING);
     let gone = fleet.address(0);
--- a/crates/railhub-steward/tests/surroundings.rs
+++ b/crates/railhub-steward/tests/surroundings.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{entry, eventually, fleet, names, tables, Heard, Peer};
-use railhub_proto::{HostSum, SliceSum, Sums};
+use railhub_proto::{HostLoad, LoadReport, SliceLoad};
 use railhub_standin::roster::{DRAINING, GONE, READY};
 use std::time::Duration;
 
@@ -97,16 +97,16 @@
     peer.obey_until(standby_only);
     fleet.hosts[2].host.start(true);
     let report = |peer: &mut Peer| {
-        let demand = (0..20).map(|slice| SliceSum { slice, class: 0, operations: 40 }).collect();
-        let busy = |n: usize| HostSum {
+        let demand = (0..20).map(|slice| SliceLoad { slice, class: 0, operations: 40 }).collect();
+        let busy = |n: usize| HostLoad {
             host: fleet.address(n).to_string(),
-            tries: 250,
+            attempts: 250,
             failed: 0,
-            good_time: 20.0,
-            busy: Some(0.9),
+            success_time: 20.0,
+            utilization: Some(0.9),
         };
         let hosts = [0, 1, 3].into_iter().map(busy).collect();
-        peer.report(Sums { span: 1.0, hosts, demand });
+        peer.report(LoadReport { span: 1.0, hosts, slices: demand });
     };
     // Under load slices move to where there is room.
     for _ in 0..15 {
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -2,7 +2,7 @@
 //! the store, the deltas it publishes, the traffic it records and the figures it shows.
 use railhub::{ClassId, HostId, Idempotency, ProxyId, RetryPolicy, SliceId, ZoneId};
 use railhub_ini::Sheet;
-use railhub_proto::{SliceSum, Sums};
+use railhub_proto::{LoadReport, SliceLoad};
 use railhub_steward::fleet::FleetFigures;
 use railhub_steward::outbox::Publication;
 use railhub_steward::tables::Change;
@@ -317,8 +317,8 @@
         path.display()
     );
     let mut writer = TrafficWriter::start(&read(&text), 10.0).expect("writable").expect("named");
-    let demand = |slice, class| SliceSum { slice, class, operations: 30 };
-    let sums = |span, demand| Sums { span, hosts: Vec::new(), demand };
+    let demand = |slice, class| SliceLoad { slice, class, operations: 30 };
+    let sums = |span, demand| LoadReport { span, hosts: Vec::new(), slices: demand };
     writer.take(15.0, ProxyId(3), ZoneId(1), &sums(2.0, vec![demand(2, 0), demand(0, 1)]));
     writer.take(11.0, ProxyId(300), ZoneId(0), &sums(2.0, vec![demand(3, 0)]));
     drop(writer);
--- a/crates/railhub-watch/src/scene.rs
+++ b/crates/railhub-watch/src/scene.rs
@@ -1,5 +1,5 @@
 //! What stands at a moment of a run, out of the events up to it.
-use railhub_proto::Again;
+use railhub_proto::RetryCondition;
 use railhub_record::{Event, Limits, Listed, Outcome, What};
 use railhub_series::owing::Owing;
 use railhub_series::tables::Tables;
@@ -152,18 +152,18 @@
         self.version = self.tables.version();
         self.moves += u64::from(moves);
         self.withdrawals += u64::from(withdrawals);
-        for level in &delta.levels {
+        for level in &delta.admission_rates {
             let class = self.limits.as_ref().and_then(|limits| limits.classes.get(level.class as usize));
             let class = class.map_or_else(|| level.class.to_string(), |class| class.name.clone());
-            let second_try = match level.again() {
-                Again::Never => "no second try",
-                Again::IfNotExecuted => "if it never ran",
-                Again::AfterFailure => "after a failure",
+            let second_try = match level.retry() {
+                RetryCondition::Never => "no second try",
+                RetryCondition::IfNotExecuted => "if it never ran",
+                RetryCondition::AfterFailure => "after a failure",
             };
-            self.levels.insert(level.class, LevelSight { class, share: level.share, second_try });
+            self.levels.insert(level.class, LevelSight { class, share: level.rate, second_try });
         }
-        for shut in &delta.shut {
-            self.hosts.entry(shut.host.clone()).or_default().shut = shut.out;
+        for shut in &delta.exclusions {
+            self.hosts.entry(shut.host.clone()).or_default().shut = shut.excluded;
         }
         let counts = self.tables.slices_by_host();
         for (name, host) in &mut self.hosts {
