--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -261,7 +261,7 @@
     assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (22.0, 4.0, Some(25)));
     let clock = fleet.clock;
     assert_eq!((clock.speed, clock.jumps_after, clock.jumps_by), (1.5, 23.0, 24.0));
-    assert_eq!(fleet.without, Some(railhub_membership::table::Safeguard::RumourBound));
+    assert_eq!(fleet.without, Some(railhub_membership::table::Safeguard::GossipLimit));
     assert_eq!(fleet.settings, SETTINGS_DIGEST);
 }
 
