--- a/crates/railhub-platform/src/collector.rs
+++ b/crates/railhub-platform/src/collector.rs
@@ -115,11 +115,11 @@
         Ok(HostLoadReport {
             zone: names.zone(&self.zone).ok_or(InvalidEntry::Unknown)?,
             host: HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?,
-            tries,
+            attempts: tries,
             failed: within(self.failed, tries)?,
-            mean_time: within(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
+            mean_latency: within(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
             span: span(self.span_ms)?,
-            busy: load
+            cpu_utilization: load
                 .and_then(|load| load.util)
                 .map(|util| within(util, REPORT_NOISE_FACTOR))
                 .transpose()?,
--- a/crates/railhub-platform/src/relay_events.rs
+++ b/crates/railhub-platform/src/relay_events.rs
@@ -109,7 +109,7 @@
             let applied: BarrierAcked = params(line)?;
             RelayEvent::BarrierAcked(BarrierAck {
                 proxy: ProxyId(applied.proxy),
-                mark: BarrierId(applied.mark),
+                barrier: BarrierId(applied.mark),
             })
         }
         "given" => {
