--- a/crates/railhub-platform-net/src/clock.rs
+++ b/crates/railhub-platform-net/src/clock.rs
@@ -1,9 +1,10 @@
-//! Wall time as it was at the start, moved on by the monotonic clock: it compares with the times at which hosts
-//! started and is never set back.
+//! The controller's clock: wall time as it was at the start, moved on by the monotonic clock. It compares with the times
+//! at which hosts started and is never set back.
 use railhub::Seconds;
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// Seconds of Unix time, by the wall clock of the process's start.
 pub fn now() -> Seconds {
     static OFFSET: OnceLock<Seconds> = OnceLock::new();
     let offset = OFFSET.get_or_init(|| {
--- /dev/null
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -0,0 +1,213 @@
+//! The thread that owns the [`PlatformController`]: nothing else reads or changes it.
+//!
+//! One pass: sleep until an event comes or something is due; apply the events and load reports that wait; let the
+//! controller handle a batch if one is due; send the next call if none is in flight; publish the status.
+use crate::call_timing::CallTiming;
+use crate::clock::now;
+use crate::events::{ControllerEvent, LoadReport};
+use crate::health_checks::HealthChecker;
+use crate::relay::CallSender;
+use crate::shared_state::SharedState;
+use crate::status::{ControllerStatus, DurationRecorder};
+use railhub::{HealthCheckOutcome, Seconds};
+use railhub_net::seconds;
+use railhub_platform::orders::Call;
+use railhub_platform::relay_events::Answer;
+use railhub_platform::{EndpointPage, NodeConfig, PlatformController, Probe};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+/// Seconds the thread sleeps at most: load reports wake nobody and must not wait long.
+const MAX_SLEEP: Seconds = 0.2;
+/// Events applied in one pass: a pass must end.
+const EVENT_BATCH_LIMIT: usize = 2048;
+
+/// The owner of the controller.
+pub struct ControllerThread {
+    controller: PlatformController,
+    shared: Arc<SharedState>,
+    calls: CallSender,
+    health_checker: HealthChecker,
+    timing: CallTiming,
+    timer_lateness: DurationRecorder,
+    batches: u64,
+    longest_batch: Seconds,
+}
+
+impl ControllerThread {
+    /// Prepares the controller and publishes its first status, by which the discovery watch resumes after the known list.
+    pub fn new(
+        config: &NodeConfig,
+        shared: &Arc<SharedState>,
+        calls: CallSender,
+        health_checker: HealthChecker,
+    ) -> ControllerThread {
+        let thread = ControllerThread {
+            controller: PlatformController::new(config),
+            shared: shared.clone(),
+            calls,
+            health_checker,
+            timing: CallTiming::start(now()),
+            timer_lateness: DurationRecorder::default(),
+            batches: 0,
+            longest_batch: 0.0,
+        };
+        thread.publish_status();
+        thread
+    }
+
+    /// Runs until the process ends.
+    pub fn run(mut self) {
+        self.shared.inbox.own();
+        loop {
+            self.sleep_until_due();
+            self.apply_events();
+            self.apply_load_reports();
+            self.handle_batch();
+            self.send_call();
+            self.publish_status();
+        }
+    }
+
+    fn sleep_until_due(&self) {
+        let now = now();
+        let mut due = now + MAX_SLEEP;
+        if let Some(controller_due) = self.controller.next_due() {
+            due = due.min(controller_due);
+        }
+        if self.controller.orders_waiting() > 0 && self.timing.call_not_before() > now {
+            due = due.min(self.timing.call_not_before());
+        }
+        if self.shared.inbox.is_quiet() && due > now {
+            std::thread::park_timeout(seconds(due - now));
+        }
+    }
+
+    fn apply_events(&mut self) {
+        for _ in 0..EVENT_BATCH_LIMIT {
+            let Some(event) = self.shared.inbox.next_word() else { return };
+            self.on_event(event);
+        }
+    }
+
+    fn on_event(&mut self, event: ControllerEvent) {
+        match event {
+            ControllerEvent::EndpointPage(page) => self.on_endpoint_page(&page),
+            ControllerEvent::SubscriptionRequested(id) => self.controller.hear_asked(id),
+            ControllerEvent::RelayEvent(id, event) => self.controller.hear_relay_event(now(), id, event),
+            ControllerEvent::SubscriptionEnded(id) => self.controller.hear_ended(id),
+            ControllerEvent::HealthCheckCompleted(probe, outcome) => self.on_health_check(&probe, outcome),
+            ControllerEvent::CallCompleted(answer) => self.on_call_completed(answer),
+        }
+    }
+
+    fn on_endpoint_page(&mut self, page: &EndpointPage) {
+        let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
+        if self.controller.hear_page(now(), page) {
+            tracing::info!(generation, hosts, whole, "the host list has news");
+        } else if generation < self.controller.generation() {
+            // An older configuration's watch overtook it: what this watch tells next would build on a page that was not
+            // applied.
+            tracing::info!(generation, "a page is older than the list: the watch asks anew");
+            self.shared.discovery_watch.close();
+        }
+        self.shared.page_permits.post();
+    }
+
+    fn on_health_check(&mut self, probe: &Probe, outcome: HealthCheckOutcome) {
+        tracing::debug!(host = %probe.host, end = ?outcome, "probe");
+        self.controller.hear_probe(probe, outcome);
+    }
+
+    fn on_call_completed(&mut self, answer: Option<Answer>) {
+        let counters = &self.shared.relay_counters;
+        match answer {
+            Some(Answer::Taken(_) | Answer::Malformed) => self.timing.on_answer(now()),
+            Some(Answer::Rejected) => {
+                counters.calls_rejected.fetch_add(1, Ordering::Relaxed);
+                self.timing.on_no_answer(now());
+            }
+            None => {
+                counters.calls_unknown.fetch_add(1, Ordering::Relaxed);
+                self.timing.on_no_answer(now());
+            }
+        }
+        if let Some(dropped) = self.controller.end_call(answer) {
+            tracing::error!("{dropped}");
+        }
+    }
+
+    fn apply_load_reports(&mut self) {
+        while let Some(report) = self.shared.inbox.next_report() {
+            self.timing.on_report();
+            match report {
+                LoadReport::Host(report) => {
+                    tracing::debug!(sum = ?report, "tries");
+                    self.controller.hear_tries(report);
+                }
+                LoadReport::Slice(report) => {
+                    tracing::trace!(sum = ?report, "demand");
+                    self.controller.hear_demand(report);
+                }
+            }
+        }
+    }
+
+    fn handle_batch(&mut self) {
+        let started_at = now();
+        let effects = self.controller.act(started_at);
+        for lateness in effects.late {
+            self.timer_lateness.record(lateness);
+        }
+        for probe in effects.probes {
+            self.health_checker.ask(probe);
+        }
+        for cause in effects.notes {
+            tracing::info!(cause, "decision");
+        }
+        self.batches += effects.rounds;
+        self.longest_batch = self.longest_batch.max(now() - started_at);
+        if let Some(why) = self.controller.must_ask_anew() {
+            tracing::warn!(why, "what the relay holds is asked for anew");
+            self.shared.subscription.close();
+        }
+    }
+
+    fn send_call(&mut self) {
+        if now() < self.timing.call_not_before() {
+            return;
+        }
+        if let Some(call) = self.controller.next_call() {
+            self.shared.relay_counters.calls.fetch_add(1, Ordering::Relaxed);
+            log_call(&call);
+            self.timing.on_call(now());
+            self.calls.send(call);
+        }
+    }
+
+    fn publish_status(&self) {
+        let (controller, inbox) = (&self.controller, &self.shared.inbox);
+        self.shared.publish_status(ControllerStatus {
+            generation: controller.generation(),
+            proxies: controller.joined(),
+            hosts: controller.hosts(),
+            pending_commands: controller.orders_waiting(),
+            batches: self.batches,
+            snapshot_applied: controller.is_informed(),
+            reports_dropped: controller.sums_dropped + inbox.sums_dropped.load(Ordering::Relaxed),
+            health_checks_dropped: self.health_checker.dropped(),
+            health_checks_stale: controller.probes_outrun,
+            commands_coalesced: controller.orders_folded(),
+            unnamed_classes: controller.orders_unnamed(),
+            timer_lateness: self.timer_lateness.summary(),
+            call_latency: self.timing.call_latency(),
+            report_latency: self.timing.report_latency(),
+            longest_batch: self.longest_batch,
+        });
+    }
+}
+
+fn log_call(call: &Call) {
+    tracing::debug!(id = call.id, orders = call.count, bytes = call.bytes.len(), "a call leaves");
+    tracing::trace!(said = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
+}
--- a/crates/railhub-platform-net/src/fairness.rs
+++ b/crates/railhub-platform-net/src/fairness.rs
@@ -3,29 +3,30 @@
 use railhub::Seconds;
 use railhub_net::{now, seconds};
 
-/// Seconds of reading after which others run, of a known peer and of one that has not said who it is: of those many
-/// may send at once.
-pub const KNOWN_PEER_SPAN: Seconds = 0.004;
-pub const STRANGER_SPAN: Seconds = 0.000_25;
-/// Seconds in which they do. Yielding alone would not let the worker look at its sockets.
-const PAUSE: Seconds = 0.001;
+/// Seconds of reading after which others run, of the relay, discovery or a collector.
+pub const KNOWN_PEER_READ_LIMIT: Seconds = 0.004;
+/// Seconds of reading after which others run, of a peer that has not joined: many of those may send at once.
+pub const UNIDENTIFIED_PEER_READ_LIMIT: Seconds = 0.000_25;
+/// Seconds that others run. Yielding alone would not let the worker look at its sockets.
+const READ_PAUSE: Seconds = 0.001;
 
 /// How long one connection has been read without a pause.
-pub struct ReadTurn {
-    since: Seconds,
-    span: Seconds,
+pub struct ReadLimiter {
+    started_at: Seconds,
+    limit: Seconds,
 }
 
-impl ReadTurn {
-    pub fn start(span: Seconds) -> ReadTurn {
-        ReadTurn { since: now(), span }
+impl ReadLimiter {
+    /// Starts a stretch of reading of at most `limit` seconds.
+    pub fn start(limit: Seconds) -> ReadLimiter {
+        ReadLimiter { started_at: now(), limit }
     }
 
-    /// Called after each read or line.
-    pub fn pause_if_long(&mut self) {
-        if now() - self.since > self.span {
-            may::coroutine::sleep(seconds(PAUSE));
-            self.since = now();
+    /// Pauses the coroutine if the limit has passed. To be called after each read or line.
+    pub fn pause_if_due(&mut self) {
+        if now() - self.started_at > self.limit {
+            may::coroutine::sleep(seconds(READ_PAUSE));
+            self.started_at = now();
         }
     }
 }
--- /dev/null
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -0,0 +1,58 @@
+//! Active health checks: `GET /alive` at a host, each on a connection of its own, as whether a host can be reached is half
+//! of the question.
+//!
+//! What does not fit the queue is dropped and counted; the decisions ask again at each periodic evaluation.
+use crate::descriptors::DescriptorGuard;
+use crate::events::ControllerEvent;
+use crate::shared_state::SharedState;
+use railhub::{HealthCheckOutcome, Seconds};
+use railhub_net::http::{Caller, HttpError};
+use railhub_net::{seconds, Pool};
+use railhub_platform::Probe;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Health checks at once.
+pub const MAX_CONCURRENT: usize = 24;
+/// Health checks that may wait for one that ends: as many as a large deployment has hosts.
+const MAX_QUEUED: usize = 512;
+/// Seconds for a host to answer, each for the connection and for the answer.
+const HEALTH_CHECK_TIMEOUT: Seconds = 0.4;
+/// HTTP status of a host that is up and takes no work.
+const STATUS_UNAVAILABLE: u16 = 503;
+/// Errors that tell of this process, which ran out of something, and nothing of the host.
+const LOCAL_ERRORS: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
+
+/// Runs health checks from a bounded queue.
+pub type HealthChecker = Pool<Probe>;
+
+/// Starts the coroutines that run health checks; outcomes come back as [`ControllerEvent::HealthCheckCompleted`].
+pub fn start(shared: &Arc<SharedState>) -> HealthChecker {
+    let shared = shared.clone();
+    Pool::start(MAX_CONCURRENT, MAX_QUEUED, move |probe: Probe| {
+        let _descriptor = DescriptorGuard::count(&shared.descriptors.health_checks);
+        match check(probe.address) {
+            Some(outcome) => shared.inbox.tell(ControllerEvent::HealthCheckCompleted(probe, outcome)),
+            None => shared.rejections.record("probe answer"),
+        }
+    })
+}
+
+/// `None`: what happened proves nothing of the host.
+fn check(address: SocketAddr) -> Option<HealthCheckOutcome> {
+    match Caller::new(address, seconds(HEALTH_CHECK_TIMEOUT)).call("GET", "/alive", &[]) {
+        Ok(_) => Some(HealthCheckOutcome::Answered),
+        Err(HttpError::Status(STATUS_UNAVAILABLE)) => Some(HealthCheckOutcome::Rejected),
+        Err(HttpError::Silent | HttpError::Status(_)) => Some(HealthCheckOutcome::Failed),
+        Err(HttpError::Unreached(error)) if is_local(&error) => None,
+        Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended) => {
+            Some(HealthCheckOutcome::Unreachable)
+        }
+        Err(HttpError::Malformed(_)) => None,
+    }
+}
+
+fn is_local(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
+}
--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -1,92 +1,54 @@
-//! The steward on the operators' platform: sockets, signals, the run.
+//! The controller on the operators' platform: sockets, signals, the run.
 //!
-//! Who owns what: one thread ([`owner`]) owns the [`railhub_platform::PlatformController`], fed by a bounded inbox. Every
-//! connection is one coroutine on the one worker: collectors and strangers ([`listener`]), the relay's news and
-//! calls ([`relay`]), discovery's watch ([`watch`]), probes ([`probes`]). [`signals`] reads the file anew.
+//! Owns: one thread ([`controller_thread`]) owns the [`railhub_platform::PlatformController`], fed by a bounded inbox
+//! ([`events`]). Every connection is one coroutine on the one worker: inbound ones ([`listener`]), the relay's
+//! subscription and calls ([`relay`]), the discovery watch ([`discovery_watch`]), health checks ([`health_checks`]).
+//! [`signals`] reloads the configuration. What they share is in [`shared_state`].
 //!
-//! The way of one decision: a report, a piece of news or a turn makes the owner run a round; the module's orders
-//! wait at the controller; the owner hands one call at a time to the caller and settles it by its answer.
+//! The way of a load report:
+//! 1. a collector's session ([`listener`]) reads, checks and queues it;
+//! 2. the controller thread wakes within 0.2 s and gives it to the controller;
+//! 3. the next batch of the decisions takes it into account; the commands that they decide wait at the controller.
+//!
+//! The way of a page of the endpoint list:
+//! 1. the [`discovery_watch`] reads a line, takes one of the page permits and queues the page, which wakes the thread;
+//! 2. the controller applies it, or ignores it as older than the list it has, in which case the watch is restarted;
+//! 3. the thread returns the permit and publishes the list's generation, from which the next watch resumes.
+//!
+//! The way of a call to the relay:
+//! 1. the controller puts commands that wait into one call; no other is in flight;
+//! 2. the call's coroutine ([`relay`]) writes it and reads the answer against a time-out;
+//! 3. the outcome comes back as an event: accepted commands are settled, rejected ones wait for the next call, and after
+//!    an unknown outcome the subscription is closed, so that a new snapshot shows what was carried out.
+#![warn(missing_docs)]
+mod active_connection;
+mod addresses;
+mod call_timing;
 mod clock;
+mod config_file;
+mod connect_backoff;
+mod controller_thread;
+mod descriptors;
+mod discovery_watch;
+mod error;
+mod events;
 mod fairness;
-mod figures;
-pub mod health;
+mod follower;
+mod health_checks;
 mod listener;
-mod monitor;
 pub mod outage_log;
-mod owner;
-mod patience;
-mod probes;
+mod outage_monitor;
+pub mod peer_health;
+mod process;
+mod rejections;
 mod relay;
-mod shared;
+mod run;
+mod shared_state;
 mod signals;
-mod watch;
+mod status;
+mod status_log;
 
+pub use config_file::read_config;
+pub use error::RunError;
+pub use run::run;
 pub use signals::Signals;
-
-use railhub_platform::NodeConfig;
-use std::path::Path;
-use thiserror::Error;
-
-/// Stacks kept for the next coroutine: a steward here has some hundred connections at most.
-const KEPT_STACKS: usize = 64;
-
-#[derive(Debug, Error)]
-pub enum RunError {
-    #[error("{0}: {1}")]
-    File(String, std::io::Error),
-    #[error("{0}: {1}")]
-    NodeConfig(String, railhub_platform::assignment::ConfigError),
-    #[error("cannot listen on {0}: {1}")]
-    Listen(std::net::SocketAddr, std::io::Error),
-    #[error("cannot start: {0}")]
-    Start(std::io::Error),
-}
-
-pub fn read(path: &Path) -> Result<NodeConfig, RunError> {
-    let shown = || path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| RunError::File(shown(), e))?;
-    NodeConfig::read(&text).map_err(|e| RunError::NodeConfig(shown(), e))
-}
-
-/// Runs the steward that the file tells of, until a signal ends it.
-pub fn run(path: &Path, signals: Signals) -> Result<(), RunError> {
-    end_on_panic();
-    let assignment = read(path)?;
-    let spoilt = assignment.known.spoilt.len();
-    if spoilt > 0 {
-        // A start that is refused for it would leave nobody in charge.
-        tracing::warn!(spoilt, "entries of the known list cannot be read: the list is asked for whole");
-    }
-    railhub_net::start_small(KEPT_STACKS);
-    one_heap();
-    let shared = shared::Shared::new(&assignment);
-    let calls = relay::Calls::start(&shared);
-    let probes = probes::start(&shared);
-    let owner = owner::Owner::new(&assignment, &shared, calls, probes);
-    let _listener = listener::open(&assignment, &shared)?;
-    tracing::info!(name = assignment.name, address = %assignment.listen, "the steward listens");
-    relay::follow(&shared);
-    watch::follow(&shared);
-    signals.watch(path.to_owned(), shared.clone()).map_err(RunError::Start)?;
-    let thread = std::thread::Builder::new().name("owner".into()).spawn(move || owner.run());
-    thread.map_err(RunError::Start)?;
-    figures::tell(&shared, &assignment)
-}
-
-/// A panic anywhere ends the process with a word: half a steward is worse than none, which is started again.
-fn end_on_panic() {
-    std::panic::set_hook(Box::new(|info| {
-        eprintln!("the steward ends: {info}");
-        // SAFETY: ends the process at once; nothing here is needed after it.
-        unsafe { libc::_exit(101) }
-    }));
-}
-
-/// Threads share one heap: memory is short, and a heap for each would keep its own free pages.
-fn one_heap() {
-    // SAFETY: sets a number of the allocator's.
-    unsafe { libc::mallopt(libc::M_ARENA_MAX, 1) };
-}
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -0,0 +1,136 @@
+//! Calls to the relay, one at a time.
+use crate::connect_backoff::CONNECT_TIMEOUT;
+use crate::descriptors::DescriptorGuard;
+use crate::events::ControllerEvent;
+use crate::relay::error::RelayError;
+use crate::relay::line_reader::{new_lines, next_line};
+use crate::shared_state::SharedState;
+use may::net::TcpStream;
+use may::sync::Semphore;
+use railhub::Seconds;
+use railhub_net::{dial, go, now, Guard};
+use railhub_platform::orders::Call;
+use railhub_platform::relay_events::{self, Answer};
+use railhub_proto::Lines;
+use std::io::{ErrorKind, Write};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+
+/// Seconds for the answer to a call: the relay gives it within 0.05 s or never; the rest is for our own lateness on part
+/// of a core.
+const CALL_TIMEOUT: Seconds = 0.25;
+/// Seconds a connection for calls may be idle and be used again: the relay closes idle ones by and by, and a call that
+/// meets a closed one would have an unknown outcome.
+const MAX_IDLE: Seconds = 1.0;
+/// Bytes of an invalid answer that the error shows.
+const MAX_ANSWER_SHOWN: usize = 200;
+
+/// Hands calls to the coroutine that makes them.
+pub struct CallSender {
+    slot: Arc<CallSlot>,
+}
+
+/// Holds the call that is to be made next: the controller thread has one in flight at most.
+struct CallSlot {
+    next: Mutex<Option<Call>>,
+    filled: Semphore,
+}
+
+impl CallSlot {
+    fn put(&self, call: Call) {
+        *self.next.lock().expect("no holder panics") = Some(call);
+        self.filled.post();
+    }
+
+    fn wait(&self) -> Option<Call> {
+        self.filled.wait();
+        self.next.lock().expect("no holder panics").take()
+    }
+}
+
+impl CallSender {
+    /// Starts the coroutine that makes calls.
+    pub fn start(shared: &Arc<SharedState>) -> CallSender {
+        let slot = Arc::new(CallSlot { next: Mutex::new(None), filled: Semphore::new(0) });
+        let mut caller = RelayCaller { shared: shared.clone(), kept: None };
+        let calls = slot.clone();
+        go(move || loop {
+            if let Some(call) = calls.wait() {
+                caller.make(&call);
+            }
+        });
+        CallSender { slot }
+    }
+
+    /// Sends a call; its outcome comes back as [`ControllerEvent::CallCompleted`].
+    pub fn send(&self, call: Call) {
+        self.slot.put(call);
+    }
+}
+
+struct RelayCaller {
+    shared: Arc<SharedState>,
+    kept: Option<CallConnection>,
+}
+
+struct CallConnection {
+    address: SocketAddr,
+    last_used_at: Seconds,
+    stream: TcpStream,
+    lines: Lines,
+}
+
+impl RelayCaller {
+    fn make(&mut self, call: &Call) {
+        let answer = match self.exchange(call) {
+            Ok(answer) => Some(answer),
+            Err(why) => {
+                tracing::info!(%why, id = call.id, "a call has no known end");
+                None
+            }
+        };
+        self.shared.inbox.tell(ControllerEvent::CallCompleted(answer));
+    }
+
+    fn exchange(&mut self, call: &Call) -> Result<Answer, RelayError> {
+        let mut connection = self.connection()?;
+        let _descriptor = DescriptorGuard::count(&self.shared.descriptors.relay);
+        let guard = Guard::both_ways(&connection.stream, CALL_TIMEOUT);
+        connection.stream.write_all(&call.bytes).map_err(RelayError::Io)?;
+        let parse = |line: &[u8]| parse_answer(line, call);
+        let answer = next_line(&mut connection.stream, &guard, &mut connection.lines, parse)??;
+        connection.last_used_at = now();
+        self.kept = guard.let_go().then_some(connection);
+        Ok(answer)
+    }
+
+    /// The kept connection if it can be used, or a new one.
+    fn connection(&mut self) -> Result<CallConnection, RelayError> {
+        let address = self.shared.addresses.get().relay;
+        if let Some(kept) = self.kept.take().filter(|kept| kept.is_reusable(address)) {
+            return Ok(kept);
+        }
+        let stream = dial(address, CONNECT_TIMEOUT).map_err(RelayError::Connect)?;
+        Ok(CallConnection { address, last_used_at: now(), stream, lines: new_lines() })
+    }
+}
+
+impl CallConnection {
+    /// Whether it leads to this address, was used lately, is open, and brought nothing since its last answer: a call on
+    /// one that the relay has closed would have an unknown outcome, and what came unasked would pass for its answer.
+    fn is_reusable(&self, address: SocketAddr) -> bool {
+        self.address == address && now() - self.last_used_at < MAX_IDLE && self.has_nothing_to_read()
+    }
+
+    fn has_nothing_to_read(&self) -> bool {
+        let peeked = self.stream.inner().peek(&mut [0]);
+        peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+    }
+}
+
+fn parse_answer(line: &[u8], call: &Call) -> Result<Answer, RelayError> {
+    relay_events::answer(line, call.id, call.count).map_err(|reason| {
+        let shown = &line[..line.len().min(MAX_ANSWER_SHOWN)];
+        RelayError::InvalidAnswer { reason, line_start: String::from_utf8_lossy(shown).into_owned() }
+    })
+}
--- /dev/null
+++ b/crates/railhub-platform-net/src/relay/line_reader.rs
@@ -0,0 +1,45 @@
+//! Reads lines of the relay against a time-out.
+use crate::relay::error::RelayError;
+use may::net::TcpStream;
+use railhub_net::Guard;
+use railhub_platform::relay_events::LINE_LIMIT;
+use railhub_proto::Lines;
+use std::io::Read;
+
+/// Bytes read at once: on the coroutine's stack, so small.
+const READ_BUFFER_SIZE: usize = 2048;
+
+/// Lines of [`LINE_LIMIT`] bytes at most.
+pub fn new_lines() -> Lines {
+    Lines::new(LINE_LIMIT)
+}
+
+/// What `parse` makes of the next line.
+///
+/// # Errors
+/// [`RelayError::Silent`] once the guard has fired and no complete line came before; otherwise why the connection ended.
+pub fn next_line<T>(
+    stream: &mut TcpStream,
+    guard: &Guard,
+    lines: &mut Lines,
+    parse: impl FnOnce(&[u8]) -> T,
+) -> Result<T, RelayError> {
+    loop {
+        if lines.has_line().map_err(RelayError::LineTooLong)? {
+            // Bytes that never make a line are no sign of life.
+            guard.heard();
+            return Ok(lines.line(parse));
+        }
+        let mut bytes = [0; READ_BUFFER_SIZE];
+        match stream.read(&mut bytes) {
+            // What came completely just as the guard fired counts.
+            Ok(count) if count > 0 => lines.push(&bytes[..count]),
+            _ if guard.fired() => return Err(RelayError::Silent),
+            Ok(_) => return Err(RelayError::Closed),
+            Err(error) => return Err(RelayError::Io(error)),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/railhub-platform-net/src/relay/tests.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader/tests.rs
@@ -1,5 +1,7 @@
 //! Reading a line against its time-out.
 use super::*;
+use railhub_net::{dial, go, seconds};
+use std::io::Write;
 use std::sync::mpsc::channel;
 
 #[test]
@@ -20,7 +22,7 @@
                 may::coroutine::sleep(seconds(0.001));
             }
             let read = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
-            let mut lines = Lines::new(relay_events::LINE_LIMIT);
+            let mut lines = new_lines();
             sender.send(next_line(&mut stream, &guard, &mut lines, read)).expect("still read");
         });
         let (mut peer, _) = listener.accept().expect("it dials");
--- /dev/null
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -0,0 +1,152 @@
+//! The subscription to the relay's events.
+//!
+//! States of a connection: requested (until the relay confirms), active (each line is an event; it may be silent only
+//! for a while), ended.
+use crate::addresses::Addresses;
+use crate::connect_backoff::CONNECT_TIMEOUT;
+use crate::descriptors::DescriptorGuard;
+use crate::events::ControllerEvent;
+use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
+use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
+use crate::peer_health::UsableConnection;
+use crate::relay::error::RelayError;
+use crate::relay::line_reader::{new_lines, next_line};
+use crate::shared_state::SharedState;
+use may::net::TcpStream;
+use railhub::Seconds;
+use railhub_net::{dial, go, Guard};
+use railhub_platform::relay_events::{self, RelayEvent, SubscriptionId};
+use railhub_platform::InvalidEntry;
+use railhub_proto::Lines;
+use std::io::Write;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+/// Seconds an active subscription may be silent: a sign of life comes each second.
+const SILENCE_TIMEOUT: Seconds = 2.5;
+/// Seconds at most for a slow relay's answer to the subscription: short, as one that was cut off and is back may never
+/// answer what was asked meanwhile.
+const MAX_SUBSCRIPTION_TIMEOUT: Seconds = 5.0;
+/// Seconds between attempts while the relay is out of reach.
+const RETRY_INTERVAL: Seconds = 0.15;
+
+const TIMEOUTS: FollowerTimeouts = FollowerTimeouts {
+    silence: SILENCE_TIMEOUT,
+    max_first_answer: MAX_SUBSCRIPTION_TIMEOUT,
+    retry_interval: RETRY_INTERVAL,
+};
+
+/// Starts a follower of the relay whose address is in force now; an earlier follower ends by itself.
+pub fn follow(shared: &Arc<SharedState>) {
+    let shared = shared.clone();
+    let addresses = shared.addresses.get();
+    go(move || {
+        let connect = |attempts: &mut ConnectionAttempts| follow_once(&shared, addresses, attempts);
+        let log_failure = |why: &RelayError| {
+            tracing::warn!(%why, "the relay's news ended: what was told holds until it is back");
+        };
+        follow_peer(&shared, addresses.version, &shared.relay_health, &TIMEOUTS, connect, log_failure);
+    });
+}
+
+/// One subscription, from its announcement to its end.
+fn follow_once(shared: &SharedState, addresses: Addresses, attempts: &mut ConnectionAttempts) -> RelayError {
+    let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
+    let id = SubscriptionId { file: addresses.version, count };
+    // The controller thread knows before the relay can.
+    shared.inbox.tell(ControllerEvent::SubscriptionRequested(id));
+    let Err(error) = subscribe(shared, addresses, id, attempts);
+    shared.inbox.tell(ControllerEvent::SubscriptionEnded(id));
+    error
+}
+
+/// Runs until the connection fails.
+fn subscribe(
+    shared: &SharedState,
+    addresses: Addresses,
+    id: SubscriptionId,
+    attempts: &mut ConnectionAttempts,
+) -> Result<std::convert::Infallible, RelayError> {
+    let mut stream = dial(addresses.relay, CONNECT_TIMEOUT).map_err(RelayError::Connect)?;
+    let _descriptor = DescriptorGuard::count(&shared.descriptors.relay);
+    let guard = Guard::both_ways(&stream, attempts.first_answer_timeout());
+    shared.relay_counters.subscriptions.fetch_add(1, Ordering::Relaxed);
+    stream.write_all(&relay_events::subscribe(id.count)).map_err(RelayError::Subscribe)?;
+    let mut connection = Subscription {
+        shared,
+        addresses,
+        id,
+        lines: new_lines(),
+        state: SubscriptionState::Requested,
+        guard,
+        stream,
+    };
+    let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
+    loop {
+        connection.receive(attempts)?;
+        limiter.pause_if_due();
+    }
+}
+
+enum SubscriptionState<'a> {
+    /// The relay has not confirmed it.
+    Requested,
+    /// The relay has confirmed it: it counts as usable until this is dropped.
+    Active { _usable: UsableConnection<'a> },
+}
+
+struct Subscription<'a> {
+    shared: &'a SharedState,
+    addresses: Addresses,
+    id: SubscriptionId,
+    lines: Lines,
+    state: SubscriptionState<'a>,
+    /// Before the stream, so that it is dropped first.
+    guard: Guard,
+    stream: TcpStream,
+}
+
+impl Subscription<'_> {
+    /// Receives one event and sends it on.
+    fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
+        let read = next_line(&mut self.stream, &self.guard, &mut self.lines, relay_events::read);
+        let event = match read {
+            Ok(Ok(event)) => event,
+            Ok(Err(invalid)) => return Err(self.reject(invalid)),
+            Err(error) => return Err(self.on_read_error(error, attempts)),
+        };
+        if event == RelayEvent::Subscribed {
+            self.activate(attempts)?;
+        }
+        tracing::trace!(source = self.id.count, news = ?event, "news");
+        self.shared.inbox.tell(ControllerEvent::RelayEvent(self.id, event));
+        Ok(())
+    }
+
+    /// The relay has confirmed the subscription: it takes the place of an earlier one.
+    fn activate(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
+        self.guard = Guard::both_ways(&self.stream, SILENCE_TIMEOUT);
+        if !self.shared.subscription.activate(self.addresses.version, self.guard.closer()) {
+            return Err(RelayError::Superseded);
+        }
+        attempts.on_answer();
+        self.state = SubscriptionState::Active { _usable: self.shared.relay_health.connection_usable() };
+        let (source, relay) = (self.id.count, self.addresses.relay);
+        tracing::info!(source, %relay, "subscribed to the relay's news");
+        Ok(())
+    }
+
+    fn reject(&self, invalid: InvalidEntry) -> RelayError {
+        self.shared.rejections.record("news that cannot be read");
+        RelayError::InvalidEvent(invalid)
+    }
+
+    fn on_read_error(&self, error: RelayError, attempts: &mut ConnectionAttempts) -> RelayError {
+        let unanswered = matches!(self.state, SubscriptionState::Requested);
+        if unanswered && matches!(error, RelayError::Silent) {
+            attempts.on_first_answer_timeout();
+            return RelayError::SubscriptionTimeout;
+        }
+        error
+    }
+}
--- a/crates/railhub-platform-net/src/signals.rs
+++ b/crates/railhub-platform-net/src/signals.rs
@@ -1,47 +1,51 @@
-//! SIGTERM ends the process well and at once; SIGHUP makes it read its file anew.
-use crate::shared::Shared;
+//! SIGTERM ends the process at once; SIGHUP reloads the configuration.
+use crate::config_file::read_config;
+use crate::process::exit_now;
+use crate::shared_state::SharedState;
+use crate::{discovery_watch, relay};
+use railhub_platform::NodeConfig;
 use signal_hook::consts::{SIGHUP, SIGTERM};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Signals are held from when this is made until they are watched.
+/// The signals, held from when this is made until they are handled.
 pub struct Signals(signal_hook::iterator::Signals);
 
 impl Signals {
-    /// To be called first in the process: before it, a signal would end it the hard way.
+    /// Starts to hold the signals. To be called first in the process: before it, a signal ends it the system's way.
+    ///
+    /// # Errors
+    /// If the system refuses a handler.
     pub fn take() -> std::io::Result<Signals> {
         signal_hook::iterator::Signals::new([SIGHUP, SIGTERM]).map(Signals)
     }
 
-    pub(crate) fn watch(mut self, path: PathBuf, shared: Arc<Shared>) -> std::io::Result<()> {
-        let watching = move || {
+    /// Handles the signals, those held first, on a thread of its own.
+    pub(crate) fn handle(mut self, path: PathBuf, shared: Arc<SharedState>) -> std::io::Result<()> {
+        let handle_each = move || {
             for signal in self.0.forever() {
                 if signal == SIGTERM {
-                    end();
+                    exit_now();
                 }
-                read_anew(&path, &shared);
+                reload(&path, &shared);
             }
         };
-        std::thread::Builder::new().name("signals".into()).spawn(watching).map(drop)
+        std::thread::Builder::new().name("signals".into()).spawn(handle_each).map(drop)
     }
 }
 
-/// Ends at once and well. Not by `exit`, whose handlers would run while the other threads go on with what they free;
-/// nothing is kept back for them: logs are written as they come, and what is ordered leaves within a round.
-fn end() -> ! {
-    // SAFETY: ends the process; nothing here is needed after it.
-    unsafe { libc::_exit(0) }
-}
-
-/// New addresses count at once; the old connections go when the new ones stand. A bad file changes nothing.
-fn read_anew(path: &std::path::Path, shared: &Arc<Shared>) {
-    match crate::read(path) {
-        Ok(new) => {
-            let addresses = shared.move_to(new.relay, new.discovery);
-            tracing::info!(relay = %addresses.relay, discovery = %addresses.discovery, "a new file counts");
-            crate::relay::follow(shared);
-            crate::watch::follow(shared);
-        }
+/// Reads the configuration again and puts its addresses in force. An invalid file changes nothing.
+fn reload(path: &Path, shared: &Arc<SharedState>) {
+    match read_config(path) {
+        Ok(config) => apply_addresses(&config, shared),
         Err(fault) => tracing::error!(%fault, "the new file is not used: the old one holds"),
     }
 }
+
+/// The new addresses count at once; the old connections are closed when the new ones are active.
+fn apply_addresses(config: &NodeConfig, shared: &Arc<SharedState>) {
+    let addresses = shared.addresses.replace(config.relay, config.discovery);
+    tracing::info!(relay = %addresses.relay, discovery = %addresses.discovery, "a new file counts");
+    relay::follow(shared);
+    discovery_watch::follow(shared);
+}
--- a/crates/railhub-platform-net/tests/outage_log.rs
+++ b/crates/railhub-platform-net/tests/outage_log.rs
@@ -1,6 +1,6 @@
 //! When an outage is logged: not at once, once for each cause, then seldom, whatever it flaps between.
-use railhub_platform_net::health::Outage;
-use railhub_platform_net::outage_log::{Notice, OutageLog, GRACE, REMINDER_INTERVAL};
+use railhub_platform_net::outage_log::{OutageLog, OutageNotice, GRACE_PERIOD, REMINDER_INTERVAL};
+use railhub_platform_net::peer_health::Outage;
 
 fn refused() -> Option<Outage> {
     Some(Outage { since: 100.0, cause: "refused".into() })
@@ -13,18 +13,18 @@
         .map(|second| 100.0 + f64::from(second))
         .filter(|now| log.check(*now, refused()).is_some())
         .collect();
-    let first = 100.0 + GRACE;
+    let first = 100.0 + GRACE_PERIOD;
     let reminders = [1.0, 2.0, 3.0].map(|count| first + count * REMINDER_INTERVAL);
     assert_eq!(logged, [[first].as_slice(), &reminders].concat());
-    assert_eq!(log.check(301.0, None), Some(Notice::Ended { seconds: 201.0 }));
+    assert_eq!(log.check(301.0, None), Some(OutageNotice::Ended { elapsed: 201.0 }));
     assert_eq!(log.check(302.0, None), None);
 }
 
 #[test]
 fn logs_nothing_of_an_outage_that_ends_soon() {
     let mut log = OutageLog::default();
-    assert_eq!(log.check(100.0 + GRACE - 0.1, refused()), None);
-    assert_eq!(log.check(100.0 + GRACE, None), None);
+    assert_eq!(log.check(100.0 + GRACE_PERIOD - 0.1, refused()), None);
+    assert_eq!(log.check(100.0 + GRACE_PERIOD, None), None);
 }
 
 #[test]
