--- a/crates/railhub-cli/tests/crossings.rs
+++ b/crates/railhub-cli/tests/crossings.rs
@@ -382,7 +382,7 @@
         let _ = stream.read(&mut [0; 64]);
     };
     assert!(after.contains("after=3 ") && began.elapsed() > Duration::from_secs(5), "{after}");
-    assert!(steward.says("a list older than the one known"));
+    assert!(steward.says("discovery sent an older list than the known one"));
 }
 
 #[test]
--- a/crates/railhub-cli/tests/platform.rs
+++ b/crates/railhub-cli/tests/platform.rs
@@ -192,7 +192,9 @@
     });
     std::fs::write(&steward.file, "{\"name\":").expect("writable");
     steward.signal(libc::SIGHUP);
-    eventually("the bad file is told of", || steward.says("the old one holds"));
+    eventually("the bad file is told of", || {
+        steward.says("configuration reload failed, keeping the current one")
+    });
     assert!(steward.try_ping() && steward.ended().is_none());
     let new: Vec<_> = (0..2).map(|_| (Relay::start(), discovery())).collect();
     for (relay, (discovery, watches)) in &new {
@@ -216,7 +218,7 @@
     eventually("subscribed", || relay.subscribed() == 1);
     relay.set(Mood::Mute);
     eventually("it dials again", || relay.subscribed() == 2);
-    assert!(steward.says("silent for too long"));
+    assert!(steward.says("relay silent for too long"));
 }
 
 #[test]
@@ -237,7 +239,7 @@
         asked[0].contains("after=41 ") && asked[1..].iter().all(|ask| ask.contains("after=50 ")),
         "{asked:?}"
     );
-    assert!(steward.says("generation=50") && !steward.says("generation=51"));
+    assert!(steward.says("endpoint list updated generation=50") && !steward.says("generation=51"));
 }
 
 #[test]
--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -156,12 +156,14 @@
     let address = own_address();
     let steward = start_steward("relay-away", |listen| file_text(listen, address, ScriptedDiscovery::idle()));
     eventually("the outage is logged", || {
-        steward.says("no relay subscription for 5 s: cannot connect: Connection refused")
+        steward.says(
+            "relay subscription down elapsed_s=5 cause=\"cannot connect to the relay: Connection refused",
+        )
     });
     assert!(steward.try_ping());
     let relay = ServingRelay::start_at(address, RelayDelays::default());
     eventually("it orders", || relay.has_call_with("\"table\":3"));
-    eventually("the end is logged", || steward.says("the relay subscription stands again"));
+    eventually("the end is logged", || steward.says("relay subscription restored"));
 }
 
 #[test]
@@ -171,7 +173,8 @@
         start_steward("relay-mute", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
     let first = relay.subscriber();
     eventually("the outage is logged", || {
-        steward.says("no relay subscription for") && steward.says("s: no answer to the subscription")
+        steward.says("relay subscription down elapsed_s=")
+            && steward.says(" cause=\"no answer from the relay to the subscription\"")
     });
     // The latest of those that waited; the others were given up.
     let mut news = relay.subscriber();
@@ -201,9 +204,9 @@
     news.send(&(SUBSCRIBED.to_owned() + &slice_with_owner(3, "s-1")));
     let mut writer = news.writer();
     news.keep_alive();
-    eventually("the outage is logged", || steward.says("subscribed, but no proxy has joined for 5 s"));
+    eventually("the outage is logged", || steward.says("no proxy joined elapsed_s=5"));
     writer.write_all((joined(1) + &slice_with_owner(5, "s-1")).as_bytes()).expect("the steward reads");
-    eventually("the end is logged", || steward.says("proxies have joined"));
+    eventually("the end is logged", || steward.says("proxies joined or relay subscription ended elapsed_s="));
     eventually("it orders", || relay.has_call_with("\"table\":5"));
 }
 
@@ -215,14 +218,15 @@
         start_steward("discovery-mute", |listen| file_text(listen, relay.address, discovery.address));
     let unanswered = discovery.watch();
     eventually("the outage is logged", || {
-        steward.says("no word from discovery for") && steward.says("s: no answer in time")
+        steward.says("discovery watch down elapsed_s=")
+            && steward.says(" cause=\"discovery: no answer in time\"")
     });
     let mut watch = discovery.watch();
     let hosts = [scripted::instance("s-1", "ready"), scripted::instance("s-3", "ready")];
     watch.send(&(scripted::WATCH_HEAD.to_owned() + &chunk(&page(50, true, &hosts))));
     watch.keep_alive();
     eventually("its list counts", || relay.has_call_with("\"s-3\""));
-    eventually("the end is logged", || steward.says("discovery is heard again"));
+    eventually("the end is logged", || steward.says("discovery watch restored"));
     drop(unanswered);
 }
 
@@ -232,7 +236,7 @@
     let steward = start_steward("no-hosts", |listen| {
         file_with_hosts(listen, relay.address, ScriptedDiscovery::idle(), &[])
     });
-    eventually("it is logged", || steward.says("no host is listed for 5 s"));
+    eventually("it is logged", || steward.says("endpoint list empty elapsed_s=5"));
 }
 
 #[test]
--- a/crates/railhub-platform-net/src/call_timing.rs
+++ b/crates/railhub-platform-net/src/call_timing.rs
@@ -46,8 +46,8 @@
     pub fn on_answer(&mut self, now: Seconds) {
         if !self.any_answered {
             self.any_answered = true;
-            let after = now - self.started_at;
-            tracing::info!(after, "the relay has answered the first call");
+            let elapsed_s = now - self.started_at;
+            tracing::info!(elapsed_s, "first call answered");
         }
         self.call_latency.record(now - self.sent_at);
         if let Some(report_at) = self.in_flight_report_at.take() {
--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -102,20 +102,21 @@
     }
 
     fn on_endpoint_page(&mut self, page: &EndpointPage) {
-        let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
+        let generation = page.generation;
         if self.controller.hear_page(now(), page) {
-            tracing::info!(generation, hosts, whole, "the host list has news");
+            let (entries, complete) = (page.entries.len(), page.whole);
+            tracing::info!(generation, entries, complete, "endpoint list updated");
         } else if generation < self.controller.generation() {
             // An older configuration's watch overtook it: what this watch tells next would build on a page that was not
             // applied.
-            tracing::info!(generation, "a page is older than the list: the watch asks anew");
+            tracing::info!(generation, "stale endpoint page, restarting the discovery watch");
             self.shared.discovery_watch.close();
         }
         self.shared.page_permits.post();
     }
 
     fn on_health_check(&mut self, probe: &Probe, outcome: HealthCheckOutcome) {
-        tracing::debug!(host = %probe.host, end = ?outcome, "probe");
+        tracing::debug!(host = %probe.host, ?outcome, "health check");
         self.controller.hear_probe(probe, outcome);
     }
 
@@ -142,11 +143,11 @@
             self.timing.on_report();
             match report {
                 LoadReport::Host(report) => {
-                    tracing::debug!(sum = ?report, "tries");
+                    tracing::debug!(?report, "host load report");
                     self.controller.hear_tries(report);
                 }
                 LoadReport::Slice(report) => {
-                    tracing::trace!(sum = ?report, "demand");
+                    tracing::trace!(?report, "slice load report");
                     self.controller.hear_demand(report);
                 }
             }
@@ -167,8 +168,8 @@
         }
         self.batches += effects.rounds;
         self.longest_batch = self.longest_batch.max(now() - started_at);
-        if let Some(why) = self.controller.must_ask_anew() {
-            tracing::warn!(why, "what the relay holds is asked for anew");
+        if let Some(reason) = self.controller.must_ask_anew() {
+            tracing::warn!(reason, "resubscribing to the relay for a new snapshot");
             self.shared.subscription.close();
         }
     }
@@ -208,6 +209,6 @@
 }
 
 fn log_call(call: &Call) {
-    tracing::debug!(id = call.id, orders = call.count, bytes = call.bytes.len(), "a call leaves");
-    tracing::trace!(said = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
+    tracing::debug!(id = call.id, commands = call.count, bytes = call.bytes.len(), "call sent");
+    tracing::trace!(id = call.id, line = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
 }
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -12,6 +12,7 @@
 use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
 use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
 use crate::peer_health::UsableConnection;
+use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
 use railhub::Seconds;
 use railhub_net::go;
@@ -19,6 +20,7 @@
 use railhub_platform::{discovery, EndpointPage, InvalidEntry};
 use std::convert::Infallible;
 use std::sync::Arc;
+use thiserror::Error;
 
 /// Seconds a watch may be silent: an empty line comes every 2.
 const SILENCE_TIMEOUT: Seconds = 4.5;
@@ -34,6 +36,26 @@
     retry_interval: RETRY_INTERVAL,
 };
 
+/// Why a watch ended, or could not be opened.
+#[derive(Debug, Error)]
+enum WatchError {
+    /// The connection could not be opened, broke or was silent for too long.
+    #[error("discovery: {0}")]
+    Feed(#[source] HttpError),
+    /// A newer configuration's watch is active.
+    #[error("superseded by the watch of a newer configuration")]
+    Superseded,
+    /// A page is invalid.
+    #[error("discovery sent an invalid page: {0}")]
+    InvalidPage(#[source] InvalidEntry),
+    /// A page has an invalid entry.
+    #[error("discovery sent an invalid entry")]
+    InvalidEntry,
+    /// A page is older than the one before, or than the list that the watch resumed from.
+    #[error("discovery sent an older list than the known one")]
+    StalePage,
+}
+
 /// Starts a follower of the discovery whose address is in force now; an earlier follower ends by itself.
 pub fn follow(shared: &Arc<SharedState>) {
     let shared = shared.clone();
@@ -43,8 +65,8 @@
             let Err(error) = watch(&shared, addresses, attempts);
             error
         };
-        let log_failure = |fault: &HttpError| {
-            tracing::warn!(%fault, "discovery's watch ended: the last list holds");
+        let log_failure = |error: &WatchError| {
+            tracing::warn!(discovery = %addresses.discovery, %error, "discovery watch ended");
         };
         follow_peer(&shared, addresses.version, &shared.discovery_health, &TIMEOUTS, connect, log_failure);
     });
@@ -56,16 +78,16 @@
     shared: &SharedState,
     addresses: Addresses,
     attempts: &mut ConnectionAttempts,
-) -> Result<Infallible, HttpError> {
+) -> Result<Infallible, WatchError> {
     let generation = shared.endpoint_generation();
     let path = format!("/discovery/hosts?watch=1&after={generation}");
     let feed = Feed::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
     let feed = feed.map_err(|error| unanswered(error, attempts))?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.discovery);
     if !shared.discovery_watch.activate(addresses.version, feed.closer()) {
-        return Err(HttpError::Ended);
+        return Err(WatchError::Superseded);
     }
-    tracing::info!(discovery = %addresses.discovery, after = generation, "watching the list");
+    tracing::info!(discovery = %addresses.discovery, after_generation = generation, "discovery watch open");
     let mut watch = Watch { shared, version: addresses.version, generation, state: WatchState::Opened, feed };
     let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
     loop {
@@ -93,7 +115,7 @@
 
 impl Watch<'_> {
     /// Receives one line and sends its page on, if it has one.
-    fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), HttpError> {
+    fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), WatchError> {
         let names = &self.shared.names;
         let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, names));
         let line = match self.feed.line(parse) {
@@ -101,7 +123,7 @@
             Err(error) if matches!(self.state, WatchState::Opened) => {
                 return Err(unanswered(error, attempts));
             }
-            Err(error) => return Err(error),
+            Err(error) => return Err(WatchError::Feed(error)),
         };
         if matches!(self.state, WatchState::Opened) {
             self.state = WatchState::Active { _usable: self.shared.discovery_health.connection_usable() };
@@ -116,21 +138,21 @@
 
     /// Sends a page on; ends the watch if the page is to be asked for again, as the next telling may be readable, or
     /// count by then.
-    fn on_page(&mut self, page: EndpointPage) -> Result<(), HttpError> {
+    fn on_page(&mut self, page: EndpointPage) -> Result<(), WatchError> {
         for _ in &page.spoilt {
-            self.shared.rejections.record("list entry");
+            self.shared.rejections.record(RejectionCause::EndpointEntry);
         }
         let has_invalid_entry = !page.spoilt.is_empty();
         let is_older = page.generation < self.generation;
         self.generation = page.generation;
         if !self.send(page) {
-            return Err(HttpError::Ended);
+            return Err(WatchError::Superseded);
         }
         if has_invalid_entry {
-            return Err(HttpError::Malformed("an entry of the list".into()));
+            return Err(WatchError::InvalidEntry);
         }
         if is_older {
-            return Err(HttpError::Malformed("a list older than the one known".into()));
+            return Err(WatchError::StalePage);
         }
         Ok(())
     }
@@ -149,16 +171,16 @@
         is_current
     }
 
-    fn reject_page(&self, invalid: InvalidEntry) -> HttpError {
-        self.shared.rejections.record("list page");
-        HttpError::Malformed(invalid.to_string())
+    fn reject_page(&self, invalid: InvalidEntry) -> WatchError {
+        self.shared.rejections.record(RejectionCause::EndpointPage);
+        WatchError::InvalidPage(invalid)
     }
 }
 
 /// A connection that ended before its first line.
-fn unanswered(error: HttpError, attempts: &mut ConnectionAttempts) -> HttpError {
+fn unanswered(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
     if matches!(error, HttpError::Silent) {
         attempts.on_first_answer_timeout();
     }
-    error
+    WatchError::Feed(error)
 }
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -4,6 +4,7 @@
 //! What does not fit the queue is dropped and counted; the decisions ask again at each periodic evaluation.
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
+use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::http::{Caller, HttpError};
@@ -34,7 +35,7 @@
         let _descriptor = DescriptorGuard::count(&shared.descriptors.health_checks);
         match check(probe.address) {
             Some(outcome) => shared.inbox.tell(ControllerEvent::HealthCheckCompleted(probe, outcome)),
-            None => shared.rejections.record("probe answer"),
+            None => shared.rejections.record(RejectionCause::HealthCheckResponse),
         }
     })
 }
--- a/crates/railhub-platform-net/src/listener/connection_table.rs
+++ b/crates/railhub-platform-net/src/listener/connection_table.rs
@@ -2,7 +2,7 @@
 //!
 //! States of a connection: unidentified (closed after a while, or for want of room) and joined as a zone's collector
 //! (closed when silent for long, or when too many newer ones of its zone have joined).
-use crate::rejections::Rejections;
+use crate::rejections::{RejectionCause, Rejections};
 use may::net::TcpStream;
 use railhub::{Seconds, ZoneId};
 use railhub_net::{Closer, Guard};
@@ -59,7 +59,7 @@
         let guard = Guard::both_ways(stream, JOIN_TIMEOUT);
         let mut open = self.open.lock().expect("no holder panics");
         if open.by_id.len() >= self.max_connections {
-            rejections.record("no room");
+            rejections.record(RejectionCause::ConnectionLimit);
             open.close_oldest_unidentified()?;
         }
         let id = open.next_id;
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -6,6 +6,7 @@
 use crate::events::LoadReport;
 use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT, UNIDENTIFIED_PEER_READ_LIMIT};
 use crate::listener::connection_table::ConnectionPlace;
+use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
 use may::net::TcpStream;
 use railhub::ZoneId;
@@ -154,14 +155,17 @@
     /// An invalid report of a collector is dropped alone, unless nothing that follows can be trusted.
     fn on_invalid(&self, reason: InvalidEntry, shown: String) -> Next {
         if self.has_joined() && reason != InvalidEntry::Unreadable {
-            self.shared.rejections.record_with_sample(cause(reason), || shown);
+            self.shared.rejections.record_with_sample(RejectionCause::Report(reason), || shown);
             return Next::Continue;
         }
         self.close_with(reason, shown)
     }
 
     fn close_with(&self, reason: InvalidEntry, shown: String) -> Next {
-        let cause = if self.has_joined() { "collector's stream" } else { "stranger" };
+        let cause = match self.peer {
+            Peer::Unidentified => RejectionCause::UnidentifiedPeer,
+            Peer::Collector { .. } => RejectionCause::CollectorStream,
+        };
         self.shared.rejections.record_with_sample(cause, || format!("{reason}: {shown}"));
         self.write(&collector::refusal(reason));
         Next::Close
@@ -177,14 +181,3 @@
         self.stream.inner().write(bytes).is_ok_and(|written| written == bytes.len())
     }
 }
-
-/// The cause under which an invalid report is counted.
-fn cause(reason: InvalidEntry) -> &'static str {
-    match reason {
-        InvalidEntry::Unreadable => "unreadable",
-        InvalidEntry::Fields => "fields",
-        InvalidEntry::Range => "range",
-        InvalidEntry::Unknown => "unknown",
-        InvalidEntry::Kind => "kind",
-    }
-}
--- a/crates/railhub-platform-net/src/outage_monitor.rs
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -36,22 +36,20 @@
     }
 }
 
-/// Starts of the log lines about one kind of outage; the time that it lasts, and a cause, follow.
-struct OutageLines {
+/// The log messages about one kind of outage.
+struct OutageMessages {
     ongoing: &'static str,
     ended: &'static str,
 }
 
-const SUBSCRIPTION: OutageLines =
-    OutageLines { ongoing: "no relay subscription for", ended: "the relay subscription stands again after" };
-const PROXIES: OutageLines = OutageLines {
-    ongoing: "subscribed, but no proxy has joined for",
-    ended: "proxies have joined, or the subscription ended, after",
-};
-const DISCOVERY: OutageLines =
-    OutageLines { ongoing: "no word from discovery for", ended: "discovery is heard again after" };
-const HOSTS: OutageLines =
-    OutageLines { ongoing: "no host is listed for", ended: "hosts are listed again after" };
+const SUBSCRIPTION: OutageMessages =
+    OutageMessages { ongoing: "relay subscription down", ended: "relay subscription restored" };
+const PROXIES: OutageMessages =
+    OutageMessages { ongoing: "no proxy joined", ended: "proxies joined or relay subscription ended" };
+const DISCOVERY: OutageMessages =
+    OutageMessages { ongoing: "discovery watch down", ended: "discovery watch restored" };
+const HOSTS: OutageMessages =
+    OutageMessages { ongoing: "endpoint list empty", ended: "endpoint list has hosts again" };
 
 impl OutageMonitor {
     /// Looks at all of them. The relay's outage explains that no proxy is joined, which is not logged meanwhile.
@@ -66,15 +64,20 @@
     }
 }
 
-fn log(lines: &OutageLines, notice: Option<OutageNotice>) {
+fn log(messages: &OutageMessages, notice: Option<OutageNotice>) {
     match notice {
-        Some(OutageNotice::Ongoing { elapsed, cause }) if cause.is_empty() => {
-            tracing::warn!("{} {elapsed:.0} s", lines.ongoing);
-        }
         Some(OutageNotice::Ongoing { elapsed, cause }) => {
-            tracing::warn!("{} {elapsed:.0} s: {cause}", lines.ongoing);
+            // Where there is no cause, there is no field.
+            let cause = Some(cause.as_str()).filter(|cause| !cause.is_empty());
+            tracing::warn!(elapsed_s = whole_seconds(elapsed), cause, "{}", messages.ongoing);
+        }
+        Some(OutageNotice::Ended { elapsed }) => {
+            tracing::info!(elapsed_s = whole_seconds(elapsed), "{}", messages.ended);
         }
-        Some(OutageNotice::Ended { elapsed }) => tracing::info!("{} {elapsed:.0} s", lines.ended),
         None => {}
     }
 }
+
+fn whole_seconds(elapsed: Seconds) -> u64 {
+    elapsed.round() as u64
+}
--- a/crates/railhub-platform-net/src/process.rs
+++ b/crates/railhub-platform-net/src/process.rs
@@ -7,7 +7,7 @@
 /// than none, which is started again.
 pub fn exit_on_panic() {
     std::panic::set_hook(Box::new(|info| {
-        eprintln!("the steward ends: {info}");
+        eprintln!("controller aborted: {info}");
         // SAFETY: ends the process at once; nothing here is needed after it.
         unsafe { libc::_exit(PANIC_EXIT_CODE) }
     }));
--- a/crates/railhub-platform-net/src/process/tests.rs
+++ b/crates/railhub-platform-net/src/process/tests.rs
@@ -15,5 +15,5 @@
         child.args(["a_panic_in_a_coroutine", "--nocapture"]).env(CHILD, "1").output().expect("it runs");
     let said = String::from_utf8_lossy(&ended.stderr);
     assert_eq!(ended.status.code(), Some(101), "{said}");
-    assert!(said.contains("the steward ends") && said.contains("a coroutine is lost"), "{said}");
+    assert!(said.contains("controller aborted") && said.contains("a coroutine is lost"), "{said}");
 }
--- a/crates/railhub-platform-net/src/relay/calls.rs
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -84,8 +84,8 @@
     fn make(&mut self, call: &Call) {
         let answer = match self.exchange(call) {
             Ok(answer) => Some(answer),
-            Err(why) => {
-                tracing::info!(%why, id = call.id, "a call has no known end");
+            Err(error) => {
+                tracing::info!(id = call.id, %error, "call outcome unknown");
                 None
             }
         };
--- a/crates/railhub-platform-net/src/relay/error.rs
+++ b/crates/railhub-platform-net/src/relay/error.rs
@@ -8,34 +8,34 @@
 #[derive(Debug, Error)]
 pub enum RelayError {
     /// No connection came up.
-    #[error("cannot connect: {0}")]
+    #[error("cannot connect to the relay: {0}")]
     Connect(#[source] io::Error),
     /// The subscription could not be written.
-    #[error("cannot subscribe: {0}")]
+    #[error("cannot send the subscription to the relay: {0}")]
     Subscribe(#[source] io::Error),
     /// The relay did not answer the subscription in time.
-    #[error("no answer to the subscription")]
+    #[error("no answer from the relay to the subscription")]
     SubscriptionTimeout,
     /// A newer configuration's subscription is active.
-    #[error("a new file names another relay")]
+    #[error("superseded by the subscription of a newer configuration")]
     Superseded,
     /// No line came within the time-out.
-    #[error("silent for too long")]
+    #[error("relay silent for too long")]
     Silent,
     /// The relay closed the connection.
-    #[error("closed")]
+    #[error("connection closed by the relay")]
     Closed,
     /// A line is longer than the limit.
-    #[error("{0}")]
+    #[error("line of the relay too long: {0}")]
     LineTooLong(#[source] FrameError),
     /// Reading or writing failed.
-    #[error("{0}")]
+    #[error("connection to the relay failed: {0}")]
     Io(#[source] io::Error),
     /// An event of the subscription is invalid.
-    #[error("news: {0}")]
+    #[error("invalid event from the relay: {0}")]
     InvalidEvent(#[source] InvalidEntry),
     /// The answer to a call is invalid.
-    #[error("{reason}: {line_start}")]
+    #[error("invalid answer from the relay: {reason}: {line_start}")]
     InvalidAnswer {
         /// What is wrong with it.
         reason: InvalidEntry,
--- a/crates/railhub-platform-net/src/relay/line_reader/tests.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader/tests.rs
@@ -8,7 +8,7 @@
 fn an_answer_that_came_whole_before_its_guard_fired_counts_and_one_in_part_does_not() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("silent for too long"))] {
+    for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("relay silent for too long"))] {
         let (sender, receiver) = channel();
         go(move || {
             let mut stream = dial(address, 1.0).expect("it listens");
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -9,6 +9,7 @@
 use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
 use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
 use crate::peer_health::UsableConnection;
+use crate::rejections::RejectionCause;
 use crate::relay::error::RelayError;
 use crate::relay::line_reader::{new_lines, next_line};
 use crate::shared_state::SharedState;
@@ -42,8 +43,8 @@
     let addresses = shared.addresses.get();
     go(move || {
         let connect = |attempts: &mut ConnectionAttempts| follow_once(&shared, addresses, attempts);
-        let log_failure = |why: &RelayError| {
-            tracing::warn!(%why, "the relay's news ended: what was told holds until it is back");
+        let log_failure = |error: &RelayError| {
+            tracing::warn!(relay = %addresses.relay, %error, "relay subscription ended");
         };
         follow_peer(&shared, addresses.version, &shared.relay_health, &TIMEOUTS, connect, log_failure);
     });
@@ -118,7 +119,7 @@
         if event == RelayEvent::Subscribed {
             self.activate(attempts)?;
         }
-        tracing::trace!(source = self.id.count, news = ?event, "news");
+        tracing::trace!(subscription = self.id.count, ?event, "relay event");
         self.shared.inbox.tell(ControllerEvent::RelayEvent(self.id, event));
         Ok(())
     }
@@ -131,13 +132,13 @@
         }
         attempts.on_answer();
         self.state = SubscriptionState::Active { _usable: self.shared.relay_health.connection_usable() };
-        let (source, relay) = (self.id.count, self.addresses.relay);
-        tracing::info!(source, %relay, "subscribed to the relay's news");
+        let relay = self.addresses.relay;
+        tracing::info!(subscription = self.id.count, %relay, "relay subscription active");
         Ok(())
     }
 
     fn reject(&self, invalid: InvalidEntry) -> RelayError {
-        self.shared.rejections.record("news that cannot be read");
+        self.shared.rejections.record(RejectionCause::RelayEvent);
         RelayError::InvalidEvent(invalid)
     }
 
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -28,7 +28,7 @@
     let health_checker = health_checks::start(&shared);
     let controller = ControllerThread::new(&config, &shared, calls, health_checker);
     let _listener = listener::open(&config, &shared)?;
-    tracing::info!(name = config.name, address = %config.listen, "the steward listens");
+    tracing::info!(name = config.name, address = %config.listen, "controller listening");
     relay::follow(&shared);
     discovery_watch::follow(&shared);
     signals.handle(path.to_owned(), shared.clone()).map_err(RunError::StartThread)?;
@@ -39,8 +39,8 @@
 
 /// An invalid entry of the known list does not end the start, which would leave nobody in control.
 fn log_invalid_entries(config: &NodeConfig) {
-    let spoilt = config.known.spoilt.len();
-    if spoilt > 0 {
-        tracing::warn!(spoilt, "entries of the known list cannot be read: the list is asked for whole");
+    let invalid_entries = config.known.spoilt.len();
+    if invalid_entries > 0 {
+        tracing::warn!(invalid_entries, "invalid entries in the known list, requesting the complete list");
     }
 }
--- a/crates/railhub-platform-net/src/signals.rs
+++ b/crates/railhub-platform-net/src/signals.rs
@@ -38,14 +38,14 @@
 fn reload(path: &Path, shared: &Arc<SharedState>) {
     match read_config(path) {
         Ok(config) => apply_addresses(&config, shared),
-        Err(fault) => tracing::error!(%fault, "the new file is not used: the old one holds"),
+        Err(error) => tracing::error!(%error, "configuration reload failed, keeping the current one"),
     }
 }
 
 /// The new addresses count at once; the old connections are closed when the new ones are active.
 fn apply_addresses(config: &NodeConfig, shared: &Arc<SharedState>) {
     let addresses = shared.addresses.replace(config.relay, config.discovery);
-    tracing::info!(relay = %addresses.relay, discovery = %addresses.discovery, "a new file counts");
+    tracing::info!(relay = %addresses.relay, discovery = %addresses.discovery, "configuration reloaded");
     relay::follow(shared);
     discovery_watch::follow(shared);
 }
--- a/crates/railhub-platform-net/src/status_log.rs
+++ b/crates/railhub-platform-net/src/status_log.rs
@@ -31,45 +31,45 @@
 
 fn log_resources(shared: &SharedState, memory_limit_mb: usize) {
     let (descriptors, counters) = (&shared.descriptors, &shared.relay_counters);
-    let refused = format!("{:?}", shared.rejections.counts());
+    let rejections = format!("{:?}", shared.rejections.counts());
     tracing::info!(
         memory_mb = resident_memory_mb(),
-        memory_limit = memory_limit_mb,
-        visitors = descriptors.inbound.load(Relaxed),
+        memory_limit_mb,
+        inbound = descriptors.inbound.load(Relaxed),
         collectors = descriptors.collectors.load(Relaxed),
         relay = descriptors.relay.load(Relaxed),
         discovery = descriptors.discovery.load(Relaxed),
-        probes = descriptors.health_checks.load(Relaxed),
+        health_checks = descriptors.health_checks.load(Relaxed),
         subscriptions = counters.subscriptions.load(Relaxed),
         calls = counters.calls.load(Relaxed),
-        unknown = counters.calls_unknown.load(Relaxed),
-        turned_away = counters.calls_rejected.load(Relaxed),
-        refused,
-        "holds"
+        calls_unknown = counters.calls_unknown.load(Relaxed),
+        calls_rejected = counters.calls_rejected.load(Relaxed),
+        rejections,
+        "resource usage"
     );
 }
 
 fn log_controller(status: &ControllerStatus) {
     tracing::info!(
         generation = status.generation,
-        joined = status.proxies,
+        proxies = status.proxies,
         hosts = status.hosts,
-        waiting = status.pending_commands,
-        rounds = status.batches,
-        informed = status.snapshot_applied,
-        sums_dropped = status.reports_dropped,
-        probes_dropped = status.health_checks_dropped,
-        probes_outrun = status.health_checks_stale,
-        folded = status.commands_coalesced,
-        unnamed = status.unnamed_classes,
-        late_99 = status.timer_lateness.p99,
-        late_most = status.timer_lateness.max,
-        call_99 = status.call_latency.p99,
-        call_most = status.call_latency.max,
-        report_99 = status.report_latency.p99,
-        report_most = status.report_latency.max,
-        longest_round = status.longest_batch,
-        "figures"
+        pending_commands = status.pending_commands,
+        batches = status.batches,
+        snapshot_applied = status.snapshot_applied,
+        reports_dropped = status.reports_dropped,
+        health_checks_dropped = status.health_checks_dropped,
+        health_checks_stale = status.health_checks_stale,
+        commands_coalesced = status.commands_coalesced,
+        unnamed_classes = status.unnamed_classes,
+        timer_lateness_p99_s = status.timer_lateness.p99,
+        timer_lateness_max_s = status.timer_lateness.max,
+        call_latency_p99_s = status.call_latency.p99,
+        call_latency_max_s = status.call_latency.max,
+        report_latency_p99_s = status.report_latency.p99,
+        report_latency_max_s = status.report_latency.max,
+        longest_batch_s = status.longest_batch,
+        "controller status"
     );
 }
 
