--- a/crates/railhub-chaos/src/bed/looker.rs
+++ b/crates/railhub-chaos/src/bed/looker.rs
@@ -90,7 +90,7 @@
     }
 
     fn ask(&self, nonce: u64, from: NodeId, address: SocketAddr) {
-        let bytes = encode(&self.installation, &Packet::Look { nonce, from });
+        let bytes = encode(&self.installation, &Packet::ViewRequest { nonce, from });
         let _ = self.socket.send_to(&bytes, address);
     }
 
@@ -98,7 +98,7 @@
         let nonce = view.nonce;
         let mut whole = match self.parts.remove(&nonce) {
             Some(mut first) => {
-                first.lines.extend(view.lines);
+                first.entries.extend(view.entries);
                 View { next: view.next, ..first }
             }
             None => view,
@@ -111,8 +111,8 @@
             return self.ask(nonce, next, from);
         }
         let of = |is_live: bool| -> Vec<(u16, u64)> {
-            let some = whole.lines.iter().filter(|line| line.entry.status.is_live() == is_live);
-            some.map(|line| (line.entry.about.0, line.entry.incarnation.process)).collect()
+            let some = whole.entries.iter().filter(|line| line.member.status.is_live() == is_live);
+            some.map(|line| (line.member.id.0, line.member.incarnation.process)).collect()
         };
         let seen = Seen::View {
             at: now() - self.began,
--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -9,7 +9,7 @@
 use railhub_links::{Board, Crossing, Faults};
 use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, Packet};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use railhub_net::{now, seconds};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -433,7 +433,7 @@
     events: Events,
 ) -> Box<dyn Fn(&Crossing) + Send + Sync> {
     Box::new(move |crossing| {
-        let Ok(Packet::Words(message)) = decode(&installation, crossing.bytes) else { return };
+        let Ok(Packet::Message(message)) = decode(&installation, crossing.bytes) else { return };
         let mut heard = heard.lock().expect("no holder panics");
         heard.datagrams += 1;
         heard.bytes += crossing.bytes.len() as u64;
@@ -443,14 +443,14 @@
             heard.kept.push((from, to, crossing.bytes.to_vec()));
         }
         let at = crossing.at - began;
-        for word in &message.news {
+        for word in &message.gossip {
             let receiver = crossing.to.split(' ').next().and_then(|id| id.parse().ok());
-            if receiver != Some(word.about.0) {
+            if receiver != Some(word.id.0) {
                 heard.news.insert(at.max(0.0) as u32);
             }
-            let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
+            let incarnation = (word.id.0, word.incarnation.process, word.incarnation.count);
             if word.status == Status::Dead && heard.told_dead.insert(incarnation) {
-                let (by, (about, process, count)) = (message.from.about.0, incarnation);
+                let (by, (about, process, count)) = (message.sender.id.0, incarnation);
                 let seen = Seen::Dead { at, by, about, process, count };
                 events.lock().expect("no holder panics").push(seen);
             }
--- a/crates/railhub-chaos/src/bed/shared.rs
+++ b/crates/railhub-chaos/src/bed/shared.rs
@@ -32,7 +32,7 @@
     let ends = faults.iter().map(|fault| fault.at + fault.long.min(chaos.length)).fold(0.0, f64::max);
     day.length = chaos.length.max(ends + CALM);
     day.broken_store.reuses_epochs = sabotage == Some(Sabotage::EpochReused);
-    day.broken_store.writes_unchecked = sabotage == Some(Sabotage::UncheckedWrites);
+    day.broken_store.skips_write_check = sabotage == Some(Sabotage::UncheckedWrites);
     day.stewards_without = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
     let mut left_out = Vec::new();
     for fault in faults {
--- a/crates/railhub-chaos/src/explore.rs
+++ b/crates/railhub-chaos/src/explore.rs
@@ -6,7 +6,8 @@
 //! Checked in each state: nobody holds an incarnation of another that this one never had; who has held a process
 //! never goes back to an older one; and, if from now on all words arrive, everyone ends with the truth.
 use railhub_membership::member::{Incarnation, Member, NodeMetadata, Status};
-use railhub_membership::table::{MemberTable, Safeguard};
+use railhub_membership::safeguard::Safeguard;
+use railhub_membership::table::MemberTable;
 use railhub_membership::NodeId;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -54,7 +55,7 @@
     let mut table = MemberTable::new(Member::alive(id(place), process, NodeMetadata::default()), without);
     // All have met once.
     for other in (0..STEWARDS).filter(|other| *other != place) {
-        table.learn(&Member::alive(id(other), 1, NodeMetadata::default()), false);
+        table.merge(&Member::alive(id(other), 1, NodeMetadata::default()), false);
     }
     table
 }
@@ -68,7 +69,7 @@
     fn key(&self) -> Key {
         let of = |table: &MemberTable| {
             let mut all: Vec<Member> = table.others().cloned().collect();
-            all.push(table.me().clone());
+            all.push(table.local().clone());
             all
         };
         let tables = self.tables.iter().map(|table| table.as_ref().map(of)).collect();
@@ -98,13 +99,13 @@
         for (number, (to, word)) in self.mail.iter().enumerate() {
             let told = format!(
                 "{} {:?} {}.{}",
-                word.about.0, word.status, word.incarnation.process, word.incarnation.count
+                word.id.0, word.status, word.incarnation.process, word.incarnation.count
             );
             let mut lost = self.clone();
             lost.mail.remove(number);
             all.push((format!("the word to {to} is lost: {told}"), lost));
             let mut kept = self.clone();
-            kept.tables[*to].as_mut().into_iter().for_each(|table| _ = table.learn(word, false));
+            kept.tables[*to].as_mut().into_iter().for_each(|table| _ = table.merge(word, false));
             let mut heard = kept.clone();
             heard.mail.remove(number);
             all.push((format!("{to} hears: {told}"), heard));
@@ -125,10 +126,10 @@
                 Status::Suspect => Status::Dead,
                 _ => continue,
             };
-            let word = Member { status: worse, by: None, ..held.clone() };
+            let word = Member { status: worse, reported_by: None, ..held.clone() };
             let mut state = self.clone();
             state.suspicions -= u8::from(worse == Status::Suspect);
-            state.tables[place].as_mut().into_iter().for_each(|table| _ = table.learn(&word, false));
+            state.tables[place].as_mut().into_iter().for_each(|table| _ = table.merge(&word, false));
             all.push((format!("{place} holds {about} to be {worse:?}"), state));
         }
         if self.mail.len() < UNDER_WAY {
@@ -137,7 +138,7 @@
                     let Some(word) = table.get(id(about)).cloned() else { continue };
                     let mut state = self.clone();
                     state.mail.push((to, word));
-                    state.mail.sort_by_key(|(to, word)| (*to, word.about, word.incarnation, word.status));
+                    state.mail.sort_by_key(|(to, word)| (*to, word.id, word.incarnation, word.status));
                     all.push((format!("{place} tells {to} of {about}"), state));
                 }
             }
@@ -148,8 +149,8 @@
         for (place, table) in self.tables.iter().enumerate() {
             let Some(table) = table else { continue };
             for held in table.others() {
-                let about = usize::from(held.about.0);
-                let own = self.tables[about].as_ref().map(|own| own.me().incarnation);
+                let about = usize::from(held.id.0);
+                let own = self.tables[about].as_ref().map(|own| own.local().incarnation);
                 let most = own.unwrap_or(Incarnation { process: self.processes[about], count: u64::MAX });
                 if held.incarnation > most {
                     return Some(format!(
@@ -157,7 +158,7 @@
                         held.incarnation
                     ));
                 }
-                let known = before.and_then(|before| before.tables[place].as_ref()?.get(held.about));
+                let known = before.and_then(|before| before.tables[place].as_ref()?.get(held.id));
                 let same_process =
                     before.is_some_and(|before| before.processes[place] == self.processes[place]);
                 if let Some(known) =
@@ -180,9 +181,9 @@
             for from in 0..STEWARDS {
                 for to in (0..STEWARDS).filter(|to| *to != from) {
                     let Some(teller) = &tables[from] else { continue };
-                    let words: Vec<Member> = teller.others().chain([teller.me()]).cloned().collect();
+                    let words: Vec<Member> = teller.others().chain([teller.local()]).cloned().collect();
                     let Some(hearer) = &mut tables[to] else { continue };
-                    words.iter().for_each(|word| _ = hearer.learn(word, false));
+                    words.iter().for_each(|word| _ = hearer.merge(word, false));
                 }
             }
         }
@@ -191,7 +192,7 @@
             for (about, other) in tables.iter().enumerate() {
                 let Some(other) = other else { continue };
                 let held = table.get(id(about));
-                let true_incarnation = other.me().incarnation;
+                let true_incarnation = other.local().incarnation;
                 if held
                     .is_none_or(|held| held.incarnation != true_incarnation || held.status != Status::Alive)
                 {
--- a/crates/railhub-chaos/src/explore_leases.rs
+++ b/crates/railhub-chaos/src/explore_leases.rs
@@ -7,8 +7,9 @@
 //! Checked in each state: never may both order; an epoch is ordered by one process; the proxy never goes back to an
 //! earlier epoch, nor obeys an epoch of another process than the one that it obeyed under it.
 use crate::explore::{Counterexample, Explored};
-use railhub_membership::lease::{Fence, HeldLeases};
-use railhub_membership::lease_manager::LeaseRequest;
+use railhub_membership::fence::Fence;
+use railhub_membership::lease::HeldLeases;
+use railhub_membership::lease_messages::LeaseRequest;
 use railhub_membership::lease_store::{LeaseStore, StoreFaults};
 use railhub_membership::Epoch;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -75,7 +76,7 @@
     fn first(without: Without) -> State {
         let broken = StoreFaults {
             reuses_epochs: without == Without::NewEpochs,
-            not_quiet: without == Without::Quiet,
+            skips_grace_period: without == Without::Quiet,
             ..StoreFaults::default()
         };
         let steward = |process| Steward { process, leases: HeldLeases::new(SPAN), question: None, had: None };
@@ -134,16 +135,16 @@
             None => {
                 let mut state = self.clone();
                 let renew = may.map(|epoch| (SLICE, epoch)).into_iter().collect::<Vec<_>>();
-                let take = if renew.is_empty() { vec![SLICE] } else { Vec::new() };
+                let acquire = if renew.is_empty() { vec![SLICE] } else { Vec::new() };
                 let told = if renew.is_empty() { "asks for the slice" } else { "asks to renew" };
                 let (process, release) = (steward.process, Vec::new());
-                let request = LeaseRequest { number: 1, process, span: SPAN, take, renew, release };
+                let request = LeaseRequest { number: 1, process, duration: SPAN, acquire, renew, release };
                 state.stewards[place].question = Some((self.now, Question::Asked(request)));
                 all.push((format!("{place} {told}"), Ok(state)));
             }
             Some((asked, Question::Asked(request))) => {
                 let mut state = self.clone();
-                let response = state.store.answer(self.at(), request).response;
+                let response = state.store.handle_request(self.at(), request).response;
                 let told = format!("the store hears {place}: grants {:?}", response.granted);
                 let answer = Question::Answered(response.granted, response.refused);
                 state.stewards[place].question = Some((*asked, answer));
@@ -153,8 +154,8 @@
             Some((asked, Question::Answered(granted, refused))) => {
                 let mut state = self.forgets(place);
                 let leases = &mut state.stewards[place].leases;
-                leases.granted(self.at(), f64::from(*asked), granted);
-                leases.refused(refused);
+                leases.on_granted(self.at(), f64::from(*asked), granted);
+                leases.on_refused(refused);
                 state.stewards[place].had = state.may(place).or(steward.had);
                 all.push((format!("{place} hears the store"), Ok(state)));
                 all.push((format!("the answer to {place} is lost"), Ok(self.forgets(place))));
@@ -201,7 +202,7 @@
         let mut state = self.clone();
         let (epoch, process) = state.orders.remove(number);
         let told = format!("the order of process {process} under epoch {} arrives", epoch.0);
-        let passes = state.fence.passes(u32::from(SLICE), epoch) || without == Without::Fence;
+        let passes = state.fence.admits(u32::from(SLICE), epoch) || without == Without::Fence;
         if !passes {
             return (told, Ok(state));
         }
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -2,7 +2,7 @@
 //! for one fixed time. It is played in the same runs as the view, so that both are weighed by the same faults.
 use railhub_membership::member::{Load, Member, Status};
 use railhub_membership::messages::{Destination, Message, OutgoingMessage, Payload};
-use railhub_membership::swim::ViewEntry;
+use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -36,58 +36,60 @@
         self.heard.get(&id).and_then(|(entry, _)| entry.metadata.address)
     }
 
-    fn mail(&mut self, ask: Payload) -> OutgoingMessage {
+    fn mail(&mut self, payload: Payload) -> Vec<OutgoingMessage> {
         self.turn += 1;
         let message = Message {
-            from: self.me.clone(),
-            turn: self.turn,
+            sender: self.me.clone(),
+            sequence: self.turn,
             load: Load::default(),
-            number: 0,
-            ask,
+            probe_number: 0,
+            payload,
             // Newcomers learn of the others from whoever hears them.
-            news: Vec::new(),
-            names: None,
-            digest: 0,
+            gossip: Vec::new(),
+            outlier: None,
+            view_digest: 0,
         };
         let known = self.heard.values().filter_map(|(entry, _)| entry.metadata.address);
         let to: std::collections::BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
-        to.into_iter().map(|address| (Destination::Address(address), message.clone())).collect()
+        to.into_iter()
+            .map(|address| OutgoingMessage { to: Destination::Address(address), message: message.clone() })
+            .collect()
     }
 
-    pub fn tick(&mut self, now: f64) -> OutgoingMessage {
+    pub fn tick(&mut self, now: f64) -> Vec<OutgoingMessage> {
         if now < self.beat_at {
-            return OutgoingMessage::new();
+            return Vec::new();
         }
         self.beat_at = now + BEAT;
         self.mail(Payload::Gossip)
     }
 
     pub fn hear(&mut self, now: f64, message: &Message) {
-        let from = &message.from;
-        if from.about == self.me.about {
+        let from = &message.sender;
+        if from.id == self.me.id {
             return;
         }
-        let known = self.heard.get(&from.about);
+        let known = self.heard.get(&from.id);
         if known.is_none_or(|(entry, _)| entry.incarnation.process <= from.incarnation.process) {
-            self.heard.insert(from.about, (from.clone(), now));
+            self.heard.insert(from.id, (from.clone(), now));
         }
     }
 
-    pub fn leave(&mut self) -> OutgoingMessage {
+    pub fn leave(&mut self) -> Vec<OutgoingMessage> {
         self.me.status = Status::Left;
         self.mail(Payload::Gossip)
     }
 
     pub fn shown(&self, now: f64) -> Vec<ViewEntry> {
-        let show = |entry: &Member, heard_ago: f64| {
-            let is_live = heard_ago <= SILENT_FOR && entry.status != Status::Left;
+        let show = |entry: &Member, last_seen_ago: f64| {
+            let is_live = last_seen_ago <= SILENT_FOR && entry.status != Status::Left;
             let status = if is_live { Status::Alive } else { Status::Dead };
-            let entry = Member { status, ..entry.clone() };
-            ViewEntry { entry, load: Load::default(), stands_for: 0.0, heard_ago, withdrawn: false }
+            let member = Member { status, ..entry.clone() };
+            ViewEntry { member, load: Load::default(), status_age: 0.0, last_seen_ago, ejected: false }
         };
         let others = self.heard.values().map(|(entry, at)| show(entry, now - at));
         let mut all: Vec<ViewEntry> = others.chain([show(&self.me, 0.0)]).collect();
-        all.sort_by_key(|shown| shown.entry.about);
+        all.sort_by_key(|shown| shown.member.id);
         all
     }
 }
--- a/crates/railhub-chaos/src/view/sim.rs
+++ b/crates/railhub-chaos/src/view/sim.rs
@@ -7,8 +7,9 @@
 use railhub_membership::member::{Member, NodeMetadata, Status};
 use railhub_membership::messages::{Destination, Message, OutgoingMessage};
 use railhub_membership::packet::{decode, encode, Packet};
-use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
+use railhub_membership::swim::{Membership, MembershipConfig};
+use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -57,26 +58,26 @@
 }
 
 impl Watcher {
-    fn tick(&mut self, now: f64) -> OutgoingMessage {
+    fn tick(&mut self, now: f64) -> Vec<OutgoingMessage> {
         match self {
-            Watcher::Membership(membership) => membership.tick(now).0,
+            Watcher::Membership(membership) => membership.tick(now).messages,
             Watcher::Heartbeat(plain) => plain.tick(now),
         }
     }
 
-    fn hear(&mut self, now: f64, message: &Message) -> OutgoingMessage {
+    fn hear(&mut self, now: f64, message: &Message) -> Vec<OutgoingMessage> {
         match self {
-            Watcher::Membership(membership) => membership.hear(now, message).0,
+            Watcher::Membership(membership) => membership.on_message(now, message).messages,
             Watcher::Heartbeat(plain) => {
                 plain.hear(now, message);
-                OutgoingMessage::new()
+                Vec::new()
             }
         }
     }
 
     fn next_at(&self) -> f64 {
         match self {
-            Watcher::Membership(membership) => membership.next_at(),
+            Watcher::Membership(membership) => membership.next_tick_at(),
             Watcher::Heartbeat(plain) => plain.next_at(),
         }
     }
@@ -88,9 +89,9 @@
         }
     }
 
-    fn leave(&mut self, now: f64) -> OutgoingMessage {
+    fn leave(&mut self) -> Vec<OutgoingMessage> {
         match self {
-            Watcher::Membership(membership) => membership.leave(now),
+            Watcher::Membership(membership) => membership.leave().messages,
             Watcher::Heartbeat(plain) => plain.leave(),
         }
     }
@@ -117,7 +118,7 @@
 enum Due {
     Tick(Node),
     Look,
-    OutgoingMessage { to: SocketAddr, bytes: Vec<u8> },
+    Datagram { to: SocketAddr, bytes: Vec<u8> },
     On(usize),
     Off(usize),
     Flap { number: usize, until: f64 },
@@ -235,7 +236,7 @@
         let node = Node(self.last_node);
         let offset = self.chance.random::<f64>() * 1000.0;
         let metadata =
-            NodeMetadata { address: Some(address), program: "sim".into(), ..NodeMetadata::default() };
+            NodeMetadata { address: Some(address), program_version: "sim".into(), ..NodeMetadata::default() };
         let forget_after = if self.how.forget_after > 0.0 { self.how.forget_after } else { 600.0 };
         let most = if self.how.heartbeats { u16::MAX } else { JOIN_BY };
         let seeds = self.addresses.iter().filter(|(id, _)| **id != steward && **id < most);
@@ -281,7 +282,7 @@
             },
             Due::Tick(_) => {}
             Due::Look => self.look(),
-            Due::OutgoingMessage { to, bytes } => self.arrives(to, bytes),
+            Due::Datagram { to, bytes } => self.arrives(to, bytes),
             Due::On(number) => self.fault_on(number),
             Due::Off(number) => self.fault_off(number),
             Due::Flap { number, until } => self.flap(number, until),
@@ -307,16 +308,16 @@
         let node = self.nodes.iter().find(|(_, process)| process.address == to).map(|(node, _)| *node);
         let Some(node) = node else { return };
         if let Some(wakes) = self.wakes(node) {
-            return self.due(wakes, Due::OutgoingMessage { to, bytes });
+            return self.due(wakes, Due::Datagram { to, bytes });
         }
-        let Ok(Packet::Words(message)) = decode(INSTALLATION, &bytes) else { return };
+        let Ok(Packet::Message(message)) = decode(INSTALLATION, &bytes) else { return };
         let process = self.nodes.get_mut(&node).expect("found above");
         let mail = process.watcher.hear(self.now + process.offset, &message);
         self.post(node, mail);
     }
 
-    fn post(&mut self, from: Node, mail: OutgoingMessage) {
-        for (to, message) in mail {
+    fn post(&mut self, from: Node, messages: Vec<OutgoingMessage>) {
+        for OutgoingMessage { to, message } in messages {
             let process = &self.nodes[&from];
             let address = match to {
                 Destination::Node(id) => process.watcher.address(id),
@@ -325,7 +326,7 @@
             let Some(address) = address else { continue };
             let steward = process.steward;
             self.note(steward, address, &message);
-            let bytes = encode(INSTALLATION, &Packet::Words(Box::new(message)));
+            let bytes = encode(INSTALLATION, &Packet::Message(Box::new(message)));
             self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64, self.sent.2.max(bytes.len()));
             if self.kept.len() < KEPT_MOST {
                 self.kept.push((address, bytes.clone()));
@@ -339,11 +340,11 @@
         let receiver = self.nodes.values().find(|process| process.address == to).map(|p| p.steward);
         let receiver =
             receiver.or_else(|| self.addresses.iter().find(|(_, known)| **known == to).map(|(id, _)| *id));
-        for word in &message.news {
-            if Some(word.about.0) != receiver {
+        for word in &message.gossip {
+            if Some(word.id.0) != receiver {
                 self.news.insert(self.now as u32);
             }
-            let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
+            let incarnation = (word.id.0, word.incarnation.process, word.incarnation.count);
             if word.status == Status::Dead && self.told_dead.insert(incarnation) {
                 let (at, (about, process, count)) = (self.now, incarnation);
                 self.events.push(Seen::Dead { at, by, about, process, count });
@@ -366,7 +367,7 @@
             if self.chance.random::<f64>() < links.reordered {
                 way += 0.05 * self.chance.random::<f64>();
             }
-            self.due(self.now + way, Due::OutgoingMessage { to, bytes: bytes.clone() });
+            self.due(self.now + way, Due::Datagram { to, bytes: bytes.clone() });
         }
     }
 
@@ -376,8 +377,8 @@
             let process = &self.nodes[&node];
             let shown = process.watcher.shown(self.now + process.offset);
             let of = |is_live: bool| -> Vec<(u16, u64)> {
-                let some = shown.iter().filter(|shown| shown.entry.status.is_live() == is_live);
-                some.map(|shown| (shown.entry.about.0, shown.entry.incarnation.process)).collect()
+                let some = shown.iter().filter(|shown| shown.member.status.is_live() == is_live);
+                some.map(|shown| (shown.member.id.0, shown.member.incarnation.process)).collect()
             };
             self.events.push(Seen::View {
                 at: self.now,
@@ -422,7 +423,7 @@
             What::Leave { steward } => {
                 if let Some(node) = self.current.get(&steward).copied() {
                     let process = self.nodes.get_mut(&node).expect("the current ones are there");
-                    let mail = process.watcher.leave(self.now + process.offset);
+                    let mail = process.watcher.leave();
                     self.post(node, mail);
                 }
                 self.kill(steward);
@@ -431,7 +432,7 @@
             What::Replay => {
                 for (to, bytes) in self.kept.clone() {
                     let at = self.now + REPLAYED_IN * self.chance.random::<f64>();
-                    self.due(at, Due::OutgoingMessage { to, bytes });
+                    self.due(at, Due::Datagram { to, bytes });
                 }
             }
             _ => {}
--- a/crates/railhub-chaos/src/world.rs
+++ b/crates/railhub-chaos/src/world.rs
@@ -2,12 +2,11 @@
 //! take their time.
 use crate::agenda::Agenda;
 use crate::faults::{Chaos, Fault, What};
-use railhub_membership::lease::Fence;
-use railhub_membership::lease_manager::{
-    Effects, LeaseManager, LeaseManagerOptions, LeaseRequest, LeaseResponse,
-};
+use railhub_membership::fence::Fence;
+use railhub_membership::lease_manager::{Effects, LeaseManager, LeaseManagerOptions};
+use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
 use railhub_membership::lease_store::{LeaseStore, StoreFaults};
-use railhub_membership::messages::{Destination, Message};
+use railhub_membership::messages::{Destination, Message, OutgoingMessage};
 use railhub_membership::swim::MembershipConfig;
 use railhub_membership::{Epoch, NodeId};
 use rand::{RngExt, SeedableRng};
@@ -179,14 +178,14 @@
         let (slices, span) = (self.chaos.slices, self.chaos.span);
         let (metadata, config) = (Default::default(), MembershipConfig::default());
         let options = LeaseManagerOptions {
-            me: NodeId(id),
+            id: NodeId(id),
             process,
             weights: &weights,
             metadata,
             config,
             slices,
-            span,
-            settle: 0.0,
+            lease_duration: span,
+            settle_time: 0.0,
             seed,
         };
         let speed = self.speeds.get(&id).copied().unwrap_or(1.0);
@@ -245,7 +244,7 @@
                     let wakes = steward.paused_until;
                     return self.due(wakes, Due::Mail { to, message });
                 }
-                self.with_lease_manager(to, |lease_manager, now| lease_manager.hear(now, &message));
+                self.with_lease_manager(to, |lease_manager, now| lease_manager.on_message(now, &message));
             }
             Due::LeaseRequest { steward, request } => self.lease_requested(steward, &request),
             Due::LeaseResponse { steward, process, response } => match self.wakes(steward, process) {
@@ -278,22 +277,22 @@
     }
 
     fn carry_out(&mut self, id: u16, acts: Effects) {
-        for (to, message) in acts.mail {
+        for OutgoingMessage { to, message } in acts.messages {
             let Destination::Node(to) = to else { continue };
             let (lost, way) = (self.chance.random::<f64>() < self.chaos.lost, self.way());
             if !lost && !self.is_cut(id, to.0) {
                 self.due(self.now + way, Due::Mail { to: to.0, message });
             }
         }
-        if let Some(request) = acts.request {
+        if let Some(request) = acts.lease_request {
             let way = self.way();
             self.due(self.now + way, Due::LeaseRequest { steward: id, request });
         }
         let overruns = self.sabotage == Some(Sabotage::LeaseOverrun);
         if let Some(steward) = self.stewards.get_mut(&id) {
-            steward.believes.extend(acts.gained);
+            steward.believes.extend(acts.acquired);
             if !overruns {
-                let gone = acts.lost.iter().chain(&acts.lapsed);
+                let gone = acts.lost.iter().chain(&acts.expired);
                 gone.for_each(|slice| _ = steward.believes.remove(slice));
             }
         }
@@ -312,7 +311,7 @@
         let steward = &self.stewards[&id];
         let local = self.now * steward.speed + steward.offset;
         let (process, next) =
-            (steward.process, (steward.lease_manager.next_at(local) - local) / steward.speed);
+            (steward.process, (steward.lease_manager.next_tick_at(local) - local) / steward.speed);
         self.due(self.now + next.max(0.002), Due::Tick { steward: id, process });
     }
 
@@ -362,7 +361,7 @@
             return self.due(wakes, Due::Arrives { proxy, order: order.clone(), steward });
         }
         let place = proxy as usize;
-        let passes = self.fences[place].passes(u32::from(order.slice), Epoch(order.epoch));
+        let passes = self.fences[place].admits(u32::from(order.slice), Epoch(order.epoch));
         let fresh = self.seen[place].insert(order.number);
         let obeys = (passes || self.sabotage == Some(Sabotage::NoFence))
             && (fresh || self.sabotage == Some(Sabotage::NoMemory));
@@ -394,8 +393,8 @@
                 self.copies.pop_front();
             }
         }
-        let answer = self.store.answer(now, request);
-        for (slice, epoch) in answer.anew {
+        let answer = self.store.handle_request(now, request);
+        for (slice, epoch) in answer.acquired {
             self.events.push(Event::Granted { at: now, slice, epoch: epoch.0, process: request.process });
         }
         let response = answer.response;
@@ -428,7 +427,10 @@
                 self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.slow_orders = by);
             }
             What::Drain { steward } => {
-                self.stewards.get_mut(&steward).into_iter().for_each(|steward| steward.lease_manager.drain());
+                self.stewards
+                    .get_mut(&steward)
+                    .into_iter()
+                    .for_each(|steward| steward.lease_manager.start_draining());
             }
             What::Flap { .. } => self.flap(number, self.now + long),
             What::StoreForgets { by } => self.store_forgets(by),
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -4,7 +4,7 @@
 use railhub_chaos::view::sim::{run, How};
 use railhub_chaos::view::{Node, Seen};
 use railhub_chaos::{Chaos, Fault, LinkFaults, What};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use std::path::Path;
 
 fn chaos() -> Chaos {
--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -5,7 +5,7 @@
 use railhub_chaos::judge::{figures, judge, Breach};
 use railhub_chaos::shrink::shrink;
 use railhub_chaos::{run as play, Chaos, Fault, Judged, Sabotage};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use serde::Serialize;
 use std::path::PathBuf;
 
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -6,7 +6,7 @@
 use railhub_ini::Sheet;
 use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
-use railhub_membership::swim::ViewEntry;
+use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 use railhub_steward::fleet::FleetTerms;
 use serde::Serialize;
@@ -139,8 +139,8 @@
         }
         match ask(socket, &terms.installation, address) {
             Some(view) => {
-                let lives = view.lines.iter().filter(|line| line.entry.status.is_live());
-                let found: Vec<SocketAddr> = lives.filter_map(|line| line.entry.metadata.address).collect();
+                let lives = view.entries.iter().filter(|line| line.member.status.is_live());
+                let found: Vec<SocketAddr> = lives.filter_map(|line| line.member.metadata.address).collect();
                 named.extend(found.iter().copied());
                 to_ask.extend(found);
                 views.insert((view.viewer, view.process), view);
@@ -156,8 +156,8 @@
 }
 
 fn living(view: &View) -> Vec<(NodeId, u64)> {
-    let lives = view.lines.iter().filter(|line| line.entry.status.is_live());
-    lives.map(|line| (line.entry.about, line.entry.incarnation.process)).collect()
+    let lives = view.entries.iter().filter(|line| line.member.status.is_live());
+    lives.map(|line| (line.member.id, line.member.incarnation.process)).collect()
 }
 
 /// One steward's whole view, page by page; `None`: it does not answer.
@@ -168,7 +168,7 @@
         let page = ask_page(socket, installation, address, from)?;
         let next = page.next;
         match &mut whole {
-            Some(whole) => whole.lines.extend(page.lines),
+            Some(whole) => whole.entries.extend(page.entries),
             None => whole = Some(page),
         }
         match next {
@@ -180,7 +180,7 @@
 
 fn ask_page(socket: &UdpSocket, installation: &str, address: SocketAddr, from: NodeId) -> Option<View> {
     let nonce = u64::from(address.port()) << 32 | u64::from(from.0) << 8 | 1;
-    let question = encode(installation, &Packet::Look { nonce, from });
+    let question = encode(installation, &Packet::ViewRequest { nonce, from });
     let until = Instant::now() + PATIENCE;
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     while Instant::now() < until {
@@ -201,29 +201,29 @@
 
 fn told(view: &View) -> ToldView {
     let (viewer, process) = (view.viewer.0, view.process);
-    let lines = view.lines.iter().map(told_line).collect();
+    let lines = view.entries.iter().map(told_line).collect();
     ToldView { viewer, process, yielded: view.superseded, dropped: view.dropped, lines }
 }
 
 fn told_line(shown: &ViewEntry) -> ToldLine {
-    let (entry, load) = (&shown.entry, shown.load);
+    let (entry, load) = (&shown.member, shown.load);
     ToldLine {
-        steward: entry.about.0,
+        steward: entry.id.0,
         process: entry.incarnation.process,
         count: entry.incarnation.count,
         standing: entry.status,
-        stands_for: shown.stands_for,
-        heard_ago: shown.heard_ago.is_finite().then_some(shown.heard_ago),
+        stands_for: shown.status_age,
+        heard_ago: shown.last_seen_ago.is_finite().then_some(shown.last_seen_ago),
         address: entry.metadata.address,
-        program: entry.metadata.program.clone(),
-        protocol: entry.metadata.protocol,
-        settings: format!("{:016x}", entry.metadata.settings),
+        program: entry.metadata.program_version.clone(),
+        protocol: entry.metadata.protocol_version,
+        settings: format!("{:016x}", entry.metadata.settings_digest),
         drains: entry.metadata.draining,
         no_store: entry.metadata.store_unreachable,
-        withdrawn: shown.withdrawn,
+        withdrawn: shown.ejected,
         slices: load.slices,
         proxies: load.proxies,
-        busy: load.busy,
+        busy: load.cpu_cores,
     }
 }
 
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -124,7 +124,7 @@
             return Ok(());
         }
         if !line.drains {
-            let word = Packet::Drain { steward: NodeId(arguments.steward), process: line.process };
+            let word = Packet::Drain { node: NodeId(arguments.steward), process: line.process };
             let _ = socket.send_to(&encode(&terms.installation, &word), address);
         }
         if Instant::now() > until {
--- a/crates/railhub-cli/src/steward.rs
+++ b/crates/railhub-cli/src/steward.rs
@@ -87,7 +87,7 @@
         }
         figures_at = Instant::now() + FIGURES_EVERY;
         if let Some(fleet) = running.fleet_figures() {
-            let (dropped, looks_dropped) = (fleet.dropped.all(), fleet.looks_dropped);
+            let (dropped, looks_dropped) = (fleet.dropped.total(), fleet.looks_dropped);
             let causes = serde_json::to_string(&fleet.dropped)?;
             let (alive, sent, heard) = (fleet.alive, fleet.sent, fleet.heard);
             let (charges, tables_refused) = (fleet.charges, fleet.tables_refused);
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use railhub_links::tcp::TcpLink;
 use railhub_links::{Board, Faults};
 use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
 use serde_json::Value;
 use std::net::{SocketAddr, UdpSocket};
@@ -172,8 +172,8 @@
 /// Sends so many spoilt, foreign, older, cut and too long datagrams.
 fn damage(to: SocketAddr, installation: &str, count: usize) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let look = encode(installation, &Packet::Look { nonce: 1, from: NodeId(0) });
-    let foreign = encode("other", &Packet::Look { nonce: 1, from: NodeId(0) });
+    let look = encode(installation, &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
+    let foreign = encode("other", &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
     let mut older = look.clone();
     older[3] = 0;
     let mut spoilt = look.clone();
--- a/crates/railhub-day/src/stewards.rs
+++ b/crates/railhub-day/src/stewards.rs
@@ -127,7 +127,7 @@
         let told = running[steward].as_ref().and_then(|launched| Some((launched.fleet?, launched.process?)));
         drop(running);
         let Some((address, process)) = told else { return };
-        let word = Packet::Drain { steward: NodeId(steward as u16), process };
+        let word = Packet::Drain { node: NodeId(steward as u16), process };
         let bytes = encode(&installation(day), &word);
         let _ = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|socket| socket.send_to(&bytes, address));
     }
--- a/crates/railhub-membership/src/gossip.rs
+++ b/crates/railhub-membership/src/gossip.rs
@@ -1,57 +1,80 @@
-//! News that are passed on with messages, each a few times. Of each steward one word waits, the latest: whoever
-//! tells, and however often, there are no more words than stewards.
+//! The gossip queue: member entries that ride on other messages, each a limited number of times (SWIM, section 4.1).
+//! One entry waits for each member, the latest, so the queue is bounded by the number of members.
 use crate::member::Member;
 use crate::NodeId;
 use std::collections::VecDeque;
 
-/// Times that each word is passed on, times the logarithm of the stewards' number.
-const PASSED_ON: f64 = 3.0;
+/// Transmissions of each entry, per natural logarithm of the cluster size.
+const RETRANSMIT_MULTIPLIER: f64 = 3.0;
 
+/// An entry that waits, and how often it has been sent.
+#[derive(Clone, Debug)]
+struct Broadcast {
+    member: Member,
+    transmissions: u32,
+}
+
+/// Entries that wait to be gossiped.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
-    waiting: VecDeque<(Member, u32)>,
+    queue: VecDeque<Broadcast>,
 }
 
 impl GossipQueue {
-    pub fn enqueue_front(&mut self, entry: Member) {
-        self.remove(entry.about);
-        self.waiting.push_front((entry, 0));
+    /// Puts an entry first, in place of an older one of the same member.
+    pub fn enqueue_front(&mut self, member: Member) {
+        self.remove(member.id);
+        self.queue.push_front(Broadcast { member, transmissions: 0 });
     }
 
-    pub fn tell(&mut self, entry: Member) {
-        self.remove(entry.about);
-        self.waiting.push_back((entry, 0));
+    /// Puts an entry last, in place of an older one of the same member.
+    pub fn enqueue(&mut self, member: Member) {
+        self.remove(member.id);
+        self.queue.push_back(Broadcast { member, transmissions: 0 });
     }
 
-    pub fn remove(&mut self, about: NodeId) {
-        self.waiting.retain(|(known, _)| known.about != about);
+    /// Drops what waits of a member.
+    pub fn remove(&mut self, id: NodeId) {
+        self.queue.retain(|broadcast| broadcast.member.id != id);
     }
 
-    /// The next few, least passed on first, without those that the message tells anyway. `endless`: they are never worn
-    /// out.
-    pub fn take(&mut self, most: usize, told: &[Member], stewards: usize, endless: bool) -> Vec<Member> {
-        let limit = (PASSED_ON * (stewards as f64).ln().max(1.0)).ceil() as u32;
-        let mut news = Vec::new();
-        for _ in 0..self.waiting.len().min(most) {
-            if let Some((entry, passed)) = self.waiting.pop_front() {
-                if told.iter().any(|known| known.about == entry.about) {
-                    self.waiting.push_back((entry, passed));
-                    continue;
-                }
-                news.push(entry.clone());
-                if passed + 1 < limit || endless {
-                    self.waiting.push_back((entry, passed + 1));
-                }
+    /// Takes at most `max` entries from the front, except those that the message includes anyway. Each goes back to
+    /// the end until it has been sent often enough for a cluster of `cluster_size`; with `unlimited`, for ever.
+    pub fn take(
+        &mut self,
+        max: usize,
+        included: &[Member],
+        cluster_size: usize,
+        unlimited: bool,
+    ) -> Vec<Member> {
+        let limit = retransmit_limit(cluster_size);
+        let mut taken = Vec::new();
+        for _ in 0..self.queue.len().min(max) {
+            let Some(mut broadcast) = self.queue.pop_front() else { break };
+            if included.iter().any(|known| known.id == broadcast.member.id) {
+                self.queue.push_back(broadcast);
+                continue;
+            }
+            taken.push(broadcast.member.clone());
+            broadcast.transmissions += 1;
+            if broadcast.transmissions < limit || unlimited {
+                self.queue.push_back(broadcast);
             }
         }
-        news
+        taken
     }
 
+    /// Entries that wait.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.queue.len()
     }
 
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queue.is_empty()
     }
 }
+
+fn retransmit_limit(cluster_size: usize) -> u32 {
+    (RETRANSMIT_MULTIPLIER * (cluster_size as f64).ln().max(1.0)).ceil() as u32
+}
--- a/crates/railhub-membership/src/lease.rs
+++ b/crates/railhub-membership/src/lease.rs
@@ -1,158 +1,174 @@
-//! What a steward holds. The store grants a slice with an epoch for a span of time; the steward counts the span
-//! from before it asked, on its own clock, and takes off what its clock may run slow. So it has stopped before
-//! the store may grant the slice to another, as long as its clock keeps within the bound; past that, the epoch in
-//! each order keeps it from doing harm.
+//! Leases: who may write a slice's table, and when a lease is lost.
+//!
+//! # Who owns what
+//!
+//! The *store's side* ([`crate::lease_store`]) owns who holds each slice, under which epoch, until when on the store's
+//! clock. It grants a slice to one process at a time, and raises the slice's epoch with each grant to another process.
+//!
+//! The *holder's side* (this module) owns what this process may write at this moment, by this process's clock alone.
+//! Nobody else ends its leases in time: the store's word may be lost, and a process that stood still cannot be asked.
+//! So each write checks [`HeldLeases::valid_epoch`] at the moment of writing.
+//!
+//! The *epoch* is the fencing token (the sequencer of Chubby, Burrows 2006): each command and each write of a table
+//! carries it, and proxies, hosts ([`crate::fence::Fence`]) and the store drop what comes under an older one. A holder
+//! that is wrong about its lease can do no harm then.
+//!
+//! # Clocks
+//!
+//! Clocks need not agree, only run at about the same rate. The store counts a lease's duration from when it decides the
+//! request. The holder counts from when it *sent* the request, which is earlier, and takes off the fraction by which
+//! clocks may run apart (`CLOCK_DRIFT_FRACTION`). So the holder has stopped before the store may grant the slice to
+//! another. If a clock jumps or drifts further, both may believe to hold the slice for a time; the epoch decides.
+//!
+//! # When is a lease lost?
+//!
+//! ```text
+//!              acquired                      renewed: same epoch, later expiry
+//!  NotHeld ----------------> Valid ------------------------------------------> Valid
+//!     ^                       | | |
+//!     |      released         | | |   expired: the holder's clock reaches the expiry
+//!     |<----------------------' | `-----------------------------> Expired
+//!     |      revoked            |                                    |
+//!     |<------------------------'                                    |
+//!     `--------------------------- take_expired, at the next tick ---'
+//! ```
+//!
+//! - *released*: this process gives the slice up ([`HeldLeases::release`]): placement assigns it to another node.
+//! - *revoked*: the store refused to renew it ([`HeldLeases::on_refused`]): another process holds it, or the store
+//!   has restarted and does not know of the grant.
+//! - *expired*: no renewal came in time, because the store did not answer or this process stood still
+//!   ([`HeldLeases::take_expired`]). It may not write from the expiry on, whether or not a tick has come since.
+//! - *superseded*: a grant under a higher epoch replaces an older one; the slice stays held under the new epoch.
 use crate::{Epoch, Seconds};
 use std::collections::BTreeMap;
 
-/// Share of a span that clocks may run apart, and some for the way.
-const DRIFT: f64 = 0.1;
-/// Share of what is left of a lease at which it is renewed: three tries fit in before it ends.
-const RENEW_AT: f64 = 0.6;
+/// Fraction of a lease's duration by which clocks may run apart, with a margin for the way of a message.
+const CLOCK_DRIFT_FRACTION: f64 = 0.1;
+/// Fraction of a lease that is left when it is renewed: three tries fit in before it expires.
+const RENEWAL_REMAINING_FRACTION: f64 = 0.6;
+
+/// The state of one slice's lease at a moment of the holder's clock; see the module's transitions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeaseState {
+    /// Never acquired, or released, revoked or taken out after its expiry.
+    NotHeld,
+    /// The slice may be written under this epoch.
+    Valid(Epoch),
+    /// The lease has run out, and nothing may be written under its epoch.
+    Expired(Epoch),
+}
 
-/// One slice that was granted.
+/// One slice's lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lease {
-    pub epoch: Epoch,
-    /// On this steward's clock: nothing is ordered from then on.
-    until: Seconds,
+struct Lease {
+    epoch: Epoch,
+    /// On the holder's clock.
+    expires_at: Seconds,
 }
 
-/// All that a steward holds.
+/// The leases of one process, by slice.
 #[derive(Clone, Debug, Default)]
 pub struct HeldLeases {
-    span: Seconds,
-    lease_store: BTreeMap<u16, Lease>,
-    renewed: Seconds,
+    duration: Seconds,
+    leases: BTreeMap<u16, Lease>,
+    /// When the latest request was sent that the store has granted.
+    last_granted_request_at: Seconds,
 }
 
 impl HeldLeases {
-    /// `span`: seconds that the store grants a slice for.
-    pub fn new(span: Seconds) -> HeldLeases {
-        HeldLeases { span, ..HeldLeases::default() }
+    /// `duration`: seconds that the store grants a slice for.
+    pub fn new(duration: Seconds) -> HeldLeases {
+        HeldLeases { duration, ..HeldLeases::default() }
+    }
+
+    /// Seconds that the store grants a slice for.
+    pub fn duration(&self) -> Seconds {
+        self.duration
     }
 
-    pub fn span(&self) -> Seconds {
-        self.span
+    /// Seconds that this process holds a lease for, from when it sent the request.
+    fn holder_duration(&self) -> Seconds {
+        self.duration * (1.0 - CLOCK_DRIFT_FRACTION)
     }
 
-    /// The store said yes to a question that was asked at `asked`. An answer that came too late holds nothing.
-    pub fn granted(&mut self, now: Seconds, asked: Seconds, slices: &[(u16, Epoch)]) {
-        let until = asked + self.span * (1.0 - DRIFT);
-        self.renewed = self.renewed.max(asked);
-        for (slice, epoch) in slices.iter().filter(|_| until > now) {
-            let known = self.lease_store.get(slice).copied();
-            // Answers may come out of order: an older epoch says nothing.
-            if known.is_none_or(|known| known.epoch <= *epoch) {
-                let until =
-                    known.filter(|known| known.epoch == *epoch).map_or(until, |known| known.until.max(until));
-                self.lease_store.insert(*slice, Lease { epoch: *epoch, until });
-            }
+    /// The store has granted these slices, by a request that was sent at `requested_at`. A response that comes after
+    /// the leases have expired acquires nothing; one that comes out of order does not bring an older epoch back.
+    pub fn on_granted(&mut self, now: Seconds, requested_at: Seconds, slices: &[(u16, Epoch)]) {
+        let expires_at = requested_at + self.holder_duration();
+        self.last_granted_request_at = self.last_granted_request_at.max(requested_at);
+        if expires_at <= now {
+            return;
+        }
+        for (slice, epoch) in slices {
+            let granted = Lease { epoch: *epoch, expires_at };
+            let lease = match self.leases.get(slice) {
+                Some(known) if known.epoch > *epoch => continue,
+                Some(known) if known.epoch == *epoch => {
+                    Lease { expires_at: known.expires_at.max(expires_at), ..granted }
+                }
+                _ => granted,
+            };
+            self.leases.insert(*slice, lease);
         }
     }
 
-    /// The store said that these are not ours.
-    pub fn refused(&mut self, slices: &[u16]) {
-        slices.iter().for_each(|slice| _ = self.lease_store.remove(slice));
+    /// The store refused these slices: their leases, if any are held, are revoked.
+    pub fn on_refused(&mut self, slices: &[u16]) {
+        for slice in slices {
+            self.leases.remove(slice);
+        }
     }
 
-    /// We give it up: from now on nothing is ordered for it.
-    pub fn release_slice(&mut self, slice: u16) -> Option<Epoch> {
-        self.lease_store.remove(&slice).map(|grant| grant.epoch)
+    /// Gives a slice up: from now on nothing may be written for it. Returns the epoch under which it was held.
+    pub fn release(&mut self, slice: u16) -> Option<Epoch> {
+        self.leases.remove(&slice).map(|lease| lease.epoch)
     }
 
-    /// Takes out the slices whose time is over.
+    /// Takes out the slices whose leases have expired.
     pub fn take_expired(&mut self, now: Seconds) -> Vec<u16> {
-        let over: Vec<u16> =
-            self.lease_store.iter().filter(|(_, grant)| grant.until <= now).map(|(s, _)| *s).collect();
-        over.iter().for_each(|slice| _ = self.lease_store.remove(slice));
-        over
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<u16> = expired.map(|(slice, _)| *slice).collect();
+        for slice in &expired {
+            self.leases.remove(slice);
+        }
+        expired
+    }
+
+    /// The state of a slice's lease at this moment.
+    pub fn state(&self, now: Seconds, slice: u16) -> LeaseState {
+        match self.leases.get(&slice) {
+            None => LeaseState::NotHeld,
+            Some(lease) if now < lease.expires_at => LeaseState::Valid(lease.epoch),
+            Some(lease) => LeaseState::Expired(lease.epoch),
+        }
     }
 
-    /// The epoch under which a slice may be ordered at this moment, if it may be.
+    /// The epoch under which a slice may be written at this moment, if it may be.
     pub fn valid_epoch(&self, now: Seconds, slice: u16) -> Option<Epoch> {
-        self.lease_store.get(&slice).filter(|grant| now < grant.until).map(|grant| grant.epoch)
+        match self.state(now, slice) {
+            LeaseState::Valid(epoch) => Some(epoch),
+            LeaseState::NotHeld | LeaseState::Expired(_) => None,
+        }
     }
 
+    /// All slices with their epochs, in the order of slices, up to the last [`HeldLeases::take_expired`].
     pub fn held(&self) -> impl Iterator<Item = (u16, Epoch)> + '_ {
-        self.lease_store.iter().map(|(slice, grant)| (*slice, grant.epoch))
+        self.leases.iter().map(|(slice, lease)| (*slice, lease.epoch))
     }
 
+    /// Number of slices in [`HeldLeases::held`].
     pub fn count(&self) -> usize {
-        self.lease_store.len()
+        self.leases.len()
     }
 
-    /// When the leases should be renewed next, on this steward's clock.
+    /// When the leases are to be renewed next, on the holder's clock.
     pub fn renewal_due_at(&self) -> Seconds {
-        self.renewed + self.span * (1.0 - DRIFT) * (1.0 - RENEW_AT)
+        self.last_granted_request_at + self.holder_duration() * (1.0 - RENEWAL_REMAINING_FRACTION)
     }
 
-    /// When the first of them ends, if any is held.
+    /// When the first lease expires, if any is held.
     pub fn earliest_expiry(&self) -> Option<Seconds> {
-        self.lease_store.values().map(|grant| grant.until).min_by(Seconds::total_cmp)
-    }
-}
-
-/// What a proxy or a host keeps of a slice, so that no order of a former steward is obeyed: fencing.
-#[derive(Clone, Debug, Default)]
-pub struct Fence {
-    newest: BTreeMap<u32, Epoch>,
-}
-
-impl Fence {
-    /// Whether an order under this epoch may be obeyed; a newer one shuts out those before.
-    pub fn passes(&mut self, slice: u32, epoch: Epoch) -> bool {
-        let newest = self.newest.entry(slice).or_default();
-        *newest = (*newest).max(epoch);
-        *newest == epoch
-    }
-
-    pub fn newest(&self, slice: u32) -> Epoch {
-        self.newest.get(&slice).copied().unwrap_or_default()
-    }
-}
-
-/// The store's side of a slice: who holds it, until when on the store's clock. Linearisable as long as one store
-/// changes it at a time.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LeaseRecord {
-    pub epoch: Epoch,
-    /// The process that holds it: a steward that starts again is another one.
-    pub holder: Option<u64>,
-    pub until: Seconds,
-}
-
-impl LeaseRecord {
-    pub fn is_held(&self, now: Seconds) -> bool {
-        self.holder.is_some() && now < self.until
-    }
-
-    /// Grants or renews it; `None`: another holds it.
-    pub fn ask(&mut self, now: Seconds, process: u64, span: Seconds) -> Option<Epoch> {
-        let is_ours = self.holder == Some(process);
-        if self.is_held(now) && !is_ours {
-            return None;
-        }
-        // A lease of ours that lapsed unseen by others is renewed as it was: nobody else was granted it.
-        if !is_ours {
-            self.epoch.0 += 1;
-        }
-        (self.holder, self.until) = (Some(process), now + span);
-        Some(self.epoch)
-    }
-
-    /// Free for anyone from now on, if it is the asker's.
-    pub fn release(&mut self, process: u64, epoch: Epoch) -> bool {
-        let is_ours = self.holder == Some(process) && self.epoch == epoch;
-        if is_ours {
-            self.holder = None;
-        }
-        is_ours
-    }
-
-    /// Whether a table that comes under this epoch may be written.
-    pub fn may_write(&self, epoch: Epoch) -> bool {
-        epoch == self.epoch
+        self.leases.values().map(|lease| lease.expires_at).min_by(Seconds::total_cmp)
     }
 }
 
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -1,263 +1,324 @@
-//! One steward's part in sharing a fleet: it hears from the others and from the store, and says what to send, which
-//! slices it has gained and which it has lost. All that it may order it asks [`LeaseManager::may_order`], each time.
+//! The lease manager of one node: it receives messages of other nodes and responses of the lease store, and tells the
+//! driver what to send, which slices the node has acquired and which it has lost.
+//!
+//! It owns the node's [`Membership`], the [`Placement`] that follows from it, and the node's [`HeldLeases`]. Whoever
+//! writes for a slice checks [`LeaseManager::valid_epoch`] at the moment of writing.
+//!
+//! The numbered way of one slice from a dead node to this one:
+//! 1. Membership declares the node dead ([`LeaseManager::on_message`], [`LeaseManager::tick`]).
+//! 2. Placement makes this node the slice's owner; the next request to the store wants to acquire it.
+//! 3. The store refuses as long as the dead node's lease lasts; the slice is wanted again after a pause.
+//! 4. The store grants it under a higher epoch ([`LeaseManager::on_response`]): the driver is told that it is acquired.
+//!
+//! Requests to the store: Idle -> InFlight (sent) -> Idle (response, or the response timeout). One is in flight at most.
 use crate::lease::HeldLeases;
+use crate::lease_messages::{LeaseRequest, LeaseResponse};
 use crate::member::{Load, Member, NodeMetadata};
 use crate::messages::{MemberChange, Message, OutgoingMessage};
 use crate::placement::{rendezvous_owner, Placement};
-use crate::swim::{Membership, MembershipConfig};
+use crate::swim::{Membership, MembershipConfig, MembershipOutput};
 use crate::{Epoch, NodeId, Seconds};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds between two questions to the store while something is wanted, and until one without an answer is
-/// given up.
-const ASK_EVERY: Seconds = 0.2;
-const ANSWER_WITHIN: Seconds = 1.0;
-/// Questions without an answer, one after another, after which a steward that holds nothing says that it has no store.
-const UNANSWERED_MOST: u32 = 2;
-/// Slices named in one question: an answer brings their tables, and a takeover must not come in one lump.
-const TAKEN_AT_ONCE: usize = 256;
-/// Seconds that a store's refusal stands: what another holds is not asked for again at once.
-const REFUSED_FOR: Seconds = 0.4;
+/// Seconds between two requests to the store while there is something to request.
+const REQUEST_INTERVAL: Seconds = 0.2;
+/// Seconds after which a request without a response is given up.
+const RESPONSE_TIMEOUT: Seconds = 1.0;
+/// Requests without a response, one after another, after which a node that holds nothing publishes that the store is
+/// unreachable.
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
+/// Slices that one request acquires: the response brings their tables, and a takeover must not come in one lump.
+const ACQUIRE_BATCH_LIMIT: usize = 256;
+/// Seconds that a slice which the store refused is not requested again.
+const REFUSAL_BACKOFF: Seconds = 0.4;
+/// Shortest times in seconds from now to the next request, and to the next tick.
+const MIN_REQUEST_DELAY: Seconds = 0.01;
+const MIN_TICK_DELAY: Seconds = 0.005;
 
-/// What a steward asks the store for; all of it in one step, or nothing.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LeaseRequest {
-    pub number: u64,
-    pub process: u64,
-    pub span: Seconds,
-    pub take: Vec<u16>,
-    pub renew: Vec<(u16, Epoch)>,
-    pub release: Vec<(u16, Epoch)>,
+/// What the driver is to do after a call.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Effects {
+    /// Messages to other nodes, in order.
+    pub messages: Vec<OutgoingMessage>,
+    /// A request to the lease store.
+    pub lease_request: Option<LeaseRequest>,
+    /// Slices that are held from now on, or under a new epoch.
+    pub acquired: Vec<(u16, Epoch)>,
+    /// Slices that were released, or revoked by the store.
+    pub lost: Vec<u16>,
+    /// Slices whose leases have expired; who holds them next is not known.
+    pub expired: Vec<u16>,
+    /// Changes of the membership's view.
+    pub member_changes: Vec<MemberChange>,
 }
 
-/// The store's answer to a [`LeaseRequest`].
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LeaseResponse {
-    pub number: u64,
-    /// Taken or renewed.
-    pub granted: Vec<(u16, Epoch)>,
-    /// Held by another.
-    pub refused: Vec<u16>,
+impl From<MembershipOutput> for Effects {
+    fn from(output: MembershipOutput) -> Effects {
+        Effects { messages: output.messages, member_changes: output.changes, ..Effects::default() }
+    }
 }
 
-/// What follows from something heard.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Effects {
-    pub mail: OutgoingMessage,
-    pub request: Option<LeaseRequest>,
-    pub gained: Vec<(u16, Epoch)>,
-    /// Given up, or another's by the store's word.
-    pub lost: Vec<u16>,
-    /// Their leases are over, and nobody has said whose they are.
-    pub lapsed: Vec<u16>,
-    pub changed: Vec<MemberChange>,
+/// Whether a request to the store waits for its response.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum RequestState {
+    Idle,
+    InFlight { number: u64, sent_at: Seconds },
 }
 
-/// Decides for one steward which slices to lease, renew and release.
+/// Decides for one node which slices to acquire, renew and release.
 pub struct LeaseManager {
-    me: NodeId,
+    id: NodeId,
     process: u64,
+    /// Number of slices of the installation.
     slices: u16,
     membership: Membership,
-    sharing: Placement,
+    placement: Placement,
     leases: HeldLeases,
-    number: u64,
-    /// The question that is out, and since when.
-    asked: Option<(u64, Seconds)>,
-    ask_at: Seconds,
-    refused: BTreeMap<u16, Seconds>,
+    last_request_number: u64,
+    request_state: RequestState,
+    next_request_at: Seconds,
+    /// When the store last refused each slice.
+    refused_at: BTreeMap<u16, Seconds>,
     draining: bool,
-    /// Questions to the store without an answer, one after another.
-    unanswered: u32,
+    /// Requests without a response, one after another.
+    unanswered_requests: u32,
 }
 
 /// What a lease manager is given at its start.
 pub struct LeaseManagerOptions<'a> {
-    pub me: NodeId,
-    /// Tells this process from all others; higher than those of earlier processes of the same steward.
+    /// The node's id.
+    pub id: NodeId,
+    /// Number of the process: differs from all others, and is higher than those of earlier processes of the same node.
     pub process: u64,
-    /// All stewards of the installation with what they can bear.
+    /// All nodes of the settings with what they can bear relative to each other.
     pub weights: &'a BTreeMap<NodeId, f64>,
+    /// What the node publishes of itself.
     pub metadata: NodeMetadata,
+    /// Settings of membership.
     pub config: MembershipConfig,
+    /// Number of slices of the installation.
     pub slices: u16,
-    /// Seconds that a lease is granted for.
-    pub span: Seconds,
-    /// Seconds before the first question to the store: time to learn who else is there.
-    pub settle: Seconds,
+    /// Seconds that a lease lasts.
+    pub lease_duration: Seconds,
+    /// Seconds before the first request to the store: time to learn who else is there.
+    pub settle_time: Seconds,
+    /// Seed of membership's random choices.
     pub seed: u64,
 }
 
 impl LeaseManager {
+    /// Starts with all nodes of the settings counted as alive.
     pub fn new(options: &LeaseManagerOptions, now: Seconds) -> LeaseManager {
-        let others: Vec<NodeId> = options.weights.keys().copied().collect();
-        let mut sharing = Placement::new(options.weights.clone());
-        others.iter().for_each(|id| sharing.hear(now, *id, true));
-        let own = Member::alive(options.me, options.process, options.metadata.clone());
-        let mut membership = Membership::new(own, options.config.clone(), now, options.seed);
-        membership.expect(&others, now);
+        let nodes: Vec<NodeId> = options.weights.keys().copied().collect();
+        let mut placement = Placement::new(options.weights.clone());
+        for id in &nodes {
+            placement.on_liveness(now, *id, true);
+        }
+        let local = Member::alive(options.id, options.process, options.metadata.clone());
+        let mut membership = Membership::new(local, options.config.clone(), now, options.seed);
+        membership.add_expected(&nodes, now);
         LeaseManager {
-            me: options.me,
+            id: options.id,
             process: options.process,
             slices: options.slices,
             membership,
-            sharing,
-            leases: HeldLeases::new(options.span),
-            number: 0,
-            asked: None,
-            ask_at: now + options.settle,
-            refused: BTreeMap::new(),
+            placement,
+            leases: HeldLeases::new(options.lease_duration),
+            last_request_number: 0,
+            request_state: RequestState::Idle,
+            next_request_at: now + options.settle_time,
+            refused_at: BTreeMap::new(),
             draining: false,
-            unanswered: 0,
+            unanswered_requests: 0,
         }
     }
 
-    /// The epoch under which a slice may be ordered at this moment, if it may be.
+    /// The epoch under which a slice may be written at this moment, if it may be.
     pub fn valid_epoch(&self, now: Seconds, slice: u16) -> Option<Epoch> {
         self.leases.valid_epoch(now, slice)
     }
 
-    /// A question to the store is out.
+    /// Whether a request to the store waits for its response.
     pub fn request_in_flight(&self) -> bool {
-        self.asked.is_some()
+        matches!(self.request_state, RequestState::InFlight { .. })
     }
 
-    /// All that is held, to be asked at the moment of writing by those that write.
+    /// All leases, for those that write to check at the moment of writing.
     pub fn leases(&self) -> &HeldLeases {
         &self.leases
     }
 
-    pub fn held(&self) -> impl Iterator<Item = (u16, Epoch)> + '_ {
-        self.leases.held()
-    }
-
-    /// It is to go: its slices are handed over, and nothing new is taken.
-    pub fn drain(&mut self) {
+    /// Begins to hand all slices over; no more are acquired.
+    pub fn start_draining(&mut self) {
         self.draining = true;
-        self.membership.drain();
-        self.sharing.drain(self.me, true);
+        self.membership.start_draining();
+        self.placement.set_draining(self.id, true);
     }
 
-    pub fn draining(&self) -> bool {
+    /// Whether the node hands its slices over.
+    pub fn is_draining(&self) -> bool {
         self.draining
     }
 
+    /// Whether the node has handed all its slices over.
     pub fn is_drained(&self) -> bool {
         self.draining && self.leases.count() == 0
     }
 
-    /// Who lives, and what is known of them.
+    /// The node's view of the others.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
+    /// The load that goes with each message from now on.
     pub fn set_load(&mut self, load: Load) {
         self.membership.set_load(load);
     }
 
-    /// Tells the others that we go.
-    pub fn leave(&mut self, now: Seconds) -> Effects {
-        Effects { mail: self.membership.leave(now), ..Effects::default() }
+    /// Tells the other nodes that this one leaves.
+    pub fn leave(&mut self) -> Effects {
+        self.membership.leave().into()
     }
 
-    pub fn hear(&mut self, now: Seconds, message: &Message) -> Effects {
-        let (mail, changed) = self.membership.hear(now, message);
-        self.follow(now, &changed);
-        Effects { mail, changed, ..Effects::default() }
+    /// Applies a message of another node.
+    pub fn on_message(&mut self, now: Seconds, message: &Message) -> Effects {
+        let output = self.membership.on_message(now, message);
+        self.update_placement(now, &output.changes);
+        output.into()
     }
 
-    fn follow(&mut self, now: Seconds, changed: &[MemberChange]) {
-        for change in changed {
-            self.sharing.meet(change.about);
-            self.sharing.hear(now, change.about, self.membership.may_own_slices(change.about));
-            self.sharing.drain(change.about, self.membership.draining(change.about));
+    fn update_placement(&mut self, now: Seconds, changes: &[MemberChange]) {
+        for change in changes {
+            self.placement.add_node(change.id);
+            self.placement.on_liveness(now, change.id, self.membership.may_hold_slices(change.id));
+            self.placement.set_draining(change.id, self.membership.is_draining(change.id));
         }
-        self.sharing.hear(now, self.me, self.membership.may_own_slices(self.me));
+        self.update_own_liveness(now);
+    }
+
+    fn update_own_liveness(&mut self, now: Seconds) {
+        self.placement.on_liveness(now, self.id, self.membership.may_hold_slices(self.id));
     }
 
+    /// Does what is due: drops expired leases, lets membership do its part, and requests what is to change.
     pub fn tick(&mut self, now: Seconds) -> Effects {
-        // Before anything else: what a pause or a store that was away has cost.
-        let mut acts = Effects { lapsed: self.leases.take_expired(now), ..Effects::default() };
-        (acts.mail, acts.changed) = self.membership.tick(now);
-        self.follow(now, &acts.changed);
-        if self.asked.is_some_and(|(_, at)| now - at > ANSWER_WITHIN) {
-            self.asked = None;
-            self.unanswered += 1;
+        // First of all what a pause, or a store that did not answer, has cost.
+        let expired = self.leases.take_expired(now);
+        let output = self.membership.tick(now);
+        self.update_placement(now, &output.changes);
+        self.end_unanswered_request(now);
+        self.publish_store_reachability(now);
+        let mut effects = Effects { expired, ..output.into() };
+        if self.request_state == RequestState::Idle && now >= self.next_request_at {
+            effects.lease_request = self.next_request(now, &mut effects.lost);
         }
-        // One that lives and cannot hold anything would keep its slices from everyone for as long as it lives.
-        let store_unreachable = self.unanswered >= UNANSWERED_MOST && self.leases.count() == 0;
-        self.membership.set_no_store(store_unreachable);
-        self.sharing.hear(now, self.me, self.membership.may_own_slices(self.me));
-        if self.asked.is_none() && now >= self.ask_at {
-            acts.request = self.next_request(now, &mut acts.lost);
+        effects
+    }
+
+    fn end_unanswered_request(&mut self, now: Seconds) {
+        if let RequestState::InFlight { sent_at, .. } = self.request_state {
+            if now - sent_at > RESPONSE_TIMEOUT {
+                self.request_state = RequestState::Idle;
+                self.unanswered_requests += 1;
+            }
         }
-        acts
+    }
+
+    /// A node that lives and cannot hold a lease would keep its slices from everyone, so it says so.
+    fn publish_store_reachability(&mut self, now: Seconds) {
+        let unreachable = self.unanswered_requests >= MAX_UNANSWERED_REQUESTS && self.leases.count() == 0;
+        self.membership.set_store_unreachable(unreachable);
+        self.update_own_liveness(now);
     }
 
     fn next_request(&mut self, now: Seconds, lost: &mut Vec<u16>) -> Option<LeaseRequest> {
-        let eligible_nodes = self.sharing.eligible_nodes(now);
-        let ours = |slice: u16| rendezvous_owner(slice, &eligible_nodes) == Some(self.me);
+        let eligible = self.placement.eligible_nodes(now);
+        let acquire = self.slices_to_acquire(now, &eligible);
+        let release = self.release_foreign_slices(now, &eligible);
+        lost.extend(release.iter().map(|(slice, _)| *slice));
+        let renewal_is_due = now >= self.leases.renewal_due_at();
+        let renew = if renewal_is_due { self.leases.held().collect() } else { Vec::new() };
+        self.next_request_at = now + REQUEST_INTERVAL;
+        // While the store does not answer it is asked on, for nothing if need be: else its return would go unnoticed.
+        let is_empty = acquire.is_empty() && renew.is_empty() && release.is_empty();
+        if is_empty && self.unanswered_requests == 0 {
+            return None;
+        }
+        self.last_request_number += 1;
+        let number = self.last_request_number;
+        self.request_state = RequestState::InFlight { number, sent_at: now };
+        let duration = self.leases.duration();
+        Some(LeaseRequest { number, process: self.process, duration, acquire, renew, release })
+    }
+
+    /// The slices that belong to this node, are not held, and were not refused a moment ago.
+    fn slices_to_acquire(&self, now: Seconds, eligible: &BTreeMap<NodeId, f64>) -> Vec<u16> {
         let held: BTreeSet<u16> = self.leases.held().map(|(slice, _)| slice).collect();
-        let refused = |slice: &u16| self.refused.get(slice).is_some_and(|at| now - at < REFUSED_FOR);
-        let wanted =
-            (0..self.slices).filter(|slice| !held.contains(slice) && ours(*slice) && !refused(slice));
-        let take: Vec<u16> = wanted.take(TAKEN_AT_ONCE).collect();
-        // Without anyone to give them to, slices are kept: a poor steward is better than none.
-        let to_give: Vec<u16> =
-            held.iter().copied().filter(|slice| !eligible_nodes.is_empty() && !ours(*slice)).collect();
-        let mut release = Vec::new();
-        for slice in to_give {
-            if !self.sharing.take_handover_permit(now) {
+        let was_refused = |slice: &u16| match self.refused_at.get(slice) {
+            Some(refused_at) => now - refused_at < REFUSAL_BACKOFF,
+            None => false,
+        };
+        (0..self.slices)
+            .filter(|slice| !held.contains(slice) && self.is_owner(*slice, eligible) && !was_refused(slice))
+            .take(ACQUIRE_BATCH_LIMIT)
+            .collect()
+    }
+
+    /// Gives up slices that belong to another node, as many as may be handed over now. Without an eligible node slices
+    /// are kept: a poor holder is better than none.
+    fn release_foreign_slices(
+        &mut self,
+        now: Seconds,
+        eligible: &BTreeMap<NodeId, f64>,
+    ) -> Vec<(u16, Epoch)> {
+        if eligible.is_empty() {
+            return Vec::new();
+        }
+        let held = self.leases.held().map(|(slice, _)| slice);
+        let foreign: Vec<u16> = held.filter(|slice| !self.is_owner(*slice, eligible)).collect();
+        let mut released = Vec::new();
+        for slice in foreign {
+            if !self.placement.take_handover_permit(now) {
                 break;
             }
-            if let Some(epoch) = self.leases.release_slice(slice) {
-                release.push((slice, epoch));
-                lost.push(slice);
-            }
-        }
-        let renews = now >= self.leases.renewal_due_at();
-        let renew: Vec<(u16, Epoch)> = if renews { self.leases.held().collect() } else { Vec::new() };
-        self.ask_at = now + ASK_EVERY;
-        // One that the store did not answer asks on, for nothing if need be: else it would never hear that it is back.
-        if take.is_empty() && renew.is_empty() && release.is_empty() && self.unanswered == 0 {
-            return None;
+            released.extend(self.leases.release(slice).map(|epoch| (slice, epoch)));
         }
-        self.number += 1;
-        self.asked = Some((self.number, now));
-        let (number, process, span) = (self.number, self.process, self.leases.span());
-        Some(LeaseRequest { number, process, span, take, renew, release })
+        released
+    }
+
+    fn is_owner(&self, slice: u16, eligible: &BTreeMap<NodeId, f64>) -> bool {
+        rendezvous_owner(slice, eligible) == Some(self.id)
     }
 
-    /// The store's answer. One to a question that was given up still counts from when that was asked: it is known
-    /// only for the question that is out, so a late one is left alone, and the store's grant lapses unused.
+    /// Applies the store's response. One to a request that was given up is ignored: what it grants expires unused.
     pub fn on_response(&mut self, now: Seconds, response: &LeaseResponse) -> Effects {
-        let Some((_, asked)) = self.asked.filter(|asked| asked.0 == response.number) else {
-            return Effects::default();
+        let sent_at = match self.request_state {
+            RequestState::InFlight { number, sent_at } if number == response.number => sent_at,
+            RequestState::InFlight { .. } | RequestState::Idle => return Effects::default(),
         };
-        self.asked = None;
-        self.unanswered = 0;
+        self.request_state = RequestState::Idle;
+        self.unanswered_requests = 0;
         let before: BTreeMap<u16, Epoch> = self.leases.held().collect();
-        self.leases.granted(now, asked, &response.granted);
-        self.leases.refused(&response.refused);
-        self.refused.retain(|_, at| now - *at < REFUSED_FOR);
-        self.refused.extend(response.refused.iter().map(|slice| (*slice, now)));
+        self.leases.on_granted(now, sent_at, &response.granted);
+        self.leases.on_refused(&response.refused);
+        self.refused_at.retain(|_, refused_at| now - *refused_at < REFUSAL_BACKOFF);
+        self.refused_at.extend(response.refused.iter().map(|slice| (*slice, now)));
         let after: BTreeMap<u16, Epoch> = self.leases.held().collect();
-        let gained = after.iter().filter(|(slice, epoch)| before.get(slice) != Some(epoch));
+        let acquired = after.iter().filter(|(slice, epoch)| before.get(slice) != Some(epoch));
         Effects {
-            gained: gained.map(|(slice, epoch)| (*slice, *epoch)).collect(),
+            acquired: acquired.map(|(slice, epoch)| (*slice, *epoch)).collect(),
             lost: before.into_keys().filter(|slice| !after.contains_key(slice)).collect(),
             ..Effects::default()
         }
     }
 
-    /// When [`LeaseManager::tick`] wants to be called next.
-    pub fn next_at(&self, now: Seconds) -> Seconds {
-        let ask = if self.asked.is_none() { self.ask_at.max(now + 0.01) } else { f64::INFINITY };
-        self.membership
-            .next_at()
-            .min(ask)
-            .min(self.leases.earliest_expiry().unwrap_or(f64::INFINITY))
-            .max(now + 0.005)
+    /// When [`LeaseManager::tick`] is to be called next.
+    pub fn next_tick_at(&self, now: Seconds) -> Seconds {
+        let request_at = match self.request_state {
+            RequestState::Idle => self.next_request_at.max(now + MIN_REQUEST_DELAY),
+            RequestState::InFlight { .. } => f64::INFINITY,
+        };
+        let expiry_at = self.leases.earliest_expiry().unwrap_or(f64::INFINITY);
+        self.membership.next_tick_at().min(request_at).min(expiry_at).max(now + MIN_TICK_DELAY)
     }
 }
--- a/crates/railhub-membership/src/lease_store.rs
+++ b/crates/railhub-membership/src/lease_store.rs
@@ -1,163 +1,190 @@
-//! The store's side of leases: who holds which slice under which epoch, and whose table may be written. No I/O and no
-//! clock: the stand-in store and the simulated one drive the same code, one question at a time.
+//! The store's side of leases: who holds which slice under which epoch, and whose table may be written. Free of I/O and
+//! of clocks: the emulated store and the simulated one drive the same code, one request at a time.
 //!
-//! *A restart from an older copy* of its state must be noticed, since epochs never go back. Two things see to it:
-//! each start has a base, and epochs granted since are above it; and a steward that renews names the epoch it holds,
-//! so a store that has never heard of it knows that it is behind. After a start nothing is granted anew for the
-//! longest span that it ever grants: whoever holds something that the copy does not know of has renewed it by then,
-//! and is taken at its word, or has stopped. That span is the store's own, fixed figure (the explorer found that the
-//! longest one *so far* is not enough: a copy may know of none).
-use crate::lease::LeaseRecord;
-use crate::lease_manager::{LeaseRequest, LeaseResponse};
+//! # Restarts
+//!
+//! Epochs must never go back, also when the store restarts from an older copy of its state:
+//! - Each start has a base above the epochs of all earlier starts, and new grants are above the base.
+//! - A renewal names the epoch that the holder has, so a store that does not know that epoch knows that it is behind.
+//! - After a start there is a grace period of the longest lease that the store ever grants, in which it grants nothing
+//!   new and accepts renewals. Whoever holds what the copy does not know of has renewed it by then, or has stopped. The
+//!   period is fixed: the longest lease that the copy knows of may be shorter than one that was granted since.
+//!
+//! A slice, in the store's view: Free -> Held (granted: epoch + 1) -> Held (renewed: same epoch) -> Free (released, or
+//! expired) -> Held (granted again: epoch + 1, unless to the same process).
+use crate::lease_messages::{LeaseRequest, LeaseResponse};
+use crate::lease_record::LeaseRecord;
 use crate::{Epoch, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Epochs of one start: a million grants of one slice. Starts are told apart by seconds since 1970.
+/// Epochs of one start: a million grants of one slice. Starts are numbered by seconds since 1970.
 const EPOCHS_PER_START: u64 = 1 << 20;
 /// Slices that the store answers for.
 const MAX_SLICES: usize = 1 << 16;
 
-/// What the judge must find: a store that is broken.
+/// Faults of the store that a test injects, for its checks to find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreFaults {
-    /// A slice is granted anew under the epoch it had.
+    /// A slice is granted again under the epoch that it had.
     pub reuses_epochs: bool,
     /// Tables are written under any epoch.
-    pub writes_unchecked: bool,
-    /// It grants at once after it started from an older copy.
-    pub not_quiet: bool,
+    #[serde(rename = "writes_unchecked")]
+    pub skips_write_check: bool,
+    /// There is no grace period after a restart.
+    #[serde(rename = "not_quiet")]
+    pub skips_grace_period: bool,
 }
 
-/// What follows from a question.
+/// What came of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseDecision {
+    /// What the requester is told.
     pub response: LeaseResponse,
-    /// Granted to another process than before, or after a break.
-    pub anew: Vec<(u16, Epoch)>,
+    /// Slices granted to another process than before, with their epochs.
+    pub acquired: Vec<(u16, Epoch)>,
 }
 
-/// All holdings; what a copy holds of them.
+/// A grant of a slice to a process that asked to acquire it.
+struct Grant {
+    epoch: Epoch,
+    /// The process did not hold it before.
+    is_new: bool,
+}
+
+/// The store's records of all slices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseStore {
-    holdings: BTreeMap<u16, LeaseRecord>,
+    records: BTreeMap<u16, LeaseRecord>,
     /// Epochs granted since this start are at least this.
-    base: u64,
-    /// Seconds of the longest lease that it grants; questions for longer ones are refused.
-    longest: Seconds,
-    /// Nothing is granted anew before.
-    quiet_until: Seconds,
-    pub broken: StoreFaults,
+    epoch_base: u64,
+    /// Seconds of the longest lease that is granted; requests for longer ones are refused.
+    max_duration: Seconds,
+    /// End of the grace period.
+    grace_until: Seconds,
+    faults: StoreFaults,
 }
 
 impl LeaseStore {
-    /// A store that starts for the first time.
-    pub fn new(longest: Seconds, broken: StoreFaults) -> LeaseStore {
-        LeaseStore { longest, broken, ..LeaseStore::default() }
+    /// A store that starts for the first time. `max_duration`: seconds of the longest lease that it grants.
+    pub fn new(max_duration: Seconds, faults: StoreFaults) -> LeaseStore {
+        LeaseStore { max_duration, faults, ..LeaseStore::default() }
     }
 
-    /// Starts again from what was kept, which may be older than what was last granted.
+    /// The store after a restart from this copy of its state, which may be older than the last grant.
     /// `start`: seconds since 1970, higher than at the start before.
     pub fn restart(&self, now: Seconds, start: u64) -> LeaseStore {
-        let base = (start.saturating_mul(EPOCHS_PER_START)).max(self.base + 1);
-        let quiet = if self.broken.not_quiet { 0.0 } else { self.longest };
-        let mut again = LeaseStore { base, quiet_until: now + quiet, ..self.clone() };
-        // Whom the copy names may have lost the slice since: it holds it if it renews, and not because of the copy.
-        again.holdings.values_mut().for_each(|held| (held.holder, held.until) = (None, now));
-        again
+        let epoch_base = start.saturating_mul(EPOCHS_PER_START).max(self.epoch_base + 1);
+        let grace = if self.faults.skips_grace_period { 0.0 } else { self.max_duration };
+        let mut store = LeaseStore { epoch_base, grace_until: now + grace, ..self.clone() };
+        // A holder that the copy names may have lost the slice since. If it still holds the slice it renews it.
+        for record in store.records.values_mut() {
+            record.holder = None;
+            record.expires_at = now;
+        }
+        store
     }
 
-    fn is_quiet(&self, now: Seconds) -> bool {
-        now < self.quiet_until
+    fn is_in_grace_period(&self, now: Seconds) -> bool {
+        now < self.grace_until
     }
 
-    /// Releases, renews and takes, in this order, in one step.
-    pub fn answer(&mut self, now: Seconds, request: &LeaseRequest) -> LeaseDecision {
-        let mut answer = LeaseDecision::default();
-        answer.response.number = request.number;
-        let span = request.span;
-        // What it would count shorter than the asker does must not be granted at all.
-        if !(0.0..=self.longest).contains(&span) {
-            answer.response.refused =
-                request.take.iter().copied().chain(request.renew.iter().map(|held| held.0)).collect();
-            return answer;
+    /// Decides a request in one step: first releases, then renewals, then acquisitions.
+    pub fn handle_request(&mut self, now: Seconds, request: &LeaseRequest) -> LeaseDecision {
+        let mut decision = LeaseDecision::default();
+        let response = &mut decision.response;
+        response.number = request.number;
+        // A lease that the store counts shorter than its holder does must not be granted.
+        if !(0.0..=self.max_duration).contains(&request.duration) {
+            let renewals = request.renew.iter().map(|(slice, _)| *slice);
+            response.refused = request.acquire.iter().copied().chain(renewals).collect();
+            return decision;
         }
         for (slice, epoch) in &request.release {
-            self.holdings
-                .get_mut(slice)
-                .into_iter()
-                .for_each(|held| _ = held.release(request.process, *epoch));
+            if let Some(record) = self.records.get_mut(slice) {
+                record.release(request.process, *epoch);
+            }
         }
         for (slice, epoch) in &request.renew {
-            match self.renew(now, request.process, span, *slice, *epoch) {
-                true => answer.response.granted.push((*slice, *epoch)),
-                false => answer.response.refused.push(*slice),
+            if self.renew(now, request, *slice, *epoch) {
+                response.granted.push((*slice, *epoch));
+            } else {
+                response.refused.push(*slice);
             }
         }
-        for slice in &request.take {
-            match self.take(now, request.process, span, *slice) {
-                Some((epoch, anew)) => {
-                    answer.response.granted.push((*slice, epoch));
-                    answer.anew.extend(anew.then_some((*slice, epoch)));
-                }
-                None => answer.response.refused.push(*slice),
+        for slice in &request.acquire {
+            let Some(Grant { epoch, is_new }) = self.acquire(now, request, *slice) else {
+                response.refused.push(*slice);
+                continue;
+            };
+            response.granted.push((*slice, epoch));
+            if is_new {
+                decision.acquired.push((*slice, epoch));
             }
         }
-        answer
+        decision
     }
 
-    fn renew(&mut self, now: Seconds, process: u64, span: Seconds, slice: u16, epoch: Epoch) -> bool {
-        let quiet = self.is_quiet(now);
-        let Some(held) = self.holding(slice) else { return false };
-        if held.holder == Some(process) && held.epoch == epoch {
-            return held.ask(now, process, span).is_some();
+    fn renew(&mut self, now: Seconds, request: &LeaseRequest, slice: u16, epoch: Epoch) -> bool {
+        let LeaseRequest { process, duration, .. } = *request;
+        let in_grace_period = self.is_in_grace_period(now);
+        let Some(record) = self.record_mut(slice) else { return false };
+        if record.holder == Some(process) && record.epoch == epoch {
+            return record.grant(now, process, duration).is_some();
         }
-        // While the store is quiet nobody was given the slice since: who renews it last had it.
-        if quiet && epoch >= held.epoch && (held.holder.is_none() || epoch > held.epoch) {
-            *held = LeaseRecord { epoch, holder: Some(process), until: now + span };
+        // In the grace period nothing is granted anew: the process with the highest epoch held the slice last.
+        let is_last_known = epoch > record.epoch || (epoch == record.epoch && record.holder.is_none());
+        if in_grace_period && is_last_known {
+            *record = LeaseRecord { epoch, holder: Some(process), expires_at: now + duration };
             return true;
         }
-        // It is behind, and this comes too late to be believed: what it grants next is above it.
-        if epoch > held.epoch {
-            *held = LeaseRecord { epoch, holder: None, until: now };
+        // The store is behind, and this comes too late to be accepted: the next grant is above it.
+        if epoch > record.epoch {
+            *record = LeaseRecord { epoch, holder: None, expires_at: now };
         }
         false
     }
 
-    fn take(&mut self, now: Seconds, process: u64, span: Seconds, slice: u16) -> Option<(Epoch, bool)> {
-        let (quiet, base, reuses) = (self.is_quiet(now), self.base, self.broken.reuses_epochs);
-        let held = self.holding(slice)?;
-        let before = *held;
-        if quiet {
+    fn acquire(&mut self, now: Seconds, request: &LeaseRequest, slice: u16) -> Option<Grant> {
+        let in_grace_period = self.is_in_grace_period(now);
+        let (epoch_base, reuses_epochs) = (self.epoch_base, self.faults.reuses_epochs);
+        let record = self.record_mut(slice)?;
+        if in_grace_period {
             return None;
         }
-        let mut epoch = held.ask(now, process, span)?;
-        let anew = before.holder != Some(process);
-        if anew {
-            epoch = Epoch(epoch.0.max(base));
-            if reuses && before.epoch.0 > 0 {
-                epoch = before.epoch;
-            }
-            held.epoch = epoch;
+        let before = *record;
+        let granted = record.grant(now, request.process, request.duration)?;
+        if before.holder == Some(request.process) {
+            return Some(Grant { epoch: granted, is_new: false });
         }
-        Some((epoch, anew))
+        record.epoch = match reuses_epochs && before.epoch.0 > 0 {
+            true => before.epoch,
+            false => Epoch(granted.0.max(epoch_base)),
+        };
+        Some(Grant { epoch: record.epoch, is_new: true })
     }
 
-    /// `None`: more slices than the store answers for.
-    fn holding(&mut self, slice: u16) -> Option<&mut LeaseRecord> {
-        let full = self.holdings.len() >= MAX_SLICES && !self.holdings.contains_key(&slice);
-        (!full).then(|| self.holdings.entry(slice).or_default())
+    /// `None`: there are more slices than the store answers for.
+    fn record_mut(&mut self, slice: u16) -> Option<&mut LeaseRecord> {
+        let is_full = self.records.len() >= MAX_SLICES && !self.records.contains_key(&slice);
+        (!is_full).then(|| self.records.entry(slice).or_default())
     }
 
-    /// Whether a table may be written: compare-and-set on the epoch. One that was released may still be written
-    /// under its last epoch until it is granted anew.
+    /// Whether a table may be written: compare-and-set on the epoch. A released slice may still be written under its
+    /// last epoch until it is granted again.
     pub fn may_write(&self, slice: u16, epoch: Epoch) -> bool {
-        self.broken.writes_unchecked
-            || self.holdings.get(&slice).map_or(epoch == Epoch(0), |held| held.may_write(epoch))
+        if self.faults.skips_write_check {
+            return true;
+        }
+        match self.records.get(&slice) {
+            Some(record) => record.may_write(epoch),
+            None => epoch == Epoch(0),
+        }
     }
 
+    /// The record of a slice, if it was ever asked for.
     pub fn record(&self, slice: u16) -> Option<&LeaseRecord> {
-        self.holdings.get(&slice)
+        self.records.get(&slice)
     }
 }
 
--- a/crates/railhub-membership/src/lease_store/tests.rs
+++ b/crates/railhub-membership/src/lease_store/tests.rs
@@ -2,23 +2,23 @@
 
 fn request(process: u64, take: &[u16], renew: &[(u16, u64)]) -> LeaseRequest {
     let renew = renew.iter().map(|(slice, epoch)| (*slice, Epoch(*epoch))).collect();
-    LeaseRequest { number: 1, process, span: 3.0, take: take.to_vec(), renew, release: Vec::new() }
+    LeaseRequest { number: 1, process, duration: 3.0, acquire: take.to_vec(), renew, release: Vec::new() }
 }
 
 #[test]
 fn a_store_that_forgot_a_grant_takes_its_holder_at_its_word_and_grants_above_it() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default());
-    assert_eq!(lease_store.answer(0.0, &request(1, &[4], &[])).response.granted, [(4, Epoch(1))]);
+    assert_eq!(lease_store.handle_request(0.0, &request(1, &[4], &[])).response.granted, [(4, Epoch(1))]);
     let copy = lease_store.clone();
-    let later = lease_store.answer(5.0, &request(2, &[4], &[])).response.granted[0].1;
+    let later = lease_store.handle_request(5.0, &request(2, &[4], &[])).response.granted[0].1;
     assert_eq!(later, Epoch(2));
     let mut again = copy.restart(5.5, 7);
     // The former holder, which the copy still names, and strangers get nothing before the holder has spoken.
-    assert_eq!(again.answer(5.6, &request(3, &[4], &[])).response.refused, [4]);
-    assert_eq!(again.answer(5.7, &request(2, &[], &[(4, 2)])).response.granted, [(4, Epoch(2))]);
-    assert_eq!(again.answer(5.8, &request(1, &[], &[(4, 1)])).response.refused, [4]);
+    assert_eq!(again.handle_request(5.6, &request(3, &[4], &[])).response.refused, [4]);
+    assert_eq!(again.handle_request(5.7, &request(2, &[], &[(4, 2)])).response.granted, [(4, Epoch(2))]);
+    assert_eq!(again.handle_request(5.8, &request(1, &[], &[(4, 1)])).response.refused, [4]);
     assert_eq!(
-        again.answer(9.0, &request(3, &[4], &[])).response.granted,
+        again.handle_request(9.0, &request(3, &[4], &[])).response.granted,
         [(4, Epoch(7 * EPOCHS_PER_START))]
     );
     assert!(again.may_write(4, Epoch(7 * EPOCHS_PER_START)) && !again.may_write(4, Epoch(2)));
@@ -28,35 +28,35 @@
 #[test]
 fn whom_an_older_copy_names_gets_nothing_by_it() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default());
-    lease_store.answer(0.0, &request(1, &[4], &[]));
+    lease_store.handle_request(0.0, &request(1, &[4], &[]));
     let copy = lease_store.clone();
-    assert_eq!(lease_store.answer(5.0, &request(2, &[4], &[])).response.granted, [(4, Epoch(2))]);
+    assert_eq!(lease_store.handle_request(5.0, &request(2, &[4], &[])).response.granted, [(4, Epoch(2))]);
     let mut again = copy.restart(6.0, 9);
-    assert_eq!(again.answer(6.1, &request(1, &[4], &[])).response.refused, [4]);
+    assert_eq!(again.handle_request(6.1, &request(1, &[4], &[])).response.refused, [4]);
     // The other has died meanwhile: nobody tells the store of epoch 2.
-    assert!(again.answer(9.5, &request(1, &[4], &[])).response.granted[0].1 > Epoch(2));
+    assert!(again.handle_request(9.5, &request(1, &[4], &[])).response.granted[0].1 > Epoch(2));
 }
 
 #[test]
 fn epochs_never_go_back_where_the_clock_of_starts_was_set_back() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default()).restart(0.0, 100);
-    let first = lease_store.answer(3.1, &request(1, &[1], &[])).response.granted[0].1;
+    let first = lease_store.handle_request(3.1, &request(1, &[1], &[])).response.granted[0].1;
     assert!(first.0 >= 100 * EPOCHS_PER_START);
     let mut again = LeaseStore::new(3.0, StoreFaults::default()).restart(4.0, 3);
     assert_eq!(
-        again.answer(7.1, &request(1, &[], &[(1, first.0)])).response.refused,
+        again.handle_request(7.1, &request(1, &[], &[(1, first.0)])).response.refused,
         [1],
         "too late: it was quiet before"
     );
-    let next = again.answer(7.2, &request(2, &[1], &[])).response.granted[0].1;
+    let next = again.handle_request(7.2, &request(2, &[1], &[])).response.granted[0].1;
     assert!(next > first, "{next:?} after {first:?}");
 }
 
 #[test]
 fn a_table_is_written_under_the_epoch_that_was_granted_alone() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default());
-    lease_store.answer(0.0, &request(1, &[2], &[]));
+    lease_store.handle_request(0.0, &request(1, &[2], &[]));
     assert!(lease_store.may_write(2, Epoch(1)) && !lease_store.may_write(2, Epoch(0)));
-    lease_store.answer(9.0, &request(2, &[2], &[]));
+    lease_store.handle_request(9.0, &request(2, &[2], &[]));
     assert!(!lease_store.may_write(2, Epoch(1)) && lease_store.may_write(2, Epoch(2)));
 }
--- a/crates/railhub-membership/src/local_health.rs
+++ b/crates/railhub-membership/src/local_health.rs
@@ -1,53 +1,57 @@
-//! A steward's own trouble. One that was paused, starved or deaf finds everybody missing; it should doubt itself
-//! first (Lifeguard: Dadgar, Phillips, Currey 2017). The worse it fares, the longer it waits for answers and before
-//! it holds anyone for dead.
+//! A node's local health (Lifeguard: Dadgar, Phillips, Currey 2017). A node that was paused, starved or cut off misses
+//! acknowledgements from everybody; the worse it fares, the longer it waits for acknowledgements and before it declares
+//! a suspect dead.
 use crate::Seconds;
 
-/// Marks against oneself at the most, and how much longer each makes waits: at worst three times as long.
-const MARKS_MOST: u32 = 8;
-const LONGER: f64 = 0.25;
-/// Seconds a turn may come late without a mark.
-const LATE: Seconds = 0.15;
-/// Marks for a turn that came late, for a probe that neither its target nor any helper had a word on, and for
-/// being suspected oneself.
-const FOR_LATE: u32 = 2;
-const FOR_DEAF: u32 = 1;
-const FOR_SUSPECTED: u32 = 1;
-
-/// Marks against oneself.
+/// Highest health score; at it timeouts are three times as long.
+const MAX_SCORE: u32 = 8;
+/// How much each point of the score lengthens timeouts.
+const TIMEOUT_FRACTION_PER_POINT: f64 = 0.25;
+/// Seconds that a tick may come late without a penalty.
+const MAX_TICK_DELAY: Seconds = 0.15;
+/// Points for a late tick.
+const LATE_TICK_PENALTY: u32 = 2;
+/// Points for a probe that neither its target nor any helper answered.
+const MISSED_NACK_PENALTY: u32 = 1;
+/// Points for having to refute a suspicion.
+const REFUTATION_PENALTY: u32 = 1;
+
+/// The score of a node's own health: 0 is healthy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
-    marks: u32,
+    score: u32,
 }
 
 impl LocalHealth {
-    fn worse(&mut self, by: u32) {
-        self.marks = (self.marks + by).min(MARKS_MOST);
+    fn penalize(&mut self, points: u32) {
+        self.score = (self.score + points).min(MAX_SCORE);
     }
 
-    /// A turn came so many seconds after it was due.
-    pub fn turned(&mut self, late: Seconds) {
-        if late > LATE {
-            self.worse(FOR_LATE);
+    /// A tick came `delay` seconds after it was due.
+    pub fn on_tick(&mut self, delay: Seconds) {
+        if delay > MAX_TICK_DELAY {
+            self.penalize(LATE_TICK_PENALTY);
         }
     }
 
-    pub fn heard_nothing(&mut self) {
-        self.worse(FOR_DEAF);
+    /// A probe ended without an acknowledgement, and no helper sent so much as a nack.
+    pub fn on_missed_nack(&mut self) {
+        self.penalize(MISSED_NACK_PENALTY);
     }
 
-    pub fn was_suspected(&mut self) {
-        self.worse(FOR_SUSPECTED);
+    /// The node had to refute a suspicion of itself.
+    pub fn on_refutation(&mut self) {
+        self.penalize(REFUTATION_PENALTY);
     }
 
-    /// An answer came in time.
-    pub fn did_well(&mut self) {
-        self.marks = self.marks.saturating_sub(1);
+    /// A probe was acknowledged in time.
+    pub fn on_probe_success(&mut self) {
+        self.score = self.score.saturating_sub(1);
     }
 
-    /// What waits are multiplied with, 1 to 3.
-    pub fn patience(&self) -> f64 {
-        1.0 + LONGER * f64::from(self.marks)
+    /// The local health multiplier of timeouts, 1 to 3.
+    pub fn multiplier(&self) -> f64 {
+        1.0 + TIMEOUT_FRACTION_PER_POINT * f64::from(self.score)
     }
 }
 
--- a/crates/railhub-membership/src/member.rs
+++ b/crates/railhub-membership/src/member.rs
@@ -1,115 +1,138 @@
-//! What is known of one steward. Its owner alone writes the metadata, under an incarnation that only it
-//! raises; others can add nothing to an entry but a worse standing under the incarnation they know. So any two words
-//! about a steward are in order, whoever brings them, and however late.
+//! What one node knows of another: the member entry, and the order in which entries of one node supersede each other.
+//!
+//! Only its owner writes a member's metadata, under an incarnation that only the owner raises. Any other node can
+//! change nothing but the status, to a worse one under the incarnation it knows. So any two entries of one member are
+//! ordered by (incarnation, status), whoever brings them and however late they arrive.
 use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Orders the words about a steward: the process that runs under its name, then how often that process has
-/// rewritten its entry.
+/// Orders the entries of one member: the process that runs under its id, then how often that process has rewritten
+/// its entry. Only the member itself raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
+    /// Number of the process: higher than that of any earlier process of the same node.
     pub process: u64,
+    /// How often the process has rewritten its entry.
     pub count: u64,
 }
 
-/// From good to bad: of two standings under one incarnation the later one here holds.
+/// A member's status under one incarnation, from good to bad: of two, the later one here holds.
+///
+/// Alive -> Suspect (a probe failed) -> Dead (the suspicion timeout ended) -> Forgotten (tombstoned); Alive -> Left (it
+/// said so). A higher incarnation, which only the member itself can give, leads back to Alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
+    /// It acknowledges probes, as far as is known.
     #[default]
     Alive,
+    /// It failed a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
+    /// It did not refute a suspicion in time.
     Dead,
-    /// It was gone for so long that its entry was given up: its process is never believed again.
+    /// It was gone for so long that its entry was dropped: only a tombstone with its process number stays.
     Forgotten,
 }
 
 impl Status {
+    /// Alive or suspect: still counted as a live member.
     pub fn is_live(self) -> bool {
         self <= Status::Suspect
     }
 }
 
-/// What a steward tells of itself that seldom changes; each change comes under a higher count.
+/// What a node publishes of itself and seldom changes; each change comes under a higher incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeMetadata {
-    /// Where it is reached.
+    /// Where its membership socket is reached.
     pub address: Option<SocketAddr>,
-    /// Version of the program, and of the words between stewards.
-    pub program: String,
-    pub protocol: u32,
+    /// Version of the program.
+    #[serde(rename = "program")]
+    pub program_version: String,
+    /// Version of the membership protocol.
+    #[serde(rename = "protocol")]
+    pub protocol_version: u32,
     /// Digest of its settings.
-    pub settings: u64,
-    /// It hands its slices over and takes none.
+    #[serde(rename = "settings")]
+    pub settings_digest: u64,
+    /// It hands its slices over and acquires none.
     #[serde(rename = "drains")]
     pub draining: bool,
-    /// The store does not answer it, and its leases are over: others take what it cannot hold.
+    /// The lease store does not answer it and it holds no lease: others take its slices.
     #[serde(rename = "no_store")]
     pub store_unreachable: bool,
 }
 
-/// What a steward tells of itself with each message; nobody passes it on.
+/// A node's own load, sent with each message and never gossiped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Slices, and proxies that are joined.
+    /// Slices that it holds.
     pub slices: u32,
+    /// Proxies that are connected to it.
     pub proxies: u32,
-    /// Share of a core that the process takes.
-    pub busy: f32,
+    /// Processor cores that the process uses; 1 is one full core.
+    #[serde(rename = "busy")]
+    pub cpu_cores: f32,
 }
 
-/// One word about a steward.
+/// One node's entry, as its owner wrote it or as an accuser has changed its status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    pub about: NodeId,
+    /// The node.
+    #[serde(rename = "about")]
+    pub id: NodeId,
+    /// The incarnation that the entry belongs to.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
+    /// Its status under that incarnation.
     #[serde(rename = "standing")]
     pub status: Status,
+    /// What the node published of itself.
     #[serde(rename = "card")]
     pub metadata: NodeMetadata,
-    /// Who found it missing, where it is suspect or dead.
-    pub by: Option<NodeId>,
+    /// The node that suspected it or declared it dead.
+    #[serde(rename = "by")]
+    pub reported_by: Option<NodeId>,
 }
 
 impl Member {
-    pub fn alive(about: NodeId, process: u64, metadata: NodeMetadata) -> Member {
+    /// The first entry of a process.
+    pub fn alive(id: NodeId, process: u64, metadata: NodeMetadata) -> Member {
         Member {
-            about,
+            id,
             incarnation: Incarnation { process, count: 0 },
             status: Status::Alive,
             metadata,
-            by: None,
+            reported_by: None,
         }
     }
 
-    /// Whether this word says more than another about the same steward.
+    /// Whether this entry is newer than another of the same node.
     pub fn supersedes(&self, known: &Member) -> bool {
         (self.incarnation, self.status) > (known.incarnation, known.status)
     }
 
-    /// The same for all that know the same; what changes all the time stays out of it.
+    /// Digest of process and metadata. Status and count stay out of it, since they differ between views all the time.
     pub fn digest(&self) -> u64 {
-        let mut sum = mix(u64::from(self.about.0) + 1);
-        for part in [self.incarnation.process, self.metadata.settings, u64::from(self.metadata.protocol)] {
-            sum = mix(sum ^ part);
-        }
-        let text = self.metadata.program.bytes().map(u64::from);
-        let address = self.metadata.address.map(|address| address.to_string()).unwrap_or_default();
-        for byte in text
-            .chain(address.bytes().map(u64::from))
-            .chain([u64::from(self.metadata.draining) + 2 * u64::from(self.metadata.store_unreachable)])
+        let metadata = &self.metadata;
+        let mut digest = mix(u64::from(self.id.0) + 1);
+        for part in [self.incarnation.process, metadata.settings_digest, u64::from(metadata.protocol_version)]
         {
-            sum = mix(sum ^ byte);
+            digest = mix(digest ^ part);
+        }
+        let address = metadata.address.map(|address| address.to_string()).unwrap_or_default();
+        for byte in metadata.program_version.bytes().chain(address.bytes()) {
+            digest = mix(digest ^ u64::from(byte));
         }
-        sum
+        let flags = u64::from(metadata.draining) + 2 * u64::from(metadata.store_unreachable);
+        mix(digest ^ flags)
     }
 }
 
-/// Steele, Lea and Flood's mixer (SplitMix, 2014): no seed, the same on each machine.
+/// The SplitMix64 finalizer (Steele, Lea, Flood 2014): unseeded, the same on each machine.
 pub(crate) fn mix(bits: u64) -> u64 {
     let bits = bits.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/railhub-membership/src/messages.rs
+++ b/crates/railhub-membership/src/messages.rs
@@ -1,20 +1,24 @@
-//! What stewards say to each other.
+//! The messages that nodes exchange, as values; [`crate::packet`] is their form on the wire.
 use crate::member::{Incarnation, Load, Member, Status};
 use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Entries that a message carries at the most, besides its sender's: with the longest metadata they fit in a datagram.
+/// Gossiped entries in one message, besides its sender's: with the longest metadata they fit in a datagram.
 pub const MAX_GOSSIP_PER_MESSAGE: usize = 8;
-/// Lines of a comparison in one message; a larger view is compared page by page.
+/// Entries of one page of a sync digest; a larger view is compared page by page.
 pub const MAX_DIGEST_ENTRIES: usize = 36;
 
-/// One line of a comparison: what the sender holds of a steward, without its metadata.
+/// What a sync digest says of one member: its entry without the metadata.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
-    pub about: NodeId,
+    /// The member.
+    #[serde(rename = "about")]
+    pub id: NodeId,
+    /// The incarnation that the sender knows.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
+    /// The status that the sender holds.
     #[serde(rename = "standing")]
     pub status: Status,
 }
@@ -30,13 +34,13 @@
     /// Answers a [`Payload::Probe`].
     #[serde(rename = "Answer")]
     Ack,
-    /// The target of an indirect probe acknowledged.
+    /// The target of an indirect probe acknowledged it.
     #[serde(rename = "AnswerOf")]
     IndirectAck(NodeId),
-    /// The target of an indirect probe has not acknowledged in time (Lifeguard's `nack`).
+    /// The target of an indirect probe has not acknowledged it in time (Lifeguard's `nack`).
     #[serde(rename = "NoAnswerOf")]
     Nack(NodeId),
-    /// One page of the sender's view, to be compared with the receiver's.
+    /// One page of the sender's view, to be compared with the receiver's (anti-entropy push).
     #[serde(rename = "Compare")]
     SyncDigest {
         /// First id that the page covers.
@@ -47,45 +51,71 @@
         #[serde(rename = "lines")]
         entries: Vec<DigestEntry>,
     },
-    /// Asks for the full entries of these nodes.
+    /// Requests the full entries of these nodes (anti-entropy pull).
     #[serde(rename = "Want")]
     SyncRequest(Vec<NodeId>),
-    /// No answer is expected; the gossip in the message is its purpose.
+    /// Expects no answer: the gossip that the message carries is its purpose.
     #[serde(rename = "Tell")]
     Gossip,
 }
 
+/// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's own entry, and how many messages its process had sent: an old one that comes late is known by it.
-    pub from: Member,
-    pub turn: u64,
+    /// The sender's own entry.
+    #[serde(rename = "from")]
+    pub sender: Member,
+    /// How many messages the sender's process has sent: a late or repeated one is recognized by it.
+    #[serde(rename = "turn")]
+    pub sequence: u64,
+    /// The sender's load.
     pub load: Load,
-    pub number: u64,
-    pub ask: Payload,
-    pub news: Vec<Member>,
-    /// Whom the sender finds to stand out.
-    pub names: Option<NodeId>,
-    /// Digest of the sender's view.
-    pub digest: u64,
+    /// The number of the probe that this message makes or answers; 0 where nothing is matched by it.
+    #[serde(rename = "number")]
+    pub probe_number: u64,
+    /// What the message is sent for.
+    #[serde(rename = "ask")]
+    pub payload: Payload,
+    /// Member entries that are passed on, [`MAX_GOSSIP_PER_MESSAGE`] at most.
+    #[serde(rename = "news")]
+    pub gossip: Vec<Member>,
+    /// The member whose probe score stands out in the sender's view.
+    #[serde(rename = "names")]
+    pub outlier: Option<NodeId>,
+    /// Digest of the sender's view: a receiver whose own differs starts a sync.
+    #[serde(rename = "digest")]
+    pub view_digest: u64,
 }
 
-/// Where a message goes: to a steward at the address in its metadata, or to an address of which no more is known.
+/// Where a message goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Destination {
+    /// A member, at the address in its metadata.
     Node(NodeId),
+    /// An address of which no more is known.
     Address(SocketAddr),
 }
 
-pub type OutgoingMessage = Vec<(Destination, Message)>;
+/// A message that the driver is to send.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OutgoingMessage {
+    /// Where it goes.
+    pub to: Destination,
+    /// What is sent.
+    pub message: Message,
+}
 
-/// Something that operators and the sharing of slices want to know.
+/// A change of the view, for the log and for the placement of slices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
-    pub about: NodeId,
+    /// The member.
+    pub id: NodeId,
+    /// Its incarnation as of now.
     pub incarnation: Incarnation,
+    /// Its status as of now.
     pub status: Status,
-    pub withdrawn: bool,
-    /// What it rests on: who missed what, or who said so.
-    pub why: String,
+    /// Whether a majority finds it slow, so that it must hold no slices.
+    pub ejected: bool,
+    /// Why it changed: which nodes missed an acknowledgement, or who reported it.
+    pub cause: String,
 }
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -1,46 +1,57 @@
+use super::limits::{MAGIC, MAX_PROGRAM_VERSION_BYTES};
 use super::*;
+use crate::member::{Incarnation, Load, Member, NodeMetadata, Status};
+use crate::messages::{DigestEntry, Message, Payload, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE};
+use crate::view::ViewEntry;
+use crate::NodeId;
 use proptest::prelude::*;
 
 fn longest() -> Member {
     let metadata = NodeMetadata {
         address: Some("[1111:2222:3333:4444:5555:6666:7777:8888]:65535".parse().expect("an address")),
-        program: "9".repeat(MAX_PROGRAM_VERSION_BYTES),
-        protocol: u32::MAX,
-        settings: u64::MAX,
+        program_version: "9".repeat(MAX_PROGRAM_VERSION_BYTES),
+        protocol_version: u32::MAX,
+        settings_digest: u64::MAX,
         draining: true,
         store_unreachable: true,
     };
     let incarnation = Incarnation { process: u64::MAX - 1, count: u64::MAX - 1 };
-    let by = Some(NodeId(u16::MAX));
-    Member { about: NodeId(u16::MAX), incarnation, status: Status::Alive, metadata, by }
+    let reported_by = Some(NodeId(u16::MAX));
+    Member { id: NodeId(u16::MAX), incarnation, status: Status::Alive, metadata, reported_by }
 }
 
-fn message(ask: Payload, news: usize) -> Packet {
-    let load = Load { slices: u32::MAX, proxies: u32::MAX, busy: 1.0 };
-    let (news, names) = (vec![longest(); news], Some(NodeId(u16::MAX)));
-    let (from, max) = (longest(), u64::MAX);
-    Packet::Words(Box::new(Message { from, turn: max, load, number: max, ask, news, names, digest: max }))
+fn message(payload: Payload, gossip: usize) -> Packet {
+    Packet::Message(Box::new(Message {
+        sender: longest(),
+        sequence: u64::MAX,
+        load: Load { slices: u32::MAX, proxies: u32::MAX, cpu_cores: 1.0 },
+        probe_number: u64::MAX,
+        payload,
+        gossip: vec![longest(); gossip],
+        outlier: Some(NodeId(u16::MAX)),
+        view_digest: u64::MAX,
+    }))
 }
 
 #[test]
 fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
     let ids = vec![NodeId(u16::MAX); MAX_DIGEST_ENTRIES];
-    let line = DigestEntry { about: ids[0], incarnation: longest().incarnation, status: Status::Dead };
+    let line = DigestEntry { id: ids[0], incarnation: longest().incarnation, status: Status::Dead };
     let lines = vec![line; MAX_DIGEST_ENTRIES];
     let compare = Payload::SyncDigest { from: NodeId(0), to: NodeId(u16::MAX), entries: lines };
     let view = ViewEntry {
-        entry: longest(),
+        member: longest(),
         load: Load::default(),
-        stands_for: 1e9,
-        heard_ago: 1.0,
-        withdrawn: true,
+        status_age: 1e9,
+        last_seen_ago: 1.0,
+        ejected: true,
     };
     let view = View {
         nonce: u64::MAX,
         viewer: ids[0],
         process: u64::MAX,
         digest: u64::MAX,
-        lines: vec![view; MAX_VIEW_ENTRIES],
+        entries: vec![view; MAX_VIEW_ENTRIES],
         next: Some(ids[0]),
         dropped: u64::MAX,
         superseded: true,
@@ -48,8 +59,8 @@
     let all = [
         message(Payload::SyncRequest(ids), MAX_GOSSIP_PER_MESSAGE),
         message(compare, 0),
-        Packet::Look { nonce: 7, from: NodeId(9) },
-        Packet::Drain { steward: NodeId(3), process: 12 },
+        Packet::ViewRequest { nonce: 7, from: NodeId(9) },
+        Packet::Drain { node: NodeId(3), process: 12 },
         Packet::View(Box::new(view)),
     ];
     for packet in all {
--- a/crates/railhub-membership/src/placement.rs
+++ b/crates/railhub-membership/src/placement.rs
@@ -1,120 +1,137 @@
-//! Whose a slice should be: weighted rendezvous over the stewards that live, so that a steward that comes or goes
-//! moves its own slices and no others; and how fast that is followed, so that nobody is flooded and nothing goes
-//! to and fro.
+//! Which node should hold a slice: weighted rendezvous hashing over the eligible nodes, so that a node that comes or
+//! goes moves its own slices and no others. Handovers are limited in rate, and a node that flaps is held down.
 use crate::{NodeId, Seconds};
 use std::collections::BTreeMap;
 
-/// Handovers of slices that nobody must have at once, a second: a planned change is in no hurry, and each
-/// handover costs the heir a look at the store and the proxies a delta.
+/// Planned handovers of slices in a second. A planned change is in no hurry, and each handover costs the new holder a
+/// request to the store and the proxies an update.
 const HANDOVER_RATE: f64 = 40.0;
-/// Seconds of handovers that may be saved up.
+/// Seconds of handovers that may be saved up for a burst.
 const HANDOVER_BURST: Seconds = 0.5;
-/// Seconds a steward must have lived before slices go back to it, times two for each time that it went away of
-/// late, and the most that this may come to.
+/// Seconds that a node must have lived before slices go back to it; doubled for each recent departure.
 const HOLD_DOWN: Seconds = 4.0;
+/// Longest hold-down in seconds.
 const MAX_HOLD_DOWN: Seconds = 120.0;
-/// Seconds after which one going away is forgotten.
+/// Seconds after which a departure counts for 1/e.
 const FLAP_DECAY_TIME: Seconds = 60.0;
+/// Smallest weight that a node counts with.
+const MIN_WEIGHT: f64 = 1e-6;
 
-/// The steward that a slice falls to; weights are what stewards can bear relative to each other.
-pub fn rendezvous_owner(slice: u16, stewards: &BTreeMap<NodeId, f64>) -> Option<NodeId> {
-    let score = |id: &NodeId, weight: f64| -weight.max(1e-6) / unit(slice, *id).ln();
-    let best = stewards.iter().max_by(|a, b| score(a.0, *a.1).total_cmp(&score(b.0, *b.1)));
+/// The node that a slice belongs to, by weighted rendezvous hashing. Weights are what nodes can bear relative to each
+/// other.
+pub fn rendezvous_owner(slice: u16, weights: &BTreeMap<NodeId, f64>) -> Option<NodeId> {
+    let score = |id: &NodeId, weight: f64| -weight.max(MIN_WEIGHT) / unit_hash(slice, *id).ln();
+    let best = weights.iter().max_by(|a, b| score(a.0, *a.1).total_cmp(&score(b.0, *b.1)));
     best.map(|(id, _)| *id)
 }
 
-/// A number between 0 and 1 that depends on slice and steward alone.
-fn unit(slice: u16, steward: NodeId) -> f64 {
-    let mut bits = (u64::from(steward.0) << 32 | u64::from(slice)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+/// A number between 0 and 1 that depends on slice and node alone.
+fn unit_hash(slice: u16, node: NodeId) -> f64 {
+    let mut bits = (u64::from(node.0) << 32 | u64::from(slice)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^= bits >> 31;
     ((bits >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// How often a steward went away, decaying.
+/// How often a node has gone away, decaying.
 #[derive(Clone, Copy, Debug, Default)]
 struct FlapHistory {
-    up_since: Option<Seconds>,
-    went: f64,
-    went_at: Seconds,
+    live_since: Option<Seconds>,
+    departures: f64,
+    last_departure_at: Seconds,
 }
 
 impl FlapHistory {
-    fn went_by(&self, now: Seconds) -> f64 {
-        self.went * (-(now - self.went_at).max(0.0) / FLAP_DECAY_TIME).exp()
+    fn on_liveness(&mut self, now: Seconds, is_live: bool) {
+        match (self.live_since, is_live) {
+            (None, true) => self.live_since = Some(now),
+            (Some(_), false) => {
+                self.departures = self.recent_departures(now) + 1.0;
+                self.last_departure_at = now;
+                self.live_since = None;
+            }
+            (Some(_), true) | (None, false) => {}
+        }
     }
 
-    fn trusted(&self, now: Seconds) -> bool {
-        let Some(since) = self.up_since else { return false };
-        let wait = (HOLD_DOWN * (self.went_by(now)).exp2()).min(MAX_HOLD_DOWN);
-        // One that was there when we started has no past: nothing is held against it.
-        self.went == 0.0 || now - since >= wait
+    fn recent_departures(&self, now: Seconds) -> f64 {
+        self.departures * (-(now - self.last_departure_at).max(0.0) / FLAP_DECAY_TIME).exp()
+    }
+
+    /// Whether it lives and its hold-down is over. A node that was there from the start has none.
+    fn is_stable(&self, now: Seconds) -> bool {
+        let Some(live_since) = self.live_since else { return false };
+        let hold_down = (HOLD_DOWN * self.recent_departures(now).exp2()).min(MAX_HOLD_DOWN);
+        self.departures == 0.0 || now - live_since >= hold_down
     }
 }
 
-/// Which stewards may have slices, and how many slices may change hands now.
+/// Which nodes may hold slices, and how many slices may be handed over now.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     weights: BTreeMap<NodeId, f64>,
-    past: BTreeMap<NodeId, FlapHistory>,
+    histories: BTreeMap<NodeId, FlapHistory>,
     draining: BTreeMap<NodeId, bool>,
-    allowance: f64,
-    counted_at: Seconds,
+    /// Handovers that may take place now.
+    handover_tokens: f64,
+    refilled_at: Seconds,
 }
 
 impl Placement {
+    /// `weights`: what the nodes of the settings can bear relative to each other.
     pub fn new(weights: BTreeMap<NodeId, f64>) -> Placement {
         Placement { weights, ..Placement::default() }
     }
 
-    /// One that the file did not name bears as much as any other.
-    pub fn meet(&mut self, id: NodeId) {
+    /// Adds a node that the settings do not name, with weight 1.
+    pub fn add_node(&mut self, id: NodeId) {
         self.weights.entry(id).or_insert(1.0);
     }
 
-    /// What membership says of a steward.
-    pub fn hear(&mut self, now: Seconds, id: NodeId, is_live: bool) {
-        let past = self.past.entry(id).or_default();
-        match (past.up_since, is_live) {
-            (None, true) => past.up_since = Some(now),
-            (Some(_), false) => {
-                (past.went, past.went_at) = (past.went_by(now) + 1.0, now);
-                past.up_since = None;
-            }
-            _ => {}
-        }
+    /// Whether membership holds a node live and able to hold slices.
+    pub fn on_liveness(&mut self, now: Seconds, id: NodeId, is_live: bool) {
+        self.histories.entry(id).or_default().on_liveness(now, is_live);
     }
 
-    /// It is to go: its slices are handed over in order.
-    pub fn drain(&mut self, id: NodeId, draining: bool) {
+    /// A draining node is not eligible: its slices are handed over.
+    pub fn set_draining(&mut self, id: NodeId, draining: bool) {
         self.draining.insert(id, draining);
     }
 
-    /// Those that slices fall to. If nobody has earned trust, all that live have to do.
+    /// The nodes that slices belong to, with their weights: all that live, do not drain and are not held down. If all
+    /// that live are held down, they are eligible all the same.
     pub fn eligible_nodes(&self, now: Seconds) -> BTreeMap<NodeId, f64> {
-        let is_live = |id: &NodeId| self.past.get(id).is_some_and(|past| past.up_since.is_some());
-        let draining = |id: &NodeId| self.draining.get(id).copied().unwrap_or(false);
-        let trusted = |id: &NodeId| self.past.get(id).is_some_and(|past| past.trusted(now));
-        let of = |pass: &dyn Fn(&NodeId) -> bool| -> BTreeMap<NodeId, f64> {
-            self.weights.iter().filter(|(id, _)| pass(id)).map(|(id, weight)| (*id, *weight)).collect()
-        };
-        let best = of(&|id| is_live(id) && trusted(id) && !draining(id));
-        if best.is_empty() {
-            of(&|id| is_live(id) && !draining(id))
+        let stable = self.nodes_with(|history| history.is_stable(now));
+        if stable.is_empty() {
+            self.nodes_with(|history| history.live_since.is_some())
         } else {
-            best
+            stable
+        }
+    }
+
+    /// The nodes that do not drain and whose history passes.
+    fn nodes_with(&self, passes: impl Fn(&FlapHistory) -> bool) -> BTreeMap<NodeId, f64> {
+        let mut nodes = BTreeMap::new();
+        for (id, weight) in &self.weights {
+            let is_draining = self.draining.get(id).copied().unwrap_or(false);
+            if !is_draining && self.histories.get(id).is_some_and(&passes) {
+                nodes.insert(*id, *weight);
+            }
         }
+        nodes
     }
 
     /// Whether one more slice may be handed over now; counts it if so.
     pub fn take_handover_permit(&mut self, now: Seconds) -> bool {
-        let earned = (now - self.counted_at).max(0.0) * HANDOVER_RATE;
-        self.counted_at = self.counted_at.max(now);
-        self.allowance = (self.allowance + earned).min(HANDOVER_RATE * HANDOVER_BURST);
-        let may = self.allowance >= 1.0;
-        self.allowance -= f64::from(u8::from(may));
-        may
+        let refill = (now - self.refilled_at).max(0.0) * HANDOVER_RATE;
+        self.refilled_at = self.refilled_at.max(now);
+        self.handover_tokens = (self.handover_tokens + refill).min(HANDOVER_RATE * HANDOVER_BURST);
+        let permitted = self.handover_tokens >= 1.0;
+        if permitted {
+            self.handover_tokens -= 1.0;
+        }
+        permitted
     }
 }
 
--- a/crates/railhub-membership/src/probe_score.rs
+++ b/crates/railhub-membership/src/probe_score.rs
@@ -1,63 +1,76 @@
-//! How well a steward answers. A slow one answers, only late, so suspicion never gets to its end: late and missing
-//! answers are scored as the project scores hosts (up at once, down step by step).
+//! How well one member answers probes. A slow member acknowledges, only late, so no suspicion of it ends in its death:
+//! late and missing acknowledgements are scored as hosts are (up at once, down step by step).
 use crate::Seconds;
 
-/// Times the usual time of an answer, and seconds at the least, after which a direct probe is asked for through
-/// others. Loopback and one machine room answer in a millisecond, a busy steward in some ten.
-const LATE_TIMES: f64 = 8.0;
-pub const LATE_LEAST: Seconds = 0.08;
-/// Seconds after which an answer time counts for 1/e in the usual one.
-const MEMORY: Seconds = 10.0;
-/// Score of one that does badly at once, steps down a second while it does well, and how far it must stand above
-/// the next to be named: the design's figures for hosts.
-const SCORE_MOST: f64 = 100.0;
-const SCORE_FALLS: f64 = 8.0;
-pub const GAP: f64 = 30.0;
-/// Share of probes that end late or not at all from which on one does badly.
-const BADLY: f64 = 0.3;
-/// Probes that this share is taken over: decaying, so that one lost message does not make a slow steward.
-const PROBES: f64 = 6.0;
-
-/// How a steward answers our probes: decaying sums of times, the share that went badly, the score it drives.
+/// The time after which a direct probe is repeated through others, in multiples of the mean round trip.
+const ACK_TIMEOUT_MULTIPLE: f64 = 8.0;
+/// The shortest such time in seconds. A round trip takes a millisecond in one machine room, some ten to a busy node.
+pub const MIN_ACK_TIMEOUT: Seconds = 0.08;
+/// Seconds after which a round trip counts for 1/e in the mean.
+const ROUND_TRIP_DECAY_TIME: Seconds = 10.0;
+/// Score of a member that answers badly.
+const MAX_SCORE: f64 = 100.0;
+/// Points that the score falls in a second while the member answers well.
+const SCORE_RECOVERY_RATE: f64 = 8.0;
+/// How far a score must stand above the next one to make its member the outlier.
+pub const OUTLIER_SCORE_GAP: f64 = 30.0;
+/// Share of late or missing acknowledgements above which a member answers badly.
+const MAX_FAILURE_FRACTION: f64 = 0.3;
+/// Probes over which that share decays, so that one lost message does not make a slow member.
+const FAILURE_WINDOW_PROBES: f64 = 6.0;
+
+/// Round trips of the probes of one member, and the score that follows from them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProbeScore {
-    count: f64,
-    time: f64,
-    at: Seconds,
-    badly: f64,
-    pub score: f64,
+    round_trips: f64,
+    round_trip_sum: Seconds,
+    summed_at: Seconds,
+    failure_fraction: f64,
+    score: f64,
     scored_at: Seconds,
 }
 
 impl ProbeScore {
-    pub fn since(now: Seconds) -> ProbeScore {
+    /// The score of a member that is watched from `now` on.
+    pub fn new(now: Seconds) -> ProbeScore {
         ProbeScore { scored_at: now, ..ProbeScore::default() }
     }
 
-    /// One came after `time` seconds.
-    pub fn add(&mut self, now: Seconds, time: Seconds) {
-        let left = (-(now - self.at).max(0.0) / MEMORY).exp();
-        (self.count, self.time, self.at) = (self.count * left + 1.0, self.time * left + time, now);
+    /// 0 for a member that answers well, 100 for one that answers badly.
+    pub fn score(&self) -> f64 {
+        self.score
+    }
+
+    /// Counts an acknowledgement that came after `round_trip` seconds.
+    pub fn record_round_trip(&mut self, now: Seconds, round_trip: Seconds) {
+        let decay = (-(now - self.summed_at).max(0.0) / ROUND_TRIP_DECAY_TIME).exp();
+        self.round_trips = self.round_trips * decay + 1.0;
+        self.round_trip_sum = self.round_trip_sum * decay + round_trip;
+        self.summed_at = now;
     }
 
-    /// Seconds after which an answer is late; `most` at the most.
-    pub fn ack_timeout(&self, most: Seconds) -> Seconds {
-        let mean = if self.count > 0.0 { self.time / self.count } else { 0.0 };
-        (mean * LATE_TIMES).clamp(LATE_LEAST, most.max(LATE_LEAST))
+    /// Seconds after which an acknowledgement is late: `max` at most, but never below [`MIN_ACK_TIMEOUT`].
+    pub fn ack_timeout(&self, max: Seconds) -> Seconds {
+        let mean = if self.round_trips > 0.0 { self.round_trip_sum / self.round_trips } else { 0.0 };
+        (mean * ACK_TIMEOUT_MULTIPLE).clamp(MIN_ACK_TIMEOUT, max.max(MIN_ACK_TIMEOUT))
     }
 
-    /// Up at once for one that does badly, down step by step while it does well.
-    pub fn judge(&mut self, now: Seconds, badly: bool) {
-        let passed = (now - std::mem::replace(&mut self.scored_at, now)).max(0.0);
-        self.badly += (f64::from(u8::from(badly)) - self.badly) / PROBES;
-        self.score = match self.badly > BADLY {
-            true => SCORE_MOST,
-            false => (self.score - passed * SCORE_FALLS).max(0.0),
+    /// Counts a probe that ended in time, or late or not at all (`failed`), and updates the score.
+    pub fn record_outcome(&mut self, now: Seconds, failed: bool) {
+        let elapsed = (now - self.scored_at).max(0.0);
+        self.scored_at = now;
+        self.failure_fraction +=
+            (f64::from(u8::from(failed)) - self.failure_fraction) / FAILURE_WINDOW_PROBES;
+        self.score = if self.failure_fraction > MAX_FAILURE_FRACTION {
+            MAX_SCORE
+        } else {
+            (self.score - elapsed * SCORE_RECOVERY_RATE).max(0.0)
         };
     }
 
-    /// It was away, which has been held against it already.
+    /// Forgets failures: the member was away, and that has had its consequences already.
     pub fn reset(&mut self) {
-        (self.score, self.badly) = (0.0, 0.0);
+        self.score = 0.0;
+        self.failure_fraction = 0.0;
     }
 }
--- a/crates/railhub-membership/src/swim/join.rs
+++ b/crates/railhub-membership/src/swim/join.rs
@@ -1,98 +1,44 @@
-//! Finding the fleet, and settling who bears our name in it.
-use super::*;
+//! Joining by the seed addresses, and meeting again those that have forgotten this node.
+use super::membership::{Membership, MembershipOutput};
+use crate::messages::{Destination, Payload};
+use crate::Seconds;
+use rand::seq::IndexedRandom;
+use rand::RngExt;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
 
-/// Seconds in which a process of our name with a higher number must speak, or it is one of our past.
-const CONFLICT_ENDS_AFTER: Seconds = 2.0;
+/// The factor on the time to the next try is drawn from this on, and over this width.
+const JOIN_JITTER_START: f64 = 0.7;
+const JOIN_JITTER_WIDTH: f64 = 0.6;
 
 impl Membership {
-    /// While nobody is known to live, each address of the file is asked; else one of them now and then.
-    pub(super) fn seek(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
-        // One that has just been left alone does not wait for the slow look that was due while others lived.
-        if self.alive() == 1 {
-            self.seek_at = self.seek_at.min(now + self.seek_span);
+    /// Probes all seeds while no live member is known, else one of them now and then.
+    pub(super) fn try_to_join(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let is_alone = self.live_count() == 1;
+        if is_alone {
+            self.join.on_alone(now);
         }
-        if now < self.seek_at || self.config.seeds.is_empty() {
+        if !self.join.is_due(now) || self.config.seeds.is_empty() {
             return;
         }
-        let part = 0.7 + 0.6 * self.chance.random::<f64>();
-        let known: BTreeSet<SocketAddr> = self.living().filter_map(|id| self.address(id)).collect();
-        let own = self.table.me().metadata.address;
-        let strange = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
-        let mut seeds: Vec<SocketAddr> = self.config.seeds.iter().copied().filter(strange).collect();
-        if self.alive() > 1 {
-            seeds = seeds.choose(&mut self.chance).copied().into_iter().collect();
-            (self.seek_at, self.seek_span) = (now + self.slow_span * part, SEEK);
-            self.slow_span = (self.slow_span * 2.0).min(SEEK_SLOWEST);
+        let jitter = JOIN_JITTER_START + JOIN_JITTER_WIDTH * self.rng.random::<f64>();
+        let mut seeds = self.unknown_seeds();
+        if is_alone {
+            self.join.on_join_attempt(now, jitter);
         } else {
-            self.seek_at = now + self.seek_span * part;
-            (self.seek_span, self.slow_span) = ((self.seek_span * 1.5).min(SEEK_MOST), SEEK_SLOWLY);
+            seeds = seeds.choose(&mut self.rng).copied().into_iter().collect();
+            self.join.on_rejoin_attempt(now, jitter);
         }
         for seed in seeds {
-            self.send(Destination::Address(seed), 0, Payload::Probe, Vec::new(), mail);
+            self.send(Destination::Address(seed), 0, Payload::Probe, Vec::new(), output);
         }
     }
 
-    /// A message under our own name. Ours come back by an address of the file that is our own; an older process is
-    /// told that we follow it; a newer one is obeyed.
-    pub(super) fn hear_own_name(
-        &mut self,
-        now: Seconds,
-        message: &Message,
-        mail: &mut OutgoingMessage,
-        changed: &mut Vec<MemberChange>,
-    ) {
-        let (theirs, ours) = (message.from.incarnation.process, self.table.me().incarnation.process);
-        if theirs < ours {
-            if let Some(address) = message.from.metadata.address {
-                self.send(Destination::Address(address), message.number, Payload::Ack, Vec::new(), mail);
-            }
-        }
-        if theirs <= ours || self.table.lacks(Safeguard::ProcessOrder) {
-            return;
-        }
-        self.superseded = true;
-        self.wake(now);
-        let me = self.table.me();
-        let why = format!("process {theirs} lives under our name: ours, {ours}, takes no part any more");
-        let (about, incarnation) = (me.about, me.incarnation);
-        changed.push(MemberChange { about, incarnation, status: Status::Left, withdrawn: true, why });
-    }
-
-    /// A process of our name with a higher number is spoken of: either it lives, or a clock was set back since.
-    pub(super) fn note_conflict(&mut self, now: Seconds, word: &Member) {
-        if self.conflict.is_none_or(|conflict| conflict.process < word.incarnation.process) {
-            let own = self.table.me().metadata.address;
-            let address = word.metadata.address.filter(|address| Some(*address) != own);
-            self.conflict = Some(IdentityConflict { process: word.incarnation.process, address, at: now });
-        }
-    }
-
-    pub(super) fn probe_rival(&mut self, mail: &mut OutgoingMessage) {
-        if let Some(address) = self.conflict.and_then(|conflict| conflict.address) {
-            self.send(Destination::Address(address), 0, Payload::Probe, Vec::new(), mail);
-        }
-    }
-
-    pub(super) fn end_conflict(&mut self, now: Seconds, changed: &mut Vec<MemberChange>) {
-        let Some(IdentityConflict { process, at, .. }) =
-            self.conflict.filter(|conflict| now - conflict.at >= CONFLICT_ENDS_AFTER)
-        else {
-            return;
-        };
-        self.conflict = None;
-        self.table.adopt_process_above(process);
-        let me = self.table.me().clone();
-        let why = format!(
-            "process {process} of ours is spoken of and silent since {:.1} s: we go above it",
-            now - at
-        );
-        changed.push(MemberChange {
-            about: me.about,
-            incarnation: me.incarnation,
-            status: me.status,
-            withdrawn: false,
-            why,
-        });
-        self.gossip.enqueue_front(me);
+    /// The seeds that are no live member's address, nor this node's own.
+    fn unknown_seeds(&self) -> Vec<SocketAddr> {
+        let known: BTreeSet<SocketAddr> = self.live_peers().filter_map(|id| self.address(id)).collect();
+        let own = self.table.local().metadata.address;
+        let is_unknown = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
+        self.config.seeds.iter().copied().filter(is_unknown).collect()
     }
 }
--- a/crates/railhub-membership/src/swim/outlier.rs
+++ b/crates/railhub-membership/src/swim/outlier.rs
@@ -1,51 +1,60 @@
-//! A *slow* steward answers, so no suspicion gets to its end: late and missing answers are scored ([`crate::probe_score`]). Each
-//! steward names the one that stands out, and one that most of the others name is withdrawn: it lives, and bears no slices.
-//! Each names one at the most, so at most one can be named by most.
-use super::*;
+//! Ejecting a slow member. It acknowledges probes, so no suspicion of it ends in its death: each node names the one
+//! whose probe score stands out, and a member that a majority names is ejected: it stays alive and holds no slices.
+//! Since each node names one at most, at most one is ejected.
+use super::membership::{Membership, MembershipOutput};
+use super::peer::NamedOutlier;
+use crate::member::Status;
+use crate::messages::MemberChange;
+use crate::probe_score::OUTLIER_SCORE_GAP;
+use crate::{NodeId, Seconds};
 
-/// Seconds that another's word on who stands out counts.
-const NAMED_FOR: Seconds = 5.0;
+/// Seconds that another node's vote counts.
+const VOTE_LIFETIME: Seconds = 5.0;
+/// Live members below which none is ejected: two cannot judge each other.
+const MIN_VOTERS: usize = 3;
 
 impl Membership {
-    /// The one of those that live whose score stands out, if one does.
+    /// The live member whose score stands out, if one does.
     pub(super) fn outlier(&self) -> Option<NodeId> {
-        let alive = self.table.others().filter(|entry| entry.status == Status::Alive);
-        let score = |id: NodeId| self.peers.get(&id).map_or(0.0, |peer| peer.answers.score);
-        let mut scores: Vec<(f64, NodeId)> = alive.map(|entry| (score(entry.about), entry.about)).collect();
+        let alive = self.table.others().filter(|member| member.status == Status::Alive);
+        let score = |id: NodeId| self.peers.get(&id).map_or(0.0, |peer| peer.probe_score.score());
+        let mut scores: Vec<(f64, NodeId)> = alive.map(|member| (score(member.id), member.id)).collect();
         scores.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let next = scores.get(1).map_or(0.0, |score| score.0);
-        scores.first().filter(|worst| worst.0 > next + GAP).map(|worst| worst.1)
+        let (worst_score, worst) = *scores.first()?;
+        let next_score = scores.get(1).map_or(0.0, |next| next.0);
+        (worst_score > next_score + OUTLIER_SCORE_GAP).then_some(worst)
     }
 
-    /// Most of those that live name it. Two cannot judge each other: with fewer than three nobody is withdrawn.
-    pub(super) fn is_named(&self, id: NodeId, now: Seconds) -> bool {
-        let alive = self.alive();
-        let fresh = |named: &(&NodeId, &Peer)| {
-            self.status(*named.0) == Status::Alive
-                && named.1.names.is_some_and(|(named, at)| named == id && now - at <= NAMED_FOR)
-        };
-        let ours = usize::from(id != self.me() && self.outlier() == Some(id));
-        let names = ours + self.peers.iter().filter(fresh).count();
-        alive >= 3 && names * 2 > alive
+    /// Whether a majority of the live members names this one.
+    pub(super) fn is_named_by_majority(&self, id: NodeId, now: Seconds) -> bool {
+        let live = self.live_count();
+        let names_it = |vote: NamedOutlier| vote.id == id && now - vote.at <= VOTE_LIFETIME;
+        let named_by_others = self.peers.iter().filter(|(voter, peer)| {
+            self.status(**voter) == Status::Alive && peer.named_outlier.is_some_and(names_it)
+        });
+        let own_vote = usize::from(id != self.local_id() && self.outlier() == Some(id));
+        let votes = own_vote + named_by_others.count();
+        live >= MIN_VOTERS && votes * 2 > live
     }
 
-    pub(super) fn look_for_withdrawn(&mut self, now: Seconds, changed: &mut Vec<MemberChange>) {
+    /// Ejects the member that a majority names, and readmits the one that it no longer names.
+    pub(super) fn update_ejections(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let ids: Vec<NodeId> = self.peers.keys().copied().collect();
         for id in ids {
-            let named = self.is_named(id, now);
-            let (Some(peer), Some(entry)) = (self.peers.get_mut(&id), self.table.get(id)) else { continue };
-            if peer.withdrawn != named {
-                peer.withdrawn = named;
-                let why = if named { "most others find it late" } else { "it answers in time again" };
-                let (incarnation, status) = (entry.incarnation, entry.status);
-                changed.push(MemberChange {
-                    about: id,
-                    incarnation,
-                    status,
-                    withdrawn: named,
-                    why: why.into(),
-                });
+            let ejected = self.is_named_by_majority(id, now);
+            let (Some(peer), Some(member)) = (self.peers.get_mut(&id), self.table.get(id)) else { continue };
+            if peer.ejected == ejected {
+                continue;
             }
+            peer.ejected = ejected;
+            let cause = if ejected { "a majority finds it slow" } else { "it acknowledges in time again" };
+            output.changes.push(MemberChange {
+                id,
+                incarnation: member.incarnation,
+                status: member.status,
+                ejected,
+                cause: cause.to_owned(),
+            });
         }
     }
 }
--- a/crates/railhub-membership/src/swim/probe.rs
+++ b/crates/railhub-membership/src/swim/probe.rs
@@ -1,210 +1,239 @@
-//! Probes and suspicions: who is asked next, what an answer or its lack is worth, when a suspicion ends.
-use super::*;
+//! Probes: who is probed, indirect probes through helpers, acknowledgements and nacks (SWIM, section 4; Lifeguard's
+//! nack).
+use super::membership::{Membership, MembershipOutput};
+use super::pending_probe::{PendingProbe, ProbeRequester, ProbeStage, MAX_ACK_TIMEOUT, PROBE_TIMEOUT};
+use crate::member::{Member, Status};
+use crate::messages::{Destination, Message, Payload};
+use crate::safeguard::Safeguard;
+use crate::{NodeId, Seconds};
+use rand::seq::{IndexedRandom, SliceRandom};
+use rand::RngExt;
 
-/// Others that are asked to probe.
-const THROUGH: usize = 3;
-/// Times that others are asked at the most; the second time it is asked directly again too. Where there is only one way to
-/// it, one lost message in four must not be a suspicion.
-const THROUGH_TIMES: u8 = 2;
+/// Helpers that are asked for an indirect probe (SWIM's k).
+const INDIRECT_PROBES: usize = 3;
+/// Probes that are pending at once; past it none are made for other nodes.
+pub(super) const MAX_PENDING_PROBES: usize = 64;
+/// The factor on the time to the next probe of a dead member is drawn from this on, and over this width.
+const DEAD_PROBE_JITTER_START: f64 = 0.8;
+const DEAD_PROBE_JITTER_WIDTH: f64 = 0.4;
 
 impl Membership {
+    /// Probes a node, for this one or on behalf of another; `entries` go with the probe.
     pub(super) fn send_probe(
         &mut self,
         now: Seconds,
-        to: NodeId,
-        indirect: Option<IndirectProbe>,
-        first: Vec<Member>,
-        mail: &mut OutgoingMessage,
+        target: NodeId,
+        on_behalf_of: Option<ProbeRequester>,
+        entries: Vec<Member>,
+        output: &mut MembershipOutput,
     ) {
-        self.number += 1;
-        let number = self.number;
-        self.send(Destination::Node(to), number, Payload::Probe, first, mail);
-        // Nobody else is asked for one that we probe for another.
-        let through = if indirect.is_some() { THROUGH_TIMES } else { 0 };
-        self.pending.push(PendingProbe { number, to, at: now, through, helpers: 0, helped: false, indirect });
-    }
-
-    /// A suspect is asked once more each time, and told what it is suspected of: on a net that loses messages its
-    /// own word must have more than one way back.
-    pub(super) fn warn_suspect(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
-        let suspects = self.table.others().filter(|entry| entry.status == Status::Suspect);
-        let suspects: Vec<Member> = suspects.cloned().collect();
-        if let Some(word) = suspects.choose(&mut self.chance).cloned() {
-            self.send_probe(now, word.about, None, vec![word], mail);
-        }
+        self.last_probe_number += 1;
+        let number = self.last_probe_number;
+        self.send(Destination::Node(target), number, Payload::Probe, entries, output);
+        let stage = match on_behalf_of {
+            Some(_) => ProbeStage::Exhausted,
+            None => ProbeStage::Direct,
+        };
+        self.pending.push(PendingProbe {
+            number,
+            target,
+            sent_at: now,
+            stage,
+            helpers: 0,
+            nack_received: false,
+            on_behalf_of,
+        });
     }
 
-    /// Each other that lives in turn, in an order that is shuffled anew each time: a dead one is met within two
-    /// rounds.
-    pub(super) fn next_target(&mut self) -> Option<NodeId> {
+    /// Each live member in turn, in an order that is shuffled for each round: a dead one is met within two rounds (SWIM,
+    /// section 4.3).
+    pub(super) fn next_probe_target(&mut self) -> Option<NodeId> {
         loop {
-            if self.order.is_empty() {
-                self.order = self.living().collect();
-                self.order.shuffle(&mut self.chance);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.live_peers().collect();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            let id = self.order.pop()?;
+            let id = self.probe_order.pop()?;
             if self.status(id).is_live() {
                 return Some(id);
             }
         }
     }
 
-    /// Two halves of a split find each other again only if those held for dead are asked now and then; ever less
-    /// often, since most of the dead are dead.
-    pub(super) fn ask_a_dead(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
-        if self.table.lacks(Safeguard::DeadProbing) {
+    /// Probes one suspect, and sends it the suspicion: where messages are lost its refutation needs more than one way
+    /// back.
+    pub(super) fn probe_a_suspect(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let suspects = self.table.others().filter(|member| member.status == Status::Suspect);
+        let suspects: Vec<Member> = suspects.cloned().collect();
+        if let Some(suspect) = suspects.choose(&mut self.rng).cloned() {
+            self.send_probe(now, suspect.id, None, vec![suspect], output);
+        }
+    }
+
+    /// Probes the dead member that is due, so that the halves of a partition meet again; ever less often, since most
+    /// dead members stay dead.
+    pub(super) fn probe_a_dead_member(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        if self.table.is_disabled(Safeguard::DeadProbing) {
             return;
         }
-        let dead = self.table.others().filter(|entry| entry.status == Status::Dead);
-        let due = dead.filter_map(|entry| Some((self.peers.get(&entry.about)?.ask_at, entry.clone())));
-        let first = due.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.about.cmp(&b.1.about)));
-        let Some((_, word)) = first.filter(|(at, _)| *at <= now) else { return };
-        let part = 0.8 + 0.4 * self.chance.random::<f64>();
-        if let Some(peer) = self.peers.get_mut(&word.about) {
-            peer.ask_span = (peer.ask_span * 2.0).min(ASK_DEAD_MOST);
-            peer.ask_at = now + peer.ask_span * part;
+        let Some(dead) = self.due_dead_member(now) else { return };
+        let jitter = DEAD_PROBE_JITTER_START + DEAD_PROBE_JITTER_WIDTH * self.rng.random::<f64>();
+        if let Some(peer) = self.peers.get_mut(&dead.id) {
+            peer.schedule_dead_probe(now, jitter);
         }
-        self.send(Destination::Node(word.about), 0, Payload::Probe, vec![word], mail);
+        self.send(Destination::Node(dead.id), 0, Payload::Probe, vec![dead], output);
     }
 
-    pub(super) fn end_probes(
-        &mut self,
-        now: Seconds,
-        mail: &mut OutgoingMessage,
-        changed: &mut Vec<MemberChange>,
-    ) {
-        self.ask_through_others(now, mail);
-        let ends = PROBE_ENDS * self.patience();
-        let is_over = |probe: &PendingProbe| {
-            now - probe.at >= if probe.indirect.is_some() { PROBE_ENDS / 2.0 } else { ends }
-        };
-        let over: Vec<PendingProbe> = self.pending.iter().filter(|probe| is_over(probe)).cloned().collect();
-        self.pending.retain(|probe| !is_over(probe));
-        for probe in over {
-            if let Some(IndirectProbe { asker, number, .. }) = probe.indirect {
-                self.send(Destination::Node(asker), number, Payload::Nack(probe.to), Vec::new(), mail);
-                continue;
-            }
-            if probe.helpers > 0 && !probe.helped {
-                self.health.heard_nothing();
-            }
-            if let Some(peer) = self.peers.get_mut(&probe.to) {
-                peer.answers.judge(now, true);
-            }
-            self.suspect(now, probe.to, probe.helpers, changed);
+    fn due_dead_member(&self, now: Seconds) -> Option<Member> {
+        let dead = self.table.others().filter(|member| member.status == Status::Dead);
+        let scheduled = dead.filter_map(|member| Some((self.peers.get(&member.id)?.dead_probe_at, member)));
+        let first = scheduled.min_by(|(a_at, a), (b_at, b)| a_at.total_cmp(b_at).then(a.id.cmp(&b.id)));
+        first.filter(|(due_at, _)| *due_at <= now).map(|(_, member)| member.clone())
+    }
+
+    /// Asks helpers about late probes, and suspects the targets of those that have failed.
+    pub(super) fn end_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        self.escalate_late_probes(now, output);
+        let multiplier = self.health_multiplier();
+        let pending = std::mem::take(&mut self.pending);
+        let (failed, pending) = pending.into_iter().partition(|probe| probe.is_over(now, multiplier));
+        self.pending = pending;
+        for probe in failed {
+            self.on_probe_failed(now, &probe, output);
+        }
+    }
+
+    fn on_probe_failed(&mut self, now: Seconds, probe: &PendingProbe, output: &mut MembershipOutput) {
+        if let Some(requester) = probe.on_behalf_of {
+            let nack = Payload::Nack(probe.target);
+            self.send(Destination::Node(requester.id), requester.probe_number, nack, Vec::new(), output);
+            return;
+        }
+        if probe.helpers > 0 && !probe.nack_received {
+            self.health.on_missed_nack();
+        }
+        if let Some(peer) = self.peers.get_mut(&probe.target) {
+            peer.probe_score.record_outcome(now, true);
         }
+        self.suspect(now, probe.target, probe.helpers, output);
     }
 
-    pub(super) fn ask_through_others(&mut self, now: Seconds, mail: &mut OutgoingMessage) {
-        let patience = self.patience();
-        let ack_timeout = |id: &NodeId| {
-            let answers = self.peers.get(id).map(|peer| peer.answers).unwrap_or_default();
-            answers.ack_timeout(PROBE_ENDS / 2.0) * patience
+    fn escalate_late_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let multiplier = self.health_multiplier();
+        let is_late = |probe: &&PendingProbe| {
+            let score = self.peers.get(&probe.target).map(|peer| peer.probe_score).unwrap_or_default();
+            probe.needs_helpers(now, score.ack_timeout(MAX_ACK_TIMEOUT) * multiplier, multiplier)
         };
-        let again_after = PROBE_ENDS / 2.0 * patience;
-        let late = self.pending.iter().filter(|probe| match probe.through {
-            0 => now - probe.at >= ack_timeout(&probe.to),
-            1 => !probe.helped && now - probe.at >= again_after,
-            _ => false,
-        });
-        let late: Vec<(u64, NodeId)> = late.map(|probe| (probe.number, probe.to)).collect();
-        for (number, to) in late {
-            let mut others: Vec<NodeId> =
-                self.living().filter(|id| *id != to && self.status(*id) == Status::Alive).collect();
-            others.shuffle(&mut self.chance);
-            others.truncate(THROUGH);
-            let mut again = false;
-            if let Some(probe) = self.pending.iter_mut().find(|probe| probe.number == number) {
-                again = probe.through > 0;
-                (probe.through, probe.helpers) = (probe.through + 1, others.len());
-            }
-            let word = self.table.get(to).filter(|entry| entry.status == Status::Suspect).cloned();
-            if again {
-                // It may be the only one that we reach: one lost message must not be a suspicion there either.
-                self.send(
-                    Destination::Node(to),
-                    number,
-                    Payload::Probe,
-                    word.iter().cloned().collect(),
-                    mail,
-                );
-            }
-            for other in others {
-                let first = word.iter().cloned().collect();
-                self.send(Destination::Node(other), number, Payload::IndirectProbe(to), first, mail);
-            }
+        let late: Vec<PendingProbe> = self.pending.iter().filter(is_late).cloned().collect();
+        for probe in late {
+            self.send_indirect_probes(&probe, output);
+        }
+    }
+
+    fn send_indirect_probes(&mut self, probe: &PendingProbe, output: &mut MembershipOutput) {
+        let PendingProbe { number, target, stage, .. } = *probe;
+        let mut helpers: Vec<NodeId> =
+            self.live_peers().filter(|id| *id != target && self.status(*id) == Status::Alive).collect();
+        helpers.shuffle(&mut self.rng);
+        helpers.truncate(INDIRECT_PROBES);
+        if let Some(pending) = self.pending.iter_mut().find(|pending| pending.number == number) {
+            pending.escalate(helpers.len());
+        }
+        let suspect = self.table.get(target).filter(|member| member.status == Status::Suspect);
+        let entries: Vec<Member> = suspect.cloned().into_iter().collect();
+        if stage != ProbeStage::Direct {
+            // This node may be the only one that reaches the target: one lost message must not make it suspect.
+            self.send(Destination::Node(target), number, Payload::Probe, entries.clone(), output);
+        }
+        for helper in helpers {
+            let request = Payload::IndirectProbe(target);
+            self.send(Destination::Node(helper), number, request, entries.clone(), output);
         }
     }
 
-    pub(super) fn answered(
+    /// Acknowledges a probe. A sender that is held suspect or dead is sent that, so that it can refute it.
+    pub(super) fn on_probe(&mut self, message: &Message, output: &mut MembershipOutput) {
+        let sender = &message.sender;
+        let accusation = self
+            .table
+            .get(sender.id)
+            .filter(|known| known.status != Status::Alive && known.incarnation == sender.incarnation);
+        let entries = accusation.cloned().into_iter().collect();
+        self.send(Destination::Node(sender.id), message.probe_number, Payload::Ack, entries, output);
+    }
+
+    /// Probes a node on behalf of another. A suspect is sent the suspicion, since its refutation may have no other way
+    /// back.
+    pub(super) fn on_indirect_probe(
         &mut self,
         now: Seconds,
-        from: NodeId,
-        number: u64,
-        mail: &mut OutgoingMessage,
-        changed: &mut Vec<MemberChange>,
+        message: &Message,
+        target: NodeId,
+        output: &mut MembershipOutput,
     ) {
-        let Some(place) = self.pending.iter().position(|probe| probe.number == number && probe.to == from)
-        else {
-            return;
-        };
-        let probe = self.pending.remove(place);
-        if let Some(IndirectProbe { asker, number, doubts }) = probe.indirect {
-            // With what it says of itself: it may have refuted what the asker holds of it.
-            let first = self.table.get(from).filter(|_| doubts).cloned().into_iter().collect();
-            self.send(Destination::Node(asker), number, Payload::IndirectAck(from), first, mail);
+        if !self.peers.contains_key(&target) || self.pending.len() >= MAX_PENDING_PROBES {
             return;
         }
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        let was_late = now - probe.at > peer.answers.ack_timeout(PROBE_ENDS / 2.0);
-        peer.answers.add(now, (now - probe.at).min(PROBE_ENDS));
-        peer.answers.judge(now, was_late);
-        if !was_late {
-            self.health.did_well();
-        }
-        self.look_for_withdrawn(now, changed);
+        let suspect = self.table.get(target).filter(|member| member.status == Status::Suspect);
+        let entries = suspect.cloned().into_iter().collect();
+        let requester = ProbeRequester {
+            id: message.sender.id,
+            probe_number: message.probe_number,
+            suspects_target: message.gossip.iter().any(|update| update.id == target),
+        };
+        self.send_probe(now, target, Some(requester), entries, output);
     }
 
-    pub(super) fn suspect(
+    /// A target has acknowledged a probe; one that was made for another node is reported to that one.
+    pub(super) fn on_ack(
         &mut self,
         now: Seconds,
-        about: NodeId,
-        helpers: usize,
-        changed: &mut Vec<MemberChange>,
+        sender: NodeId,
+        probe_number: u64,
+        output: &mut MembershipOutput,
     ) {
-        let Some(entry) = self.table.get(about).filter(|entry| entry.status.is_live()) else { return };
-        let word = Member { status: Status::Suspect, by: Some(self.me()), ..entry.clone() };
-        let why = format!("it answered neither us nor {helpers} others that we asked to probe it");
-        self.take_in(now, &word, &why, changed);
+        let Some(probe) = self.take_pending(probe_number, sender) else { return };
+        if let Some(requester) = probe.on_behalf_of {
+            // With the target's own entry: it may have refuted the requester's suspicion.
+            let target = self.table.get(sender).filter(|_| requester.suspects_target);
+            let entries = target.cloned().into_iter().collect();
+            let ack = Payload::IndirectAck(sender);
+            self.send(Destination::Node(requester.id), requester.probe_number, ack, entries, output);
+            return;
+        }
+        let Some(peer) = self.peers.get_mut(&sender) else { return };
+        let round_trip = now - probe.sent_at;
+        let is_late = round_trip > peer.probe_score.ack_timeout(MAX_ACK_TIMEOUT);
+        peer.probe_score.record_round_trip(now, round_trip.min(PROBE_TIMEOUT));
+        peer.probe_score.record_outcome(now, is_late);
+        if !is_late {
+            self.health.on_probe_success();
+        }
+        self.update_ejections(now, output);
     }
 
-    /// How long a suspicion stands: the more that accuse independently, the shorter; the worse we fare ourselves,
-    /// the longer.
-    pub(super) fn suspected_for(&self, peer: &Peer) -> Seconds {
-        let alive = self.alive();
-        let base = SUSPECTED_FOR * (alive as f64).ln().max(1.0);
-        if self.table.lacks(Safeguard::LocalHealth) {
-            return base;
-        }
-        let needed = ACCUSERS.min(alive.saturating_sub(2));
-        let more = peer.accusers.len().saturating_sub(1).min(needed);
-        let share = if needed == 0 { 0.5 } else { ((more + 1) as f64).ln() / ((needed + 1) as f64).ln() };
-        let longest = base * ALONE_LONGER;
-        (longest - (longest - base) * share) * self.patience()
+    /// A helper has reached the target: it lives, though it did not acknowledge the direct probe in time.
+    pub(super) fn on_indirect_ack(&mut self, now: Seconds, target: NodeId, probe_number: u64) {
+        if self.take_pending(probe_number, target).is_none() {
+            return;
+        }
+        self.health.on_probe_success();
+        if let Some(peer) = self.peers.get_mut(&target) {
+            peer.probe_score.record_outcome(now, true);
+        }
     }
 
-    pub(super) fn end_suspicions(&mut self, now: Seconds, changed: &mut Vec<MemberChange>) {
-        let suspects = self.table.others().filter(|entry| entry.status == Status::Suspect);
-        let over = suspects.filter(|entry| {
-            let peer = self.peers.get(&entry.about);
-            peer.is_some_and(|peer| now - peer.since >= self.suspected_for(peer))
-        });
-        for entry in over.cloned().collect::<Vec<_>>() {
-            let accusers = self.peers.get(&entry.about).map(|peer| peer.accusers.clone()).unwrap_or_default();
-            let accusers: Vec<String> = accusers.iter().map(|id| id.0.to_string()).collect();
-            let why = format!("suspected by {}, and it said nothing", accusers.join(", "));
-            let word = Member { status: Status::Dead, by: Some(self.me()), ..entry };
-            self.take_in(now, &word, &why, changed);
+    /// A helper has not reached the target either, but the helper is reachable.
+    pub(super) fn on_nack(&mut self, target: NodeId, probe_number: u64) {
+        let probe =
+            self.pending.iter_mut().find(|probe| probe.number == probe_number && probe.target == target);
+        if let Some(probe) = probe {
+            probe.nack_received = true;
         }
     }
+
+    fn take_pending(&mut self, number: u64, target: NodeId) -> Option<PendingProbe> {
+        let place = self.pending.iter().position(|probe| probe.number == number && probe.target == target)?;
+        Some(self.pending.remove(place))
+    }
 }
--- /dev/null
+++ b/crates/railhub-membership/src/swim/suspicion.rs
@@ -0,0 +1,86 @@
+//! Suspicions: how one begins, who confirms it, and when it ends in a death (Lifeguard's suspicion timeout).
+use super::membership::{Membership, MembershipOutput};
+use super::peer::Peer;
+use crate::member::{Member, Status};
+use crate::safeguard::Safeguard;
+use crate::{NodeId, Seconds};
+
+/// Suspicion timeout of a confirmed suspicion in seconds, per natural logarithm of the number of live members: long
+/// enough for the suspicion to reach its target by gossip, and for the refutation to come back.
+const SUSPICION_TIMEOUT: Seconds = 1.0;
+/// How many times longer the timeout is while nobody has confirmed the suspicion.
+const MAX_SUSPICION_TIMEOUT_MULTIPLIER: f64 = 3.0;
+/// Confirmations by further nodes that bring the timeout down to its shortest.
+const EXPECTED_CONFIRMATIONS: usize = 2;
+/// How far the timeout comes down in a cluster with nobody to confirm.
+const UNCONFIRMABLE_FRACTION: f64 = 0.5;
+
+impl Membership {
+    /// A probe of a member has failed, through `helpers` others too.
+    pub(super) fn suspect(
+        &mut self,
+        now: Seconds,
+        id: NodeId,
+        helpers: usize,
+        output: &mut MembershipOutput,
+    ) {
+        let Some(member) = self.table.get(id).filter(|member| member.status.is_live()) else { return };
+        let reported_by = Some(self.local_id());
+        let suspect = Member { status: Status::Suspect, reported_by, ..member.clone() };
+        let cause = format!("no ack to the direct probe nor to {helpers} indirect probes");
+        self.apply_update(now, &suspect, &cause, output);
+    }
+
+    /// A further node that suspects a suspect by a probe of its own shortens the suspicion timeout; its report is passed
+    /// on, so that a few confirmations reach everyone.
+    pub(super) fn count_confirmation(&mut self, update: &Member) {
+        let Some(known) = self.table.get(update.id) else { return };
+        let confirms = known.status == Status::Suspect
+            && update.status == Status::Suspect
+            && known.incarnation == update.incarnation;
+        let Some(peer) = self.peers.get_mut(&update.id).filter(|_| confirms) else { return };
+        let Some(accuser) = update.reported_by else { return };
+        if peer.accusers.len() <= EXPECTED_CONFIRMATIONS && peer.accusers.insert(accuser) {
+            self.gossip.enqueue(update.clone());
+        }
+    }
+
+    /// Seconds that a suspicion stands: the more nodes confirm it the shorter, the worse the local health the longer.
+    fn suspicion_timeout(&self, peer: &Peer) -> Seconds {
+        let live = self.live_count();
+        let shortest = SUSPICION_TIMEOUT * (live as f64).ln().max(1.0);
+        if self.table.is_disabled(Safeguard::LocalHealth) {
+            return shortest;
+        }
+        let expected = EXPECTED_CONFIRMATIONS.min(live.saturating_sub(2));
+        let confirmations = peer.accusers.len().saturating_sub(1).min(expected);
+        let fraction = if expected == 0 {
+            UNCONFIRMABLE_FRACTION
+        } else {
+            ((confirmations + 1) as f64).ln() / ((expected + 1) as f64).ln()
+        };
+        let longest = shortest * MAX_SUSPICION_TIMEOUT_MULTIPLIER;
+        (longest - (longest - shortest) * fraction) * self.health_multiplier()
+    }
+
+    /// Declares the suspects dead whose suspicion timeout has ended.
+    pub(super) fn end_suspicions(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let is_over = |member: &&Member| match self.peers.get(&member.id) {
+            Some(peer) => now - peer.status_since >= self.suspicion_timeout(peer),
+            None => false,
+        };
+        let suspects = self.table.others().filter(|member| member.status == Status::Suspect);
+        let over: Vec<Member> = suspects.filter(is_over).cloned().collect();
+        for suspect in over {
+            let cause = format!("not refuted; suspected by {}", self.accuser_list(suspect.id));
+            let dead = Member { status: Status::Dead, reported_by: Some(self.local_id()), ..suspect };
+            self.apply_update(now, &dead, &cause, output);
+        }
+    }
+
+    fn accuser_list(&self, id: NodeId) -> String {
+        let Some(peer) = self.peers.get(&id) else { return String::new() };
+        let accusers: Vec<String> = peer.accusers.iter().map(|accuser| accuser.0.to_string()).collect();
+        accusers.join(", ")
+    }
+}
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,279 +1,273 @@
-//! What one steward holds of all: the merge of entries, free of time. Any order and any repetition of the same
-//! words ends in the same table, but for words about ourselves, which are answered by a higher count.
+//! The member table of one node: its own entry, those of all others, and how entries merge. Free of time.
+//!
+//! The merge is a join over (incarnation, status) (a state-based CRDT): any order and any repetition of the same
+//! entries ends in the same table, except for entries of the node itself, which it refutes under a higher incarnation.
 use crate::member::{mix, Incarnation, Member, NodeMetadata, Status};
 use crate::messages::{DigestEntry, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE};
+use crate::safeguard::Safeguard;
+use crate::tombstones::Tombstones;
 use crate::NodeId;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Stewards held at once; further ones are refused and counted, those that are known stay.
+/// Other members in a table; further ones are rejected, those that are known stay.
 pub const MAX_MEMBERS: usize = 1024;
-/// Processes that are remembered as forgotten; the one that was forgotten first makes room.
-const MAX_TOMBSTONES: usize = 4096;
 
-/// What a part of the design does against harm; each can be left out, so that its check can be seen to fail.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Safeguard {
-    /// One that is suspected says otherwise.
-    Refutation,
-    /// The dead are asked again.
-    DeadProbing,
-    /// Words of older processes are dropped.
-    ProcessOrder,
-    /// Views are compared and what differs is sent.
-    AntiEntropy,
-    /// A rumour is passed on a few times, then no more.
-    GossipLimit,
-    /// An observer counts its own trouble first.
-    LocalHealth,
-    /// All but refutation, processes and the bound: SWIM as it was first published.
-    Extensions,
-    /// Slices are given up when their leases end.
-    LeaseExpiry,
-}
-
-/// What a word was worth.
+/// What came of merging an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// Known already, or older than what is known.
     Unchanged,
-    /// Of a process that has been followed by another, or forgotten.
+    /// Of a process that was followed by a later one, or tombstoned.
     Stale,
-    /// No room for one more steward.
+    /// There is no room for one more member.
     TableFull,
-    /// It changed what is held; what was held before.
-    Updated { was: Option<Status>, metadata_changed: bool },
-    /// It doubted us; our entry has a higher incarnation now.
+    /// It changed the table.
+    Updated {
+        /// The member's status before; `None` for a new member.
+        previous: Option<Status>,
+        /// The member's metadata differ from before.
+        metadata_changed: bool,
+    },
+    /// It reported this node as not alive; the node's entry has a higher incarnation now.
     Refuted,
-    /// Another process with our name and a higher number is spoken of.
+    /// It is of another process under this node's id, with a higher number.
     IdentityConflict,
 }
 
+/// One page of a table, as it is sent to be compared.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DigestPage {
+    /// First id that the page covers.
+    pub from: NodeId,
+    /// Last id that the page covers.
+    pub to: NodeId,
+    /// The members in that range.
+    pub entries: Vec<DigestEntry>,
+    /// First id of the page that comes after it; 0 after the last.
+    pub next: NodeId,
+}
+
+/// How a table differs from a page of another one.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct SyncDiff {
+    /// Entries that are newer here, [`MAX_GOSSIP_PER_MESSAGE`] at most.
+    pub newer: Vec<Member>,
+    /// Members of which the other has a newer entry, [`MAX_DIGEST_ENTRIES`] at most.
+    pub wanted: Vec<NodeId>,
+}
+
+/// One node's table of all members.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    me: Member,
+    local: Member,
     others: BTreeMap<NodeId, Member>,
-    /// The highest process that was forgotten, and in which order that was.
-    tombstones: BTreeMap<NodeId, u64>,
-    tombstone_order: VecDeque<NodeId>,
-    without: Option<Safeguard>,
+    tombstones: Tombstones,
+    disabled: Option<Safeguard>,
     digest: u64,
 }
 
 impl MemberTable {
-    pub fn new(me: Member, without: Option<Safeguard>) -> MemberTable {
+    /// A table that knows the node itself. `disabled`: a safeguard that a test leaves out.
+    pub fn new(local: Member, disabled: Option<Safeguard>) -> MemberTable {
         let mut table = MemberTable {
-            me,
+            local,
             others: BTreeMap::new(),
-            tombstones: BTreeMap::new(),
-            tombstone_order: VecDeque::new(),
-            without,
+            tombstones: Tombstones::default(),
+            disabled,
             digest: 0,
         };
-        table.sum_up();
+        table.update_digest();
         table
     }
 
-    pub fn lacks(&self, safeguard: Safeguard) -> bool {
-        use Safeguard::*;
-        let plain = matches!(safeguard, DeadProbing | AntiEntropy | LocalHealth);
-        self.without == Some(safeguard) || (self.without == Some(Extensions) && plain)
+    /// Whether a test leaves this safeguard out.
+    pub fn is_disabled(&self, safeguard: Safeguard) -> bool {
+        safeguard.is_disabled_by(self.disabled)
     }
 
-    pub fn me(&self) -> &Member {
-        &self.me
+    /// The node's own entry.
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
+    /// The entry of any member, the node itself included.
     pub fn get(&self, id: NodeId) -> Option<&Member> {
-        if id == self.me.about {
-            Some(&self.me)
+        if id == self.local.id {
+            Some(&self.local)
         } else {
             self.others.get(&id)
         }
     }
 
+    /// All other members, in the order of ids.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values()
     }
 
-    /// The same for all that hold the same to live, whatever they suspect and whomever they have forgotten.
+    /// Digest of the live members: the same in all tables that hold the same processes live, whatever else differs.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    fn sum_up(&mut self) {
-        let is_live = self.others.values().filter(|entry| entry.status.is_live());
-        let own = if self.me.status.is_live() { self.me.digest() } else { 0 };
-        self.digest = is_live.map(Member::digest).fold(own, |sum, part| sum ^ mix(part));
-        if self.me.status.is_live() {
-            self.digest ^= own ^ mix(own);
+    fn update_digest(&mut self) {
+        let local_is_live = self.local.status.is_live();
+        let local = if local_is_live { self.local.digest() } else { 0 };
+        let live = self.others.values().filter(|member| member.status.is_live());
+        self.digest = live.map(Member::digest).fold(local, |digest, part| digest ^ mix(part));
+        if local_is_live {
+            self.digest ^= local ^ mix(local);
         }
     }
 
-    /// Rewrites our own entry under a higher count.
-    pub fn rewrite(&mut self, change: impl FnOnce(&mut NodeMetadata)) {
-        change(&mut self.me.metadata);
-        self.me.incarnation.count += 1;
-        self.sum_up();
+    /// Changes the node's own metadata, under a higher incarnation.
+    pub fn update_local_metadata(&mut self, change: impl FnOnce(&mut NodeMetadata)) {
+        change(&mut self.local.metadata);
+        self.local.incarnation.count += 1;
+        self.update_digest();
     }
 
+    /// Marks the node itself as having left, under a higher incarnation.
     pub fn leave(&mut self) {
-        self.me.incarnation.count += 1;
-        self.me.status = Status::Left;
-        self.sum_up();
+        self.local.incarnation.count += 1;
+        self.local.status = Status::Left;
+        self.update_digest();
     }
 
-    /// Our process takes a higher number: one of ours had it before, or we were forgotten.
+    /// Gives the node's own process a number above `process`: that one was used before, or was tombstoned.
     pub fn adopt_process_above(&mut self, process: u64) {
-        self.me.incarnation =
-            Incarnation { process: process.max(self.me.incarnation.process).saturating_add(1), count: 0 };
-        self.sum_up();
+        let process = process.max(self.local.incarnation.process).saturating_add(1);
+        self.local.incarnation = Incarnation { process, count: 0 };
+        self.update_digest();
     }
 
-    /// Takes in a word about a steward. `heard_lately`: we had its own word a moment ago, so that it is dead can at
-    /// most be suspected; it is asked.
-    pub fn learn(&mut self, word: &Member, heard_lately: bool) -> MergeOutcome {
-        if word.about == self.me.about {
-            return self.doubted(word);
+    /// Merges an entry. `recently_seen`: the member's own message came a moment ago, so that a report of its death
+    /// only makes it suspect.
+    pub fn merge(&mut self, update: &Member, recently_seen: bool) -> MergeOutcome {
+        if update.id == self.local.id {
+            return self.merge_local(update);
         }
-        let ignores = self.lacks(Safeguard::ProcessOrder);
-        if !ignores
-            && self
-                .tombstones
-                .get(&word.about)
-                .is_some_and(|tombstone| word.incarnation.process <= *tombstone)
-        {
+        let ordered = !self.is_disabled(Safeguard::ProcessOrder);
+        if ordered && self.tombstones.covers(update.id, update.incarnation.process) {
             return MergeOutcome::Stale;
         }
-        let Some(known) = self.others.get(&word.about) else {
-            return self.meet(word);
+        let Some(known) = self.others.get(&update.id) else {
+            return self.insert_new(update);
         };
-        let older = word.incarnation.process < known.incarnation.process;
-        let supersedes = match ignores {
-            true => (word.incarnation.count, word.status) > (known.incarnation.count, known.status),
-            false => word.supersedes(known),
+        let supersedes = match ordered {
+            true => update.supersedes(known),
+            false => (update.incarnation.count, update.status) > (known.incarnation.count, known.status),
         };
-        if word.status == Status::Forgotten || !supersedes {
-            return if older && !ignores { MergeOutcome::Stale } else { MergeOutcome::Unchanged };
+        if update.status == Status::Forgotten || !supersedes {
+            let older_process = update.incarnation.process < known.incarnation.process;
+            return if older_process && ordered { MergeOutcome::Stale } else { MergeOutcome::Unchanged };
         }
-        let mut word = word.clone();
-        if heard_lately && word.status == Status::Dead && word.incarnation == known.incarnation {
-            word.status = Status::Suspect;
+        let mut update = update.clone();
+        if recently_seen && update.status == Status::Dead && update.incarnation == known.incarnation {
             if known.status == Status::Suspect {
                 return MergeOutcome::Unchanged;
             }
+            update.status = Status::Suspect;
         }
-        let news = MergeOutcome::Updated {
-            was: Some(known.status),
-            metadata_changed: known.metadata != word.metadata,
+        let outcome = MergeOutcome::Updated {
+            previous: Some(known.status),
+            metadata_changed: known.metadata != update.metadata,
         };
-        self.others.insert(word.about, word);
-        self.sum_up();
-        news
+        self.others.insert(update.id, update);
+        self.update_digest();
+        outcome
     }
 
-    fn meet(&mut self, word: &Member) -> MergeOutcome {
-        if word.status == Status::Forgotten {
+    fn insert_new(&mut self, update: &Member) -> MergeOutcome {
+        if update.status == Status::Forgotten {
             return MergeOutcome::Unchanged;
         }
         if self.others.len() >= MAX_MEMBERS {
             return MergeOutcome::TableFull;
         }
-        self.others.insert(word.about, word.clone());
-        self.sum_up();
-        MergeOutcome::Updated { was: None, metadata_changed: true }
+        self.others.insert(update.id, update.clone());
+        self.update_digest();
+        MergeOutcome::Updated { previous: None, metadata_changed: true }
     }
 
-    /// A word about us. Whoever says that we are not alive is told otherwise, also when we have said so before:
-    /// what we said then did not reach it.
-    fn doubted(&mut self, word: &Member) -> MergeOutcome {
-        let mine = self.me.incarnation;
-        if word.incarnation.process != mine.process {
-            return if word.incarnation.process > mine.process {
-                MergeOutcome::IdentityConflict
-            } else {
-                MergeOutcome::Stale
-            };
+    /// An entry of the node itself. A report that it is not alive is refuted each time, since an earlier refutation
+    /// may not have reached its sender.
+    fn merge_local(&mut self, update: &Member) -> MergeOutcome {
+        let local = self.local.incarnation;
+        if update.incarnation.process > local.process {
+            return MergeOutcome::IdentityConflict;
         }
-        let doubts = word.status != Status::Alive && self.me.status == Status::Alive;
-        if !doubts || self.lacks(Safeguard::Refutation) {
+        if update.incarnation.process < local.process {
+            return MergeOutcome::Stale;
+        }
+        let accused = update.status != Status::Alive && self.local.status == Status::Alive;
+        if !accused || self.is_disabled(Safeguard::Refutation) {
             return MergeOutcome::Unchanged;
         }
-        if word.status == Status::Forgotten {
-            self.adopt_process_above(mine.process);
-        } else if word.incarnation.count >= mine.count {
-            self.me.incarnation.count = word.incarnation.count.saturating_add(1);
-            self.sum_up();
+        if update.status == Status::Forgotten {
+            self.adopt_process_above(local.process);
+        } else if update.incarnation.count >= local.count {
+            self.local.incarnation.count = update.incarnation.count.saturating_add(1);
+            self.update_digest();
         }
         MergeOutcome::Refuted
     }
 
-    /// Gives up what is held of one that is long gone; its process is refused from now on.
+    /// Drops a member that is long gone and leaves a tombstone: its process is refused from now on.
     pub fn forget(&mut self, id: NodeId) {
-        let Some(entry) = self.others.remove(&id) else { return };
-        if self.tombstones.insert(id, entry.incarnation.process).is_none() {
-            self.tombstone_order.push_back(id);
-        }
-        if self.tombstones.len() > MAX_TOMBSTONES {
-            self.tombstone_order.pop_front().into_iter().for_each(|id| _ = self.tombstones.remove(&id));
-        }
-        self.sum_up();
+        let Some(member) = self.others.remove(&id) else { return };
+        self.tombstones.insert(id, member.incarnation.process);
+        self.update_digest();
     }
 
-    /// What a process that was followed or forgotten is told, so that it knows.
-    pub fn correction_for(&self, word: &Member) -> Member {
-        let known = self
-            .others
-            .get(&word.about)
-            .filter(|known| known.incarnation.process >= word.incarnation.process);
-        let forgotten = || Member { status: Status::Forgotten, ..word.clone() };
-        known.cloned().unwrap_or_else(forgotten)
+    /// The entry that tells a superseded or tombstoned process so.
+    pub fn correction_for(&self, stale: &Member) -> Member {
+        match self.others.get(&stale.id) {
+            Some(known) if known.incarnation.process >= stale.incarnation.process => known.clone(),
+            _ => Member { status: Status::Forgotten, ..stale.clone() },
+        }
     }
 
-    /// One page of what we hold, from a steward on; where the next page begins.
-    pub fn page(&self, from: NodeId) -> (Vec<DigestEntry>, NodeId, NodeId) {
-        let me = std::iter::once((&self.me.about, &self.me));
-        let mut all: Vec<(&NodeId, &Member)> = self.others.iter().chain(me).collect();
-        all.sort_by_key(|(id, _)| **id);
-        let lines = all.iter().filter(|(id, _)| **id >= from);
-        let lines = lines.map(|(id, entry)| DigestEntry {
-            about: **id,
-            incarnation: entry.incarnation,
-            status: entry.status,
-        });
-        let mut lines: Vec<DigestEntry> = lines.take(MAX_DIGEST_ENTRIES + 1).collect();
-        let next = (lines.len() > MAX_DIGEST_ENTRIES).then(|| lines[MAX_DIGEST_ENTRIES].about);
-        lines.truncate(MAX_DIGEST_ENTRIES);
+    /// The page of the table that begins with `from`.
+    pub fn digest_page(&self, from: NodeId) -> DigestPage {
+        let mut members: Vec<&Member> = self.others.values().chain([&self.local]).collect();
+        members.sort_by_key(|member| member.id);
+        let mut entries: Vec<DigestEntry> = members
+            .into_iter()
+            .filter(|member| member.id >= from)
+            .take(MAX_DIGEST_ENTRIES + 1)
+            .map(|member| DigestEntry {
+                id: member.id,
+                incarnation: member.incarnation,
+                status: member.status,
+            })
+            .collect();
+        let next = entries.get(MAX_DIGEST_ENTRIES).map(|entry| entry.id);
+        entries.truncate(MAX_DIGEST_ENTRIES);
         let to = next.map_or(NodeId(u16::MAX), |next| NodeId(next.0 - 1));
-        (lines, to, next.unwrap_or(NodeId(0)))
+        DigestPage { from, to, entries, next: next.unwrap_or(NodeId(0)) }
     }
 
-    /// What we know better than such a page, and whom we want to hear of.
-    pub fn compare(&self, from: NodeId, to: NodeId, lines: &[DigestEntry]) -> (Vec<Member>, Vec<NodeId>) {
-        let (mut better, mut want) = (Vec::new(), Vec::new());
-        for line in lines {
-            let theirs = (line.incarnation, line.status);
-            match self.get(line.about) {
-                Some(ours) if (ours.incarnation, ours.status) > theirs => better.push(ours.clone()),
-                Some(ours) if (ours.incarnation, ours.status) < theirs => want.push(line.about),
-                None if self
-                    .tombstones
-                    .get(&line.about)
-                    .is_none_or(|tombstone| line.incarnation.process > *tombstone) =>
-                {
-                    want.push(line.about);
-                }
-                _ => {}
+    /// Compares the table with a page of another node's.
+    pub fn diff(&self, from: NodeId, to: NodeId, entries: &[DigestEntry]) -> SyncDiff {
+        let mut diff = SyncDiff::default();
+        for entry in entries {
+            let theirs = (entry.incarnation, entry.status);
+            match self.get(entry.id) {
+                Some(ours) if (ours.incarnation, ours.status) > theirs => diff.newer.push(ours.clone()),
+                Some(ours) if (ours.incarnation, ours.status) < theirs => diff.wanted.push(entry.id),
+                Some(_) => {}
+                None if self.tombstones.covers(entry.id, entry.incarnation.process) => {}
+                None => diff.wanted.push(entry.id),
             }
         }
-        let listed: std::collections::BTreeSet<NodeId> = lines.iter().map(|line| line.about).collect();
-        let me = std::iter::once(&self.me);
-        let lacking = self.others.values().chain(me).filter(|entry| {
-            (from..=to).contains(&entry.about) && !listed.contains(&entry.about) && entry.status.is_live()
+        let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.id).collect();
+        let missing = self.others.values().chain([&self.local]).filter(|member| {
+            (from..=to).contains(&member.id) && !listed.contains(&member.id) && member.status.is_live()
         });
-        better.extend(lacking.cloned());
-        better.truncate(MAX_GOSSIP_PER_MESSAGE);
-        want.truncate(MAX_DIGEST_ENTRIES);
-        (better, want)
+        diff.newer.extend(missing.cloned());
+        diff.newer.truncate(MAX_GOSSIP_PER_MESSAGE);
+        diff.wanted.truncate(MAX_DIGEST_ENTRIES);
+        diff
     }
 }
 
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word(about: u16, process: u64, count: u64, status: usize) -> Member {
+fn word(id: u16, process: u64, count: u64, status: usize) -> Member {
     let status = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][status % 4];
-    let metadata = NodeMetadata { settings: process * 100 + count, ..NodeMetadata::default() };
-    let entry = Member::alive(NodeId(about), process, metadata);
+    let metadata = NodeMetadata { settings_digest: process * 100 + count, ..NodeMetadata::default() };
+    let entry = Member::alive(NodeId(id), process, metadata);
     Member { incarnation: Incarnation { process, count }, status, ..entry }
 }
 
@@ -20,9 +20,9 @@
     ) {
         let words: Vec<Member> = words.into_iter().map(|(a, p, c, s)| word(a, p, c, s)).collect();
         let (mut straight, mut mixed) = (table(), table());
-        words.iter().for_each(|word| _ = straight.learn(word, false));
-        order.iter().for_each(|index| _ = mixed.learn(&words[index.index(words.len())], false));
-        words.iter().rev().for_each(|word| _ = mixed.learn(word, false));
+        words.iter().for_each(|word| _ = straight.merge(word, false));
+        order.iter().for_each(|index| _ = mixed.merge(&words[index.index(words.len())], false));
+        words.iter().rev().for_each(|word| _ = mixed.merge(word, false));
         prop_assert!(straight.others().eq(mixed.others()));
         prop_assert_eq!(straight.digest(), mixed.digest());
     }
@@ -33,13 +33,13 @@
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
         let (mut a, mut b) = (table(), MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None));
-        ours.into_iter().for_each(|(id, p, c, s)| _ = a.learn(&word(id, p, c, s), false));
-        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.learn(&word(id, p, c, s), false));
+        ours.into_iter().for_each(|(id, p, c, s)| _ = a.merge(&word(id, p, c, s), false));
+        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.merge(&word(id, p, c, s), false));
         for _ in 0..4 {
-            let (lines, to, _) = a.page(NodeId(0));
-            let (better, want) = b.compare(NodeId(0), to, &lines);
-            better.iter().for_each(|word| _ = a.learn(word, false));
-            want.iter().for_each(|id| _ = b.learn(&a.get(*id).cloned().expect("listed"), false));
+            let page = a.digest_page(NodeId(0));
+            let diff = b.diff(page.from, page.to, &page.entries);
+            diff.newer.iter().for_each(|word| _ = a.merge(word, false));
+            diff.wanted.iter().for_each(|id| _ = b.merge(&a.get(*id).cloned().expect("listed"), false));
         }
         prop_assert_eq!(a.digest(), b.digest());
     }
@@ -48,25 +48,25 @@
 #[test]
 fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
     let mut table = table();
-    table.learn(&word(1, 5, 0, 3), false);
+    table.merge(&word(1, 5, 0, 3), false);
     table.forget(NodeId(1));
-    assert_eq!(table.learn(&word(1, 5, 7, 0), false), MergeOutcome::Stale);
+    assert_eq!(table.merge(&word(1, 5, 7, 0), false), MergeOutcome::Stale);
     assert_eq!(table.correction_for(&word(1, 5, 7, 0)).status, Status::Forgotten);
-    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), MergeOutcome::Updated { was: None, .. }));
+    assert!(matches!(table.merge(&word(1, 6, 0, 0), false), MergeOutcome::Updated { previous: None, .. }));
 }
 
 #[test]
 fn one_that_was_forgotten_takes_a_higher_process_number() {
     let mut table = table();
-    let forgotten = Member { status: Status::Forgotten, ..table.me().clone() };
-    assert_eq!(table.learn(&forgotten, false), MergeOutcome::Refuted);
-    assert_eq!(table.me().incarnation, Incarnation { process: 2, count: 0 });
+    let forgotten = Member { status: Status::Forgotten, ..table.local().clone() };
+    assert_eq!(table.merge(&forgotten, false), MergeOutcome::Refuted);
+    assert_eq!(table.local().incarnation, Incarnation { process: 2, count: 0 });
 }
 
 #[test]
 fn a_crowd_of_stewards_fills_the_table_and_no_more() {
     let mut table = table();
-    (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.learn(&word(id, 1, 0, 0), false));
-    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
+    (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.merge(&word(id, 1, 0, 0), false));
+    assert_eq!(table.merge(&word(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
     assert_eq!(table.others().count(), MAX_MEMBERS);
 }
