--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -12,12 +12,13 @@
 use railhub_ini::{Complaint, Sheet};
 use railhub_membership::lease_manager::{Effects, LeaseManager, LeaseManagerOptions};
 use railhub_membership::member::{Load, NodeMetadata};
-use railhub_membership::messages::Destination;
+use railhub_membership::messages::{Destination, OutgoingMessage};
 use railhub_membership::packet::{
     self, DroppedDatagrams, Packet, View, MAX_DATAGRAM_BYTES, MAX_VIEW_ENTRIES,
 };
-use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
+use railhub_membership::swim::{Membership, MembershipConfig};
+use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 use railhub_net::{now, seconds};
 use serde::Serialize;
@@ -259,9 +260,9 @@
     let process = terms.process.unwrap_or(since.as_micros() as u64);
     let metadata = NodeMetadata {
         address: Some(terms.advertise.unwrap_or(address)),
-        program: PROGRAM.to_owned(),
-        protocol: u32::from(packet::VERSION),
-        settings: terms.settings,
+        program_version: PROGRAM.to_owned(),
+        protocol_version: u32::from(packet::VERSION),
+        settings_digest: terms.settings,
         draining: false,
         store_unreachable: false,
     };
@@ -271,8 +272,17 @@
         without: terms.without,
     };
     let slices = shares.as_ref().map_or(0, |shares| shares.slices);
-    let (me, span, settle) = (terms.id, terms.lease, SETTLE);
-    LeaseManagerOptions { me, process, weights, metadata, config, slices, span, settle, seed: process }
+    LeaseManagerOptions {
+        id: terms.id,
+        process,
+        weights,
+        metadata,
+        config,
+        slices,
+        lease_duration: terms.lease,
+        settle_time: SETTLE,
+        seed: process,
+    }
 }
 
 /// Seconds of processor time that this process took.
@@ -321,7 +331,7 @@
             let at = self.clock.now();
             if at >= due {
                 self.turn(at);
-                due = self.lease_manager.next_at(at);
+                due = self.lease_manager.next_tick_at(at);
                 continue;
             }
             let longest = if self.lease_manager.request_in_flight() { ANSWER_LOOK } else { LONGEST_SLEEP };
@@ -331,12 +341,12 @@
             }
             if let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
                 self.take(&bytes[..length], from);
-                due = due.min(self.lease_manager.next_at(self.clock.now()));
+                due = due.min(self.lease_manager.next_tick_at(self.clock.now()));
             }
         }
         if leaves.load(Ordering::Acquire) {
             self.hand_over();
-            let acts = self.lease_manager.leave(self.clock.now());
+            let acts = self.lease_manager.leave();
             self.carry_out(acts);
         }
     }
@@ -347,7 +357,7 @@
         if self.shares.is_none() {
             return;
         }
-        self.lease_manager.drain();
+        self.lease_manager.start_draining();
         let until = now() + LEAVES_WITHIN;
         while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.request_in_flight()) {
             self.take_answer();
@@ -371,11 +381,15 @@
         let busy = ((self.cpu.1 - before) / (at - since).max(0.001)) as f32;
         let proxies = self.steward.lock().expect("no holder panics").joined as u32;
         let held = self.shares.is_some().then(|| self.lease_manager.leases().count() as u32);
-        self.lease_manager.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
+        self.lease_manager.set_load(Load {
+            slices: held.unwrap_or(self.slices.into()),
+            proxies,
+            cpu_cores: busy,
+        });
         self.figures.charges = held.unwrap_or(0) as usize;
         self.figures.tables_refused = self.shares.as_ref().map_or(0, |shares| shares.store.refused());
-        self.figures.alive = self.membership().alive();
-        self.figures.sent = self.membership().sent();
+        self.figures.alive = self.membership().live_count();
+        self.figures.sent = self.membership().messages_sent();
         self.figures.yielded = self.membership().is_superseded();
         *self.shown.lock().expect("no holder panics") = self.figures.clone();
     }
@@ -397,10 +411,10 @@
             true => Vec::new(),
             false => ids.iter().map(|slice| SliceId(*slice)).collect(),
         };
-        let (lost, lapsed): (Vec<SliceId>, Vec<SliceId>) = (slices(&acts.lost), slices(&acts.lapsed));
+        let (lost, lapsed): (Vec<SliceId>, Vec<SliceId>) = (slices(&acts.lost), slices(&acts.expired));
         let mut tables: BTreeMap<u16, StoredTable> =
             tables.into_iter().map(|table| (table.slice, table)).collect();
-        let gained = acts.gained.iter().map(|(slice, epoch)| {
+        let gained = acts.acquired.iter().map(|(slice, epoch)| {
             let table = tables.remove(slice);
             // The store gives each with its table; without one it is filled as a slice that has none.
             table.unwrap_or(StoredTable::empty(*slice)).gained(epoch.0)
@@ -413,19 +427,19 @@
 
     fn take(&mut self, bytes: &[u8], from: SocketAddr) {
         match packet::decode(&self.installation, bytes) {
-            Ok(Packet::Words(message)) => {
+            Ok(Packet::Message(message)) => {
                 self.figures.heard += 1;
-                let acts = self.lease_manager.hear(self.clock.now(), &message);
+                let acts = self.lease_manager.on_message(self.clock.now(), &message);
                 self.carry_out(acts);
             }
-            Ok(Packet::Look { nonce, from: first }) => self.show(nonce, first, from),
+            Ok(Packet::ViewRequest { nonce, from: first }) => self.show(nonce, first, from),
             Ok(Packet::View(_)) => {}
-            Ok(Packet::Drain { steward, process }) => {
-                let is_us =
-                    steward == self.membership().me() && process == self.membership().incarnation().process;
-                if is_us && !self.lease_manager.draining() {
+            Ok(Packet::Drain { node, process }) => {
+                let is_us = node == self.membership().local_id()
+                    && process == self.membership().incarnation().process;
+                if is_us && !self.lease_manager.is_draining() {
                     tracing::info!("the steward is told to hand its slices over");
-                    self.lease_manager.drain();
+                    self.lease_manager.start_draining();
                 }
             }
             Err(fault) => self.figures.dropped.count(fault),
@@ -433,26 +447,26 @@
     }
 
     fn carry_out(&mut self, acts: Effects) {
-        if let (Some(request), Some(shares)) = (acts.request, &self.shares) {
+        if let (Some(request), Some(shares)) = (acts.lease_request, &self.shares) {
             shares.store.request(request);
         }
-        for (to, message) in acts.mail {
+        for OutgoingMessage { to, message } in acts.messages {
             let address = match to {
                 Destination::Node(id) => self.membership().address(id),
                 Destination::Address(address) => Some(address),
             };
-            let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
+            let bytes = packet::encode(&self.installation, &Packet::Message(Box::new(message)));
             // One that cannot be sent is one that was lost.
             address.into_iter().for_each(|address| _ = self.socket.send_to(&bytes, address));
         }
-        for change in acts.changed {
+        for change in acts.member_changes {
             tracing::info!(
-                steward = change.about.0,
+                steward = change.id.0,
                 process = change.incarnation.process,
                 count = change.incarnation.count,
                 standing = ?change.status,
-                withdrawn = change.withdrawn,
-                cause = change.why,
+                withdrawn = change.ejected,
+                cause = change.cause,
                 "the view of the fleet changes"
             );
         }
@@ -469,18 +483,18 @@
             return;
         }
         let membership = self.membership();
-        let all = membership.view(at).into_iter().filter(|shown| shown.entry.about >= first);
+        let all = membership.view(at).into_iter().filter(|shown| shown.member.id >= first);
         let mut lines: Vec<ViewEntry> = all.take(MAX_VIEW_ENTRIES + 1).collect();
-        let next = (lines.len() > MAX_VIEW_ENTRIES).then(|| lines[MAX_VIEW_ENTRIES].entry.about);
+        let next = (lines.len() > MAX_VIEW_ENTRIES).then(|| lines[MAX_VIEW_ENTRIES].member.id);
         lines.truncate(MAX_VIEW_ENTRIES);
         let view = View {
             nonce,
-            viewer: membership.me(),
+            viewer: membership.local_id(),
             process: membership.incarnation().process,
             digest: membership.digest(),
-            lines,
+            entries: lines,
             next,
-            dropped: self.figures.dropped.all(),
+            dropped: self.figures.dropped.total(),
             superseded: membership.is_superseded(),
         };
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
--- a/crates/railhub-steward/src/leases/tests.rs
+++ b/crates/railhub-steward/src/leases/tests.rs
@@ -8,7 +8,7 @@
     let epochs = |epoch| BTreeMap::from([(SliceId(4), epoch)]);
     assert_eq!(book.over(&epochs(2)), BTreeSet::from([SliceId(4)]), "never held");
     let mut leases = HeldLeases::new(60.0);
-    leases.granted(now, now, &[(4, Epoch(2))]);
+    leases.on_granted(now, now, &[(4, Epoch(2))]);
     book.note(&leases);
     assert!(book.over(&epochs(2)).is_empty());
     assert_eq!(book.over(&epochs(1)), BTreeSet::from([SliceId(4)]), "decided under an older one");
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -11,7 +11,7 @@
 use crate::store::StoreWriter;
 use crate::streams::{serve, StreamRegistry, StreamTerms};
 use crate::traffic::TrafficWriter;
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use railhub_net::{now, Listener, Task};
 use railhub_traffic::file::TrafficFault;
 use std::net::SocketAddr;
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -6,7 +6,7 @@
 use crate::kernel::SliceAcquired;
 use may::sync::{Mutex, Semphore};
 use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
-use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
+use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
 use railhub_net::http::{Caller, HttpError};
 use railhub_net::{now, seconds, Task};
 use serde::{Deserialize, Serialize};
