--- a/crates/railhub-membership/src/lease.rs
+++ b/crates/railhub-membership/src/lease.rs
@@ -6,7 +6,7 @@
 //! clock. It grants a slice to one process at a time, and raises the slice's epoch with each grant to another process.
 //!
 //! The *holder's side* (this module) owns what this process may write at this moment, by this process's clock alone.
-//! Nobody else ends its leases in time: the store's word may be lost, and a process that stood still cannot be asked.
+//! Nobody else ends its leases in time: the store's response may be lost, and a process that stood still answers nobody.
 //! So each write checks [`HeldLeases::valid_epoch`] at the moment of writing.
 //!
 //! The *epoch* is the fencing token (the sequencer of Chubby, Burrows 2006): each command and each write of a table
--- a/crates/railhub-membership/src/lease/tests.rs
+++ b/crates/railhub-membership/src/lease/tests.rs
@@ -31,14 +31,14 @@
 
 #[test]
 fn the_store_grants_a_slice_to_one_at_a_time_and_counts_epochs() {
-    let mut holding = LeaseRecord::default();
-    assert_eq!(holding.grant(0.0, 1, 3.0), Some(Epoch(1)));
-    assert_eq!(holding.grant(1.0, 2, 3.0), None);
-    assert_eq!(holding.grant(2.0, 1, 3.0), Some(Epoch(1)));
-    assert_eq!(holding.grant(5.5, 2, 3.0), Some(Epoch(2)));
-    assert!(!holding.may_write(Epoch(1)) && holding.may_write(Epoch(2)));
-    assert!(!holding.release(1, Epoch(1)) && holding.release(2, Epoch(2)));
-    assert_eq!(holding.grant(5.6, 1, 3.0), Some(Epoch(3)));
+    let mut record = LeaseRecord::default();
+    assert_eq!(record.grant(0.0, 1, 3.0), Some(Epoch(1)));
+    assert_eq!(record.grant(1.0, 2, 3.0), None);
+    assert_eq!(record.grant(2.0, 1, 3.0), Some(Epoch(1)));
+    assert_eq!(record.grant(5.5, 2, 3.0), Some(Epoch(2)));
+    assert!(!record.may_write(Epoch(1)) && record.may_write(Epoch(2)));
+    assert!(!record.release(1, Epoch(1)) && record.release(2, Epoch(2)));
+    assert_eq!(record.grant(5.6, 1, 3.0), Some(Epoch(3)));
 }
 
 #[test]
@@ -50,35 +50,35 @@
 }
 
 proptest! {
-    /// Two stewards with clocks up to 5 % apart ask at any moments; answers take any time. At no moment may
-    /// both order the slice, and the one that may has the newer epoch.
+    /// Two processes with clocks up to 5 % apart send requests at any moments; responses take any time. At no moment may
+    /// both write the slice, and the one that may has the newer epoch.
     #[test]
     fn no_two_may_order_a_slice_at_once(
         steps in prop::collection::vec((0.0..1.0f64, 0..2usize, 0.0..2.0f64), 1..120),
         speeds in (0.95..1.05f64, 0.95..1.05f64),
     ) {
         let speeds = [speeds.0, speeds.1];
-        let mut holding = LeaseRecord::default();
+        let mut record = LeaseRecord::default();
         let mut leases = [HeldLeases::new(3.0), HeldLeases::new(3.0)];
-        let mut under_way: Vec<(f64, usize, f64, Epoch)> = Vec::new();
+        let mut in_flight: Vec<(f64, usize, f64, Epoch)> = Vec::new();
         let mut now = 0.0;
-        for (pause, who, way) in steps {
-            now += pause;
-            let asked = now * speeds[who];
-            if let Some(epoch) = holding.grant(now + way / 2.0, who as u64, 3.0) {
-                under_way.push((now + way, who, asked, epoch));
+        for (wait, who, delay) in steps {
+            now += wait;
+            let requested_at = now * speeds[who];
+            if let Some(epoch) = record.grant(now + delay / 2.0, who as u64, 3.0) {
+                in_flight.push((now + delay, who, requested_at, epoch));
             }
-            // The question was heard later than any that comes next is asked: the store hears in order.
-            now += way / 2.0;
-            under_way.retain(|(at, who, asked, epoch)| {
+            // The request arrived before any later one is sent: the store receives them in order.
+            now += delay / 2.0;
+            in_flight.retain(|(at, who, requested_at, epoch)| {
                 if *at <= now {
-                    leases[*who].on_granted(now * speeds[*who], *asked, &[(1, *epoch)]);
+                    leases[*who].on_granted(now * speeds[*who], *requested_at, &[(1, *epoch)]);
                 }
                 *at > now
             });
-            let may: Vec<_> = (0..2).filter_map(|n| leases[n].valid_epoch(now * speeds[n], 1)).collect();
-            prop_assert!(may.len() <= 1, "both at {now}: {may:?}");
-            prop_assert!(may.iter().all(|epoch| *epoch == holding.epoch));
+            let valid: Vec<_> = (0..2).filter_map(|n| leases[n].valid_epoch(now * speeds[n], 1)).collect();
+            prop_assert!(valid.len() <= 1, "both at {now}: {may:?}");
+            prop_assert!(valid.iter().all(|epoch| *epoch == record.epoch));
         }
     }
 }
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -8,7 +8,7 @@
 //! 1. Membership declares the node dead ([`LeaseManager::on_message`], [`LeaseManager::tick`]).
 //! 2. Placement makes this node the slice's owner; the next request to the store wants to acquire it.
 //! 3. The store refuses as long as the dead node's lease lasts; the slice is wanted again after a pause.
-//! 4. The store grants it under a higher epoch ([`LeaseManager::on_response`]): the driver is told that it is acquired.
+//! 4. The store grants it under a higher epoch ([`LeaseManager::on_response`]): the driver learns that it is acquired.
 //!
 //! Requests to the store: Idle -> InFlight (sent) -> Idle (response, or the response timeout). One is in flight at most.
 use crate::lease::HeldLeases;
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A node that lives and cannot hold a lease would keep its slices from everyone, so it says so.
+    /// A node that lives and cannot hold a lease would keep its slices from everyone, so it publishes that.
     fn publish_store_reachability(&mut self, now: Seconds) {
         let unreachable = self.unanswered_requests >= MAX_UNANSWERED_REQUESTS && self.leases.count() == 0;
         self.membership.set_store_unreachable(unreachable);
@@ -239,7 +239,7 @@
         let renewal_is_due = now >= self.leases.renewal_due_at();
         let renew = if renewal_is_due { self.leases.held().collect() } else { Vec::new() };
         self.next_request_at = now + REQUEST_INTERVAL;
-        // While the store does not answer it is asked on, for nothing if need be: else its return would go unnoticed.
+        // An unreachable store is sent requests on, empty ones if need be: else its return would go unnoticed.
         let is_empty = acquire.is_empty() && renew.is_empty() && release.is_empty();
         if is_empty && self.unanswered_requests == 0 {
             return None;
--- a/crates/railhub-membership/src/lease_store.rs
+++ b/crates/railhub-membership/src/lease_store.rs
@@ -39,13 +39,13 @@
 /// What came of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseDecision {
-    /// What the requester is told.
+    /// The response to the requester.
     pub response: LeaseResponse,
     /// Slices granted to another process than before, with their epochs.
     pub acquired: Vec<(u16, Epoch)>,
 }
 
-/// A grant of a slice to a process that asked to acquire it.
+/// A grant of a slice to a process that requested it.
 struct Grant {
     epoch: Epoch,
     /// The process did not hold it before.
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The record of a slice, if it was ever asked for.
+    /// The record of a slice, if one was ever requested.
     pub fn record(&self, slice: u16) -> Option<&LeaseRecord> {
         self.records.get(&slice)
     }
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -14,7 +14,7 @@
 //! [`safeguard`] lists the rules that tests can leave out.
 //!
 //! The numbered way of one failure, "node 3 is gone", as node 1 sees it:
-//! 1. Node 1 probes node 3 and gets no ack; it asks others for indirect probes, which fail too ([`swim`]).
+//! 1. Node 1 probes node 3 and gets no ack; others probe it on behalf of node 1, in vain ([`swim`]).
 //! 2. It holds node 3 suspect under the incarnation that it knows; the suspicion is gossiped.
 //! 3. A node that fails to probe node 3 by itself confirms the suspicion, which shortens the suspicion timeout.
 //! 4. If node 3 lives, it learns of the suspicion and refutes it under a higher incarnation.
--- a/crates/railhub-membership/src/messages.rs
+++ b/crates/railhub-membership/src/messages.rs
@@ -9,7 +9,7 @@
 /// Entries of one page of a sync digest; a larger view is compared page by page.
 pub const MAX_DIGEST_ENTRIES: usize = 36;
 
-/// What a sync digest says of one member: its entry without the metadata.
+/// One member in a sync digest: its entry without the metadata.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
     /// The member.
@@ -28,7 +28,7 @@
 pub enum Payload {
     /// A direct probe (SWIM's `ping`).
     Probe,
-    /// Asks the receiver to probe another node for the sender (SWIM's `ping-req`).
+    /// Requests that the receiver probe another node for the sender (SWIM's `ping-req`).
     #[serde(rename = "ProbeFor")]
     IndirectProbe(NodeId),
     /// Answers a [`Payload::Probe`].
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -36,9 +36,9 @@
 #[test]
 fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
     let ids = vec![NodeId(u16::MAX); MAX_DIGEST_ENTRIES];
-    let line = DigestEntry { id: ids[0], incarnation: longest().incarnation, status: Status::Dead };
-    let lines = vec![line; MAX_DIGEST_ENTRIES];
-    let compare = Payload::SyncDigest { from: NodeId(0), to: NodeId(u16::MAX), entries: lines };
+    let entry = DigestEntry { id: ids[0], incarnation: longest().incarnation, status: Status::Dead };
+    let entries = vec![entry; MAX_DIGEST_ENTRIES];
+    let sync_digest = Payload::SyncDigest { from: NodeId(0), to: NodeId(u16::MAX), entries };
     let view = ViewEntry {
         member: longest(),
         load: Load::default(),
@@ -58,7 +58,7 @@
     };
     let all = [
         message(Payload::SyncRequest(ids), MAX_GOSSIP_PER_MESSAGE),
-        message(compare, 0),
+        message(sync_digest, 0),
         Packet::ViewRequest { nonce: 7, from: NodeId(9) },
         Packet::Drain { node: NodeId(3), process: 12 },
         Packet::View(Box::new(view)),
@@ -79,10 +79,10 @@
     let mut older = bytes.clone();
     older[3] = 0;
     assert_eq!(decode("here", &older), Err(DecodeError::UnsupportedVersion));
-    let mut spoilt = bytes;
-    let last = spoilt.len() - 1;
-    spoilt[last] ^= 1;
-    assert_eq!(decode("here", &spoilt), Err(DecodeError::Corrupt));
+    let mut corrupt = bytes;
+    let last = corrupt.len() - 1;
+    corrupt[last] ^= 1;
+    assert_eq!(decode("here", &corrupt), Err(DecodeError::Corrupt));
 }
 
 proptest! {
--- a/crates/railhub-membership/src/packet/types.rs
+++ b/crates/railhub-membership/src/packet/types.rs
@@ -35,7 +35,7 @@
     pub viewer: NodeId,
     /// The viewer's process.
     pub process: u64,
-    /// Digest of the whole view.
+    /// Digest of the complete view.
     pub digest: u64,
     /// Members in the order of ids, [`super::limits::MAX_VIEW_ENTRIES`] at most.
     pub entries: Vec<ViewEntry>,
--- a/crates/railhub-membership/src/placement/tests.rs
+++ b/crates/railhub-membership/src/placement/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use proptest::prelude::*;
 
-fn stewards(ids: &[u16]) -> BTreeMap<NodeId, f64> {
+fn nodes(ids: &[u16]) -> BTreeMap<NodeId, f64> {
     ids.iter().map(|id| (NodeId(*id), 1.0)).collect()
 }
 
 #[test]
 fn slices_are_spread_by_weight() {
-    let mut all = stewards(&[1, 2, 3]);
+    let mut all = nodes(&[1, 2, 3]);
     all.insert(NodeId(3), 2.0);
     let of = |id: u16| (0..4000).filter(|slice| rendezvous_owner(*slice, &all) == Some(NodeId(id))).count();
     assert!(of(1).abs_diff(1000) < 90 && of(2).abs_diff(1000) < 90, "{} {}", of(1), of(2));
@@ -19,7 +19,7 @@
     fn a_steward_that_goes_moves_its_own_slices_and_no_others(ids in prop::collection::btree_set(0..50u16, 2..9), gone in 0..9usize) {
         let ids: Vec<u16> = ids.into_iter().collect();
         let gone = NodeId(ids[gone % ids.len()]);
-        let all = stewards(&ids);
+        let all = nodes(&ids);
         let mut left = all.clone();
         left.remove(&gone);
         for slice in 0..300 {
@@ -31,7 +31,7 @@
 
 #[test]
 fn one_that_flaps_gets_no_slices_until_it_has_stood_for_long() {
-    let mut placement = Placement::new(stewards(&[1, 2]));
+    let mut placement = Placement::new(nodes(&[1, 2]));
     placement.on_liveness(0.0, NodeId(1), true);
     placement.on_liveness(0.0, NodeId(2), true);
     assert_eq!(placement.eligible_nodes(0.0).len(), 2, "at the start nobody has a past");
@@ -52,7 +52,7 @@
 
 #[test]
 fn when_nobody_has_earned_trust_all_that_live_have_to_do() {
-    let mut placement = Placement::new(stewards(&[1, 2]));
+    let mut placement = Placement::new(nodes(&[1, 2]));
     for id in [1, 2] {
         placement.on_liveness(0.0, NodeId(id), true);
         placement.on_liveness(1.0, NodeId(id), false);
@@ -65,7 +65,7 @@
 
 #[test]
 fn handovers_are_paced() {
-    let mut placement = Placement::new(stewards(&[1]));
+    let mut placement = Placement::new(nodes(&[1]));
     let counted = |placement: &mut Placement, now: f64| {
         (0..1000).filter(|_| placement.take_handover_permit(now)).count()
     };
--- a/crates/railhub-membership/src/swim/identity.rs
+++ b/crates/railhub-membership/src/swim/identity.rs
@@ -1,19 +1,19 @@
 //! Two processes under one id. The one with the lower process number takes no part any more.
 //!
-//! A process with a higher number may only be reported, not heard: after a clock was set back, the numbers of earlier
-//! processes of this node are above its own. If it is not heard in time, this process takes a number above it.
+//! A process with a higher number may be reported without a message of its own: after a clock was set back, the numbers of earlier
+//! processes of this node are above its own. If no message of it comes in time, this process takes a number above it.
 use super::membership::{IdentityConflict, Membership, MembershipOutput};
 use crate::member::{Member, Status};
 use crate::messages::{Destination, MemberChange, Message, Payload};
 use crate::safeguard::Safeguard;
 use crate::Seconds;
 
-/// Seconds within which a reported process must be heard, or it is held to have ended.
+/// Seconds within which a message of a reported process must come, or it counts as ended.
 const CONFLICT_TIMEOUT: Seconds = 2.0;
 
 impl Membership {
     /// A message under this node's own id. Its own come back by a seed address that is its own; an older process is
-    /// told that it was followed; a newer one takes over.
+    /// sent this process's entry; a newer one takes over.
     pub(super) fn on_own_id(&mut self, now: Seconds, message: &Message, output: &mut MembershipOutput) {
         let theirs = message.sender.incarnation.process;
         let ours = self.incarnation().process;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes a number above a reported process that was not heard in time.
+    /// Takes a number above a reported process that stayed silent.
     pub(super) fn end_identity_conflict(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let Some(IdentityConflict { process, reported_at, .. }) = self.conflict else { return };
         let silent_for = now - reported_at;
--- a/crates/railhub-membership/src/swim/membership.rs
+++ b/crates/railhub-membership/src/swim/membership.rs
@@ -179,7 +179,7 @@
         self.gossip.len()
     }
 
-    /// The whole view, this node included, in the order of ids.
+    /// The complete view, this node included, in the order of ids.
     pub fn view(&self, now: Seconds) -> Vec<ViewEntry> {
         let local = ViewEntry {
             member: self.table.local().clone(),
--- a/crates/railhub-membership/src/swim/merge.rs
+++ b/crates/railhub-membership/src/swim/merge.rs
@@ -11,7 +11,7 @@
 const RECENTLY_SEEN: Seconds = 1.0;
 
 impl Membership {
-    /// Applies one entry. `cause` is told in the change that follows from it.
+    /// Applies one entry. `cause` goes into the change that follows from it.
     pub(super) fn apply_update(
         &mut self,
         now: Seconds,
--- a/crates/railhub-membership/src/swim/mod.rs
+++ b/crates/railhub-membership/src/swim/mod.rs
@@ -1,6 +1,6 @@
 //! Failure detection and dissemination: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips,
 //! Currey 2017). Free of I/O and of clocks: the driver passes the time in, sends what comes out, and calls
-//! [`Membership::tick`] when [`Membership::next_tick_at`] says so.
+//! [`Membership::tick`] at [`Membership::next_tick_at`].
 //!
 //! Each node probes one other in each probe interval. A target that does not acknowledge is probed indirectly through
 //! others, then suspected, then declared dead unless it refutes the suspicion under a higher incarnation. What a node
@@ -22,7 +22,7 @@
 //! most, at most one is ejected at a time.
 //!
 //! The numbered way of one failure:
-//! 1. `probe`: no acknowledgement within the ack timeout; helpers are asked for indirect probes, twice.
+//! 1. `probe`: no acknowledgement within the ack timeout; helpers make indirect probes, twice if need be.
 //! 2. `suspicion`: after the probe timeout the target becomes suspect. The entry is queued as gossip.
 //! 3. `merge`: a node that receives it applies it; one that suspected the target by itself confirms the suspicion.
 //! 4. `refutation`: the target, when it learns of it, raises its incarnation and gossips that.
--- a/crates/railhub-membership/src/swim/pending_probe.rs
+++ b/crates/railhub-membership/src/swim/pending_probe.rs
@@ -5,17 +5,17 @@
 /// Seconds from a probe until its target is suspected, at a local health multiplier of 1: direct and indirect
 /// acknowledgements have had time. A helper sends its nack after half of it.
 pub(super) const PROBE_TIMEOUT: Seconds = 0.4;
-/// Seconds after which an acknowledgement is late at the latest, helpers are asked again, and a helper sends its nack.
+/// Seconds after which an acknowledgement is late at the latest, helpers are tried again, and a helper sends its nack.
 pub(super) const MAX_ACK_TIMEOUT: Seconds = PROBE_TIMEOUT / 2.0;
 
 /// How far a probe has been escalated: Direct -> Indirect (late) -> Exhausted (later, and without a nack).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProbeStage {
-    /// Only its target was asked.
+    /// Only the direct probe was sent.
     Direct,
-    /// Helpers were asked to probe the target too.
+    /// Indirect probes were requested from helpers.
     Indirect,
-    /// Helpers were asked a second time, or the probe is made for another node: no more helpers are asked.
+    /// Indirect probes were requested twice, or the probe is made for another node: there is no further stage.
     Exhausted,
 }
 
@@ -26,7 +26,7 @@
     pub(super) target: NodeId,
     pub(super) sent_at: Seconds,
     pub(super) stage: ProbeStage,
-    /// Helpers that were asked the last time.
+    /// Helpers of the last request for indirect probes.
     pub(super) helpers: usize,
     /// A helper sent a nack: the helper is reachable, the target is not.
     pub(super) nack_received: bool,
@@ -34,7 +34,7 @@
     pub(super) on_behalf_of: Option<ProbeRequester>,
 }
 
-/// The node that asked for an indirect probe.
+/// The node that requested an indirect probe.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProbeRequester {
     pub(super) id: NodeId,
@@ -61,7 +61,7 @@
         now - self.sent_at >= timeout
     }
 
-    /// Whether helpers are to be asked now, for the first or the second time.
+    /// Whether indirect probes are to be requested now, for the first or the second time.
     pub(super) fn needs_helpers(&self, now: Seconds, ack_timeout: Seconds, multiplier: f64) -> bool {
         let elapsed = now - self.sent_at;
         match self.stage {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Helpers are asked now.
+    /// Indirect probes are requested now.
     pub(super) fn escalate(&mut self, helpers: usize) {
         self.stage = match self.stage {
             ProbeStage::Direct => ProbeStage::Indirect,
--- a/crates/railhub-membership/src/swim/probe.rs
+++ b/crates/railhub-membership/src/swim/probe.rs
@@ -9,7 +9,7 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::RngExt;
 
-/// Helpers that are asked for an indirect probe (SWIM's k).
+/// Helpers that make an indirect probe of one target (SWIM's k).
 const INDIRECT_PROBES: usize = 3;
 /// Probes that are pending at once; past it none are made for other nodes.
 pub(super) const MAX_PENDING_PROBES: usize = 64;
@@ -91,7 +91,7 @@
         first.filter(|(due_at, _)| *due_at <= now).map(|(_, member)| member.clone())
     }
 
-    /// Asks helpers about late probes, and suspects the targets of those that have failed.
+    /// Requests indirect probes where acknowledgements are late, and suspects the targets of failed probes.
     pub(super) fn end_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
         self.escalate_late_probes(now, output);
         let multiplier = self.health_multiplier();
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// A process that is first heard of when it has rewritten its entry counts its messages anew all the same.
+/// A process that becomes known only after it has rewritten its entry counts its messages anew all the same.
 #[test]
 fn a_new_process_is_heard_at_once_and_an_old_message_tells_nothing_of_now() {
     let mut membership = flooded(Payload::Gossip);
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word(id: u16, process: u64, count: u64, status: usize) -> Member {
+fn entry(id: u16, process: u64, count: u64, status: usize) -> Member {
     let status = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][status % 4];
     let metadata = NodeMetadata { settings_digest: process * 100 + count, ..NodeMetadata::default() };
     let entry = Member::alive(NodeId(id), process, metadata);
@@ -15,14 +15,14 @@
 proptest! {
     #[test]
     fn any_order_and_any_repetition_of_the_same_words_ends_in_the_same_table(
-        words in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
+        entries in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        let words: Vec<Member> = words.into_iter().map(|(a, p, c, s)| word(a, p, c, s)).collect();
+        let entries: Vec<Member> = entries.into_iter().map(|(a, p, c, s)| entry(a, p, c, s)).collect();
         let (mut straight, mut mixed) = (table(), table());
-        words.iter().for_each(|word| _ = straight.merge(word, false));
-        order.iter().for_each(|index| _ = mixed.merge(&words[index.index(words.len())], false));
-        words.iter().rev().for_each(|word| _ = mixed.merge(word, false));
+        entries.iter().for_each(|entry| _ = straight.merge(entry, false));
+        order.iter().for_each(|index| _ = mixed.merge(&entries[index.index(entries.len())], false));
+        entries.iter().rev().for_each(|entry| _ = mixed.merge(entry, false));
         prop_assert!(straight.others().eq(mixed.others()));
         prop_assert_eq!(straight.digest(), mixed.digest());
     }
@@ -33,12 +33,12 @@
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
         let (mut a, mut b) = (table(), MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None));
-        ours.into_iter().for_each(|(id, p, c, s)| _ = a.merge(&word(id, p, c, s), false));
-        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.merge(&word(id, p, c, s), false));
+        ours.into_iter().for_each(|(id, p, c, s)| _ = a.merge(&entry(id, p, c, s), false));
+        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.merge(&entry(id, p, c, s), false));
         for _ in 0..4 {
             let page = a.digest_page(NodeId(0));
             let diff = b.diff(page.from, page.to, &page.entries);
-            diff.newer.iter().for_each(|word| _ = a.merge(word, false));
+            diff.newer.iter().for_each(|entry| _ = a.merge(entry, false));
             diff.wanted.iter().for_each(|id| _ = b.merge(&a.get(*id).cloned().expect("listed"), false));
         }
         prop_assert_eq!(a.digest(), b.digest());
@@ -48,11 +48,11 @@
 #[test]
 fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
     let mut table = table();
-    table.merge(&word(1, 5, 0, 3), false);
+    table.merge(&entry(1, 5, 0, 3), false);
     table.forget(NodeId(1));
-    assert_eq!(table.merge(&word(1, 5, 7, 0), false), MergeOutcome::Stale);
-    assert_eq!(table.correction_for(&word(1, 5, 7, 0)).status, Status::Forgotten);
-    assert!(matches!(table.merge(&word(1, 6, 0, 0), false), MergeOutcome::Updated { previous: None, .. }));
+    assert_eq!(table.merge(&entry(1, 5, 7, 0), false), MergeOutcome::Stale);
+    assert_eq!(table.correction_for(&entry(1, 5, 7, 0)).status, Status::Forgotten);
+    assert!(matches!(table.merge(&entry(1, 6, 0, 0), false), MergeOutcome::Updated { previous: None, .. }));
 }
 
 #[test]
@@ -66,7 +66,7 @@
 #[test]
 fn a_crowd_of_stewards_fills_the_table_and_no_more() {
     let mut table = table();
-    (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.merge(&word(id, 1, 0, 0), false));
-    assert_eq!(table.merge(&word(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
+    (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.merge(&entry(id, 1, 0, 0), false));
+    assert_eq!(table.merge(&entry(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
     assert_eq!(table.others().count(), MAX_MEMBERS);
 }
--- a/crates/railhub-membership/src/view.rs
+++ b/crates/railhub-membership/src/view.rs
@@ -1,4 +1,4 @@
-//! A node's view as it is shown to observers.
+//! A node's view as observers read it.
 use crate::member::{Load, Member};
 use crate::Seconds;
 
