--- a/crates/railhub-membership/src/lease/tests.rs
+++ b/crates/railhub-membership/src/lease/tests.rs
@@ -77,7 +77,7 @@
                 *at > now
             });
             let valid: Vec<_> = (0..2).filter_map(|n| leases[n].valid_epoch(now * speeds[n], 1)).collect();
-            prop_assert!(valid.len() <= 1, "both at {now}: {may:?}");
+            prop_assert!(valid.len() <= 1, "both at {now}: {valid:?}");
             prop_assert!(valid.iter().all(|epoch| *epoch == record.epoch));
         }
     }
