--- a/crates/railhub-cli/tests/crossings.rs
+++ b/crates/railhub-cli/tests/crossings.rs
@@ -246,7 +246,7 @@
     // All but the mark at its end is taken: the log tells when the steward knows.
     let count = call.matches("\"op\"").count() - 1;
     calls.say(&format!("{{\"id\":{},\"result\":{{\"taken\":{count}}}}}\n", id(&call)));
-    eventually("the answer is known", || steward.says("does not take an order"));
+    eventually("the answer is known", || steward.says("refused a command"));
     later.say(&(held(3, "s-1", 1.0) + PING + &given(5) + &held(5, "s-1", 1.0)));
     let (_, said) = next.caller();
     assert!(said.contains("\"table\":5") && !said.contains("\"table\":3"), "{said}");
--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -35,7 +35,7 @@
     #[error("{0}: {1}")]
     File(String, std::io::Error),
     #[error("{0}: {1}")]
-    NodeConfig(String, railhub_platform::assignment::ConfigError),
+    NodeConfig(String, railhub_platform::ConfigError),
     #[error("cannot listen on {0}: {1}")]
     Listen(std::net::SocketAddr, std::io::Error),
     #[error("cannot start: {0}")]
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -6,8 +6,8 @@
 use may::net::TcpStream;
 use railhub::{Seconds, ZoneId};
 use railhub_net::{go, Closer, Guard, Listener};
-use railhub_platform::collector::{self, CollectorMessage};
-use railhub_platform::{InvalidEntry, NodeConfig};
+use railhub_platform::wire::collector;
+use railhub_platform::{CollectorMessage, InvalidEntry, NodeConfig};
 use railhub_proto::Deframer;
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -117,7 +117,7 @@
     loop {
         let mut shown = String::new();
         let frame = deframer.body(|body| {
-            let read = collector::read(body, &shared.names, shared.slices);
+            let read = collector::decode(body, &shared.names, shared.slices);
             if read.is_err() {
                 shown = String::from_utf8_lossy(&body[..body.len().min(SHOWN)]).into_owned();
             }
@@ -132,12 +132,12 @@
             }
             Ok(None) => return,
             Ok(Some(Ok(CollectorMessage::Ping))) => {
-                if !say(&stream, &collector::pong()) {
+                if !say(&stream, &collector::encode_pong()) {
                     return;
                 }
                 continue;
             }
-            Ok(Some(Ok(CollectorMessage::Collector(zone)))) if joined.is_none() => {
+            Ok(Some(Ok(CollectorMessage::Join(zone)))) if joined.is_none() => {
                 visit.join(zone, &stream);
                 deframer.set_limit(collector::MAX_MESSAGE_BYTES);
                 turn = ReadTurn::start(KNOWN_PEER_SPAN);
@@ -162,7 +162,7 @@
         };
         let whose = if joined.is_some() { "collector's stream" } else { "stranger" };
         shared.refuse_all(whose, || format!("{refused}: {shown}"));
-        say(&stream, &collector::refusal(refused));
+        say(&stream, &collector::encode_refusal(refused));
         return;
     }
 }
--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use railhub::Seconds;
 use railhub_net::seconds;
-use railhub_platform::relay_events::CallResponse;
-use railhub_platform::{NodeConfig, PlatformController};
+
+use railhub_platform::{CallResponse, NodeConfig, PlatformController};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -135,7 +135,7 @@
     fn hear(&mut self, word: ControllerEvent) {
         match word {
             ControllerEvent::EndpointPage(page) => {
-                let (generation, hosts, whole) = (page.generation, page.entries.len(), page.whole);
+                let (generation, hosts, whole) = (page.generation, page.entries.len(), page.complete);
                 if self.controller.on_endpoint_page(now(), &page) {
                     tracing::info!(generation, hosts, whole, "the host list has news");
                 } else if generation < self.controller.generation() {
@@ -181,17 +181,17 @@
     fn act(&mut self) {
         let began = now();
         let effects = self.controller.poll(began);
-        for late in &effects.late {
+        for late in &effects.timer_lateness {
             self.late.saturating_record(micros(*late));
         }
         effects.probes.into_iter().for_each(|probe| self.probes.ask(probe));
         for cause in effects.notes {
             tracing::info!(cause, "decision");
         }
-        self.shown.rounds += effects.rounds;
+        self.shown.rounds += effects.batches;
         self.shown.longest_round = self.shown.longest_round.max(now() - began);
         if let Some(why) = self.controller.take_resubscribe_reason() {
-            tracing::warn!(why, "what the relay holds is asked for anew");
+            tracing::warn!(%why, "what the relay holds is asked for anew");
             self.shared.news_line.close();
         }
     }
@@ -202,7 +202,7 @@
         }
         if let Some(call) = self.controller.next_call() {
             self.shared.counts.calls.fetch_add(1, Ordering::Relaxed);
-            tracing::debug!(id = call.id, orders = call.count, bytes = call.bytes.len(), "a call leaves");
+            tracing::debug!(id = call.id, orders = call.commands, bytes = call.bytes.len(), "a call leaves");
             tracing::trace!(said = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
             self.called_at = now();
             self.called_for = self.called_for.or(self.reported_at.take());
@@ -218,10 +218,10 @@
         (shown.waiting, shown.informed) =
             (self.controller.commands_pending(), self.controller.is_synchronized());
         shown.sums_dropped =
-            self.controller.load_reports_dropped + self.shared.inbox.sums_dropped.load(Ordering::Relaxed);
+            self.controller.load_reports_dropped() + self.shared.inbox.sums_dropped.load(Ordering::Relaxed);
         (shown.probes_dropped, shown.folded) = (self.probes.dropped(), self.controller.commands_folded());
         (shown.probes_outrun, shown.unnamed) =
-            (self.controller.probes_outdated, self.controller.commands_unnamed());
+            (self.controller.probes_outdated(), self.controller.commands_unnamed());
         let tail = |times: &Histogram<u64>| (span(times.value_at_quantile(0.99)), span(times.max()));
         (shown.late_99, shown.late_most) = tail(&self.late);
         (shown.call_99, shown.call_most) = tail(&self.called);
--- a/crates/railhub-platform-net/src/probes.rs
+++ b/crates/railhub-platform-net/src/probes.rs
@@ -4,6 +4,7 @@
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Pool};
+use railhub_platform::wire::hosts::{HEALTH_CHECK_PATH, NOT_SERVING_STATUS};
 use railhub_platform::Probe;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,9 +30,9 @@
 
 /// `None`: an answer that cannot be read proves nothing.
 fn probe(address: SocketAddr) -> Option<HealthCheckOutcome> {
-    Some(match Caller::new(address, seconds(WITHIN)).call("GET", "/alive", &[]) {
+    Some(match Caller::new(address, seconds(WITHIN)).call("GET", HEALTH_CHECK_PATH, &[]) {
         Ok(_) => HealthCheckOutcome::Answered,
-        Err(HttpError::Status(503)) => HealthCheckOutcome::Rejected,
+        Err(HttpError::Status(NOT_SERVING_STATUS)) => HealthCheckOutcome::Rejected,
         Err(HttpError::Silent | HttpError::Status(_)) => HealthCheckOutcome::Failed,
         Err(HttpError::Unreached(fault)) if is_ours(&fault) => return None,
         Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended) => {
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -6,9 +6,8 @@
 use may::sync::Semphore;
 use railhub::Seconds;
 use railhub_net::{dial, go, now, seconds, Guard};
-use railhub_platform::orders::Call;
-use railhub_platform::relay_events::{self, CallResponse, RelayEvent, SubscriptionId};
-use railhub_platform::InvalidEntry;
+use railhub_platform::wire::relay as wire;
+use railhub_platform::{Call, CallResponse, InvalidEntry, RelayEvent, SubscriptionId};
 use railhub_proto::Lines;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -82,7 +81,7 @@
     failing: &mut bool,
 ) -> RelayError {
     let count = shared.asked.fetch_add(1, Ordering::Relaxed) + 1;
-    let source = SubscriptionId { file: addresses.version, count };
+    let source = SubscriptionId { config_version: addresses.version, sequence: count };
     // The owner knows before the relay can.
     shared.inbox.tell(ControllerEvent::Asked(source));
     let why = subscribe(shared, addresses, source, patience, failing);
@@ -104,14 +103,14 @@
     let _held = DescriptorGuard::one(&shared.held.relay);
     let mut guard = Guard::both_ways(&stream, patience.span());
     shared.counts.subscriptions.fetch_add(1, Ordering::Relaxed);
-    if let Err(fault) = stream.write_all(&relay_events::subscribe(source.count)) {
+    if let Err(fault) = stream.write_all(&wire::encode_subscribe(source.sequence)) {
         return RelayError::NotSubscribed(fault);
     }
-    let mut lines = Lines::new(relay_events::MAX_LINE_BYTES);
+    let mut lines = Lines::new(wire::MAX_LINE_BYTES);
     let mut stands = None;
     let mut turn = ReadTurn::start(KNOWN_PEER_SPAN);
     loop {
-        match next_line(&mut stream, &guard, &mut lines, relay_events::read) {
+        match next_line(&mut stream, &guard, &mut lines, wire::decode_event) {
             Ok(Ok(news)) => {
                 if news == RelayEvent::Subscribed {
                     guard = Guard::both_ways(&stream, SILENT);
@@ -121,10 +120,10 @@
                     }
                     *failing = false;
                     stands = Some(shared.relay_health.line_stands());
-                    let source = source.count;
+                    let source = source.sequence;
                     tracing::info!(source, relay = %addresses.relay, "subscribed to the relay's news");
                 }
-                tracing::trace!(source = source.count, ?news, "news");
+                tracing::trace!(source = source.sequence, ?news, "news");
                 shared.inbox.tell(ControllerEvent::RelayEvent(source, news));
                 turn.pause_if_long();
             }
@@ -211,7 +210,7 @@
         Some(open) => open,
         None => {
             let stream = dial(to, CONNECT).map_err(RelayError::Unreached)?;
-            Line { to, used_at: now(), stream, lines: Lines::new(relay_events::MAX_LINE_BYTES) }
+            Line { to, used_at: now(), stream, lines: Lines::new(wire::MAX_LINE_BYTES) }
         }
     };
     let _held = DescriptorGuard::one(&shared.held.relay);
@@ -220,7 +219,7 @@
     let read = |bytes: &[u8]| {
         let end = bytes.len().min(200);
         let shown = String::from_utf8_lossy(&bytes[..end]).into_owned();
-        relay_events::answer(bytes, call.id, call.count)
+        wire::decode_response(bytes, call.id, call.commands)
             .map_err(|spoilt| RelayError::CallResponse(spoilt, shown))
     };
     let answer = next_line(&mut open.stream, &guard, &mut open.lines, read)??;
--- a/crates/railhub-platform-net/src/relay/tests.rs
+++ b/crates/railhub-platform-net/src/relay/tests.rs
@@ -20,7 +20,7 @@
                 may::coroutine::sleep(seconds(0.001));
             }
             let read = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
-            let mut lines = Lines::new(relay_events::MAX_LINE_BYTES);
+            let mut lines = Lines::new(wire::MAX_LINE_BYTES);
             sender.send(next_line(&mut stream, &guard, &mut lines, read)).expect("still read");
         });
         let (mut peer, _) = listener.accept().expect("it dials");
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -3,8 +3,9 @@
 use may::sync::Semphore;
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::{Closer, Inbox};
-use railhub_platform::relay_events::{CallResponse, RelayEvent, SubscriptionId};
-use railhub_platform::{EndpointPage, InvalidEntry, Names, NodeConfig, Probe};
+use railhub_platform::{
+    CallResponse, EndpointPage, InvalidEntry, Names, NodeConfig, Probe, RelayEvent, SubscriptionId,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -113,7 +114,7 @@
         Arc::new(Shared {
             inbox: Inbox::new(WORDS, SUMS),
             names: assignment.names.clone(),
-            slices: assignment.terms.slices,
+            slices: assignment.controller.slices,
             addresses: Mutex::new(Addresses {
                 version: 0,
                 relay: assignment.relay,
--- a/crates/railhub-platform-net/src/watch.rs
+++ b/crates/railhub-platform-net/src/watch.rs
@@ -5,7 +5,8 @@
 use railhub::Seconds;
 use railhub_net::http::{Feed, HttpError};
 use railhub_net::{go, seconds};
-use railhub_platform::{discovery, EndpointPage};
+use railhub_platform::wire::discovery;
+use railhub_platform::EndpointPage;
 use std::sync::Arc;
 
 /// Seconds a connection may take to come up, and seconds of silence: an empty line comes every 2.
@@ -46,7 +47,7 @@
     failing: &mut bool,
 ) -> HttpError {
     let mut generation = known(shared);
-    let path = format!("/discovery/hosts?watch=1&after={generation}");
+    let path = discovery::watch_path(generation);
     let mut feed = match Feed::open(addresses.discovery, &path, CONNECT, patience.span()) {
         Ok(feed) => feed,
         Err(fault) => return unanswered(fault, patience),
@@ -59,7 +60,7 @@
     let mut stands = None;
     let mut turn = ReadTurn::start(KNOWN_PEER_SPAN);
     loop {
-        let read = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, &shared.names));
+        let read = |line: &[u8]| (!line.is_empty()).then(|| discovery::decode_page(line, &shared.names));
         let line = match feed.line(read) {
             Ok(line) => line,
             Err(fault) if stands.is_none() => return unanswered(fault, patience),
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -1,531 +1,421 @@
-//! Gathers what came in into rounds, runs the module on them, and keeps what it orders until the relay took it.
-//! The snapshot that a subscription begins with replaces what the module believed of proxies, charges and lines.
-use crate::assignment::{Names, NodeConfig};
-use crate::discovery::EndpointPage;
-use crate::orders::{put, Call, Command, CommandBatch, PendingCommands, WEIGHT_TOLERANCE};
-use crate::relay_events::{CallResponse, RelayEvent, SubscriptionId};
+//! Gathers what peers send into batches, runs the decisions on them, and hands commands to the relay's driver.
+//!
+//! Owns the decisions and wires the parts round them, each with one job: [`crate::subscription`] (whose events count,
+//! and the snapshot), [`crate::call`] (whether a call may leave), [`crate::pending_commands`] (what it carries),
+//! [`crate::host_directory`], [`crate::slice_assignments`] and [`crate::batch`].
+//!
+//! The way of one event:
+//! 1. A handler, `on_EVENT`, puts it into the pending batch, or into the snapshot while one is received.
+//! 2. [`PlatformController::next_deadline`] says when the next batch is due; nothing is decided before the first
+//!    snapshot is complete.
+//! 3. [`PlatformController::poll`] hands the batch to the decisions, whose commands wait among the pending ones.
+//! 4. [`PlatformController::next_call`] gives the call that carries them, one at a time.
+//! 5. [`PlatformController::on_call_ended`] settles it by its response. Without one, a snapshot of a later subscription
+//!    shows its outcome ([`PlatformController::take_resubscribe_reason`]).
+use crate::batch::{PendingBatch, Timers};
+use crate::call::{CallTracker, ResubscribeReason};
+use crate::command::Command;
+use crate::config::NodeConfig;
+use crate::endpoints::EndpointPage;
+use crate::host_directory::{merge_list, HostDirectory, Probe};
+use crate::pending_commands::{AcceptedCommands, PendingCommands};
+use crate::relay::{Call, CallResponse, RelayEvent, SubscriptionId};
+use crate::sink::BatchSink;
+use crate::slice_assignments::PendingAssignments;
+use crate::subscription::{Snapshot, Subscription, Update, FIRST_SNAPSHOT_IDLE_TIMEOUT};
+use crate::table::{tables_match, Table};
 use railhub::{
-    Controller, EndpointList, EventBatch, HealthCheckOutcome, HealthCheckResult, HostId, HostLoadReport,
-    Phase, ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceId, SliceLoadReport, TimerId,
+    Controller, EventBatch, HealthCheckOutcome, HealthCheckResult, HostLoadReport, ProxyId, ProxyStreamEvent,
+    Seconds, SliceAssignment, SliceId, SliceLoadReport,
 };
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
-
-/// Seconds without a word after which what stands has been told whole, unless a sign of life says so sooner: at the
-/// first telling, when what comes late is only added, and at later ones, when what is missing counts as lost.
-const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
-const SNAPSHOT_IDLE_TIMEOUT: Seconds = 1.5;
-/// Seconds without a word after which a slice that was given has all its lines: they follow at once.
-const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
-/// Commands accepted while a subscription has not told what stands: past them it is asked for anew.
-const MAX_ACCEPTED_SINCE_SNAPSHOT: usize = 20_000;
-/// Seconds a list may be late: what discovery has to tell counts as told by then.
-const GENERATION_RESET_TIMEOUT: Seconds = 6.0;
-/// Sums that a round may hold; further ones are dropped, as the next say more.
-const MAX_LOAD_REPORTS_PER_BATCH: usize = 8192;
-
-/// What the relay tells to stand, while it tells it.
-#[derive(Default)]
-struct Snapshot {
-    proxies: BTreeMap<ProxyId, bool>,
-    charges: BTreeMap<SliceId, Vec<(HostId, f64)>>,
-    told_at: Seconds,
-    source: SubscriptionId,
-}
-
-/// A probe of a host as the list had it then: where, and since when it ran.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Probe {
-    pub host: HostId,
-    pub address: SocketAddr,
-    started: Option<Seconds>,
-}
+use thiserror::Error;
 
-/// What the controller asks of the sockets after a round, and tells the log.
+/// What the driver does after [`PlatformController::poll`], and logs.
 #[derive(Debug, Default)]
 pub struct Effects {
+    /// Health checks to make.
     pub probes: Vec<Probe>,
+    /// What the decisions note of themselves.
     pub notes: Vec<String>,
-    /// It ran a round.
-    pub rounds: u64,
-    /// Seconds by which a turn came late.
-    pub late: Vec<Seconds>,
+    /// Batches handled: 0 or 1.
+    pub batches: u64,
+    /// Seconds by which expired timers came late.
+    pub timer_lateness: Vec<Seconds>,
+}
+
+/// Commands that the relay will not carry out. The next snapshot corrects what the decisions believe.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub enum DroppedCommands {
+    /// The relay stopped at a command: it names what the relay does not know, or a number below 0.
+    #[error("the relay refused a command, which is dropped: {0:?}")]
+    Refused(Command),
+    /// The relay cannot read a call.
+    #[error("the relay cannot read a call: its {commands} commands are dropped")]
+    MalformedCall {
+        /// How many commands it carried.
+        commands: usize,
+    },
 }
 
+/// A controller on the platform, free of I/O and clocks.
 pub struct PlatformController {
-    steward: Controller,
-    names: Names,
-    tick: Seconds,
+    decisions: Controller,
+    class_names: Vec<String>,
+    /// Least time between two batches that no timer asks for, in seconds.
+    tick_interval: Seconds,
     single_owner: bool,
-    round: EventBatch,
-    ran_at: Seconds,
-    /// Something came since the last round.
-    news: bool,
-    snapshot: Option<Snapshot>,
-    /// The subscription whose news counts, and the newest that was asked for.
-    source: SubscriptionId,
-    asked: SubscriptionId,
-    /// Subscriptions asked for whose snapshot is not taken in, one a follower until its line ends; and the orders that
-    /// the relay took meanwhile, each with the newest of them: the snapshot may have been told before they were taken.
-    untold: BTreeSet<SubscriptionId>,
-    taken: Vec<(SubscriptionId, Command)>,
-    /// A call has no known end: only a subscription asked for after this one shows it, and no call leaves before.
-    doubt: Option<SubscriptionId>,
-    ask_anew: Option<&'static str>,
-    /// The relay has told once what stands: until then nothing is ordered.
-    informed: bool,
-    charges_at: Seconds,
-    charges: Vec<SliceAssignment>,
-    timers: Vec<(Seconds, TimerId)>,
-    generation: u64,
-    listed_at: Seconds,
-    /// Where each listed host is, and since when it runs.
-    addresses: BTreeMap<HostId, (SocketAddr, Option<Seconds>)>,
+    batch: PendingBatch,
+    timers: Timers,
+    subscription: Subscription,
+    assignments: PendingAssignments,
+    hosts: HostDirectory,
     proxies: BTreeSet<ProxyId>,
-    waiting: PendingCommands,
-    /// When the oldest orders were given that the relay has not taken.
-    pending_since: Option<Seconds>,
-    calling: bool,
-    pub load_reports_dropped: u64,
-    /// Probes whose host was another by the time they ended.
-    pub probes_outdated: u64,
+    commands: PendingCommands,
+    /// When the oldest commands were issued that the relay has not accepted.
+    oldest_pending_at: Option<Seconds>,
+    call: CallTracker,
+    probes_outdated: u64,
 }
 
 impl PlatformController {
-    pub fn new(assignment: &NodeConfig) -> PlatformController {
+    /// A controller that knows the hosts of its configuration and nothing of the relay.
+    pub fn new(config: &NodeConfig) -> PlatformController {
         let mut controller = PlatformController {
-            steward: Controller::new(assignment.terms.clone()),
-            names: assignment.names.clone(),
-            tick: assignment.tick,
-            single_owner: assignment.terms.single_owner,
-            round: EventBatch::default(),
-            ran_at: 0.0,
-            news: true,
-            snapshot: None,
-            source: SubscriptionId::default(),
-            asked: SubscriptionId::default(),
-            untold: BTreeSet::new(),
-            taken: Vec::new(),
-            doubt: None,
-            ask_anew: None,
-            informed: false,
-            charges_at: 0.0,
-            charges: Vec::new(),
-            timers: Vec::new(),
-            generation: 0,
-            listed_at: 0.0,
-            addresses: BTreeMap::new(),
+            decisions: Controller::new(config.controller.clone()),
+            class_names: config.names.classes.clone(),
+            tick_interval: config.tick_interval,
+            single_owner: config.controller.single_owner,
+            batch: PendingBatch { changed: true, ..PendingBatch::default() },
+            timers: Timers::default(),
+            subscription: Subscription::default(),
+            assignments: PendingAssignments::default(),
+            hosts: HostDirectory::default(),
             proxies: BTreeSet::new(),
-            waiting: PendingCommands::new(&assignment.terms),
-            pending_since: None,
-            calling: false,
-            load_reports_dropped: 0,
+            commands: PendingCommands::new(&config.controller),
+            oldest_pending_at: None,
+            call: CallTracker::default(),
             probes_outdated: 0,
         };
-        controller.on_endpoint_page(0.0, &assignment.known);
+        controller.on_endpoint_page(0.0, &config.known);
         controller
     }
 
-    /// The list's version that the module knows.
-    pub fn generation(&self) -> u64 {
-        self.generation
-    }
-
-    /// A page that is older than what is known, or known already, says nothing. A whole list under a lower number that
-    /// comes when nothing newer has for long is no late one: discovery began anew, and its old numbers with it.
+    /// A page of discovery. Returns whether it is new.
     pub fn on_endpoint_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
-        let late = page.generation < self.generation
-            && !(page.whole && now - self.listed_at >= GENERATION_RESET_TIMEOUT);
-        if late || page.generation == self.generation && !page.whole {
-            return false;
-        }
-        self.listed_at = now;
-        // What was invalid is told again under the same number.
-        if page.invalid.is_empty() {
-            self.generation = page.generation;
+        let is_new = self.hosts.apply_page(now, page);
+        if is_new {
+            merge_list(&mut self.batch.events.lists, page.list());
+            self.batch.changed = true;
         }
-        if page.whole {
-            self.addresses.clear();
-        }
-        for entry in &page.entries {
-            if entry.listed.phase == Phase::Gone {
-                self.addresses.remove(&entry.listed.host);
-            } else {
-                self.addresses.insert(entry.listed.host, (entry.address, entry.listed.started));
-            }
-        }
-        fold(&mut self.round.lists, page.list());
-        self.news = true;
-        true
-    }
-
-    pub fn on_host_load(&mut self, sum: HostLoadReport) {
-        let kept = push(&mut self.round.tries, sum);
-        self.count_sum(kept);
+        is_new
     }
 
-    pub fn on_slice_load(&mut self, sum: SliceLoadReport) {
-        let kept = push(&mut self.round.demand, sum);
-        self.count_sum(kept);
+    /// What the proxies of a zone saw of one host.
+    pub fn on_host_load(&mut self, report: HostLoadReport) {
+        self.batch.add_host_load(report);
     }
 
-    fn count_sum(&mut self, kept: bool) {
-        self.news |= kept;
-        self.load_reports_dropped += u64::from(!kept);
+    /// What the proxies saw of one slice and class.
+    pub fn on_slice_load(&mut self, report: SliceLoadReport) {
+        self.batch.add_slice_load(report);
     }
 
-    /// How a probe ended says nothing of a host that is gone, moved or started anew since it was asked for.
+    /// How a health check ended. One of a host that is gone, moved or started anew meanwhile is ignored.
     pub fn on_probe_result(&mut self, probe: &Probe, end: HealthCheckOutcome) {
-        if self.addresses.get(&probe.host) == Some(&(probe.address, probe.started)) {
-            self.round.probes.push(HealthCheckResult { host: probe.host, end });
-            self.news = true;
+        if self.hosts.is_current(probe) {
+            self.batch.events.probes.push(HealthCheckResult { host: probe.host, end });
+            self.batch.changed = true;
         } else {
             self.probes_outdated += 1;
         }
     }
 
-    /// A subscription is about to be asked for: to be told before the relay can know.
-    pub fn on_subscription_requested(&mut self, source: SubscriptionId) {
-        self.asked = self.asked.max(source);
-        self.untold.insert(source);
+    /// A subscription is about to be requested; must be told before the relay can know.
+    pub fn on_subscription_requested(&mut self, id: SubscriptionId) {
+        self.subscription.on_requested(id);
     }
 
-    /// Its line is no more. What it was just telling to stand was not told whole and counts for nothing.
-    pub fn on_subscription_ended(&mut self, source: SubscriptionId) {
-        self.snapshot = self.snapshot.take().filter(|snapshot| snapshot.source != source);
-        self.untold.remove(&source);
-        self.drop_taken();
+    /// The connection of a subscription ended.
+    pub fn on_subscription_ended(&mut self, id: SubscriptionId) {
+        self.subscription.on_ended(id);
     }
 
-    /// Only the newest subscription counts, whatever an older one still says.
-    pub fn on_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
-        if news == RelayEvent::Subscribed && source > self.source {
-            self.source = source;
-            self.snapshot = Some(Snapshot { told_at: now, source, ..Snapshot::default() });
-            if self.doubt.is_some_and(|doubt| source <= doubt) {
-                self.ask_anew = Some("it was asked for before a call ended that has no known end");
-            }
-        }
-        if news == RelayEvent::Subscribed || source != self.source {
-            return;
+    /// An event of a subscription; those of an older one than the newest confirmed one are ignored.
+    pub fn on_relay_event(&mut self, now: Seconds, id: SubscriptionId, event: RelayEvent) {
+        match self.subscription.on_event(now, id, event) {
+            Update::None => {}
+            Update::Subscribed => self.call.on_subscribed(id),
+            Update::SnapshotEnded => self.complete_snapshot(),
+            Update::SliceReassigned { slice, assigned } => self.discard_commands(slice, assigned),
+            Update::BarrierAcked(ack) => self.batch.events.confirmed.push(ack),
+            Update::Live(event) => self.on_live_event(now, event),
         }
-        if let Some(snapshot) = &mut self.snapshot {
-            if news == RelayEvent::Heartbeat {
-                return self.take_snapshot();
-            }
-            snapshot.told_at = now;
-            match news {
-                RelayEvent::ProxyJoined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
-                RelayEvent::ProxyLeft(proxy) => _ = snapshot.proxies.remove(&proxy),
-                RelayEvent::SliceAssigned { slice, on } => {
-                    // Told before in what stands, it changed hands since.
-                    let changed = snapshot.charges.remove(&slice).is_some();
-                    if on {
-                        snapshot.charges.insert(slice, Vec::new());
-                    }
-                    if changed {
-                        self.taken
-                            .retain(|(_, order)| !matches!(order, Command::Line(of, ..) if *of == slice));
-                        self.forget(slice, on);
-                    }
-                }
-                RelayEvent::StoredEntry { slice, host, weight } => {
-                    snapshot.charges.entry(slice).or_default().push((host, weight));
-                }
-                RelayEvent::BarrierAcked(confirmed) => self.round.confirmed.push(confirmed),
-                RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
-            }
-            return;
-        }
-        self.news |= news != RelayEvent::Heartbeat;
-        match news {
-            RelayEvent::ProxyJoined { proxy, first } => self.stream(proxy, true, first),
-            RelayEvent::ProxyLeft(proxy) => self.stream(proxy, false, false),
-            RelayEvent::BarrierAcked(confirmed) => self.round.confirmed.push(confirmed),
-            RelayEvent::SliceAssigned { slice, on } => {
-                self.charges_at = now;
-                self.forget(slice, on);
-                self.charges.push(SliceAssignment { slice, given: on, lines: Vec::new() });
+    }
+
+    fn on_live_event(&mut self, now: Seconds, event: RelayEvent) {
+        self.batch.changed |= event != RelayEvent::Heartbeat;
+        match event {
+            RelayEvent::ProxyJoined { proxy, first } => self.add_stream_event(proxy, true, first),
+            RelayEvent::ProxyLeft(proxy) => self.add_stream_event(proxy, false, false),
+            RelayEvent::BarrierAcked(ack) => self.batch.events.confirmed.push(ack),
+            RelayEvent::SliceAssigned { slice, assigned } => {
+                self.discard_commands(slice, assigned);
+                self.assignments.on_assigned(now, slice, assigned);
             }
             RelayEvent::StoredEntry { slice, host, weight } => {
-                self.charges_at = now;
-                self.hold(slice, host, weight);
+                let decisions = &self.decisions;
+                let known_table = || {
+                    let (_, lines) = decisions.charges().find(|(id, _)| *id == slice)?;
+                    Some(lines.to_vec())
+                };
+                let batched = &mut self.batch.events.charges;
+                let line = (host, weight);
+                self.assignments.on_stored_entry(now, slice, line, self.single_owner, batched, known_table);
             }
             RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
         }
     }
 
-    /// Commands that still wait are about the table as it was before, and so are those which are out: when they are
-    /// carried out, before or after it was given, only the relay can tell.
-    fn forget(&mut self, slice: SliceId, given: bool) {
-        if self.waiting.forget(slice) && given {
-            self.doubt("a slice was given while a call about it was out");
+    fn add_stream_event(&mut self, proxy: ProxyId, up: bool, first: bool) {
+        if up {
+            self.proxies.insert(proxy);
+        } else {
+            self.proxies.remove(&proxy);
         }
+        self.batch.events.streams.push(ProxyStreamEvent { proxy, up, first });
     }
 
-    fn doubt(&mut self, why: &'static str) {
-        (self.doubt, self.ask_anew) = (Some(self.asked), Some(why));
+    /// Commands about a slice that changed hands are about its table as it was before. On which table those of the
+    /// current call are carried out, only a snapshot shows.
+    fn discard_commands(&mut self, slice: SliceId, assigned: bool) {
+        let call_is_about_it = self.commands.discard_table(slice);
+        if call_is_about_it && assigned {
+            self.require_snapshot(ResubscribeReason::SliceReassigned);
+        }
     }
 
-    /// A line of a table that was given: just now, or so long ago that the module knows the slice already.
-    fn hold(&mut self, slice: SliceId, host: HostId, weight: f64) {
-        let single_owner = self.single_owner;
-        let pending = self.round.charges.iter_mut().chain(&mut self.charges);
-        let lines = match pending.filter(|charge| charge.slice == slice).last() {
-            Some(charge) if !charge.given => return,
-            Some(charge) => &mut charge.lines,
-            None => {
-                let Some((_, believed)) = self.steward.charges().find(|(id, _)| *id == slice) else { return };
-                let lines = believed.to_vec();
-                self.charges.push(SliceAssignment { slice, given: true, lines });
-                &mut self.charges.last_mut().expect("pushed").lines
-            }
-        };
-        // Where a slice has one owner, the line told last is the table.
-        lines.retain(|line| line.0 != host && !single_owner);
-        lines.push((host, weight));
+    fn require_snapshot(&mut self, reason: ResubscribeReason) {
+        self.call.require_snapshot(self.subscription.latest(), reason);
     }
 
-    fn stream(&mut self, proxy: ProxyId, up: bool, first: bool) {
-        if up {
-            self.proxies.insert(proxy);
-        } else {
-            self.proxies.remove(&proxy);
+    /// The snapshot is complete: it replaces what was believed.
+    fn complete_snapshot(&mut self) {
+        self.settle_call();
+        let Some(snapshot) = self.subscription.complete_snapshot(self.single_owner) else { return };
+        self.batch.changed = true;
+        // Assignments of before are part of the snapshot; that a proxy left before it is not.
+        self.assignments.assignments.clear();
+        self.batch.events.charges.clear();
+        self.apply_proxies(&snapshot.proxies);
+        self.apply_tables(snapshot.tables);
+    }
+
+    fn apply_proxies(&mut self, joined: &BTreeMap<ProxyId, bool>) {
+        let absent: Vec<ProxyId> =
+            self.proxies.iter().copied().filter(|proxy| !joined.contains_key(proxy)).collect();
+        for proxy in absent {
+            self.add_stream_event(proxy, false, false);
+        }
+        // A proxy believed joined may have left and returned unseen: it counts as joined anew.
+        for (proxy, first) in joined {
+            self.add_stream_event(*proxy, true, *first);
         }
-        self.round.streams.push(ProxyStreamEvent { proxy, up, first });
     }
 
-    /// What the relay told to stand replaces what was believed.
-    fn take_snapshot(&mut self) {
-        self.settle_call();
-        let Some(mut snapshot) = self.snapshot.take() else { return };
-        for (asked, order) in &self.taken {
-            let Command::Line(slice, host, weight) = order else { continue };
-            if let Some(lines) = snapshot.charges.get_mut(slice).filter(|_| snapshot.source <= *asked) {
-                put(lines, *host, *weight, self.single_owner);
+    /// Assigns the slices whose table differs from what the decisions believe, and takes away those that are missing.
+    fn apply_tables(&mut self, stored: BTreeMap<SliceId, Table>) {
+        let mut believed: BTreeMap<SliceId, Table> =
+            self.decisions.charges().map(|(slice, lines)| (slice, lines.to_vec())).collect();
+        let assignments = &mut self.batch.events.charges;
+        for (slice, table) in stored {
+            let lines = self.commands.table_when_accepted(slice, &table);
+            let is_as_believed = believed.remove(&slice).is_some_and(|belief| tables_match(&belief, &lines));
+            if !is_as_believed {
+                assignments.push(SliceAssignment { slice, given: true, lines });
             }
         }
-        self.untold.retain(|source| *source > snapshot.source);
-        self.drop_taken();
-        self.informed = true;
-        self.news = true;
-        // Charges told before this subscription are part of what stands; that a proxy left before it is not.
-        self.charges.clear();
-        self.round.charges.clear();
-        let absent: Vec<ProxyId> =
-            self.proxies.iter().copied().filter(|proxy| !snapshot.proxies.contains_key(proxy)).collect();
-        absent.into_iter().for_each(|proxy| self.stream(proxy, false, false));
-        // One that is believed joined may have left and come back unheard: it counts as joined anew.
-        snapshot.proxies.iter().for_each(|(proxy, first)| self.stream(*proxy, true, *first));
-        let mut believed: BTreeMap<SliceId, Vec<(HostId, f64)>> =
-            self.steward.charges().map(|(slice, lines)| (slice, lines.to_vec())).collect();
-        for (slice, stored) in snapshot.charges {
-            let lines = self.waiting.settled(slice, &stored);
-            let belief = believed.remove(&slice);
-            if !belief.is_some_and(|belief| same_lines(&belief, &lines)) {
-                self.round.charges.push(SliceAssignment { slice, given: true, lines });
-            }
+        for slice in believed.into_keys() {
+            assignments.push(SliceAssignment { slice, given: false, lines: Vec::new() });
         }
-        let taken =
-            believed.into_keys().map(|slice| SliceAssignment { slice, given: false, lines: Vec::new() });
-        self.round.charges.extend(taken);
     }
 
-    /// What stands shows how a call ended that has no known end, if it was asked for since.
+    /// Reads the outcome of a call from the snapshot, if it is not known and the snapshot shows it.
     fn settle_call(&mut self) {
-        let Some(charges) = self.shows_call().map(|snapshot| snapshot.charges.clone()) else { return };
-        self.waiting.settle(&charges);
-        self.doubt = None;
+        let Some(snapshot) = self.snapshot_after_call() else { return };
+        let tables = snapshot.tables.clone();
+        self.commands.reconcile(&tables);
+        self.call.on_outcome_known();
     }
 
-    fn shows_call(&self) -> Option<&Snapshot> {
-        let doubt = self.doubt.filter(|_| !self.calling)?;
-        self.snapshot.as_ref().filter(|snapshot| snapshot.source > doubt)
+    /// The snapshot being received, if it was requested after a call ended whose outcome is not known.
+    fn snapshot_after_call(&self) -> Option<&Snapshot> {
+        let latest = self.call.outcome_unknown_at()?;
+        self.subscription.snapshot_later_than(latest)
     }
 
-    /// Before all of it is told: a slice that is not told yet must not pass for one that is held no more.
-    fn shows_call_early(&self) -> Option<&Snapshot> {
-        self.shows_call().filter(|snapshot| self.waiting.is_out_about(&snapshot.charges))
+    /// The same, once it has all tables that the call changes: a slice that has not come yet must not pass for one that
+    /// is not assigned here any more.
+    fn snapshot_covering_call(&self) -> Option<&Snapshot> {
+        self.snapshot_after_call().filter(|snapshot| self.commands.call_is_covered_by(&snapshot.tables))
     }
 
-    fn drop_taken(&mut self) {
-        if self.untold.is_empty() {
-            self.taken.clear();
-        }
+    /// When [`PlatformController::poll`] has something to do, if no event comes before.
+    pub fn next_deadline(&self) -> Option<Seconds> {
+        let snapshot = self.subscription.idle_deadline();
+        let call = self.snapshot_covering_call().map(|s| s.last_event_at + FIRST_SNAPSHOT_IDLE_TIMEOUT);
+        let batch = if self.subscription.is_synchronized() { self.batch_deadline() } else { None };
+        [snapshot, call, batch].into_iter().flatten().min_by(f64::total_cmp)
+    }
+
+    fn batch_deadline(&self) -> Option<Seconds> {
+        let assignments = self.assignments.idle_deadline();
+        let timer = self.timers.next_due();
+        let tick = self.batch.changed.then_some(self.batch.handled_at + self.tick_interval);
+        [assignments, timer, tick].into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    fn snapshot_quiet(&self) -> Seconds {
-        if self.informed {
-            SNAPSHOT_IDLE_TIMEOUT
+    /// Does what is due: ends a snapshot that has paused for long, and handles a batch.
+    pub fn poll(&mut self, now: Seconds) -> Effects {
+        if self.subscription.is_idle(now) {
+            self.complete_snapshot();
+        }
+        let covering = self.snapshot_covering_call();
+        if covering.is_some_and(|snapshot| now - snapshot.last_event_at >= FIRST_SNAPSHOT_IDLE_TIMEOUT) {
+            self.settle_call();
+        }
+        if self.assignments.are_complete(now) {
+            self.batch.events.charges.append(&mut self.assignments.assignments);
+            self.batch.changed = true;
+        }
+        if self.subscription.is_synchronized() && self.is_batch_due(now) {
+            self.handle_batch(now)
         } else {
-            FIRST_SNAPSHOT_IDLE_TIMEOUT
+            Effects::default()
         }
     }
 
-    /// When [`PlatformController::poll`] has something to do, if nothing comes in before.
-    pub fn next_deadline(&self) -> Option<Seconds> {
-        let snapshot = self.snapshot.as_ref().map(|snapshot| snapshot.told_at + self.snapshot_quiet());
-        let settled = self.shows_call_early().map(|snapshot| snapshot.told_at + FIRST_SNAPSHOT_IDLE_TIMEOUT);
-        let charges = (!self.charges.is_empty()).then_some(self.charges_at + ASSIGNMENT_IDLE_TIMEOUT);
-        let timer = self.timers.iter().map(|(at, _)| *at).min_by(f64::total_cmp);
-        let news = self.news.then_some(self.ran_at + self.tick);
-        let running = [charges, timer, news].into_iter().flatten().filter(|_| self.informed);
-        running.chain(snapshot).chain(settled).min_by(f64::total_cmp)
+    fn is_batch_due(&self, now: Seconds) -> bool {
+        let is_tick_due = self.batch.changed && now - self.batch.handled_at >= self.tick_interval;
+        is_tick_due || self.timers.is_due(now)
     }
 
-    /// Runs a round if one is due.
-    pub fn poll(&mut self, now: Seconds) -> Effects {
-        let mut effects = Effects::default();
-        let quiet = self.snapshot_quiet();
-        if self.snapshot.as_ref().is_some_and(|snapshot| now - snapshot.told_at >= quiet) {
-            self.take_snapshot();
-        }
-        if self
-            .shows_call_early()
-            .is_some_and(|snapshot| now - snapshot.told_at >= FIRST_SNAPSHOT_IDLE_TIMEOUT)
-        {
-            self.settle_call();
+    /// Runs the decisions on the pending events.
+    fn handle_batch(&mut self, now: Seconds) -> Effects {
+        let expired = self.timers.take_expired(now);
+        let events = self.next_batch(now, expired.iter().map(|timer| timer.id));
+        let mut sink = BatchSink::new(&mut self.commands);
+        self.decisions.round(&events, &mut sink);
+        let BatchSink { probes, timers, notes, .. } = sink;
+        if !self.commands.is_empty() {
+            self.oldest_pending_at.get_or_insert(now);
         }
-        if !self.charges.is_empty() && now - self.charges_at >= ASSIGNMENT_IDLE_TIMEOUT {
-            self.round.charges.append(&mut self.charges);
-            self.news = true;
+        for (after, id) in timers {
+            self.timers.set(now + after, id);
         }
-        let due = self.timers.iter().any(|(at, _)| *at <= now);
-        if !self.informed || !(due || self.news && now - self.ran_at >= self.tick) {
-            return effects;
+        Effects {
+            probes: probes.into_iter().filter_map(|host| self.hosts.probe(host)).collect(),
+            notes,
+            batches: 1,
+            timer_lateness: expired.iter().map(|timer| now - timer.due_at).collect(),
         }
-        let (rung, left) = self.timers.drain(..).partition(|(at, _)| *at <= now);
-        self.timers = left;
-        effects.late.extend(rung.iter().map(|(at, _): &(Seconds, TimerId)| now - at));
-        let mut round = std::mem::take(&mut self.round);
-        round.timers.extend(rung.into_iter().map(|(_, timer)| timer));
-        round.now = now;
-        self.pending_since = self.pending_since.filter(|_| self.waiting.count() > 0);
-        round.pending_since = self.pending_since;
-        (self.ran_at, self.news) = (now, false);
-        let mut batch = CommandBatch {
-            waiting: &mut self.waiting,
-            probes: Vec::new(),
-            wakes: Vec::new(),
-            notes: Vec::new(),
-        };
-        self.steward.round(&round, &mut batch);
-        let CommandBatch { probes, wakes, notes, .. } = batch;
-        if self.waiting.count() > 0 {
-            self.pending_since.get_or_insert(now);
+    }
+
+    fn next_batch(&mut self, now: Seconds, expired: impl Iterator<Item = railhub::TimerId>) -> EventBatch {
+        if self.commands.is_empty() {
+            self.oldest_pending_at = None;
         }
-        self.timers.extend(wakes.into_iter().map(|(after, timer)| (now + after, timer)));
-        let addresses = &self.addresses;
-        let probe = |host: HostId| {
-            let (address, started) = *addresses.get(&host)?;
-            Some(Probe { host, address, started })
-        };
-        effects.probes = probes.into_iter().filter_map(probe).collect();
-        (effects.notes, effects.rounds) = (notes, 1);
-        effects
+        let mut events = self.batch.take(now);
+        events.timers.extend(expired);
+        events.pending_since = self.oldest_pending_at;
+        events
     }
 
-    /// The next call to the relay, if none is out: the caller must bring back how it ended.
+    /// The next call to the relay, if one may leave ([`crate::call`]). Its end must come back by
+    /// [`PlatformController::on_call_ended`].
     pub fn next_call(&mut self) -> Option<Call> {
-        if self.calling || self.doubt.is_some() {
+        if self.call.blocker().is_some() {
             return None;
         }
-        let call = self.waiting.call(&self.names.classes);
-        self.calling = call.is_some();
-        call
+        let call = self.commands.next_call(&self.class_names)?;
+        self.call.on_sent();
+        Some(call)
     }
 
-    /// How the call ended; `None`: not known, so that what stands must show it. Tells the log what was dropped.
-    pub fn on_call_ended(&mut self, answer: Option<CallResponse>) -> Option<String> {
-        self.calling = false;
-        if self.doubt.is_some() {
-            self.doubt("a call ended while it was in doubt what stands");
-        }
-        match answer {
+    /// The call in flight ended; without a response its outcome is not known. Returns what was dropped, for the log.
+    pub fn on_call_ended(&mut self, response: Option<CallResponse>) -> Option<DroppedCommands> {
+        self.call.on_ended(self.subscription.latest());
+        match response {
             None => {
-                self.doubt("a call has no known end");
+                self.require_snapshot(ResubscribeReason::OutcomeUnknown);
                 None
             }
             Some(CallResponse::Rejected) => None,
             Some(CallResponse::Malformed) => {
-                let count = self.waiting.drop_call();
-                Some(format!("the relay cannot read a call: {count} orders are dropped"))
+                Some(DroppedCommands::MalformedCall { commands: self.commands.drop_call() })
             }
             Some(CallResponse::Accepted(count)) => {
-                let (taken, stopped) = self.waiting.taken(count);
-                if !self.untold.is_empty() {
-                    let asked = self.asked;
-                    self.taken.extend(taken.into_iter().map(|order| (asked, order)));
-                }
-                if self.taken.len() > MAX_ACCEPTED_SINCE_SNAPSHOT {
-                    self.taken.clear();
-                    self.doubt("a subscription takes long to tell what stands");
+                let AcceptedCommands { accepted, refused } = self.commands.on_accepted(count);
+                if self.subscription.on_accepted(accepted).is_err() {
+                    self.require_snapshot(ResubscribeReason::SnapshotTooSlow);
                 }
-                stopped.map(|order| format!("the relay does not take an order, which is dropped: {order:?}"))
+                refused.map(DroppedCommands::Refused)
             }
         }
     }
 
-    /// Why what the relay holds must be asked for anew, if it must: by a new subscription.
-    pub fn take_resubscribe_reason(&mut self) -> Option<&'static str> {
-        let overflowed = std::mem::take(&mut self.waiting.overflowed);
-        self.ask_anew.take().or(overflowed.then_some("orders were dropped for want of room"))
+    /// Why a new subscription must be requested, if it must; given once.
+    pub fn take_resubscribe_reason(&mut self) -> Option<ResubscribeReason> {
+        let overflowed = std::mem::take(&mut self.commands.overflowed);
+        let dropped = overflowed.then_some(ResubscribeReason::CommandsDropped);
+        self.call.take_resubscribe_reason().or(dropped)
     }
 
+    /// The generation of the list of hosts.
+    pub fn generation(&self) -> u64 {
+        self.hosts.generation()
+    }
+
+    /// Whether a first snapshot is complete, so that decisions are made.
     pub fn is_synchronized(&self) -> bool {
-        self.informed
+        self.subscription.is_synchronized()
     }
 
+    /// Proxies whose stream is up.
     pub fn proxies_joined(&self) -> usize {
         self.proxies.len()
     }
 
+    /// Hosts that discovery lists.
     pub fn hosts_listed(&self) -> usize {
-        self.addresses.len()
+        self.hosts.len()
     }
 
+    /// Commands that the relay has not accepted.
     pub fn commands_pending(&self) -> usize {
-        self.waiting.count()
+        self.commands.len()
     }
 
+    /// Commands dropped as a later one about the same came.
     pub fn commands_folded(&self) -> u64 {
-        self.waiting.folded
+        self.commands.folded
     }
 
+    /// Admission rates dropped as their class has no name.
     pub fn commands_unnamed(&self) -> u64 {
-        self.waiting.unnamed
+        self.commands.unnamed
     }
-}
 
-/// Whether there was room.
-fn push<T>(sums: &mut Vec<T>, sum: T) -> bool {
-    let room = sums.len() < MAX_LOAD_REPORTS_PER_BATCH;
-    if room {
-        sums.push(sum);
+    /// Load reports dropped for want of room.
+    pub fn load_reports_dropped(&self) -> u64 {
+        self.batch.load_reports_dropped
     }
-    room
-}
 
-/// One list a round, whatever comes before the module may act: a whole one replaces what came before, changes
-/// replace the entries that they are about. So it holds each host once, however long the relay is away.
-fn fold(lists: &mut Vec<EndpointList>, newer: EndpointList) {
-    match lists.last_mut() {
-        Some(list) if !newer.whole => {
-            let told_anew: BTreeSet<HostId> = newer.entries.iter().map(|entry| entry.host).collect();
-            list.entries.retain(|entry| !told_anew.contains(&entry.host));
-            // In a whole list, one that is gone is one that is lacking.
-            list.entries
-                .extend(newer.entries.into_iter().filter(|new| !list.whole || new.phase != Phase::Gone));
-        }
-        _ => *lists = vec![newer],
+    /// Health checks whose host was another by the time they ended.
+    pub fn probes_outdated(&self) -> u64 {
+        self.probes_outdated
     }
 }
 
-fn same_lines(believed: &[(HostId, f64)], stored: &[(HostId, f64)]) -> bool {
-    let alike = |a: f64, b: f64| (a - b).abs() <= WEIGHT_TOLERANCE;
-    believed.len() == stored.len()
-        && believed.iter().all(|(host, weight)| stored.iter().any(|(h, w)| h == host && alike(*w, *weight)))
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
+use railhub::HostId;
 
-const NONE: SubscriptionId = SubscriptionId { file: 0, count: 0 };
+const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
 fn controller() -> PlatformController {
     PlatformController::new(
@@ -14,17 +15,17 @@
     let (proxy, now) = (ProxyId(5), 1.0);
     controller.on_relay_event(now, NONE, RelayEvent::ProxyJoined { proxy, first: true });
     controller.on_relay_event(now, NONE, RelayEvent::ProxyLeft(proxy));
-    let first = SubscriptionId { file: 0, count: 1 };
+    let first = SubscriptionId { config_version: 0, sequence: 1 };
     [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
         .for_each(|news| controller.on_relay_event(now, first, news));
-    assert!(controller.round.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
+    assert!(controller.batch.events.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
 }
 
 #[test]
 fn lists_that_wait_for_the_relay_are_one_list_of_each_host_once() {
     let mut controller = controller();
-    let names = controller.names.clone();
+    let names = NodeConfig::parse(include_str!("../../tests/assignment.json")).expect("a good file").names;
     for generation in 42..500 {
         let (old, new) = (generation - 1, generation);
         let page = format!(
@@ -32,10 +33,12 @@
              {{\"instanceId\":\"n-{old}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"gone\",\"weight\":1}},\
              {{\"instanceId\":\"n-{new}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"ready\",\"weight\":1}}]}}"
         );
-        assert!(controller
-            .on_endpoint_page(1.0, &crate::discovery::read(page.as_bytes(), &names).expect("a page")));
+        assert!(controller.on_endpoint_page(
+            1.0,
+            &crate::wire::discovery::decode_page(page.as_bytes(), &names).expect("a page")
+        ));
     }
-    let [list] = controller.round.lists.as_slice() else { panic!("one list") };
+    let [list] = controller.batch.events.lists.as_slice() else { panic!("one list") };
     let hosts: Vec<&str> = list.entries.iter().map(|entry| entry.host.name()).collect();
     assert_eq!((list.whole, hosts), (true, vec!["s-1", "s-2", "n-499"]));
 }
@@ -48,7 +51,7 @@
     );
     let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a good file"));
     let slice = SliceId(3);
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
     for name in ["s-1", "s-2"] {
         controller.on_relay_event(
             1.0,
@@ -56,9 +59,14 @@
             RelayEvent::StoredEntry { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
         );
     }
-    assert_eq!(controller.charges[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
-    controller.waiting.push(Command::Line(slice, HostId::new("s-9").expect("a name"), 1.0));
-    let settled = controller.waiting.settled(slice, &controller.charges[0].lines);
+    assert_eq!(controller.assignments.assignments[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
+    controller.commands.push(Command::SetWeight {
+        slice,
+        host: HostId::new("s-9").expect("a name"),
+        weight: 1.0,
+    });
+    let settled =
+        controller.commands.table_when_accepted(slice, &controller.assignments.assignments[0].lines);
     assert_eq!(settled, [(HostId::new("s-9").expect("a name"), 1.0)]);
 }
 
@@ -66,11 +74,14 @@
 fn a_line_joins_the_latest_word_on_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
-    controller.round.charges.push(SliceAssignment { slice, given: true, lines: Vec::new() });
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: false });
+    controller.batch.events.charges.push(SliceAssignment { slice, given: true, lines: Vec::new() });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: false });
     controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
-    assert!(controller.charges[0].lines.is_empty() && controller.round.charges[0].lines.is_empty());
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
+    assert!(
+        controller.assignments.assignments[0].lines.is_empty()
+            && controller.batch.events.charges[0].lines.is_empty()
+    );
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
     controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
-    assert_eq!(controller.charges[1].lines, [(host, 1.0)]);
+    assert_eq!(controller.assignments.assignments[1].lines, [(host, 1.0)]);
 }
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -1,34 +1,44 @@
-//! The platform's protocol, free of I/O and of clocks.
+//! The operators' platform: its protocol and the controller that speaks it, free of I/O and clocks.
+//!
+//! Owns everything between bytes and decisions: [`wire`] converts messages, [`PlatformController`] gathers them into
+//! batches for the decisions of the package `railhub` and keeps their commands until the relay has accepted them.
+//! Sockets and time are the driver's (`railhub-platform-net`).
+//!
+//! The way of one message:
+//! 1. The driver decodes it ([`wire`]). What is invalid is dropped alone, or ends its connection ([`InvalidEntry`]).
+//! 2. A handler of the [`PlatformController`] puts it into the next batch; what the relay holds is first gathered into a
+//!    snapshot.
+//! 3. The decisions handle the batch; commands wait, folded by what they are about and bounded ([`PendingCommands`]).
+//! 4. They leave in a [`Call`], one at a time.
+//! 5. The [`CallResponse`] settles it; without one, a new subscription's snapshot shows the outcome.
 //!
-//! In: collectors' frames ([`collector`]), the relay's news ([`news`]) and discovery's pages ([`discovery`]) are
-//! read one by one, and what is invalid is dropped alone. The [`controller`] gathers them into rounds for the module.
-//! Out: what the module orders is kept by the [`orders`] until the relay has taken it, and leaves as calls.
 //! [`NodeConfig`] is the configuration, checked.
-pub mod assignment;
-pub mod collector;
-pub mod controller;
-pub mod discovery;
-pub mod orders;
-pub mod relay_events;
-
-pub use assignment::{Names, NodeConfig};
-pub use controller::{PlatformController, Probe};
-pub use discovery::EndpointPage;
+#![warn(missing_docs)]
 
-use thiserror::Error;
+mod batch;
+mod call;
+mod collector;
+mod command;
+mod config;
+mod controller;
+mod endpoints;
+mod error;
+mod host_directory;
+mod pending_commands;
+mod relay;
+mod sink;
+mod slice_assignments;
+mod subscription;
+mod table;
+pub mod wire;
 
-/// Why a message is not believed.
-#[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
-pub enum InvalidEntry {
-    /// No JSON object that names its kind: nothing that follows can be trusted either.
-    #[error("it cannot be read")]
-    Unreadable,
-    #[error("a field is missing or of another type")]
-    Fields,
-    #[error("a figure is out of range")]
-    Range,
-    #[error("it names what does not exist")]
-    Unknown,
-    #[error("it is of a kind that is not taken here")]
-    Kind,
-}
+pub use call::ResubscribeReason;
+pub use collector::CollectorMessage;
+pub use command::Command;
+pub use config::{ConfigError, Names, NodeConfig, MAX_CLASSES, MAX_DURATION};
+pub use controller::{DroppedCommands, Effects, PlatformController};
+pub use endpoints::{EndpointPage, PageEntry};
+pub use error::InvalidEntry;
+pub use host_directory::Probe;
+pub use pending_commands::{AcceptedCommands, PendingCommands};
+pub use relay::{Call, CallResponse, RelayEvent, SubscriptionId};
--- /dev/null
+++ b/crates/railhub-platform/src/slice_assignments.rs
@@ -0,0 +1,57 @@
+//! Slices assigned since the last batch, until their tables are complete: the lines follow the assignment at once.
+use crate::table::Table;
+use railhub::{HostId, Seconds, SliceAssignment, SliceId};
+
+/// Seconds without an event after which the tables of assigned slices count as complete.
+const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
+
+/// Assignments whose lines may still come.
+#[derive(Debug, Default)]
+pub(crate) struct PendingAssignments {
+    pub(crate) assignments: Vec<SliceAssignment>,
+    last_event_at: Seconds,
+}
+
+impl PendingAssignments {
+    /// A slice is assigned to this controller, or taken from it.
+    pub(crate) fn on_assigned(&mut self, now: Seconds, slice: SliceId, assigned: bool) {
+        self.last_event_at = now;
+        self.assignments.push(SliceAssignment { slice, given: assigned, lines: Vec::new() });
+    }
+
+    /// A line of an assigned slice: it joins the latest assignment of the slice, here or in the next batch, or else the
+    /// table that the decisions know. With a single owner, the last line is the table.
+    pub(crate) fn on_stored_entry(
+        &mut self,
+        now: Seconds,
+        slice: SliceId,
+        line: (HostId, f64),
+        single_owner: bool,
+        batched: &mut [SliceAssignment],
+        known_table: impl FnOnce() -> Option<Table>,
+    ) {
+        self.last_event_at = now;
+        let all = batched.iter_mut().chain(&mut self.assignments);
+        let table = match all.filter(|assignment| assignment.slice == slice).last() {
+            Some(assignment) if !assignment.given => return,
+            Some(assignment) => &mut assignment.lines,
+            None => {
+                let Some(lines) = known_table() else { return };
+                self.assignments.push(SliceAssignment { slice, given: true, lines });
+                &mut self.assignments.last_mut().expect("pushed just now").lines
+            }
+        };
+        table.retain(|known| known.0 != line.0 && !single_owner);
+        table.push(line);
+    }
+
+    /// When the assignments count as complete if no event comes before.
+    pub(crate) fn idle_deadline(&self) -> Option<Seconds> {
+        (!self.assignments.is_empty()).then_some(self.last_event_at + ASSIGNMENT_IDLE_TIMEOUT)
+    }
+
+    /// Whether there are assignments and all of them count as complete.
+    pub(crate) fn are_complete(&self, now: Seconds) -> bool {
+        !self.assignments.is_empty() && now - self.last_event_at >= ASSIGNMENT_IDLE_TIMEOUT
+    }
+}
--- /dev/null
+++ b/crates/railhub-platform/src/wire/discovery.rs
@@ -0,0 +1,92 @@
+//! Discovery's pages: the list of hosts, complete or what changed, one JSON object a line of a watch.
+use super::json::decode_message;
+use crate::config::Names;
+use crate::endpoints::{EndpointPage, PageEntry};
+use crate::error::InvalidEntry;
+use railhub::{EndpointEntry, HostId, Phase};
+use serde::Deserialize;
+
+/// The path of a watch that begins after this generation.
+pub fn watch_path(generation: u64) -> String {
+    format!("/discovery/hosts?watch=1&after={generation}")
+}
+
+/// Decodes one page.
+///
+/// # Errors
+/// The page as a whole cannot be read. An entry that cannot be read is left out and counted in
+/// [`EndpointPage::invalid`].
+pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, InvalidEntry> {
+    let page: PageMessage = decode_message(line)?;
+    Ok(page.convert(names))
+}
+
+#[derive(Clone, Debug, Default, Deserialize)]
+pub(super) struct PageMessage {
+    generation: u64,
+    reset: bool,
+    instances: Vec<InstanceOrInvalid>,
+}
+
+/// An entry with a field that is missing or of another type invalidates itself, not the page.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(untagged)]
+enum InstanceOrInvalid {
+    Instance(Instance),
+    Invalid(serde::de::IgnoredAny),
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "camelCase")]
+struct Instance {
+    instance_id: String,
+    host_port: String,
+    #[serde(default)]
+    machine_type: String,
+    lifecycle: String,
+    weight: f64,
+    #[serde(default)]
+    started_at_ms: f64,
+}
+
+impl PageMessage {
+    /// A complete list with an invalid entry counts as changes: that host must not be gone for it.
+    pub(super) fn convert(&self, names: &Names) -> EndpointPage {
+        let mut page = EndpointPage { generation: self.generation, ..EndpointPage::default() };
+        for entry in &self.instances {
+            let converted = match entry {
+                InstanceOrInvalid::Instance(instance) => instance.convert(names),
+                InstanceOrInvalid::Invalid(_) => Err(InvalidEntry::Fields),
+            };
+            match converted {
+                Ok(entry) => page.entries.push(entry),
+                Err(cause) => page.invalid.push(cause),
+            }
+        }
+        page.complete = self.reset && page.invalid.is_empty();
+        page
+    }
+}
+
+impl Instance {
+    fn convert(&self, names: &Names) -> Result<PageEntry, InvalidEntry> {
+        let phase = match self.lifecycle.as_str() {
+            "ready" => Phase::Ready,
+            "draining" => Phase::Draining,
+            "gone" => Phase::Gone,
+            _ => return Err(InvalidEntry::Unknown),
+        };
+        if !is_amount(self.weight) || !is_amount(self.started_at_ms) {
+            return Err(InvalidEntry::Range);
+        }
+        let host = HostId::new(&self.instance_id).ok_or(InvalidEntry::Fields)?;
+        let address = self.host_port.parse().map_err(|_| InvalidEntry::Fields)?;
+        let started = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
+        let kind = names.kind(&self.machine_type);
+        Ok(PageEntry { endpoint: EndpointEntry { host, phase, started, weight: self.weight, kind }, address })
+    }
+}
+
+fn is_amount(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
--- /dev/null
+++ b/crates/railhub-platform/src/wire/json.rs
@@ -0,0 +1,16 @@
+//! JSON objects into message types.
+use crate::error::InvalidEntry;
+use serde::de::DeserializeOwned;
+
+/// Decodes a whole message. What is no JSON at all is [`InvalidEntry::Unreadable`].
+pub(super) fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, InvalidEntry> {
+    serde_json::from_slice(bytes).map_err(|error| match error.classify() {
+        serde_json::error::Category::Data => InvalidEntry::Fields,
+        _ => InvalidEntry::Unreadable,
+    })
+}
+
+/// Decodes the fields of a message whose type is known; unknown fields are skipped without recursion.
+pub(super) fn decode_fields<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, InvalidEntry> {
+    serde_json::from_slice(bytes).map_err(|_| InvalidEntry::Fields)
+}
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,8 +1,9 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
 use railhub::{BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId};
-use railhub_platform::orders::{Call, Command, PendingCommands};
-use railhub_platform::relay_events::{CallResponse, RelayEvent, SubscriptionId};
-use railhub_platform::{NodeConfig, PlatformController as Core};
+use railhub_platform::{
+    Call, CallResponse, Command, NodeConfig, PendingCommands, PlatformController as Core, RelayEvent,
+    SubscriptionId,
+};
 use std::ops::{Deref, DerefMut};
 
 const FILE: &str = include_str!("assignment.json");
@@ -18,7 +19,7 @@
 }
 
 fn given(slice: u16) -> RelayEvent {
-    RelayEvent::SliceAssigned { slice: SliceId(slice), on: true }
+    RelayEvent::SliceAssigned { slice: SliceId(slice), assigned: true }
 }
 
 fn held(slice: u16, n: u8) -> RelayEvent {
@@ -41,7 +42,7 @@
     }
 
     fn request_subscription(&mut self) {
-        self.source.count += 1;
+        self.source.sequence += 1;
         self.core.on_subscription_requested(self.source);
     }
 
@@ -84,7 +85,7 @@
     let mut said = String::new();
     while let Some(call) = controller.next_call() {
         said.push_str(text(&call));
-        assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.count))).is_none());
+        assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
     }
     said
 }
@@ -148,7 +149,7 @@
     stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1)]);
     controller.poll(START + 0.1);
     assert!(controller.next_call().is_none(), "one call at a time");
-    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.count))).is_none());
+    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
     controller.poll(START + 0.2);
     assert!(
         !controller.next_call().is_some_and(|call| text(&call).contains("share")),
@@ -175,7 +176,7 @@
         let again = again.expect("it was not carried out");
         assert_eq!(orders(&again), orders(&call));
         assert!(again.id > call.id, "an answer to the first must not pass for this one's");
-        controller.on_call_ended(Some(CallResponse::Accepted(again.count)));
+        controller.on_call_ended(Some(CallResponse::Accepted(again.commands)));
         assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
     }
 }
@@ -247,7 +248,7 @@
         if !answered_first {
             told.into_iter().for_each(|news| controller.core.on_relay_event(START + 0.1, source, news));
         }
-        controller.on_call_ended(Some(CallResponse::Accepted(call.count)));
+        controller.on_call_ended(Some(CallResponse::Accepted(call.commands)));
         if answered_first {
             told.into_iter().for_each(|news| controller.core.on_relay_event(START + 0.1, source, news));
         }
@@ -290,7 +291,10 @@
 #[test]
 fn an_older_files_subscription_counts_for_nothing_once_a_newer_files_stands() {
     let mut controller = Core::new(&assignment());
-    let (older, newer) = (SubscriptionId { file: 0, count: 5 }, SubscriptionId { file: 1, count: 4 });
+    let (older, newer) = (
+        SubscriptionId { config_version: 0, sequence: 5 },
+        SubscriptionId { config_version: 1, sequence: 4 },
+    );
     [older, newer].into_iter().for_each(|source| controller.on_subscription_requested(source));
     for news in [RelayEvent::Subscribed, joined(1), given(3), held(3, 1), RelayEvent::Heartbeat] {
         controller.on_relay_event(START, newer, news);
@@ -306,11 +310,11 @@
 #[test]
 fn a_slice_given_while_a_call_about_it_is_out_is_asked_for_anew() {
     let (mut controller, call) = with_a_call_out();
-    controller.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
+    controller.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
     assert!(controller.take_resubscribe_reason().is_none(), "what is not held is changed by no order");
     [given(3), held(3, 1)].into_iter().for_each(|news| controller.on_relay_event(START + 0.11, news));
     assert!(controller.take_resubscribe_reason().is_some(), "its line may be on the table as it is now");
-    controller.on_call_ended(Some(CallResponse::Accepted(call.count)));
+    controller.on_call_ended(Some(CallResponse::Accepted(call.commands)));
     assert!(
         controller.take_resubscribe_reason().is_some() && controller.next_call().is_none(),
         "of which the end is seen now"
@@ -328,7 +332,7 @@
             "{{\"generation\":{generation},\"reset\":false,\"instances\":[{{\"instanceId\":\"s-1\",\"hostPort\":\
              \"{address}\",\"lifecycle\":\"{lifecycle}\",\"weight\":1,\"startedAtMs\":{started}}}]}}"
         );
-        railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
+        railhub_platform::wire::discovery::decode_page(text.as_bytes(), &read.names).expect("a page")
     };
     let here = "127.0.0.1:7070";
     for (address, lifecycle, started) in
@@ -340,7 +344,7 @@
         let probe = asked.into_iter().find(|probe| probe.host == host(1)).expect("it is probed");
         controller.on_endpoint_page(START, &page(42, address, lifecycle, started));
         (0..3).for_each(|_| controller.on_probe_result(&probe, HealthCheckOutcome::Unreachable));
-        assert_eq!(controller.probes_outdated, 3);
+        assert_eq!(controller.probes_outdated(), 3);
         let notes = controller.poll(START + 0.1).notes;
         assert!(!notes.iter().any(|note| note.contains("down")), "{notes:?}");
     }
@@ -354,7 +358,7 @@
             "{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{{\"instanceId\":\"{name}\",\
              \"hostPort\":\"127.0.0.9:1\",\"lifecycle\":\"ready\",\"weight\":1}}]}}"
         );
-        railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
+        railhub_platform::wire::discovery::decode_page(text.as_bytes(), &read.names).expect("a page")
     };
     let mut controller = PlatformController::new(&read);
     assert!(controller.on_endpoint_page(START, &page(60, true, "s-7")));
@@ -376,7 +380,7 @@
     for carried_out in [true, false] {
         let (mut first, _) = with_a_call_out();
         first.on_call_ended(None);
-        first.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
+        first.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
         let mut heir = PlatformController::new(&assignment());
         stands(&mut heir, START, &[joined(1)]);
         settle(&mut heir, START);
@@ -394,22 +398,26 @@
 fn a_call_said_again_leaves_out_tables_that_are_held_no_more() {
     let mut waiting = PendingCommands::default();
     push_lines(&mut waiting, 3);
-    waiting.call(&[]).expect("a call");
+    waiting.next_call(&[]).expect("a call");
     // Slice 0 was carried out, slice 1 was not, slice 2 is another's now.
     let standing = [(SliceId(0), vec![(host(1), 1.0)]), (SliceId(1), Vec::new())].into();
-    waiting.settle(&standing);
-    let again = waiting.call(&[]).expect("one line");
-    assert!(again.count == 1 && text(&again).contains("\"table\":1"), "{}", text(&again));
+    waiting.reconcile(&standing);
+    let again = waiting.next_call(&[]).expect("one line");
+    assert!(again.commands == 1 && text(&again).contains("\"table\":1"), "{}", text(&again));
 }
 
 #[test]
 fn a_level_for_a_class_that_has_no_name_is_never_said_of_all() {
     let mut waiting = PendingCommands::default();
-    waiting.push(Command::Level(ClassId(1), 0.5, RetryPolicy::Never));
-    waiting.push(Command::Level(ClassId(0), 0.7, RetryPolicy::Never));
-    let call = waiting.call(&["view".to_owned()]).expect("a call");
+    waiting.push(Command::SetAdmissionRate { class: ClassId(1), rate: 0.5, retry: RetryPolicy::Never });
+    waiting.push(Command::SetAdmissionRate { class: ClassId(0), rate: 0.7, retry: RetryPolicy::Never });
+    let call = waiting.next_call(&["view".to_owned()]).expect("a call");
     assert_eq!(waiting.unnamed, 1);
-    assert!(call.count == 1 && text(&call).contains("view") && !text(&call).contains('*'), "{}", text(&call));
+    assert!(
+        call.commands == 1 && text(&call).contains("view") && !text(&call).contains('*'),
+        "{}",
+        text(&call)
+    );
 }
 
 #[test]
@@ -422,7 +430,7 @@
     controller.on_relay_event(START + 0.51, held(7, 2));
     let said = settle(&mut controller, START + 0.55);
     assert!(said.contains(r#""table":7,"server":"s-1","weight":0.0001"#), "{said}");
-    controller.on_relay_event(START + 1.2, RelayEvent::SliceAssigned { slice: SliceId(7), on: false });
+    controller.on_relay_event(START + 1.2, RelayEvent::SliceAssigned { slice: SliceId(7), assigned: false });
     assert_eq!(settle(&mut controller, START + 1.25), "");
 }
 
@@ -443,7 +451,7 @@
     let mut controller = PlatformController::new(&assignment());
     stands(&mut controller, START, &[joined(1), given(3), held(3, 1)]);
     controller.poll(START);
-    controller.on_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), on: false });
+    controller.on_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
 }
 
@@ -456,7 +464,7 @@
             "{{\"generation\":42,\"reset\":false,\"instances\":[{{\"instanceId\":\"s-9\",\
              \"hostPort\":\"127.0.0.9:1\",\"lifecycle\":\"ready\",\"weight\":{weight}}}]}}"
         );
-        railhub_platform::discovery::read(text.as_bytes(), &read.names).expect("a page")
+        railhub_platform::wire::discovery::decode_page(text.as_bytes(), &read.names).expect("a page")
     };
     controller.on_endpoint_page(START, &page("-1"));
     assert_eq!((controller.hosts_listed(), controller.generation()), (2, 41));
@@ -466,7 +474,9 @@
 }
 
 fn push_lines(waiting: &mut PendingCommands, count: u16) {
-    (0..count).for_each(|slice| waiting.push(Command::Line(SliceId(slice), host(1), 1.0)));
+    (0..count).for_each(|slice| {
+        waiting.push(Command::SetWeight { slice: SliceId(slice), host: host(1), weight: 1.0 })
+    });
 }
 
 #[test]
@@ -474,11 +484,11 @@
     let mut waiting = PendingCommands::default();
     push_lines(&mut waiting, 5000);
     let (mut calls, mut orders) = (0, 0);
-    while let Some(call) = waiting.call(&[]) {
+    while let Some(call) = waiting.next_call(&[]) {
         assert!(call.bytes.len() < 60_000 && call.bytes.ends_with(b"]}}\n"));
-        assert_eq!(text(&call).matches("\"op\"").count(), call.count);
-        (calls, orders) = (calls + 1, orders + call.count);
-        assert!(waiting.taken(call.count).1.is_none());
+        assert_eq!(text(&call).matches("\"op\"").count(), call.commands);
+        (calls, orders) = (calls + 1, orders + call.commands);
+        assert!(waiting.on_accepted(call.commands).refused.is_none());
     }
     assert_eq!((calls > 3, orders), (true, 5000));
 }
@@ -487,37 +497,40 @@
 fn an_order_that_is_not_taken_is_dropped_alone() {
     let mut waiting = PendingCommands::default();
     push_lines(&mut waiting, 5);
-    assert_eq!(waiting.call(&[]).expect("a call").count, 5);
+    assert_eq!(waiting.next_call(&[]).expect("a call").commands, 5);
     push_lines(&mut waiting, 6);
-    assert_eq!(waiting.taken(2).1, Some(Command::Line(SliceId(2), host(1), 1.0)));
-    let rest = waiting.call(&[]).expect("the rest of it first");
-    assert_eq!(rest.count, 2);
+    assert_eq!(
+        waiting.on_accepted(2).refused,
+        Some(Command::SetWeight { slice: SliceId(2), host: host(1), weight: 1.0 })
+    );
+    let rest = waiting.next_call(&[]).expect("the rest of it first");
+    assert_eq!(rest.commands, 2);
     assert!(text(&rest).contains("\"table\":3") && text(&rest).contains("\"table\":4"));
-    assert!(waiting.taken(2).1.is_none());
-    assert_eq!(waiting.call(&[]).expect("what came meanwhile").count, 6);
+    assert!(waiting.on_accepted(2).refused.is_none());
+    assert_eq!(waiting.next_call(&[]).expect("what came meanwhile").commands, 6);
 }
 
 #[test]
 fn orders_that_wait_fold_by_what_they_are_about_and_are_bounded() {
     let mut waiting = PendingCommands::default();
-    waiting.push(Command::Line(SliceId(1), host(1), 0.0));
-    waiting.push(Command::Line(SliceId(1), host(2), 1.0));
-    waiting.push(Command::Shut(host(2), true));
-    waiting.push(Command::Line(SliceId(1), host(1), 1.0));
-    waiting.push(Command::Shut(host(2), false));
-    let call = waiting.call(&[]).expect("a call");
-    assert_eq!((call.count, waiting.folded), (3, 2));
+    waiting.push(Command::SetWeight { slice: SliceId(1), host: host(1), weight: 0.0 });
+    waiting.push(Command::SetWeight { slice: SliceId(1), host: host(2), weight: 1.0 });
+    waiting.push(Command::Exclude(host(2)));
+    waiting.push(Command::SetWeight { slice: SliceId(1), host: host(1), weight: 1.0 });
+    waiting.push(Command::Readmit(host(2)));
+    let call = waiting.next_call(&[]).expect("a call");
+    assert_eq!((call.commands, waiting.folded), (3, 2));
     let said = text(&call);
     assert!(
         said.find("\"s-2\",\"weight\":1.0").expect("kept")
             < said.find("\"s-1\",\"weight\":1.0").expect("last")
     );
     assert!(said.contains("restore") && !said.contains("withdraw"));
-    assert_eq!(waiting.settled(SliceId(1), &[(host(3), 0.5)]).len(), 3);
-    waiting.taken(3);
+    assert_eq!(waiting.table_when_accepted(SliceId(1), &[(host(3), 0.5)]).len(), 3);
+    waiting.on_accepted(3);
     for slice in 0..u16::MAX {
-        waiting.push(Command::Line(SliceId(slice), host(1), 1.0));
-        assert!(waiting.count() <= 20_000);
+        waiting.push(Command::SetWeight { slice: SliceId(slice), host: host(1), weight: 1.0 });
+        assert!(waiting.len() <= 20_000);
     }
     assert!(waiting.overflowed, "what was dropped must be asked for anew");
 }
@@ -540,7 +553,7 @@
     let call = controller.next_call().expect("a standby is due");
     LATE_PROXIES.for_each(|proxy| controller.on_relay_event(START + 0.01, joined(proxy)));
     controller.poll(START + 0.02);
-    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.count))).is_none());
+    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
     let drains = FILE
         .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
         .replacen("draining", "ready", 1);
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -1,8 +1,6 @@
 //! Each decoder on good input, on invalid input that must be told apart, and on damaged bytes without end.
 use railhub::{BarrierId, ClassId, HostId, Idempotency, Phase, ProxyId, SliceId, ZoneId};
-use railhub_platform::collector::{self, CollectorMessage};
-use railhub_platform::relay_events::{self, CallResponse, RelayEvent};
-use railhub_platform::{discovery, InvalidEntry, Names, NodeConfig};
+use railhub_platform::{wire, CallResponse, CollectorMessage, InvalidEntry, Names, NodeConfig, RelayEvent};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -13,7 +11,7 @@
 }
 
 fn frame(text: &str) -> Result<CollectorMessage, InvalidEntry> {
-    collector::read(text.as_bytes(), &names(), 40)
+    wire::collector::decode(text.as_bytes(), &names(), 40)
 }
 
 #[test]
@@ -21,8 +19,11 @@
     let read = NodeConfig::parse(FILE).expect("a good file");
     assert_eq!((read.name.as_str(), read.sockets, read.memory_mb), ("n0", 256, 32));
     assert_eq!(read.relay.to_string(), "127.0.0.1:6400");
-    assert_eq!((read.terms.slices, read.terms.warm_within, read.terms.may_probe), (40, 18.0, true));
-    assert_eq!(read.terms.classes[1].repeat, Idempotency::Never);
+    assert_eq!(
+        (read.controller.slices, read.controller.warm_within, read.controller.may_probe),
+        (40, 18.0, true)
+    );
+    assert_eq!(read.controller.classes[1].repeat, Idempotency::Never);
     let list = read.first_list();
     assert!(list.whole && read.known.generation == 41);
     assert_eq!(list.entries[0].host, HostId::new("s-1").expect("a name"));
@@ -52,7 +53,7 @@
     {
         assert!(FILE.contains(from), "{from}");
         let read = NodeConfig::parse(&FILE.replace(from, to)).expect("a start");
-        assert_eq!((read.known.invalid.len(), read.known.entries.len(), read.known.whole), (1, 1, false));
+        assert_eq!((read.known.invalid.len(), read.known.entries.len(), read.known.complete), (1, 1, false));
         // The list is asked for whole, and counts under whatever number it comes.
         assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
@@ -63,7 +64,7 @@
 #[test]
 fn good_frames_become_sums() {
     assert!(matches!(frame(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
-    assert!(matches!(frame(r#"{"t":"collector","zone":"b"}"#), Ok(CollectorMessage::Collector(ZoneId(1)))));
+    assert!(matches!(frame(r#"{"t":"collector","zone":"b"}"#), Ok(CollectorMessage::Join(ZoneId(1)))));
     let heard = r#"{"t":"heard","zone":"a","server":"s-1","tries":212,"failed":3,"mean_ms":41.5,
         "span_ms":1000.0,"load":{"inflight":7,"util":0.61},"new":[[{}]]}"#;
     let Ok(CollectorMessage::HostLoad(sum)) = frame(heard) else { panic!("a report") };
@@ -128,7 +129,7 @@
 
 #[test]
 fn the_relays_lines_are_read() {
-    let read = |text: &str| relay_events::read(text.as_bytes());
+    let read = |text: &str| wire::relay::decode_event(text.as_bytes());
     let said = |method: &str, params: &str| {
         read(&format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}"))
     };
@@ -157,7 +158,7 @@
 
 #[test]
 fn only_the_answer_to_this_very_call_settles_it() {
-    let answer = |text: &str| relay_events::answer(text.as_bytes(), 8, 2);
+    let answer = |text: &str| wire::relay::decode_response(text.as_bytes(), 8, 2);
     assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(CallResponse::Accepted(2)));
     assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(CallResponse::Rejected));
     assert_eq!(answer(r#"{"id":8,"error":{"message":"malformed"}}"#), Ok(CallResponse::Malformed));
@@ -180,11 +181,11 @@
     let page = r#"{"generation":43,"reset":true,"instances":[
         {"instanceId":"s-1","hostPort":"127.0.0.1:7070","lifecycle":"draining","weight":1.0},
         {"instanceId":"s-2","hostPort":"127.0.0.2:7070","lifecycle":"ready","weight":"heavy"}]}"#;
-    let read = |text: &str| discovery::read(text.as_bytes(), &names());
+    let read = |text: &str| wire::discovery::decode_page(text.as_bytes(), &names());
     for (weight, fault) in [("\"heavy\"", InvalidEntry::Fields), ("-1", InvalidEntry::Range)] {
         let page = read(&page.replace("\"heavy\"", weight)).expect("a page");
-        assert_eq!((page.whole, page.entries.len(), page.invalid.as_slice()), (false, 1, &[fault][..]));
-        assert_eq!(page.entries[0].listed.phase, Phase::Draining);
+        assert_eq!((page.complete, page.entries.len(), page.invalid.as_slice()), (false, 1, &[fault][..]));
+        assert_eq!(page.entries[0].endpoint.phase, Phase::Draining);
     }
     assert_eq!(read(&page.replace("true", "9")).map(drop), Err(InvalidEntry::Fields));
     assert_eq!(read("{\"generation\":43,").map(drop), Err(InvalidEntry::Unreadable));
@@ -222,7 +223,7 @@
     let sane = |figure: f64| figure.is_finite() && figure >= 0.0;
     let heard =
         r#"{"t":"heard","zone":"a","server":"s-1","tries":12,"failed":3,"mean_ms":4.5,"span_ms":1000.0}"#;
-    feed(heard, 1, |bytes| match collector::read(bytes, &names, 40) {
+    feed(heard, 1, |bytes| match wire::collector::decode(bytes, &names, 40) {
         Ok(CollectorMessage::HostLoad(sum)) => {
             assert!(sane(sum.tries) && sum.failed <= sum.tries && sane(sum.mean_time) && sum.span > 0.0);
             true
@@ -230,7 +231,7 @@
         read => read.is_ok(),
     });
     let heat = r#"{"t":"heat","slice":8,"class":"deposit","tries":40,"failed":1,"span_ms":1000.0}"#;
-    feed(heat, 2, |bytes| match collector::read(bytes, &names, 40) {
+    feed(heat, 2, |bytes| match wire::collector::decode(bytes, &names, 40) {
         Ok(CollectorMessage::SliceLoad(sum)) => {
             assert!(sum.slice.0 < 40 && sum.class.0 < 2 && sane(sum.operations) && sum.span > 0.0);
             true
@@ -238,20 +239,20 @@
         read => read.is_ok(),
     });
     let held = r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-1","weight":1.0}}"#;
-    feed(held, 3, |bytes| match relay_events::read(bytes) {
+    feed(held, 3, |bytes| match wire::relay::decode_event(bytes) {
         Ok(RelayEvent::StoredEntry { weight, .. }) => sane(weight),
         read => read.is_ok(),
     });
     let answer = r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#;
-    feed(answer, 4, |bytes| match relay_events::answer(bytes, 8, 2) {
+    feed(answer, 4, |bytes| match wire::relay::decode_response(bytes, 8, 2) {
         Ok(CallResponse::Accepted(taken)) => taken <= 2,
         read => read.is_ok(),
     });
     let page = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:7070",
         "lifecycle":"draining","weight":1.0,"startedAtMs":5}]}"#;
     feed(page, 5, |bytes| {
-        discovery::read(bytes, &names)
-            .is_ok_and(|page| page.entries.iter().all(|entry| sane(entry.listed.weight)))
+        wire::discovery::decode_page(bytes, &names)
+            .is_ok_and(|page| page.entries.iter().all(|entry| sane(entry.endpoint.weight)))
     });
     feed(FILE, 6, |bytes| std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::parse(text).is_ok()));
 }
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -3,10 +3,10 @@
     BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
     RetryPolicy, SliceId, SliceLoadReport, ZoneId,
 };
-use railhub_platform::collector::{self, CollectorMessage};
-use railhub_platform::orders::{Command, PendingCommands};
-use railhub_platform::relay_events::{self, CallResponse, RelayEvent};
-use railhub_platform::{discovery, EndpointPage, InvalidEntry, Names, NodeConfig};
+use railhub_platform::{
+    wire, CallResponse, CollectorMessage, Command, EndpointPage, InvalidEntry, Names, NodeConfig,
+    PendingCommands, RelayEvent,
+};
 
 fn names() -> Names {
     NodeConfig::parse(include_str!("assignment.json")).expect("a valid file").names
@@ -28,55 +28,55 @@
 fn call(commands: &[Command]) -> Vec<u8> {
     let mut pending = PendingCommands::default();
     commands.iter().for_each(|command| pending.push(*command));
-    pending.call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
+    pending.next_call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
 }
 
 fn relay_event(line: &str) -> Result<RelayEvent, InvalidEntry> {
-    relay_events::read(line.as_bytes())
+    wire::relay::decode_event(line.as_bytes())
 }
 
 fn response(line: &str) -> Result<CallResponse, InvalidEntry> {
-    relay_events::answer(line.as_bytes(), 8, 2)
+    wire::relay::decode_response(line.as_bytes(), 8, 2)
 }
 
 fn collector_message(body: &str) -> Result<CollectorMessage, InvalidEntry> {
-    collector::read(body.as_bytes(), &names(), 40)
+    wire::collector::decode(body.as_bytes(), &names(), 40)
 }
 
 fn page(line: &str) -> Result<EndpointPage, InvalidEntry> {
-    discovery::read(line.as_bytes(), &names())
+    wire::discovery::decode_page(line.as_bytes(), &names())
 }
 
 #[test]
 fn sends_each_command_in_these_bytes() {
     for (command, order) in [
         (
-            Command::Line(SliceId(4), host("s-5be2a07c"), 1.5),
+            Command::SetWeight { slice: SliceId(4), host: host("s-5be2a07c"), weight: 1.5 },
             r#"{"op":"share","table":4,"server":"s-5be2a07c","weight":1.5}"#,
         ),
         (
-            Command::Line(SliceId(65535), host("s-1"), 0.0),
+            Command::SetWeight { slice: SliceId(65535), host: host("s-1"), weight: 0.0 },
             r#"{"op":"share","table":65535,"server":"s-1","weight":0.0}"#,
         ),
         (
-            Command::Line(SliceId(0), host("s-1"), 0.0001),
+            Command::SetWeight { slice: SliceId(0), host: host("s-1"), weight: 0.0001 },
             r#"{"op":"share","table":0,"server":"s-1","weight":0.0001}"#,
         ),
-        (Command::Shut(host("s-5be2a07c"), true), r#"{"op":"withdraw","server":"s-5be2a07c"}"#),
-        (Command::Shut(host("s-5be2a07c"), false), r#"{"op":"restore","server":"s-5be2a07c"}"#),
+        (Command::Exclude(host("s-5be2a07c")), r#"{"op":"withdraw","server":"s-5be2a07c"}"#),
+        (Command::Readmit(host("s-5be2a07c")), r#"{"op":"restore","server":"s-5be2a07c"}"#),
         (
-            Command::Level(ClassId(0), 0.9, RetryPolicy::Never),
+            Command::SetAdmissionRate { class: ClassId(0), rate: 0.9, retry: RetryPolicy::Never },
             r#"{"op":"admit","classes":["view"],"level":0.9,"retry":0}"#,
         ),
         (
-            Command::Level(ClassId(1), 1.0, RetryPolicy::IfNotExecuted),
+            Command::SetAdmissionRate { class: ClassId(1), rate: 1.0, retry: RetryPolicy::IfNotExecuted },
             r#"{"op":"admit","classes":["deposit"],"level":1.0,"retry":1}"#,
         ),
         (
-            Command::Level(ClassId(1), 0.0, RetryPolicy::AfterFailure),
+            Command::SetAdmissionRate { class: ClassId(1), rate: 0.0, retry: RetryPolicy::AfterFailure },
             r#"{"op":"admit","classes":["deposit"],"level":0.0,"retry":2}"#,
         ),
-        (Command::Mark(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
+        (Command::Barrier(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
     ] {
         let expected = format!(
             "{}{order}{}",
@@ -89,12 +89,12 @@
 #[test]
 fn sends_commands_in_order_in_one_call_and_a_retry_in_the_same_bytes_under_the_next_id() {
     let mut pending = PendingCommands::default();
-    pending.push(Command::Line(SliceId(4), host("s-1"), 1.0));
-    pending.push(Command::Shut(host("s-2"), true));
-    pending.push(Command::Mark(BarrierId(7)));
+    pending.push(Command::SetWeight { slice: SliceId(4), host: host("s-1"), weight: 1.0 });
+    pending.push(Command::Exclude(host("s-2")));
+    pending.push(Command::Barrier(BarrierId(7)));
     for id in 1..=12 {
-        let call = pending.call(&[]).expect("a call");
-        assert_eq!((call.id, call.count), (id, 3));
+        let call = pending.next_call(&[]).expect("a call");
+        assert_eq!((call.id, call.commands), (id, 3));
         let expected = format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},{}",
             concat!(
@@ -110,11 +110,11 @@
 #[test]
 fn sends_these_bytes_to_subscribe_and_to_answer_a_visitor() {
     assert_eq!(
-        text(&relay_events::subscribe(10)),
+        text(&wire::relay::encode_subscribe(10)),
         "{\"jsonrpc\":\"2.0\",\"id\":10,\"method\":\"subscribe\"}\n"
     );
-    assert_eq!(collector::pong(), framed(r#"{"t":"pong"}"#));
-    assert_eq!(collector::pong()[..4], [0, 0, 0, 12]);
+    assert_eq!(wire::collector::encode_pong(), framed(r#"{"t":"pong"}"#));
+    assert_eq!(wire::collector::encode_pong()[..4], [0, 0, 0, 12]);
     for (cause, why) in [
         (InvalidEntry::Unreadable, "it cannot be read"),
         (InvalidEntry::Fields, "a field is missing or of another type"),
@@ -122,7 +122,10 @@
         (InvalidEntry::Unknown, "it names what does not exist"),
         (InvalidEntry::Kind, "it is of a kind that is not taken here"),
     ] {
-        assert_eq!(collector::refusal(cause), framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#)));
+        assert_eq!(
+            wire::collector::encode_refusal(cause),
+            framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#))
+        );
     }
 }
 
@@ -143,11 +146,11 @@
         ),
         (
             r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":true}}"#,
-            RelayEvent::SliceAssigned { slice, on: true },
+            RelayEvent::SliceAssigned { slice, assigned: true },
         ),
         (
             r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":false}}"#,
-            RelayEvent::SliceAssigned { slice, on: false },
+            RelayEvent::SliceAssigned { slice, assigned: false },
         ),
         (
             r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-5be2a07c","weight":1.0}}"#,
@@ -189,7 +192,7 @@
     assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
     assert!(matches!(
         collector_message(r#"{"t":"collector","zone":"a"}"#),
-        Ok(CollectorMessage::Collector(ZoneId(0)))
+        Ok(CollectorMessage::Join(ZoneId(0)))
     ));
     let body = r#"{"t":"heard","zone":"a","server":"s-5be2a07c","tries":212,"failed":3,"mean_ms":41.5,"span_ms":1000.0,"load":{"inflight":7,"util":0.61}}"#;
     let expected = HostLoadReport {
@@ -252,10 +255,13 @@
         [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
-    assert_eq!((read.sockets, read.memory_mb, read.tick, read.known.generation), (256, 32, 0.001, 41));
+    assert_eq!(
+        (read.sockets, read.memory_mb, read.tick_interval, read.known.generation),
+        (256, 32, 0.001, 41)
+    );
     assert_eq!(read.names.classes, ["view", "deposit"]);
     assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
-    let terms = read.terms;
+    let terms = read.controller;
     assert_eq!((terms.slices, terms.single_owner, terms.may_probe), (40, false, true));
     assert_eq!((terms.levels_by_share, terms.cold_from, terms.warm_within), (true, 0.16, 18.0));
     assert_eq!((terms.fall_multiple, terms.backlog, terms.message_cost), (2.5, 900.5, 12.0));
@@ -265,3 +271,9 @@
         terms.classes.iter().map(|class| (class.contract_time, class.gain, class.repeat)).collect();
     assert_eq!(classes, [(0.8, 1.0, Idempotency::Safe), (1.2, 2.0, Idempotency::Never)]);
 }
+
+#[test]
+fn requests_these_paths_of_discovery_and_hosts() {
+    assert_eq!(wire::discovery::watch_path(41), "/discovery/hosts?watch=1&after=41");
+    assert_eq!((wire::hosts::HEALTH_CHECK_PATH, wire::hosts::NOT_SERVING_STATUS), ("/alive", 503));
+}
