--- a/crates/railhub-platform-net/src/owner.rs
+++ b/crates/railhub-platform-net/src/owner.rs
@@ -185,8 +185,8 @@
             self.late.saturating_record(micros(*late));
         }
         effects.probes.into_iter().for_each(|probe| self.probes.ask(probe));
-        for cause in effects.notes {
-            tracing::info!(cause, "decision");
+        for cause in effects.notices {
+            tracing::info!(%cause, "decision");
         }
         self.shown.rounds += effects.batches;
         self.shown.longest_round = self.shown.longest_round.max(now() - began);
--- a/crates/railhub-platform-net/src/shared.rs
+++ b/crates/railhub-platform-net/src/shared.rs
@@ -114,7 +114,7 @@
         Arc::new(Shared {
             inbox: Inbox::new(WORDS, SUMS),
             names: assignment.names.clone(),
-            slices: assignment.controller.slices,
+            slices: assignment.controller.slice_count,
             addresses: Mutex::new(Addresses {
                 version: 0,
                 relay: assignment.relay,
--- a/crates/railhub-platform/src/batch.rs
+++ b/crates/railhub-platform/src/batch.rs
@@ -19,13 +19,13 @@
 impl PendingBatch {
     /// Adds what the proxies of a zone saw of one host.
     pub(crate) fn add_host_load(&mut self, report: HostLoadReport) {
-        let added = push_bounded(&mut self.events.tries, report);
+        let added = push_bounded(&mut self.events.host_loads, report);
         self.count_load_report(added);
     }
 
     /// Adds what the proxies saw of one slice and class.
     pub(crate) fn add_slice_load(&mut self, report: SliceLoadReport) {
-        let added = push_bounded(&mut self.events.demand, report);
+        let added = push_bounded(&mut self.events.slice_loads, report);
         self.count_load_report(added);
     }
 
--- a/crates/railhub-platform/src/command.rs
+++ b/crates/railhub-platform/src/command.rs
@@ -1,5 +1,5 @@
 //! One command to the relay: what the decisions want changed in the store or at the proxies.
-use railhub::{BarrierId, ClassId, HostId, RetryPolicy, SliceId};
+use railhub::{BarrierId, ClassId, HostId, RetryPolicy, SliceId, WeightedHost};
 
 /// A change that the relay carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -8,10 +8,8 @@
     SetWeight {
         /// The slice whose table changes.
         slice: SliceId,
-        /// The host whose line it is.
-        host: HostId,
-        /// The weight, 0 or more.
-        weight: f64,
+        /// The host and its weight, 0 or more.
+        line: WeightedHost,
     },
     /// Excludes a host from every table at the proxies.
     Exclude(HostId),
@@ -42,7 +40,7 @@
 impl Command {
     pub(crate) fn key(&self) -> CommandKey {
         match *self {
-            Command::SetWeight { slice, host, .. } => CommandKey::Weight(slice, host),
+            Command::SetWeight { slice, line } => CommandKey::Weight(slice, line.host),
             Command::Exclude(host) | Command::Readmit(host) => CommandKey::Exclusion(host),
             Command::SetAdmissionRate { class, .. } => CommandKey::AdmissionRate(class),
             Command::Barrier(_) => CommandKey::Barrier,
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -123,6 +123,9 @@
 impl NodeConfig {
     /// The list of hosts it starts with, as the decisions take it.
     pub fn first_list(&self) -> EndpointList {
-        EndpointList { whole: true, entries: self.known.entries.iter().map(|entry| entry.endpoint).collect() }
+        EndpointList {
+            complete: true,
+            entries: self.known.entries.iter().map(|entry| entry.endpoint).collect(),
+        }
     }
 }
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -20,7 +20,7 @@
 use crate::host_directory::{merge_list, HostDirectory, Probe};
 use crate::pending_commands::{AcceptedCommands, PendingCommands};
 use crate::relay::{Call, CallResponse, RelayEvent, SubscriptionId};
-use crate::sink::BatchSink;
+use crate::sink::{BatchSink, Notice};
 use crate::slice_assignments::PendingAssignments;
 use crate::subscription::{Snapshot, Subscription, Update, FIRST_SNAPSHOT_IDLE_TIMEOUT};
 use crate::table::{tables_match, Table};
@@ -36,8 +36,8 @@
 pub struct Effects {
     /// Health checks to make.
     pub probes: Vec<Probe>,
-    /// What the decisions note of themselves.
-    pub notes: Vec<String>,
+    /// What the decisions report, for the log.
+    pub notices: Vec<Notice>,
     /// Batches handled: 0 or 1.
     pub batches: u64,
     /// Seconds by which expired timers came late.
@@ -105,7 +105,7 @@
     pub fn on_endpoint_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
         let is_new = self.hosts.apply_page(now, page);
         if is_new {
-            merge_list(&mut self.batch.events.lists, page.list());
+            merge_list(&mut self.batch.events.endpoint_lists, page.list());
             self.batch.changed = true;
         }
         is_new
@@ -122,9 +122,9 @@
     }
 
     /// How a health check ended. One of a host that is gone, moved or started anew meanwhile is ignored.
-    pub fn on_probe_result(&mut self, probe: &Probe, end: HealthCheckOutcome) {
+    pub fn on_probe_result(&mut self, probe: &Probe, outcome: HealthCheckOutcome) {
         if self.hosts.is_current(probe) {
-            self.batch.events.probes.push(HealthCheckResult { host: probe.host, end });
+            self.batch.events.health_checks.push(HealthCheckResult { host: probe.host, outcome });
             self.batch.changed = true;
         } else {
             self.probes_outdated += 1;
@@ -148,7 +148,7 @@
             Update::Subscribed => self.call.on_subscribed(id),
             Update::SnapshotEnded => self.complete_snapshot(),
             Update::SliceReassigned { slice, assigned } => self.discard_commands(slice, assigned),
-            Update::BarrierAcked(ack) => self.batch.events.confirmed.push(ack),
+            Update::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
             Update::Live(event) => self.on_live_event(now, event),
         }
     }
@@ -156,34 +156,36 @@
     fn on_live_event(&mut self, now: Seconds, event: RelayEvent) {
         self.batch.changed |= event != RelayEvent::Heartbeat;
         match event {
-            RelayEvent::ProxyJoined { proxy, first } => self.add_stream_event(proxy, true, first),
-            RelayEvent::ProxyLeft(proxy) => self.add_stream_event(proxy, false, false),
-            RelayEvent::BarrierAcked(ack) => self.batch.events.confirmed.push(ack),
+            RelayEvent::ProxyJoined { proxy, first } => self.add_stream_event(joined(proxy, first)),
+            RelayEvent::ProxyLeft(proxy) => self.add_stream_event(ProxyStreamEvent::Disconnected(proxy)),
+            RelayEvent::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
             RelayEvent::SliceAssigned { slice, assigned } => {
                 self.discard_commands(slice, assigned);
                 self.assignments.on_assigned(now, slice, assigned);
             }
-            RelayEvent::StoredEntry { slice, host, weight } => {
+            RelayEvent::StoredEntry { slice, line } => {
                 let decisions = &self.decisions;
                 let known_table = || {
-                    let (_, lines) = decisions.charges().find(|(id, _)| *id == slice)?;
+                    let (_, lines) = decisions.assigned_tables().find(|(id, _)| *id == slice)?;
                     Some(lines.to_vec())
                 };
-                let batched = &mut self.batch.events.charges;
-                let line = (host, weight);
+                let batched = &mut self.batch.events.assignments;
                 self.assignments.on_stored_entry(now, slice, line, self.single_owner, batched, known_table);
             }
             RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
         }
     }
 
-    fn add_stream_event(&mut self, proxy: ProxyId, up: bool, first: bool) {
-        if up {
-            self.proxies.insert(proxy);
-        } else {
-            self.proxies.remove(&proxy);
+    fn add_stream_event(&mut self, event: ProxyStreamEvent) {
+        match event {
+            ProxyStreamEvent::Connected(proxy) | ProxyStreamEvent::Reconnected(proxy) => {
+                self.proxies.insert(proxy);
+            }
+            ProxyStreamEvent::Disconnected(proxy) => {
+                self.proxies.remove(&proxy);
+            }
         }
-        self.batch.events.streams.push(ProxyStreamEvent { proxy, up, first });
+        self.batch.events.proxy_streams.push(event);
     }
 
     /// Commands about a slice that changed hands are about its table as it was before. On which table those of the
@@ -206,37 +208,38 @@
         self.batch.changed = true;
         // Assignments of before are part of the snapshot; that a proxy left before it is not.
         self.assignments.assignments.clear();
-        self.batch.events.charges.clear();
+        self.batch.events.assignments.clear();
         self.apply_proxies(&snapshot.proxies);
         self.apply_tables(snapshot.tables);
     }
 
-    fn apply_proxies(&mut self, joined: &BTreeMap<ProxyId, bool>) {
+    fn apply_proxies(&mut self, present: &BTreeMap<ProxyId, bool>) {
         let absent: Vec<ProxyId> =
-            self.proxies.iter().copied().filter(|proxy| !joined.contains_key(proxy)).collect();
+            self.proxies.iter().copied().filter(|proxy| !present.contains_key(proxy)).collect();
         for proxy in absent {
-            self.add_stream_event(proxy, false, false);
+            self.add_stream_event(ProxyStreamEvent::Disconnected(proxy));
         }
         // A proxy believed joined may have left and returned unseen: it counts as joined anew.
-        for (proxy, first) in joined {
-            self.add_stream_event(*proxy, true, *first);
+        for (proxy, first) in present {
+            self.add_stream_event(joined(*proxy, *first));
         }
     }
 
     /// Assigns the slices whose table differs from what the decisions believe, and takes away those that are missing.
     fn apply_tables(&mut self, stored: BTreeMap<SliceId, Table>) {
         let mut believed: BTreeMap<SliceId, Table> =
-            self.decisions.charges().map(|(slice, lines)| (slice, lines.to_vec())).collect();
-        let assignments = &mut self.batch.events.charges;
+            self.decisions.assigned_tables().map(|(slice, lines)| (slice, lines.to_vec())).collect();
+        let assignments = &mut self.batch.events.assignments;
         for (slice, table) in stored {
-            let lines = self.commands.table_when_accepted(slice, &table);
-            let is_as_believed = believed.remove(&slice).is_some_and(|belief| tables_match(&belief, &lines));
+            let entries = self.commands.table_when_accepted(slice, &table);
+            let is_as_believed =
+                believed.remove(&slice).is_some_and(|belief| tables_match(&belief, &entries));
             if !is_as_believed {
-                assignments.push(SliceAssignment { slice, given: true, lines });
+                assignments.push(SliceAssignment::Assigned { slice, entries });
             }
         }
         for slice in believed.into_keys() {
-            assignments.push(SliceAssignment { slice, given: false, lines: Vec::new() });
+            assignments.push(SliceAssignment::Revoked { slice });
         }
     }
 
@@ -285,7 +288,7 @@
             self.settle_call();
         }
         if self.assignments.are_complete(now) {
-            self.batch.events.charges.append(&mut self.assignments.assignments);
+            self.batch.events.assignments.append(&mut self.assignments.assignments);
             self.batch.changed = true;
         }
         if self.subscription.is_synchronized() && self.is_batch_due(now) {
@@ -305,8 +308,8 @@
         let expired = self.timers.take_expired(now);
         let events = self.next_batch(now, expired.iter().map(|timer| timer.id));
         let mut sink = BatchSink::new(&mut self.commands);
-        self.decisions.round(&events, &mut sink);
-        let BatchSink { probes, timers, notes, .. } = sink;
+        self.decisions.handle_batch(&events, &mut sink);
+        let BatchSink { probes, timers, notices, .. } = sink;
         if !self.commands.is_empty() {
             self.oldest_pending_at.get_or_insert(now);
         }
@@ -315,7 +318,7 @@
         }
         Effects {
             probes: probes.into_iter().filter_map(|host| self.hosts.probe(host)).collect(),
-            notes,
+            notices,
             batches: 1,
             timer_lateness: expired.iter().map(|timer| now - timer.due_at).collect(),
         }
@@ -327,7 +330,7 @@
         }
         let mut events = self.batch.take(now);
         events.timers.extend(expired);
-        events.pending_since = self.oldest_pending_at;
+        events.oldest_pending_at = self.oldest_pending_at;
         events
     }
 
@@ -417,5 +420,14 @@
     }
 }
 
+/// The stream of a proxy is up. `first`: it holds no table yet.
+fn joined(proxy: ProxyId, first: bool) -> ProxyStreamEvent {
+    if first {
+        ProxyStreamEvent::Connected(proxy)
+    } else {
+        ProxyStreamEvent::Reconnected(proxy)
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use railhub::HostId;
+use railhub::{HostId, WeightedHost};
 
 const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
@@ -19,7 +19,7 @@
     [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
         .for_each(|news| controller.on_relay_event(now, first, news));
-    assert!(controller.batch.events.streams.last().is_some_and(|change| change.proxy == proxy && !change.up));
+    assert!(controller.batch.events.proxy_streams.last() == Some(&ProxyStreamEvent::Disconnected(proxy)));
 }
 
 #[test]
@@ -38,9 +38,9 @@
             &crate::wire::discovery::decode_page(page.as_bytes(), &names).expect("a page")
         ));
     }
-    let [list] = controller.batch.events.lists.as_slice() else { panic!("one list") };
+    let [list] = controller.batch.events.endpoint_lists.as_slice() else { panic!("one list") };
     let hosts: Vec<&str> = list.entries.iter().map(|entry| entry.host.name()).collect();
-    assert_eq!((list.whole, hosts), (true, vec!["s-1", "s-2", "n-499"]));
+    assert_eq!((list.complete, hosts), (true, vec!["s-1", "s-2", "n-499"]));
 }
 
 #[test]
@@ -56,32 +56,47 @@
         controller.on_relay_event(
             1.0,
             NONE,
-            RelayEvent::StoredEntry { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
+            RelayEvent::StoredEntry {
+                slice,
+                line: WeightedHost { host: HostId::new(name).expect("a name"), weight: 1.0 },
+            },
         );
     }
-    assert_eq!(controller.assignments.assignments[0].lines, [(HostId::new("s-2").expect("a name"), 1.0)]);
+    let stored = WeightedHost { host: HostId::new("s-2").expect("a name"), weight: 1.0 };
+    assert_eq!(
+        controller.assignments.assignments,
+        [SliceAssignment::Assigned { slice, entries: vec![stored] }]
+    );
     controller.commands.push(Command::SetWeight {
         slice,
-        host: HostId::new("s-9").expect("a name"),
-        weight: 1.0,
+        line: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
     });
-    let settled =
-        controller.commands.table_when_accepted(slice, &controller.assignments.assignments[0].lines);
-    assert_eq!(settled, [(HostId::new("s-9").expect("a name"), 1.0)]);
+    let settled = controller.commands.table_when_accepted(slice, &[stored]);
+    assert_eq!(settled, [WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 }]);
 }
 
 #[test]
 fn a_line_joins_the_latest_word_on_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
-    controller.batch.events.charges.push(SliceAssignment { slice, given: true, lines: Vec::new() });
+    controller.batch.events.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
     controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: false });
-    controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
-    assert!(
-        controller.assignments.assignments[0].lines.is_empty()
-            && controller.batch.events.charges[0].lines.is_empty()
+    controller.on_relay_event(
+        1.0,
+        NONE,
+        RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
+    );
+    assert_eq!(controller.assignments.assignments, [SliceAssignment::Revoked { slice }]);
+    assert_eq!(
+        controller.batch.events.assignments,
+        [SliceAssignment::Assigned { slice, entries: Vec::new() }]
     );
     controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
-    controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
-    assert_eq!(controller.assignments.assignments[1].lines, [(host, 1.0)]);
+    controller.on_relay_event(
+        1.0,
+        NONE,
+        RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
+    );
+    let entries = vec![WeightedHost { host, weight: 1.0 }];
+    assert_eq!(controller.assignments.assignments[1], SliceAssignment::Assigned { slice, entries });
 }
--- a/crates/railhub-platform/src/endpoints.rs
+++ b/crates/railhub-platform/src/endpoints.rs
@@ -29,7 +29,7 @@
     /// The page as the decisions take it.
     pub fn list(&self) -> EndpointList {
         EndpointList {
-            whole: self.complete,
+            complete: self.complete,
             entries: self.entries.iter().map(|entry| entry.endpoint).collect(),
         }
     }
--- a/crates/railhub-platform/src/host_directory.rs
+++ b/crates/railhub-platform/src/host_directory.rs
@@ -16,14 +16,14 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its last start, in seconds of Unix time; unknown if long ago.
-    started: Option<Seconds>,
+    started_at: Option<Seconds>,
 }
 
 /// Where a host is, and since when it runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HostInstance {
     address: SocketAddr,
-    started: Option<Seconds>,
+    started_at: Option<Seconds>,
 }
 
 /// The hosts that are listed.
@@ -66,7 +66,7 @@
             if endpoint.phase == Phase::Gone {
                 self.hosts.remove(&endpoint.host);
             } else {
-                let instance = HostInstance { address: entry.address, started: endpoint.started };
+                let instance = HostInstance { address: entry.address, started_at: endpoint.started_at };
                 self.hosts.insert(endpoint.host, instance);
             }
         }
@@ -75,8 +75,8 @@
 
     /// A health check of a host, if it is listed.
     pub(crate) fn probe(&self, host: HostId) -> Option<Probe> {
-        let HostInstance { address, started } = *self.hosts.get(&host)?;
-        Some(Probe { host, address, started })
+        let HostInstance { address, started_at } = *self.hosts.get(&host)?;
+        Some(Probe { host, address, started_at })
     }
 
     /// Whether the host is still where it was checked and has not started anew.
@@ -89,7 +89,7 @@
 /// changes replace the entries that they are about. So it holds each host once, however long the batch is put off.
 pub(crate) fn merge_list(waiting: &mut Vec<EndpointList>, newer: EndpointList) {
     match waiting.last_mut() {
-        Some(list) if !newer.whole => merge_changes(list, newer),
+        Some(list) if !newer.complete => merge_changes(list, newer),
         _ => *waiting = vec![newer],
     }
 }
@@ -99,7 +99,7 @@
     list.entries.retain(|entry| !changed.contains(&entry.host));
     for entry in changes.entries {
         // A complete list shows a host that is gone by lacking it.
-        if !(list.whole && entry.phase == Phase::Gone) {
+        if !(list.complete && entry.phase == Phase::Gone) {
             list.entries.push(entry);
         }
     }
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -42,3 +42,4 @@
 pub use host_directory::Probe;
 pub use pending_commands::{AcceptedCommands, PendingCommands};
 pub use relay::{Call, CallResponse, RelayEvent, SubscriptionId};
+pub use sink::Notice;
--- a/crates/railhub-platform/src/pending_commands.rs
+++ b/crates/railhub-platform/src/pending_commands.rs
@@ -10,7 +10,7 @@
 use crate::relay::Call;
 use crate::table::{has_line, set_weight, Table};
 use crate::wire::relay::{encode_command, CallEncoder};
-use railhub::{ControllerConfig, HostId, SliceId};
+use railhub::{ControllerConfig, SliceId, WeightedHost};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most commands that wait while the relay is out of reach. Past them all are dropped, and a new snapshot is requested.
@@ -163,10 +163,8 @@
     /// are not assigned here any more.
     pub fn reconcile(&mut self, tables: &BTreeMap<SliceId, Table>) {
         let last_lines = self.last_lines();
-        let is_applied = |slice: &SliceId| {
-            let (host, weight) = last_lines[slice];
-            tables.get(slice).is_none_or(|table| has_line(table, host, weight))
-        };
+        let is_applied =
+            |slice: &SliceId| tables.get(slice).is_none_or(|table| has_line(table, last_lines[slice]));
         let is_visible = last_lines.keys().any(|slice| tables.contains_key(slice));
         if is_visible && last_lines.keys().all(is_applied) {
             self.current_call.clear();
@@ -176,11 +174,11 @@
     }
 
     /// The last line that the current call sets in each table.
-    fn last_lines(&self) -> BTreeMap<SliceId, (HostId, f64)> {
+    fn last_lines(&self) -> BTreeMap<SliceId, WeightedHost> {
         let mut lines = BTreeMap::new();
         for command in &self.current_call {
-            if let Command::SetWeight { slice, host, weight } = *command {
-                lines.insert(slice, (host, weight));
+            if let Command::SetWeight { slice, line } = *command {
+                lines.insert(slice, line);
             }
         }
         lines
@@ -192,18 +190,18 @@
     }
 
     /// A table as it will be once the relay has accepted all commands, sorted by host.
-    pub fn table_when_accepted(&self, slice: SliceId, stored: &[(HostId, f64)]) -> Table {
+    pub fn table_when_accepted(&self, slice: SliceId, stored: &[WeightedHost]) -> Table {
         let mut table = stored.to_vec();
         let queued = self.queue.iter().map(|queued| &queued.command);
         for command in self.current_call.iter().chain(queued) {
             match *command {
-                Command::SetWeight { slice: of, host, weight } if of == slice => {
-                    set_weight(&mut table, host, weight, self.single_owner);
+                Command::SetWeight { slice: of, line } if of == slice => {
+                    set_weight(&mut table, line, self.single_owner);
                 }
                 _ => {}
             }
         }
-        table.sort_by_key(|line| line.0);
+        table.sort_by_key(|line| line.host);
         table
     }
 }
--- a/crates/railhub-platform/src/relay.rs
+++ b/crates/railhub-platform/src/relay.rs
@@ -1,6 +1,6 @@
 //! What the relay sends and what is sent to it, as typed values: events of a subscription, calls and their responses.
 //! Their bytes are those of [`crate::wire::relay`].
-use railhub::{BarrierAck, HostId, ProxyId, SliceId};
+use railhub::{BarrierAck, ProxyId, SliceId, WeightedHost};
 
 /// One subscription of this process. Ordered by the configuration file that named the relay, then by the order in which
 /// they were requested: a follower of an older file may subscribe later and is older all the same.
@@ -41,10 +41,8 @@
     StoredEntry {
         /// The slice whose table it is.
         slice: SliceId,
-        /// The host.
-        host: HostId,
-        /// Its weight, 0 or more.
-        weight: f64,
+        /// The host and its weight, 0 or more.
+        line: WeightedHost,
     },
 }
 
--- a/crates/railhub-platform/src/sink.rs
+++ b/crates/railhub-platform/src/sink.rs
@@ -1,7 +1,27 @@
 //! What the decisions issue in one batch, sorted by who carries it out.
 use crate::command::Command;
 use crate::pending_commands::PendingCommands;
-use railhub::{BarrierId, ClassId, CommandSink, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId};
+use railhub::{
+    BarrierId, ClassId, CommandSink, DecisionEvent, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
+    WeightedHost,
+};
+use thiserror::Error;
+
+/// What the decisions report, for the log.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum Notice {
+    /// A decision.
+    #[error("{0}")]
+    Decision(DecisionEvent),
+    /// The protocol has no command that assigns a table to a proxy; decisions give it only where there are no slices.
+    #[error("cannot assign a table to a proxy on the platform table={} proxy={}", table.0, proxy.0)]
+    TableNotAssignable {
+        /// The table.
+        table: SliceId,
+        /// The proxy.
+        proxy: ProxyId,
+    },
+}
 
 /// Takes the decisions of a batch: commands go to the pending ones, the rest is collected.
 pub(crate) struct BatchSink<'a> {
@@ -9,40 +29,41 @@
     pub(crate) probes: Vec<HostId>,
     /// Timers, each with the seconds after which it expires.
     pub(crate) timers: Vec<(Seconds, TimerId)>,
-    pub(crate) notes: Vec<String>,
+    pub(crate) notices: Vec<Notice>,
 }
 
 impl BatchSink<'_> {
     pub(crate) fn new(commands: &mut PendingCommands) -> BatchSink<'_> {
-        BatchSink { commands, probes: Vec::new(), timers: Vec::new(), notes: Vec::new() }
+        BatchSink { commands, probes: Vec::new(), timers: Vec::new(), notices: Vec::new() }
     }
 }
 
 impl CommandSink for BatchSink<'_> {
-    fn set_line(&mut self, slice: SliceId, host: HostId, weight: f64) {
-        self.commands.push(Command::SetWeight { slice, host, weight });
+    fn set_weight(&mut self, slice: SliceId, host: HostId, weight: f64) {
+        self.commands.push(Command::SetWeight { slice, line: WeightedHost { host, weight } });
+    }
+    fn assign_table(&mut self, table: SliceId, proxy: ProxyId) {
+        self.notices.push(Notice::TableNotAssignable { table, proxy });
     }
-    /// The protocol has no command that assigns a table to a proxy; it is needed only where there are no slices.
-    fn hand_table(&mut self, table: SliceId, proxy: ProxyId) {
-        self.notes
-            .push(format!("the platform cannot assign table {} to proxy {}: left out", table.0, proxy.0));
+    fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry: RetryPolicy) {
+        self.commands.push(Command::SetAdmissionRate { class, rate, retry });
     }
-    fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy) {
-        self.commands.push(Command::SetAdmissionRate { class, rate: share, retry: second_try });
+    fn exclude_host(&mut self, host: HostId) {
+        self.commands.push(Command::Exclude(host));
     }
-    fn shut_out(&mut self, host: HostId, out: bool) {
-        self.commands.push(if out { Command::Exclude(host) } else { Command::Readmit(host) });
+    fn readmit_host(&mut self, host: HostId) {
+        self.commands.push(Command::Readmit(host));
     }
-    fn mark(&mut self, mark: BarrierId) {
-        self.commands.push(Command::Barrier(mark));
+    fn set_barrier(&mut self, barrier: BarrierId) {
+        self.commands.push(Command::Barrier(barrier));
     }
-    fn probe(&mut self, host: HostId) {
+    fn check_health(&mut self, host: HostId) {
         self.probes.push(host);
     }
-    fn wake(&mut self, after: Seconds, timer: TimerId) {
+    fn set_timer(&mut self, after: Seconds, timer: TimerId) {
         self.timers.push((after, timer));
     }
-    fn note(&mut self, text: &str) {
-        self.notes.push(text.to_owned());
+    fn report(&mut self, event: DecisionEvent) {
+        self.notices.push(Notice::Decision(event));
     }
 }
--- a/crates/railhub-platform/src/slice_assignments.rs
+++ b/crates/railhub-platform/src/slice_assignments.rs
@@ -1,6 +1,6 @@
 //! Slices assigned since the last batch, until their tables are complete: the lines follow the assignment at once.
 use crate::table::Table;
-use railhub::{HostId, Seconds, SliceAssignment, SliceId};
+use railhub::{Seconds, SliceAssignment, SliceId, WeightedHost};
 
 /// Seconds without an event after which the tables of assigned slices count as complete.
 const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
@@ -16,7 +16,11 @@
     /// A slice is assigned to this controller, or taken from it.
     pub(crate) fn on_assigned(&mut self, now: Seconds, slice: SliceId, assigned: bool) {
         self.last_event_at = now;
-        self.assignments.push(SliceAssignment { slice, given: assigned, lines: Vec::new() });
+        self.assignments.push(if assigned {
+            SliceAssignment::Assigned { slice, entries: Table::new() }
+        } else {
+            SliceAssignment::Revoked { slice }
+        });
     }
 
     /// A line of an assigned slice: it joins the latest assignment of the slice, here or in the next batch, or else the
@@ -25,24 +29,23 @@
         &mut self,
         now: Seconds,
         slice: SliceId,
-        line: (HostId, f64),
+        line: WeightedHost,
         single_owner: bool,
         batched: &mut [SliceAssignment],
         known_table: impl FnOnce() -> Option<Table>,
     ) {
         self.last_event_at = now;
         let all = batched.iter_mut().chain(&mut self.assignments);
-        let table = match all.filter(|assignment| assignment.slice == slice).last() {
-            Some(assignment) if !assignment.given => return,
-            Some(assignment) => &mut assignment.lines,
+        match all.filter(|assignment| assignment.slice() == slice).last() {
+            Some(SliceAssignment::Revoked { .. }) => {}
+            Some(SliceAssignment::Assigned { entries, .. }) => add_line(entries, line, single_owner),
             None => {
-                let Some(lines) = known_table() else { return };
-                self.assignments.push(SliceAssignment { slice, given: true, lines });
-                &mut self.assignments.last_mut().expect("pushed just now").lines
+                if let Some(mut entries) = known_table() {
+                    add_line(&mut entries, line, single_owner);
+                    self.assignments.push(SliceAssignment::Assigned { slice, entries });
+                }
             }
-        };
-        table.retain(|known| known.0 != line.0 && !single_owner);
-        table.push(line);
+        }
     }
 
     /// When the assignments count as complete if no event comes before.
@@ -55,3 +58,9 @@
         !self.assignments.is_empty() && now - self.last_event_at >= ASSIGNMENT_IDLE_TIMEOUT
     }
 }
+
+/// Adds a stored line, which may have weight 0. With a single owner it is the whole table.
+fn add_line(table: &mut Table, line: WeightedHost, single_owner: bool) {
+    table.retain(|known| known.host != line.host && !single_owner);
+    table.push(line);
+}
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -6,7 +6,7 @@
 use crate::command::Command;
 use crate::relay::{RelayEvent, SubscriptionId};
 use crate::table::{set_weight, Table};
-use railhub::{BarrierAck, ProxyId, Seconds, SliceId};
+use railhub::{BarrierAck, ProxyId, Seconds, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds without an event after which the first snapshot counts as complete: what comes later is added.
@@ -227,9 +227,9 @@
         let mut snapshot = self.take_snapshot()?;
         self.state = State::Synchronized;
         for AcceptedCommand { latest, command } in &self.accepted_since_snapshot {
-            if let Command::SetWeight { slice, host, weight } = command {
+            if let Command::SetWeight { slice, line } = command {
                 if snapshot.subscription <= *latest {
-                    snapshot.set_weight(*slice, *host, *weight, single_owner);
+                    snapshot.set_weight(*slice, *line, single_owner);
                 }
             }
         }
@@ -264,8 +264,8 @@
                     return Update::SliceReassigned { slice, assigned };
                 }
             }
-            RelayEvent::StoredEntry { slice, host, weight } => {
-                self.tables.entry(slice).or_default().push((host, weight));
+            RelayEvent::StoredEntry { slice, line } => {
+                self.tables.entry(slice).or_default().push(line);
             }
             RelayEvent::BarrierAcked(ack) => return Update::BarrierAcked(ack),
             RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
@@ -274,9 +274,9 @@
     }
 
     /// Sets a line of a slice that the snapshot has.
-    fn set_weight(&mut self, slice: SliceId, host: railhub::HostId, weight: f64, single_owner: bool) {
+    fn set_weight(&mut self, slice: SliceId, line: WeightedHost, single_owner: bool) {
         if let Some(table) = self.tables.get_mut(&slice) {
-            set_weight(table, host, weight, single_owner);
+            set_weight(table, line, single_owner);
         }
     }
 }
--- a/crates/railhub-platform/src/wire/collector.rs
+++ b/crates/railhub-platform/src/wire/collector.rs
@@ -119,18 +119,18 @@
 
 impl HostReportMessage {
     fn convert(&self, names: &Names) -> Result<HostLoadReport, InvalidEntry> {
-        let tries = bounded(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
+        let attempts = bounded(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
         let in_flight = self.load.as_ref().and_then(|load| load.inflight);
         bounded(in_flight.unwrap_or(0.0), MAX_ATTEMPTS_PER_REPORT)?;
         let utilization = self.load.as_ref().and_then(|load| load.util);
         Ok(HostLoadReport {
             zone: names.zone(&self.zone).ok_or(InvalidEntry::Unknown)?,
             host: HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?,
-            tries,
-            failed: bounded(self.failed, tries)?,
-            mean_time: bounded(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
+            attempts,
+            failed: bounded(self.failed, attempts)?,
+            mean_latency: bounded(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
             span: report_span(self.span_ms)?,
-            busy: utilization.map(|share| bounded(share, REPORT_NOISE_FACTOR)).transpose()?,
+            cpu_utilization: utilization.map(|share| bounded(share, REPORT_NOISE_FACTOR)).transpose()?,
         })
     }
 }
--- a/crates/railhub-platform/src/wire/configuration.rs
+++ b/crates/railhub-platform/src/wire/configuration.rs
@@ -129,8 +129,8 @@
     let place = |field: &str| format!("settings.request_classes[{index}].{field}");
     Ok(ClassConfig {
         contract_time: duration(class.aim_us, &place("aim_us"))?,
-        gain: amount(class.worth, &place("worth"))?,
-        repeat: match (class.effect.as_str(), class.group.as_str()) {
+        priority_weight: amount(class.worth, &place("worth"))?,
+        idempotency: match (class.effect.as_str(), class.group.as_str()) {
             ("repeatable", _) => Idempotency::Safe,
             ("by_key", "all") => {
                 Idempotency::IdempotencyKeyGlobal(duration(class.key_ttl_us, &place("key_ttl_us"))?)
@@ -151,21 +151,21 @@
     let SettingsMessage { ceilings, family_info: family, rules, .. } = settings;
     Ok(ControllerConfig {
         classes,
-        slices: family.key_ranges,
+        slice_count: family.key_ranges,
         single_owner: family.exclusive,
         write_lease: write_time(family, family.write_lease_us, "settings.family_info.write_lease_us")?,
-        write_life: write_time(family, family.write_life_us, "settings.family_info.write_life_us")?,
-        may_probe: ceilings.probes,
-        dropped_may_stay: rules.removal_not_binding,
-        levels_by_share: family.throttle_by == "share",
-        cold_from: amount(rules.cold_from, "settings.rules.cold_from")?,
-        warm_within: duration(rules.warm_within_us, "settings.rules.warm_within_us")?,
-        fall_multiple: amount(rules.fall_multiple, "settings.rules.fall_multiple")?,
-        backlog: amount(family.backlog, "settings.family_info.backlog")?,
-        message_cost: amount(family.envelope, "settings.family_info.envelope")?,
-        message_cap: family.update_cap,
-        messages_span: duration(family.messages_over_us, "settings.family_info.messages_over_us")?,
-        first_wait: amount(family.first_wait, "settings.family_info.first_wait")?,
+        max_write_duration: write_time(family, family.write_life_us, "settings.family_info.write_life_us")?,
+        health_checks_allowed: ceilings.probes,
+        delisted_may_serve: rules.removal_not_binding,
+        admission_by_fraction: family.throttle_by == "share",
+        cold_capacity_fraction: amount(rules.cold_from, "settings.rules.cold_from")?,
+        warm_up_time: duration(rules.warm_within_us, "settings.rules.warm_within_us")?,
+        overload_multiple: amount(rules.fall_multiple, "settings.rules.fall_multiple")?,
+        backlog_limit: amount(family.backlog, "settings.family_info.backlog")?,
+        message_overhead: amount(family.envelope, "settings.family_info.envelope")?,
+        message_quota: family.update_cap,
+        message_quota_window: duration(family.messages_over_us, "settings.family_info.messages_over_us")?,
+        first_attempt_timeout_multiple: amount(family.first_wait, "settings.family_info.first_wait")?,
     })
 }
 
--- a/crates/railhub-platform/src/wire/relay.rs
+++ b/crates/railhub-platform/src/wire/relay.rs
@@ -3,7 +3,7 @@
 use crate::command::Command;
 use crate::error::InvalidEntry;
 use crate::relay::{Call, CallResponse, RelayEvent};
-use railhub::{BarrierAck, BarrierId, HostId, ProxyId, RetryPolicy, SliceId};
+use railhub::{BarrierAck, BarrierId, HostId, ProxyId, RetryPolicy, SliceId, WeightedHost};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -79,7 +79,7 @@
         }
         "applied" => {
             let applied: AppliedParams = params(line)?;
-            let ack = BarrierAck { proxy: ProxyId(applied.proxy), mark: BarrierId(applied.mark) };
+            let ack = BarrierAck { proxy: ProxyId(applied.proxy), barrier: BarrierId(applied.mark) };
             RelayEvent::BarrierAcked(ack)
         }
         "given" => {
@@ -101,7 +101,8 @@
         if !(self.weight.is_finite() && self.weight >= 0.0) {
             return Err(InvalidEntry::Range);
         }
-        Ok(RelayEvent::StoredEntry { slice: SliceId(self.slice), host, weight: self.weight })
+        let line = WeightedHost { host, weight: self.weight };
+        Ok(RelayEvent::StoredEntry { slice: SliceId(self.slice), line })
     }
 }
 
@@ -170,8 +171,8 @@
 /// If it is about a class that has no name: [`crate::PendingCommands`] leaves these out.
 pub(crate) fn encode_command(command: &Command, class_names: &[String]) -> String {
     let message = match command {
-        Command::SetWeight { slice, host, weight } => {
-            CommandMessage::Share { table: slice.0, server: host.name(), weight: *weight }
+        Command::SetWeight { slice, line } => {
+            CommandMessage::Share { table: slice.0, server: line.host.name(), weight: line.weight }
         }
         Command::Exclude(host) => CommandMessage::Withdraw { server: host.name() },
         Command::Readmit(host) => CommandMessage::Restore { server: host.name() },
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -1,5 +1,7 @@
 //! The controller with the real module: what the relay tells, what is ordered, and how calls end.
-use railhub::{BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId};
+use railhub::{
+    BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId, WeightedHost,
+};
 use railhub_platform::{
     Call, CallResponse, Command, NodeConfig, PendingCommands, PlatformController as Core, RelayEvent,
     SubscriptionId,
@@ -23,7 +25,7 @@
 }
 
 fn held(slice: u16, n: u8) -> RelayEvent {
-    RelayEvent::StoredEntry { slice: SliceId(slice), host: host(n), weight: 1.0 }
+    RelayEvent::StoredEntry { slice: SliceId(slice), line: WeightedHost { host: host(n), weight: 1.0 } }
 }
 
 fn joined(proxy: u16) -> RelayEvent {
@@ -114,7 +116,8 @@
     settle(&mut controller, START);
     assert_eq!(controller.proxies_joined(), 2);
     // Proxy 2 and slice 4 are absent now; slice 3 is as it was ordered: nothing to say.
-    let standby = RelayEvent::StoredEntry { slice: SliceId(3), host: host(2), weight: 0.0 };
+    let standby =
+        RelayEvent::StoredEntry { slice: SliceId(3), line: WeightedHost { host: host(2), weight: 0.0 } };
     stands(&mut controller, START + 0.1, &[joined(1), given(3), held(3, 1), standby]);
     // The relay tells a standby's weight rounded to 0. Who is shut out is said again, as a proxy may have missed it.
     assert!(!settle(&mut controller, START + 0.1).contains("share"));
@@ -139,7 +142,7 @@
 }
 
 fn standby(weight: f64) -> RelayEvent {
-    RelayEvent::StoredEntry { slice: SliceId(3), host: host(2), weight }
+    RelayEvent::StoredEntry { slice: SliceId(3), line: WeightedHost { host: host(2), weight } }
 }
 
 #[test]
@@ -345,8 +348,8 @@
         controller.on_endpoint_page(START, &page(42, address, lifecycle, started));
         (0..3).for_each(|_| controller.on_probe_result(&probe, HealthCheckOutcome::Unreachable));
         assert_eq!(controller.probes_outdated(), 3);
-        let notes = controller.poll(START + 0.1).notes;
-        assert!(!notes.iter().any(|note| note.contains("down")), "{notes:?}");
+        let notices = controller.poll(START + 0.1).notices;
+        assert!(!notices.iter().any(|notice| notice.to_string().contains("down")), "{notices:?}");
     }
 }
 
@@ -400,7 +403,7 @@
     push_lines(&mut waiting, 3);
     waiting.next_call(&[]).expect("a call");
     // Slice 0 was carried out, slice 1 was not, slice 2 is another's now.
-    let standing = [(SliceId(0), vec![(host(1), 1.0)]), (SliceId(1), Vec::new())].into();
+    let standing = [(SliceId(0), vec![(host(1), 1.0).into()]), (SliceId(1), Vec::new())].into();
     waiting.reconcile(&standing);
     let again = waiting.next_call(&[]).expect("one line");
     assert!(again.commands == 1 && text(&again).contains("\"table\":1"), "{}", text(&again));
@@ -475,7 +478,10 @@
 
 fn push_lines(waiting: &mut PendingCommands, count: u16) {
     (0..count).for_each(|slice| {
-        waiting.push(Command::SetWeight { slice: SliceId(slice), host: host(1), weight: 1.0 })
+        waiting.push(Command::SetWeight {
+            slice: SliceId(slice),
+            line: WeightedHost { host: host(1), weight: 1.0 },
+        })
     });
 }
 
@@ -501,7 +507,7 @@
     push_lines(&mut waiting, 6);
     assert_eq!(
         waiting.on_accepted(2).refused,
-        Some(Command::SetWeight { slice: SliceId(2), host: host(1), weight: 1.0 })
+        Some(Command::SetWeight { slice: SliceId(2), line: WeightedHost { host: host(1), weight: 1.0 } })
     );
     let rest = waiting.next_call(&[]).expect("the rest of it first");
     assert_eq!(rest.commands, 2);
@@ -513,10 +519,10 @@
 #[test]
 fn orders_that_wait_fold_by_what_they_are_about_and_are_bounded() {
     let mut waiting = PendingCommands::default();
-    waiting.push(Command::SetWeight { slice: SliceId(1), host: host(1), weight: 0.0 });
-    waiting.push(Command::SetWeight { slice: SliceId(1), host: host(2), weight: 1.0 });
+    waiting.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(1), weight: 0.0 } });
+    waiting.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(2), weight: 1.0 } });
     waiting.push(Command::Exclude(host(2)));
-    waiting.push(Command::SetWeight { slice: SliceId(1), host: host(1), weight: 1.0 });
+    waiting.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(1), weight: 1.0 } });
     waiting.push(Command::Readmit(host(2)));
     let call = waiting.next_call(&[]).expect("a call");
     assert_eq!((call.commands, waiting.folded), (3, 2));
@@ -526,10 +532,13 @@
             < said.find("\"s-1\",\"weight\":1.0").expect("last")
     );
     assert!(said.contains("restore") && !said.contains("withdraw"));
-    assert_eq!(waiting.table_when_accepted(SliceId(1), &[(host(3), 0.5)]).len(), 3);
+    assert_eq!(waiting.table_when_accepted(SliceId(1), &[(host(3), 0.5).into()]).len(), 3);
     waiting.on_accepted(3);
     for slice in 0..u16::MAX {
-        waiting.push(Command::SetWeight { slice: SliceId(slice), host: host(1), weight: 1.0 });
+        waiting.push(Command::SetWeight {
+            slice: SliceId(slice),
+            line: WeightedHost { host: host(1), weight: 1.0 },
+        });
         assert!(waiting.len() <= 20_000);
     }
     assert!(waiting.overflowed, "what was dropped must be asked for anew");
@@ -565,7 +574,7 @@
     assert!(controller.next_call().is_none(), "the first message may wait for all that have joined since");
     let mark = ticket(&call);
     for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
-        controller.on_relay_event(START + 0.9, RelayEvent::BarrierAcked(BarrierAck { proxy, mark }));
+        controller.on_relay_event(START + 0.9, RelayEvent::BarrierAcked(BarrierAck { proxy, barrier: mark }));
     }
     controller.poll(START + 1.1);
     assert!(controller.next_call().is_some(), "it has left the channel");
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes of each message, both ways: what is sent byte for byte, what is read from literal bytes to typed values.
 use railhub::{
     BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
-    RetryPolicy, SliceId, SliceLoadReport, ZoneId,
+    RetryPolicy, SliceId, SliceLoadReport, WeightedHost, ZoneId,
 };
 use railhub_platform::{
     wire, CallResponse, CollectorMessage, Command, EndpointPage, InvalidEntry, Names, NodeConfig,
@@ -51,15 +51,24 @@
 fn sends_each_command_in_these_bytes() {
     for (command, order) in [
         (
-            Command::SetWeight { slice: SliceId(4), host: host("s-5be2a07c"), weight: 1.5 },
+            Command::SetWeight {
+                slice: SliceId(4),
+                line: WeightedHost { host: host("s-5be2a07c"), weight: 1.5 },
+            },
             r#"{"op":"share","table":4,"server":"s-5be2a07c","weight":1.5}"#,
         ),
         (
-            Command::SetWeight { slice: SliceId(65535), host: host("s-1"), weight: 0.0 },
+            Command::SetWeight {
+                slice: SliceId(65535),
+                line: WeightedHost { host: host("s-1"), weight: 0.0 },
+            },
             r#"{"op":"share","table":65535,"server":"s-1","weight":0.0}"#,
         ),
         (
-            Command::SetWeight { slice: SliceId(0), host: host("s-1"), weight: 0.0001 },
+            Command::SetWeight {
+                slice: SliceId(0),
+                line: WeightedHost { host: host("s-1"), weight: 0.0001 },
+            },
             r#"{"op":"share","table":0,"server":"s-1","weight":0.0001}"#,
         ),
         (Command::Exclude(host("s-5be2a07c")), r#"{"op":"withdraw","server":"s-5be2a07c"}"#),
@@ -89,7 +98,10 @@
 #[test]
 fn sends_commands_in_order_in_one_call_and_a_retry_in_the_same_bytes_under_the_next_id() {
     let mut pending = PendingCommands::default();
-    pending.push(Command::SetWeight { slice: SliceId(4), host: host("s-1"), weight: 1.0 });
+    pending.push(Command::SetWeight {
+        slice: SliceId(4),
+        line: WeightedHost { host: host("s-1"), weight: 1.0 },
+    });
     pending.push(Command::Exclude(host("s-2")));
     pending.push(Command::Barrier(BarrierId(7)));
     for id in 1..=12 {
@@ -142,7 +154,7 @@
         (r#"{"jsonrpc":"2.0","method":"left","params":{"proxy":17}}"#, RelayEvent::ProxyLeft(ProxyId(17))),
         (
             r#"{"jsonrpc":"2.0","method":"applied","params":{"proxy":17,"mark":905,"took_ms":310.4}}"#,
-            RelayEvent::BarrierAcked(BarrierAck { proxy: ProxyId(17), mark: BarrierId(905) }),
+            RelayEvent::BarrierAcked(BarrierAck { proxy: ProxyId(17), barrier: BarrierId(905) }),
         ),
         (
             r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":true}}"#,
@@ -154,7 +166,7 @@
         ),
         (
             r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-5be2a07c","weight":1.0}}"#,
-            RelayEvent::StoredEntry { slice, host: host("s-5be2a07c"), weight: 1.0 },
+            RelayEvent::StoredEntry { slice, line: WeightedHost { host: host("s-5be2a07c"), weight: 1.0 } },
         ),
     ] {
         assert_eq!(relay_event(line), Ok(event), "{line}");
@@ -198,13 +210,13 @@
     let expected = HostLoadReport {
         zone: ZoneId(0),
         host: host("s-5be2a07c"),
-        tries: 212.0,
+        attempts: 212.0,
         failed: 3.0,
-        mean_time: 0.0415,
+        mean_latency: 0.0415,
         span: 1.0,
-        busy: Some(0.61),
+        cpu_utilization: Some(0.61),
     };
-    let without_load = HostLoadReport { busy: None, ..expected.clone() };
+    let without_load = HostLoadReport { cpu_utilization: None, ..expected.clone() };
     for (body, expected) in [
         (body.to_owned(), expected.clone()),
         (body.replace("inflight", "rif").replace("util", "busy"), expected.clone()),
@@ -233,19 +245,19 @@
         ("s-2", Phase::Draining, Some(1_700_000_000.25), 2.5, "m2"),
         ("s-3", Phase::Gone, None, 0.0, ""),
     ]
-    .map(|(name, phase, started, weight, kind)| EndpointEntry {
+    .map(|(name, phase, started_at, weight, kind)| EndpointEntry {
         host: host(name),
         phase,
-        started,
+        started_at,
         weight,
         kind: names().kind(kind),
     });
     assert_eq!(format!("{:?}", list.list().entries), format!("{expected:?}"));
-    assert!(list.list().whole && list.generation == 41);
+    assert!(list.list().complete && list.generation == 41);
     let addresses: Vec<String> = list.entries.iter().map(|entry| entry.address.to_string()).collect();
     assert_eq!(addresses, ["10.1.0.18:7070", "10.1.0.19:7070", "10.1.0.20:7070"]);
     let changes = page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
-    assert!(!changes.list().whole && changes.generation == 43 && changes.entries.is_empty());
+    assert!(!changes.list().complete && changes.generation == 43 && changes.entries.is_empty());
 }
 
 #[test]
@@ -262,13 +274,22 @@
     assert_eq!(read.names.classes, ["view", "deposit"]);
     assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
     let terms = read.controller;
-    assert_eq!((terms.slices, terms.single_owner, terms.may_probe), (40, false, true));
-    assert_eq!((terms.levels_by_share, terms.cold_from, terms.warm_within), (true, 0.16, 18.0));
-    assert_eq!((terms.fall_multiple, terms.backlog, terms.message_cost), (2.5, 900.5, 12.0));
-    assert_eq!((terms.message_cap, terms.messages_span, terms.first_wait), (20, 10.0, 1.2));
-    assert_eq!((terms.write_lease, terms.write_life, terms.dropped_may_stay), (0.0, 0.0, false));
-    let classes: Vec<_> =
-        terms.classes.iter().map(|class| (class.contract_time, class.gain, class.repeat)).collect();
+    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (40, false, true));
+    assert_eq!(
+        (terms.admission_by_fraction, terms.cold_capacity_fraction, terms.warm_up_time),
+        (true, 0.16, 18.0)
+    );
+    assert_eq!((terms.overload_multiple, terms.backlog_limit, terms.message_overhead), (2.5, 900.5, 12.0));
+    assert_eq!(
+        (terms.message_quota, terms.message_quota_window, terms.first_attempt_timeout_multiple),
+        (20, 10.0, 1.2)
+    );
+    assert_eq!((terms.write_lease, terms.max_write_duration, terms.delisted_may_serve), (0.0, 0.0, false));
+    let classes: Vec<_> = terms
+        .classes
+        .iter()
+        .map(|class| (class.contract_time, class.priority_weight, class.idempotency))
+        .collect();
     assert_eq!(classes, [(0.8, 1.0, Idempotency::Safe), (1.2, 2.0, Idempotency::Never)]);
 }
 
