--- a/crates/railhub-platform-net/src/error.rs
+++ b/crates/railhub-platform-net/src/error.rs
@@ -1,5 +1,5 @@
 //! Why a run ends with an error.
-use railhub_platform::assignment::ConfigError;
+use railhub_platform::ConfigError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -9,6 +9,7 @@
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::http::{Caller, HttpError};
 use railhub_net::{seconds, Pool};
+use railhub_platform::wire::hosts::{HEALTH_CHECK_PATH, NOT_SERVING_STATUS};
 use railhub_platform::Probe;
 use std::io;
 use std::net::SocketAddr;
@@ -20,8 +21,6 @@
 const MAX_QUEUED: usize = 512;
 /// Seconds for a host to answer, each for the connection and for the answer.
 const HEALTH_CHECK_TIMEOUT: Seconds = 0.4;
-/// HTTP status of a host that is up and takes no work.
-const STATUS_UNAVAILABLE: u16 = 503;
 /// Errors that tell of this process, which ran out of something, and nothing of the host.
 const LOCAL_ERRORS: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
 
@@ -42,9 +41,9 @@
 
 /// `None`: what happened proves nothing of the host.
 fn check(address: SocketAddr) -> Option<HealthCheckOutcome> {
-    match Caller::new(address, seconds(HEALTH_CHECK_TIMEOUT)).call("GET", "/alive", &[]) {
+    match Caller::new(address, seconds(HEALTH_CHECK_TIMEOUT)).call("GET", HEALTH_CHECK_PATH, &[]) {
         Ok(_) => Some(HealthCheckOutcome::Passed),
-        Err(HttpError::Status(STATUS_UNAVAILABLE)) => Some(HealthCheckOutcome::Rejected),
+        Err(HttpError::Status(NOT_SERVING_STATUS)) => Some(HealthCheckOutcome::Rejected),
         Err(HttpError::Silent | HttpError::Status(_)) => Some(HealthCheckOutcome::Failed),
         Err(HttpError::Unreached(error)) if is_local(&error) => None,
         Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended) => {
--- a/crates/railhub-platform-net/src/relay/calls.rs
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -9,8 +9,8 @@
 use may::sync::Semphore;
 use railhub::Seconds;
 use railhub_net::{dial, go, now, Guard};
-use railhub_platform::orders::Call;
-use railhub_platform::relay_events::{self, CallResponse};
+use railhub_platform::wire::relay as wire;
+use railhub_platform::{Call, CallResponse};
 use railhub_proto::Lines;
 use std::io::{ErrorKind, Write};
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
 }
 
 fn parse_answer(line: &[u8], call: &Call) -> Result<CallResponse, RelayError> {
-    relay_events::answer(line, call.id, call.count).map_err(|reason| {
+    wire::decode_response(line, call.id, call.commands).map_err(|reason| {
         let shown = &line[..line.len().min(MAX_ANSWER_SHOWN)];
         RelayError::InvalidAnswer { reason, line_start: String::from_utf8_lossy(shown).into_owned() }
     })
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -16,8 +16,8 @@
 use may::net::TcpStream;
 use railhub::Seconds;
 use railhub_net::{dial, go, Guard};
-use railhub_platform::relay_events::{self, RelayEvent, SubscriptionId};
-use railhub_platform::InvalidEntry;
+use railhub_platform::wire::relay as wire;
+use railhub_platform::{InvalidEntry, RelayEvent, SubscriptionId};
 use railhub_proto::Lines;
 use std::io::Write;
 use std::sync::atomic::Ordering;
@@ -53,7 +53,7 @@
 /// One subscription, from its announcement to its end.
 fn follow_once(shared: &SharedState, addresses: Addresses, attempts: &mut ConnectionAttempts) -> RelayError {
     let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
-    let id = SubscriptionId { file: addresses.version, count };
+    let id = SubscriptionId { config_version: addresses.version, sequence: count };
     // The controller thread knows before the relay can.
     shared.inbox.tell(ControllerEvent::SubscriptionRequested(id));
     let Err(error) = subscribe(shared, addresses, id, attempts);
@@ -72,7 +72,7 @@
     let _descriptor = DescriptorGuard::count(&shared.descriptors.relay);
     let guard = Guard::both_ways(&stream, attempts.first_answer_timeout());
     shared.relay_counters.subscriptions.fetch_add(1, Ordering::Relaxed);
-    stream.write_all(&relay_events::subscribe(id.count)).map_err(RelayError::Subscribe)?;
+    stream.write_all(&wire::encode_subscribe(id.sequence)).map_err(RelayError::Subscribe)?;
     let mut connection = Subscription {
         shared,
         addresses,
@@ -110,7 +110,7 @@
 impl Subscription<'_> {
     /// Receives one event and sends it on.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
-        let read = next_line(&mut self.stream, &self.guard, &mut self.lines, relay_events::read);
+        let read = next_line(&mut self.stream, &self.guard, &mut self.lines, wire::decode_event);
         let event = match read {
             Ok(Ok(event)) => event,
             Ok(Err(invalid)) => return Err(self.reject(invalid)),
@@ -119,7 +119,7 @@
         if event == RelayEvent::Subscribed {
             self.activate(attempts)?;
         }
-        tracing::trace!(subscription = self.id.count, ?event, "relay event");
+        tracing::trace!(subscription = self.id.sequence, ?event, "relay event");
         self.shared.inbox.tell(ControllerEvent::RelayEvent(self.id, event));
         Ok(())
     }
@@ -133,7 +133,7 @@
         attempts.on_answer();
         self.state = SubscriptionState::Active { _usable: self.shared.relay_health.connection_usable() };
         let relay = self.addresses.relay;
-        tracing::info!(subscription = self.id.count, %relay, "relay subscription active");
+        tracing::info!(subscription = self.id.sequence, %relay, "relay subscription active");
         Ok(())
     }
 
