--- a/crates/railhub-versions/src/variant.rs
+++ b/crates/railhub-versions/src/variant.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use thiserror::Error;
 
-const MODULE: &str = "src/brain.rs";
+const MODULE: &str = "src/decision/mod.rs";
 const ADAPTER: &str = "crates/railhub-adapter/src";
 
 #[derive(Debug, Error)]
--- a/crates/railhub-versions/src/variant/tests.rs
+++ b/crates/railhub-versions/src/variant/tests.rs
@@ -8,7 +8,10 @@
     let text = changed(TEXT, &constants).expect("known");
     assert_eq!(text, TEXT.replace("usize = 2;", "usize = 6;"));
     let unknown = BTreeMap::from([("B".to_owned(), "6".to_owned())]);
-    assert_eq!(changed(TEXT, &unknown).expect_err("unknown").to_string(), "src/brain.rs has no constant B");
+    assert_eq!(
+        changed(TEXT, &unknown).expect_err("unknown").to_string(),
+        "src/decision/mod.rs has no constant B"
+    );
 }
 
 #[test]
@@ -19,7 +22,7 @@
 
 #[test]
 fn the_module_has_the_constants_that_experiments_change() {
-    let module = include_str!("../../../../src/brain.rs");
+    let module = include_str!("../../../../src/decision/mod.rs");
     let constants = ["RETURNS_PER_TURN", "GAP"].map(|name| (name.to_owned(), "9.0".to_owned()));
     let text = changed(module, &constants.into_iter().collect()).expect("known");
     assert!(text.contains("const GAP: f64 = 9.0;") && text.contains("const RETURNS_PER_TURN: usize = 9.0;"));
--- a/src/brain.rs
+++ b/src/decision/mod.rs
@@ -2,9 +2,9 @@
 //! came in; decisions go straight into the `CommandSink` passed along. Both are defined in `interface`.
 //! A round takes in the news. Once a second it is also a turn, which judges hosts and moves slices.
 //! List news and health verdicts act at once. What changed leaves as one delta at the end.
-use crate::channel::{Channel, Update};
+use crate::decaying::{at_share, DecayingRate, DecayingSum};
 use crate::interface::*;
-use crate::sums::{at_share, DecayingRate, DecayingSum};
+use crate::update_backlog::{Update, UpdateBacklog};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
@@ -337,7 +337,7 @@
     moves: f64,
     moves_at: Seconds,
     sent: Vec<Seconds>,
-    channel: Channel,
+    channel: UpdateBacklog,
     /// Confirmations may have gone unheard: one more mark asks for them, as it confirms all before it.
     unsure: bool,
     mark: u16,
--- a/src/brain/tests/backlog.rs
+++ b/src/decision/tests/backlog.rs
@@ -134,7 +134,7 @@
 /// times. The most that waited after a message, as a share of the limit, and how many lines were written.
 fn most_waiting(seed: u64) -> (f64, usize) {
     let mut steward = steward(ControllerConfig { backlog_limit: LIMIT, message_quota: 0, ..terms() });
-    steward.channel = Channel::default();
+    steward.channel = UpdateBacklog::default();
     let mut channel = ModelChannel::new(seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
     let mut returns: Vec<(Seconds, ProxyId)> = Vec::new();
@@ -211,7 +211,7 @@
     for (share, said) in [(0.89, true), (0.95, false), (1.0, false)] {
         let mut steward =
             steward(ControllerConfig { backlog_limit: 1000.0, message_overhead: 0.0, ..terms() });
-        steward.channel = Channel::default();
+        steward.channel = UpdateBacklog::default();
         let waiting = 1000.0 * share / 2.0;
         steward.channel.send(Update::new(101.0, BarrierId(77), waiting, steward.proxies.clone()));
         steward.levels = vec![0.5; 2];
--- a/src/brain/tests.rs
+++ b/src/decision/tests/mod.rs
@@ -522,7 +522,7 @@
     // Counted as if it sent at an eighth of its pace, the channel starved a deploy on magnolia-main-later.
     let mut steward = steward(ControllerConfig { backlog_limit: 50.0, message_overhead: 0.0, ..terms() });
     let mut written = Written::default();
-    steward.channel = Channel::default();
+    steward.channel = UpdateBacklog::default();
     steward.slices.values_mut().for_each(|slice| slice.standby = Some(host(4)));
     steward.flush(200.0, true, &mut written);
     let ordinary = written.lines.len();
@@ -629,12 +629,12 @@
 fn a_proxy_that_joins_later_learns_who_is_shut_out_while_tables_name_them() {
     let mut steward =
         steward(ControllerConfig { message_quota: 0, backlog_limit: 40.0, message_overhead: 0.0, ..terms() });
-    steward.channel = Channel::default();
+    steward.channel = UpdateBacklog::default();
     let mut written = Written::default();
     (0..2)
         .for_each(|_| steward.handle_batch(&probed(101.0, 2, HealthCheckOutcome::Unreachable), &mut written));
     assert!(steward.slices.values().any(|slice| slice.written.iter().any(|line| line.host == host(2))));
-    steward.channel = Channel::default();
+    steward.channel = UpdateBacklog::default();
     let late = ProxyStreamEvent::Connected(ProxyId(9));
     steward.handle_batch(&EventBatch { proxy_streams: vec![late], ..turn(102.0) }, &mut written);
     assert_eq!(written.shut, [(host(2), true), (host(2), true)]);
--- a/src/brain/tests/rare.rs
+++ b/src/decision/tests/rare.rs
@@ -5,7 +5,7 @@
 fn what_waits_for_a_proxy_that_is_told_to_stand_again_still_fills_the_backlog_until_a_mark_frees_it() {
     let mut steward = steward(ControllerConfig { backlog_limit: 50.0, message_overhead: 0.0, ..terms() });
     let mut written = Written::default();
-    steward.channel = Channel::default();
+    steward.channel = UpdateBacklog::default();
     // Owners move to and fro, and a new subscription tells before each turn that both proxies stand.
     let stand = || (0..2).map(|k| ProxyStreamEvent::Connected(ProxyId(k))).collect();
     for k in 0..6 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,11 @@
 //! The decisions of railhub, a configuration controller for a fleet of proxies.
 //!
-//! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each [`EventBatch`] and a [`CommandSink`].
-pub mod brain;
-mod channel;
+//! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each
+//! [`EventBatch`] and a [`CommandSink`].
+mod decaying;
+pub mod decision;
 pub mod interface;
-mod sums;
+mod update_backlog;
 
-pub use brain::Controller;
+pub use decision::Controller;
 pub use interface::*;
--- a/src/channel.rs
+++ b/src/update_backlog.rs
@@ -34,11 +34,11 @@
 
 /// Updates in the order in which they were sent. Bounded by the age at which they expire.
 #[derive(Debug, Default)]
-pub struct Channel {
+pub struct UpdateBacklog {
     updates: Vec<Update>,
 }
 
-impl Channel {
+impl UpdateBacklog {
     pub fn send(&mut self, update: Update) {
         self.updates.push(update);
     }
--- a/src/channel/tests.rs
+++ b/src/update_backlog/tests.rs
@@ -12,8 +12,8 @@
 }
 
 /// Ten lines to proxies 0 to 3, then five lines to proxies 0 to 9, of which 4 to 9 connected in between.
-fn two_updates() -> Channel {
-    let mut channel = Channel::default();
+fn two_updates() -> UpdateBacklog {
+    let mut channel = UpdateBacklog::default();
     channel.send(update(1.0, 1, 10.0, 0..4));
     channel.send(update(2.0, 2, 5.0, 0..10));
     channel
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_slice_that_changed_hands_is_left_out() {
-    let mut channel = Channel::default();
+    let mut channel = UpdateBacklog::default();
     let emptied = vec![SliceId(1), SliceId(2)];
     channel.send(Update { emptied, ..update(1.0, 1, 1.0, 0..1) });
     channel.forget_slice(SliceId(1));
