--- a/crates/railhub-platform/src/assignment.rs
+++ b/crates/railhub-platform/src/assignment.rs
@@ -6,8 +6,8 @@
 use thiserror::Error;
 
 /// Most classes and the longest time or window believed, in seconds.
-const CLASSES_MOST: usize = 64;
-const LONGEST: Seconds = 86_400.0;
+const MAX_CLASSES: usize = 64;
+const MAX_DURATION: Seconds = 86_400.0;
 
 #[derive(Debug, Error)]
 #[error("{at}: {what}")]
@@ -28,7 +28,7 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// The longest time a client waits, past which no mean of good tries can lie.
-    pub longest_wait: Seconds,
+    pub max_client_timeout: Seconds,
 }
 
 impl Names {
@@ -66,7 +66,7 @@
 }
 
 #[derive(Deserialize)]
-struct Sheet {
+struct ConfigMessage {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -74,7 +74,7 @@
     limits: Limits,
     #[serde(default)]
     known: crate::discovery::RawEndpointPage,
-    settings: Told,
+    settings: SettingsMessage,
 }
 
 #[derive(Deserialize)]
@@ -89,7 +89,7 @@
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct SettingsMessage {
     ceilings: Ceilings,
     family_info: SettingsFamily,
     host_types: Vec<String>,
@@ -145,7 +145,7 @@
 
 fn seconds(micros: u64, at: &str) -> Result<Seconds, ConfigError> {
     let span = micros as f64 / 1e6;
-    if span <= LONGEST {
+    if span <= MAX_DURATION {
         Ok(span)
     } else {
         Err(fault(at, "is longer than a day"))
@@ -161,17 +161,17 @@
 }
 
 impl NodeConfig {
-    pub fn read(text: &str) -> Result<NodeConfig, ConfigError> {
+    pub fn parse(text: &str) -> Result<NodeConfig, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let sheet: Sheet = serde_path_to_error::deserialize(&mut json)
+        let sheet: ConfigMessage = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| fault(&e.path().to_string(), e.inner()))?;
         json.end().map_err(|e| fault("the end", e))?;
-        let Told { host_types, request_classes, zones, .. } = &sheet.settings;
-        if request_classes.is_empty() || request_classes.len() > CLASSES_MOST {
+        let SettingsMessage { host_types, request_classes, zones, .. } = &sheet.settings;
+        if request_classes.is_empty() || request_classes.len() > MAX_CLASSES {
             let many = request_classes.len();
             return Err(fault(
                 "settings.request_classes",
-                format!("{many} classes, 1 to {CLASSES_MOST} can be"),
+                format!("{many} classes, 1 to {MAX_CLASSES} can be"),
             ));
         }
         let classes = request_classes.iter().enumerate().map(|(k, class)| class_terms(k, class));
@@ -181,7 +181,7 @@
             classes: request_classes.iter().map(|class| class.name.clone()).collect(),
             zones: zones.clone(),
             kinds: host_types.clone(),
-            longest_wait: seconds(longest, "settings.request_classes")?,
+            max_client_timeout: seconds(longest, "settings.request_classes")?,
         };
         let known = sheet.known.check(&names);
         Ok(NodeConfig {
@@ -200,7 +200,10 @@
 
     /// The list it starts with, in the module's words.
     pub fn first_list(&self) -> EndpointList {
-        EndpointList { whole: true, entries: self.known.entries.iter().map(|entry| entry.listed).collect() }
+        EndpointList {
+            complete: true,
+            entries: self.known.entries.iter().map(|entry| entry.listed).collect(),
+        }
     }
 }
 
@@ -208,8 +211,8 @@
     let at = |field: &str| format!("settings.request_classes[{k}].{field}");
     Ok(ClassConfig {
         contract_time: seconds(class.aim_us, &at("aim_us"))?,
-        gain: amount(class.worth, &at("worth"))?,
-        repeat: match (class.effect.as_str(), class.group.as_str()) {
+        priority_weight: amount(class.worth, &at("worth"))?,
+        idempotency: match (class.effect.as_str(), class.group.as_str()) {
             ("repeatable", _) => Idempotency::Safe,
             ("by_key", "all") => {
                 Idempotency::IdempotencyKeyGlobal(seconds(class.key_ttl_us, &at("key_ttl_us"))?)
@@ -230,24 +233,24 @@
     }
 }
 
-fn terms(told: &Told, classes: Vec<ClassConfig>) -> Result<ControllerConfig, ConfigError> {
-    let Told { ceilings, family_info: family, rules, .. } = told;
+fn terms(told: &SettingsMessage, classes: Vec<ClassConfig>) -> Result<ControllerConfig, ConfigError> {
+    let SettingsMessage { ceilings, family_info: family, rules, .. } = told;
     Ok(ControllerConfig {
         classes,
-        slices: family.key_ranges,
+        slice_count: family.key_ranges,
         single_owner: family.exclusive,
         write_lease: write_time(family, family.write_lease_us, "settings.family_info.write_lease_us")?,
-        write_life: write_time(family, family.write_life_us, "settings.family_info.write_life_us")?,
-        may_probe: ceilings.probes,
-        dropped_may_stay: rules.removal_not_binding,
-        levels_by_share: family.throttle_by == "share",
-        cold_from: amount(rules.cold_from, "settings.rules.cold_from")?,
-        warm_within: seconds(rules.warm_within_us, "settings.rules.warm_within_us")?,
-        fall_multiple: amount(rules.fall_multiple, "settings.rules.fall_multiple")?,
-        backlog: amount(family.backlog, "settings.family_info.backlog")?,
-        message_cost: amount(family.envelope, "settings.family_info.envelope")?,
-        message_cap: family.update_cap,
-        messages_span: seconds(family.messages_over_us, "settings.family_info.messages_over_us")?,
-        first_wait: amount(family.first_wait, "settings.family_info.first_wait")?,
+        max_write_duration: write_time(family, family.write_life_us, "settings.family_info.write_life_us")?,
+        health_checks_allowed: ceilings.probes,
+        delisted_may_serve: rules.removal_not_binding,
+        admission_by_fraction: family.throttle_by == "share",
+        cold_capacity_fraction: amount(rules.cold_from, "settings.rules.cold_from")?,
+        warm_up_time: seconds(rules.warm_within_us, "settings.rules.warm_within_us")?,
+        overload_multiple: amount(rules.fall_multiple, "settings.rules.fall_multiple")?,
+        backlog_limit: amount(family.backlog, "settings.family_info.backlog")?,
+        message_overhead: amount(family.envelope, "settings.family_info.envelope")?,
+        message_quota: family.update_cap,
+        message_quota_window: seconds(family.messages_over_us, "settings.family_info.messages_over_us")?,
+        first_attempt_timeout_multiple: amount(family.first_wait, "settings.family_info.first_wait")?,
     })
 }
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -2,27 +2,28 @@
 //! The snapshot that a subscription begins with replaces what the module believed of proxies, charges and lines.
 use crate::assignment::{Names, NodeConfig};
 use crate::discovery::EndpointPage;
-use crate::orders::{put, Call, Command, CommandBatch, PendingCommands, SAME_WEIGHT};
-use crate::relay_events::{Answer, RelayEvent, SubscriptionId};
+use crate::orders::{put, Call, Command, CommandBatch, PendingCommands, WEIGHT_TOLERANCE};
+use crate::relay_events::{CallResponse, RelayEvent, SubscriptionId};
 use railhub::{
     Controller, EndpointList, EventBatch, HealthCheckOutcome, HealthCheckResult, HostId, HostLoadReport,
     Phase, ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceId, SliceLoadReport, TimerId,
+    WeightedHost,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// Seconds without a word after which what stands has been told whole, unless a sign of life says so sooner: at the
 /// first telling, when what comes late is only added, and at later ones, when what is missing counts as lost.
-const FIRST_QUIET: Seconds = 0.1;
-const LATER_QUIET: Seconds = 1.5;
+const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
+const SNAPSHOT_IDLE_TIMEOUT: Seconds = 1.5;
 /// Seconds without a word after which a slice that was given has all its lines: they follow at once.
-const CHARGE_QUIET: Seconds = 0.02;
+const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
 /// Commands accepted while a subscription has not told what stands: past them it is asked for anew.
-const TAKEN_MOST: usize = 20_000;
+const MAX_ACCEPTED_SINCE_SNAPSHOT: usize = 20_000;
 /// Seconds a list may be late: what discovery has to tell counts as told by then.
-const LATE_LIST: Seconds = 6.0;
+const GENERATION_RESET_TIMEOUT: Seconds = 6.0;
 /// Sums that a round may hold; further ones are dropped, as the next say more.
-const SUMS_A_ROUND: usize = 8192;
+const MAX_LOAD_REPORTS_PER_BATCH: usize = 8192;
 
 /// What the relay tells to stand, while it tells it.
 #[derive(Default)]
@@ -86,9 +87,17 @@
     /// When the oldest orders were given that the relay has not taken.
     pending_since: Option<Seconds>,
     calling: bool,
-    pub sums_dropped: u64,
+    pub load_reports_dropped: u64,
     /// Probes whose host was another by the time they ended.
-    pub probes_outrun: u64,
+    pub probes_outdated: u64,
+}
+
+fn to_lines(table: &[WeightedHost]) -> Vec<(HostId, f64)> {
+    table.iter().map(|entry| (entry.host, entry.weight)).collect()
+}
+
+fn to_assignment(slice: SliceId, lines: Vec<(HostId, f64)>) -> SliceAssignment {
+    SliceAssignment::Assigned { slice, entries: lines.into_iter().map(WeightedHost::from).collect() }
 }
 
 impl PlatformController {
@@ -119,10 +128,10 @@
             waiting: PendingCommands::new(&assignment.terms),
             pending_since: None,
             calling: false,
-            sums_dropped: 0,
-            probes_outrun: 0,
+            load_reports_dropped: 0,
+            probes_outdated: 0,
         };
-        controller.hear_page(0.0, &assignment.known);
+        controller.on_endpoint_page(0.0, &assignment.known);
         controller
     }
 
@@ -133,14 +142,15 @@
 
     /// A page that is older than what is known, or known already, says nothing. A whole list under a lower number that
     /// comes when nothing newer has for long is no late one: discovery began anew, and its old numbers with it.
-    pub fn hear_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
-        let late = page.generation < self.generation && !(page.whole && now - self.listed_at >= LATE_LIST);
+    pub fn on_endpoint_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
+        let late = page.generation < self.generation
+            && !(page.whole && now - self.listed_at >= GENERATION_RESET_TIMEOUT);
         if late || page.generation == self.generation && !page.whole {
             return false;
         }
         self.listed_at = now;
-        // What was spoilt is told again under the same number.
-        if page.spoilt.is_empty() {
+        // What was invalid is told again under the same number.
+        if page.invalid.is_empty() {
             self.generation = page.generation;
         }
         if page.whole {
@@ -150,54 +160,54 @@
             if entry.listed.phase == Phase::Gone {
                 self.addresses.remove(&entry.listed.host);
             } else {
-                self.addresses.insert(entry.listed.host, (entry.address, entry.listed.started));
+                self.addresses.insert(entry.listed.host, (entry.address, entry.listed.started_at));
             }
         }
-        fold(&mut self.round.lists, page.list());
+        fold(&mut self.round.endpoint_lists, page.list());
         self.news = true;
         true
     }
 
-    pub fn hear_tries(&mut self, sum: HostLoadReport) {
-        let kept = push(&mut self.round.tries, sum);
+    pub fn on_host_load(&mut self, sum: HostLoadReport) {
+        let kept = push(&mut self.round.host_loads, sum);
         self.count_sum(kept);
     }
 
-    pub fn hear_demand(&mut self, sum: SliceLoadReport) {
-        let kept = push(&mut self.round.demand, sum);
+    pub fn on_slice_load(&mut self, sum: SliceLoadReport) {
+        let kept = push(&mut self.round.slice_loads, sum);
         self.count_sum(kept);
     }
 
     fn count_sum(&mut self, kept: bool) {
         self.news |= kept;
-        self.sums_dropped += u64::from(!kept);
+        self.load_reports_dropped += u64::from(!kept);
     }
 
     /// How a probe ended says nothing of a host that is gone, moved or started anew since it was asked for.
-    pub fn hear_probe(&mut self, probe: &Probe, end: HealthCheckOutcome) {
+    pub fn on_probe_result(&mut self, probe: &Probe, end: HealthCheckOutcome) {
         if self.addresses.get(&probe.host) == Some(&(probe.address, probe.started)) {
-            self.round.probes.push(HealthCheckResult { host: probe.host, end });
+            self.round.health_checks.push(HealthCheckResult { host: probe.host, outcome: end });
             self.news = true;
         } else {
-            self.probes_outrun += 1;
+            self.probes_outdated += 1;
         }
     }
 
     /// A subscription is about to be asked for: to be told before the relay can know.
-    pub fn hear_asked(&mut self, source: SubscriptionId) {
+    pub fn on_subscription_requested(&mut self, source: SubscriptionId) {
         self.asked = self.asked.max(source);
         self.untold.insert(source);
     }
 
     /// Its line is no more. What it was just telling to stand was not told whole and counts for nothing.
-    pub fn hear_ended(&mut self, source: SubscriptionId) {
+    pub fn on_subscription_ended(&mut self, source: SubscriptionId) {
         self.snapshot = self.snapshot.take().filter(|snapshot| snapshot.source != source);
         self.untold.remove(&source);
         self.drop_taken();
     }
 
     /// Only the newest subscription counts, whatever an older one still says.
-    pub fn hear_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
+    pub fn on_relay_event(&mut self, now: Seconds, source: SubscriptionId, news: RelayEvent) {
         if news == RelayEvent::Subscribed && source > self.source {
             self.source = source;
             self.snapshot = Some(Snapshot { told_at: now, source, ..Snapshot::default() });
@@ -209,13 +219,13 @@
             return;
         }
         if let Some(snapshot) = &mut self.snapshot {
-            if news == RelayEvent::Ping {
+            if news == RelayEvent::Heartbeat {
                 return self.take_snapshot();
             }
             snapshot.told_at = now;
             match news {
-                RelayEvent::Joined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
-                RelayEvent::Left(proxy) => _ = snapshot.proxies.remove(&proxy),
+                RelayEvent::ProxyJoined { proxy, first } => _ = snapshot.proxies.insert(proxy, first),
+                RelayEvent::ProxyLeft(proxy) => _ = snapshot.proxies.remove(&proxy),
                 RelayEvent::SliceAssigned { slice, on } => {
                     // Told before in what stands, it changed hands since.
                     let changed = snapshot.charges.remove(&slice).is_some();
@@ -231,26 +241,29 @@
                 RelayEvent::StoredEntry { slice, host, weight } => {
                     snapshot.charges.entry(slice).or_default().push((host, weight));
                 }
-                RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
-                RelayEvent::Subscribed | RelayEvent::Ping => {}
+                RelayEvent::BarrierAcked(confirmed) => self.round.barrier_acks.push(confirmed),
+                RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
             }
             return;
         }
-        self.news |= news != RelayEvent::Ping;
+        self.news |= news != RelayEvent::Heartbeat;
         match news {
-            RelayEvent::Joined { proxy, first } => self.stream(proxy, true, first),
-            RelayEvent::Left(proxy) => self.stream(proxy, false, false),
-            RelayEvent::Applied(confirmed) => self.round.confirmed.push(confirmed),
+            RelayEvent::ProxyJoined { proxy, first } => self.stream(proxy, true, first),
+            RelayEvent::ProxyLeft(proxy) => self.stream(proxy, false, false),
+            RelayEvent::BarrierAcked(confirmed) => self.round.barrier_acks.push(confirmed),
             RelayEvent::SliceAssigned { slice, on } => {
                 self.charges_at = now;
                 self.forget(slice, on);
-                self.charges.push(SliceAssignment { slice, given: on, lines: Vec::new() });
+                self.charges.push(match on {
+                    true => SliceAssignment::Assigned { slice, entries: Vec::new() },
+                    false => SliceAssignment::Revoked { slice },
+                });
             }
             RelayEvent::StoredEntry { slice, host, weight } => {
                 self.charges_at = now;
                 self.hold(slice, host, weight);
             }
-            RelayEvent::Subscribed | RelayEvent::Ping => {}
+            RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
         }
     }
 
@@ -269,20 +282,24 @@
     /// A line of a table that was given: just now, or so long ago that the module knows the slice already.
     fn hold(&mut self, slice: SliceId, host: HostId, weight: f64) {
         let single_owner = self.single_owner;
-        let pending = self.round.charges.iter_mut().chain(&mut self.charges);
-        let lines = match pending.filter(|charge| charge.slice == slice).last() {
-            Some(charge) if !charge.given => return,
-            Some(charge) => &mut charge.lines,
+        let pending = self.round.assignments.iter_mut().chain(&mut self.charges);
+        let told = WeightedHost { host, weight };
+        // Where a slice has one owner, the line told last is the table.
+        let put = |entries: &mut Vec<WeightedHost>| {
+            entries.retain(|entry| entry.host != host && !single_owner);
+            entries.push(told);
+        };
+        match pending.filter(|charge| charge.slice() == slice).last() {
+            Some(SliceAssignment::Revoked { .. }) => {}
+            Some(SliceAssignment::Assigned { entries, .. }) => put(entries),
             None => {
-                let Some((_, believed)) = self.steward.charges().find(|(id, _)| *id == slice) else { return };
-                let lines = believed.to_vec();
-                self.charges.push(SliceAssignment { slice, given: true, lines });
-                &mut self.charges.last_mut().expect("pushed").lines
+                let mut tables = self.steward.assigned_tables();
+                let Some((_, believed)) = tables.find(|(id, _)| *id == slice) else { return };
+                let mut entries = believed.to_vec();
+                put(&mut entries);
+                self.charges.push(SliceAssignment::Assigned { slice, entries });
             }
-        };
-        // Where a slice has one owner, the line told last is the table.
-        lines.retain(|line| line.0 != host && !single_owner);
-        lines.push((host, weight));
+        }
     }
 
     fn stream(&mut self, proxy: ProxyId, up: bool, first: bool) {
@@ -291,7 +308,11 @@
         } else {
             self.proxies.remove(&proxy);
         }
-        self.round.streams.push(ProxyStreamEvent { proxy, up, first });
+        self.round.proxy_streams.push(match (up, first) {
+            (true, true) => ProxyStreamEvent::Connected(proxy),
+            (true, false) => ProxyStreamEvent::Reconnected(proxy),
+            (false, _) => ProxyStreamEvent::Disconnected(proxy),
+        });
     }
 
     /// What the relay told to stand replaces what was believed.
@@ -310,24 +331,23 @@
         self.news = true;
         // Charges told before this subscription are part of what stands; that a proxy left before it is not.
         self.charges.clear();
-        self.round.charges.clear();
+        self.round.assignments.clear();
         let absent: Vec<ProxyId> =
             self.proxies.iter().copied().filter(|proxy| !snapshot.proxies.contains_key(proxy)).collect();
         absent.into_iter().for_each(|proxy| self.stream(proxy, false, false));
         // One that is believed joined may have left and come back unheard: it counts as joined anew.
         snapshot.proxies.iter().for_each(|(proxy, first)| self.stream(*proxy, true, *first));
         let mut believed: BTreeMap<SliceId, Vec<(HostId, f64)>> =
-            self.steward.charges().map(|(slice, lines)| (slice, lines.to_vec())).collect();
+            self.steward.assigned_tables().map(|(slice, table)| (slice, to_lines(table))).collect();
         for (slice, stored) in snapshot.charges {
             let lines = self.waiting.settled(slice, &stored);
             let belief = believed.remove(&slice);
             if !belief.is_some_and(|belief| same_lines(&belief, &lines)) {
-                self.round.charges.push(SliceAssignment { slice, given: true, lines });
+                self.round.assignments.push(to_assignment(slice, lines));
             }
         }
-        let taken =
-            believed.into_keys().map(|slice| SliceAssignment { slice, given: false, lines: Vec::new() });
-        self.round.charges.extend(taken);
+        let taken = believed.into_keys().map(|slice| SliceAssignment::Revoked { slice });
+        self.round.assignments.extend(taken);
     }
 
     /// What stands shows how a call ended that has no known end, if it was asked for since.
@@ -355,17 +375,17 @@
 
     fn snapshot_quiet(&self) -> Seconds {
         if self.informed {
-            LATER_QUIET
+            SNAPSHOT_IDLE_TIMEOUT
         } else {
-            FIRST_QUIET
+            FIRST_SNAPSHOT_IDLE_TIMEOUT
         }
     }
 
-    /// When [`PlatformController::act`] has something to do, if nothing comes in before.
-    pub fn next_due(&self) -> Option<Seconds> {
+    /// When [`PlatformController::poll`] has something to do, if nothing comes in before.
+    pub fn next_deadline(&self) -> Option<Seconds> {
         let snapshot = self.snapshot.as_ref().map(|snapshot| snapshot.told_at + self.snapshot_quiet());
-        let settled = self.shows_call_early().map(|snapshot| snapshot.told_at + FIRST_QUIET);
-        let charges = (!self.charges.is_empty()).then_some(self.charges_at + CHARGE_QUIET);
+        let settled = self.shows_call_early().map(|snapshot| snapshot.told_at + FIRST_SNAPSHOT_IDLE_TIMEOUT);
+        let charges = (!self.charges.is_empty()).then_some(self.charges_at + ASSIGNMENT_IDLE_TIMEOUT);
         let timer = self.timers.iter().map(|(at, _)| *at).min_by(f64::total_cmp);
         let news = self.news.then_some(self.ran_at + self.tick);
         let running = [charges, timer, news].into_iter().flatten().filter(|_| self.informed);
@@ -373,17 +393,20 @@
     }
 
     /// Runs a round if one is due.
-    pub fn act(&mut self, now: Seconds) -> Effects {
+    pub fn poll(&mut self, now: Seconds) -> Effects {
         let mut effects = Effects::default();
         let quiet = self.snapshot_quiet();
         if self.snapshot.as_ref().is_some_and(|snapshot| now - snapshot.told_at >= quiet) {
             self.take_snapshot();
         }
-        if self.shows_call_early().is_some_and(|snapshot| now - snapshot.told_at >= FIRST_QUIET) {
+        if self
+            .shows_call_early()
+            .is_some_and(|snapshot| now - snapshot.told_at >= FIRST_SNAPSHOT_IDLE_TIMEOUT)
+        {
             self.settle_call();
         }
-        if !self.charges.is_empty() && now - self.charges_at >= CHARGE_QUIET {
-            self.round.charges.append(&mut self.charges);
+        if !self.charges.is_empty() && now - self.charges_at >= ASSIGNMENT_IDLE_TIMEOUT {
+            self.round.assignments.append(&mut self.charges);
             self.news = true;
         }
         let due = self.timers.iter().any(|(at, _)| *at <= now);
@@ -397,7 +420,7 @@
         round.timers.extend(rung.into_iter().map(|(_, timer)| timer));
         round.now = now;
         self.pending_since = self.pending_since.filter(|_| self.waiting.count() > 0);
-        round.pending_since = self.pending_since;
+        round.oldest_pending_at = self.pending_since;
         (self.ran_at, self.news) = (now, false);
         let mut batch = CommandBatch {
             waiting: &mut self.waiting,
@@ -405,7 +428,7 @@
             wakes: Vec::new(),
             notes: Vec::new(),
         };
-        self.steward.round(&round, &mut batch);
+        self.steward.handle_batch(&round, &mut batch);
         let CommandBatch { probes, wakes, notes, .. } = batch;
         if self.waiting.count() > 0 {
             self.pending_since.get_or_insert(now);
@@ -432,7 +455,7 @@
     }
 
     /// How the call ended; `None`: not known, so that what stands must show it. Tells the log what was dropped.
-    pub fn end_call(&mut self, answer: Option<Answer>) -> Option<String> {
+    pub fn on_call_ended(&mut self, answer: Option<CallResponse>) -> Option<String> {
         self.calling = false;
         if self.doubt.is_some() {
             self.doubt("a call ended while it was in doubt what stands");
@@ -442,18 +465,18 @@
                 self.doubt("a call has no known end");
                 None
             }
-            Some(Answer::Rejected) => None,
-            Some(Answer::Malformed) => {
+            Some(CallResponse::Rejected) => None,
+            Some(CallResponse::Malformed) => {
                 let count = self.waiting.drop_call();
                 Some(format!("the relay cannot read a call: {count} orders are dropped"))
             }
-            Some(Answer::Taken(count)) => {
+            Some(CallResponse::Accepted(count)) => {
                 let (taken, stopped) = self.waiting.taken(count);
                 if !self.untold.is_empty() {
                     let asked = self.asked;
                     self.taken.extend(taken.into_iter().map(|order| (asked, order)));
                 }
-                if self.taken.len() > TAKEN_MOST {
+                if self.taken.len() > MAX_ACCEPTED_SINCE_SNAPSHOT {
                     self.taken.clear();
                     self.doubt("a subscription takes long to tell what stands");
                 }
@@ -463,39 +486,39 @@
     }
 
     /// Why what the relay holds must be asked for anew, if it must: by a new subscription.
-    pub fn must_ask_anew(&mut self) -> Option<&'static str> {
+    pub fn take_resubscribe_reason(&mut self) -> Option<&'static str> {
         let overflowed = std::mem::take(&mut self.waiting.overflowed);
         self.ask_anew.take().or(overflowed.then_some("orders were dropped for want of room"))
     }
 
-    pub fn is_informed(&self) -> bool {
+    pub fn is_synchronized(&self) -> bool {
         self.informed
     }
 
-    pub fn joined(&self) -> usize {
+    pub fn proxies_joined(&self) -> usize {
         self.proxies.len()
     }
 
-    pub fn hosts(&self) -> usize {
+    pub fn hosts_listed(&self) -> usize {
         self.addresses.len()
     }
 
-    pub fn orders_waiting(&self) -> usize {
+    pub fn commands_pending(&self) -> usize {
         self.waiting.count()
     }
 
-    pub fn orders_folded(&self) -> u64 {
+    pub fn commands_folded(&self) -> u64 {
         self.waiting.folded
     }
 
-    pub fn orders_unnamed(&self) -> u64 {
+    pub fn commands_unnamed(&self) -> u64 {
         self.waiting.unnamed
     }
 }
 
 /// Whether there was room.
 fn push<T>(sums: &mut Vec<T>, sum: T) -> bool {
-    let room = sums.len() < SUMS_A_ROUND;
+    let room = sums.len() < MAX_LOAD_REPORTS_PER_BATCH;
     if room {
         sums.push(sum);
     }
@@ -506,19 +529,19 @@
 /// replace the entries that they are about. So it holds each host once, however long the relay is away.
 fn fold(lists: &mut Vec<EndpointList>, newer: EndpointList) {
     match lists.last_mut() {
-        Some(list) if !newer.whole => {
+        Some(list) if !newer.complete => {
             let told_anew: BTreeSet<HostId> = newer.entries.iter().map(|entry| entry.host).collect();
             list.entries.retain(|entry| !told_anew.contains(&entry.host));
             // In a whole list, one that is gone is one that is lacking.
             list.entries
-                .extend(newer.entries.into_iter().filter(|new| !list.whole || new.phase != Phase::Gone));
+                .extend(newer.entries.into_iter().filter(|new| !list.complete || new.phase != Phase::Gone));
         }
         _ => *lists = vec![newer],
     }
 }
 
 fn same_lines(believed: &[(HostId, f64)], stored: &[(HostId, f64)]) -> bool {
-    let alike = |a: f64, b: f64| (a - b).abs() <= SAME_WEIGHT;
+    let alike = |a: f64, b: f64| (a - b).abs() <= WEIGHT_TOLERANCE;
     believed.len() == stored.len()
         && believed.iter().all(|(host, weight)| stored.iter().any(|(h, w)| h == host && alike(*w, *weight)))
 }
--- a/crates/railhub-platform/src/discovery.rs
+++ b/crates/railhub-platform/src/discovery.rs
@@ -19,7 +19,7 @@
     pub whole: bool,
     pub entries: Vec<Entry>,
     /// Why entries were left out.
-    pub spoilt: Vec<InvalidEntry>,
+    pub invalid: Vec<InvalidEntry>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -57,13 +57,13 @@
 }
 
 impl RawEndpointPage {
-    /// A whole list that lacks an entry for being spoilt must not make that host gone: it counts as changes.
+    /// A whole list that lacks an entry for being invalid must not make that host gone: it counts as changes.
     pub fn check(&self, names: &Names) -> EndpointPage {
         let mut page = EndpointPage {
             generation: self.generation,
             whole: self.reset,
             entries: Vec::new(),
-            spoilt: Vec::new(),
+            invalid: Vec::new(),
         };
         for instance in &self.instances {
             let checked = match instance {
@@ -72,17 +72,20 @@
             };
             match checked {
                 Ok(entry) => page.entries.push(entry),
-                Err(fault) => page.spoilt.push(fault),
+                Err(fault) => page.invalid.push(fault),
             }
         }
-        page.whole &= page.spoilt.is_empty();
+        page.whole &= page.invalid.is_empty();
         page
     }
 }
 
 impl EndpointPage {
     pub fn list(&self) -> EndpointList {
-        EndpointList { whole: self.whole, entries: self.entries.iter().map(|entry| entry.listed).collect() }
+        EndpointList {
+            complete: self.whole,
+            entries: self.entries.iter().map(|entry| entry.listed).collect(),
+        }
     }
 }
 
@@ -100,8 +103,8 @@
         }
         let host = HostId::new(&self.instance_id).ok_or(InvalidEntry::Fields)?;
         let address = self.host_port.parse().map_err(|_| InvalidEntry::Fields)?;
-        let started = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
+        let started_at = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
         let kind = names.kind(&self.machine_type);
-        Ok(Entry { listed: EndpointEntry { host, phase, started, weight: self.weight, kind }, address })
+        Ok(Entry { listed: EndpointEntry { host, phase, started_at, weight: self.weight, kind }, address })
     }
 }
