--- a/crates/railhub-versions/src/process/tests.rs
+++ b/crates/railhub-versions/src/process/tests.rs
@@ -1,11 +1,22 @@
 use super::*;
+use std::io::Write;
+use std::path::Path;
+use std::process::{Command, Stdio};
+
+/// Writes a program by a process of its own. A file that this process had open for writing could be inherited by a child
+/// that another test starts at that moment, and would not execute until that child has let go of it (ETXTBSY).
+fn write_program(path: &Path, text: &str) {
+    let mut writer = Command::new("sh");
+    writer.args(["-c", "cat > \"$1\" && chmod 755 \"$1\"", "sh"]).arg(path);
+    let mut child = writer.stdin(Stdio::piped()).spawn().expect("a shell");
+    child.stdin.take().expect("piped").write_all(text.as_bytes()).expect("the shell reads");
+    assert!(child.wait().expect("ours").success());
+}
 
 /// What becomes of a version that is such a program.
 fn fault_of(name: &str, script: &str) -> Option<Fault> {
-    use std::os::unix::fs::PermissionsExt;
     let path = std::env::temp_dir().join(format!("railhub-version-{}-{name}", std::process::id()));
-    std::fs::write(&path, format!("#!/bin/sh\n{script}\n")).expect("writable");
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("ours");
+    write_program(&path, &format!("#!/bin/sh\n{script}\n"));
     let (mut version, fault) = Version::start(&path, &ControllerConfig::default(), 1).expect("it starts");
     let mut draft = DeltaBuilder::default();
     version.round(&EventBatch::default(), &mut draft);
