--- a/crates/railhub-versions/src/lib.rs
+++ b/crates/railhub-versions/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`process`] holds the program.
 //!
 //! What a version sees is what the module sees, but for the protocol's whole microseconds.
+pub mod constant_names;
 pub mod process;
 pub mod variant;
 pub mod wire;
--- a/crates/railhub-versions/src/variant.rs
+++ b/crates/railhub-versions/src/variant.rs
@@ -1,51 +1,82 @@
-//! Builds the module with some of its constants changed, so that a departure can be tried before it is made.
-//! The source is copied; nothing in the tree is touched.
-use std::collections::BTreeMap;
+//! Builds the decisions with some of their constants changed, so that a change can be tried before it is made. The
+//! sources are copied; nothing in the tree is touched.
+use crate::constant_names;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use thiserror::Error;
 
-const MODULE: &str = "src/decision/mod.rs";
+const PACKAGE: &str = "src";
 const ADAPTER: &str = "crates/railhub-adapter/src";
 
+/// Why a variant cannot be made.
 #[derive(Debug, Error)]
 pub enum VariantFault {
+    /// A source cannot be read, or its copy written.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    #[error("{MODULE} has no constant {0}")]
+    /// No source declares the constant.
+    #[error("src/decision has no constant {0}")]
     Unknown(String),
+    /// Two keys name the same constant.
+    #[error("the constant {0} is set twice")]
+    Twice(String),
+    /// The value is not a number.
     #[error("the constant {0} cannot be '{1}': a number is needed")]
     NoNumber(String, String),
+    /// The compiler's first error.
     #[error("the variant does not build: {0}")]
     Build(String),
 }
 
+/// A source file: its path in the copy, and its text.
+#[derive(Clone, Debug, Hash, PartialEq)]
+pub struct SourceFile {
+    /// From the root of the copy.
+    pub path: String,
+    /// All of it.
+    pub text: String,
+}
+
 fn at<T>(path: &Path, done: std::io::Result<T>) -> Result<T, VariantFault> {
     done.map_err(|error| VariantFault::File(path.display().to_string(), error))
 }
 
-/// The module's text with constants changed; a constant is a line `const NAME: TYPE = VALUE;`.
-pub fn changed(module: &str, constants: &BTreeMap<String, String>) -> Result<String, VariantFault> {
-    // What stands there is compiled and run: nothing but a number may.
-    if let Some((name, value)) = constants.iter().find(|(_, value)| !is_number(value)) {
-        return Err(VariantFault::NoNumber(name.clone(), value.clone()));
-    }
-    let mut left = constants.clone();
-    let mut line = |text: &str| -> String {
-        let declared = text.strip_prefix("const ").and_then(|rest| rest.split_once(':'));
-        let value = declared.and_then(|(name, _)| left.remove(name.trim()));
-        match (value, text.split_once('=')) {
-            (Some(value), Some((before, _))) => format!("{before}= {value};"),
-            _ => text.to_owned(),
+/// Changes constants, each by its name or its alias ([`constant_names`]). A constant is a line
+/// `const NAME: TYPE = VALUE;`, `pub` or not.
+pub fn change(files: &mut [SourceFile], constants: &BTreeMap<String, String>) -> Result<(), VariantFault> {
+    let mut changed = BTreeSet::new();
+    for (key, value) in constants {
+        // What stands there is compiled and run: nothing but a number may.
+        if !is_number(value) {
+            return Err(VariantFault::NoNumber(key.clone(), value.clone()));
+        }
+        let known = constant_names::find(key);
+        let name = known.map_or(key.as_str(), |constant| constant.name);
+        if !changed.insert(name.to_owned()) {
+            return Err(VariantFault::Twice(name.to_owned()));
+        }
+        let may_declare = |file: &&mut SourceFile| known.is_none_or(|constant| constant.file == file.path);
+        let declared = files.iter_mut().filter(may_declare).any(|file| set_constant(file, name, value));
+        if !declared {
+            return Err(VariantFault::Unknown(key.clone()));
         }
-    };
-    let text = module.lines().map(&mut line).collect::<Vec<_>>().join("\n") + "\n";
-    match left.into_keys().next() {
-        Some(unknown) => Err(VariantFault::Unknown(unknown)),
-        None => Ok(text),
     }
+    Ok(())
+}
+
+/// Sets a constant in the file that declares it; whether this one does.
+fn set_constant(file: &mut SourceFile, name: &str, value: &str) -> bool {
+    let declares = |line: &str| {
+        let declaration = line.strip_prefix("pub ").unwrap_or(line).strip_prefix("const ");
+        declaration.and_then(|rest| rest.split_once(':')).is_some_and(|(declared, _)| declared.trim() == name)
+    };
+    let Some(line) = file.text.lines().find(|line| declares(line)) else { return false };
+    let Some((before, _)) = line.split_once('=') else { return false };
+    file.text = file.text.replacen(&format!("{line}\n"), &format!("{before}= {value};\n"), 1);
+    true
 }
 
 fn is_number(text: &str) -> bool {
@@ -54,8 +85,14 @@
 
 /// Whether such a variant can be made at all, without building it.
 pub fn check(source: &Path, constants: &BTreeMap<String, String>) -> Result<(), VariantFault> {
-    let module = source.join(MODULE);
-    changed(&at(&module, fs::read_to_string(&module))?, constants).map(|_| ())
+    change(&mut decisions(source)?, constants)
+}
+
+/// The sources of the decisions, without their tests.
+pub fn decisions(source: &Path) -> Result<Vec<SourceFile>, VariantFault> {
+    let mut files = Vec::new();
+    collect(&source.join(PACKAGE), "src", &mut files)?;
+    Ok(files)
 }
 
 /// The adapter's program with such constants. `source`: the tree; `folder`: where variants are kept, one folder
@@ -65,18 +102,15 @@
     folder: &Path,
     constants: &BTreeMap<String, String>,
 ) -> Result<PathBuf, VariantFault> {
-    let mut files = Vec::new();
-    collect(&source.join("src"), "src", &mut files)?;
+    let mut files = decisions(source)?;
+    change(&mut files, constants)?;
     collect(&source.join(ADAPTER), "adapter/src", &mut files)?;
-    for (_, text) in files.iter_mut().filter(|(name, _)| name == MODULE) {
-        *text = changed(text, constants)?;
-    }
     files.extend(manifests());
     let mut hasher = DefaultHasher::new();
     files.hash(&mut hasher);
     let home = folder.join(format!("{:016x}", hasher.finish()));
-    for (name, text) in &files {
-        let path = home.join(name);
+    for SourceFile { path, text } in &files {
+        let path = home.join(path);
         let parent = path.parent().unwrap_or(&home);
         at(parent, fs::create_dir_all(parent))?;
         at(&path, fs::write(&path, text))?;
@@ -89,7 +123,7 @@
 }
 
 /// The Rust sources under a folder, in the order of their names, as `prefix/...`; no tests, which no build needs.
-fn collect(folder: &Path, prefix: &str, files: &mut Vec<(String, String)>) -> Result<(), VariantFault> {
+fn collect(folder: &Path, prefix: &str, files: &mut Vec<SourceFile>) -> Result<(), VariantFault> {
     let mut paths: Vec<PathBuf> =
         at(folder, fs::read_dir(folder))?.filter_map(Result::ok).map(|entry| entry.path()).collect();
     paths.sort();
@@ -101,21 +135,25 @@
         if path.is_dir() {
             collect(&path, &format!("{prefix}/{name}"), files)?;
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            files.push((format!("{prefix}/{name}"), at(&path, fs::read_to_string(&path))?));
+            let text = at(&path, fs::read_to_string(&path))?;
+            files.push(SourceFile { path: format!("{prefix}/{name}"), text });
         }
     }
     Ok(())
 }
 
 /// The copy stands alone: a workspace of its own, and nothing to fetch.
-fn manifests() -> [(String, String); 2] {
+fn manifests() -> [SourceFile; 2] {
     let package = "version = \"0.0.0\"\nedition = \"2021\"\n";
     let root =
         format!("[workspace]\nmembers = [\".\", \"adapter\"]\n[package]\nname = \"railhub\"\n{package}");
     let adapter = format!(
         "[package]\nname = \"railhub-adapter\"\n{package}[dependencies]\nrailhub = {{ path = \"..\" }}\n"
     );
-    [("Cargo.toml".to_owned(), root), ("adapter/Cargo.toml".to_owned(), adapter)]
+    [
+        SourceFile { path: "Cargo.toml".to_owned(), text: root },
+        SourceFile { path: "adapter/Cargo.toml".to_owned(), text: adapter },
+    ]
 }
 
 fn compile(home: &Path) -> Result<(), VariantFault> {
--- a/crates/railhub-versions/src/variant/tests.rs
+++ b/crates/railhub-versions/src/variant/tests.rs
@@ -1,30 +1,73 @@
 use super::*;
+use crate::constant_names::CONSTANT_NAMES;
 
-const TEXT: &str = "/// How many.\nconst A: usize = 2;\nconst AB: f64 = 0.5;\nfn f() -> usize {\n    A\n}\n";
+const TEXT: &str =
+    "/// How many.\nconst A: usize = 2;\npub const AB: f64 = 0.5;\nfn f() -> usize {\n    A\n}\n";
+
+fn files() -> Vec<SourceFile> {
+    vec![SourceFile { path: "src/decision/a.rs".to_owned(), text: TEXT.to_owned() }]
+}
+
+fn constants(pairs: &[(&str, &str)]) -> BTreeMap<String, String> {
+    pairs.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect()
+}
+
+fn package() -> Vec<SourceFile> {
+    decisions(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")).expect("the sources")
+}
 
 #[test]
 fn a_constant_is_changed_and_nothing_else() {
-    let constants = BTreeMap::from([("A".to_owned(), "6".to_owned())]);
-    let text = changed(TEXT, &constants).expect("known");
-    assert_eq!(text, TEXT.replace("usize = 2;", "usize = 6;"));
-    let unknown = BTreeMap::from([("B".to_owned(), "6".to_owned())]);
-    assert_eq!(
-        changed(TEXT, &unknown).expect_err("unknown").to_string(),
-        "src/decision/mod.rs has no constant B"
-    );
+    let mut changed = files();
+    change(&mut changed, &constants(&[("A", "6")])).expect("known");
+    assert_eq!(changed[0].text, TEXT.replace("usize = 2;", "usize = 6;"));
+    let mut changed = files();
+    change(&mut changed, &constants(&[("AB", "6.5")])).expect("known");
+    assert_eq!(changed[0].text, TEXT.replace("f64 = 0.5;", "f64 = 6.5;"));
+    let unknown = change(&mut files(), &constants(&[("B", "6")])).expect_err("unknown");
+    assert_eq!(unknown.to_string(), "src/decision has no constant B");
 }
 
 #[test]
 fn a_value_that_is_no_number_is_not_compiled() {
-    let code = BTreeMap::from([("A".to_owned(), "{ panic!() }".to_owned())]);
-    assert!(matches!(changed(TEXT, &code), Err(VariantFault::NoNumber(..))));
+    let code = constants(&[("A", "{ panic!() }")]);
+    assert!(matches!(change(&mut files(), &code), Err(VariantFault::NoNumber(..))));
 }
 
 #[test]
 fn the_module_has_the_constants_that_experiments_change() {
-    let module = include_str!("../../../../src/decision/mod.rs");
-    let constants = ["RETURNS_PER_TURN", "GAP"].map(|name| (name.to_owned(), "9.0".to_owned()));
-    let text = changed(module, &constants.into_iter().collect()).expect("known");
-    assert!(text.contains("const GAP: f64 = 9.0;") && text.contains("const RETURNS_PER_TURN: usize = 9.0;"));
-    assert_eq!(text.lines().count(), module.lines().count());
+    for names in [["RETURNS_PER_TURN", "GAP"], ["MAX_FAILBACKS_PER_TICK", "EJECTION_SCORE_GAP"]] {
+        let (before, mut after) = (package(), package());
+        change(&mut after, &constants(&names.map(|name| (name, "9.0")))).expect("known");
+        let text = |path: &str| after.iter().find(|file| file.path == path).expect("a file").text.clone();
+        let gap = text("src/decision/outlier_ejection.rs");
+        assert!(gap.contains("const EJECTION_SCORE_GAP: f64 = 9.0;"));
+        let failbacks = text("src/decision/placement/failback.rs");
+        assert!(failbacks.contains("const MAX_FAILBACKS_PER_TICK: usize = 9.0;"));
+        let lines = |files: &[SourceFile]| files.iter().map(|file| file.text.lines().count()).sum::<usize>();
+        assert_eq!(lines(&after), lines(&before));
+        assert_eq!(before.iter().zip(&after).filter(|(old, new)| old != new).count(), 2);
+    }
+}
+
+#[test]
+fn every_alias_and_every_name_in_the_table_changes_its_constant() {
+    let before = package();
+    for constant in CONSTANT_NAMES {
+        for key in [constant.alias, constant.name] {
+            let mut after = before.clone();
+            change(&mut after, &constants(&[(key, "7.0")])).expect(key);
+            let changed: Vec<_> = before.iter().zip(&after).filter(|(old, new)| old != new).collect();
+            let [(_, file)] = changed.as_slice() else { panic!("{key}: {} files changed", changed.len()) };
+            assert_eq!(file.path, constant.file);
+            let declares = |line: &str| line.contains(&format!("const {}: ", constant.name));
+            assert!(file.text.lines().any(|line| declares(line) && line.ends_with(" = 7.0;")), "{key}");
+        }
+    }
+}
+
+#[test]
+fn a_name_and_its_alias_together_are_refused() {
+    let both = constants(&[("GAP", "9.0"), ("EJECTION_SCORE_GAP", "10.0")]);
+    assert!(matches!(change(&mut package(), &both), Err(VariantFault::Twice(_))));
 }
--- a/src/decaying.rs
+++ b/src/decaying.rs
@@ -1,46 +1,60 @@
-//! What is measured over time: decaying sums, brought up to date when they are read or added to.
+//! What is measured over time: exponentially decaying sums, brought up to date when they are read or added to.
 use crate::interface::Seconds;
 
+/// A sum in which an amount counts for less the longer ago it was added.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
+    /// The sum as it was at `updated_at`.
     pub value: f64,
-    pub at: Seconds,
+    /// When an amount was last added.
+    pub updated_at: Seconds,
 }
 
 impl DecayingSum {
-    pub fn read(&self, now: Seconds, memory: Seconds) -> f64 {
-        self.value * (-(now - self.at).max(0.0) / memory).exp()
+    /// The sum now. In `averaging_time` seconds an amount falls to 1/e of what it was.
+    pub fn read(&self, now: Seconds, averaging_time: Seconds) -> f64 {
+        self.value * (-(now - self.updated_at).max(0.0) / averaging_time).exp()
     }
 
-    pub fn add(&mut self, now: Seconds, amount: f64, memory: Seconds) {
-        *self = DecayingSum { value: self.read(now, memory) + amount, at: now };
+    /// Adds an amount that counts in full now.
+    pub fn add(&mut self, now: Seconds, amount: f64, averaging_time: Seconds) {
+        *self = DecayingSum { value: self.read(now, averaging_time) + amount, updated_at: now };
     }
 }
 
-/// What came in a second, over the time that the reports cover: they come late, apart and not every second.
+/// A rate over the time that reports cover, which come late, apart and not every second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingRate {
+    /// What the reports counted.
     pub amount: DecayingSum,
+    /// Seconds that the reports cover.
     pub span: DecayingSum,
 }
 
 impl DecayingRate {
-    pub fn add(&mut self, now: Seconds, amount: f64, span: Seconds, memory: Seconds) {
-        self.amount.add(now, amount, memory);
-        self.span.add(now, span, memory);
+    /// Adds a report of an amount within a span of seconds.
+    pub fn add(&mut self, now: Seconds, amount: f64, span: Seconds, averaging_time: Seconds) {
+        self.amount.add(now, amount, averaging_time);
+        self.span.add(now, span, averaging_time);
     }
 
-    pub fn read(&self) -> f64 {
+    /// The amount a second; 0 before the first report.
+    pub fn per_second(&self) -> f64 {
         if self.span.value > 0.0 {
             self.amount.value / self.span.value
         } else {
             0.0
         }
     }
+
+    /// A report has been added.
+    pub fn is_known(&self) -> bool {
+        self.span.value > 0.0
+    }
 }
 
-/// The value below which such a share of the values lies.
-pub fn at_share(mut values: Vec<f64>, share: f64) -> Option<f64> {
+/// The value below which the given fraction of the values lies; `None` of no values.
+pub fn quantile(mut values: Vec<f64>, fraction: f64) -> Option<f64> {
     values.sort_by(f64::total_cmp);
-    values.get((values.len() as f64 * share) as usize).copied()
+    values.get((values.len() as f64 * fraction) as usize).copied()
 }
--- /dev/null
+++ b/src/decision/placement/failover.rs
@@ -0,0 +1,78 @@
+//! Failover: new owners for slices whose host must be left, at once.
+//!
+//! A host must be left when it is not usable or ejected. A cold host past its shed limit gives up slices with
+//! the highest rates until it fits its limit. The target is the slice's standby, else the next on the rendezvous hash
+//! that has room; where none has, the warm host with the least expected latency. Where only cold hosts are left and
+//! all are full, the slice has no owner: what they cannot bear is refused, or the last of them would fail, too.
+use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
+use crate::decision::rendezvous;
+use crate::decision::slow_start::is_warm;
+use crate::interface::{HostId, Phase, SliceId};
+
+/// Moves the slices that must be moved; how many were.
+pub fn fail_over(moves: &mut SliceMoves) -> usize {
+    let mut leaving = slices_without_usable_owner(moves);
+    leaving.extend(slices_shed_by_cold_hosts(moves));
+    let mut moved = 0;
+    for id in leaving {
+        let slice = &moves.slices[&id];
+        let (owner, preferred_host) = (slice.owner, slice.preferred_host.or(slice.owner));
+        let target = failover_target(moves, id).or_else(|| last_resort(moves, owner));
+        if target != owner {
+            moves.move_slice(id, target);
+            moves.slices.get_mut(&id).expect("moved above").preferred_host = preferred_host;
+            moved += 1;
+        }
+    }
+    moved
+}
+
+fn slices_without_usable_owner(moves: &SliceMoves) -> Vec<SliceId> {
+    let may_stay = |owner: HostId| moves.loads.contains_key(&owner) && Some(owner) != moves.ejected;
+    let leaving = moves.slices.iter().filter(|(_, slice)| !slice.owner.is_some_and(may_stay));
+    leaving.map(|(id, _)| *id).collect()
+}
+
+fn slices_shed_by_cold_hosts(moves: &SliceMoves) -> Vec<SliceId> {
+    let mut shed = Vec::new();
+    for (host, load) in moves.loads.iter() {
+        if load.utilization(0.0) <= load.limits.shed_utilization {
+            continue;
+        }
+        let mut remaining = *load;
+        for id in moves.slices_by_rate(*host) {
+            if remaining.fits(0.0) {
+                break;
+            }
+            remaining.demand -= moves.rate(id);
+            shed.push(id);
+        }
+    }
+    shed
+}
+
+/// The host that takes a slice over, if one can bear it or is warm.
+fn failover_target(moves: &SliceMoves, id: SliceId) -> Option<HostId> {
+    let rate = moves.rate(id);
+    let standby = moves.slices[&id].standby;
+    let open = || moves.loads.iter().filter(|(host, _)| Some(**host) != moves.ejected);
+    let rank =
+        |host: &HostId| (standby == Some(*host), rendezvous::rank(id, *host, moves.hosts[host].weight));
+    let with_room = open().filter(|(_, load)| load.fits(rate * COLD_CACHE_DEMAND_MULTIPLE));
+    let first = with_room.max_by(|a, b| rank(a.0).partial_cmp(&rank(b.0)).expect("finite"));
+    let warm = open().filter(|(_, load)| !load.is_cold);
+    let fastest = || warm.min_by(|a, b| a.1.expected_latency(rate).total_cmp(&b.1.expected_latency(rate)));
+    first.or_else(fastest).map(|(host, _)| *host)
+}
+
+/// A table may be empty only while every listed host is cold: the owner if it is listed and warm, though down, or the
+/// first such host.
+fn last_resort(moves: &SliceMoves, owner: Option<HostId>) -> Option<HostId> {
+    let is_listed_and_warm = |id: &HostId| {
+        let host = moves.hosts.get(id);
+        host.is_some_and(|host| {
+            host.phase == Phase::Ready && is_warm(moves.now, host.started_at, moves.config)
+        })
+    };
+    owner.filter(is_listed_and_warm).or_else(|| moves.hosts.keys().copied().find(is_listed_and_warm))
+}
--- /dev/null
+++ b/src/decision/publish.rs
@@ -0,0 +1,270 @@
+//! Publishing: which update leaves when, and what is in it.
+//!
+//! An update is one message to every connected proxy. It takes what differs from what was last published, in this
+//! order: admission rates and retry policies, exclusions, tables by urgency; and a barrier, by whose acknowledgements
+//! the channel's backlog is known. What it has no room for waits for the next one. An update waits
+//! - for the message quota: `URGENT_MESSAGE_RESERVE` messages are kept for urgent updates, and past
+//!   `IMMEDIATE_QUOTA_FRACTION` updates leave on ticks only, so that a burst of urgent ones leaves some for a drain;
+//! - for the backlog: lines that wait in the channel and the update's own stay within `MAX_BACKLOG_FRACTION` of the
+//!   limit, and within `MAX_ORDINARY_BACKLOG_FRACTION` where no table lacks a usable host;
+//! - for a single owner's former writes (`single_owner`).
+use super::admission::AdmissionControl;
+use super::exclusion::{ExclusionChange, Exclusions};
+use super::host::Host;
+use super::retry_policy::{retry_policy, widest_safe_policy};
+use super::single_owner;
+use super::slice::Slices;
+use super::table::{changes, desired_table, urgency, Urgency};
+use crate::interface::{BarrierId, ClassId, CommandSink, ControllerConfig, HostId, ProxyId};
+use crate::interface::{RetryPolicy, Seconds, SliceId, WeightedHost};
+use crate::update_backlog::{Update, UpdateBacklog};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Fraction of the message quota past which updates leave on ticks only.
+const IMMEDIATE_QUOTA_FRACTION: f64 = 0.45;
+/// Messages of the quota that are kept for urgent updates.
+const URGENT_MESSAGE_RESERVE: usize = 6;
+/// Messages of the quota that are never sent.
+const MESSAGE_RESERVE: usize = 1;
+/// Fraction of the backlog limit that updates may fill.
+const MAX_BACKLOG_FRACTION: f64 = 0.9;
+/// Fraction of the backlog limit that tables may fill which name a usable host already.
+const MAX_ORDINARY_BACKLOG_FRACTION: f64 = 0.75;
+/// Seconds after which an update counts as waiting no more, though some proxy has not acknowledged it.
+pub const UPDATE_EXPIRY: Seconds = 20.0;
+/// Seconds without an acknowledgement of the oldest update after which it has left the channel.
+const STALLED_UPDATE_TIMEOUT: Seconds = 8.0;
+
+/// The admission of a class, as published.
+#[derive(Clone, Copy, PartialEq)]
+pub struct ClassAdmission {
+    pub rate: f64,
+    pub retry_policy: RetryPolicy,
+}
+
+/// A table that must replace the published one.
+struct PendingWrite {
+    slice: SliceId,
+    urgency: Urgency,
+    table: Vec<WeightedHost>,
+}
+
+/// What is to be published; tables and exclusions are noted here as they are.
+pub struct PublishState<'a> {
+    pub now: Seconds,
+    pub is_tick: bool,
+    pub config: &'a ControllerConfig,
+    pub proxies: &'a BTreeSet<ProxyId>,
+    pub hosts: &'a BTreeMap<HostId, Host>,
+    pub admission: &'a AdmissionControl,
+    pub slices: &'a mut Slices,
+    pub exclusions: &'a mut Exclusions,
+}
+
+/// What was published, and what of it waits in the channel.
+#[derive(Default)]
+pub struct Publisher {
+    pub admission: Vec<ClassAdmission>,
+    /// When the updates within the message quota's window were sent.
+    pub sent_at: Vec<Seconds>,
+    pub backlog: UpdateBacklog,
+    /// Acknowledgements may have been missed: one more barrier asks for them, as it covers all before it.
+    pub barrier_due: bool,
+    last_barrier: u16,
+}
+
+/// An update as it is put together.
+struct UpdateDraft {
+    /// Lines that it costs for each proxy, so far.
+    lines: f64,
+    /// Lines that wait in the channel.
+    waiting_lines: f64,
+    proxies: f64,
+    backlog_limit: f64,
+}
+
+impl UpdateDraft {
+    fn fits(&self, more_lines: f64, max_fraction: f64) -> bool {
+        self.waiting_lines + self.proxies * (self.lines + more_lines) <= self.backlog_limit * max_fraction
+    }
+
+    /// Adds lines if they fit; whether they do.
+    fn add(&mut self, more_lines: f64, max_fraction: f64) -> bool {
+        let fits = self.fits(more_lines, max_fraction);
+        if fits {
+            self.lines += more_lines;
+        }
+        fits
+    }
+}
+
+impl Publisher {
+    /// Proxies admit everything and retry what has not run, until they are told otherwise.
+    pub fn new(classes: usize) -> Publisher {
+        let admission = ClassAdmission { rate: 1.0, retry_policy: RetryPolicy::IfNotExecuted };
+        Publisher { admission: vec![admission; classes], ..Publisher::default() }
+    }
+
+    /// A proxy has a stream. Where it had one already, what waits for it still does, or its acknowledgement was
+    /// missed. It may be sent what was sent since `oldest_pending_at`.
+    pub fn on_connected(&mut self, proxy: ProxyId, was_connected: bool, oldest_pending_at: Option<Seconds>) {
+        if was_connected {
+            self.barrier_due = true;
+        } else {
+            self.backlog.remove_proxy(proxy);
+        }
+        if let Some(since) = oldest_pending_at {
+            self.backlog.add_recipient(since, proxy);
+            self.barrier_due = true;
+        }
+    }
+
+    /// Publishes what differs from what was last published, as far as quota and backlog allow.
+    pub fn publish(&mut self, mut state: PublishState, commands: &mut impl CommandSink) {
+        let tables = pending_writes(&state);
+        let exclusions =
+            state.exclusions.due_changes(state.now, state.hosts, state.slices, state.config.single_owner);
+        let is_urgent = exclusions.iter().any(|change| change.is_excluded)
+            || tables.first().is_some_and(|write| write.urgency == Urgency::NoUsableHost);
+        if !self.may_send(state.now, state.is_tick, is_urgent, state.config) {
+            return;
+        }
+        let mut draft = self.start_update(&state);
+        let overhead = draft.lines;
+        self.write_admission(&state, &mut draft, commands);
+        write_exclusions(exclusions, &mut state, &mut draft, commands);
+        write_tables(tables, &mut state, &mut draft, commands);
+        self.finish_update(&state, &draft, draft.lines > overhead, commands);
+    }
+
+    /// Whether the message quota leaves a message for an update.
+    fn may_send(&mut self, now: Seconds, is_tick: bool, is_urgent: bool, config: &ControllerConfig) -> bool {
+        self.sent_at.retain(|at| *at >= now - config.message_quota_window);
+        let quota = if config.message_quota == 0 { usize::MAX } else { config.message_quota as usize };
+        let reserve = if is_urgent { MESSAGE_RESERVE } else { URGENT_MESSAGE_RESERVE };
+        let waits_for_tick = !is_tick && self.sent_at.len() as f64 >= quota as f64 * IMMEDIATE_QUOTA_FRACTION;
+        !waits_for_tick && self.sent_at.len() + reserve < quota
+    }
+
+    /// An update with the overhead of its message, its barrier and all admission rates.
+    fn start_update(&mut self, state: &PublishState) -> UpdateDraft {
+        self.backlog.expire(state.now, UPDATE_EXPIRY);
+        UpdateDraft {
+            lines: state.config.message_overhead + 1.0 + state.admission.rates.len() as f64,
+            waiting_lines: self.backlog.waiting_lines(state.now, STALLED_UPDATE_TIMEOUT),
+            proxies: state.proxies.len().max(1) as f64,
+            backlog_limit: state.config.backlog_limit,
+        }
+    }
+
+    fn write_admission(
+        &mut self,
+        state: &PublishState,
+        draft: &mut UpdateDraft,
+        commands: &mut impl CommandSink,
+    ) {
+        let is_shedding = state.admission.is_shedding();
+        for (position, published) in self.admission.iter_mut().enumerate() {
+            let class = &state.config.classes[position];
+            let safe = widest_safe_policy(class, state.config.first_attempt_timeout_multiple);
+            let desired = ClassAdmission {
+                rate: state.admission.rates[position],
+                retry_policy: retry_policy(safe, is_shedding, state.admission.fleet_utilization),
+            };
+            if *published != desired && draft.add(1.0, MAX_BACKLOG_FRACTION) {
+                commands.set_admission_rate(ClassId(position as u8), desired.rate, desired.retry_policy);
+                *published = desired;
+            }
+        }
+    }
+
+    /// Ends the update with a barrier, if there is anything in it or acknowledgements must be asked for.
+    fn finish_update(
+        &mut self,
+        state: &PublishState,
+        draft: &UpdateDraft,
+        has_content: bool,
+        commands: &mut impl CommandSink,
+    ) {
+        let mut cleared_slices = Vec::new();
+        if state.config.single_owner {
+            cleared_slices = single_owner::unconfirmed_clears(state.slices, &self.backlog.cleared_slices());
+        }
+        self.barrier_due = !cleared_slices.is_empty() || self.barrier_due && !self.backlog.is_empty();
+        let must_ask = self.barrier_due && draft.fits(0.0, 1.0);
+        if !has_content && !must_ask {
+            return;
+        }
+        self.barrier_due = false;
+        self.last_barrier = self.last_barrier.wrapping_add(1);
+        let barrier = BarrierId(self.last_barrier);
+        commands.set_barrier(barrier);
+        self.sent_at.push(state.now);
+        let update = Update::new(state.now, barrier, draft.lines, state.proxies.clone());
+        self.backlog.send(Update { cleared_slices, ..update });
+    }
+}
+
+/// Tables that differ from the published ones and may be published, the most urgent first.
+fn pending_writes(state: &PublishState) -> Vec<PendingWrite> {
+    let is_usable = |host: HostId| state.hosts.get(&host).is_some_and(Host::is_usable);
+    let mut pending = Vec::new();
+    for (id, slice) in state.slices.iter() {
+        let table = desired_table(slice.owner, slice.standby, state.config.single_owner);
+        let may_publish = !state.config.single_owner || single_owner::may_publish(state.now, slice);
+        if table != slice.published && may_publish {
+            let urgency = urgency(&slice.published, slice.owner, is_usable);
+            pending.push(PendingWrite { slice: *id, urgency, table });
+        }
+    }
+    pending.sort_by_key(|write| (write.urgency, write.slice));
+    pending
+}
+
+fn write_exclusions(
+    due: Vec<ExclusionChange>,
+    state: &mut PublishState,
+    draft: &mut UpdateDraft,
+    commands: &mut impl CommandSink,
+) {
+    for change in due {
+        if !draft.add(1.0, MAX_BACKLOG_FRACTION) {
+            continue;
+        }
+        match change.is_excluded {
+            true => commands.exclude_host(change.host),
+            false => commands.readmit_host(change.host),
+        }
+        state.exclusions.apply(change);
+    }
+}
+
+/// Writes tables until one does not fit.
+fn write_tables(
+    pending: Vec<PendingWrite>,
+    state: &mut PublishState,
+    draft: &mut UpdateDraft,
+    commands: &mut impl CommandSink,
+) {
+    for write in pending {
+        let slice = state.slices.get_mut(&write.slice).expect("pending above");
+        let mut lines = changes(&slice.published, &write.table);
+        // A single owner's table is cleared before it names the next.
+        let is_clear = state.config.single_owner && lines.iter().any(|line| line.weight == 0.0);
+        lines.retain(|line| !is_clear || line.weight == 0.0);
+        let max_fraction = match write.urgency {
+            Urgency::NoUsableHost => MAX_BACKLOG_FRACTION,
+            Urgency::OwnerChanged | Urgency::Other => MAX_ORDINARY_BACKLOG_FRACTION,
+        };
+        if !draft.add(lines.len() as f64, max_fraction) {
+            return;
+        }
+        for line in lines {
+            commands.set_weight(write.slice, line.host, line.weight);
+        }
+        slice.published = if is_clear { Vec::new() } else { write.table };
+        if is_clear {
+            slice.writes_end_at = None;
+        }
+    }
+}
--- /dev/null
+++ b/src/decision/table.rs
@@ -0,0 +1,72 @@
+//! A slice's table: what it should name, how soon that is needed, and the lines that get it there.
+//!
+//! A table names the slice's owner with weight 1 and its standby with a weight too small to draw first attempts: only
+//! retries meet the standby, where the owner refuses them or cannot be reached. Where a slice has a single owner,
+//! the table names the owner alone.
+use crate::interface::{HostId, WeightedHost};
+
+/// Weight of an owner.
+const OWNER_WEIGHT: f64 = 1.0;
+/// Weight of a standby, beside the owner's 1.
+pub const STANDBY_WEIGHT: f64 = 0.0001;
+
+/// How soon a table must be published; the most urgent first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Urgency {
+    /// The published table names no usable host.
+    NoUsableHost,
+    /// The published table does not name the owner.
+    OwnerChanged,
+    /// Anything else, such as a new standby.
+    Other,
+}
+
+/// The table that a slice should have.
+pub fn desired_table(
+    owner: Option<HostId>,
+    standby: Option<HostId>,
+    single_owner: bool,
+) -> Vec<WeightedHost> {
+    let Some(owner) = owner else { return Vec::new() };
+    let mut table = vec![WeightedHost { host: owner, weight: OWNER_WEIGHT }];
+    if let Some(standby) = standby.filter(|_| !single_owner) {
+        table.push(WeightedHost { host: standby, weight: STANDBY_WEIGHT });
+    }
+    table
+}
+
+/// How soon a table must replace the published one.
+pub fn urgency(
+    published: &[WeightedHost],
+    owner: Option<HostId>,
+    is_usable: impl Fn(HostId) -> bool,
+) -> Urgency {
+    let names_owner = |owner| published.contains(&WeightedHost { host: owner, weight: OWNER_WEIGHT });
+    if !published.iter().any(|entry| is_usable(entry.host)) {
+        Urgency::NoUsableHost
+    } else if !owner.is_some_and(names_owner) {
+        Urgency::OwnerChanged
+    } else {
+        Urgency::Other
+    }
+}
+
+/// The lines that turn the published table into the desired one, new hosts first, so that no table is empty between.
+/// A store may hold rounded weights, a standby's as 0: that is no difference.
+pub fn changes(published: &[WeightedHost], desired: &[WeightedHost]) -> Vec<WeightedHost> {
+    let mut lines = Vec::new();
+    for entry in desired {
+        let is_published = |old: &WeightedHost| {
+            old.host == entry.host && (old.weight - entry.weight).abs() <= STANDBY_WEIGHT
+        };
+        if !published.iter().any(is_published) {
+            lines.push(*entry);
+        }
+    }
+    for old in published {
+        if desired.iter().all(|entry| entry.host != old.host) {
+            lines.push(WeightedHost { host: old.host, weight: 0.0 });
+        }
+    }
+    lines
+}
--- a/src/decision/tests/backlog.rs
+++ b/src/decision/tests/backlog_model.rs
@@ -1,12 +1,13 @@
 //! The rule of a short queue against a channel that keeps a count of its own: messages leave one after another, each
 //! proxy's part at a time that is fixed when it is ordered; the count falls as the oldest leaves.
 use super::*;
+use crate::update_backlog::Update;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
 const PROXIES: u16 = 60;
-/// The first of the proxies that move over from another steward within a second.
+/// The first of the proxies that move over from another controller within a second.
 const FIRST_MOVED: u16 = 40;
 const LIMIT: f64 = 4000.0;
 /// Lines a second when all is well: the limit drains in two seconds.
@@ -32,7 +33,7 @@
 /// A message that the channel takes late.
 struct LateMessage {
     lines: f64,
-    mark: BarrierId,
+    barrier: BarrierId,
 }
 
 struct ModelChannel {
@@ -65,15 +66,15 @@
     }
 
     /// Takes a message now or, as where the way to the channel is broken, up to a second later.
-    fn order(&mut self, now: Seconds, lines: f64, mark: BarrierId) {
+    fn order(&mut self, now: Seconds, lines: f64, barrier: BarrierId) {
         if self.late_since.is_none() && self.random.random_bool(0.1) {
             self.late_since = Some(now);
             self.taken_at = now + self.random.random_range(0.2..1.0);
         }
         if self.late_since.is_some() {
-            self.late.push(LateMessage { lines, mark });
+            self.late.push(LateMessage { lines, barrier });
         } else {
-            self.send(now, lines, mark);
+            self.send(now, lines, barrier);
         }
     }
 
@@ -81,21 +82,20 @@
         if self.late_since.is_some() && self.taken_at <= now {
             self.late_since = None;
             for message in std::mem::take(&mut self.late) {
-                self.send(now, message.lines, message.mark);
+                self.send(now, message.lines, message.barrier);
             }
         }
     }
 
     /// A message for each connected proxy; a proxy receives its messages in order.
-    fn send(&mut self, now: Seconds, lines: f64, mark: BarrierId) {
+    fn send(&mut self, now: Seconds, lines: f64, barrier: BarrierId) {
         for proxy in self.connected.clone() {
             self.free_at = self.free_at.max(now) + lines / self.pace;
             self.entries.push_back(Entry { proxy, lines, leaves_at: self.free_at });
             let arrives = self.free_at + self.random.random_range(TRANSIT);
             let mine = self.acknowledgements.iter().filter(|sent| sent.confirmed.proxy == proxy);
             let at = mine.map(|sent| sent.at).fold(arrives, f64::max);
-            self.acknowledgements
-                .push(Acknowledgement { at, confirmed: BarrierAck { proxy, barrier: mark } });
+            self.acknowledgements.push(Acknowledgement { at, confirmed: BarrierAck { proxy, barrier } });
         }
     }
 
@@ -122,19 +122,19 @@
     }
 }
 
-/// Each round has owners that changed, so that there is always something to write.
-fn shuffle_owners(steward: &mut Controller, random: &mut ChaCha8Rng) {
-    for slice in steward.slices.values_mut() {
+/// Each batch has owners that changed, so that there is always something to write.
+fn shuffle_owners(controller: &mut Controller, random: &mut ChaCha8Rng) {
+    for slice in controller.slices.values_mut() {
         slice.owner = Some(host(random.random_range(1..=4)));
         slice.standby = None;
     }
 }
 
 /// A minute in which seven in ten proxies leave at once now and then and come back, on a channel that is slow at
-/// times. The most that waited after a message, as a share of the limit, and how many lines were written.
+/// times. The most that waited after a message, as a share of the limit, and how many lines were commands.
 fn most_waiting(seed: u64) -> (f64, usize) {
-    let mut steward = steward(ControllerConfig { backlog_limit: LIMIT, message_quota: 0, ..terms() });
-    steward.channel = UpdateBacklog::default();
+    let mut controller = controller(ControllerConfig { backlog_limit: LIMIT, message_quota: 0, ..config() });
+    controller.publisher.backlog = UpdateBacklog::default();
     let mut channel = ModelChannel::new(seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
     let mut returns: Vec<(Seconds, ProxyId)> = Vec::new();
@@ -144,9 +144,9 @@
         returns.push((moved_at + random.random_range(0.0..1.0), proxy));
     }
     let everyone = (0..FIRST_MOVED).map(|k| ProxyStreamEvent::Connected(ProxyId(k))).collect();
-    steward.handle_batch(
+    controller.handle_batch(
         &EventBatch { now: 100.5, proxy_streams: everyone, ..EventBatch::default() },
-        &mut Written::default(),
+        &mut RecordedCommands::default(),
     );
     for step in 0..600 {
         let now = 101.0 + STEP * f64::from(step);
@@ -169,28 +169,30 @@
         }
         channel.take_late(now);
         most = most.max(channel.waiting(now) / LIMIT);
-        shuffle_owners(&mut steward, &mut random);
+        shuffle_owners(&mut controller, &mut random);
         let pending_since = channel.late_since;
         let timers = if step % 10 == 0 { vec![TimerId(0)] } else { Vec::new() };
-        let confirmed = channel.take_acknowledgements(now);
-        let mut written = Written::default();
-        steward.handle_batch(
+        let barrier_acks = channel.take_acknowledgements(now);
+        let mut commands = RecordedCommands::default();
+        controller.handle_batch(
             &EventBatch {
                 now,
                 proxy_streams: streams,
                 timers,
-                barrier_acks: confirmed,
+                barrier_acks,
                 oldest_pending_at: pending_since,
                 ..EventBatch::default()
             },
-            &mut written,
+            &mut commands,
         );
-        if let Some(mark) = written.marks.last() {
-            let orders =
-                written.lines.len() + written.shut.len() + written.levels.len() + written.marks.len();
-            channel.order(now, steward.terms.message_overhead + orders as f64, *mark);
+        if let Some(barrier) = commands.barriers.last() {
+            let orders = commands.lines.len()
+                + commands.exclusions.len()
+                + commands.admission.len()
+                + commands.barriers.len();
+            channel.order(now, controller.config.message_overhead + orders as f64, *barrier);
             most = most.max(channel.waiting(now) / LIMIT);
-            written_lines += written.lines.len();
+            written_lines += commands.lines.len();
         }
     }
     (most, written_lines)
@@ -207,21 +209,27 @@
 }
 
 #[test]
-fn levels_withdrawals_and_tables_of_one_round_wait_where_the_backlog_is_nearly_full() {
+fn rates_exclusions_and_tables_of_one_batch_wait_where_the_backlog_is_nearly_full() {
     for (share, said) in [(0.89, true), (0.95, false), (1.0, false)] {
-        let mut steward =
-            steward(ControllerConfig { backlog_limit: 1000.0, message_overhead: 0.0, ..terms() });
-        steward.channel = UpdateBacklog::default();
+        let mut controller =
+            controller(ControllerConfig { backlog_limit: 1000.0, message_overhead: 0.0, ..config() });
+        controller.publisher.backlog = UpdateBacklog::default();
         let waiting = 1000.0 * share / 2.0;
-        steward.channel.send(Update::new(101.0, BarrierId(77), waiting, steward.proxies.clone()));
-        steward.levels = vec![0.5; 2];
-        shuffle_owners(&mut steward, &mut ChaCha8Rng::seed_from_u64(1));
-        let mut written = Written::default();
-        let lists = news(101.5, vec![listed(1, Phase::Draining, None)]).endpoint_lists;
-        steward.handle_batch(&EventBatch { endpoint_lists: lists, ..turn(101.5) }, &mut written);
-        let update = steward.channel.updates().iter().find(|update| update.mark != BarrierId(77));
+        controller.publisher.backlog.send(Update::new(
+            101.0,
+            BarrierId(77),
+            waiting,
+            controller.proxies.clone(),
+        ));
+        controller.admission.rates = vec![0.5; 2];
+        shuffle_owners(&mut controller, &mut ChaCha8Rng::seed_from_u64(1));
+        let mut commands = RecordedCommands::default();
+        let lists = endpoint_update(101.5, vec![entry(1, Phase::Draining, None)]).endpoint_lists;
+        controller.handle_batch(&EventBatch { endpoint_lists: lists, ..tick(101.5) }, &mut commands);
+        let update =
+            controller.publisher.backlog.updates().iter().find(|update| update.barrier != BarrierId(77));
         let lines = update.map_or(0.0, |update| update.lines);
-        assert_eq!(!written.levels.is_empty(), said, "at {share} of the limit");
+        assert_eq!(!commands.admission.is_empty(), said, "at {share} of the limit");
         assert!(2.0 * (waiting + lines) <= 1000.0, "{share}: {lines} lines more for each proxy");
     }
 }
--- /dev/null
+++ b/src/decision/tests/controller.rs
@@ -0,0 +1,35 @@
+use super::*;
+
+#[test]
+fn a_restarted_controller_keeps_the_stored_tables() {
+    let controller = controller(config());
+    assert!((1..=4).all(|n| owned(&controller, n) == 3));
+}
+
+#[test]
+fn what_the_controller_does_not_know_is_ignored() {
+    let mut controller = controller(config());
+    let mut batch = failing(101.0, 1);
+    batch.host_loads.iter_mut().for_each(|report| report.host = host(99));
+    batch.health_checks.push(HealthCheckResult { host: host(99), outcome: HealthCheckOutcome::Passed });
+    batch.slice_loads.push(SliceLoadReport {
+        slice: SliceId(77),
+        class: ClassId(9),
+        operations: 1.0,
+        span: 1.0,
+    });
+    batch.assignments.push(SliceAssignment::Revoked { slice: SliceId(77) });
+    batch.proxy_streams.push(ProxyStreamEvent::Disconnected(ProxyId(9)));
+    controller.handle_batch(&batch, &mut RecordedCommands::default());
+    assert_eq!(controller.slices.len(), 12);
+}
+
+#[test]
+fn without_slices_all_hosts_are_one_table_and_each_proxy_gets_it() {
+    let mut controller = Controller::new(ControllerConfig { slice_count: 0, ..config() });
+    let mut batch = endpoint_update(100.0, (1..=3).map(|n| entry(n, Phase::Ready, None)).collect());
+    batch.proxy_streams = vec![ProxyStreamEvent::Connected(ProxyId(4))];
+    let mut commands = RecordedCommands::default();
+    controller.handle_batch(&batch, &mut commands);
+    assert_eq!((commands.lines.len(), commands.tables), (3, 1));
+}
--- /dev/null
+++ b/src/decision/tests/endpoint_list.rs
@@ -0,0 +1,94 @@
+use super::*;
+
+#[test]
+fn a_draining_host_leaves_every_table_at_once_and_the_next_owner_comes_first() {
+    let (initial, mut controller) = (controller(config()), controller(config()));
+    let mut commands = RecordedCommands::default();
+    controller.handle_batch(&endpoint_update(100.5, vec![entry(2, Phase::Draining, None)]), &mut commands);
+    assert!(controller.slices.values().all(|s| s.published.iter().all(|line| line.host != host(2))));
+    for (k, line) in commands.lines.iter().enumerate().filter(|(_, line)| line.1 == host(2)) {
+        assert_eq!(line.2, 0.0);
+        let owner = controller.slices[&line.0].owner.expect("a next owner");
+        let before = commands.lines[..k].contains(&(line.0, owner, 1.0));
+        assert!(before || initial.slices[&line.0].owner == Some(owner));
+    }
+}
+
+#[test]
+fn a_host_the_list_drops_stays_while_it_passes_health_checks_if_it_did_not_drain() {
+    // A list may call live hosts gone: the rest would be overloaded.
+    for (delisted_may_serve, phase, slices) in
+        [(true, Phase::Ready, 3), (true, Phase::Draining, 0), (false, Phase::Ready, 0)]
+    {
+        let mut controller = controller(ControllerConfig { delisted_may_serve, ..config() });
+        controller.handle_batch(
+            &endpoint_update(100.2, vec![entry(4, phase, None)]),
+            &mut RecordedCommands::default(),
+        );
+        let entries = (1..=3).map(|n| entry(n, Phase::Ready, None)).collect();
+        let batch = EventBatch {
+            now: 100.5,
+            endpoint_lists: vec![EndpointList { complete: true, entries }],
+            ..EventBatch::default()
+        };
+        controller.handle_batch(&batch, &mut RecordedCommands::default());
+        assert_eq!(owned(&controller, 4), slices);
+        (0..2).for_each(|_| {
+            controller.handle_batch(
+                &health_checked(101.0, 4, HealthCheckOutcome::Unreachable),
+                &mut RecordedCommands::default(),
+            )
+        });
+        assert_eq!((owned(&controller, 4), controller.hosts[&host(4)].phase), (0, Phase::Gone));
+    }
+}
+
+#[test]
+fn a_host_the_list_adds_is_trusted_once_it_passes_a_health_check() {
+    // An unknown host looks as fast as a typical one; hosts that do not exist would be given slices.
+    let mut controller = controller(config());
+    let mut commands = RecordedCommands::default();
+    controller.handle_batch(
+        &endpoint_update(100.5, (5..=9).map(|n| entry(n, Phase::Ready, None)).collect()),
+        &mut commands,
+    );
+    assert_eq!(commands.health_checks.len(), 5);
+    (0..2).for_each(|_| {
+        controller.handle_batch(&health_checked(101.0, 2, HealthCheckOutcome::Unreachable), &mut commands)
+    });
+    assert!(controller.hosts[&host(2)].is_down && (5..=9).all(|n| !controller.hosts[&host(n)].is_usable()));
+    controller.handle_batch(&health_checked(101.0, 5, HealthCheckOutcome::Passed), &mut commands);
+    assert!(controller.hosts[&host(5)].is_usable() && !controller.hosts[&host(6)].is_usable());
+}
+
+#[test]
+fn hosts_that_are_gone_for_long_are_readmitted_and_forgotten() {
+    let mut controller = controller(config());
+    controller.config.delisted_may_serve = false;
+    let mut commands = RecordedCommands::default();
+    // A new host takes the first one's place every ten seconds, under an id of its own.
+    for n in 1..=60 {
+        let now = 100.0 + 10.0 * f64::from(n);
+        let entries = vec![entry(n, Phase::Gone, None), entry(n + 4, Phase::Ready, Some(now))];
+        controller.handle_batch(&endpoint_update(now, entries), &mut commands);
+        let outcome = HealthCheckOutcome::Passed;
+        let result = HealthCheckResult { host: host(n + 4), outcome };
+        controller.handle_batch(
+            &EventBatch { now: now + 0.1, health_checks: vec![result], ..EventBatch::default() },
+            &mut commands,
+        );
+        (1..10).for_each(|second| controller.handle_batch(&tick(now + f64::from(second)), &mut commands));
+        assert!(
+            controller.hosts.len() <= 8 && controller.exclusions.published().len() <= 8,
+            "{}",
+            controller.hosts.len()
+        );
+    }
+    assert!(commands.exclusions.contains(&(host(1), true)), "a host that is gone is excluded at once");
+    let last = commands.exclusions.iter().rev().find(|(id, _)| *id == host(1));
+    assert_eq!(last, Some(&(host(1), false)), "its id may come back");
+    assert!(controller
+        .slices
+        .values()
+        .all(|slice| slice.owner.is_some_and(|id| controller.hosts.contains_key(&id))));
+}
--- /dev/null
+++ b/src/decision/tests/load_estimate.rs
@@ -0,0 +1,87 @@
+use super::*;
+use crate::decision::load_estimate::MIN_REPORT_SPAN;
+use crate::decision::service_time::SERVICE_TIME_AVERAGING;
+
+fn rate(controller: &Controller, slice: u16) -> f64 {
+    controller.slices[&SliceId(slice)].admitted_rate(&controller.admission.rates)
+}
+
+#[test]
+fn slices_from_another_controller_count_as_typical_until_they_are_reported() {
+    let mut controller = controller(config());
+    set_load(&mut controller, 101.0, 2.0, 0.1);
+    let assigned = |k| SliceAssignment::Assigned { slice: SliceId(k), entries: vec![(host(1), 1.0).into()] };
+    let assignments = (0..6).map(assigned).collect();
+    controller.handle_batch(
+        &EventBatch { now: 101.1, assignments, ..EventBatch::default() },
+        &mut RecordedCommands::default(),
+    );
+    assert_eq!((rate(&controller, 0), rate(&controller, 7)), (2.0, 2.0));
+    let owned_slices = f64::from(owned(&controller, 1) as u16);
+    assert_eq!(controller.loads(101.1)[&host(1)].demand, owned_slices * 2.0);
+    let report = SliceLoadReport { slice: SliceId(0), class: ClassId(0), operations: 5.0, span: 1.0 };
+    controller.handle_batch(
+        &EventBatch { slice_loads: vec![report], ..tick(103.5) },
+        &mut RecordedCommands::default(),
+    );
+    assert_eq!((rate(&controller, 0), rate(&controller, 1)), (5.0, 2.0));
+    // One that is never reported has no traffic.
+    controller.handle_batch(&tick(101.1 + UNREPORTED_TIMEOUT), &mut RecordedCommands::default());
+    assert_eq!(rate(&controller, 1), 0.0);
+}
+
+#[test]
+fn reports_that_reach_back_to_before_a_slice_was_assigned_count_for_the_time_since() {
+    let mut controller = controller(config());
+    let assigned = SliceAssignment::Assigned { slice: SliceId(0), entries: vec![(host(1), 1.0).into()] };
+    controller.handle_batch(
+        &EventBatch { assignments: vec![assigned], ..tick(110.0) },
+        &mut RecordedCommands::default(),
+    );
+    // Six operations came in the one second since the slice was assigned; of another slice the report counts whole.
+    let report = |k| SliceLoadReport { slice: SliceId(k), class: ClassId(0), operations: 6.0, span: 5.0 };
+    controller.handle_batch(
+        &EventBatch { slice_loads: vec![report(0), report(1)], ..tick(112.0) },
+        &mut RecordedCommands::default(),
+    );
+    let rate = |k: u16| rate(&controller, k);
+    assert!((rate(0) - 6.0).abs() < 1e-9 && (rate(1) - 1.2).abs() < 1e-9, "{} {}", rate(0), rate(1));
+    // The first report after a start is no sign that the host had little in flight.
+    assert_eq!(covered_span(103.0, controller.first_assigned_at, 5.0), 2.0);
+    assert_eq!(covered_span(100.3, controller.first_assigned_at, 5.0), MIN_REPORT_SPAN);
+}
+
+#[test]
+fn zones_that_report_apart_give_the_same_service_time_as_together() {
+    // A busy host must not look slower for reports that come one by one.
+    let mut host = Host::new(&entry(1, Phase::Ready, None));
+    for (k, zone) in [0, 1, 0, 1, 0, 1].into_iter().enumerate() {
+        let report = HostLoadReport {
+            zone: ZoneId(zone),
+            span: 2.0,
+            cpu_utilization: Some(0.5),
+            ..load_report(1, 0.0)
+        };
+        host.service_time.add_report(10.0 + k as f64, &report, 4.0, 1.0);
+    }
+    // Half of four cores over 20 operations a second.
+    assert!((host.service_time.read(16.0, 0.1) - 0.1).abs() < 0.02, "{}", host.service_time.read(16.0, 0.1));
+}
+
+#[test]
+fn a_slice_that_reports_seldom_has_the_rate_of_the_time_covered() {
+    let mut demand = DecayingRate::default();
+    demand.add(100.0, 10.0, 1.0, DEMAND_AVERAGING);
+    demand.add(106.0, 60.0, 6.0, DEMAND_AVERAGING);
+    assert!((demand.per_second() - 10.0).abs() < 1e-9);
+}
+
+#[test]
+fn a_host_without_reports_goes_back_to_the_typical_service_time() {
+    // A host that lost its slices is not reported any more and must not look slow for ever.
+    let mut host = Host::new(&entry(1, Phase::Ready, None));
+    host.service_time.core_time = DecayingSum { value: 50.0, updated_at: 10.0 };
+    host.service_time.completed = DecayingSum { value: 50.0, updated_at: 10.0 };
+    assert!(host.service_time.read(10.0, 0.1) > 0.9);
+    assert!(host.service_time.read(10.0 + 6.0 * SERVICE_TIME_AVERAGING, 0.1) < 0.13);
+}
--- /dev/null
+++ b/src/decision/tests/outlier_ejection.rs
@@ -0,0 +1,44 @@
+use super::*;
+use crate::decision::outlier_ejection::{find_outlier, HostScore, EJECTION_SCORE_GAP};
+
+fn scores(scores: &[(HostId, f64)]) -> Vec<HostScore> {
+    scores.iter().map(|(host, score)| HostScore { host: *host, score: *score }).collect()
+}
+
+#[test]
+fn outlier_needs_the_gap_above_the_next() {
+    assert_eq!(find_outlier(&scores(&[(host(1), 1.0), (host(2), 31.0)])), Some(host(2)));
+    assert_eq!(find_outlier(&scores(&[(host(1), 50.0), (host(2), 79.0)])), None);
+    assert_eq!(find_outlier(&scores(&[(host(1), 100.0), (host(2), 100.0)])), None);
+    assert_eq!(find_outlier(&scores(&[(host(1), 100.0)])), None);
+}
+
+#[test]
+fn a_failing_host_is_ejected_alone_and_returns_once_its_score_is_low() {
+    let mut controller = controller(config());
+    (1..12).for_each(|k| {
+        controller.handle_batch(&failing(100.0 + f64::from(k), 2), &mut RecordedCommands::default())
+    });
+    assert_eq!((controller.ejected_outlier, owned(&controller, 2)), (Some(host(2)), 0));
+    controller.handle_batch(&failing(112.0, 3), &mut RecordedCommands::default());
+    assert_eq!(controller.ejected_outlier, Some(host(2)));
+    // It must not be the outlier again at once.
+    let mut now = 113.0;
+    while controller.ejected_outlier.is_some() {
+        controller.handle_batch(&tick(now), &mut RecordedCommands::default());
+        now += 1.0;
+    }
+    assert!(controller.hosts[&host(2)].zone_scores[&ZoneId(0)].score < EJECTION_SCORE_GAP);
+}
+
+#[test]
+fn no_host_is_ejected_while_load_is_shed() {
+    // After a zone loss, ejecting one of the few hosts left would overload the rest.
+    let mut controller = controller(config());
+    (1..12).for_each(|k| {
+        controller.admission.rates[0] = 0.5;
+        controller.handle_batch(&failing(100.0 + f64::from(k), 2), &mut RecordedCommands::default());
+        controller.admission.rates[0] = 0.5;
+    });
+    assert_eq!(controller.ejected_outlier, None);
+}
--- /dev/null
+++ b/src/decision/tests/retry_policy.rs
@@ -0,0 +1,34 @@
+use super::*;
+use crate::decision::retry_policy::widest_safe_policy;
+
+#[test]
+fn an_attempt_that_may_have_run_is_retried_only_while_hosts_have_capacity() {
+    // Retries would take a fleet at two thirds of what it can do into an overload.
+    for (rate, policy) in [(3.0, RetryPolicy::AfterFailure), (8.5, RetryPolicy::IfNotExecuted)] {
+        let mut controller = controller(config());
+        set_load(&mut controller, 101.0, rate, 0.1);
+        controller.publisher.admission[0].retry_policy = RetryPolicy::Never;
+        let loads = controller.loads(101.0);
+        controller.admission.update(&controller.config, &controller.slices, &loads);
+        let mut commands = RecordedCommands::default();
+        controller.publish(101.0, true, &mut commands);
+        assert_eq!(commands.admission[0], (ClassId(0), 1.0, policy));
+    }
+}
+
+#[test]
+fn retries_that_could_take_effect_twice_are_never_allowed() {
+    assert_eq!(widest_safe_policy(&class(Idempotency::Never, 1.0), 1.0), RetryPolicy::IfNotExecuted);
+    assert_eq!(
+        widest_safe_policy(&class(Idempotency::IdempotencyKeyLocal, 1.0), 1.0),
+        RetryPolicy::IfNotExecuted
+    );
+    assert_eq!(
+        widest_safe_policy(&class(Idempotency::IdempotencyKeyGlobal(1.5), 1.0), 1.0),
+        RetryPolicy::IfNotExecuted
+    );
+    assert_eq!(
+        widest_safe_policy(&class(Idempotency::IdempotencyKeyGlobal(5.0), 1.0), 1.0),
+        RetryPolicy::AfterFailure
+    );
+}
--- /dev/null
+++ b/src/decision/tests/slow_start.rs
@@ -0,0 +1,50 @@
+use super::*;
+use crate::decision::slow_start::{least_capacity_fraction, COLD_MAX_UTILIZATION_FRACTION};
+use crate::decision::slow_start::{COLD_SHED_UTILIZATION_FRACTION, MAX_UTILIZATION};
+
+#[test]
+fn a_cold_host_owns_no_more_than_its_limit_and_sheds_past_the_next() {
+    let mut controller = controller(config());
+    set_load(&mut controller, 101.0, 4.0, 0.1);
+    controller.handle_batch(
+        &endpoint_update(101.0, vec![entry(1, Phase::Ready, Some(100.9))]),
+        &mut RecordedCommands::default(),
+    );
+    let load = controller.loads(101.0)[&host(1)];
+    assert!(
+        load.is_cold && load.utilization(0.0) <= COLD_SHED_UTILIZATION_FRACTION * 2.5,
+        "{}",
+        load.utilization(0.0)
+    );
+    assert!(owned(&controller, 1) < 3);
+}
+
+#[test]
+fn a_cold_host_is_taken_to_be_warmer_than_its_least_but_filled_by_the_least() {
+    let mut controller = controller(ControllerConfig { overload_multiple: 4.0, ..config() });
+    controller.handle_batch(
+        &endpoint_update(101.0, vec![entry(1, Phase::Ready, Some(100.9))]),
+        &mut RecordedCommands::default(),
+    );
+    for now in [101.0, 104.0, 108.0] {
+        let load = controller.loads(now)[&host(1)];
+        let least =
+            4.0 * least_capacity_fraction(now, controller.hosts[&host(1)].warming_since, &controller.config);
+        assert!(load.capacity > least && load.limits.max_utilization <= MAX_UTILIZATION, "{now}");
+        assert!(
+            load.limits.max_utilization * load.capacity <= COLD_MAX_UTILIZATION_FRACTION * 4.0 * least + 1e-9,
+            "{now}"
+        );
+    }
+}
+
+#[test]
+fn cold_hosts_alone_are_not_given_what_the_lost_ones_owned() {
+    // After two zone losses in a row, all that is left would fail.
+    let mut controller = controller(ControllerConfig { delisted_may_serve: false, ..config() });
+    set_load(&mut controller, 101.0, 10.0, 0.1);
+    let lost = (2..=4).map(|n| entry(n, Phase::Gone, None)).chain([entry(1, Phase::Ready, Some(100.9))]);
+    controller.handle_batch(&endpoint_update(101.0, lost.collect()), &mut RecordedCommands::default());
+    assert!(controller.slices.values().any(|slice| slice.owner.is_none()));
+    assert!(controller.loads(101.0)[&host(1)].utilization(0.0) <= COLD_SHED_UTILIZATION_FRACTION * 2.5);
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each
 //! [`EventBatch`] and a [`CommandSink`].
+#![warn(missing_docs)]
 mod decaying;
-pub mod decision;
-pub mod interface;
+mod decision;
+mod interface;
 mod update_backlog;
 
 pub use decision::Controller;
--- a/src/update_backlog.rs
+++ b/src/update_backlog.rs
@@ -1,4 +1,4 @@
-//! The channel to the proxies: updates that were sent and that some proxy has not acknowledged yet.
+//! The backlog of the update channel: updates that were sent and that some proxy has not acknowledged yet.
 //!
 //! Messages leave the channel one after another in the order in which they were sent, so an update waits as a whole
 //! until the one before it has left. Acknowledgements alone do not show that: a proxy that connected after the older
@@ -9,8 +9,9 @@
 /// One update, sent to all proxies that were connected at that time.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
-    /// The acknowledgement marker that the update carries.
-    pub mark: BarrierId,
+    /// The barrier that the update bears.
+    pub barrier: BarrierId,
+    /// When it was sent.
     pub sent_at: Seconds,
     /// Lines that it costs for each proxy, the overhead of the message included.
     pub lines: f64,
@@ -21,14 +22,22 @@
     /// When a proxy acknowledged it last, or when it was sent.
     pub progress_at: Seconds,
     /// Slices whose tables are known to be empty once all have acknowledged it.
-    pub emptied: Vec<SliceId>,
+    pub cleared_slices: Vec<SliceId>,
 }
 
 impl Update {
     /// An update that leaves now for `recipients`.
-    pub fn new(now: Seconds, mark: BarrierId, lines: f64, recipients: BTreeSet<ProxyId>) -> Update {
+    pub fn new(now: Seconds, barrier: BarrierId, lines: f64, recipients: BTreeSet<ProxyId>) -> Update {
         let awaited = recipients.clone();
-        Update { mark, sent_at: now, lines, recipients, awaited, progress_at: now, emptied: Vec::new() }
+        Update {
+            barrier,
+            sent_at: now,
+            lines,
+            recipients,
+            awaited,
+            progress_at: now,
+            cleared_slices: Vec::new(),
+        }
     }
 }
 
@@ -39,14 +48,18 @@
 }
 
 impl UpdateBacklog {
+    /// Adds the update that leaves now.
     pub fn send(&mut self, update: Update) {
         self.updates.push(update);
     }
 
-    /// A proxy has applied the update with this mark and all before it. A mark that is not known says nothing.
-    pub fn acknowledge(&mut self, now: Seconds, proxy: ProxyId, mark: BarrierId) {
-        let acknowledged =
-            self.updates.iter().position(|update| update.mark == mark).map_or(0, |place| place + 1);
+    /// A proxy has applied the update with this barrier and all before it. An unknown barrier is ignored.
+    pub fn acknowledge(&mut self, now: Seconds, proxy: ProxyId, barrier: BarrierId) {
+        let acknowledged = self
+            .updates
+            .iter()
+            .position(|update| update.barrier == barrier)
+            .map_or(0, |position| position + 1);
         for update in &mut self.updates[..acknowledged] {
             if update.awaited.remove(&proxy) {
                 update.progress_at = now;
@@ -54,7 +67,7 @@
         }
     }
 
-    /// A proxy connected while updates sent at `since` or later had not been taken: it may be sent them too.
+    /// A proxy connected while updates sent at `since` or later were not accepted: it may be sent them too.
     pub fn add_recipient(&mut self, since: Seconds, proxy: ProxyId) {
         for update in self.updates.iter_mut().filter(|update| update.sent_at >= since) {
             update.recipients.insert(proxy);
@@ -62,7 +75,7 @@
         }
     }
 
-    /// The stream of a proxy broke: what was on its way to it is lost and waits no more.
+    /// A proxy's stream closed: what was on its way to it is lost and waits no more.
     pub fn remove_proxy(&mut self, proxy: ProxyId) {
         for update in &mut self.updates {
             update.recipients.remove(&proxy);
@@ -70,16 +83,16 @@
         }
     }
 
-    /// A slice changed hands: what is known of its table does not follow from these updates any more.
+    /// A slice was assigned or revoked: these updates tell nothing of its table any more.
     pub fn forget_slice(&mut self, slice: SliceId) {
         for update in &mut self.updates {
-            update.emptied.retain(|id| *id != slice);
+            update.cleared_slices.retain(|id| *id != slice);
         }
     }
 
     /// Slices whose tables will be known to be empty.
-    pub fn emptied_slices(&self) -> BTreeSet<SliceId> {
-        self.updates.iter().flat_map(|update| update.emptied.iter().copied()).collect()
+    pub fn cleared_slices(&self) -> BTreeSet<SliceId> {
+        self.updates.iter().flat_map(|update| update.cleared_slices.iter().copied()).collect()
     }
 
     /// Takes out the updates that nobody has yet to acknowledge.
@@ -108,10 +121,12 @@
         lines
     }
 
+    /// No update waits for an acknowledgement.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty()
     }
 
+    /// The updates that wait, oldest first.
     #[cfg(test)]
     pub fn updates(&self) -> &[Update] {
         &self.updates
--- a/src/update_backlog/tests.rs
+++ b/src/update_backlog/tests.rs
@@ -7,8 +7,8 @@
     range.map(ProxyId).collect()
 }
 
-fn update(sent_at: Seconds, mark: u16, lines: f64, recipients: std::ops::Range<u16>) -> Update {
-    Update::new(sent_at, BarrierId(mark), lines, proxies(recipients))
+fn update(sent_at: Seconds, barrier: u16, lines: f64, recipients: std::ops::Range<u16>) -> Update {
+    Update::new(sent_at, BarrierId(barrier), lines, proxies(recipients))
 }
 
 /// Ten lines to proxies 0 to 3, then five lines to proxies 0 to 9, of which 4 to 9 connected in between.
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_unknown_mark_acknowledges_nothing() {
+fn an_unknown_barrier_acknowledges_nothing() {
     let mut channel = two_updates();
     channel.acknowledge(2.1, ProxyId(0), BarrierId(9));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
@@ -75,14 +75,14 @@
 fn updates_expire_by_age() {
     let mut channel = two_updates();
     channel.expire(21.5, 20.0);
-    assert_eq!(channel.updates().iter().map(|update| update.mark).collect::<Vec<_>>(), [BarrierId(2)]);
+    assert_eq!(channel.updates().iter().map(|update| update.barrier).collect::<Vec<_>>(), [BarrierId(2)]);
 }
 
 #[test]
 fn a_slice_that_changed_hands_is_left_out() {
     let mut channel = UpdateBacklog::default();
-    let emptied = vec![SliceId(1), SliceId(2)];
-    channel.send(Update { emptied, ..update(1.0, 1, 1.0, 0..1) });
+    let cleared_slices = vec![SliceId(1), SliceId(2)];
+    channel.send(Update { cleared_slices, ..update(1.0, 1, 1.0, 0..1) });
     channel.forget_slice(SliceId(1));
-    assert_eq!(channel.emptied_slices().into_iter().collect::<Vec<_>>(), [SliceId(2)]);
+    assert_eq!(channel.cleared_slices().into_iter().collect::<Vec<_>>(), [SliceId(2)]);
 }
