--- a/crates/railhub-versions/src/constant_names.rs
+++ b/crates/railhub-versions/src/constant_names.rs
@@ -26,6 +26,8 @@
 const SLOW_START: &str = "src/decision/slow_start.rs";
 const SERVICE_TIME: &str = "src/decision/service_time.rs";
 const LOAD_ESTIMATE: &str = "src/decision/load_estimate.rs";
+const LOAD_REPORT: &str = "src/decision/load_report.rs";
+const ASSIGNMENT: &str = "src/decision/assignment.rs";
 const SLICE_MOVES: &str = "src/decision/placement/slice_moves.rs";
 const FAILBACK: &str = "src/decision/placement/failback.rs";
 const REBALANCING: &str = "src/decision/placement/rebalancing.rs";
@@ -44,10 +46,10 @@
     constant("GAP", "EJECTION_SCORE_GAP", OUTLIER_EJECTION),
     constant("RETURN_SCORE", "EJECTION_END_SCORE", OUTLIER_EJECTION),
     constant("RETURNS_PER_TURN", "MAX_FAILBACKS_PER_TICK", FAILBACK),
-    constant("MEMORY", "DEMAND_AVERAGING", LOAD_ESTIMATE),
-    constant("UNHEARD", "UNREPORTED_TIMEOUT", LOAD_ESTIMATE),
-    constant("REPORT_AGE", "REPORT_DELAY", LOAD_ESTIMATE),
-    constant("LEAST_SPAN", "MIN_REPORT_SPAN", LOAD_ESTIMATE),
+    constant("MEMORY", "DEMAND_AVERAGING", LOAD_REPORT),
+    constant("UNHEARD", "UNREPORTED_TIMEOUT", ASSIGNMENT),
+    constant("REPORT_AGE", "REPORT_DELAY", LOAD_REPORT),
+    constant("LEAST_SPAN", "MIN_REPORT_SPAN", LOAD_REPORT),
     constant("SPEED_MEMORY", "SERVICE_TIME_AVERAGING", SERVICE_TIME),
     constant("LAG", "LAG_LATENCY_MULTIPLE", REBALANCING),
     constant("LAG_TURNS", "MIN_LAGGING_TICKS", REBALANCING),
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! Endpoint lists: what an update of the list changes, and when a host is forgotten.
 //!
 //! The list may be wrong. A host that it drops stays in service while it passes its health checks, unless it was
-//! draining or `delisted_may_serve` is off. One that it adds or brings back gets no slice before it has passed one. A host that
-//! drains is left at once, always.
+//! draining or `delisted_may_serve` is off. One that it adds or brings back gets no slice before it has passed one. A
+//! host that drains loses its slices at once, always.
 use super::exclusion::Exclusions;
 use super::host::Host;
 use super::slice::Slice;
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -89,6 +89,7 @@
         changes
     }
 
+    /// What the proxies know, for tests to set.
     #[cfg(test)]
     pub fn published(&mut self) -> &mut BTreeMap<HostId, Published> {
         &mut self.published
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -1,8 +1,8 @@
 //! Load estimates: the demand on each host, its utilization, and the latency to expect of it.
 //!
-//! Reports are seconds old and do not tell what a host would do with one slice more. So placement goes by an expected
-//! latency: demand (operations a second, by slice) and service time (seconds a core is held) give the
-//! utilization of the host's capacity (cores), and that the latency. It shows the effect of a move at once.
+//! Reports are seconds old, and the latency in them is not the one that a host would have with one slice more. So
+//! placement goes by an expected latency: demand (operations a second, by slice) and service time (seconds a core is
+//! held) give the utilization of the host's capacity (cores), and that the latency. It shows a move's effect at once.
 //!
 //! Where several controllers share the slices, each sees its own alone. It counts a host's capacity in proportion to
 //! the slices that are its own, so the controllers need not talk.
@@ -11,18 +11,10 @@
 use super::slow_start::{
     least_capacity_fraction, likely_capacity_fraction, utilization_limits, UtilizationLimits,
 };
-use crate::decaying::{quantile, DecayingRate};
+use crate::decaying::quantile;
 use crate::interface::{ControllerConfig, HostId, KindId, Seconds};
 use std::collections::BTreeMap;
 
-/// Seconds over which the demand of a slice is averaged.
-pub const DEMAND_AVERAGING: Seconds = 4.0;
-/// Seconds in which a slice that was assigned may go unreported and counts as typical.
-pub const UNREPORTED_TIMEOUT: Seconds = 4.0;
-/// Seconds from the end of what a report covers to its arrival.
-const REPORT_DELAY: Seconds = 1.0;
-/// Least time that a report covers, in seconds.
-pub const MIN_REPORT_SPAN: Seconds = 0.5;
 /// Seconds that an operation is taken to need before any is reported.
 const DEFAULT_SERVICE_TIME: Seconds = 0.01;
 /// Multiple of the present demand for which latency is estimated: demand swings, and nearly full hosts tip over.
@@ -90,7 +82,7 @@
         let least = least_capacity_fraction(now, host.warming_since, config);
         let is_cold = least < 1.0;
         let measured = host.service_time.read(now, typical);
-        // A host that has just started has met no keys, and its first reports flatter it.
+        // A host that has just started has no keys cached, and its first reports look better than it is.
         let service_time = if is_cold { measured.max(typical) } else { measured };
         let capacity = owned_capacity(now, host, config, slices.len());
         let limits = utilization_limits(least, config);
@@ -122,26 +114,3 @@
     let known = hosts.filter(|host| host.service_time.is_known(now));
     quantile(known.map(|host| host.service_time.read(now, 0.0)).collect(), 0.5)
 }
-
-/// The mean rate of the slices that are reported, in operations a second. One that has just been assigned counts with
-/// it until its first report: else its owner would seem idle, and be given more than it can bear.
-pub fn typical_rate(slices: &Slices) -> f64 {
-    let reported = || slices.values().filter(|slice| slice.is_reported());
-    let total: f64 = reported().flat_map(|slice| slice.demand.iter().map(DecayingRate::per_second)).sum();
-    total / reported().count().max(1) as f64
-}
-
-/// The part of a report's span, in seconds, that counts: a first report may reach back to before the slices were
-/// assigned, when nothing came here.
-pub fn covered_span(now: Seconds, assigned_at: Seconds, span: Seconds) -> Seconds {
-    span.min((now - assigned_at - REPORT_DELAY).max(MIN_REPORT_SPAN))
-}
-
-/// Drops the estimated rates of slices that are reported now, or that go unreported for too long: no traffic comes.
-pub fn drop_outdated_estimates(now: Seconds, slices: &mut Slices) {
-    for slice in slices.values_mut() {
-        if slice.is_reported() || now - slice.assigned_at >= UNREPORTED_TIMEOUT {
-            slice.estimated_rate = 0.0;
-        }
-    }
-}
--- /dev/null
+++ b/src/decision/load_report.rs
@@ -0,0 +1,56 @@
+//! Load reports: what a report of the proxies changes.
+//!
+//! A report by host feeds the host's service time and health score, and shows whether it completes operations. A
+//! report by slice feeds the slice's demand. The first report after slices were assigned may reach back to before,
+//! when nothing came here: it counts for the time since, less the time that a report takes to arrive.
+use super::host::Host;
+use super::slice::Slices;
+use crate::interface::{ControllerConfig, HostLoadReport, Seconds, SliceLoadReport};
+
+/// Seconds over which the demand of a slice is averaged.
+pub const DEMAND_AVERAGING: Seconds = 4.0;
+/// Seconds from the end of what a report covers to its arrival.
+const REPORT_DELAY: Seconds = 1.0;
+/// Least time that a report covers, in seconds.
+pub const MIN_REPORT_SPAN: Seconds = 0.5;
+
+/// Applies a report of a host. `capacity`: cores, as `load_estimate` has it. `first_assigned_at`: when this controller
+/// was assigned slices and had none.
+pub fn apply_host_load(
+    now: Seconds,
+    report: &HostLoadReport,
+    capacity: f64,
+    first_assigned_at: Seconds,
+    config: &ControllerConfig,
+    host: &mut Host,
+) {
+    let span = covered_span(now, first_assigned_at, report.span);
+    let report = HostLoadReport { span, ..report.clone() };
+    if report.attempts > report.failed {
+        host.last_success_at = now;
+    } else {
+        host.last_failure_at = now;
+    }
+    host.service_time.add_report(now, &report, capacity, mean_contract_time(config));
+    host.zone_scores.entry(report.zone).or_default().add_report(&report);
+}
+
+/// Applies a report of a slice; one of an unknown slice or class is ignored.
+pub fn apply_slice_load(now: Seconds, report: &SliceLoadReport, slices: &mut Slices) {
+    let Some(slice) = slices.get_mut(&report.slice) else { return };
+    let span = covered_span(now, slice.assigned_at, report.span);
+    if let Some(demand) = slice.demand.get_mut(usize::from(report.class.0)) {
+        demand.add(now, report.operations, span, DEMAND_AVERAGING);
+    }
+}
+
+/// The part of a report's span, in seconds, that counts.
+pub fn covered_span(now: Seconds, assigned_at: Seconds, span: Seconds) -> Seconds {
+    span.min((now - assigned_at - REPORT_DELAY).max(MIN_REPORT_SPAN))
+}
+
+/// Seconds for which a failed attempt is taken to have been in flight.
+fn mean_contract_time(config: &ControllerConfig) -> Seconds {
+    let total: Seconds = config.classes.iter().map(|class| class.contract_time).sum();
+    total / config.classes.len().max(1) as f64
+}
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -6,12 +6,14 @@
 //!
 //! Each rule is in a module of its own; [`Controller::handle_batch`] has their order.
 mod admission;
+mod assignment;
 mod endpoint_list;
 mod exclusion;
 mod health_check;
 mod health_score;
 mod host;
 mod load_estimate;
+mod load_report;
 mod outlier_ejection;
 mod placement;
 mod publish;
@@ -26,19 +28,17 @@
 
 use crate::interface::{
     BarrierAck, CommandSink, ControllerConfig, DecisionEvent, EventBatch, HostId, HostLoadReport, Phase,
-    ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceHandoff, SliceId, SliceLoadReport, TimerId,
-    WeightedHost,
+    ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceHandoff, SliceId, TimerId, WeightedHost,
 };
 use admission::AdmissionControl;
+use assignment::{apply_assignment, apply_handoff, drop_outdated_estimates, handoff, typical_rate};
 use endpoint_list::{apply_endpoint_list, forget_gone_hosts};
 use exclusion::Exclusions;
 use health_check::apply_health_check;
 use health_score::TICK_INTERVAL;
 use host::Host;
-use load_estimate::{
-    covered_span, drop_outdated_estimates, estimate_loads, owned_capacity, typical_rate, HostLoads,
-    DEMAND_AVERAGING, UNREPORTED_TIMEOUT,
-};
+use load_estimate::{estimate_loads, owned_capacity, HostLoads};
+use load_report::{apply_host_load, apply_slice_load};
 use outlier_ejection::evaluate_outliers;
 use placement::failback::fail_back;
 use placement::failover::fail_over;
@@ -46,7 +46,7 @@
 use placement::slice_moves::SliceMoves;
 use placement::standby::choose_standbys;
 use publish::{PublishState, Publisher};
-use slice::{Slice, Slices};
+use slice::Slices;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
@@ -89,12 +89,25 @@
         }
     }
 
-    /// The slices that it is assigned, and the table that it believes each one has.
+    /// The slices that it is assigned, and the table that each one has as last published or stored.
     pub fn assigned_tables(&self) -> impl Iterator<Item = (SliceId, &[WeightedHost])> {
         self.slices.iter().map(|(id, slice)| (*id, slice.published.as_slice()))
     }
 
-    /// Handles all that came in since the last batch. Commands go to `commands` in the order in which they hold.
+    /// What the next controller that a slice is assigned to gets to know; `None` of a slice that is not this one's.
+    pub fn slice_handoff(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
+        Some(handoff(now, self.slices.get(&slice)?, &self.admission.rates))
+    }
+
+    /// Applies the handoff of the controller that had a slice before, `age` seconds after it was made. Ignored of a
+    /// slice that is not assigned or is reported already, and when it is old.
+    pub fn apply_handoff(&mut self, now: Seconds, slice: SliceId, handoff: &SliceHandoff, age: Seconds) {
+        if let Some(slice) = self.slices.get_mut(&slice) {
+            apply_handoff(now, slice, handoff, age);
+        }
+    }
+
+    /// Handles all that came in since the last batch: first what is known changes, then the rules run on it.
     pub fn handle_batch(&mut self, batch: &EventBatch, commands: &mut impl CommandSink) {
         let now = batch.now;
         let is_tick = self.start_batch(batch);
@@ -113,10 +126,10 @@
         for ack in &batch.barrier_acks {
             self.apply_barrier_ack(now, ack);
         }
-        self.apply_confirmed_clears(now);
+        self.apply_acknowledged_updates(now);
         let must_act = hosts_went_down || !batch.endpoint_lists.is_empty() || !batch.assignments.is_empty();
         if self.config.slice_count == 0 {
-            self.publish_single_table(now, &batch.proxy_streams, commands);
+            self.publish_single_table(batch, commands);
         } else if is_tick || must_act {
             self.evaluate(now, is_tick, commands);
         }
@@ -125,7 +138,7 @@
         }
     }
 
-    /// Whether the batch is a tick: the first is one, and each that brings a timer.
+    /// Whether the batch is a tick: the first one is, and each with a timer that is due.
     fn start_batch(&mut self, batch: &EventBatch) -> bool {
         let is_first = !self.is_started;
         if is_first {
@@ -156,6 +169,7 @@
         estimate_loads(now, &self.config, &self.hosts, &self.slices, &self.admission.rates)
     }
 
+    /// Moves slices; `loads` follow.
     fn place_slices(
         &mut self,
         now: Seconds,
@@ -183,6 +197,7 @@
         }
     }
 
+    /// Publishes tables, exclusions and admission rates that differ from the published ones.
     fn publish(&mut self, now: Seconds, is_tick: bool, commands: &mut impl CommandSink) {
         let state = PublishState {
             now,
@@ -197,26 +212,17 @@
         self.publisher.publish(state, commands);
     }
 
-    fn publish_single_table(
-        &mut self,
-        now: Seconds,
-        streams: &[ProxyStreamEvent],
-        commands: &mut impl CommandSink,
-    ) {
-        let desired = single_table::desired(now, &self.hosts, &self.config);
-        let empty = || Slice::from_stored(now, Vec::new(), 0);
-        let slice = self.slices.entry(single_table::TABLE).or_insert_with(empty);
-        for line in table::changes(&slice.published, &desired) {
-            commands.set_weight(single_table::TABLE, line.host, line.weight);
-        }
-        slice.published = desired;
-        for event in streams {
+    /// Publishes the table of a key space that is not sliced, and puts proxies that connected on it.
+    fn publish_single_table(&mut self, batch: &EventBatch, commands: &mut impl CommandSink) {
+        single_table::publish(batch.now, &self.hosts, &self.config, &mut self.slices, commands);
+        for event in &batch.proxy_streams {
             if event.is_connected() && self.proxies.contains(&event.proxy()) {
                 commands.assign_table(single_table::TABLE, event.proxy());
             }
         }
     }
 
+    /// Starts health checks, forgets hosts, and sets the timer of the next tick.
     fn end_tick(&mut self, now: Seconds, commands: &mut impl CommandSink) {
         if self.config.health_checks_allowed {
             for (id, _) in self.hosts.iter().filter(|(_, host)| host.phase == Phase::Ready) {
@@ -230,49 +236,14 @@
 
     fn apply_assignments(&mut self, now: Seconds, assignments: &[SliceAssignment]) {
         let estimated_rate = if assignments.is_empty() { 0.0 } else { typical_rate(&self.slices) };
+        let classes = self.config.classes.len();
         for assignment in assignments {
             if self.slices.is_empty() {
                 self.first_assigned_at = now;
             }
-            self.slices.remove(&assignment.slice());
             self.publisher.backlog.forget_slice(assignment.slice());
-            let SliceAssignment::Assigned { slice, entries } = assignment else { continue };
-            for entry in entries {
-                self.trust_stored_host(now, entry.host);
-            }
-            let stored = Slice::from_stored(now, entries.clone(), self.config.classes.len());
-            self.slices.insert(*slice, Slice { estimated_rate, ..stored });
-        }
-    }
-
-    /// A host that a stored table names has served: it needs no health check to be trusted.
-    fn trust_stored_host(&mut self, now: Seconds, host: HostId) {
-        if let Some(host) = self.hosts.get_mut(&host).filter(|host| host.last_success_at == 0.0) {
-            host.is_down = false;
-            host.last_success_at = now;
-        }
-    }
-
-    /// What the next controller that a slice is assigned to is told of it.
-    pub fn slice_handoff(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
-        let slice = self.slices.get(&slice)?;
-        Some(SliceHandoff {
-            rate: slice.admitted_rate(&self.admission.rates),
-            pinned_for: (slice.pinned_until - now).max(0.0),
-            preferred_host: slice.preferred_host,
-        })
-    }
-
-    /// Takes in what another controller told of a slice, `age` seconds after it did. Ignored of a slice that is reported
-    /// already, and when it is old.
-    pub fn apply_handoff(&mut self, now: Seconds, slice: SliceId, handoff: &SliceHandoff, age: Seconds) {
-        let Some(slice) = self.slices.get_mut(&slice) else { return };
-        if age > UNREPORTED_TIMEOUT || slice.is_reported() {
-            return;
+            apply_assignment(now, assignment, estimated_rate, classes, &mut self.hosts, &mut self.slices);
         }
-        slice.estimated_rate = handoff.rate;
-        slice.pinned_until = now + (handoff.pinned_for - age).max(0.0);
-        slice.preferred_host = handoff.preferred_host;
     }
 
     fn apply_load_reports(&mut self, batch: &EventBatch) {
@@ -280,35 +251,17 @@
             self.apply_host_load(batch.now, report);
         }
         for report in &batch.slice_loads {
-            self.apply_slice_load(batch.now, report);
+            apply_slice_load(batch.now, report, &mut self.slices);
         }
     }
 
     fn apply_host_load(&mut self, now: Seconds, report: &HostLoadReport) {
-        let owned_slices = self.slices.len();
         let Some(host) = self.hosts.get_mut(&report.host) else { return };
-        let capacity = owned_capacity(now, host, &self.config, owned_slices);
-        let span = covered_span(now, self.first_assigned_at, report.span);
-        let report = HostLoadReport { span, ..report.clone() };
-        if report.attempts > report.failed {
-            host.last_success_at = now;
-        } else {
-            host.last_failure_at = now;
-        }
-        let contract_times: Seconds = self.config.classes.iter().map(|class| class.contract_time).sum();
-        let mean_contract_time = contract_times / self.config.classes.len().max(1) as f64;
-        host.service_time.add_report(now, &report, capacity, mean_contract_time);
-        host.zone_scores.entry(report.zone).or_default().add_report(&report);
-    }
-
-    fn apply_slice_load(&mut self, now: Seconds, report: &SliceLoadReport) {
-        let Some(slice) = self.slices.get_mut(&report.slice) else { return };
-        let span = covered_span(now, slice.assigned_at, report.span);
-        if let Some(demand) = slice.demand.get_mut(usize::from(report.class.0)) {
-            demand.add(now, report.operations, span, DEMAND_AVERAGING);
-        }
+        let capacity = owned_capacity(now, host, &self.config, self.slices.len());
+        apply_host_load(now, report, capacity, self.first_assigned_at, &self.config, host);
     }
 
+    /// Changes the connected proxies, and what exclusions and the backlog know of them.
     fn apply_proxy_stream(
         &mut self,
         now: Seconds,
@@ -323,7 +276,7 @@
             self.publisher.backlog.remove_proxy(proxy);
             return;
         }
-        // One that holds what an earlier stream brought shows a controller that knows no proxy that it has restarted.
+        // The first proxy to connect had a stream before: this controller has restarted.
         if matches!(event, ProxyStreamEvent::Reconnected(_)) && self.proxies.is_empty() {
             self.exclusions.mark_all_unconfirmed(self.hosts.keys().copied());
         }
@@ -334,19 +287,12 @@
 
     fn apply_barrier_ack(&mut self, now: Seconds, ack: &BarrierAck) {
         self.publisher.backlog.acknowledge(now, ack.proxy, ack.barrier);
-        self.apply_confirmed_clears(now);
+        self.apply_acknowledged_updates(now);
     }
 
-    /// Takes in which cleared tables all connected proxies know of by now.
-    fn apply_confirmed_clears(&mut self, now: Seconds) {
-        for update in self.publisher.backlog.take_acknowledged() {
-            for id in update.cleared_slices {
-                let Some(slice) = self.slices.get_mut(&id) else { continue };
-                let assigned_at = slice.assigned_at;
-                let ends_at =
-                    single_owner::writes_end_at(now, self.last_disconnect_at, assigned_at, &self.config);
-                slice.writes_end_at = Some(ends_at);
-            }
-        }
+    fn apply_acknowledged_updates(&mut self, now: Seconds) {
+        let updates = self.publisher.backlog.take_acknowledged();
+        let last_disconnect_at = self.last_disconnect_at;
+        single_owner::apply_acknowledged(now, &updates, last_disconnect_at, &self.config, &mut self.slices);
     }
 }
--- a/src/decision/placement/failback.rs
+++ b/src/decision/placement/failback.rs
@@ -1,6 +1,6 @@
 //! Fail-back: slices return to the host they were taken from.
 //!
-//! A few slices each tick, so that a relapse costs little, and each only where its host has room for it and will
+//! A few slices each tick, so that a relapse costs little, and each only where its host has capacity for it and will
 //! serve it faster than the present owner does.
 use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
 use crate::interface::{HostId, SliceId};
--- a/src/decision/placement/failover.rs
+++ b/src/decision/placement/failover.rs
@@ -2,7 +2,7 @@
 //!
 //! A host must be left when it is not usable or ejected. A cold host past its shed limit gives up slices with
 //! the highest rates until it fits its limit. The target is the slice's standby, else the next on the rendezvous hash
-//! that has room; where none has, the warm host with the least expected latency. Where only cold hosts are left and
+//! that has capacity; where none has, the warm host with the least expected latency. Where only cold hosts are left and
 //! all are full, the slice has no owner: what they cannot bear is refused, or the last of them would fail, too.
 use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
 use crate::decision::rendezvous;
@@ -58,8 +58,8 @@
     let open = || moves.loads.iter().filter(|(host, _)| Some(**host) != moves.ejected);
     let rank =
         |host: &HostId| (standby == Some(*host), rendezvous::rank(id, *host, moves.hosts[host].weight));
-    let with_room = open().filter(|(_, load)| load.fits(rate * COLD_CACHE_DEMAND_MULTIPLE));
-    let first = with_room.max_by(|a, b| rank(a.0).partial_cmp(&rank(b.0)).expect("finite"));
+    let with_capacity = open().filter(|(_, load)| load.fits(rate * COLD_CACHE_DEMAND_MULTIPLE));
+    let first = with_capacity.max_by(|a, b| rank(a.0).partial_cmp(&rank(b.0)).expect("finite"));
     let warm = open().filter(|(_, load)| !load.is_cold);
     let fastest = || warm.min_by(|a, b| a.1.expected_latency(rate).total_cmp(&b.1.expected_latency(rate)));
     first.or_else(fastest).map(|(host, _)| *host)
--- a/src/decision/placement/rebalancing.rs
+++ b/src/decision/placement/rebalancing.rs
@@ -12,7 +12,7 @@
 const LAG_LATENCY_MULTIPLE: f64 = 1.25;
 /// Ticks in a row for which a host lags before a slice leaves it: one noisy report is no reason.
 pub const MIN_LAGGING_TICKS: u32 = 2;
-/// Fraction of the latency that a move must take away, to be worth cold keys.
+/// Fraction of the latency that a move must take away, to be worth a cold cache.
 const MIN_LATENCY_GAIN_FRACTION: f64 = 0.1;
 /// Fraction of the hosts that may give up a slice in one tick: latencies are stale by a report.
 const MAX_REBALANCED_HOSTS_FRACTION: f64 = 0.3;
--- a/src/decision/placement/slice_moves.rs
+++ b/src/decision/placement/slice_moves.rs
@@ -7,7 +7,7 @@
 
 /// Seconds that a moved slice stays where it is, until reports show the effect.
 const MOVE_COOLDOWN: Seconds = 6.0;
-/// Demand of a slice, as a multiple of its usual one, at a host that has not met its keys.
+/// Demand of a slice, as a multiple of its present one, at a host that has none of its keys cached.
 pub const COLD_CACHE_DEMAND_MULTIPLE: f64 = 1.5;
 
 /// The state that one evaluation of placement reads and moves slices in.
--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -2,7 +2,7 @@
 //!
 //! An update is one message to every connected proxy. It takes what differs from what was last published, in this
 //! order: admission rates and retry policies, exclusions, tables by urgency; and a barrier, by whose acknowledgements
-//! the channel's backlog is known. What it has no room for waits for the next one. An update waits
+//! the channel's backlog is known. What does not fit waits for the next update. An update waits
 //! - for the message quota: `URGENT_MESSAGE_RESERVE` messages are kept for urgent updates, and past
 //!   `IMMEDIATE_QUOTA_FRACTION` updates leave on ticks only, so that a burst of urgent ones leaves some for a drain;
 //! - for the backlog: lines that wait in the channel and the update's own stay within `MAX_BACKLOG_FRACTION` of the
@@ -68,7 +68,7 @@
     /// When the updates within the message quota's window were sent.
     pub sent_at: Vec<Seconds>,
     pub backlog: UpdateBacklog,
-    /// Acknowledgements may have been missed: one more barrier asks for them, as it covers all before it.
+    /// Acknowledgements may have been missed: one more barrier is needed, whose acknowledgement covers all before it.
     pub barrier_due: bool,
     last_barrier: u16,
 }
@@ -99,7 +99,7 @@
 }
 
 impl Publisher {
-    /// Proxies admit everything and retry what has not run, until they are told otherwise.
+    /// Proxies admit everything and retry what has not run, until something else is published.
     pub fn new(classes: usize) -> Publisher {
         let admission = ClassAdmission { rate: 1.0, retry_policy: RetryPolicy::IfNotExecuted };
         Publisher { admission: vec![admission; classes], ..Publisher::default() }
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Ends the update with a barrier, if there is anything in it or acknowledgements must be asked for.
+    /// Ends the update with a barrier, if there is anything in it or a barrier is due by itself.
     fn finish_update(
         &mut self,
         state: &PublishState,
@@ -191,8 +191,8 @@
             cleared_slices = single_owner::unconfirmed_clears(state.slices, &self.backlog.cleared_slices());
         }
         self.barrier_due = !cleared_slices.is_empty() || self.barrier_due && !self.backlog.is_empty();
-        let must_ask = self.barrier_due && draft.fits(0.0, 1.0);
-        if !has_content && !must_ask {
+        let sends_barrier_alone = self.barrier_due && draft.fits(0.0, 1.0);
+        if !has_content && !sends_barrier_alone {
             return;
         }
         self.barrier_due = false;
--- a/src/decision/service_time.rs
+++ b/src/decision/service_time.rs
@@ -61,7 +61,7 @@
         core_time / (self.completed.read(now, SERVICE_TIME_AVERAGING) + TYPICAL_SERVICE_TIME_WEIGHT)
     }
 
-    /// Enough operations completed lately to tell what is typical.
+    /// Enough operations completed lately for it to count towards what is typical.
     pub fn is_known(&self, now: Seconds) -> bool {
         self.completed.read(now, SERVICE_TIME_AVERAGING) > TYPICAL_SERVICE_TIME_WEIGHT
     }
--- a/src/decision/single_table.rs
+++ b/src/decision/single_table.rs
@@ -2,15 +2,36 @@
 //!
 //! It names all usable hosts, or all that are ready if none is usable, each by its weight and as far as it is warm.
 use super::host::Host;
+use super::slice::{Slice, Slices};
 use super::slow_start::least_capacity_fraction;
-use crate::interface::{ControllerConfig, HostId, Phase, Seconds, SliceId, WeightedHost};
+use super::table::changes;
+use crate::interface::{CommandSink, ControllerConfig, HostId, Phase, Seconds, SliceId, WeightedHost};
 use std::collections::BTreeMap;
 
 /// The number of the table.
 pub const TABLE: SliceId = SliceId(0);
 
-/// The table that should be published.
-pub fn desired(now: Seconds, hosts: &BTreeMap<HostId, Host>, config: &ControllerConfig) -> Vec<WeightedHost> {
+/// Publishes what differs from the table as published, which is kept in `slices`.
+pub fn publish(
+    now: Seconds,
+    hosts: &BTreeMap<HostId, Host>,
+    config: &ControllerConfig,
+    slices: &mut Slices,
+    commands: &mut impl CommandSink,
+) {
+    let desired = desired_table(now, hosts, config);
+    let slice = slices.entry(TABLE).or_insert_with(|| Slice::from_stored(now, Vec::new(), 0));
+    for line in changes(&slice.published, &desired) {
+        commands.set_weight(TABLE, line.host, line.weight);
+    }
+    slice.published = desired;
+}
+
+fn desired_table(
+    now: Seconds,
+    hosts: &BTreeMap<HostId, Host>,
+    config: &ControllerConfig,
+) -> Vec<WeightedHost> {
     let entries = |is_open: fn(&Host) -> bool| -> Vec<WeightedHost> {
         let open = hosts.iter().filter(|(_, host)| is_open(host));
         open.map(|(id, host)| WeightedHost { host: *id, weight: weight(now, host, config) }).collect()
--- a/src/decision/slice.rs
+++ b/src/decision/slice.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A load report has told of it.
+    /// A load report has covered it.
     pub fn is_reported(&self) -> bool {
         self.demand.iter().any(DecayingRate::is_known)
     }
--- a/src/decision/tests/load_estimate.rs
+++ b/src/decision/tests/load_estimate.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::decision::load_estimate::MIN_REPORT_SPAN;
+use crate::decision::assignment::UNREPORTED_TIMEOUT;
+use crate::decision::load_report::{covered_span, DEMAND_AVERAGING, MIN_REPORT_SPAN};
 use crate::decision::service_time::SERVICE_TIME_AVERAGING;
 
 fn rate(controller: &Controller, slice: u16) -> f64 {
@@ -38,7 +39,7 @@
         &EventBatch { assignments: vec![assigned], ..tick(110.0) },
         &mut RecordedCommands::default(),
     );
-    // Six operations came in the one second since the slice was assigned; of another slice the report counts whole.
+    // Six operations came in the one second since the slice was assigned; of another slice the report counts in full.
     let report = |k| SliceLoadReport { slice: SliceId(k), class: ClassId(0), operations: 6.0, span: 5.0 };
     controller.handle_batch(
         &EventBatch { slice_loads: vec![report(0), report(1)], ..tick(112.0) },
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -1,4 +1,5 @@
 //! What the tests of the rules share: a controller with four hosts, and the commands that it gives.
+use super::load_report::DEMAND_AVERAGING;
 use super::*;
 use crate::decaying::{DecayingRate, DecayingSum};
 use crate::interface::*;
@@ -101,7 +102,7 @@
     EventBatch { now, timers: vec![TimerId(0)], ..EventBatch::default() }
 }
 
-/// A controller at second 100 with four warm hosts, twelve slices dealt out in turn, and two proxies.
+/// A controller at second 100 with four warm hosts, twelve slices spread evenly, and two proxies.
 fn controller(config: ControllerConfig) -> Controller {
     let mut controller = Controller::new(config);
     let entries = (1..=4).map(|n| entry(n, Phase::Ready, None)).collect();
--- a/src/decision/tests/placement.rs
+++ b/src/decision/tests/placement.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::decision::placement::rebalancing::MIN_LAGGING_TICKS;
+use crate::decision::slice::Slice;
 
 fn rebalance_at(controller: &mut Controller, now: Seconds) {
     let mut loads = controller.loads(now);
--- a/src/interface/commands.rs
+++ b/src/interface/commands.rs
@@ -1,5 +1,6 @@
 //! What a controller has done: the commands it gives, and the decisions it reports for the log.
-use super::{BarrierId, ClassId, HostId, ProxyId, Seconds, SliceId, TimerId};
+use super::ids::{BarrierId, ClassId, HostId, ProxyId, SliceId, TimerId};
+use super::time::Seconds;
 use std::fmt;
 
 /// After which failures a proxy retries an operation.
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -1,5 +1,5 @@
 //! What a controller is configured with.
-use super::Seconds;
+use super::time::Seconds;
 
 /// Whether an operation may run twice, and where a repeat is recognised.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
 /// What a controller knows when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct ControllerConfig {
-    /// The operation classes; a [`ClassId`](super::ClassId) is a position here.
+    /// The operation classes; a `ClassId` is a position here.
     pub classes: Vec<ClassConfig>,
     /// Slices of the key space. 0: it is not sliced, and one table serves all operations.
     pub slice_count: u16,
@@ -42,9 +42,7 @@
     pub health_checks_allowed: bool,
     /// A host that a complete list lacks, or that it calls gone, may stay in service.
     pub delisted_may_serve: bool,
-    /// Proxies admit a class by a fraction of its operations, as [`CommandSink::set_admission_rate`] sets it.
-    ///
-    /// [`CommandSink::set_admission_rate`]: super::CommandSink::set_admission_rate
+    /// Proxies admit a class by a fraction of its operations, which the controller sets.
     pub admission_by_fraction: bool,
     /// Least fraction of its warm capacity that a host starts with.
     pub cold_capacity_fraction: f64,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,5 +1,6 @@
-//! What a controller is told of: endpoint lists, proxy streams, slices, load, health checks, acknowledgements.
-use super::{BarrierId, ClassId, HostId, KindId, ProxyId, Seconds, SliceId, TimerId, WeightedHost, ZoneId};
+//! What a controller is notified of: endpoint lists, proxy streams, slices, load, health checks, acknowledgements.
+use super::ids::{BarrierId, ClassId, HostId, KindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
+use super::time::Seconds;
 
 /// Where a host is in its life, by the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -11,7 +11,7 @@
 /// A host's name. It holds the name itself, so no table of names outlives the hosts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId {
-    /// Padded with zeros, so that ids order as their names do.
+    /// Padded with zeros, so that ids sort as their names do.
     bytes: [u8; MAX_NAME_BYTES],
     length: u8,
     hash: u64,
@@ -96,7 +96,7 @@
 /// A zone that proxies stand in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
-/// An operation class: its position in [`ControllerConfig::classes`](super::ControllerConfig::classes).
+/// An operation class: its position in `ControllerConfig::classes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub u8);
 /// A machine type. Hosts of one type are alike; the number itself has no meaning.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -4,6 +4,7 @@
 mod config;
 mod events;
 mod ids;
+mod time;
 
 pub use commands::{CommandSink, DecisionEvent, RetryPolicy};
 pub use config::{ClassConfig, ControllerConfig, Idempotency};
@@ -12,6 +13,4 @@
     HostLoadReport, Phase, ProxyStreamEvent, SliceAssignment, SliceHandoff, SliceLoadReport,
 };
 pub use ids::{BarrierId, ClassId, HostId, KindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
-
-/// A time or a duration in seconds.
-pub type Seconds = f64;
+pub use time::Seconds;
--- /dev/null
+++ b/src/interface/time.rs
@@ -0,0 +1,4 @@
+//! Times.
+
+/// A time or a duration in seconds, with fractions.
+pub type Seconds = f64;
--- a/src/update_backlog.rs
+++ b/src/update_backlog.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A slice was assigned or revoked: these updates tell nothing of its table any more.
+    /// A slice was assigned or revoked: these updates no longer show what its table is.
     pub fn forget_slice(&mut self, slice: SliceId) {
         for update in &mut self.updates {
             update.cleared_slices.retain(|id| *id != slice);
