--- a/crates/railhub-cli/tests/common/mod.rs
+++ b/crates/railhub-cli/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub const FILE: &str = include_str!("../../../railhub-platform/tests/assignment.json");
+pub const FILE: &str = include_str!("../../../railhub-platform/tests/node_config.json");
 /// Long for anything that should happen at once, on a machine that is busy with other tests.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/crates/railhub-platform/src/call.rs
+++ b/crates/railhub-platform/src/call.rs
@@ -6,7 +6,7 @@
 //! 3. The outcome of a call is not known: [`CallBlocker::OutcomeUnknown`]. Repeated, a call that was carried out would
 //!    wait in the proxies' channel twice; a snapshot of a subscription that was requested after the call ended shows it.
 //! 4. Earlier commands of a call that the relay stopped at or did not let in ([`crate::pending_commands`]).
-//! 5. The driver, which pauses after a call that was not let in.
+//! 5. The driver, which pauses after a call that was not let in or whose outcome is not known.
 use crate::relay::SubscriptionId;
 use thiserror::Error;
 
@@ -27,8 +27,8 @@
     #[default]
     Idle,
     InFlight,
-    /// In flight, and its response will not tell on which table its commands were carried out. Only subscriptions later
-    /// than `latest` show it.
+    /// In flight, and its response will not show on which table its commands were carried out. Only subscriptions later
+    /// than `latest` do.
     InFlightOutdated {
         latest: SubscriptionId,
     },
--- a/crates/railhub-platform/src/command.rs
+++ b/crates/railhub-platform/src/command.rs
@@ -1,5 +1,6 @@
 //! One command to the relay: what the decisions want changed in the store or at the proxies.
 use railhub::{BarrierId, ClassId, HostId, RetryPolicy, SliceId, WeightedHost};
+use std::fmt;
 
 /// A change that the relay carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,10 +25,26 @@
         /// Which failed attempts may be retried.
         retry: RetryPolicy,
     },
-    /// Asks every proxy to acknowledge all that was sent before.
+    /// Makes every proxy acknowledge all that was sent before.
     Barrier(BarrierId),
 }
 
+impl fmt::Display for Command {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Command::SetWeight { slice, line: WeightedHost { host, weight } } => {
+                write!(formatter, "set weight slice={} host={host} weight={weight}", slice.0)
+            }
+            Command::Exclude(host) => write!(formatter, "exclude host={host}"),
+            Command::Readmit(host) => write!(formatter, "readmit host={host}"),
+            Command::SetAdmissionRate { class, rate, retry } => {
+                write!(formatter, "set admission rate class={} rate={rate} retry={retry:?}", class.0)
+            }
+            Command::Barrier(barrier) => write!(formatter, "barrier id={}", barrier.0),
+        }
+    }
+}
+
 /// What a command is about: a later command with the same key makes an earlier one that still waits needless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CommandKey {
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -18,7 +18,7 @@
     Json {
         /// Where in the file.
         place: String,
-        /// What the parser says.
+        /// The parser's error.
         error: serde_json::Error,
     },
     /// No class of requests, or more than [`MAX_CLASSES`].
@@ -41,12 +41,12 @@
         /// Where in the file.
         place: String,
     },
-    /// A word that the field does not know.
+    /// A value that the field does not know.
     #[error("{place}: cannot be '{value}'")]
     UnknownValue {
         /// Where in the file.
         place: String,
-        /// The word.
+        /// The value.
         value: String,
     },
     /// Without it two hosts could accept one owner's writes.
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -1,6 +1,6 @@
 //! Gathers what peers send into batches, runs the decisions on them, and hands commands to the relay's driver.
 //!
-//! Owns the decisions and wires the parts round them, each with one job: [`crate::subscription`] (whose events count,
+//! Owns the decisions and wires the parts around them, each with one job: [`crate::subscription`] (whose events count,
 //! and the snapshot), [`crate::call`] (whether a call may leave), [`crate::pending_commands`] (what it carries),
 //! [`crate::host_directory`], [`crate::slice_assignments`] and [`crate::batch`].
 //!
@@ -14,55 +14,28 @@
 //!    shows its outcome ([`PlatformController::take_resubscribe_reason`]).
 use crate::batch::{PendingBatch, Timers};
 use crate::call::{CallTracker, ResubscribeReason};
-use crate::command::Command;
 use crate::config::NodeConfig;
+use crate::effects::{DroppedCommands, Effects};
 use crate::endpoints::EndpointPage;
 use crate::host_directory::{merge_list, HostDirectory, Probe};
 use crate::pending_commands::{AcceptedCommands, PendingCommands};
 use crate::relay::{Call, CallResponse, RelayEvent, SubscriptionId};
-use crate::sink::{BatchSink, Notice};
+use crate::sink::BatchSink;
 use crate::slice_assignments::PendingAssignments;
-use crate::subscription::{Snapshot, Subscription, Update, FIRST_SNAPSHOT_IDLE_TIMEOUT};
-use crate::table::{tables_match, Table};
+use crate::snapshot_changes::{assignment_changes, stream_changes, stream_up};
+use crate::subscription::{Snapshot, Subscription, Update};
+use crate::table::Table;
 use railhub::{
     Controller, EventBatch, HealthCheckOutcome, HealthCheckResult, HostLoadReport, ProxyId, ProxyStreamEvent,
-    Seconds, SliceAssignment, SliceId, SliceLoadReport,
+    Seconds, SliceId, SliceLoadReport,
 };
 use std::collections::{BTreeMap, BTreeSet};
-use thiserror::Error;
-
-/// What the driver does after [`PlatformController::poll`], and logs.
-#[derive(Debug, Default)]
-pub struct Effects {
-    /// Health checks to make.
-    pub probes: Vec<Probe>,
-    /// What the decisions report, for the log.
-    pub notices: Vec<Notice>,
-    /// Batches handled: 0 or 1.
-    pub batches: u64,
-    /// Seconds by which expired timers came late.
-    pub timer_lateness: Vec<Seconds>,
-}
-
-/// Commands that the relay will not carry out. The next snapshot corrects what the decisions believe.
-#[derive(Clone, Copy, Debug, Error, PartialEq)]
-pub enum DroppedCommands {
-    /// The relay stopped at a command: it names what the relay does not know, or a number below 0.
-    #[error("the relay refused a command, which is dropped: {0:?}")]
-    Refused(Command),
-    /// The relay cannot read a call.
-    #[error("the relay cannot read a call: its {commands} commands are dropped")]
-    MalformedCall {
-        /// How many commands it carried.
-        commands: usize,
-    },
-}
 
 /// A controller on the platform, free of I/O and clocks.
 pub struct PlatformController {
     decisions: Controller,
     class_names: Vec<String>,
-    /// Least time between two batches that no timer asks for, in seconds.
+    /// Least time between two batches without an expired timer, in seconds.
     tick_interval: Seconds,
     single_owner: bool,
     batch: PendingBatch,
@@ -131,7 +104,7 @@
         }
     }
 
-    /// A subscription is about to be requested; must be told before the relay can know.
+    /// A subscription is about to be requested; must come before the relay can know of it.
     pub fn on_subscription_requested(&mut self, id: SubscriptionId) {
         self.subscription.on_requested(id);
     }
@@ -156,7 +129,7 @@
     fn on_live_event(&mut self, now: Seconds, event: RelayEvent) {
         self.batch.changed |= event != RelayEvent::Heartbeat;
         match event {
-            RelayEvent::ProxyJoined { proxy, first } => self.add_stream_event(joined(proxy, first)),
+            RelayEvent::ProxyJoined { proxy, first } => self.add_stream_event(stream_up(proxy, first)),
             RelayEvent::ProxyLeft(proxy) => self.add_stream_event(ProxyStreamEvent::Disconnected(proxy)),
             RelayEvent::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
             RelayEvent::SliceAssigned { slice, assigned } => {
@@ -201,7 +174,7 @@
         self.call.require_snapshot(self.subscription.latest(), reason);
     }
 
-    /// The snapshot is complete: it replaces what was believed.
+    /// The snapshot is complete: it replaces what was known of proxies and slices.
     fn complete_snapshot(&mut self) {
         self.settle_call();
         let Some(snapshot) = self.subscription.complete_snapshot(self.single_owner) else { return };
@@ -209,38 +182,21 @@
         // Assignments of before are part of the snapshot; that a proxy left before it is not.
         self.assignments.assignments.clear();
         self.batch.events.assignments.clear();
-        self.apply_proxies(&snapshot.proxies);
-        self.apply_tables(snapshot.tables);
-    }
-
-    fn apply_proxies(&mut self, present: &BTreeMap<ProxyId, bool>) {
-        let absent: Vec<ProxyId> =
-            self.proxies.iter().copied().filter(|proxy| !present.contains_key(proxy)).collect();
-        for proxy in absent {
-            self.add_stream_event(ProxyStreamEvent::Disconnected(proxy));
-        }
-        // A proxy believed joined may have left and returned unseen: it counts as joined anew.
-        for (proxy, first) in present {
-            self.add_stream_event(joined(*proxy, *first));
+        for event in stream_changes(&self.proxies, &snapshot.proxies) {
+            self.add_stream_event(event);
         }
+        self.apply_tables(&snapshot.tables);
     }
 
-    /// Assigns the slices whose table differs from what the decisions believe, and takes away those that are missing.
-    fn apply_tables(&mut self, stored: BTreeMap<SliceId, Table>) {
-        let mut believed: BTreeMap<SliceId, Table> =
-            self.decisions.assigned_tables().map(|(slice, lines)| (slice, lines.to_vec())).collect();
-        let assignments = &mut self.batch.events.assignments;
+    /// The tables of the decisions, with what the store will hold in place of what it holds: a table differs if it does
+    /// so once all commands are accepted.
+    fn apply_tables(&mut self, stored: &BTreeMap<SliceId, Table>) {
+        let known = self.decisions.assigned_tables().map(|(slice, table)| (slice, table.to_vec())).collect();
+        let mut expected = BTreeMap::new();
         for (slice, table) in stored {
-            let entries = self.commands.table_when_accepted(slice, &table);
-            let is_as_believed =
-                believed.remove(&slice).is_some_and(|belief| tables_match(&belief, &entries));
-            if !is_as_believed {
-                assignments.push(SliceAssignment::Assigned { slice, entries });
-            }
-        }
-        for slice in believed.into_keys() {
-            assignments.push(SliceAssignment::Revoked { slice });
+            expected.insert(*slice, self.commands.table_when_accepted(*slice, table));
         }
+        self.batch.events.assignments.extend(assignment_changes(known, expected));
     }
 
     /// Reads the outcome of a call from the snapshot, if it is not known and the snapshot shows it.
@@ -266,7 +222,7 @@
     /// When [`PlatformController::poll`] has something to do, if no event comes before.
     pub fn next_deadline(&self) -> Option<Seconds> {
         let snapshot = self.subscription.idle_deadline();
-        let call = self.snapshot_covering_call().map(|s| s.last_event_at + FIRST_SNAPSHOT_IDLE_TIMEOUT);
+        let call = self.snapshot_covering_call().map(Snapshot::outcome_deadline);
         let batch = if self.subscription.is_synchronized() { self.batch_deadline() } else { None };
         [snapshot, call, batch].into_iter().flatten().min_by(f64::total_cmp)
     }
@@ -283,8 +239,7 @@
         if self.subscription.is_idle(now) {
             self.complete_snapshot();
         }
-        let covering = self.snapshot_covering_call();
-        if covering.is_some_and(|snapshot| now - snapshot.last_event_at >= FIRST_SNAPSHOT_IDLE_TIMEOUT) {
+        if self.snapshot_covering_call().is_some_and(|snapshot| snapshot.shows_outcomes(now)) {
             self.settle_call();
         }
         if self.assignments.are_complete(now) {
@@ -420,14 +375,5 @@
     }
 }
 
-/// The stream of a proxy is up. `first`: it holds no table yet.
-fn joined(proxy: ProxyId, first: bool) -> ProxyStreamEvent {
-    if first {
-        ProxyStreamEvent::Connected(proxy)
-    } else {
-        ProxyStreamEvent::Reconnected(proxy)
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -1,11 +1,13 @@
 use super::*;
-use railhub::{HostId, WeightedHost};
+use crate::command::Command;
+use railhub::{HostId, SliceAssignment, WeightedHost};
 
+/// The current subscription before any is confirmed.
 const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
 fn controller() -> PlatformController {
     PlatformController::new(
-        &NodeConfig::parse(include_str!("../../tests/assignment.json")).expect("a good file"),
+        &NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file"),
     )
 }
 
@@ -18,14 +20,14 @@
     let first = SubscriptionId { config_version: 0, sequence: 1 };
     [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
-        .for_each(|news| controller.on_relay_event(now, first, news));
+        .for_each(|event| controller.on_relay_event(now, first, event));
     assert!(controller.batch.events.proxy_streams.last() == Some(&ProxyStreamEvent::Disconnected(proxy)));
 }
 
 #[test]
 fn lists_that_wait_for_the_relay_are_one_list_of_each_host_once() {
     let mut controller = controller();
-    let names = NodeConfig::parse(include_str!("../../tests/assignment.json")).expect("a good file").names;
+    let names = NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file").names;
     for generation in 42..500 {
         let (old, new) = (generation - 1, generation);
         let page = format!(
@@ -45,11 +47,11 @@
 
 #[test]
 fn a_single_owners_table_never_has_two_lines_in_what_is_believed() {
-    let file = include_str!("../../tests/assignment.json").replace(
+    let file = include_str!("../../tests/node_config.json").replace(
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
     );
-    let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a good file"));
+    let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a valid file"));
     let slice = SliceId(3);
     controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
     for name in ["s-1", "s-2"] {
@@ -71,8 +73,8 @@
         slice,
         line: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
     });
-    let settled = controller.commands.table_when_accepted(slice, &[stored]);
-    assert_eq!(settled, [WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 }]);
+    let table = controller.commands.table_when_accepted(slice, &[stored]);
+    assert_eq!(table, [WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 }]);
 }
 
 #[test]
--- a/crates/railhub-platform/src/pending_commands.rs
+++ b/crates/railhub-platform/src/pending_commands.rs
@@ -159,7 +159,7 @@
 
     /// Finds in a later snapshot what of the current call, whose outcome is not known, was carried out; repeated, it
     /// would wait in the proxies' channel twice. The last line that the call sets in a table shows it for that table.
-    /// Where every table has it, the whole call was carried out. Otherwise the rest is repeated, except for tables that
+    /// Where every table has it, all of the call was carried out. Otherwise the rest is repeated, except for tables that
     /// are not assigned here any more.
     pub fn reconcile(&mut self, tables: &BTreeMap<SliceId, Table>) {
         let last_lines = self.last_lines();
--- a/crates/railhub-platform/src/relay.rs
+++ b/crates/railhub-platform/src/relay.rs
@@ -53,7 +53,7 @@
     pub id: u64,
     /// How many commands it carries.
     pub commands: usize,
-    /// The whole line, with its end.
+    /// The line, with its line break.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/railhub-platform/src/slice_assignments.rs
+++ b/crates/railhub-platform/src/slice_assignments.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Adds a stored line, which may have weight 0. With a single owner it is the whole table.
+/// Adds a stored line, which may have weight 0. With a single owner it is the only one.
 fn add_line(table: &mut Table, line: WeightedHost, single_owner: bool) {
     table.retain(|known| known.host != line.host && !single_owner);
     table.push(line);
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -10,9 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds without an event after which the first snapshot counts as complete: what comes later is added.
-pub(crate) const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
+const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
 /// Seconds without an event after which a later snapshot counts as complete: what is missing then counts as lost.
 const SNAPSHOT_IDLE_TIMEOUT: Seconds = 1.5;
+/// Seconds without an event after which the tables that a snapshot has so far count as complete, to see in them the
+/// outcome of a call.
+const TABLES_IDLE_TIMEOUT: Seconds = 0.1;
 /// Most accepted commands kept while a snapshot is due; past them a new subscription is needed.
 const MAX_ACCEPTED_SINCE_SNAPSHOT: usize = 20_000;
 
@@ -49,7 +52,7 @@
     pub(crate) proxies: BTreeMap<ProxyId, bool>,
     /// The table of each slice assigned to this controller.
     pub(crate) tables: BTreeMap<SliceId, Table>,
-    pub(crate) last_event_at: Seconds,
+    last_event_at: Seconds,
     subscription: SubscriptionId,
 }
 
@@ -89,7 +92,7 @@
     current: SubscriptionId,
     /// The newest subscription that was requested.
     latest: SubscriptionId,
-    /// Requested subscriptions whose connection stands and whose snapshot is not complete.
+    /// Requested subscriptions whose connection has not ended and whose snapshot is not complete.
     snapshots_pending: BTreeSet<SubscriptionId>,
     /// Commands accepted while a snapshot was due, which may have been taken before them.
     accepted_since_snapshot: Vec<AcceptedCommand>,
@@ -106,7 +109,7 @@
         self.latest
     }
 
-    /// A subscription is about to be requested; must be told before the relay can know.
+    /// A subscription is about to be requested; must come before the relay can know of it.
     pub(crate) fn on_requested(&mut self, id: SubscriptionId) {
         self.latest = self.latest.max(id);
         self.snapshots_pending.insert(id);
@@ -273,6 +276,16 @@
         Update::None
     }
 
+    /// When the tables so far show the outcome of a call about them, if no event comes before.
+    pub(crate) fn outcome_deadline(&self) -> Seconds {
+        self.last_event_at + TABLES_IDLE_TIMEOUT
+    }
+
+    /// Whether the tables so far show the outcome of a call about them.
+    pub(crate) fn shows_outcomes(&self, now: Seconds) -> bool {
+        now - self.last_event_at >= TABLES_IDLE_TIMEOUT
+    }
+
     /// Sets a line of a slice that the snapshot has.
     fn set_weight(&mut self, slice: SliceId, line: WeightedHost, single_owner: bool) {
         if let Some(table) = self.tables.get_mut(&slice) {
--- a/crates/railhub-platform/src/wire/discovery.rs
+++ b/crates/railhub-platform/src/wire/discovery.rs
@@ -14,7 +14,7 @@
 /// Decodes one page.
 ///
 /// # Errors
-/// The page as a whole cannot be read. An entry that cannot be read is left out and counted in
+/// The page cannot be read. An entry that cannot be read is left out and counted in
 /// [`EndpointPage::invalid`].
 pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, InvalidEntry> {
     let page: PageMessage = decode_message(line)?;
--- a/crates/railhub-platform/src/wire/json.rs
+++ b/crates/railhub-platform/src/wire/json.rs
@@ -2,7 +2,7 @@
 use crate::error::InvalidEntry;
 use serde::de::DeserializeOwned;
 
-/// Decodes a whole message. What is no JSON at all is [`InvalidEntry::Unreadable`].
+/// Decodes a message. What is no JSON at all is [`InvalidEntry::Unreadable`].
 pub(super) fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, InvalidEntry> {
     serde_json::from_slice(bytes).map_err(|error| match error.classify() {
         serde_json::error::Category::Data => InvalidEntry::Fields,
--- a/crates/railhub-platform/tests/controller.rs
+++ b/crates/railhub-platform/tests/controller.rs
@@ -8,7 +8,7 @@
 };
 use std::ops::{Deref, DerefMut};
 
-const FILE: &str = include_str!("assignment.json");
+const FILE: &str = include_str!("node_config.json");
 const START: f64 = 1_700_000_100.0;
 
 fn assignment() -> NodeConfig {
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const FILE: &str = include_str!("assignment.json");
+const FILE: &str = include_str!("node_config.json");
 
 fn names() -> Names {
     NodeConfig::parse(FILE).expect("a good file").names
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -9,7 +9,7 @@
 };
 
 fn names() -> Names {
-    NodeConfig::parse(include_str!("assignment.json")).expect("a valid file").names
+    NodeConfig::parse(include_str!("node_config.json")).expect("a valid file").names
 }
 
 fn host(name: &str) -> HostId {
@@ -262,7 +262,7 @@
 
 #[test]
 fn reads_the_configuration_from_these_bytes() {
-    let read = NodeConfig::parse(include_str!("assignment.json")).expect("a valid file");
+    let read = NodeConfig::parse(include_str!("node_config.json")).expect("a valid file");
     assert_eq!(
         [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
