--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -289,7 +289,7 @@
         events
     }
 
-    /// The next call to the relay, if one may leave ([`crate::call`]). Its end must come back by
+    /// The next call to the relay, if one may leave: none is in flight, and the outcome of the last one is known. Its end must come back by
     /// [`PlatformController::on_call_ended`].
     pub fn next_call(&mut self) -> Option<Call> {
         if self.call.blocker().is_some() {
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_proxy_that_left_just_before_a_new_subscription_is_told_to_have_left() {
+fn reports_a_proxy_that_left_just_before_a_new_subscription() {
     let mut controller = controller();
     let (proxy, now) = (ProxyId(5), 1.0);
     controller.on_relay_event(now, NONE, RelayEvent::ProxyJoined { proxy, first: true });
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn lists_that_wait_for_the_relay_are_one_list_of_each_host_once() {
+fn merges_waiting_lists_into_one_with_each_host_once() {
     let mut controller = controller();
     let names = NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file").names;
     for generation in 42..500 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_single_owners_table_never_has_two_lines_in_what_is_believed() {
+fn a_single_owners_table_never_has_two_lines() {
     let file = include_str!("../../tests/node_config.json").replace(
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_line_joins_the_latest_word_on_its_slice() {
+fn a_line_joins_the_latest_assignment_of_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.batch.events.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
--- a/crates/railhub-platform/src/effects.rs
+++ b/crates/railhub-platform/src/effects.rs
@@ -5,7 +5,7 @@
 use railhub::Seconds;
 use thiserror::Error;
 
-/// What the driver does after [`PlatformController::poll`], and logs.
+/// What the driver does after [`crate::PlatformController::poll`], and logs.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Health checks to make.
--- /dev/null
+++ b/crates/railhub-platform/tests/controller/calls.rs
@@ -0,0 +1,177 @@
+//! Calls: one at a time, and none before the outcome of the last one is known.
+use super::*;
+
+#[test]
+fn a_line_in_flight_counts_as_stored_in_a_snapshot() {
+    let (mut controller, call) = with_call_in_flight();
+    // The subscription breaks while the call is in flight; its line is not in the snapshot.
+    send_snapshot(&mut controller, START + 0.1, &[joined(1), assigned(3), stored(3, 1)]);
+    controller.poll(START + 0.1);
+    assert!(controller.next_call().is_none(), "one call at a time");
+    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
+    controller.poll(START + 0.2);
+    assert!(
+        !controller.next_call().is_some_and(|call| text(&call).contains("share")),
+        "the line is as expected"
+    );
+}
+
+#[test]
+fn repeats_a_call_of_unknown_outcome_only_if_a_later_snapshot_lacks_it() {
+    for carried_out in [false, true] {
+        let (mut controller, call) = with_call_in_flight();
+        assert!(controller.on_call_ended(None).is_none());
+        assert!(controller.take_resubscribe_reason().is_some(), "only a snapshot shows the outcome");
+        controller.poll(START + 0.1);
+        assert!(controller.next_call().is_none(), "carried out, it would wait in the channel twice");
+        let table = [joined(1), assigned(3), stored(3, 1), standby(0.0)];
+        send_snapshot(&mut controller, START + 0.2, &table[..3 + usize::from(carried_out)]);
+        controller.poll(START + 0.2);
+        let again = controller.next_call();
+        if carried_out {
+            assert!(!again.is_some_and(|call| text(&call).contains("share")));
+            continue;
+        }
+        let again = again.expect("it was not carried out");
+        assert_eq!(commands_of(&again), commands_of(&call));
+        assert!(again.id > call.id, "an answer to the first must not pass for this one's");
+        controller.on_call_ended(Some(CallResponse::Accepted(again.commands)));
+        assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
+    }
+}
+
+#[test]
+fn a_subscription_requested_before_a_call_ended_does_not_show_its_outcome() {
+    let (mut controller, _) = with_call_in_flight();
+    controller.request_subscription();
+    let requested_early = controller.subscription;
+    controller.on_call_ended(None);
+    assert!(controller.take_resubscribe_reason().is_some());
+    // Its snapshot is of before the call was carried out: by it the call would be repeated.
+    for event in [RelayEvent::Subscribed, joined(1), assigned(3), stored(3, 1), RelayEvent::Heartbeat] {
+        controller.core.on_relay_event(START + 0.1, requested_early, event);
+    }
+    controller.poll(START + 0.3);
+    assert!(controller.next_call().is_none());
+    assert!(controller.take_resubscribe_reason().is_some(), "one more is needed");
+    send_snapshot(&mut controller, START + 0.4, &[joined(1), assigned(3), stored(3, 1), standby(0.0)]);
+    controller.poll(START + 0.4);
+    assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
+}
+
+#[test]
+fn a_snapshot_that_pauses_shows_the_outcome_of_a_call_before_it_is_complete() {
+    let (mut controller, _) = with_call_in_flight();
+    controller.on_call_ended(None);
+    controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
+    [assigned(3), stored(3, 1)].into_iter().for_each(|event| controller.on_relay_event(START + 0.2, event));
+    controller.poll(START + 0.25);
+    assert!(controller.next_call().is_none(), "the rest may be on its way");
+    assert!(controller.next_deadline().is_some_and(|due| due < START + 0.35));
+    controller.poll(START + 0.31);
+    assert!(controller.next_call().is_some(), "no heartbeat is needed");
+}
+
+#[test]
+fn a_slice_missing_from_an_incomplete_snapshot_does_not_count_as_revoked() {
+    let mut controller = PlatformController::new(&config());
+    let tables = [joined(1), assigned(3), stored(3, 1), assigned(4), stored(4, 1)];
+    send_snapshot(&mut controller, START, &tables);
+    controller.poll(START);
+    let call = controller.next_call().expect("two standbys");
+    controller.on_call_ended(None);
+    controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
+    tables[..3].iter().for_each(|event| controller.on_relay_event(START + 0.2, *event));
+    // The snapshot pauses for longer than an outcome takes to be seen.
+    controller.poll(START + 0.4);
+    assert!(
+        controller.next_call().is_none() && controller.next_deadline().is_some_and(|due| due > START + 0.4)
+    );
+    tables[3..]
+        .iter()
+        .chain([&RelayEvent::Heartbeat])
+        .for_each(|event| controller.on_relay_event(START + 0.5, *event));
+    controller.poll(START + 0.5);
+    assert_eq!(commands_of(&controller.next_call().expect("it was not carried out")), commands_of(&call));
+}
+
+#[test]
+fn resubscribes_for_a_slice_assigned_while_a_call_about_it_is_in_flight() {
+    let (mut controller, call) = with_call_in_flight();
+    controller.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
+    assert!(
+        controller.take_resubscribe_reason().is_none(),
+        "no command changes the table of a revoked slice"
+    );
+    [assigned(3), stored(3, 1)].into_iter().for_each(|event| controller.on_relay_event(START + 0.11, event));
+    assert!(
+        controller.take_resubscribe_reason().is_some(),
+        "the call's line may be on the table as it is now"
+    );
+    controller.on_call_ended(Some(CallResponse::Accepted(call.commands)));
+    assert!(
+        controller.take_resubscribe_reason().is_some() && controller.next_call().is_none(),
+        "its effect can be seen from now on"
+    );
+    send_snapshot(&mut controller, START + 0.3, &[joined(1), assigned(3), stored(3, 1), standby(0.0)]);
+    controller.poll(START + 0.3);
+    assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
+}
+
+#[test]
+fn does_not_repeat_a_call_of_unknown_outcome_about_a_slice_of_another_controller() {
+    // The relay carried the call out or not, and assigned the slice to the other controller meanwhile.
+    for carried_out in [true, false] {
+        let (mut first, _) = with_call_in_flight();
+        first.on_call_ended(None);
+        first.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
+        let mut successor = PlatformController::new(&config());
+        send_snapshot(&mut successor, START, &[joined(1)]);
+        accept_all_calls(&mut successor, START);
+        let table = [assigned(3), stored(3, 1), standby(0.0)];
+        table[..2 + usize::from(carried_out)]
+            .iter()
+            .for_each(|event| successor.on_relay_event(START + 0.1, *event));
+        send_snapshot(&mut first, START + 0.2, &[joined(1)]);
+        first.poll(START + 0.2);
+        assert!(!first.next_call().is_some_and(|call| text(&call).contains("\"table\":3")));
+        // The other controller sets what the table lacks, once.
+        assert_eq!(accept_all_calls(&mut successor, START + 0.2).contains("\"table\":3"), !carried_out);
+    }
+}
+
+/// The barrier that a call carries.
+fn barrier_of(call: &Call) -> BarrierId {
+    let number = text(call).split("\"ticket\":").nth(1).and_then(|rest| rest.split(',').next());
+    BarrierId(number.and_then(|number| number.parse().ok()).expect("a barrier"))
+}
+
+#[test]
+fn a_proxy_that_joins_while_a_call_is_in_flight_counts_as_a_recipient() {
+    // 35 proxies and a few lines for each: one such update fits into the backlog's limit, two do not.
+    const LATE_PROXIES: std::ops::Range<u16> = 5..35;
+    let mut controller = PlatformController::new(&config());
+    let mut first = vec![assigned(3), stored(3, 1)];
+    first.extend((0..LATE_PROXIES.start).map(joined));
+    send_snapshot(&mut controller, START, &first);
+    controller.poll(START);
+    let call = controller.next_call().expect("a standby is due");
+    LATE_PROXIES.for_each(|proxy| controller.on_relay_event(START + 0.01, joined(proxy)));
+    controller.poll(START + 0.02);
+    assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
+    let drains = FILE
+        .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
+        .replacen("draining", "ready", 1);
+    let known = NodeConfig::parse(&drains.replace("\"generation\": 41", "\"generation\": 42"))
+        .expect("a valid file")
+        .known;
+    assert!(controller.on_endpoint_page(START + 0.1, &known));
+    controller.poll(START + 0.1);
+    assert!(controller.next_call().is_none(), "the first update may wait for all that have joined since");
+    let mark = barrier_of(&call);
+    for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
+        controller.on_relay_event(START + 0.9, RelayEvent::BarrierAcked(BarrierAck { proxy, barrier: mark }));
+    }
+    controller.poll(START + 1.1);
+    assert!(controller.next_call().is_some(), "the first update has left the backlog");
+}
--- /dev/null
+++ b/crates/railhub-platform/tests/controller/main.rs
@@ -0,0 +1,117 @@
+//! The controller with the real decisions: snapshots, commands, and the outcomes of calls.
+mod calls;
+mod hosts;
+mod pending_commands;
+mod snapshots;
+
+use railhub::{
+    BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId, WeightedHost,
+};
+use railhub_platform::{
+    Call, CallResponse, Command, NodeConfig, PendingCommands, PlatformController as Core, RelayEvent,
+    SubscriptionId,
+};
+use std::ops::{Deref, DerefMut};
+
+const FILE: &str = include_str!("../node_config.json");
+const START: f64 = 1_700_000_100.0;
+
+fn config() -> NodeConfig {
+    // Without health checks the decisions trust the list, so that a few batches are enough.
+    NodeConfig::parse(&FILE.replace("\"probes\": true", "\"probes\": false")).expect("a valid file")
+}
+
+fn host(n: u8) -> HostId {
+    HostId::new(&format!("s-{n}")).expect("a name")
+}
+
+fn assigned(slice: u16) -> RelayEvent {
+    RelayEvent::SliceAssigned { slice: SliceId(slice), assigned: true }
+}
+
+fn stored(slice: u16, n: u8) -> RelayEvent {
+    RelayEvent::StoredEntry { slice: SliceId(slice), line: WeightedHost { host: host(n), weight: 1.0 } }
+}
+
+fn joined(proxy: u16) -> RelayEvent {
+    RelayEvent::ProxyJoined { proxy: ProxyId(proxy), first: false }
+}
+
+/// A controller and its current subscription; each further one is requested as it is confirmed.
+struct PlatformController {
+    core: Core,
+    subscription: SubscriptionId,
+}
+
+impl PlatformController {
+    fn new(config: &NodeConfig) -> PlatformController {
+        PlatformController { core: Core::new(config), subscription: SubscriptionId::default() }
+    }
+
+    fn request_subscription(&mut self) {
+        self.subscription.sequence += 1;
+        self.core.on_subscription_requested(self.subscription);
+    }
+
+    fn on_relay_event(&mut self, now: f64, event: RelayEvent) {
+        if event == RelayEvent::Subscribed {
+            self.request_subscription();
+        }
+        self.core.on_relay_event(now, self.subscription, event);
+    }
+}
+
+impl Deref for PlatformController {
+    type Target = Core;
+
+    fn deref(&self) -> &Core {
+        &self.core
+    }
+}
+
+impl DerefMut for PlatformController {
+    fn deref_mut(&mut self) -> &mut Core {
+        &mut self.core
+    }
+}
+
+/// A complete snapshot of a new subscription.
+fn send_snapshot(controller: &mut PlatformController, now: f64, events: &[RelayEvent]) {
+    controller.on_relay_event(now, RelayEvent::Subscribed);
+    for event in events {
+        controller.on_relay_event(now, *event);
+    }
+    controller.on_relay_event(now, RelayEvent::Heartbeat);
+}
+
+fn text(call: &Call) -> &str {
+    std::str::from_utf8(&call.bytes).expect("text")
+}
+
+/// Polls and accepts all calls that are due. Returns their text.
+fn accept_all_calls(controller: &mut PlatformController, now: f64) -> String {
+    controller.poll(now);
+    let mut calls = String::new();
+    while let Some(call) = controller.next_call() {
+        calls.push_str(text(&call));
+        assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
+    }
+    calls
+}
+
+fn commands_of(call: &Call) -> &str {
+    text(call).split_once("orders").expect("a commit").1
+}
+
+/// A controller that has set slice 3's standby, with that call in flight.
+fn with_call_in_flight() -> (PlatformController, Call) {
+    let mut controller = PlatformController::new(&config());
+    send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 1)]);
+    controller.poll(START);
+    let call = controller.next_call().expect("a standby is due");
+    (controller, call)
+}
+
+fn standby(weight: f64) -> RelayEvent {
+    RelayEvent::StoredEntry { slice: SliceId(3), line: WeightedHost { host: host(2), weight } }
+}
--- /dev/null
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -0,0 +1,96 @@
+//! Pending commands: folded, bounded, and encoded in calls.
+use super::*;
+
+#[test]
+fn a_repeated_call_leaves_out_tables_of_revoked_slices() {
+    let mut pending = PendingCommands::default();
+    push_lines(&mut pending, 3);
+    pending.next_call(&[]).expect("a call");
+    // Slice 0 was carried out, slice 1 was not, slice 2 is another controller's now.
+    let tables = [(SliceId(0), vec![(host(1), 1.0).into()]), (SliceId(1), Vec::new())].into();
+    pending.reconcile(&tables);
+    let again = pending.next_call(&[]).expect("one line");
+    assert!(again.commands == 1 && text(&again).contains("\"table\":1"), "{}", text(&again));
+}
+
+#[test]
+fn drops_an_admission_rate_for_a_class_without_a_name() {
+    let mut pending = PendingCommands::default();
+    pending.push(Command::SetAdmissionRate { class: ClassId(1), rate: 0.5, retry: RetryPolicy::Never });
+    pending.push(Command::SetAdmissionRate { class: ClassId(0), rate: 0.7, retry: RetryPolicy::Never });
+    let call = pending.next_call(&["view".to_owned()]).expect("a call");
+    assert_eq!(pending.unnamed, 1);
+    assert!(
+        call.commands == 1 && text(&call).contains("view") && !text(&call).contains('*'),
+        "{}",
+        text(&call)
+    );
+}
+
+fn push_lines(pending: &mut PendingCommands, count: u16) {
+    (0..count).for_each(|slice| {
+        pending.push(Command::SetWeight {
+            slice: SliceId(slice),
+            line: WeightedHost { host: host(1), weight: 1.0 },
+        })
+    });
+}
+
+#[test]
+fn calls_stay_below_the_relays_limit_and_lose_nothing() {
+    let mut pending = PendingCommands::default();
+    push_lines(&mut pending, 5000);
+    let (mut calls, mut commands) = (0, 0);
+    while let Some(call) = pending.next_call(&[]) {
+        assert!(call.bytes.len() < 60_000 && call.bytes.ends_with(b"]}}\n"));
+        assert_eq!(text(&call).matches("\"op\"").count(), call.commands);
+        (calls, commands) = (calls + 1, commands + call.commands);
+        assert!(pending.on_accepted(call.commands).refused.is_none());
+    }
+    assert_eq!((calls > 3, commands), (true, 5000));
+}
+
+#[test]
+fn drops_a_refused_command_alone() {
+    let mut pending = PendingCommands::default();
+    push_lines(&mut pending, 5);
+    assert_eq!(pending.next_call(&[]).expect("a call").commands, 5);
+    push_lines(&mut pending, 6);
+    assert_eq!(
+        pending.on_accepted(2).refused,
+        Some(Command::SetWeight { slice: SliceId(2), line: WeightedHost { host: host(1), weight: 1.0 } })
+    );
+    let rest = pending.next_call(&[]).expect("the rest of the call first");
+    assert_eq!(rest.commands, 2);
+    assert!(text(&rest).contains("\"table\":3") && text(&rest).contains("\"table\":4"));
+    assert!(pending.on_accepted(2).refused.is_none());
+    assert_eq!(pending.next_call(&[]).expect("what was queued meanwhile").commands, 6);
+}
+
+#[test]
+fn pending_commands_fold_by_key_and_are_bounded() {
+    let mut pending = PendingCommands::default();
+    pending.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(1), weight: 0.0 } });
+    pending.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(2), weight: 1.0 } });
+    pending.push(Command::Exclude(host(2)));
+    pending.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(1), weight: 1.0 } });
+    pending.push(Command::Readmit(host(2)));
+    let call = pending.next_call(&[]).expect("a call");
+    assert_eq!((call.commands, pending.folded), (3, 2));
+    let text = text(&call);
+    assert!(
+        text.find("\"s-2\",\"weight\":1.0").expect("kept")
+            < text.find("\"s-1\",\"weight\":1.0").expect("last")
+    );
+    assert!(text.contains("restore") && !text.contains("withdraw"));
+    assert_eq!(pending.table_when_accepted(SliceId(1), &[(host(3), 0.5).into()]).len(), 3);
+    pending.on_accepted(3);
+    for slice in 0..u16::MAX {
+        pending.push(Command::SetWeight {
+            slice: SliceId(slice),
+            line: WeightedHost { host: host(1), weight: 1.0 },
+        });
+        assert!(pending.len() <= 20_000);
+    }
+    assert!(pending.overflowed, "the store must be read again");
+}
--- /dev/null
+++ b/crates/railhub-platform/tests/controller/snapshots.rs
@@ -0,0 +1,152 @@
+//! Snapshots: nothing is decided before the first, and an incomplete one counts for nothing.
+use super::*;
+
+#[test]
+fn issues_no_command_before_the_first_snapshot_is_complete() {
+    let mut controller = PlatformController::new(&config());
+    assert_eq!(accept_all_calls(&mut controller, START), "");
+    controller.on_relay_event(START, RelayEvent::Subscribed);
+    controller.on_relay_event(START, assigned(3));
+    assert_eq!(accept_all_calls(&mut controller, START + 0.01), "", "the table is not complete");
+    controller.on_relay_event(START + 0.02, stored(3, 1));
+    assert!(controller.next_deadline().is_some_and(|due| due < START + 0.2));
+    let calls = accept_all_calls(&mut controller, START + 0.2);
+    assert!(controller.is_synchronized());
+    // It keeps the owner that the store names and adds a standby; it never empties the table.
+    assert!(calls.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{calls}");
+    assert!(!calls.contains("\"weight\":0.0}"), "{calls}");
+}
+
+#[test]
+fn a_snapshot_replaces_what_was_known() {
+    let mut controller = PlatformController::new(&config());
+    let first = [joined(1), joined(2), assigned(3), stored(3, 1), assigned(4), stored(4, 1)];
+    send_snapshot(&mut controller, START, &first);
+    accept_all_calls(&mut controller, START);
+    assert_eq!(controller.proxies_joined(), 2);
+    // Proxy 2 and slice 4 are missing now; slice 3 is as commanded: nothing is due.
+    let standby =
+        RelayEvent::StoredEntry { slice: SliceId(3), line: WeightedHost { host: host(2), weight: 0.0 } };
+    send_snapshot(&mut controller, START + 0.1, &[joined(1), assigned(3), stored(3, 1), standby]);
+    // The relay rounds a standby's weight to 0. Exclusions are sent again, as a proxy may have missed them.
+    assert!(!accept_all_calls(&mut controller, START + 0.1).contains("share"));
+    assert_eq!(controller.proxies_joined(), 1);
+    // The store lost the standby: it is set again, and slice 4 is revoked.
+    send_snapshot(&mut controller, START + 0.2, &[joined(1), assigned(3), stored(3, 1)]);
+    let calls = accept_all_calls(&mut controller, START + 0.2);
+    assert!(calls.contains(r#""table":3,"server":"s-2""#) && !calls.contains("\"table\":4"), "{calls}");
+}
+
+#[test]
+fn keeps_a_line_accepted_after_the_snapshot_was_taken_in_either_order() {
+    // The relay sends slice 3 without the line, then accepts the line; its response overtakes the end of the snapshot,
+    // or even its start, as the two come on connections of their own.
+    for answered_first in [true, false] {
+        let (mut controller, call) = with_call_in_flight();
+        controller.request_subscription();
+        let subscription = controller.subscription;
+        let events = [RelayEvent::Subscribed, joined(1), assigned(3), stored(3, 1)];
+        if !answered_first {
+            events
+                .into_iter()
+                .for_each(|event| controller.core.on_relay_event(START + 0.1, subscription, event));
+        }
+        controller.on_call_ended(Some(CallResponse::Accepted(call.commands)));
+        if answered_first {
+            events
+                .into_iter()
+                .for_each(|event| controller.core.on_relay_event(START + 0.1, subscription, event));
+        }
+        controller.core.on_relay_event(START + 0.2, subscription, RelayEvent::Heartbeat);
+        controller.poll(START + 0.2);
+        let call = controller.next_call();
+        assert!(!call.is_some_and(|call| text(&call).contains("share")), "answered first: {answered_first}");
+    }
+}
+
+#[test]
+fn discards_an_incomplete_snapshot_when_its_connection_ends() {
+    let mut controller = PlatformController::new(&config());
+    send_snapshot(
+        &mut controller,
+        START,
+        &[joined(1), joined(2), assigned(3), stored(3, 1), assigned(4), stored(4, 1)],
+    );
+    accept_all_calls(&mut controller, START);
+    controller.on_relay_event(START + 1.0, RelayEvent::Subscribed);
+    [joined(1), assigned(3)].into_iter().for_each(|event| controller.on_relay_event(START + 1.0, event));
+    let subscription = controller.subscription;
+    controller.on_subscription_ended(subscription);
+    // The relay is away for long.
+    assert_eq!(accept_all_calls(&mut controller, START + 20.0), "");
+    assert_eq!(controller.proxies_joined(), 2, "the last complete snapshot stays in force");
+    controller.on_relay_event(START + 21.0, RelayEvent::ProxyLeft(ProxyId(1)));
+    send_snapshot(&mut controller, START + 22.0, &[joined(1), assigned(3), stored(3, 1), standby(0.0)]);
+    accept_all_calls(&mut controller, START + 22.0);
+    assert_eq!(controller.proxies_joined(), 1);
+}
+
+#[test]
+fn a_first_snapshot_that_breaks_off_leaves_the_controller_unsynchronized() {
+    let mut controller = PlatformController::new(&config());
+    controller.on_relay_event(START, RelayEvent::Subscribed);
+    controller.on_relay_event(START, assigned(3));
+    let subscription = controller.subscription;
+    controller.on_subscription_ended(subscription);
+    assert_eq!(accept_all_calls(&mut controller, START + 5.0), "");
+    assert!(!controller.is_synchronized());
+}
+
+#[test]
+fn ignores_an_older_configurations_subscription_after_a_newer_one() {
+    let mut controller = Core::new(&config());
+    let (older, newer) = (
+        SubscriptionId { config_version: 0, sequence: 5 },
+        SubscriptionId { config_version: 1, sequence: 4 },
+    );
+    [older, newer].into_iter().for_each(|subscription| controller.on_subscription_requested(subscription));
+    for event in [RelayEvent::Subscribed, joined(1), assigned(3), stored(3, 1), RelayEvent::Heartbeat] {
+        controller.on_relay_event(START, newer, event);
+    }
+    for event in [RelayEvent::Subscribed, RelayEvent::ProxyLeft(ProxyId(1)), RelayEvent::Heartbeat] {
+        controller.on_relay_event(START + 0.1, older, event);
+    }
+    controller.on_subscription_ended(older);
+    controller.on_relay_event(START + 0.2, newer, joined(2));
+    assert_eq!(controller.proxies_joined(), 2);
+}
+
+#[test]
+fn waits_for_the_lines_of_a_slice_assigned_later() {
+    let mut controller = PlatformController::new(&config());
+    send_snapshot(&mut controller, START, &[joined(1)]);
+    accept_all_calls(&mut controller, START);
+    controller.on_relay_event(START + 0.5, assigned(7));
+    assert_eq!(accept_all_calls(&mut controller, START + 0.505), "", "its lines may be on their way");
+    controller.on_relay_event(START + 0.51, stored(7, 2));
+    let calls = accept_all_calls(&mut controller, START + 0.55);
+    assert!(calls.contains(r#""table":7,"server":"s-1","weight":0.0001"#), "{calls}");
+    controller.on_relay_event(START + 1.2, RelayEvent::SliceAssigned { slice: SliceId(7), assigned: false });
+    assert_eq!(accept_all_calls(&mut controller, START + 1.25), "");
+}
+
+#[test]
+fn keeps_a_line_that_comes_after_the_batch_with_its_slice() {
+    let mut controller = PlatformController::new(&config());
+    send_snapshot(&mut controller, START, &[joined(1), assigned(7)]);
+    accept_all_calls(&mut controller, START);
+    // The table was assigned empty and got an owner; now the store's own line follows, of a host that the decisions do
+    // not want there: it must be known, or it would stay for ever.
+    controller.on_relay_event(START + 0.1, stored(7, 9));
+    let calls = accept_all_calls(&mut controller, START + 0.2);
+    assert!(calls.contains(r#""table":7,"server":"s-9","weight":0.0"#), "{calls}");
+}
+
+#[test]
+fn drops_pending_commands_about_a_slice_that_changes_hands() {
+    let mut controller = PlatformController::new(&config());
+    send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 1)]);
+    controller.poll(START);
+    controller.on_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
+    assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
+}
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Each decoder on good input, on invalid input that must be told apart, and on damaged bytes without end.
+//! Each decoder on valid input, on kinds of invalid input, and on damaged bytes.
 use railhub::{BarrierId, ClassId, HostId, Idempotency, Phase, ProxyId, SliceId, WeightedHost, ZoneId};
 use railhub_platform::{wire, CallResponse, CollectorMessage, InvalidEntry, Names, NodeConfig, RelayEvent};
 use rand::{RngExt, SeedableRng};
@@ -7,16 +7,16 @@
 const FILE: &str = include_str!("node_config.json");
 
 fn names() -> Names {
-    NodeConfig::parse(FILE).expect("a good file").names
+    NodeConfig::parse(FILE).expect("a valid file").names
 }
 
-fn frame(text: &str) -> Result<CollectorMessage, InvalidEntry> {
+fn message(text: &str) -> Result<CollectorMessage, InvalidEntry> {
     wire::collector::decode(text.as_bytes(), &names(), 40)
 }
 
 #[test]
-fn a_file_becomes_terms_and_the_first_list() {
-    let read = NodeConfig::parse(FILE).expect("a good file");
+fn reads_a_configuration_and_its_first_list() {
+    let read = NodeConfig::parse(FILE).expect("a valid file");
     assert_eq!((read.name.as_str(), read.sockets, read.memory_mb), ("n0", 256, 32));
     assert_eq!(read.relay.to_string(), "127.0.0.1:6400");
     assert_eq!(
@@ -31,30 +31,30 @@
 }
 
 #[test]
-fn what_is_wrong_in_a_file_is_named_with_its_place() {
-    let fault = |from: &str, to: &str| {
+fn names_the_place_of_an_error_in_the_configuration() {
+    let error = |from: &str, to: &str| {
         assert!(FILE.contains(from), "{from}");
         NodeConfig::parse(&FILE.replace(from, to)).expect_err("wrong").to_string()
     };
-    let place = fault("\"127.0.0.1:6400\"", "17");
+    let place = error("\"127.0.0.1:6400\"", "17");
     assert!(place.starts_with("registry.address: "), "{place}");
-    let class = fault("\"effect\": \"once\"", "\"effect\": \"often\"");
+    let class = error("\"effect\": \"once\"", "\"effect\": \"often\"");
     assert_eq!(class, "settings.request_classes[1].effect: cannot be 'often'");
-    assert!(fault("\"backlog\": 900.5", "\"backlog\": -1").starts_with("settings.family_info.backlog: "));
-    let one_owner = fault("\"exclusive\": false", "\"exclusive\": true");
+    assert!(error("\"backlog\": 900.5", "\"backlog\": -1").starts_with("settings.family_info.backlog: "));
+    let one_owner = error("\"exclusive\": false", "\"exclusive\": true");
     assert_eq!(one_owner, "settings.family_info.write_lease_us: is needed where a slice has one owner");
     assert!(NodeConfig::parse(&FILE[..FILE.len() / 2]).is_err());
 }
 
 #[test]
-fn a_spoilt_entry_of_the_known_list_costs_itself_and_no_start_and_makes_nobody_gone() {
+fn leaves_out_an_invalid_entry_of_the_known_list_and_removes_no_host() {
     for (from, to) in
         [("127.0.0.2:7070", "nowhere"), ("\"weight\": 2.0", "\"weight\": \"two\""), ("\"weight\": 2.0,", "")]
     {
         assert!(FILE.contains(from), "{from}");
         let read = NodeConfig::parse(&FILE.replace(from, to)).expect("a start");
         assert_eq!((read.known.invalid.len(), read.known.entries.len(), read.known.complete), (1, 1, false));
-        // The list is asked for whole, and counts under whatever number it comes.
+        // Generation 0: the complete list is requested, and counts under whatever generation it comes.
         assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
     let empty = FILE.replace("\"instances\": [", "\"instances\": [], \"old\": [");
@@ -62,29 +62,32 @@
 }
 
 #[test]
-fn good_frames_become_sums() {
-    assert!(matches!(frame(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
-    assert!(matches!(frame(r#"{"t":"collector","zone":"b"}"#), Ok(CollectorMessage::Join(ZoneId(1)))));
-    let heard = r#"{"t":"heard","zone":"a","server":"s-1","tries":212,"failed":3,"mean_ms":41.5,
+fn decodes_collector_messages() {
+    assert!(matches!(message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
+    assert!(matches!(message(r#"{"t":"collector","zone":"b"}"#), Ok(CollectorMessage::Join(ZoneId(1)))));
+    let host_report = r#"{"t":"heard","zone":"a","server":"s-1","tries":212,"failed":3,"mean_ms":41.5,
         "span_ms":1000.0,"load":{"inflight":7,"util":0.61},"new":[[{}]]}"#;
-    let Ok(CollectorMessage::HostLoad(sum)) = frame(heard) else { panic!("a report") };
-    assert_eq!((sum.attempts, sum.failed, sum.mean_latency, sum.span), (212.0, 3.0, 0.0415, 1.0));
-    assert_eq!((sum.zone, sum.cpu_utilization), (ZoneId(0), Some(0.61)));
+    let Ok(CollectorMessage::HostLoad(report)) = message(host_report) else { panic!("a report") };
+    assert_eq!((report.attempts, report.failed, report.mean_latency, report.span), (212.0, 3.0, 0.0415, 1.0));
+    assert_eq!((report.zone, report.cpu_utilization), (ZoneId(0), Some(0.61)));
     // As the settings of another customer name the same figures.
-    let renamed = heard.replace("inflight", "rif").replace("util", "busy");
+    let renamed = host_report.replace("inflight", "rif").replace("util", "busy");
     assert!(
-        matches!(frame(&renamed), Ok(CollectorMessage::HostLoad(sum)) if sum.cpu_utilization == Some(0.61))
+        matches!(message(&renamed), Ok(CollectorMessage::HostLoad(report)) if report.cpu_utilization == Some(0.61))
     );
-    assert!(frame(&renamed.replace("0.61", "61")).is_err(), "a share out of range");
+    assert!(message(&renamed.replace("0.61", "61")).is_err(), "a share out of range");
     // An operation may fail in a later span than the one it came in.
-    let heat = r#"{"t":"heat","slice":30,"class":"deposit","tries":0,"failed":1,"span_ms":500}"#;
-    let Ok(CollectorMessage::SliceLoad(sum)) = frame(heat) else { panic!("a report") };
-    assert_eq!((sum.slice, sum.class, sum.operations, sum.span), (SliceId(30), ClassId(1), 0.0, 0.5));
+    let slice_report = r#"{"t":"heat","slice":30,"class":"deposit","tries":0,"failed":1,"span_ms":500}"#;
+    let Ok(CollectorMessage::SliceLoad(report)) = message(slice_report) else { panic!("a report") };
+    assert_eq!(
+        (report.slice, report.class, report.operations, report.span),
+        (SliceId(30), ClassId(1), 0.0, 0.5)
+    );
 }
 
 #[test]
-fn spoilt_reports_are_told_from_streams_that_cannot_be_read() {
-    let heard = |field: &str, value: &str| {
+fn distinguishes_invalid_reports_from_unreadable_streams() {
+    let host_report = |field: &str, value: &str| {
         let fields = [
             ("zone", "\"a\""),
             ("server", "\"s-1\""),
@@ -93,14 +96,14 @@
             ("mean_ms", "9"),
             ("span_ms", "1000"),
         ];
-        let said = fields.map(|(name, usual)| {
+        let fields_text = fields.map(|(name, usual)| {
             let value = if name == field { value } else { usual };
             format!("\"{name}\":{value}")
         });
-        frame(&format!("{{\"t\":\"heard\",{}}}", said.join(","))).map(drop)
+        message(&format!("{{\"t\":\"heard\",{}}}", fields_text.join(","))).map(drop)
     };
-    assert_eq!(heard("none", ""), Ok(()));
-    for (field, value, fault) in [
+    assert_eq!(host_report("none", ""), Ok(()));
+    for (field, value, error) in [
         ("zone", "\"z\"", InvalidEntry::Unknown),
         ("server", "\"\"", InvalidEntry::Unknown),
         ("tries", "-1", InvalidEntry::Range),
@@ -112,53 +115,57 @@
         ("span_ms", "1e9", InvalidEntry::Range),
         ("span_ms", "[]", InvalidEntry::Fields),
     ] {
-        assert_eq!(heard(field, value), Err(fault), "{field} {value}");
+        assert_eq!(host_report(field, value), Err(error), "{field} {value}");
     }
-    let fault = |text: &str| frame(text).map(drop).expect_err("spoilt");
-    assert_eq!(fault(r#"{"zone":"a"}"#), InvalidEntry::Fields);
-    assert_eq!(fault(r#"{"t":7}"#), InvalidEntry::Fields);
-    assert_eq!(fault(r#"{"t":"joined","proxy":1}"#), InvalidEntry::Kind);
-    assert_eq!(fault(r#"{"t":"collector","zone":"x"}"#), InvalidEntry::Unknown);
+    let error = |text: &str| message(text).map(drop).expect_err("invalid");
+    assert_eq!(error(r#"{"zone":"a"}"#), InvalidEntry::Fields);
+    assert_eq!(error(r#"{"t":7}"#), InvalidEntry::Fields);
+    assert_eq!(error(r#"{"t":"joined","proxy":1}"#), InvalidEntry::Kind);
+    assert_eq!(error(r#"{"t":"collector","zone":"x"}"#), InvalidEntry::Unknown);
     assert_eq!(
-        fault(r#"{"t":"heat","slice":40,"class":"deposit","tries":1,"failed":0,"span_ms":1}"#),
+        error(r#"{"t":"heat","slice":40,"class":"deposit","tries":1,"failed":0,"span_ms":1}"#),
         InvalidEntry::Unknown
     );
-    assert_eq!(fault(r#"{"t":"heard","zone":"#), InvalidEntry::Unreadable);
-    assert_eq!(fault("GET / HTTP/1.1"), InvalidEntry::Unreadable);
+    assert_eq!(error(r#"{"t":"heard","zone":"#), InvalidEntry::Unreadable);
+    assert_eq!(error("GET / HTTP/1.1"), InvalidEntry::Unreadable);
     let deep = format!("{{\"t\":\"ping\",\"x\":{}", "[".repeat(900_000));
-    assert_eq!(fault(&deep), InvalidEntry::Unreadable);
+    assert_eq!(error(&deep), InvalidEntry::Unreadable);
 }
 
 #[test]
-fn the_relays_lines_are_read() {
+fn decodes_relay_events() {
     let read = |text: &str| wire::relay::decode_event(text.as_bytes());
-    let said = |method: &str, params: &str| {
+    let notification = |method: &str, params: &str| {
         read(&format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}"))
     };
     assert_eq!(read(r#"{"jsonrpc":"2.0","id":10,"result":true}"#), Ok(RelayEvent::Subscribed));
     assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(RelayEvent::Heartbeat));
-    let joined = said("joined", r#"{"proxy":17,"zone":"a","weight":21.5,"fresh":true}"#);
+    let joined = notification("joined", r#"{"proxy":17,"zone":"a","weight":21.5,"fresh":true}"#);
     assert_eq!(joined, Ok(RelayEvent::ProxyJoined { proxy: ProxyId(17), first: true }));
-    let Ok(RelayEvent::BarrierAcked(applied)) = said("applied", r#"{"proxy":17,"mark":905,"took_ms":310.4}"#)
+    let Ok(RelayEvent::BarrierAcked(applied)) =
+        notification("applied", r#"{"proxy":17,"mark":905,"took_ms":310.4}"#)
     else {
         panic!("an answer to a mark")
     };
     assert_eq!((applied.proxy, applied.barrier), (ProxyId(17), BarrierId(905)));
-    let held = said("held", r#"{"slice":88,"server":"s-1","weight":1.0}"#);
+    let stored = notification("held", r#"{"slice":88,"server":"s-1","weight":1.0}"#);
     assert_eq!(
-        held,
+        stored,
         Ok(RelayEvent::StoredEntry {
             slice: SliceId(88),
             line: WeightedHost { host: HostId::new("s-1").expect("a name"), weight: 1.0 }
         })
     );
-    assert_eq!(said("held", r#"{"slice":88,"server":"s-1","weight":-1.0}"#), Err(InvalidEntry::Range));
-    assert_eq!(said("given", r#"{"slice":70000,"on":true}"#), Err(InvalidEntry::Fields));
-    assert_eq!(said("heard", "{}"), Err(InvalidEntry::Kind));
+    assert_eq!(
+        notification("held", r#"{"slice":88,"server":"s-1","weight":-1.0}"#),
+        Err(InvalidEntry::Range)
+    );
+    assert_eq!(notification("given", r#"{"slice":70000,"on":true}"#), Err(InvalidEntry::Fields));
+    assert_eq!(notification("heard", "{}"), Err(InvalidEntry::Kind));
 }
 
 #[test]
-fn only_the_answer_to_this_very_call_settles_it() {
+fn accepts_only_the_response_to_this_call() {
     let answer = |text: &str| wire::relay::decode_response(text.as_bytes(), 8, 2);
     assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(CallResponse::Accepted(2)));
     assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(CallResponse::Rejected));
@@ -178,14 +185,14 @@
 }
 
 #[test]
-fn a_whole_list_that_lacks_a_spoilt_entry_makes_nobody_gone() {
+fn a_complete_list_with_an_invalid_entry_removes_no_host() {
     let page = r#"{"generation":43,"reset":true,"instances":[
         {"instanceId":"s-1","hostPort":"127.0.0.1:7070","lifecycle":"draining","weight":1.0},
         {"instanceId":"s-2","hostPort":"127.0.0.2:7070","lifecycle":"ready","weight":"heavy"}]}"#;
     let read = |text: &str| wire::discovery::decode_page(text.as_bytes(), &names());
-    for (weight, fault) in [("\"heavy\"", InvalidEntry::Fields), ("-1", InvalidEntry::Range)] {
+    for (weight, error) in [("\"heavy\"", InvalidEntry::Fields), ("-1", InvalidEntry::Range)] {
         let page = read(&page.replace("\"heavy\"", weight)).expect("a page");
-        assert_eq!((page.complete, page.entries.len(), page.invalid.as_slice()), (false, 1, &[fault][..]));
+        assert_eq!((page.complete, page.entries.len(), page.invalid.as_slice()), (false, 1, &[error][..]));
         assert_eq!(page.entries[0].endpoint.phase, Phase::Draining);
     }
     assert_eq!(read(&page.replace("true", "9")).map(drop), Err(InvalidEntry::Fields));
@@ -193,8 +200,8 @@
 }
 
 /// Bytes changed, cut, doubled and put in at random places.
-fn damage(good: &[u8], random: &mut ChaCha8Rng) -> Vec<u8> {
-    let mut bytes = good.to_vec();
+fn damage(valid: &[u8], random: &mut ChaCha8Rng) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
     for _ in 0..random.random_range(1..6) {
         let at = random.random_range(0..bytes.len().max(1));
         match random.random_range(0..4) {
@@ -211,51 +218,64 @@
 }
 
 /// A decoder may refuse what it likes but must neither panic nor let through what the module can't take.
-fn feed(good: &str, seed: u64, mut read: impl FnMut(&[u8]) -> bool) {
+fn decode_damaged(valid: &str, seed: u64, mut read: impl FnMut(&[u8]) -> bool) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let taken = (0..100_000).filter(|_| read(&damage(good.as_bytes(), &mut random))).count();
-    assert!((1..100_000).contains(&taken), "{taken} of the damaged ones still read: the damage is of no use");
-    assert!(read(good.as_bytes()));
+    let accepted = (0..100_000).filter(|_| read(&damage(valid.as_bytes(), &mut random))).count();
+    assert!(
+        (1..100_000).contains(&accepted),
+        "{accepted} of the damaged ones still read: the damage is of no use"
+    );
+    assert!(read(valid.as_bytes()));
 }
 
 #[test]
-fn damaged_bytes_never_pass_for_what_cannot_be() {
+fn damaged_bytes_never_decode_to_impossible_values() {
     let names = names();
-    let sane = |figure: f64| figure.is_finite() && figure >= 0.0;
-    let heard =
+    let is_amount = |figure: f64| figure.is_finite() && figure >= 0.0;
+    let host_report =
         r#"{"t":"heard","zone":"a","server":"s-1","tries":12,"failed":3,"mean_ms":4.5,"span_ms":1000.0}"#;
-    feed(heard, 1, |bytes| match wire::collector::decode(bytes, &names, 40) {
-        Ok(CollectorMessage::HostLoad(sum)) => {
+    decode_damaged(host_report, 1, |bytes| match wire::collector::decode(bytes, &names, 40) {
+        Ok(CollectorMessage::HostLoad(report)) => {
             assert!(
-                sane(sum.attempts) && sum.failed <= sum.attempts && sane(sum.mean_latency) && sum.span > 0.0
+                is_amount(report.attempts)
+                    && report.failed <= report.attempts
+                    && is_amount(report.mean_latency)
+                    && report.span > 0.0
             );
             true
         }
         read => read.is_ok(),
     });
-    let heat = r#"{"t":"heat","slice":8,"class":"deposit","tries":40,"failed":1,"span_ms":1000.0}"#;
-    feed(heat, 2, |bytes| match wire::collector::decode(bytes, &names, 40) {
-        Ok(CollectorMessage::SliceLoad(sum)) => {
-            assert!(sum.slice.0 < 40 && sum.class.0 < 2 && sane(sum.operations) && sum.span > 0.0);
+    let slice_report = r#"{"t":"heat","slice":8,"class":"deposit","tries":40,"failed":1,"span_ms":1000.0}"#;
+    decode_damaged(slice_report, 2, |bytes| match wire::collector::decode(bytes, &names, 40) {
+        Ok(CollectorMessage::SliceLoad(report)) => {
+            assert!(
+                report.slice.0 < 40
+                    && report.class.0 < 2
+                    && is_amount(report.operations)
+                    && report.span > 0.0
+            );
             true
         }
         read => read.is_ok(),
     });
-    let held = r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-1","weight":1.0}}"#;
-    feed(held, 3, |bytes| match wire::relay::decode_event(bytes) {
-        Ok(RelayEvent::StoredEntry { line, .. }) => sane(line.weight),
+    let stored = r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-1","weight":1.0}}"#;
+    decode_damaged(stored, 3, |bytes| match wire::relay::decode_event(bytes) {
+        Ok(RelayEvent::StoredEntry { line, .. }) => is_amount(line.weight),
         read => read.is_ok(),
     });
     let answer = r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#;
-    feed(answer, 4, |bytes| match wire::relay::decode_response(bytes, 8, 2) {
-        Ok(CallResponse::Accepted(taken)) => taken <= 2,
+    decode_damaged(answer, 4, |bytes| match wire::relay::decode_response(bytes, 8, 2) {
+        Ok(CallResponse::Accepted(accepted)) => accepted <= 2,
         read => read.is_ok(),
     });
     let page = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:7070",
         "lifecycle":"draining","weight":1.0,"startedAtMs":5}]}"#;
-    feed(page, 5, |bytes| {
+    decode_damaged(page, 5, |bytes| {
         wire::discovery::decode_page(bytes, &names)
-            .is_ok_and(|page| page.entries.iter().all(|entry| sane(entry.endpoint.weight)))
+            .is_ok_and(|page| page.entries.iter().all(|entry| is_amount(entry.endpoint.weight)))
+    });
+    decode_damaged(FILE, 6, |bytes| {
+        std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::parse(text).is_ok())
     });
-    feed(FILE, 6, |bytes| std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::parse(text).is_ok()));
 }
