--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -55,7 +55,7 @@
     if chaos.stewards < 2 {
         return Err(Ending::Input("--loopback needs two stewards at least".into()));
     }
-    railhub_net::start();
+    railhub_net::start_runtime();
     let at_once = arguments.at_once as usize;
     let all = each(arguments.seed, arguments.runs, at_once, |seed| one(chaos, seed, arguments, sabotage));
     let (mut runs, mut not_played) = (Vec::new(), Vec::new());
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -5,7 +5,7 @@
 use railhub_ini::Sheet;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
-use railhub_net::http::{Caller, HttpError};
+use railhub_net::http::{Client, HttpError};
 use railhub_steward::fleet::FleetTerms;
 use railhub_steward::Installation;
 use serde::{Deserialize, Serialize};
@@ -73,12 +73,12 @@
 }
 
 fn ask(store: SocketAddr) -> Result<Vec<Held>, HttpError> {
-    railhub_net::start();
+    railhub_net::start_runtime();
     let (sender, receiver) = channel();
-    railhub_net::go(move || {
-        let _ = sender.send(Caller::new(store, STORE_WITHIN).ask("/leases"));
+    railhub_net::spawn(move || {
+        let _ = sender.send(Client::new(store, STORE_WITHIN).get_json("/leases"));
     });
-    receiver.recv().unwrap_or(Err(HttpError::Ended))
+    receiver.recv().unwrap_or(Err(HttpError::Closed))
 }
 
 fn names(told: &Told) -> BTreeMap<u64, u16> {
--- a/crates/railhub-cli/src/main.rs
+++ b/crates/railhub-cli/src/main.rs
@@ -106,7 +106,7 @@
     };
     let _guard = logs::start(arguments.log, if runs { "info" } else { "warn" });
     if signals.is_none() {
-        railhub_net::start();
+        railhub_net::start_runtime();
     }
     let ended = match arguments.command {
         Command::Controller(arguments) => controller::run(&arguments, signals),
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -269,7 +269,7 @@
 /// its connection left open, and all proxies' streams are reset. The five rules are judged from what crossed the sockets.
 #[test]
 fn service_goes_on_while_a_fleet_is_flooded_its_list_is_silent_and_streams_are_reset() {
-    railhub_net::start();
+    railhub_net::start_runtime();
     let folder = folder("service");
     let (peer, conf) = steward(&folder, 2, None);
     let (_other, _) = steward(&folder, 3, Some(peer.fleet));
--- a/crates/railhub-cli/tests/shares.rs
+++ b/crates/railhub-cli/tests/shares.rs
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_steward_that_is_drained_hands_all_over_and_one_that_goes_does_too() {
-    railhub_net::start();
+    railhub_net::start_runtime();
     let folder = folder("drain");
     let tables = (0..40).map(|slice| (slice, vec![("127.0.0.1:9".parse().expect("an address"), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
--- a/crates/railhub-day/src/play.rs
+++ b/crates/railhub-day/src/play.rs
@@ -4,7 +4,7 @@
 use crate::troubles;
 use crate::world::World;
 use may::sync::WaitGroup;
-use railhub_net::{go, now, seconds};
+use railhub_net::{now, seconds, spawn};
 use railhub_record::{Event, Recorder};
 use railhub_standin::client;
 use railhub_standin::proxy::Sabotage;
@@ -65,11 +65,11 @@
     }
     let ended = Arc::new(AtomicBool::new(false));
     let (coming, done) = (world.clone(), ended.clone());
-    go(move || {
+    spawn(move || {
         let waited = WaitGroup::new();
         for (number, trouble) in coming.day.troubles.clone().into_iter().enumerate() {
             let (world, waits) = (coming.clone(), waited.clone());
-            go(move || {
+            spawn(move || {
                 troubles::happen(&trouble, number, &world);
                 drop(waits);
             });
@@ -77,7 +77,7 @@
         for arrival in arrivals {
             let (world, waits) = (coming.clone(), waited.clone());
             may::coroutine::sleep(seconds(world.began + arrival.at - now()));
-            go(move || {
+            spawn(move || {
                 come(&world, &arrival);
                 drop(waits);
             });
--- a/crates/railhub-day/src/troubles.rs
+++ b/crates/railhub-day/src/troubles.rs
@@ -485,7 +485,7 @@
             world.add_host();
         }
         let (ending, part) = (world.clone(), part.to_vec());
-        railhub_net::go(move || {
+        railhub_net::spawn(move || {
             may::coroutine::sleep(seconds(drain));
             part.iter().for_each(|host| ending.stop_drained(*host));
         });
--- a/crates/railhub-day/tests/late.rs
+++ b/crates/railhub-day/tests/late.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_steward_that_takes_too_long_to_start_makes_no_burst_of_late_operations() {
-    railhub_net::start();
+    railhub_net::start_runtime();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
     let day = Day::open(&path).expect("a good script");
     let slow = Arc::new(|_: &str| {
--- a/crates/railhub-net/src/dial.rs
+++ b/crates/railhub-net/src/dial.rs
@@ -1,5 +1,5 @@
-//! Connections made without the runtime's timers, which can fail when many are taken back (see `deadline`).
-use crate::deadline::Guard;
+//! Connections made without the runtime's timers, which can fail when many are cancelled (see `timer`).
+use crate::idle_timeout::IdleTimeout;
 use may::io::WaitIo;
 use may::net::TcpStream;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -7,25 +7,20 @@
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, IntoRawFd};
 
-/// Connects, or fails after a span: a machine that is cut off says nothing at all.
-pub fn dial(address: SocketAddr, within: f64) -> io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_nonblocking(true)?;
-    socket.set_nodelay(true)?;
-    match socket.connect(&address.into()) {
-        Err(e) if e.raw_os_error() != Some(libc::EINPROGRESS) => return Err(e),
-        _ => {}
-    }
-    // SAFETY: the descriptor is open and has no other owner.
-    let stream = unsafe { TcpStream::from_raw_fd(socket.into_raw_fd()) };
-    let guard = Guard::both_ways(&stream, within);
+/// Connects within so many seconds: a machine that is cut off answers nothing at all.
+///
+/// # Errors
+/// `TimedOut` when the time has passed, otherwise the error of the system.
+pub fn dial(address: SocketAddr, timeout: f64) -> io::Result<TcpStream> {
+    let stream = begin_connecting(address)?;
+    let timeout = IdleTimeout::both_halves(&stream, timeout);
     loop {
-        // The guard's shutdown leaves an error of its own on the socket, so it is asked first.
-        if guard.fired() {
+        // The shutdown leaves an error of its own on the socket, so the expiry is looked at first.
+        if timeout.has_expired() {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        if let Some(fault) = stream.take_error()? {
-            return Err(fault);
+        if let Some(error) = stream.take_error()? {
+            return Err(error);
         }
         if stream.peer_addr().is_ok() {
             return Ok(stream);
@@ -34,5 +29,17 @@
     }
 }
 
+fn begin_connecting(address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    socket.set_nodelay(true)?;
+    match socket.connect(&address.into()) {
+        Err(error) if error.raw_os_error() != Some(libc::EINPROGRESS) => return Err(error),
+        _ => {}
+    }
+    // SAFETY: the descriptor is open and has no other owner.
+    Ok(unsafe { TcpStream::from_raw_fd(socket.into_raw_fd()) })
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/railhub-net/src/dial/tests.rs
+++ b/crates/railhub-net/src/dial/tests.rs
@@ -14,7 +14,7 @@
     let _fill: Vec<_> = (0..3)
         .map(|_| std::net::TcpStream::connect_timeout(&cut_off, std::time::Duration::from_millis(50)))
         .collect();
-    crate::go(move || {
+    crate::spawn(move || {
         assert!(dial(open, 1.0).is_ok());
         assert_eq!(dial(free, 1.0).expect_err("nobody listens").kind(), io::ErrorKind::ConnectionRefused);
         let began = now();
--- a/crates/railhub-net/src/http/tests.rs
+++ b/crates/railhub-net/src/http/chunked/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 fn unpack(bytes: &[u8], piece: usize) -> Result<(Vec<u8>, bool), HttpError> {
-    let (mut chunks, mut body) = (Chunks::default(), Vec::new());
+    let (mut decoder, mut body) = (ChunkedDecoder::default(), Vec::new());
     for part in bytes.chunks(piece) {
-        chunks.push(part, |part| body.extend_from_slice(part))?;
+        decoder.push(part, |part| body.extend_from_slice(part))?;
     }
-    Ok((body, chunks.ended))
+    Ok((body, decoder.has_ended()))
 }
 
 #[test]
--- /dev/null
+++ b/crates/railhub-net/src/http/line_stream.rs
@@ -0,0 +1,103 @@
+//! A response that is kept open and brings a line now and then, in chunks.
+//!
+//! States: opened (head read), active (lines come), ended (by the last chunk, silence or an error).
+use crate::dial::dial;
+use crate::http::chunked::ChunkedDecoder;
+use crate::http::error::HttpError;
+use crate::http::message::{read_head, MAX_HEADERS, READ_BUFFER_SIZE};
+use crate::idle_timeout::{Closer, IdleTimeout};
+use may::net::TcpStream;
+use railhub_proto::Lines;
+use std::io::{Read, Write};
+use std::net::SocketAddr;
+
+/// Bytes of one line at most: a complete list of some ten thousand hosts.
+const MAX_LINE_SIZE: usize = 4 << 20;
+const STATUS_OK: u16 = 200;
+
+/// The lines of one response.
+pub struct LineStream {
+    /// Before the socket, so that it is dropped first.
+    idle_timeout: IdleTimeout,
+    stream: TcpStream,
+    decoder: ChunkedDecoder,
+    lines: Lines,
+}
+
+impl LineStream {
+    /// Gets the path. Seconds: `connect_timeout` for the connection, `idle_timeout` from then on to the first line, and
+    /// between two lines.
+    ///
+    /// # Errors
+    /// Why there is no response of status 200.
+    pub fn open(
+        address: SocketAddr,
+        path: &str,
+        connect_timeout: f64,
+        idle_timeout: f64,
+    ) -> Result<LineStream, HttpError> {
+        let mut stream = dial(address, connect_timeout).map_err(HttpError::Connect)?;
+        let idle_timeout = IdleTimeout::both_halves(&stream, idle_timeout);
+        let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
+        stream.write_all(request.as_bytes()).map_err(HttpError::Io)?;
+        let body_start = read_response_head(&mut stream, &idle_timeout)?;
+        let (mut decoder, mut lines) = (ChunkedDecoder::default(), Lines::new(MAX_LINE_SIZE));
+        decoder.push(&body_start, |data| lines.push(data))?;
+        Ok(LineStream { idle_timeout, stream, decoder, lines })
+    }
+
+    /// A handle that closes the connection from elsewhere.
+    pub fn closer(&self) -> Closer {
+        self.idle_timeout.closer()
+    }
+
+    /// What `parse` makes of the next line. A complete line restarts the idle time-out: bytes that never make a line
+    /// are no sign of life.
+    ///
+    /// # Errors
+    /// Why the response ended; [`HttpError::Timeout`] after silence.
+    pub fn next_line<T>(&mut self, parse: impl FnOnce(&[u8]) -> T) -> Result<T, HttpError> {
+        while !self.lines.has_line().map_err(HttpError::malformed)? {
+            if self.decoder.has_ended() {
+                return Err(HttpError::Closed);
+            }
+            self.read()?;
+        }
+        self.idle_timeout.restart();
+        Ok(self.lines.line(parse))
+    }
+
+    fn read(&mut self) -> Result<(), HttpError> {
+        let mut bytes = [0; READ_BUFFER_SIZE];
+        match self.stream.read(&mut bytes) {
+            Ok(count) if count > 0 => {
+                let lines = &mut self.lines;
+                self.decoder.push(&bytes[..count], |data| lines.push(data))
+            }
+            _ if self.idle_timeout.has_expired() => Err(HttpError::Timeout),
+            Ok(_) => Err(HttpError::Closed),
+            Err(error) => Err(HttpError::Io(error)),
+        }
+    }
+}
+
+/// Reads the head of a response of status 200; gives the bytes behind it that were read with it.
+fn read_response_head(stream: &mut TcpStream, idle_timeout: &IdleTimeout) -> Result<Vec<u8>, HttpError> {
+    let mut read = Vec::new();
+    loop {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let parsed = response.parse(&read).map_err(HttpError::malformed)?;
+        if let httparse::Status::Complete(head_size) = parsed {
+            return match response.code {
+                Some(STATUS_OK) => Ok(read.split_off(head_size)),
+                status => Err(HttpError::Status(status.unwrap_or_default())),
+            };
+        }
+        let more = read_head(stream, &mut read);
+        if idle_timeout.has_expired() {
+            return Err(HttpError::Timeout);
+        }
+        more?;
+    }
+}
--- a/crates/railhub-net/tests/churn.rs
+++ b/crates/railhub-net/tests/churn.rs
@@ -1,6 +1,6 @@
 //! Coroutines that wait for next to nothing and end, on busy cores: what the runtime still holds of one that another
 //! thread ends must stay there. Without that this test ends with a corrupted heap.
-use railhub_net::go;
+use railhub_net::spawn;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 
 #[test]
 fn coroutines_that_wait_for_next_to_nothing_and_end_leave_the_heap_whole() {
-    railhub_net::start();
+    railhub_net::start_runtime();
     let ended = Arc::new(AtomicU64::new(0));
     let stop = Arc::new(AtomicBool::new(false));
     let busy = (0..BUSY).map(|_| {
@@ -27,7 +27,7 @@
             std::thread::yield_now();
         }
         let counted = ended.clone();
-        go(move || {
+        spawn(move || {
             may::coroutine::sleep(Duration::from_nanos(n % 3));
             counted.fetch_add(1, Ordering::Relaxed);
         });
--- a/crates/railhub-platform-net/src/addresses.rs
+++ b/crates/railhub-platform-net/src/addresses.rs
@@ -13,7 +13,7 @@
     pub discovery: SocketAddr,
 }
 
-/// The addresses of the configuration in force, replaced as a whole by a reload.
+/// The addresses of the configuration in force, all replaced by a reload.
 pub struct CurrentAddresses(Mutex<Addresses>);
 
 impl CurrentAddresses {
--- a/crates/railhub-platform-net/src/clock.rs
+++ b/crates/railhub-platform-net/src/clock.rs
@@ -1,5 +1,5 @@
-//! The controller's clock: wall time as it was at the start, moved on by the monotonic clock. It compares with the times
-//! at which hosts started and is never set back.
+//! The controller's clock: wall time as it was at the start, moved on by the monotonic clock. It compares with the
+//! times at which hosts started and is never set back.
 use railhub::Seconds;
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/railhub-platform-net/src/connect_backoff.rs
+++ b/crates/railhub-platform-net/src/connect_backoff.rs
@@ -6,7 +6,7 @@
 pub const CONNECT_TIMEOUT: Seconds = 0.5;
 
 /// A time-out for the first answer on a connection. It doubles with each connection that it ended, up to a maximum, so
-/// that a peer that is slow, but not away, is heard at last.
+/// that a peer that is slow, but not away, answers at last.
 pub struct ConnectBackoff {
     initial: Seconds,
     max: Seconds,
--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -35,7 +35,8 @@
 }
 
 impl ControllerThread {
-    /// Prepares the controller and publishes its first status, by which the discovery watch resumes after the known list.
+    /// Prepares the controller and publishes its first status, by which the discovery watch resumes after the known
+    /// list.
     pub fn new(
         config: &NodeConfig,
         shared: &Arc<SharedState>,
@@ -58,7 +59,7 @@
 
     /// Runs until the process ends.
     pub fn run(mut self) {
-        self.shared.inbox.own();
+        self.shared.inbox.bind_owner();
         loop {
             self.sleep_until_due();
             self.apply_events();
@@ -78,14 +79,14 @@
         if self.controller.commands_pending() > 0 && self.timing.call_not_before() > now {
             due = due.min(self.timing.call_not_before());
         }
-        if self.shared.inbox.is_quiet() && due > now {
+        if self.shared.inbox.has_no_events() && due > now {
             std::thread::park_timeout(seconds(due - now));
         }
     }
 
     fn apply_events(&mut self) {
         for _ in 0..EVENT_BATCH_LIMIT {
-            let Some(event) = self.shared.inbox.next_word() else { return };
+            let Some(event) = self.shared.inbox.next_event() else { return };
             self.on_event(event);
         }
     }
@@ -107,7 +108,7 @@
             let (entries, complete) = (page.entries.len(), page.whole);
             tracing::info!(generation, entries, complete, "endpoint list updated");
         } else if generation < self.controller.generation() {
-            // An older configuration's watch overtook it: what this watch tells next would build on a page that was not
+            // An older configuration's watch overtook it: its next page would build on a page that was not
             // applied.
             tracing::info!(generation, "stale endpoint page, restarting the discovery watch");
             self.shared.discovery_watch.close();
@@ -161,7 +162,7 @@
             self.timer_lateness.record(lateness);
         }
         for probe in effects.probes {
-            self.health_checker.ask(probe);
+            self.health_checker.submit(probe);
         }
         for cause in effects.notes {
             tracing::info!(cause, "decision");
@@ -195,7 +196,7 @@
             pending_commands: controller.commands_pending(),
             batches: self.batches,
             snapshot_applied: controller.is_synchronized(),
-            reports_dropped: controller.load_reports_dropped + inbox.sums_dropped.load(Ordering::Relaxed),
+            reports_dropped: controller.load_reports_dropped + inbox.reports_dropped.load(Ordering::Relaxed),
             health_checks_dropped: self.health_checker.dropped(),
             health_checks_stale: controller.probes_outdated,
             commands_coalesced: controller.commands_folded(),
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! The discovery watch: the endpoint list as it changes, resumed from the generation that the controller has.
 //!
 //! A page: the watch reads a line, takes a page permit, sends the page to the controller thread, which applies it and
-//! returns the permit. A page with an invalid entry, or older than the one before, ends the watch: the next asks for it
-//! again. What was told holds while no watch is open.
+//! returns the permit. A page with an invalid entry, or older than the one before, ends the watch: the next
+//! one requests it again. The last list stays in force while no watch is open.
 //!
 //! States of a watch: opened (until its first line), active (each line is a page, or empty as a sign of life), ended.
 use crate::addresses::Addresses;
@@ -15,8 +15,8 @@
 use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
 use railhub::Seconds;
-use railhub_net::go;
-use railhub_net::http::{Feed, HttpError};
+use railhub_net::http::{HttpError, LineStream};
+use railhub_net::spawn;
 use railhub_platform::{discovery, EndpointPage, InvalidEntry};
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 /// Seconds a watch may be silent: an empty line comes every 2.
 const SILENCE_TIMEOUT: Seconds = 4.5;
 /// Seconds at most for a slow discovery's first line: with the retry interval below the 6 after which the platform
-/// counts the list as told, should a discovery that is back not answer what was asked while it was down.
+/// counts the list as received, should a discovery that is back not answer a request that came while it was down.
 const MAX_FIRST_LINE_TIMEOUT: Seconds = 5.5;
 /// Seconds between attempts while discovery is out of reach.
 const RETRY_INTERVAL: Seconds = 0.3;
@@ -41,7 +41,7 @@
 enum WatchError {
     /// The connection could not be opened, broke or was silent for too long.
     #[error("discovery: {0}")]
-    Feed(#[source] HttpError),
+    LineStream(#[source] HttpError),
     /// A newer configuration's watch is active.
     #[error("superseded by the watch of a newer configuration")]
     Superseded,
@@ -60,7 +60,7 @@
 pub fn follow(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
-    go(move || {
+    spawn(move || {
         let connect = |attempts: &mut ConnectionAttempts| {
             let Err(error) = watch(&shared, addresses, attempts);
             error
@@ -72,8 +72,8 @@
     });
 }
 
-/// Runs one watch until it fails. It resumes from what the controller has applied: a page that it did not apply is told
-/// again.
+/// Runs one watch until it fails. It resumes from what the controller has applied: a page that it did not apply is
+/// sent again.
 fn watch(
     shared: &SharedState,
     addresses: Addresses,
@@ -81,7 +81,7 @@
 ) -> Result<Infallible, WatchError> {
     let generation = shared.endpoint_generation();
     let path = format!("/discovery/hosts?watch=1&after={generation}");
-    let feed = Feed::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
+    let feed = LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
     let feed = feed.map_err(|error| unanswered(error, attempts))?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.discovery);
     if !shared.discovery_watch.activate(addresses.version, feed.closer()) {
@@ -110,7 +110,7 @@
     /// Of the last page, or of the list that the watch resumes from.
     generation: u64,
     state: WatchState<'a>,
-    feed: Feed,
+    feed: LineStream,
 }
 
 impl Watch<'_> {
@@ -118,12 +118,12 @@
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), WatchError> {
         let names = &self.shared.names;
         let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, names));
-        let line = match self.feed.line(parse) {
+        let line = match self.feed.next_line(parse) {
             Ok(line) => line,
             Err(error) if matches!(self.state, WatchState::Opened) => {
                 return Err(unanswered(error, attempts));
             }
-            Err(error) => return Err(WatchError::Feed(error)),
+            Err(error) => return Err(WatchError::LineStream(error)),
         };
         if matches!(self.state, WatchState::Opened) {
             self.state = WatchState::Active { _usable: self.shared.discovery_health.connection_usable() };
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Sends a page on; ends the watch if the page is to be asked for again, as the next telling may be readable, or
-    /// count by then.
+    /// Sends a page on; ends the watch if the page is to be requested again, as the next copy may be valid, or
+    /// be applied by then.
     fn on_page(&mut self, page: EndpointPage) -> Result<(), WatchError> {
         for _ in &page.invalid {
             self.shared.rejections.record(RejectionCause::EndpointEntry);
@@ -158,13 +158,13 @@
     }
 
     /// Sends a page to the controller thread, once there is room: a page may be a complete list. A page that was read
-    /// before a newer configuration's watch closed this one is older than what that one tells: it is dropped. Returns
+    /// before a newer configuration's watch closed this one is older than what that one brings: it is dropped. Returns
     /// whether this watch is still current.
     fn send(&self, page: EndpointPage) -> bool {
         self.shared.page_permits.wait();
         let is_current = self.shared.discovery_watch.is_current(self.version);
         if is_current {
-            self.shared.inbox.tell(ControllerEvent::EndpointPage(page));
+            self.shared.inbox.send(ControllerEvent::EndpointPage(page));
         } else {
             self.shared.page_permits.post();
         }
@@ -179,8 +179,8 @@
 
 /// A connection that ended before its first line.
 fn unanswered(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
-    if matches!(error, HttpError::Silent) {
+    if matches!(error, HttpError::Timeout) {
         attempts.on_first_answer_timeout();
     }
-    WatchError::Feed(error)
+    WatchError::LineStream(error)
 }
--- a/crates/railhub-platform-net/src/error.rs
+++ b/crates/railhub-platform-net/src/error.rs
@@ -12,7 +12,7 @@
     ReadConfig {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// The configuration is invalid; the source names the place in the file.
@@ -28,7 +28,7 @@
     Listen {
         /// The address of the configuration.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// A thread cannot be started.
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -1,14 +1,14 @@
-//! Active health checks: `GET /alive` at a host, each on a connection of its own, as whether a host can be reached is half
-//! of the question.
+//! Active health checks: `GET /alive` at a host, each on a connection of its own, as whether a host can be reached is
+//! half of the question.
 //!
-//! What does not fit the queue is dropped and counted; the decisions ask again at each periodic evaluation.
+//! What does not fit the queue is dropped and counted; the decisions request it again at each periodic evaluation.
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
 use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
 use railhub::{HealthCheckOutcome, Seconds};
-use railhub_net::http::{Caller, HttpError};
-use railhub_net::{seconds, Pool};
+use railhub_net::http::{Client, HttpError};
+use railhub_net::{seconds, WorkerPool};
 use railhub_platform::Probe;
 use std::io;
 use std::net::SocketAddr;
@@ -22,19 +22,19 @@
 const HEALTH_CHECK_TIMEOUT: Seconds = 0.4;
 /// HTTP status of a host that is up and takes no work.
 const STATUS_UNAVAILABLE: u16 = 503;
-/// Errors that tell of this process, which ran out of something, and nothing of the host.
+/// Errors of this process, which ran out of something: they prove nothing of the host.
 const LOCAL_ERRORS: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
 
 /// Runs health checks from a bounded queue.
-pub type HealthChecker = Pool<Probe>;
+pub type HealthChecker = WorkerPool<Probe>;
 
 /// Starts the coroutines that run health checks; outcomes come back as [`ControllerEvent::HealthCheckCompleted`].
 pub fn start(shared: &Arc<SharedState>) -> HealthChecker {
     let shared = shared.clone();
-    Pool::start(MAX_CONCURRENT, MAX_QUEUED, move |probe: Probe| {
+    WorkerPool::start(MAX_CONCURRENT, MAX_QUEUED, move |probe: Probe| {
         let _descriptor = DescriptorGuard::count(&shared.descriptors.health_checks);
         match check(probe.address) {
-            Some(outcome) => shared.inbox.tell(ControllerEvent::HealthCheckCompleted(probe, outcome)),
+            Some(outcome) => shared.inbox.send(ControllerEvent::HealthCheckCompleted(probe, outcome)),
             None => shared.rejections.record(RejectionCause::HealthCheckResponse),
         }
     })
@@ -42,12 +42,12 @@
 
 /// `None`: what happened proves nothing of the host.
 fn check(address: SocketAddr) -> Option<HealthCheckOutcome> {
-    match Caller::new(address, seconds(HEALTH_CHECK_TIMEOUT)).call("GET", "/alive", &[]) {
+    match Client::new(address, seconds(HEALTH_CHECK_TIMEOUT)).request("GET", "/alive", &[]) {
         Ok(_) => Some(HealthCheckOutcome::Passed),
         Err(HttpError::Status(STATUS_UNAVAILABLE)) => Some(HealthCheckOutcome::Rejected),
-        Err(HttpError::Silent | HttpError::Status(_)) => Some(HealthCheckOutcome::Failed),
-        Err(HttpError::Unreached(error)) if is_local(&error) => None,
-        Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended) => {
+        Err(HttpError::Timeout | HttpError::Status(_)) => Some(HealthCheckOutcome::Failed),
+        Err(HttpError::Connect(error)) if is_local(&error) => None,
+        Err(HttpError::Connect(_) | HttpError::Io(_) | HttpError::Closed) => {
             Some(HealthCheckOutcome::Unreachable)
         }
         Err(HttpError::Malformed(_)) => None,
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -12,7 +12,7 @@
 use crate::shared_state::SharedState;
 use connection_table::ConnectionTable;
 use may::net::TcpStream;
-use railhub_net::{go, Listener};
+use railhub_net::{spawn, Listener};
 use railhub_platform::NodeConfig;
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
     let on_connection = move |stream: TcpStream| {
         let (shared, table) = (shared.clone(), table.clone());
         let Some(place) = table.admit(&stream, &shared.rejections) else { return };
-        go(move || session::serve(&shared, stream, place));
+        spawn(move || session::serve(&shared, stream, place));
     };
     Listener::open(config.listen, move |stream, _| on_connection(stream))
         .map_err(|source| RunError::Listen { address: config.listen, source })
--- a/crates/railhub-platform-net/src/listener/connection_table.rs
+++ b/crates/railhub-platform-net/src/listener/connection_table.rs
@@ -5,7 +5,7 @@
 use crate::rejections::{RejectionCause, Rejections};
 use may::net::TcpStream;
 use railhub::{Seconds, ZoneId};
-use railhub_net::{Closer, Guard};
+use railhub_net::{Closer, IdleTimeout};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
@@ -39,7 +39,7 @@
 pub struct ConnectionPlace {
     id: u64,
     table: Arc<ConnectionTable>,
-    guard: Guard,
+    idle_timeout: IdleTimeout,
 }
 
 impl ConnectionTable {
@@ -48,15 +48,15 @@
         ConnectionTable { max_connections, open: Mutex::default() }
     }
 
-    /// Gives a connection a place. When there is none, the oldest that has not joined is closed for it; `None` if all have
-    /// joined.
+    /// Gives a connection a place. When there is none, the oldest that has not joined is closed for it; `None` if all
+    /// have joined.
     pub fn admit(
         self: &Arc<ConnectionTable>,
         stream: &TcpStream,
         rejections: &Rejections,
     ) -> Option<ConnectionPlace> {
         // Nothing that it sends before it has joined puts this off.
-        let guard = Guard::both_ways(stream, JOIN_TIMEOUT);
+        let idle_timeout = IdleTimeout::both_halves(stream, JOIN_TIMEOUT);
         let mut open = self.open.lock().expect("no holder panics");
         if open.by_id.len() >= self.max_connections {
             rejections.record(RejectionCause::ConnectionLimit);
@@ -64,9 +64,9 @@
         }
         let id = open.next_id;
         open.next_id += 1;
-        open.by_id.insert(id, Connection { closer: guard.closer(), zone: None });
+        open.by_id.insert(id, Connection { closer: idle_timeout.closer(), zone: None });
         drop(open);
-        Some(ConnectionPlace { id, table: self.clone(), guard })
+        Some(ConnectionPlace { id, table: self.clone(), idle_timeout })
     }
 }
 
@@ -91,18 +91,18 @@
 impl ConnectionPlace {
     /// The connection is that of the zone's collector. Closes the zone's oldest ones beyond the limit.
     pub fn join(&mut self, zone: ZoneId, stream: &TcpStream) {
-        self.guard = Guard::both_ways(stream, COLLECTOR_SILENCE_TIMEOUT);
+        self.idle_timeout = IdleTimeout::both_halves(stream, COLLECTOR_SILENCE_TIMEOUT);
         let mut open = self.table.open.lock().expect("no holder panics");
         // Absent if it was closed for want of room just before.
         if let Some(connection) = open.by_id.get_mut(&self.id) {
-            *connection = Connection { closer: self.guard.closer(), zone: Some(zone) };
+            *connection = Connection { closer: self.idle_timeout.closer(), zone: Some(zone) };
         }
         open.close_oldest_collectors_beyond(MAX_COLLECTORS_PER_ZONE, zone);
     }
 
-    /// The collector sent something: its silence begins anew.
+    /// The collector sent something: its silence is counted from now.
     pub fn on_bytes(&self) {
-        self.guard.heard();
+        self.idle_timeout.restart();
     }
 }
 
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -58,7 +58,7 @@
     peer: Peer<'a>,
     deframer: Deframer,
     limiter: ReadLimiter,
-    /// Before the stream, so that its guard is dropped first.
+    /// Before the stream, so that its time-out is dropped first.
     place: ConnectionPlace,
     stream: TcpStream,
 }
@@ -150,7 +150,7 @@
     }
 
     fn report(&self, report: LoadReport) -> Next {
-        self.shared.inbox.report(report);
+        self.shared.inbox.push_report(report);
         Next::Continue
     }
 
--- a/crates/railhub-platform-net/src/process.rs
+++ b/crates/railhub-platform-net/src/process.rs
@@ -13,8 +13,9 @@
     }));
 }
 
-/// Ends the process at once with code 0. Not by `exit`, whose handlers would run while the other threads go on with what
-/// they free; nothing is kept back for them: log lines are written as they come, and commands leave within a batch.
+/// Ends the process at once with code 0. Not by `exit`, whose handlers would run while the other threads go on with
+/// what they free; nothing is kept back for them: log lines are written as they come, and commands leave within a
+/// batch.
 pub fn exit_now() -> ! {
     // SAFETY: ends the process; nothing here is needed after it.
     unsafe { libc::_exit(0) }
--- a/crates/railhub-platform-net/src/process/tests.rs
+++ b/crates/railhub-platform-net/src/process/tests.rs
@@ -6,7 +6,7 @@
 fn a_panic_in_a_coroutine_ends_the_process_with_its_words() {
     if std::env::var_os(CHILD).is_some() {
         super::exit_on_panic();
-        railhub_net::go(|| panic!("a coroutine is lost"));
+        railhub_net::spawn(|| panic!("a coroutine is lost"));
         std::thread::sleep(std::time::Duration::from_secs(10));
         return;
     }
--- a/crates/railhub-platform-net/src/relay/calls.rs
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -8,7 +8,7 @@
 use may::net::TcpStream;
 use may::sync::Semphore;
 use railhub::Seconds;
-use railhub_net::{dial, go, now, Guard};
+use railhub_net::{dial, now, spawn, IdleTimeout};
 use railhub_platform::orders::Call;
 use railhub_platform::relay_events::{self, CallResponse};
 use railhub_proto::Lines;
@@ -16,8 +16,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Seconds for the answer to a call: the relay gives it within 0.05 s or never; the rest is for our own lateness on part
-/// of a core.
+/// Seconds for the answer to a call: the relay gives it within 0.05 s or never; the rest is for our own lateness on
+/// part of a core.
 const CALL_TIMEOUT: Seconds = 0.25;
 /// Seconds a connection for calls may be idle and be used again: the relay closes idle ones by and by, and a call that
 /// meets a closed one would have an unknown outcome.
@@ -54,7 +54,7 @@
         let slot = Arc::new(CallSlot { next: Mutex::new(None), filled: Semphore::new(0) });
         let mut caller = RelayCaller { shared: shared.clone(), kept: None };
         let calls = slot.clone();
-        go(move || loop {
+        spawn(move || loop {
             if let Some(call) = calls.wait() {
                 caller.make(&call);
             }
@@ -89,18 +89,18 @@
                 None
             }
         };
-        self.shared.inbox.tell(ControllerEvent::CallCompleted(answer));
+        self.shared.inbox.send(ControllerEvent::CallCompleted(answer));
     }
 
     fn exchange(&mut self, call: &Call) -> Result<CallResponse, RelayError> {
         let mut connection = self.connection()?;
         let _descriptor = DescriptorGuard::count(&self.shared.descriptors.relay);
-        let guard = Guard::both_ways(&connection.stream, CALL_TIMEOUT);
+        let timeout = IdleTimeout::both_halves(&connection.stream, CALL_TIMEOUT);
         connection.stream.write_all(&call.bytes).map_err(RelayError::Io)?;
         let parse = |line: &[u8]| parse_answer(line, call);
-        let answer = next_line(&mut connection.stream, &guard, &mut connection.lines, parse)??;
+        let answer = next_line(&mut connection.stream, &timeout, &mut connection.lines, parse)??;
         connection.last_used_at = now();
-        self.kept = guard.let_go().then_some(connection);
+        self.kept = timeout.release().then_some(connection);
         Ok(answer)
     }
 
--- a/crates/railhub-platform-net/src/relay/line_reader.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader.rs
@@ -1,7 +1,7 @@
 //! Reads lines of the relay against a time-out.
 use crate::relay::error::RelayError;
 use may::net::TcpStream;
-use railhub_net::Guard;
+use railhub_net::IdleTimeout;
 use railhub_platform::relay_events::MAX_LINE_BYTES;
 use railhub_proto::Lines;
 use std::io::Read;
@@ -17,24 +17,25 @@
 /// What `parse` makes of the next line.
 ///
 /// # Errors
-/// [`RelayError::Silent`] once the guard has fired and no complete line came before; otherwise why the connection ended.
+/// [`RelayError::Silent`] once the time-out has expired and no complete line came before; otherwise why the
+/// connection ended.
 pub fn next_line<T>(
     stream: &mut TcpStream,
-    guard: &Guard,
+    idle_timeout: &IdleTimeout,
     lines: &mut Lines,
     parse: impl FnOnce(&[u8]) -> T,
 ) -> Result<T, RelayError> {
     loop {
         if lines.has_line().map_err(RelayError::LineTooLong)? {
             // Bytes that never make a line are no sign of life.
-            guard.heard();
+            idle_timeout.restart();
             return Ok(lines.line(parse));
         }
         let mut bytes = [0; READ_BUFFER_SIZE];
         match stream.read(&mut bytes) {
-            // What came completely just as the guard fired counts.
+            // What came completely just as the time-out expired counts.
             Ok(count) if count > 0 => lines.push(&bytes[..count]),
-            _ if guard.fired() => return Err(RelayError::Silent),
+            _ if idle_timeout.has_expired() => return Err(RelayError::Silent),
             Ok(_) => return Err(RelayError::Closed),
             Err(error) => return Err(RelayError::Io(error)),
         }
--- a/crates/railhub-platform-net/src/relay/line_reader/tests.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader/tests.rs
@@ -1,6 +1,6 @@
 //! Reading a line against its time-out.
 use super::*;
-use railhub_net::{dial, go, seconds};
+use railhub_net::{dial, seconds, spawn};
 use std::io::Write;
 use std::sync::mpsc::channel;
 
@@ -10,20 +10,20 @@
     let address = listener.local_addr().expect("bound");
     for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("relay silent for too long"))] {
         let (sender, receiver) = channel();
-        go(move || {
+        spawn(move || {
             let mut stream = dial(address, 1.0).expect("it listens");
             stream.write_all(b"ask\n").expect("taken");
-            // Read only once the guard has fired, with the bytes in the socket.
+            // Read only once the time-out has expired, with the bytes in the socket.
             while stream.inner().peek(&mut [0; 8]).unwrap_or(0) < sent.len() {
                 may::coroutine::sleep(seconds(0.001));
             }
-            let guard = Guard::both_ways(&stream, 0.0);
-            while !guard.fired() {
+            let timeout = IdleTimeout::both_halves(&stream, 0.0);
+            while !timeout.has_expired() {
                 may::coroutine::sleep(seconds(0.001));
             }
             let read = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
             let mut lines = new_lines();
-            sender.send(next_line(&mut stream, &guard, &mut lines, read)).expect("still read");
+            sender.send(next_line(&mut stream, &timeout, &mut lines, read)).expect("still read");
         });
         let (mut peer, _) = listener.accept().expect("it dials");
         peer.write_all(sent.as_bytes()).expect("open");
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -15,7 +15,7 @@
 use crate::shared_state::SharedState;
 use may::net::TcpStream;
 use railhub::Seconds;
-use railhub_net::{dial, go, Guard};
+use railhub_net::{dial, spawn, IdleTimeout};
 use railhub_platform::relay_events::{self, RelayEvent, SubscriptionId};
 use railhub_platform::InvalidEntry;
 use railhub_proto::Lines;
@@ -26,7 +26,7 @@
 /// Seconds an active subscription may be silent: a sign of life comes each second.
 const SILENCE_TIMEOUT: Seconds = 2.5;
 /// Seconds at most for a slow relay's answer to the subscription: short, as one that was cut off and is back may never
-/// answer what was asked meanwhile.
+/// answer a request that came meanwhile.
 const MAX_SUBSCRIPTION_TIMEOUT: Seconds = 5.0;
 /// Seconds between attempts while the relay is out of reach.
 const RETRY_INTERVAL: Seconds = 0.15;
@@ -41,7 +41,7 @@
 pub fn follow(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
-    go(move || {
+    spawn(move || {
         let connect = |attempts: &mut ConnectionAttempts| follow_once(&shared, addresses, attempts);
         let log_failure = |error: &RelayError| {
             tracing::warn!(relay = %addresses.relay, %error, "relay subscription ended");
@@ -55,9 +55,9 @@
     let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
     let id = SubscriptionId { file: addresses.version, count };
     // The controller thread knows before the relay can.
-    shared.inbox.tell(ControllerEvent::SubscriptionRequested(id));
+    shared.inbox.send(ControllerEvent::SubscriptionRequested(id));
     let Err(error) = subscribe(shared, addresses, id, attempts);
-    shared.inbox.tell(ControllerEvent::SubscriptionEnded(id));
+    shared.inbox.send(ControllerEvent::SubscriptionEnded(id));
     error
 }
 
@@ -70,7 +70,7 @@
 ) -> Result<std::convert::Infallible, RelayError> {
     let mut stream = dial(addresses.relay, CONNECT_TIMEOUT).map_err(RelayError::Connect)?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.relay);
-    let guard = Guard::both_ways(&stream, attempts.first_answer_timeout());
+    let idle_timeout = IdleTimeout::both_halves(&stream, attempts.first_answer_timeout());
     shared.relay_counters.subscriptions.fetch_add(1, Ordering::Relaxed);
     stream.write_all(&relay_events::subscribe(id.count)).map_err(RelayError::Subscribe)?;
     let mut connection = Subscription {
@@ -79,7 +79,7 @@
         id,
         lines: new_lines(),
         state: SubscriptionState::Requested,
-        guard,
+        idle_timeout,
         stream,
     };
     let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
@@ -103,14 +103,14 @@
     lines: Lines,
     state: SubscriptionState<'a>,
     /// Before the stream, so that it is dropped first.
-    guard: Guard,
+    idle_timeout: IdleTimeout,
     stream: TcpStream,
 }
 
 impl Subscription<'_> {
     /// Receives one event and sends it on.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
-        let read = next_line(&mut self.stream, &self.guard, &mut self.lines, relay_events::read);
+        let read = next_line(&mut self.stream, &self.idle_timeout, &mut self.lines, relay_events::read);
         let event = match read {
             Ok(Ok(event)) => event,
             Ok(Err(invalid)) => return Err(self.reject(invalid)),
@@ -120,14 +120,14 @@
             self.activate(attempts)?;
         }
         tracing::trace!(subscription = self.id.count, ?event, "relay event");
-        self.shared.inbox.tell(ControllerEvent::RelayEvent(self.id, event));
+        self.shared.inbox.send(ControllerEvent::RelayEvent(self.id, event));
         Ok(())
     }
 
     /// The relay has confirmed the subscription: it takes the place of an earlier one.
     fn activate(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
-        self.guard = Guard::both_ways(&self.stream, SILENCE_TIMEOUT);
-        if !self.shared.subscription.activate(self.addresses.version, self.guard.closer()) {
+        self.idle_timeout = IdleTimeout::both_halves(&self.stream, SILENCE_TIMEOUT);
+        if !self.shared.subscription.activate(self.addresses.version, self.idle_timeout.closer()) {
             return Err(RelayError::Superseded);
         }
         attempts.on_answer();
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -21,7 +21,7 @@
     exit_on_panic();
     let config = read_config(path)?;
     log_invalid_entries(&config);
-    railhub_net::start_small(KEPT_STACKS);
+    railhub_net::start_runtime_single_worker(KEPT_STACKS);
     use_one_heap();
     let shared = SharedState::new(&config);
     let calls = CallSender::start(&shared);
--- a/crates/railhub-platform-net/src/status_log.rs
+++ b/crates/railhub-platform-net/src/status_log.rs
@@ -1,5 +1,5 @@
-//! Logs the status every few seconds: what holds descriptors and memory, what was rejected, how late things are. Between
-//! the lines it looks for outages.
+//! Logs the status every few seconds: what holds descriptors and memory, what was rejected, how late things are.
+//! Between the lines it looks for outages.
 use crate::clock::now;
 use crate::outage_monitor::OutageMonitor;
 use crate::shared_state::SharedState;
@@ -73,7 +73,7 @@
     );
 }
 
-/// Megabytes that the process has in memory; 0 if the system does not tell.
+/// Megabytes that the process has in memory; 0 if the system does not show it.
 fn resident_memory_mb() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident_pages: usize = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
--- a/crates/railhub-standin/src/host.rs
+++ b/crates/railhub-standin/src/host.rs
@@ -2,7 +2,9 @@
 use crate::ClassFacts;
 use may::net::TcpStream;
 use may::sync::Mutex;
-use railhub_net::{go, http, now, reset, seconds, split, FrameReader, FrameWriter, Guard, Listener};
+use railhub_net::{
+    http, now, reset_on_close, seconds, spawn, split_framed, FrameReader, FrameWriter, IdleTimeout, Listener,
+};
 use railhub_proto::{
     from_host, to_host, AttemptOutcome, FromHost, HostHello, Operation, Response, ToHost,
     MAX_HOST_MESSAGE_BYTES,
@@ -211,10 +213,10 @@
 
     fn welcome(self: Arc<Host>, stream: TcpStream) {
         if !self.with(|state| state.alive && state.connections.len() < self.facts.connections) {
-            reset(&stream);
+            reset_on_close(&stream);
             return;
         }
-        go(move || {
+        spawn(move || {
             let _ = self.serve(stream);
         });
     }
@@ -222,7 +224,7 @@
     /// A connection is a probe's if it begins like HTTP, else a proxy's.
     fn serve(self: Arc<Host>, mut stream: TcpStream) -> io::Result<()> {
         let mut first = [0u8; 1];
-        let guard = Guard::new(&stream, PROBE_HELD);
+        let guard = IdleTimeout::read_half(&stream, PROBE_HELD);
         if stream.peek(&mut first)? == 0 {
             return Ok(());
         }
@@ -230,7 +232,7 @@
             return self.answer_probe(&mut stream);
         }
         drop(guard);
-        let (reader, writer) = split(stream, MAX_HOST_MESSAGE_BYTES)?;
+        let (reader, writer) = split_framed(stream, MAX_HOST_MESSAGE_BYTES)?;
         self.follow(reader, Arc::new(Mutex::new(writer)));
         Ok(())
     }
@@ -251,7 +253,7 @@
         }
         self.stand_still(self.with(|state| state.life));
         may::coroutine::sleep(seconds(self.facts.probe_work * slower / self.facts.speed));
-        http::answer(
+        http::write_response(
             stream,
             if fails {
                 500
@@ -314,7 +316,7 @@
             }
         });
         match taken {
-            Taken::Run(life, job) => _ = go(move || self.work(life, job)),
+            Taken::Run(life, job) => _ = spawn(move || self.work(life, job)),
             Taken::Waits => {}
             Taken::Full => {
                 let answer = Response {
--- a/crates/railhub-standin/src/lane.rs
+++ b/crates/railhub-standin/src/lane.rs
@@ -1,6 +1,6 @@
 //! A proxy's connection to one host: many tries at once, opened when needed.
 use may::sync::{Mutex, SyncFlag};
-use railhub_net::{after, connect, go, seconds, split, FrameReader, FrameWriter};
+use railhub_net::{connect, run_after, seconds, spawn, split_framed, FrameReader, FrameWriter};
 use railhub_proto::{
     from_host, to_host, AttemptOutcome, Cancel, FromHost, Operation, ProxyHello, Response, ToHost,
     MAX_HOST_MESSAGE_BYTES,
@@ -92,7 +92,9 @@
             return CallEnd::Failed;
         }
         let waiting = Arc::downgrade(&pending);
-        after(wait, move || waiting.upgrade().iter().for_each(|pending| pending.finish(CallEnd::TimedOut)));
+        run_after(wait, move || {
+            waiting.upgrade().iter().for_each(|pending| pending.finish(CallEnd::TimedOut))
+        });
         pending.done.wait();
         let end = pending.end.lock().expect("no holder panics").unwrap_or(CallEnd::Failed);
         if end != CallEnd::TimedOut {
@@ -109,20 +111,20 @@
             return Some((*connection, writer.clone()));
         }
         let stream = connect(self.host, seconds(self.within)).ok()?;
-        let (mut reader, mut writer) = split(stream, MAX_HOST_MESSAGE_BYTES).ok()?;
-        reader.patience(Some(self.within));
+        let (mut reader, mut writer) = split_framed(stream, MAX_HOST_MESSAGE_BYTES).ok()?;
+        reader.set_idle_timeout(Some(self.within));
         writer
             .send(&ToHost { payload: Some(to_host::Payload::ProxyHello(ProxyHello { proxy: self.proxy })) })
             .ok()?;
         let FromHost { payload: Some(from_host::Payload::Hello(_)) } = reader.receive().ok()? else {
             return None;
         };
-        reader.patience(None);
+        reader.set_idle_timeout(None);
         let writer = Arc::new(Mutex::new(writer));
         open.0 += 1;
         open.1 = Some(writer.clone());
         let (lane, connection) = (self.clone(), open.0);
-        go(move || lane.follow(connection, reader));
+        spawn(move || lane.follow(connection, reader));
         Some((connection, writer))
     }
 
--- a/crates/railhub-standin/src/proxy.rs
+++ b/crates/railhub-standin/src/proxy.rs
@@ -7,7 +7,7 @@
 use crate::sums::Totals;
 use crate::ClassFacts;
 use may::sync::Mutex;
-use railhub_net::{connect, go, now, seconds, split, FrameReader, FrameWriter, Task};
+use railhub_net::{connect, now, seconds, spawn, split_framed, FrameReader, FrameWriter, Task};
 use railhub_proto::{
     from_controller, from_proxy, Ack, Delta, FromController, FromProxy, Nack, Operation, RetryCondition,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
@@ -144,11 +144,11 @@
         let stewards = self.around.stewards.lock().expect("no holder panics").len();
         let follow = |steward| {
             let following = self.clone();
-            Task::go(move || following.keep_stream(steward))
+            Task::spawn(move || following.keep_stream(steward))
         };
         let mut tasks: Vec<Task> = (0..stewards).map(follow).collect();
         let reporting = self.clone();
-        tasks.push(Task::go(move || reporting.keep_reporting()));
+        tasks.push(Task::spawn(move || reporting.keep_reporting()));
         tasks
     }
 
@@ -172,7 +172,7 @@
             };
             let dialled = now();
             if let Ok(stream) = connect(address, seconds(1.0)) {
-                if let Ok((reader, writer)) = split(stream, MAX_FROM_CONTROLLER_BYTES) {
+                if let Ok((reader, writer)) = split_framed(stream, MAX_FROM_CONTROLLER_BYTES) {
                     self.one_stream(steward, reader, writer, process);
                 }
             }
@@ -273,7 +273,7 @@
             let sums = self.totals.lock().expect("no holder panics").take(now());
             let extra = self.around.later.load(Ordering::Relaxed) as f64 / 1000.0;
             let proxy = self.clone();
-            go(move || {
+            spawn(move || {
                 may::coroutine::sleep(seconds(proxy.facts.report_late + extra));
                 let streams = proxy.streams.lock().expect("no holder panics").clone();
                 let sums = FromProxy { payload: Some(from_proxy::Payload::LoadReport(sums)) };
--- a/crates/railhub-standin/src/roster.rs
+++ b/crates/railhub-standin/src/roster.rs
@@ -1,7 +1,7 @@
 //! A host list that can be late, lie or break. It is asked over HTTP and holds a question without news a while.
 use may::net::TcpStream;
 use may::sync::Mutex;
-use railhub_net::{go, http, now, seconds, Listener};
+use railhub_net::{http, now, seconds, spawn, Listener};
 use railhub_record::{Entry, Listed, Recorder, What};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
         let (state, recorder) = (self.state.clone(), self.recorder.clone());
         let door = Listener::open(SocketAddr::from(([127, 0, 0, 1], 0)), move |stream, _| {
             let (state, recorder) = (state.clone(), recorder.clone());
-            go(move || serve(stream, steward, &state, &recorder));
+            spawn(move || serve(stream, steward, &state, &recorder));
         })?;
         let address = door.address;
         self.doors.lock().expect("no holder panics").push(door);
@@ -123,7 +123,7 @@
             return self.tell(entries);
         }
         let state = self.state.clone();
-        go(move || {
+        spawn(move || {
             may::coroutine::sleep(seconds(late));
             let mut state = state.lock().expect("no holder panics");
             learn(&mut state, entries);
@@ -165,7 +165,7 @@
 fn serve(mut stream: TcpStream, steward: u32, state: &Mutex<State>, recorder: &Recorder) {
     let mut read = Vec::new();
     while let Ok(Some(request)) = http::read_request(&mut stream, &mut read) {
-        let after = http::query(&request.path, "after").unwrap_or(0);
+        let after = http::query_number(&request.path, "after").unwrap_or(0);
         let until = now() + HELD;
         let page = loop {
             let state = state.lock().expect("no holder panics");
@@ -181,7 +181,7 @@
         if page.version != after {
             recorder.note(now(), What::Roster(recorded(&page, steward)));
         }
-        if http::answer_json(&mut stream, &page).is_err() {
+        if http::write_json_response(&mut stream, &page).is_err() {
             return;
         }
     }
--- a/crates/railhub-standin/src/store.rs
+++ b/crates/railhub-standin/src/store.rs
@@ -5,7 +5,7 @@
 use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
 use railhub_membership::lease_store::{LeaseStore, StoreFaults};
 use railhub_membership::Epoch;
-use railhub_net::{go, http, now, seconds, Listener};
+use railhub_net::{http, now, seconds, spawn, Listener};
 use railhub_record::{Granted, Recorder, Stored, What};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -103,7 +103,7 @@
         let serving = shared.clone();
         let door = Listener::open(SocketAddr::from(([127, 0, 0, 1], 0)), move |stream, _| {
             let shared = serving.clone();
-            go(move || serve(stream, &shared));
+            spawn(move || serve(stream, &shared));
         })?;
         Ok(Store { address: door.address, shared, _door: door })
     }
@@ -254,16 +254,16 @@
         ("GET", "/leases") => serde_json::to_vec(&shared.held()),
         ("PUT", "/tables") => match serde_json::from_slice::<Vec<StoredTable>>(&request.body) {
             Ok(changed) => serde_json::to_vec(&shared.write(changed)),
-            Err(_) => return http::answer(stream, 400, b""),
+            Err(_) => return http::write_response(stream, 400, b""),
         },
         ("POST", "/leases") => match serde_json::from_slice::<LeaseRequest>(&request.body) {
             Ok(lease_request) => serde_json::to_vec(&shared.lease(&lease_request)),
-            Err(_) => return http::answer(stream, 400, b""),
+            Err(_) => return http::write_response(stream, 400, b""),
         },
-        _ => return http::answer(stream, 404, b""),
+        _ => return http::write_response(stream, 404, b""),
     };
     if shared.loses_answers.load(Ordering::Relaxed) {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
-    http::answer(stream, 200, &body.map_err(io::Error::other)?)
+    http::write_response(stream, 200, &body.map_err(io::Error::other)?)
 }
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -3,7 +3,7 @@
 //! The steward runs as a process of its own (this binary, started anew); peers are coroutines here, which read
 //! frames and acknowledge them without taking them in.
 use may::net::{TcpListener, TcpStream};
-use railhub_net::{connect, go, now, seconds, Task};
+use railhub_net::{connect, now, seconds, spawn, Task};
 use railhub_proto::{
     frame, from_proxy, Ack, FromController, FromProxy, HostLoad, LoadReport, SliceLoad, Subscribe,
 };
@@ -22,7 +22,7 @@
 const SLICES: u32 = 975;
 
 fn main() {
-    railhub_net::start();
+    railhub_net::start_runtime();
     if let Ok(conf) = std::env::var(CHILD) {
         return be_steward(&conf);
     }
@@ -155,7 +155,7 @@
         (from..from + count)
             .map(|number| {
                 let (peers, report) = (self.clone(), report.clone());
-                Task::go(move || peers.follow(address, number, report))
+                Task::spawn(move || peers.follow(address, number, report))
             })
             .collect()
     }
@@ -165,7 +165,7 @@
         if let Some(sums) = report {
             let mut writer = stream.try_clone().expect("handles left");
             let sums = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(sums)) });
-            go(move || loop {
+            spawn(move || loop {
                 may::coroutine::sleep(seconds(1.0));
                 if writer.write_all(&sums).is_err() {
                     return;
@@ -331,7 +331,7 @@
             stream.set_nodelay(true).expect("open");
             let start = Arc::new(may::sync::Semphore::new(0));
             let (wait, frame, left, last) = (start.clone(), frame.clone(), left.clone(), last.clone());
-            go(move || {
+            spawn(move || {
                 let mut answer = [0; 64];
                 // What the client says first.
                 let _ = stream.read(&mut answer);
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -407,7 +407,7 @@
         });
         let gained: Vec<_> = gained.collect();
         if !gained.is_empty() || !lost.is_empty() || !lapsed.is_empty() {
-            shares.inbox.tell(OwnerEvent::Grants { gained, lost, lapsed });
+            shares.inbox.send(OwnerEvent::Grants { gained, lost, lapsed });
         }
     }
 
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -44,7 +44,7 @@
 
 impl Environment for Around {
     fn probe(&mut self, host: HostId) {
-        self.outlets.probes.ask(host);
+        self.outlets.probes.submit(host);
     }
 
     fn store(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>) {
@@ -103,12 +103,12 @@
 
     /// Runs until it is told to stop.
     pub fn run(mut self) {
-        self.inbox.own();
+        self.inbox.bind_owner();
         loop {
             self.sleep();
             let (mut acks, mut others) = (0, 0);
             for _ in 0..WORDS_A_ROUND {
-                match self.inbox.next_word() {
+                match self.inbox.next_event() {
                     Some(OwnerEvent::Stop) => return,
                     Some(word) => {
                         *(if matches!(word, OwnerEvent::Ack { .. }) { &mut acks } else { &mut others }) += 1;
@@ -134,7 +134,7 @@
         let due = self.kernel.next_due().unwrap_or(f64::INFINITY).min(now + LONGEST_SLEEP);
         if self.kernel.is_owed() && self.only_acks && due > now {
             std::thread::sleep(seconds(GATHER.min(due - now)));
-        } else if self.inbox.is_quiet() && due > now {
+        } else if self.inbox.has_no_events() && due > now {
             std::thread::park_timeout(seconds(due - now));
         }
     }
@@ -187,7 +187,7 @@
         }
         self.kernel.flush_sums(now());
         let mut figures = self.kernel.figures();
-        figures.sums_dropped += self.inbox.sums_dropped.load(Ordering::Relaxed);
+        figures.sums_dropped += self.inbox.reports_dropped.load(Ordering::Relaxed);
         figures.probes_dropped = self.around.outlets.probes.dropped();
         let traffic = self.around.outlets.traffic.as_ref();
         figures.traffic_dropped = traffic.map_or(0, |traffic| traffic.dropped);
--- a/crates/railhub-steward/src/probes.rs
+++ b/crates/railhub-steward/src/probes.rs
@@ -2,19 +2,19 @@
 //! decisions ask again each turn, and a missing answer proves nothing.
 use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{HealthCheckOutcome, HealthCheckResult, HostId, Seconds};
-use railhub_net::http::{Caller, HttpError};
-use railhub_net::{seconds, Pool};
+use railhub_net::http::{Client, HttpError};
+use railhub_net::{seconds, WorkerPool};
 use std::sync::Arc;
 
 /// Probes that may wait for a free prober: more than hosts of the largest fleet.
 const WAITING: usize = 8192;
 
-pub type Probes = Pool<HostId>;
+pub type Probes = WorkerPool<HostId>;
 
 pub fn start(at_once: usize, within: Seconds, inbox: &Arc<Inbox>) -> Probes {
     let inbox = inbox.clone();
-    Pool::start(at_once, WAITING, move |host| {
-        inbox.tell(OwnerEvent::Probe(HealthCheckResult { host, outcome: probe(host, within) }));
+    WorkerPool::start(at_once, WAITING, move |host| {
+        inbox.send(OwnerEvent::Probe(HealthCheckResult { host, outcome: probe(host, within) }));
     })
 }
 
@@ -22,11 +22,11 @@
 fn probe(host: HostId, within: Seconds) -> HealthCheckOutcome {
     // A name that is no address cannot be asked.
     let Some(address) = host.address() else { return HealthCheckOutcome::Unreachable };
-    match Caller::new(address, seconds(within)).call("GET", "/probe", &[]) {
+    match Client::new(address, seconds(within)).request("GET", "/probe", &[]) {
         Ok(_) => HealthCheckOutcome::Passed,
         Err(HttpError::Status(503)) => HealthCheckOutcome::Rejected,
-        Err(HttpError::Silent | HttpError::Status(_)) => HealthCheckOutcome::Failed,
-        Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended | HttpError::Malformed(_)) => {
+        Err(HttpError::Timeout | HttpError::Status(_)) => HealthCheckOutcome::Failed,
+        Err(HttpError::Connect(_) | HttpError::Io(_) | HttpError::Closed | HttpError::Malformed(_)) => {
             HealthCheckOutcome::Unreachable
         }
     }
--- a/crates/railhub-steward/src/roster.rs
+++ b/crates/railhub-steward/src/roster.rs
@@ -1,7 +1,7 @@
 //! Follows the host list: asks for what is newer than what it has, and waits for the answer.
 use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
-use railhub_net::http::{Caller, HttpError};
+use railhub_net::http::{Client, HttpError};
 use railhub_net::{seconds, Task};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
 }
 
 pub fn follow(roster: SocketAddr, inbox: Arc<Inbox>) -> Task {
-    Task::go(move || {
-        let mut caller = Caller::new(roster, seconds(WITHIN));
+    Task::spawn(move || {
+        let mut caller = Client::new(roster, seconds(WITHIN));
         let (mut version, mut failing) = (0, false);
         loop {
             match ask(&mut caller, version) {
@@ -42,7 +42,7 @@
                     failing = false;
                     if newer != version {
                         version = newer;
-                        inbox.tell(OwnerEvent::List(list));
+                        inbox.send(OwnerEvent::List(list));
                     }
                     may::coroutine::sleep(seconds(LEAST_BETWEEN));
                 }
@@ -57,8 +57,8 @@
     })
 }
 
-fn ask(caller: &mut Caller, version: u64) -> Result<(u64, EndpointList), HttpError> {
-    let page: Page = caller.ask(&format!("/hosts?after={version}"))?;
+fn ask(caller: &mut Client, version: u64) -> Result<(u64, EndpointList), HttpError> {
+    let page: Page = caller.get_json(&format!("/hosts?after={version}"))?;
     let entries = page.hosts.iter().map(listed).collect::<Result<_, _>>()?;
     Ok((page.version, EndpointList { complete: page.whole, entries }))
 }
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -122,7 +122,7 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.inbox.tell(OwnerEvent::Stop);
+        self.inbox.send(OwnerEvent::Stop);
         if let Some(owner) = self.owner.take() {
             let _ = owner.join();
         }
--- a/crates/railhub-steward/src/store.rs
+++ b/crates/railhub-steward/src/store.rs
@@ -7,7 +7,7 @@
 use may::sync::{Mutex, Semphore};
 use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId, WeightedHost};
 use railhub_membership::lease_manager::{LeaseRequest, LeaseResponse};
-use railhub_net::http::{Caller, HttpError};
+use railhub_net::http::{Client, HttpError};
 use railhub_net::{now, seconds, Task};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -146,14 +146,14 @@
             wake: Semphore::new(0),
         });
         let serving = shared.clone();
-        let written = Task::go(move || serve(store, within, &serving));
+        let written = Task::spawn(move || serve(store, within, &serving));
         StoreWriter { shared, _tasks: vec![written] }
     }
 
     /// For a steward that is alone: it is given all slices.
     pub fn start(store: SocketAddr, inbox: Arc<Inbox>) -> StoreWriter {
         let mut writer = StoreWriter::over(store, WITHIN);
-        writer._tasks.push(Task::go(move || give(store, &inbox)));
+        writer._tasks.push(Task::spawn(move || give(store, &inbox)));
         writer
     }
 
@@ -198,11 +198,11 @@
 }
 
 fn give(store: SocketAddr, inbox: &Inbox) {
-    let mut caller = Caller::new(store, seconds(WITHIN));
+    let mut caller = Client::new(store, seconds(WITHIN));
     loop {
-        match caller.ask::<Vec<StoredTable>>("/charges") {
+        match caller.get_json::<Vec<StoredTable>>("/charges") {
             Ok(tables) => {
-                inbox.tell(OwnerEvent::Charges(tables.into_iter().map(StoredTable::charge).collect()));
+                inbox.send(OwnerEvent::Charges(tables.into_iter().map(StoredTable::charge).collect()));
                 return;
             }
             Err(fault) => {
@@ -214,7 +214,7 @@
 }
 
 fn serve(store: SocketAddr, within: Seconds, shared: &Shared) {
-    let mut caller = Caller::new(store, seconds(within));
+    let mut caller = Client::new(store, seconds(within));
     loop {
         shared.wake.wait();
         wait_for_the_owner(shared);
@@ -244,7 +244,7 @@
 }
 
 /// Writes what waits; what could not be written waits on, unless there is a later word on it.
-fn write(caller: &mut Caller, shared: &Shared) -> Result<(), HttpError> {
+fn write(caller: &mut Client, shared: &Shared) -> Result<(), HttpError> {
     let batch = std::mem::take(&mut *shared.waiting.lock().expect("no holder panics"));
     if batch.is_empty() {
         return Ok(());
@@ -270,7 +270,7 @@
 }
 
 /// The slices that the store refuses.
-fn put(caller: &mut Caller, batch: &Waiting) -> Result<Vec<u16>, HttpError> {
+fn put(caller: &mut Client, batch: &Waiting) -> Result<Vec<u16>, HttpError> {
     let lines =
         |lines: &Lines| lines.iter().filter_map(|(host, weight)| Some((host.address()?, *weight))).collect();
     let tables: Vec<StoredTable> = (batch.iter())
@@ -282,13 +282,13 @@
             age: 0.0,
         })
         .collect();
-    caller.exchange("PUT", "/tables", &tables)
+    caller.exchange_json("PUT", "/tables", &tables)
 }
 
-fn question(caller: &mut Caller, shared: &Shared) -> Result<(), HttpError> {
+fn question(caller: &mut Client, shared: &Shared) -> Result<(), HttpError> {
     let asked = shared.question.lock().expect("no holder panics").take();
     let Some((_, request)) = asked.filter(|(at, _)| now() - at < QUESTION_LASTS) else { return Ok(()) };
-    let leased = caller.exchange("POST", "/leases", &request)?;
+    let leased = caller.exchange_json("POST", "/leases", &request)?;
     *shared.answer.lock().expect("no holder panics") = Some(leased);
     Ok(())
 }
--- a/crates/railhub-steward/src/streams.rs
+++ b/crates/railhub-steward/src/streams.rs
@@ -9,7 +9,7 @@
 use may::net::TcpStream;
 use may::sync::{Mutex, Semphore};
 use railhub::{BarrierId, ProxyId, Seconds, ZoneId};
-use railhub_net::{after, go, now, split, FrameReader, FrameWriter, StreamEnd};
+use railhub_net::{now, run_after, spawn, split_framed, FrameReader, FrameWriter, StreamError};
 use railhub_proto::{
     from_controller, from_proxy, FromController, FromProxy, Goodbye, Subscribe, MAX_FROM_PROXY_BYTES,
 };
@@ -129,9 +129,9 @@
         return;
     }
     let (inbox, doors) = (inbox.clone(), doors.clone());
-    go(move || {
+    spawn(move || {
         let id = StreamId(doors.last.fetch_add(1, Ordering::Relaxed) + 1);
-        if let Ok((reader, writer)) = split(stream, MAX_FROM_PROXY_BYTES) {
+        if let Ok((reader, writer)) = split_framed(stream, MAX_FROM_PROXY_BYTES) {
             follow(id, reader, writer, &inbox, terms, leases);
         }
         doors.open.fetch_sub(1, Ordering::Relaxed);
@@ -147,8 +147,8 @@
     terms: StreamTerms,
     leases: Option<Arc<LeaseTable>>,
 ) {
-    reader.patience(Some(terms.first_within));
-    writer.patience(terms.silent_after);
+    reader.set_idle_timeout(Some(terms.first_within));
+    writer.set_send_timeout(terms.silent_after);
     let subscribe = match first_word(&mut reader) {
         Ok(subscribe) => subscribe,
         Err(why) => {
@@ -160,9 +160,9 @@
     let (proxy, zone) = (ProxyId(subscribe.proxy as u16), ZoneId(subscribe.zone as u16));
     let door = Arc::new(StreamHandle::new(terms.cap, leases));
     let (_ending, behind) = (Ending(door.clone()), door.clone());
-    go(move || write(writer, &behind));
-    inbox.tell(OwnerEvent::Joins { stream: id, subscribe, door: door.clone() });
-    reader.patience(Some(terms.silent_after));
+    spawn(move || write(writer, &behind));
+    inbox.send(OwnerEvent::Joins { stream: id, subscribe, door: door.clone() });
+    reader.set_idle_timeout(Some(terms.silent_after));
     let mut allowance = Allowance::new(now());
     let why = loop {
         if let Err(why) = read(&mut reader, id, proxy, zone, inbox) {
@@ -173,7 +173,7 @@
         }
     };
     door.close(&why);
-    inbox.tell(OwnerEvent::Leaves { stream: id, proxy, why });
+    inbox.send(OwnerEvent::Leaves { stream: id, proxy, why });
 }
 
 /// Ends the writer however the reader ends.
@@ -209,19 +209,19 @@
     zone: ZoneId,
     inbox: &Inbox,
 ) -> Result<(), String> {
-    let message: FromProxy = reader.receive().map_err(|end: StreamEnd| end.to_string())?;
+    let message: FromProxy = reader.receive().map_err(|end: StreamError| end.to_string())?;
     match message.payload {
         Some(from_proxy::Payload::Ack(ack)) => {
-            inbox.tell(OwnerEvent::Ack { stream, proxy, nonce: ack.nonce })
+            inbox.send(OwnerEvent::Ack { stream, proxy, nonce: ack.nonce })
         }
         Some(from_proxy::Payload::Nack(refusal)) => {
-            inbox.tell(OwnerEvent::Nack { stream, proxy, nonce: refusal.nonce, reason: refusal.reason });
+            inbox.send(OwnerEvent::Nack { stream, proxy, nonce: refusal.nonce, reason: refusal.reason });
         }
         Some(from_proxy::Payload::LoadReport(sums)) => {
             if let Some(fault) = intake::fault(&sums) {
                 return Err(format!("sums with {fault}"));
             }
-            inbox.report(Report { stream, proxy, zone, sums });
+            inbox.push_report(Report { stream, proxy, zone, sums });
         }
         Some(from_proxy::Payload::Subscribe(_)) => return Err("a second subscription on one stream".into()),
         None => return Err("a message without a word".into()),
@@ -241,7 +241,7 @@
             Ok(WriterAction::Nothing) => door.wake.wait(),
             Ok(WriterAction::WaitUntil(until)) => {
                 let waking = door.clone();
-                after(until - now(), move || waking.wake.post());
+                run_after(until - now(), move || waking.wake.post());
                 door.wake.wait();
             }
             Ok(WriterAction::Write(publication)) => {
@@ -255,7 +255,7 @@
 }
 
 fn say_goodbye(writer: &mut FrameWriter, reason: &str) {
-    writer.patience(0.2);
+    writer.set_send_timeout(0.2);
     let goodbye = Goodbye { reason: reason.to_owned() };
     let _ = writer.send(&FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) });
     writer.close();
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -46,7 +46,7 @@
 
 pub fn fleet(hosts: usize, slices: u16) -> Fleet {
     static START: Once = Once::new();
-    START.call_once(railhub_net::start);
+    START.call_once(railhub_net::start_runtime);
     let recorder = Recorder::start(None).expect("in memory");
     let class = ClassFacts {
         name: "view".into(),
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -19,7 +19,7 @@
 
 fn start() {
     static START: Once = Once::new();
-    START.call_once(railhub_net::start);
+    START.call_once(railhub_net::start_runtime);
 }
 
 fn read(text: &str) -> Installation {
