--- a/crates/railhub-chaos/src/bed/looker.rs
+++ b/crates/railhub-chaos/src/bed/looker.rs
@@ -1,6 +1,6 @@
 //! Asks each steward for its view, again and again, as an operator would: by datagrams that bear nothing.
 use crate::view::{Node, Seen};
-use railhub_membership::packet::{decode, encode, Packet, View, BYTES_MOST};
+use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::NodeId;
 use railhub_net::now;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
 impl Desk {
     fn run(&mut self, ended: &AtomicBool) {
         let mut next = 0.0;
-        let mut bytes = [0; BYTES_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         while !ended.load(Ordering::Acquire) {
             if now() >= next {
                 next = now() + LOOK_EVERY;
@@ -90,7 +90,7 @@
     }
 
     fn ask(&self, nonce: u64, from: NodeId, address: SocketAddr) {
-        let bytes = encode(&self.installation, &Packet::Look { nonce, from });
+        let bytes = encode(&self.installation, &Packet::ViewRequest { nonce, from });
         let _ = self.socket.send_to(&bytes, address);
     }
 
@@ -98,7 +98,7 @@
         let nonce = view.nonce;
         let mut whole = match self.parts.remove(&nonce) {
             Some(mut first) => {
-                first.lines.extend(view.lines);
+                first.entries.extend(view.entries);
                 View { next: view.next, ..first }
             }
             None => view,
@@ -110,16 +110,16 @@
             }
             return self.ask(nonce, next, from);
         }
-        let of = |lives: bool| -> Vec<(u16, u64)> {
-            let some = whole.lines.iter().filter(|line| line.entry.standing.lives() == lives);
-            some.map(|line| (line.entry.about.0, line.entry.incarnation.process)).collect()
+        let of = |is_live: bool| -> Vec<(u16, u64)> {
+            let some = whole.entries.iter().filter(|line| line.member.status.is_live() == is_live);
+            some.map(|line| (line.member.id.0, line.member.incarnation.process)).collect()
         };
         let seen = Seen::View {
             at: now() - self.began,
             node: Node((nonce >> 32) as usize),
             steward: whole.viewer.0,
             process: whole.process,
-            yielded: whole.yielded,
+            yielded: whole.superseded,
             living: of(true),
             gone: of(false),
         };
--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -7,9 +7,9 @@
 use crate::view::{ends, Node, Seen};
 use railhub_links::udp::UdpLinks;
 use railhub_links::{Board, Crossing, Faults};
-use railhub_membership::entry::Status;
+use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, Packet};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use railhub_net::{now, seconds};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -415,13 +415,13 @@
     match safeguard {
         None => "",
         Some(Safeguard::Refutation) => "without = refutation\n",
-        Some(Safeguard::AskingTheDead) => "without = asking the dead\n",
-        Some(Safeguard::Process) => "without = process\n",
+        Some(Safeguard::DeadProbing) => "without = asking the dead\n",
+        Some(Safeguard::ProcessOrder) => "without = process\n",
         Some(Safeguard::AntiEntropy) => "without = anti-entropy\n",
-        Some(Safeguard::RumourBound) => "without = rumour bound\n",
-        Some(Safeguard::OwnTrouble) => "without = own trouble\n",
-        Some(Safeguard::Additions) => "without = additions\n",
-        Some(Safeguard::LeaseEnd) => "without = lease end\n",
+        Some(Safeguard::GossipLimit) => "without = rumour bound\n",
+        Some(Safeguard::LocalHealth) => "without = own trouble\n",
+        Some(Safeguard::Extensions) => "without = additions\n",
+        Some(Safeguard::LeaseExpiry) => "without = lease end\n",
     }
 }
 
@@ -433,7 +433,7 @@
     events: Events,
 ) -> Box<dyn Fn(&Crossing) + Send + Sync> {
     Box::new(move |crossing| {
-        let Ok(Packet::Words(message)) = decode(&installation, crossing.bytes) else { return };
+        let Ok(Packet::Message(message)) = decode(&installation, crossing.bytes) else { return };
         let mut heard = heard.lock().expect("no holder panics");
         heard.datagrams += 1;
         heard.bytes += crossing.bytes.len() as u64;
@@ -443,14 +443,14 @@
             heard.kept.push((from, to, crossing.bytes.to_vec()));
         }
         let at = crossing.at - began;
-        for word in &message.news {
+        for word in &message.gossip {
             let receiver = crossing.to.split(' ').next().and_then(|id| id.parse().ok());
-            if receiver != Some(word.about.0) {
+            if receiver != Some(word.id.0) {
                 heard.news.insert(at.max(0.0) as u32);
             }
-            let incarnation = (word.about.0, word.incarnation.process, word.incarnation.count);
-            if word.standing == Status::Dead && heard.told_dead.insert(incarnation) {
-                let (by, (about, process, count)) = (message.from.about.0, incarnation);
+            let incarnation = (word.id.0, word.incarnation.process, word.incarnation.count);
+            if word.status == Status::Dead && heard.told_dead.insert(incarnation) {
+                let (by, (about, process, count)) = (message.sender.id.0, incarnation);
                 let seen = Seen::Dead { at, by, about, process, count };
                 events.lock().expect("no holder panics").push(seen);
             }
--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -5,7 +5,7 @@
 use railhub_chaos::judge::{figures, judge, Breach};
 use railhub_chaos::shrink::shrink;
 use railhub_chaos::{run as play, Chaos, Fault, Judged, Sabotage};
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use serde::Serialize;
 use std::path::PathBuf;
 
@@ -82,12 +82,12 @@
     pub fn without(self) -> Option<Safeguard> {
         Some(match self {
             Broken::NoRefutation => Safeguard::Refutation,
-            Broken::DeadNotAsked => Safeguard::AskingTheDead,
-            Broken::ProcessIgnored => Safeguard::Process,
+            Broken::DeadNotAsked => Safeguard::DeadProbing,
+            Broken::ProcessIgnored => Safeguard::ProcessOrder,
             Broken::NoAntiEntropy => Safeguard::AntiEntropy,
-            Broken::EndlessRumours => Safeguard::RumourBound,
-            Broken::NoOwnTrouble => Safeguard::OwnTrouble,
-            Broken::NoAdditions => Safeguard::Additions,
+            Broken::EndlessRumours => Safeguard::GossipLimit,
+            Broken::NoOwnTrouble => Safeguard::LocalHealth,
+            Broken::NoAdditions => Safeguard::Extensions,
             _ => return None,
         })
     }
--- /dev/null
+++ b/crates/railhub-membership/src/swim/join.rs
@@ -0,0 +1,44 @@
+//! Joining by the seed addresses, and meeting again those that have forgotten this node.
+use super::membership::{Membership, MembershipOutput};
+use crate::messages::{Destination, Payload};
+use crate::Seconds;
+use rand::seq::IndexedRandom;
+use rand::RngExt;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// The factor on the time to the next try is drawn from this on, and over this width.
+const JOIN_JITTER_START: f64 = 0.7;
+const JOIN_JITTER_WIDTH: f64 = 0.6;
+
+impl Membership {
+    /// Probes all seeds while no live member is known, else one of them now and then.
+    pub(super) fn try_to_join(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let is_alone = self.live_count() == 1;
+        if is_alone {
+            self.join.on_alone(now);
+        }
+        if !self.join.is_due(now) || self.config.seeds.is_empty() {
+            return;
+        }
+        let jitter = JOIN_JITTER_START + JOIN_JITTER_WIDTH * self.rng.random::<f64>();
+        let mut seeds = self.unknown_seeds();
+        if is_alone {
+            self.join.on_join_attempt(now, jitter);
+        } else {
+            seeds = seeds.choose(&mut self.rng).copied().into_iter().collect();
+            self.join.on_rejoin_attempt(now, jitter);
+        }
+        for seed in seeds {
+            self.send(Destination::Address(seed), 0, Payload::Probe, Vec::new(), output);
+        }
+    }
+
+    /// The seeds that are no live member's address, nor this node's own.
+    fn unknown_seeds(&self) -> Vec<SocketAddr> {
+        let known: BTreeSet<SocketAddr> = self.live_peers().filter_map(|id| self.address(id)).collect();
+        let own = self.table.local().metadata.address;
+        let is_unknown = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
+        self.config.seeds.iter().copied().filter(is_unknown).collect()
+    }
+}
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word(about: u16, process: u64, count: u64, standing: usize) -> Entry {
-    let standing = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][standing % 4];
-    let metadata = NodeMetadata { settings: process * 100 + count, ..NodeMetadata::default() };
-    let entry = Entry::alive(NodeId(about), process, metadata);
-    Entry { incarnation: Incarnation { process, count }, standing, ..entry }
+fn entry(id: u16, process: u64, count: u64, status: usize) -> Member {
+    let status = [Status::Alive, Status::Suspect, Status::Left, Status::Dead][status % 4];
+    let metadata = NodeMetadata { settings_digest: process * 100 + count, ..NodeMetadata::default() };
+    let entry = Member::alive(NodeId(id), process, metadata);
+    Member { incarnation: Incarnation { process, count }, status, ..entry }
 }
 
-fn table() -> Table {
-    Table::new(Entry::alive(NodeId(0), 1, NodeMetadata::default()), None)
+fn table() -> MemberTable {
+    MemberTable::new(Member::alive(NodeId(0), 1, NodeMetadata::default()), None)
 }
 
 proptest! {
     #[test]
     fn any_order_and_any_repetition_of_the_same_words_ends_in_the_same_table(
-        words in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
+        entries in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        let words: Vec<Entry> = words.into_iter().map(|(a, p, c, s)| word(a, p, c, s)).collect();
+        let entries: Vec<Member> = entries.into_iter().map(|(a, p, c, s)| entry(a, p, c, s)).collect();
         let (mut straight, mut mixed) = (table(), table());
-        words.iter().for_each(|word| _ = straight.learn(word, false));
-        order.iter().for_each(|index| _ = mixed.learn(&words[index.index(words.len())], false));
-        words.iter().rev().for_each(|word| _ = mixed.learn(word, false));
+        entries.iter().for_each(|entry| _ = straight.merge(entry, false));
+        order.iter().for_each(|index| _ = mixed.merge(&entries[index.index(entries.len())], false));
+        entries.iter().rev().for_each(|entry| _ = mixed.merge(entry, false));
         prop_assert!(straight.others().eq(mixed.others()));
         prop_assert_eq!(straight.digest(), mixed.digest());
     }
@@ -32,14 +32,14 @@
         ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
-        let (mut a, mut b) = (table(), Table::new(Entry::alive(NodeId(9), 1, NodeMetadata::default()), None));
-        ours.into_iter().for_each(|(id, p, c, s)| _ = a.learn(&word(id, p, c, s), false));
-        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.learn(&word(id, p, c, s), false));
+        let (mut a, mut b) = (table(), MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None));
+        ours.into_iter().for_each(|(id, p, c, s)| _ = a.merge(&entry(id, p, c, s), false));
+        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.merge(&entry(id, p, c, s), false));
         for _ in 0..4 {
-            let (lines, to, _) = a.page(NodeId(0));
-            let (better, want) = b.compare(NodeId(0), to, &lines);
-            better.iter().for_each(|word| _ = a.learn(word, false));
-            want.iter().for_each(|id| _ = b.learn(&a.get(*id).cloned().expect("listed"), false));
+            let page = a.digest_page(NodeId(0));
+            let diff = b.diff(page.from, page.to, &page.entries);
+            diff.newer.iter().for_each(|entry| _ = a.merge(entry, false));
+            diff.wanted.iter().for_each(|id| _ = b.merge(&a.get(*id).cloned().expect("listed"), false));
         }
         prop_assert_eq!(a.digest(), b.digest());
     }
@@ -48,25 +48,25 @@
 #[test]
 fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
     let mut table = table();
-    table.learn(&word(1, 5, 0, 3), false);
+    table.merge(&entry(1, 5, 0, 3), false);
     table.forget(NodeId(1));
-    assert_eq!(table.learn(&word(1, 5, 7, 0), false), MergeOutcome::Old);
-    assert_eq!(table.answer_to_old(&word(1, 5, 7, 0)).standing, Status::Forgotten);
-    assert!(matches!(table.learn(&word(1, 6, 0, 0), false), MergeOutcome::News { was: None, .. }));
+    assert_eq!(table.merge(&entry(1, 5, 7, 0), false), MergeOutcome::Stale);
+    assert_eq!(table.correction_for(&entry(1, 5, 7, 0)).status, Status::Forgotten);
+    assert!(matches!(table.merge(&entry(1, 6, 0, 0), false), MergeOutcome::Updated { previous: None, .. }));
 }
 
 #[test]
 fn one_that_was_forgotten_takes_a_higher_process_number() {
     let mut table = table();
-    let forgotten = Entry { standing: Status::Forgotten, ..table.me().clone() };
-    assert_eq!(table.learn(&forgotten, false), MergeOutcome::Refuted);
-    assert_eq!(table.me().incarnation, Incarnation { process: 2, count: 0 });
+    let forgotten = Member { status: Status::Forgotten, ..table.local().clone() };
+    assert_eq!(table.merge(&forgotten, false), MergeOutcome::Refuted);
+    assert_eq!(table.local().incarnation, Incarnation { process: 2, count: 0 });
 }
 
 #[test]
 fn a_crowd_of_stewards_fills_the_table_and_no_more() {
     let mut table = table();
-    (1..=STEWARDS_MOST as u16).for_each(|id| _ = table.learn(&word(id, 1, 0, 0), false));
-    assert_eq!(table.learn(&word(60_000, 1, 0, 0), false), MergeOutcome::Full);
-    assert_eq!(table.others().count(), STEWARDS_MOST);
+    (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.merge(&entry(id, 1, 0, 0), false));
+    assert_eq!(table.merge(&entry(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
+    assert_eq!(table.others().count(), MAX_MEMBERS);
 }
--- /dev/null
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -0,0 +1,83 @@
+//! Checks periodically whether the controller can serve, and logs why it cannot.
+use crate::outage_log::{OutageLog, OutageNotice};
+use crate::peer_health::Outage;
+use crate::shared_state::SharedState;
+use railhub::Seconds;
+
+/// The outages that are logged.
+#[derive(Default)]
+pub struct OutageMonitor {
+    subscription: OutageLog,
+    proxies: PopulationOutage,
+    discovery: OutageLog,
+    hosts: PopulationOutage,
+}
+
+/// The outage that a population is empty, found by looking.
+#[derive(Default)]
+struct PopulationOutage {
+    empty_since: Option<Seconds>,
+    log: OutageLog,
+}
+
+impl PopulationOutage {
+    fn check(&mut self, now: Seconds, is_empty: bool) -> Option<OutageNotice> {
+        let outage = self.outage(now, is_empty);
+        self.log.check(now, outage)
+    }
+
+    fn outage(&mut self, now: Seconds, is_empty: bool) -> Option<Outage> {
+        if !is_empty {
+            self.empty_since = None;
+            return None;
+        }
+        let since = *self.empty_since.get_or_insert(now);
+        Some(Outage { since, cause: String::new() })
+    }
+}
+
+/// The log messages about one kind of outage.
+struct OutageMessages {
+    ongoing: &'static str,
+    ended: &'static str,
+}
+
+const SUBSCRIPTION: OutageMessages =
+    OutageMessages { ongoing: "relay subscription down", ended: "relay subscription restored" };
+const PROXIES: OutageMessages =
+    OutageMessages { ongoing: "no proxy joined", ended: "proxies joined or relay subscription ended" };
+const DISCOVERY: OutageMessages =
+    OutageMessages { ongoing: "discovery watch down", ended: "discovery watch restored" };
+const HOSTS: OutageMessages =
+    OutageMessages { ongoing: "endpoint list empty", ended: "endpoint list has hosts again" };
+
+impl OutageMonitor {
+    /// Looks at all of them. The relay's outage explains that no proxy is joined, which is not logged meanwhile.
+    pub fn check(&mut self, now: Seconds, shared: &SharedState) {
+        let relay_outage = shared.relay_health.outage();
+        let status = shared.status();
+        let no_proxy = relay_outage.is_none() && status.proxies == 0;
+        log(&SUBSCRIPTION, self.subscription.check(now, relay_outage));
+        log(&PROXIES, self.proxies.check(now, no_proxy));
+        log(&DISCOVERY, self.discovery.check(now, shared.discovery_health.outage()));
+        log(&HOSTS, self.hosts.check(now, status.hosts == 0));
+    }
+}
+
+fn log(messages: &OutageMessages, notice: Option<OutageNotice>) {
+    match notice {
+        Some(OutageNotice::Ongoing { elapsed, cause }) => {
+            // Where there is no cause, there is no field.
+            let cause = Some(cause.as_str()).filter(|cause| !cause.is_empty());
+            tracing::warn!(elapsed_s = whole_seconds(elapsed), cause, "{}", messages.ongoing);
+        }
+        Some(OutageNotice::Ended { elapsed }) => {
+            tracing::info!(elapsed_s = whole_seconds(elapsed), "{}", messages.ended);
+        }
+        None => {}
+    }
+}
+
+fn whole_seconds(elapsed: Seconds) -> u64 {
+    elapsed.round() as u64
+}
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -10,12 +10,15 @@
 use crate::store::{StoreWriter, StoredTable};
 use railhub::SliceId;
 use railhub_ini::{Complaint, Sheet};
-use railhub_membership::entry::{Load, NodeMetadata};
 use railhub_membership::lease_manager::{Effects, LeaseManager, LeaseManagerOptions};
-use railhub_membership::packet::{self, Drops, Packet, View, BYTES_MOST, SHOWN_MOST};
-use railhub_membership::swim::{Membership, MembershipConfig, ViewEntry};
-use railhub_membership::table::Safeguard;
-use railhub_membership::words::To;
+use railhub_membership::member::{Load, NodeMetadata};
+use railhub_membership::messages::{Destination, OutgoingMessage};
+use railhub_membership::packet::{
+    self, DroppedDatagrams, Packet, View, MAX_DATAGRAM_BYTES, MAX_VIEW_ENTRIES,
+};
+use railhub_membership::safeguard::Safeguard;
+use railhub_membership::swim::{Membership, MembershipConfig};
+use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 use railhub_net::{now, seconds};
 use serde::Serialize;
@@ -97,8 +100,10 @@
             return Ok(None);
         }
         let installation: String = fleet.need("installation")?;
-        if installation.is_empty() || installation.len() > packet::NAME_MOST {
-            return Err(fleet.wrong("installation", format!("needs 1 to {} bytes", packet::NAME_MOST)));
+        if installation.is_empty() || installation.len() > packet::MAX_INSTALLATION_BYTES {
+            return Err(
+                fleet.wrong("installation", format!("needs 1 to {} bytes", packet::MAX_INSTALLATION_BYTES))
+            );
         }
         let join = fleet.list("join").into_iter().map(|text| {
             text.parse().map_err(|_| fleet.wrong("join", format!("cannot be '{text}': addresses are needed")))
@@ -112,13 +117,13 @@
         let safeguards = [
             ("nothing", None),
             ("refutation", Some(Safeguard::Refutation)),
-            ("asking the dead", Some(Safeguard::AskingTheDead)),
-            ("process", Some(Safeguard::Process)),
+            ("asking the dead", Some(Safeguard::DeadProbing)),
+            ("process", Some(Safeguard::ProcessOrder)),
             ("anti-entropy", Some(Safeguard::AntiEntropy)),
-            ("rumour bound", Some(Safeguard::RumourBound)),
-            ("own trouble", Some(Safeguard::OwnTrouble)),
-            ("additions", Some(Safeguard::Additions)),
-            ("lease end", Some(Safeguard::LeaseEnd)),
+            ("rumour bound", Some(Safeguard::GossipLimit)),
+            ("own trouble", Some(Safeguard::LocalHealth)),
+            ("additions", Some(Safeguard::Extensions)),
+            ("lease end", Some(Safeguard::LeaseExpiry)),
         ];
         let own = |section: &str, key: &str| {
             section == "fleet" && !matches!(key, "installation" | "share" | "lease")
@@ -154,7 +159,7 @@
     pub alive: usize,
     pub sent: u64,
     pub heard: u64,
-    pub dropped: Drops,
+    pub dropped: DroppedDatagrams,
     pub looks_dropped: u64,
     pub yielded: bool,
     /// Slices in charge, and tables that the store did not take, where slices are shared.
@@ -200,7 +205,7 @@
             ),
             clock: terms.clock,
             shares,
-            overruns: terms.without == Some(Safeguard::LeaseEnd),
+            overruns: terms.without == Some(Safeguard::LeaseExpiry),
             socket,
             installation: terms.installation.clone(),
             figures: FleetFigures::default(),
@@ -255,11 +260,11 @@
     let process = terms.process.unwrap_or(since.as_micros() as u64);
     let metadata = NodeMetadata {
         address: Some(terms.advertise.unwrap_or(address)),
-        program: PROGRAM.to_owned(),
-        protocol: u32::from(packet::VERSION),
-        settings: terms.settings,
-        drains: false,
-        no_store: false,
+        program_version: PROGRAM.to_owned(),
+        protocol_version: u32::from(packet::VERSION),
+        settings_digest: terms.settings,
+        draining: false,
+        store_unreachable: false,
     };
     let config = MembershipConfig {
         seeds: terms.join.clone(),
@@ -267,8 +272,17 @@
         without: terms.without,
     };
     let slices = shares.as_ref().map_or(0, |shares| shares.slices);
-    let (me, span, settle) = (terms.id, terms.lease, SETTLE);
-    LeaseManagerOptions { me, process, weights, metadata, config, slices, span, settle, seed: process }
+    LeaseManagerOptions {
+        id: terms.id,
+        process,
+        weights,
+        metadata,
+        config,
+        slices,
+        lease_duration: terms.lease,
+        settle_time: SETTLE,
+        seed: process,
+    }
 }
 
 /// Seconds of processor time that this process took.
@@ -308,7 +322,7 @@
     }
 
     fn run(&mut self, ends: &AtomicBool, leaves: &AtomicBool) {
-        let mut bytes = [0; BYTES_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         // When the next turn is due. A message may bring it forward and never puts it off: words that come without end
         // must not hold up turns.
         let mut due = 0.0;
@@ -317,22 +331,22 @@
             let at = self.clock.now();
             if at >= due {
                 self.turn(at);
-                due = self.lease_manager.next_at(at);
+                due = self.lease_manager.next_tick_at(at);
                 continue;
             }
-            let longest = if self.lease_manager.is_asking() { ANSWER_LOOK } else { LONGEST_SLEEP };
+            let longest = if self.lease_manager.request_in_flight() { ANSWER_LOOK } else { LONGEST_SLEEP };
             let wait = seconds((due - at).min(longest)).max(std::time::Duration::from_micros(100));
             if self.socket.set_read_timeout(Some(wait)).is_err() {
                 std::thread::sleep(wait);
             }
             if let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
                 self.take(&bytes[..length], from);
-                due = due.min(self.lease_manager.next_at(self.clock.now()));
+                due = due.min(self.lease_manager.next_tick_at(self.clock.now()));
             }
         }
         if leaves.load(Ordering::Acquire) {
             self.hand_over();
-            let acts = self.lease_manager.leave(self.clock.now());
+            let acts = self.lease_manager.leave();
             self.carry_out(acts);
         }
     }
@@ -343,9 +357,9 @@
         if self.shares.is_none() {
             return;
         }
-        self.lease_manager.drain();
+        self.lease_manager.start_draining();
         let until = now() + LEAVES_WITHIN;
-        while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.is_asking()) {
+        while now() < until && (!self.lease_manager.is_drained() || self.lease_manager.request_in_flight()) {
             self.take_answer();
             self.turn(self.clock.now());
             std::thread::sleep(seconds(ANSWER_LOOK));
@@ -367,19 +381,23 @@
         let busy = ((self.cpu.1 - before) / (at - since).max(0.001)) as f32;
         let proxies = self.steward.lock().expect("no holder panics").joined as u32;
         let held = self.shares.is_some().then(|| self.lease_manager.leases().count() as u32);
-        self.lease_manager.set_load(Load { slices: held.unwrap_or(self.slices.into()), proxies, busy });
+        self.lease_manager.set_load(Load {
+            slices: held.unwrap_or(self.slices.into()),
+            proxies,
+            cpu_cores: busy,
+        });
         self.figures.charges = held.unwrap_or(0) as usize;
         self.figures.tables_refused = self.shares.as_ref().map_or(0, |shares| shares.store.refused());
-        self.figures.alive = self.membership().alive();
-        self.figures.sent = self.membership().sent();
-        self.figures.yielded = self.membership().has_yielded();
+        self.figures.alive = self.membership().live_count();
+        self.figures.sent = self.membership().messages_sent();
+        self.figures.yielded = self.membership().is_superseded();
         *self.shown.lock().expect("no holder panics") = self.figures.clone();
     }
 
     /// What the store has granted and refused, if it has answered.
     fn take_answer(&mut self) {
         let Some(leased) = self.shares.as_ref().and_then(|shares| shares.store.answer()) else { return };
-        let acts = self.lease_manager.take_response(self.clock.now(), &leased.response);
+        let acts = self.lease_manager.on_response(self.clock.now(), &leased.response);
         self.pass_on(&acts, leased.tables);
         self.carry_out(acts);
     }
@@ -393,10 +411,10 @@
             true => Vec::new(),
             false => ids.iter().map(|slice| SliceId(*slice)).collect(),
         };
-        let (lost, lapsed): (Vec<SliceId>, Vec<SliceId>) = (slices(&acts.lost), slices(&acts.lapsed));
+        let (lost, lapsed): (Vec<SliceId>, Vec<SliceId>) = (slices(&acts.lost), slices(&acts.expired));
         let mut tables: BTreeMap<u16, StoredTable> =
             tables.into_iter().map(|table| (table.slice, table)).collect();
-        let gained = acts.gained.iter().map(|(slice, epoch)| {
+        let gained = acts.acquired.iter().map(|(slice, epoch)| {
             let table = tables.remove(slice);
             // The store gives each with its table; without one it is filled as a slice that has none.
             table.unwrap_or(StoredTable::empty(*slice)).gained(epoch.0)
@@ -409,19 +427,19 @@
 
     fn take(&mut self, bytes: &[u8], from: SocketAddr) {
         match packet::decode(&self.installation, bytes) {
-            Ok(Packet::Words(message)) => {
+            Ok(Packet::Message(message)) => {
                 self.figures.heard += 1;
-                let acts = self.lease_manager.hear(self.clock.now(), &message);
+                let acts = self.lease_manager.on_message(self.clock.now(), &message);
                 self.carry_out(acts);
             }
-            Ok(Packet::Look { nonce, from: first }) => self.show(nonce, first, from),
+            Ok(Packet::ViewRequest { nonce, from: first }) => self.show(nonce, first, from),
             Ok(Packet::View(_)) => {}
-            Ok(Packet::Drain { steward, process }) => {
-                let is_us =
-                    steward == self.membership().me() && process == self.membership().incarnation().process;
-                if is_us && !self.lease_manager.drains() {
+            Ok(Packet::Drain { node, process }) => {
+                let is_us = node == self.membership().local_id()
+                    && process == self.membership().incarnation().process;
+                if is_us && !self.lease_manager.is_draining() {
                     tracing::info!("the steward is told to hand its slices over");
-                    self.lease_manager.drain();
+                    self.lease_manager.start_draining();
                 }
             }
             Err(fault) => self.figures.dropped.count(fault),
@@ -429,26 +447,26 @@
     }
 
     fn carry_out(&mut self, acts: Effects) {
-        if let (Some(request), Some(shares)) = (acts.request, &self.shares) {
+        if let (Some(request), Some(shares)) = (acts.lease_request, &self.shares) {
             shares.store.request(request);
         }
-        for (to, message) in acts.mail {
+        for OutgoingMessage { to, message } in acts.messages {
             let address = match to {
-                To::Steward(id) => self.membership().address(id),
-                To::Address(address) => Some(address),
+                Destination::Node(id) => self.membership().address(id),
+                Destination::Address(address) => Some(address),
             };
-            let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
+            let bytes = packet::encode(&self.installation, &Packet::Message(Box::new(message)));
             // One that cannot be sent is one that was lost.
             address.into_iter().for_each(|address| _ = self.socket.send_to(&bytes, address));
         }
-        for change in acts.changed {
+        for change in acts.member_changes {
             tracing::info!(
-                steward = change.about.0,
+                steward = change.id.0,
                 process = change.incarnation.process,
                 count = change.incarnation.count,
-                standing = ?change.standing,
-                withdrawn = change.withdrawn,
-                cause = change.why,
+                standing = ?change.status,
+                withdrawn = change.ejected,
+                cause = change.cause,
                 "the view of the fleet changes"
             );
         }
@@ -465,19 +483,19 @@
             return;
         }
         let membership = self.membership();
-        let all = membership.shown(at).into_iter().filter(|shown| shown.entry.about >= first);
-        let mut lines: Vec<ViewEntry> = all.take(SHOWN_MOST + 1).collect();
-        let next = (lines.len() > SHOWN_MOST).then(|| lines[SHOWN_MOST].entry.about);
-        lines.truncate(SHOWN_MOST);
+        let all = membership.view(at).into_iter().filter(|shown| shown.member.id >= first);
+        let mut lines: Vec<ViewEntry> = all.take(MAX_VIEW_ENTRIES + 1).collect();
+        let next = (lines.len() > MAX_VIEW_ENTRIES).then(|| lines[MAX_VIEW_ENTRIES].member.id);
+        lines.truncate(MAX_VIEW_ENTRIES);
         let view = View {
             nonce,
-            viewer: membership.me(),
+            viewer: membership.local_id(),
             process: membership.incarnation().process,
             digest: membership.digest(),
-            lines,
+            entries: lines,
             next,
-            dropped: self.figures.dropped.all(),
-            yielded: membership.has_yielded(),
+            dropped: self.figures.dropped.total(),
+            superseded: membership.is_superseded(),
         };
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
