--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -11,9 +11,8 @@
 use crate::status::{ControllerStatus, DurationRecorder};
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::seconds;
-use railhub_platform::orders::Call;
-use railhub_platform::relay_events::CallResponse;
-use railhub_platform::{EndpointPage, NodeConfig, PlatformController, Probe};
+
+use railhub_platform::{Call, CallResponse, EndpointPage, NodeConfig, PlatformController, Probe};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -105,7 +104,7 @@
     fn on_endpoint_page(&mut self, page: &EndpointPage) {
         let generation = page.generation;
         if self.controller.on_endpoint_page(now(), page) {
-            let (entries, complete) = (page.entries.len(), page.whole);
+            let (entries, complete) = (page.entries.len(), page.complete);
             tracing::info!(generation, entries, complete, "endpoint list updated");
         } else if generation < self.controller.generation() {
             // An older configuration's watch overtook it: its next page would build on a page that was not
@@ -158,19 +157,19 @@
     fn handle_batch(&mut self) {
         let started_at = now();
         let effects = self.controller.poll(started_at);
-        for lateness in effects.late {
+        for lateness in effects.timer_lateness {
             self.timer_lateness.record(lateness);
         }
         for probe in effects.probes {
             self.health_checker.submit(probe);
         }
-        for cause in effects.notes {
-            tracing::info!(cause, "decision");
+        for cause in effects.notices {
+            tracing::info!(%cause, "decision");
         }
-        self.batches += effects.rounds;
+        self.batches += effects.batches;
         self.longest_batch = self.longest_batch.max(now() - started_at);
         if let Some(reason) = self.controller.take_resubscribe_reason() {
-            tracing::warn!(reason, "resubscribing to the relay for a new snapshot");
+            tracing::warn!(%reason, "resubscribing to the relay for a new snapshot");
             self.shared.subscription.close();
         }
     }
@@ -196,9 +195,10 @@
             pending_commands: controller.commands_pending(),
             batches: self.batches,
             snapshot_applied: controller.is_synchronized(),
-            reports_dropped: controller.load_reports_dropped + inbox.reports_dropped.load(Ordering::Relaxed),
+            reports_dropped: controller.load_reports_dropped()
+                + inbox.reports_dropped.load(Ordering::Relaxed),
             health_checks_dropped: self.health_checker.dropped(),
-            health_checks_stale: controller.probes_outdated,
+            health_checks_stale: controller.probes_outdated(),
             commands_coalesced: controller.commands_folded(),
             unnamed_classes: controller.commands_unnamed(),
             timer_lateness: self.timer_lateness.summary(),
@@ -210,6 +210,6 @@
 }
 
 fn log_call(call: &Call) {
-    tracing::debug!(id = call.id, commands = call.count, bytes = call.bytes.len(), "call sent");
+    tracing::debug!(id = call.id, commands = call.commands, bytes = call.bytes.len(), "call sent");
     tracing::trace!(id = call.id, line = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
 }
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -17,7 +17,8 @@
 use railhub::Seconds;
 use railhub_net::http::{HttpError, LineStream};
 use railhub_net::spawn;
-use railhub_platform::{discovery, EndpointPage, InvalidEntry};
+use railhub_platform::wire::discovery;
+use railhub_platform::{EndpointPage, InvalidEntry};
 use std::convert::Infallible;
 use std::sync::Arc;
 use thiserror::Error;
@@ -80,7 +81,7 @@
     attempts: &mut ConnectionAttempts,
 ) -> Result<Infallible, WatchError> {
     let generation = shared.endpoint_generation();
-    let path = format!("/discovery/hosts?watch=1&after={generation}");
+    let path = discovery::watch_path(generation);
     let feed = LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
     let feed = feed.map_err(|error| unanswered(error, attempts))?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.discovery);
@@ -117,7 +118,7 @@
     /// Receives one line and sends its page on, if it has one.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), WatchError> {
         let names = &self.shared.names;
-        let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::read(line, names));
+        let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::decode_page(line, names));
         let line = match self.feed.next_line(parse) {
             Ok(line) => line,
             Err(error) if matches!(self.state, WatchState::Opened) => {
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -10,8 +10,8 @@
 use crate::shared_state::SharedState;
 use may::net::TcpStream;
 use railhub::ZoneId;
-use railhub_platform::collector::{self, CollectorMessage};
-use railhub_platform::InvalidEntry;
+use railhub_platform::wire::collector;
+use railhub_platform::{CollectorMessage, InvalidEntry};
 use railhub_proto::Deframer;
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -92,13 +92,14 @@
 
     fn next_message(&mut self) -> Received {
         let shared = self.shared;
-        let message = self.deframer.body(|body| match collector::read(body, &shared.names, shared.slices) {
-            Ok(frame) => Received::Message(frame),
-            Err(reason) => {
-                let start = &body[..body.len().min(MAX_MESSAGE_SHOWN)];
-                Received::Invalid { reason, shown: String::from_utf8_lossy(start).into_owned() }
-            }
-        });
+        let message =
+            self.deframer.body(|body| match collector::decode(body, &shared.names, shared.slices) {
+                Ok(frame) => Received::Message(frame),
+                Err(reason) => {
+                    let start = &body[..body.len().min(MAX_MESSAGE_SHOWN)];
+                    Received::Invalid { reason, shown: String::from_utf8_lossy(start).into_owned() }
+                }
+            });
         match message {
             Ok(Some(received)) => received,
             Ok(None) => Received::Nothing,
@@ -122,7 +123,7 @@
     fn on_frame(&mut self, frame: CollectorMessage) -> Next {
         match frame {
             CollectorMessage::Ping => self.answer_ping(),
-            CollectorMessage::Collector(zone) if !self.has_joined() => self.join(zone),
+            CollectorMessage::Join(zone) if !self.has_joined() => self.join(zone),
             CollectorMessage::HostLoad(report) if self.has_joined() => self.report(LoadReport::Host(report)),
             CollectorMessage::SliceLoad(report) if self.has_joined() => {
                 self.report(LoadReport::Slice(report))
@@ -132,7 +133,7 @@
     }
 
     fn answer_ping(&self) -> Next {
-        let is_written = self.write(&collector::pong());
+        let is_written = self.write(&collector::encode_pong());
         if is_written {
             Next::Continue
         } else {
@@ -169,7 +170,7 @@
             Peer::Collector { .. } => RejectionCause::CollectorStream,
         };
         self.shared.rejections.record_with_sample(cause, || format!("{reason}: {shown}"));
-        self.write(&collector::refusal(reason));
+        self.write(&collector::encode_refusal(reason));
         Next::Close
     }
 
--- a/crates/railhub-platform-net/src/relay/line_reader.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader.rs
@@ -2,7 +2,7 @@
 use crate::relay::error::RelayError;
 use may::net::TcpStream;
 use railhub_net::IdleTimeout;
-use railhub_platform::relay_events::MAX_LINE_BYTES;
+use railhub_platform::wire::relay::MAX_LINE_BYTES;
 use railhub_proto::Lines;
 use std::io::Read;
 
--- a/crates/railhub-platform-net/src/shared_state.rs
+++ b/crates/railhub-platform-net/src/shared_state.rs
@@ -64,7 +64,7 @@
         Arc::new(SharedState {
             inbox: new_inbox(),
             names: config.names.clone(),
-            slices: config.terms.slice_count,
+            slices: config.controller.slice_count,
             addresses: CurrentAddresses::new(config.relay, config.discovery),
             subscription_attempts: AtomicU64::new(0),
             subscription: ActiveConnection::default(),
--- /dev/null
+++ b/crates/railhub-platform/src/sink.rs
@@ -0,0 +1,69 @@
+//! What the decisions issue in one batch, sorted by who carries it out.
+use crate::command::Command;
+use crate::pending_commands::PendingCommands;
+use railhub::{
+    BarrierId, ClassId, CommandSink, DecisionEvent, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
+    WeightedHost,
+};
+use thiserror::Error;
+
+/// What the decisions report, for the log.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum Notice {
+    /// A decision.
+    #[error("{0}")]
+    Decision(DecisionEvent),
+    /// The protocol has no command that assigns a table to a proxy; decisions give it only where there are no slices.
+    #[error("cannot assign a table to a proxy on the platform table={} proxy={}", table.0, proxy.0)]
+    TableNotAssignable {
+        /// The table.
+        table: SliceId,
+        /// The proxy.
+        proxy: ProxyId,
+    },
+}
+
+/// Takes the decisions of a batch: commands go to the pending ones, the rest is collected.
+pub(crate) struct BatchSink<'a> {
+    pub(crate) commands: &'a mut PendingCommands,
+    pub(crate) probes: Vec<HostId>,
+    /// Timers, each with the seconds after which it expires.
+    pub(crate) timers: Vec<(Seconds, TimerId)>,
+    pub(crate) notices: Vec<Notice>,
+}
+
+impl BatchSink<'_> {
+    pub(crate) fn new(commands: &mut PendingCommands) -> BatchSink<'_> {
+        BatchSink { commands, probes: Vec::new(), timers: Vec::new(), notices: Vec::new() }
+    }
+}
+
+impl CommandSink for BatchSink<'_> {
+    fn set_weight(&mut self, slice: SliceId, host: HostId, weight: f64) {
+        self.commands.push(Command::SetWeight { slice, line: WeightedHost { host, weight } });
+    }
+    fn assign_table(&mut self, table: SliceId, proxy: ProxyId) {
+        self.notices.push(Notice::TableNotAssignable { table, proxy });
+    }
+    fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry: RetryPolicy) {
+        self.commands.push(Command::SetAdmissionRate { class, rate, retry });
+    }
+    fn exclude_host(&mut self, host: HostId) {
+        self.commands.push(Command::Exclude(host));
+    }
+    fn readmit_host(&mut self, host: HostId) {
+        self.commands.push(Command::Readmit(host));
+    }
+    fn set_barrier(&mut self, barrier: BarrierId) {
+        self.commands.push(Command::Barrier(barrier));
+    }
+    fn check_health(&mut self, host: HostId) {
+        self.probes.push(host);
+    }
+    fn set_timer(&mut self, after: Seconds, timer: TimerId) {
+        self.timers.push((after, timer));
+    }
+    fn report(&mut self, event: DecisionEvent) {
+        self.notices.push(Notice::Decision(event));
+    }
+}
