--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -84,7 +84,7 @@
     fn step(&mut self) -> Next {
         match self.next_message() {
             Received::Nothing => self.read(),
-            Received::Message(frame) => self.on_frame(frame),
+            Received::Message(message) => self.on_message(message),
             Received::Invalid { reason, shown } => self.on_invalid(reason, shown),
             Received::TooLong => self.close_with(InvalidEntry::Unreadable, String::new()),
         }
@@ -94,7 +94,7 @@
         let shared = self.shared;
         let message =
             self.deframer.body(|body| match collector::decode(body, &shared.names, shared.slices) {
-                Ok(frame) => Received::Message(frame),
+                Ok(message) => Received::Message(message),
                 Err(reason) => {
                     let start = &body[..body.len().min(MAX_MESSAGE_SHOWN)];
                     Received::Invalid { reason, shown: String::from_utf8_lossy(start).into_owned() }
@@ -120,8 +120,8 @@
         Next::Continue
     }
 
-    fn on_frame(&mut self, frame: CollectorMessage) -> Next {
-        match frame {
+    fn on_message(&mut self, message: CollectorMessage) -> Next {
+        match message {
             CollectorMessage::Ping => self.answer_ping(),
             CollectorMessage::Join(zone) if !self.has_joined() => self.join(zone),
             CollectorMessage::HostLoad(report) if self.has_joined() => self.report(LoadReport::Host(report)),
