--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -58,7 +58,7 @@
     }
     let Some(conf) = &arguments.conf else { return Err(Ending::Input("--conf names no file".into())) };
     let mut running = Running::start(Installation::open(conf)?)?;
-    let (fleet, process) = (running.fleet_address(), running.fleet_process());
+    let (fleet, process) = (running.membership_address(), running.membership_process());
     let listening = Listening { listening: running.address, fleet, process };
     let told = Arc::new(AtomicBool::new(false));
     if fleet.is_some() {
@@ -86,11 +86,11 @@
             continue;
         }
         figures_at = Instant::now() + FIGURES_INTERVAL;
-        if let Some(fleet) = running.fleet_figures() {
-            let (dropped, looks_dropped) = (fleet.dropped.all(), fleet.looks_dropped);
+        if let Some(fleet) = running.membership_figures() {
+            let (dropped, looks_dropped) = (fleet.dropped.all(), fleet.view_requests_dropped);
             let causes = serde_json::to_string(&fleet.dropped)?;
-            let (alive, sent, heard) = (fleet.alive, fleet.sent, fleet.heard);
-            let (charges, tables_refused) = (fleet.charges, fleet.tables_refused);
+            let (alive, sent, heard) = (fleet.alive, fleet.sent, fleet.received);
+            let (charges, tables_refused) = (fleet.leases, fleet.tables_rejected);
             tracing::info!(
                 alive,
                 sent,
@@ -107,12 +107,12 @@
         tracing::info!(
             joined = figures.joined,
             versions = figures.versions,
-            turns = figures.turns,
-            late_99 = figures.late_99,
-            longest_round = figures.longest_round,
-            refused = figures.refused,
-            cut_off = figures.cut_off,
-            sums_dropped = figures.sums_dropped,
+            turns = figures.timers_fired,
+            late_99 = figures.timer_delay_p99,
+            longest_round = figures.longest_batch,
+            refused = figures.nacks,
+            cut_off = figures.response_timeouts,
+            sums_dropped = figures.reports_dropped,
             failed_connections = running.failed_connections(),
             "figures"
         );
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -8,7 +8,7 @@
 use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::swim::ViewEntry;
 use railhub_membership::NodeId;
-use railhub_steward::fleet::FleetTerms;
+use railhub_steward::membership::MembershipSettings;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -108,7 +108,7 @@
         FleetCommand::Watch(look) => (look, if look.times == 0 { u64::MAX } else { look.times }),
     };
     let sheet = Sheet::open(&look.conf)?;
-    let terms = FleetTerms::read(&sheet)?;
+    let terms = MembershipSettings::read(&sheet)?;
     let terms = terms.ok_or_else(|| Ending::Input(format!("{}: no [fleet] section", look.conf.display())))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     loop {
@@ -127,7 +127,7 @@
 }
 
 /// Asks the addresses of the file, then whoever the answers hold to live.
-pub fn look_at_all(socket: &UdpSocket, terms: &FleetTerms, first: &[SocketAddr]) -> Told {
+pub fn look_at_all(socket: &UdpSocket, terms: &MembershipSettings, first: &[SocketAddr]) -> Told {
     let own = terms.advertise.or((terms.listen.port() != 0).then_some(terms.listen));
     let mut to_ask: Vec<SocketAddr> = first.iter().copied().chain(own).chain(terms.join.clone()).collect();
     let mut asked = BTreeSet::new();
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -6,7 +6,7 @@
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
 use railhub_net::http::{Caller, HttpError};
-use railhub_steward::fleet::FleetTerms;
+use railhub_steward::membership::MembershipSettings;
 use railhub_steward::Installation;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -64,7 +64,7 @@
         return Ok(());
     }
     // Whose process is whose is what the stewards know.
-    let names = match &installation.fleet {
+    let names = match &installation.membership {
         Some(terms) => names(&look_at_all(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, terms, &[])),
         None => BTreeMap::new(),
     };
@@ -109,7 +109,7 @@
 
 pub fn drain(arguments: &Drain) -> Result<(), Ending> {
     let sheet = Sheet::open(&arguments.conf)?;
-    let terms = FleetTerms::read(&sheet)?;
+    let terms = MembershipSettings::read(&sheet)?;
     let terms = terms.ok_or_else(|| Ending::Input("no [fleet] section".into()))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     let until = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, 3600.0));
--- a/crates/railhub-fleet/src/baseline.rs
+++ b/crates/railhub-fleet/src/baseline.rs
@@ -2,7 +2,8 @@
 use crate::list::Line;
 use railhub::{HostId, Phase, SliceAssignment, SliceId};
 use railhub_proto::LoadReport;
-use railhub_steward::tables::{Change, Tables};
+use railhub_steward::change::Change;
+use railhub_steward::tables::Tables;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,7 +58,7 @@
 
     pub fn hear_charges(&mut self, charges: &[SliceAssignment]) {
         if self.policy == Baseline::Hash {
-            charges.iter().for_each(|charge| self.tables.take_stored(charge.slice, &charge.lines));
+            charges.iter().for_each(|charge| self.tables.load_table(charge.slice, &charge.lines));
         }
     }
 
@@ -85,9 +86,9 @@
 
     /// All that a proxy needs which has just come.
     pub fn whole(&self) -> (Change, u64) {
-        let mut whole = self.tables.whole();
+        let mut whole = self.tables.snapshot();
         if self.policy != Baseline::Hash {
-            whole.handed = Some(SliceId(0));
+            whole.assigned_table = Some(SliceId(0));
         }
         (whole, self.tables.version)
     }
--- a/crates/railhub-fleet/src/events.rs
+++ b/crates/railhub-fleet/src/events.rs
@@ -2,8 +2,8 @@
 use crate::operations::OpId;
 use railhub_proto::LoadReport;
 use railhub_standin::CallEnd;
-use railhub_steward::inbox::StreamId;
-use railhub_steward::outbox::Publication;
+use railhub_steward::core::StreamId;
+use railhub_steward::publication::Publication;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -4,15 +4,14 @@
 use crate::list::{to_list, to_record};
 use crate::world::{Policy, World};
 use railhub::{
-    BarrierId, HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId,
-    ZoneId,
+    HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId, ZoneId,
 };
 use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
-use railhub_steward::inbox::StreamId;
-use railhub_steward::kernel::{ControllerCore, Environment, ProxyChannel};
-use railhub_steward::outbox::{MessageCap, Outbox, Publication, WriterAction};
-use railhub_steward::tables::Change;
+use railhub_steward::change::Change;
+use railhub_steward::core::{CloseReason, ControllerCore, Environment, ProxyChannel, SessionEvent, StreamId};
+use railhub_steward::delta_queue::{DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction};
+use railhub_steward::publication::Publication;
 use railhub_versions::Version;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -35,15 +34,15 @@
 pub struct ModelGate(Rc<RefCell<GateState>>);
 
 struct GateState {
-    outbox: Outbox,
+    outbox: DeltaQueue,
     closed: bool,
     proxy: ProxyAt,
     touched: Touched,
 }
 
 impl ModelGate {
-    fn new(cap: MessageCap, proxy: ProxyAt, touched: Touched) -> ModelGate {
-        let state = GateState { outbox: Outbox::new(cap), closed: false, proxy, touched };
+    fn new(cap: MessageQuota, proxy: ProxyAt, touched: Touched) -> ModelGate {
+        let state = GateState { outbox: DeltaQueue::new(cap), closed: false, proxy, touched };
         ModelGate(Rc::new(RefCell::new(state)))
     }
 }
@@ -60,27 +59,22 @@
         state.outbox.push(publication);
         state.touch();
     }
-    fn settle(&self, nonce: u64, refused: bool) -> Option<Option<BarrierId>> {
-        let outbox = &mut self.0.borrow_mut().outbox;
-        if refused {
-            outbox.refuse(nonce)
-        } else {
-            outbox.confirm(nonce)
-        }
+    fn on_response(&self, nonce: u64, response: DeltaResponse) -> ResponseEffect {
+        self.0.borrow_mut().outbox.on_response(nonce, response)
     }
     fn is_idle(&self) -> bool {
         self.0.borrow().outbox.is_idle()
     }
-    fn lines(&self, message_cost: f64) -> f64 {
-        self.0.borrow().outbox.lines(message_cost)
+    fn backlog_lines(&self, message_cost: f64) -> f64 {
+        self.0.borrow().outbox.backlog_lines(message_cost)
     }
-    fn owing_since(&self) -> Option<Seconds> {
-        self.0.borrow().outbox.owing_since()
+    fn unacknowledged_since(&self) -> Option<Seconds> {
+        self.0.borrow().outbox.unacknowledged_since()
     }
-    fn folded(&self) -> u64 {
-        self.0.borrow().outbox.folded
+    fn merged(&self) -> u64 {
+        self.0.borrow().outbox.merged
     }
-    fn close(&self, _: &str) {
+    fn close(&self, _: CloseReason) {
         let state = &mut *self.0.borrow_mut();
         state.closed = true;
         state.touch();
@@ -98,12 +92,12 @@
     fn probe(&mut self, host: HostId) {
         self.probes.push(host);
     }
-    fn store(&mut self, slice: SliceId, _: u64, lines: Vec<(HostId, f64)>) {
+    fn store_table(&mut self, slice: SliceId, _: u64, lines: Vec<(HostId, f64)>) {
         self.stored.push((slice, lines));
     }
     fn decided(&mut self, _: &str) {}
     fn published(&mut self, _: &Change, _: u64) {}
-    fn proxy(&mut self, _: ProxyId, _: &str, _: &str) {}
+    fn session_event(&mut self, _: ProxyId, _: SessionEvent) {}
 }
 
 /// Who steers: the kernel, or a plain policy that goes by the list.
@@ -134,11 +128,11 @@
         let mind = match &self.policy {
             Policy::Baseline(policy) => Mind::Plain(Box::new(Plain::new(*policy, self.day.slices))),
             Policy::Version(program) => {
-                match Version::start(program, &installation.terms, self.day.zones.len()) {
+                match Version::start(program, &installation.config, self.day.zones.len()) {
                     Ok((version, fault)) => {
                         self.faults.push(fault);
                         let version = Box::new(version);
-                        Mind::ControllerCore(Box::new(ControllerCore::led_by(
+                        Mind::ControllerCore(Box::new(ControllerCore::with_engine(
                             version,
                             installation,
                             incarnation,
@@ -200,7 +194,7 @@
         });
         let charges: Vec<SliceAssignment> = tables.collect();
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
-            Some(Mind::ControllerCore(kernel)) => kernel.hear_charges(charges),
+            Some(Mind::ControllerCore(kernel)) => kernel.on_assignments(charges),
             Some(Mind::Plain(plain)) => plain.hear_charges(&charges),
             None => {}
         }
@@ -239,7 +233,7 @@
         self.known.extend(lines.iter().copied());
         let list = to_list(whole, lines);
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
-            Some(Mind::ControllerCore(kernel)) => kernel.hear_list(list),
+            Some(Mind::ControllerCore(kernel)) => kernel.on_endpoint_list(list),
             Some(Mind::Plain(_)) => self.plain_acts(),
             None => {}
         }
@@ -284,18 +278,18 @@
             if !kernel.is_ready() {
                 return;
             }
-            kernel.let_in(now);
-            if kernel.ring(now) {
+            kernel.admit_sessions(now);
+            if kernel.take_due_timers(now) {
                 for (stream, proxy, sums) in steward.sums.drain(..) {
                     let zone = ZoneId(self.proxies[proxy].zone as u16);
-                    kernel.take_sums(stream, ProxyId(proxy as u16), zone, &sums);
+                    kernel.on_load_report(stream, ProxyId(proxy as u16), zone, &sums);
                 }
-                kernel.flush_sums(now);
+                kernel.flush_load_reports(now);
             }
-            kernel.act(now, || now, &mut asked);
-            kernel.look_for_stuck(now, &mut asked);
+            kernel.process(now, || now, &mut asked);
+            kernel.end_stalled_sessions(now, &mut asked);
             if let Some(due) =
-                kernel.next_due().filter(|due| *due < steward.wakes_at || steward.wakes_at <= now)
+                kernel.next_timer_due().filter(|due| *due < steward.wakes_at || steward.wakes_at <= now)
             {
                 steward.wakes_at = due;
                 self.agenda.at(due, Due::StewardWakes);
@@ -329,7 +323,7 @@
             return self.hang_up(proxy);
         }
         loop {
-            let next = gate.0.borrow_mut().outbox.take(now);
+            let next = gate.0.borrow_mut().outbox.next_action(now);
             match next {
                 WriterAction::Nothing => return,
                 WriterAction::WaitUntil(until) => return self.agenda.at(until, Due::Mail(proxy)),
@@ -358,7 +352,8 @@
         let held = &self.proxies[proxy].held;
         let (held_by, version) = (held.incarnation, if held.has_gap { 0 } else { held.version });
         let zone = self.proxies[proxy].zone;
-        let cap = MessageCap { most: self.day.limits.message_cap, span: self.day.limits.messages_span };
+        let cap =
+            MessageQuota { max_messages: self.day.limits.message_cap, window: self.day.limits.messages_span };
         let Some(steward) = self.steward.as_mut() else {
             self.waits_to_dial.push(proxy);
             return;
@@ -371,7 +366,9 @@
         let process = proxy as u64 + 1;
         let subscribe = Subscribe { proxy: proxy as u32, zone, process, incarnation: held_by, version };
         match &mut steward.mind {
-            Mind::ControllerCore(kernel) => kernel.join(now, stream, subscribe, gate, &mut Asked::default()),
+            Mind::ControllerCore(kernel) => {
+                kernel.on_subscribe(now, stream, subscribe, gate, &mut Asked::default())
+            }
             Mind::Plain(plain) => {
                 let (whole, version) = plain.whole();
                 gate.push(Arc::new(Publication::new(whole, steward.incarnation, version, now, None)));
@@ -388,7 +385,7 @@
         if let Some(steward) = self.steward.as_mut() {
             steward.gates[proxy] = None;
             if let Mind::ControllerCore(kernel) = &mut steward.mind {
-                kernel.leave(now, stream, ProxyId(proxy as u16), "broken", &mut Asked::default());
+                kernel.on_disconnect(now, stream, ProxyId(proxy as u16), "broken", &mut Asked::default());
             }
         }
         self.stream_ends(proxy);
@@ -426,16 +423,17 @@
 
     pub fn word_arrives(&mut self, proxy: ProxyAt, stream: StreamId, nonce: u64, refused: bool) {
         let now = self.agenda.now;
+        let response = if refused { DeltaResponse::Nack } else { DeltaResponse::Ack };
         let Some(steward) = self.steward.as_mut() else { return };
         match &mut steward.mind {
             Mind::ControllerCore(kernel) => {
-                kernel.settle(now, ProxyId(proxy as u16), stream, nonce, refused);
-                kernel.let_in(now);
-                kernel.act(now, || now, &mut Asked::default());
+                kernel.on_delta_response(now, ProxyId(proxy as u16), stream, nonce, response);
+                kernel.admit_sessions(now);
+                kernel.process(now, || now, &mut Asked::default());
             }
             Mind::Plain(_) => {
                 if let Some((_, gate)) = steward.gates[proxy].as_ref().filter(|gate| gate.0 == stream) {
-                    gate.settle(nonce, refused);
+                    gate.on_response(nonce, response);
                 }
             }
         }
@@ -459,7 +457,7 @@
     }
 
     pub fn probed(&mut self, place: HostAt) {
-        let (now, within) = (self.agenda.now, self.installation.probe_within);
+        let (now, within) = (self.agenda.now, self.installation.probe_timeout);
         let host = &self.hosts[place];
         let still = (host.ailments.still_until - now).max(0.0);
         let took = still + self.day.probe_work * host.ailments.slower / host.facts.speed;
@@ -480,7 +478,7 @@
     pub fn probe_ends(&mut self, place: HostAt, end: HealthCheckOutcome) {
         let host = HostId::from(self.hosts[place].address);
         if let Some(Mind::ControllerCore(kernel)) = self.steward.as_mut().map(|steward| &mut steward.mind) {
-            kernel.hear_probe(HealthCheckResult { host, end });
+            kernel.on_health_check(HealthCheckResult { host, end });
             let steward = self.steward.as_mut().expect("its kernel has just heard");
             if !std::mem::replace(&mut steward.gathers, true) {
                 self.agenda.after(GATHER, Due::StewardWakes);
--- a/crates/railhub-fleet/src/world.rs
+++ b/crates/railhub-fleet/src/world.rs
@@ -16,7 +16,7 @@
 use railhub_standin::host::{HostFacts, SeenKeys};
 use railhub_standin::sums::Totals;
 use railhub_standin::ClassFacts;
-use railhub_steward::inbox::StreamId;
+use railhub_steward::core::StreamId;
 use railhub_steward::Installation;
 use railhub_versions::process::FaultPlace;
 use rand::{RngExt, SeedableRng};
--- /dev/null
+++ b/crates/railhub-steward/src/core/lease_changes.rs
@@ -0,0 +1,72 @@
+//! Slices that this controller acquires and releases, where controllers share them.
+use super::controller_core::ControllerCore;
+use super::environment::Environment;
+use super::proxy_channel::ProxyChannel;
+use super::shared_slices::{LeaseChanges, ReceivedHandoff, SliceAcquired};
+use railhub::{Seconds, SliceAssignment, SliceId};
+
+impl<C: ProxyChannel> ControllerCore<C> {
+    /// Takes leases that were gained and lost. Nothing more is published of a slice that is gone; proxies keep what
+    /// they hold of it until its next holder publishes.
+    pub fn on_lease_changes(
+        &mut self,
+        now: Seconds,
+        changes: LeaseChanges,
+        environment: &mut impl Environment,
+    ) {
+        let LeaseChanges { gained, lost, lapsed } = changes;
+        for slice in &lapsed {
+            self.on_lease_lapsed(*slice);
+        }
+        for slice in &lost {
+            self.hand_over(now, *slice, environment);
+        }
+        environment.allow_release(&lost);
+        for slice in lost.iter().chain(&lapsed) {
+            self.release(*slice);
+        }
+        for acquired in gained {
+            self.acquire(now, acquired);
+        }
+    }
+
+    /// Nobody is known to hold the slice now: its table stands as it is.
+    fn on_lease_lapsed(&mut self, slice: SliceId) {
+        let hosts = self.tables.lines_of(slice).into_iter().map(|line| line.0).collect();
+        if let Some(shared) = &mut self.shared {
+            shared.lapsed.add(slice, hosts);
+        }
+    }
+
+    fn hand_over(&mut self, now: Seconds, slice: SliceId, environment: &mut impl Environment) {
+        if let Some(shared) = &mut self.shared {
+            shared.lapsed.remove(slice);
+        }
+        let Some(epoch) = self.tables.epoch(slice) else { return };
+        if let Some(handoff) = self.engine.export_handoff(now, slice) {
+            environment.hand_over(slice, epoch, self.tables.lines_of(slice), handoff);
+        }
+    }
+
+    fn release(&mut self, slice: SliceId) {
+        self.tables.release(slice);
+        if let Some(shared) = &mut self.shared {
+            shared.remove(slice);
+        }
+        self.batch.charges.push(SliceAssignment { slice, given: false, lines: Vec::new() });
+    }
+
+    fn acquire(&mut self, now: Seconds, acquired: SliceAcquired) {
+        let SliceAcquired { assignment, epoch, handoff } = acquired;
+        let slice = assignment.slice;
+        self.tables.acquire(slice, epoch, &assignment.lines);
+        if let Some(shared) = &mut self.shared {
+            shared.lapsed.remove(slice);
+            shared.opening.insert(slice);
+            if let Some((handoff, age)) = handoff {
+                shared.handoffs.insert(slice, ReceivedHandoff { handoff, written_at: now - age });
+            }
+        }
+        self.batch.charges.push(assignment);
+    }
+}
--- /dev/null
+++ b/crates/railhub-steward/src/core/publishing.rs
@@ -0,0 +1,116 @@
+//! Carries out what the decisions order: versions for proxies, tables for the store, probes and timers.
+use super::controller_core::ControllerCore;
+use super::environment::Environment;
+use super::proxy_channel::ProxyChannel;
+use super::sessions::SessionState;
+use super::shared_slices::SharedSlices;
+use crate::change::Change;
+use crate::delta_builder::DeltaBuilder;
+use crate::publication::Publication;
+use crate::tables::Tables;
+use railhub::{BarrierId, ProxyId, Seconds, SliceId};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+impl<C: ProxyChannel> ControllerCore<C> {
+    /// Carries out the commands of one batch.
+    pub(super) fn execute(
+        &mut self,
+        mut commands: DeltaBuilder,
+        decided_at: Seconds,
+        environment: &mut impl Environment,
+    ) {
+        if let Some(shared) = &mut self.shared {
+            let binding_removal = !self.installation.config.dropped_may_stay;
+            commands.change = shared_change(shared, &self.tables, &commands.change, binding_removal);
+        }
+        for (after, timer) in &commands.timers {
+            self.timers.set(decided_at + after, *timer);
+        }
+        for host in &commands.probes {
+            environment.probe(*host);
+        }
+        if !commands.change.is_empty() || commands.barrier.is_some() {
+            self.publish(Arc::new(commands.change), commands.barrier, decided_at, environment);
+        }
+        for note in &commands.notes {
+            environment.decided(note);
+        }
+        for (table, proxy) in commands.assigned_tables {
+            self.assign_table(table, proxy, decided_at);
+        }
+    }
+
+    /// Makes a version of a change and queues it for each joined session that it concerns.
+    fn publish(
+        &mut self,
+        change: Arc<Change>,
+        barrier: Option<BarrierId>,
+        decided_at: Seconds,
+        environment: &mut impl Environment,
+    ) {
+        let version = self.tables.apply(change.clone());
+        let encode = |change: Arc<Change>| {
+            Arc::new(Publication::new(change, self.incarnation, version, decided_at, barrier))
+        };
+        let has_no_slices = self.installation.config.slices == 0;
+        let without_lines = has_no_slices.then(|| encode(Arc::new(change.without_lines())));
+        let complete = encode(change.clone());
+        self.propagation.begin(decided_at);
+        for (proxy, session) in self.sessions.joined() {
+            let for_session = match &without_lines {
+                Some(publication) if !session.has_table() => publication,
+                _ => &complete,
+            };
+            if barrier.is_some() || !for_session.change.is_empty() {
+                session.channel.push(for_session.clone());
+                self.propagation.await_proxy(proxy);
+            }
+        }
+        self.store_touched_tables(&change, environment);
+        environment.published(&change, version);
+    }
+
+    fn store_touched_tables(&self, change: &Change, environment: &mut impl Environment) {
+        let touched: BTreeSet<SliceId> = change.lines.keys().map(|key| key.0).collect();
+        for slice in touched {
+            let epoch = self.tables.epoch(slice).unwrap_or(0);
+            environment.store_table(slice, epoch, self.tables.lines_of(slice));
+        }
+    }
+
+    /// Sends a joined proxy the table that it is assigned, where there are no slices.
+    fn assign_table(&mut self, table: SliceId, proxy: ProxyId, decided_at: Seconds) {
+        let Some(session) = self.sessions.joined_mut(proxy) else { return };
+        session.state = SessionState::Joined { table: Some(table) };
+        let (change, version) = (self.tables.assignment_of(table), self.tables.version);
+        let publication = Publication::new(change, self.incarnation, version, decided_at, None);
+        session.channel.push(Arc::new(publication));
+        self.propagation.begin(decided_at);
+        self.propagation.await_proxy(proxy);
+    }
+}
+
+/// What is published where controllers share the slices: the tables that were acquired, then what was decided, of
+/// slices under lease alone; and exclusions of hosts that must be left in tables whose leases have lapsed.
+fn shared_change(
+    shared: &mut SharedSlices,
+    tables: &Tables,
+    decided: &Change,
+    binding_removal: bool,
+) -> Change {
+    let mut change = tables.opening_change(&std::mem::take(&mut shared.opening));
+    change.merge(decided);
+    tables.stamp_epochs(&mut change);
+    for (host, excluded) in &change.exclusions {
+        if *excluded {
+            shared.excluded.insert(*host);
+        } else {
+            shared.excluded.remove(host);
+        }
+    }
+    let exclusions = shared.lapsed.update_exclusions(binding_removal, &shared.excluded);
+    change.exclusions.retain(|host, excluded| *excluded || !shared.lapsed.excludes(host));
+    change.exclusions.extend(exclusions);
+    change
+}
--- /dev/null
+++ b/crates/railhub-steward/src/core/sessions.rs
@@ -0,0 +1,135 @@
+//! The sessions of proxies: at most one each.
+use super::proxy_channel::{ProxyChannel, StreamId};
+use railhub::{ProxyId, Seconds, SliceId};
+use railhub_proto::Subscribe;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Where a session stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SessionState {
+    /// The proxy has subscribed and was sent nothing; the decisions do not know of it.
+    AwaitingSnapshot,
+    /// The proxy has been sent what it lacked, and the decisions know of it.
+    Joined {
+        /// Where there are no slices: the table that it is assigned.
+        table: Option<SliceId>,
+    },
+}
+
+/// A proxy with a stream.
+pub(super) struct ProxySession<C> {
+    pub(super) stream: StreamId,
+    pub(super) process: u64,
+    pub(super) subscribe: Subscribe,
+    pub(super) channel: C,
+    pub(super) state: SessionState,
+}
+
+impl<C> ProxySession<C> {
+    pub(super) fn new(stream: StreamId, subscribe: Subscribe, channel: C) -> ProxySession<C> {
+        let (process, state) = (subscribe.process, SessionState::AwaitingSnapshot);
+        ProxySession { stream, process, subscribe, channel, state }
+    }
+
+    pub(super) fn is_joined(&self) -> bool {
+        matches!(self.state, SessionState::Joined { .. })
+    }
+
+    pub(super) fn has_table(&self) -> bool {
+        matches!(self.state, SessionState::Joined { table: Some(_) })
+    }
+}
+
+/// All sessions, by proxy.
+pub(super) struct Sessions<C> {
+    by_proxy: BTreeMap<ProxyId, ProxySession<C>>,
+    /// Proxies that await their snapshot, in the order in which they subscribed.
+    joining: VecDeque<(ProxyId, StreamId)>,
+    /// Proxies that joined this process before.
+    seen: BTreeSet<ProxyId>,
+}
+
+impl<C: ProxyChannel> Sessions<C> {
+    pub(super) fn new() -> Sessions<C> {
+        Sessions { by_proxy: BTreeMap::new(), joining: VecDeque::new(), seen: BTreeSet::new() }
+    }
+
+    pub(super) fn get(&self, proxy: ProxyId) -> Option<&ProxySession<C>> {
+        self.by_proxy.get(&proxy)
+    }
+
+    /// The session of a proxy, if it is on this stream.
+    pub(super) fn on_stream(&self, proxy: ProxyId, stream: StreamId) -> Option<&ProxySession<C>> {
+        self.by_proxy.get(&proxy).filter(|session| session.stream == stream)
+    }
+
+    /// The session of a proxy, if it is joined.
+    pub(super) fn joined_mut(&mut self, proxy: ProxyId) -> Option<&mut ProxySession<C>> {
+        self.by_proxy.get_mut(&proxy).filter(|session| session.is_joined())
+    }
+
+    /// Adds a session that awaits its snapshot.
+    pub(super) fn insert(&mut self, proxy: ProxyId, session: ProxySession<C>) {
+        self.joining.push_back((proxy, session.stream));
+        self.by_proxy.insert(proxy, session);
+    }
+
+    /// Removes the session of a proxy, if it is on this stream.
+    pub(super) fn remove(&mut self, proxy: ProxyId, stream: StreamId) -> Option<ProxySession<C>> {
+        self.on_stream(proxy, stream)?;
+        self.by_proxy.remove(&proxy)
+    }
+
+    /// Whether any proxy awaits its snapshot.
+    pub(super) fn any_joining(&self) -> bool {
+        !self.joining.is_empty()
+    }
+
+    /// The proxy that awaits its snapshot for the longest time, with what it subscribed with. Those whose sessions
+    /// have ended are removed.
+    pub(super) fn first_joining(&mut self) -> Option<(ProxyId, &Subscribe)> {
+        while let Some((proxy, stream)) = self.joining.front().copied() {
+            if self.on_stream(proxy, stream).is_some() {
+                return Some((proxy, &self.by_proxy[&proxy].subscribe));
+            }
+            self.joining.pop_front();
+        }
+        None
+    }
+
+    /// Marks the proxy that [`Sessions::first_joining`] gave as joined. Whether it is its first session and it holds
+    /// nothing: a stream to an earlier controller process counts too, as the proxy still holds what that one sent.
+    pub(super) fn join_first(&mut self) -> Option<(&ProxySession<C>, bool)> {
+        let (proxy, _) = self.joining.pop_front()?;
+        let session = self.by_proxy.get_mut(&proxy)?;
+        session.state = SessionState::Joined { table: None };
+        let is_new = self.seen.insert(proxy);
+        let holds_nothing = session.subscribe.version == 0;
+        Some((session, is_new && holds_nothing))
+    }
+
+    pub(super) fn joined(&self) -> impl Iterator<Item = (ProxyId, &ProxySession<C>)> {
+        let joined = self.by_proxy.iter().filter(|(_, session)| session.is_joined());
+        joined.map(|(proxy, session)| (*proxy, session))
+    }
+
+    pub(super) fn joined_count(&self) -> usize {
+        self.joined().count()
+    }
+
+    /// Lines that are pending or in flight to all proxies.
+    pub(super) fn backlog_lines(&self, message_cost: f64) -> f64 {
+        self.by_proxy.values().map(|session| session.channel.backlog_lines(message_cost)).sum()
+    }
+
+    /// Sessions that have left a delta without a response for longer than `timeout`.
+    pub(super) fn stalled(&self, now: Seconds, timeout: Seconds) -> Vec<(ProxyId, StreamId)> {
+        let mut stalled = Vec::new();
+        for (proxy, session) in &self.by_proxy {
+            if session.channel.unacknowledged_since().is_some_and(|since| now - since > timeout) {
+                stalled.push((*proxy, session.stream));
+            }
+        }
+        stalled
+    }
+}
--- /dev/null
+++ b/crates/railhub-steward/src/core/shared_slices.rs
@@ -0,0 +1,60 @@
+//! Slices that come and go, where controllers share them.
+use crate::lapsed_slices::LapsedSlices;
+use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A slice whose lease this controller has gained.
+#[derive(Clone, Debug)]
+pub struct SliceAcquired {
+    /// The slice with its table as the store has it.
+    pub assignment: SliceAssignment,
+    /// The epoch of the lease.
+    pub epoch: u64,
+    /// What the previous holder told of it, and how many seconds ago, if it did.
+    pub handoff: Option<(SliceHandoff, Seconds)>,
+}
+
+/// Leases that were gained and lost at one moment.
+#[derive(Clone, Debug, Default)]
+pub struct LeaseChanges {
+    /// Slices with the epochs that they came under.
+    pub gained: Vec<SliceAcquired>,
+    /// Slices that were released, or are another controller's by the store's response.
+    pub lost: Vec<SliceId>,
+    /// Slices whose leases have ended while the store did not respond.
+    pub lapsed: Vec<SliceId>,
+}
+
+impl LeaseChanges {
+    /// Whether nothing changes.
+    pub fn is_empty(&self) -> bool {
+        self.gained.is_empty() && self.lost.is_empty() && self.lapsed.is_empty()
+    }
+}
+
+/// A handoff, and when the previous holder wrote it.
+pub(super) struct ReceivedHandoff {
+    pub(super) handoff: SliceHandoff,
+    pub(super) written_at: Seconds,
+}
+
+/// What sharing adds to the core's state.
+#[derive(Default)]
+pub(super) struct SharedSlices {
+    /// Slices that were acquired and whose tables proxies have not been sent.
+    pub(super) opening: BTreeSet<SliceId>,
+    /// Handoffs of slices that were acquired and that the decisions have not been given.
+    pub(super) handoffs: BTreeMap<SliceId, ReceivedHandoff>,
+    /// Slices whose leases have lapsed.
+    pub(super) lapsed: LapsedSlices,
+    /// Hosts that the decisions have excluded.
+    pub(super) excluded: BTreeSet<HostId>,
+}
+
+impl SharedSlices {
+    /// A slice is not this controller's any more.
+    pub(super) fn remove(&mut self, slice: SliceId) {
+        self.opening.remove(&slice);
+        self.handoffs.remove(&slice);
+    }
+}
--- /dev/null
+++ b/crates/railhub-steward/src/core/streams.rs
@@ -0,0 +1,145 @@
+//! The core's part in a proxy's stream, from its subscription to its end.
+use super::controller_core::ControllerCore;
+use super::environment::{Environment, SessionEvent};
+use super::proxy_channel::{CloseReason, ProxyChannel, StreamId};
+use super::sessions::ProxySession;
+use crate::change::Change;
+use crate::delta_queue::{DeltaResponse, ResponseEffect};
+use crate::publication::Publication;
+use crate::registration::{register, RegistrationOutcome};
+use crate::snapshot_admission::snapshot_fits;
+use railhub::{BarrierAck, ProxyId, ProxyStreamEvent, Seconds};
+use railhub_proto::Subscribe;
+use std::sync::Arc;
+
+/// Seconds between checks for sessions whose responses are overdue.
+const STALLED_CHECK_INTERVAL: Seconds = 0.5;
+
+impl<C: ProxyChannel> ControllerCore<C> {
+    /// Takes the subscription of a new stream. The session waits for [`ControllerCore::admit_sessions`].
+    pub fn on_subscribe(
+        &mut self,
+        now: Seconds,
+        stream: StreamId,
+        subscribe: Subscribe,
+        channel: C,
+        environment: &mut impl Environment,
+    ) {
+        let proxy = ProxyId(subscribe.proxy as u16);
+        let registered = self.sessions.get(proxy);
+        match register(registered.map(|session| session.process), subscribe.process) {
+            RegistrationOutcome::Taken => {
+                environment.session_event(proxy, SessionEvent::DuplicateRejected);
+                channel.close(CloseReason::RegisteredByAnotherProcess);
+                return;
+            }
+            RegistrationOutcome::Replaces => {
+                if let Some(older) = registered {
+                    older.channel.close(CloseReason::ReplacedByNewerStream);
+                    let older = older.stream;
+                    self.on_disconnect(now, older, proxy, "replaced by a newer stream", environment);
+                }
+            }
+            RegistrationOutcome::Free => {}
+        }
+        self.sessions.insert(proxy, ProxySession::new(stream, subscribe, channel));
+    }
+
+    /// Takes the end of a stream. `reason` is for the log.
+    pub fn on_disconnect(
+        &mut self,
+        now: Seconds,
+        stream: StreamId,
+        proxy: ProxyId,
+        reason: &str,
+        environment: &mut impl Environment,
+    ) {
+        let Some(session) = self.sessions.remove(proxy, stream) else { return };
+        self.propagation.proxy_done(now, proxy);
+        self.figures.merged += session.channel.merged();
+        if session.is_joined() {
+            environment.session_event(proxy, SessionEvent::Disconnected { reason: reason.to_owned() });
+            self.batch.streams.push(ProxyStreamEvent { proxy, up: false, first: false });
+        }
+    }
+
+    /// Takes a proxy's response to a delta, and returns whether the delta was in flight. A delta that was rejected has
+    /// left the channel as well, which is all that the decisions go by.
+    pub fn on_delta_response(
+        &mut self,
+        now: Seconds,
+        proxy: ProxyId,
+        stream: StreamId,
+        nonce: u64,
+        response: DeltaResponse,
+    ) -> bool {
+        let Some(session) = self.sessions.on_stream(proxy, stream) else { return false };
+        let ResponseEffect::Settled { barrier } = session.channel.on_response(nonce, response) else {
+            return false;
+        };
+        if session.channel.is_idle() {
+            self.propagation.proxy_done(now, proxy);
+        }
+        self.figures.nacks += u64::from(response == DeltaResponse::Nack);
+        self.batch.confirmed.extend(barrier.map(|mark| BarrierAck { proxy, mark }));
+        true
+    }
+
+    /// Sends proxies that have subscribed what they lack, as far as the backlog has room.
+    pub fn admit_sessions(&mut self, now: Seconds) {
+        if !self.sessions.any_joining() {
+            return;
+        }
+        let terms = &self.installation.config;
+        let (backlog, message_cost) = (terms.backlog, terms.message_cost);
+        let mut waiting = self.sessions.backlog_lines(message_cost);
+        while let Some((proxy, subscribe)) = self.sessions.first_joining() {
+            let (incarnation, version) = (subscribe.incarnation, subscribe.version);
+            let change = self.lacking_change(incarnation, version);
+            let cost = change.cost() as f64 + message_cost;
+            if !snapshot_fits(waiting, cost, backlog) {
+                return;
+            }
+            waiting += cost;
+            self.admit(now, proxy, change);
+        }
+    }
+
+    /// What a proxy lacks that holds this version of this controller process.
+    fn lacking_change(&self, incarnation: u64, version: u64) -> Change {
+        let is_ours = incarnation == self.incarnation;
+        let lacking = is_ours.then(|| self.tables.changes_since(version)).flatten();
+        let change = lacking.unwrap_or_else(|| self.tables.snapshot());
+        let has_no_slices = self.installation.config.slices == 0;
+        let mut change = if has_no_slices { change.without_lines() } else { change };
+        if self.shared.is_some() {
+            self.tables.stamp_epochs(&mut change);
+        }
+        change
+    }
+
+    fn admit(&mut self, now: Seconds, proxy: ProxyId, change: Change) {
+        let publication = Publication::new(change, self.incarnation, self.tables.version, now, None);
+        let Some((session, first)) = self.sessions.join_first() else { return };
+        session.channel.push(Arc::new(publication));
+        self.propagation.begin(now);
+        self.propagation.await_proxy(proxy);
+        self.batch.streams.push(ProxyStreamEvent { proxy, up: true, first });
+    }
+
+    /// Ends sessions whose responses are overdue: what waits for them would count for ever.
+    pub fn end_stalled_sessions(&mut self, now: Seconds, environment: &mut impl Environment) {
+        if now - self.stalled_checked_at < STALLED_CHECK_INTERVAL {
+            return;
+        }
+        self.stalled_checked_at = now;
+        for (proxy, stream) in self.sessions.stalled(now, self.installation.response_timeout) {
+            self.figures.response_timeouts += 1;
+            environment.session_event(proxy, SessionEvent::ResponseTimeout);
+            if let Some(session) = self.sessions.get(proxy) {
+                session.channel.close(CloseReason::ResponseTimeout);
+            }
+            self.on_disconnect(now, stream, proxy, "response timeout", environment);
+        }
+    }
+}
--- /dev/null
+++ b/crates/railhub-steward/src/decision_engine.rs
@@ -0,0 +1,31 @@
+//! What decides: the controller of the package `railhub`, or another version of it that runs elsewhere.
+use crate::delta_builder::DeltaBuilder;
+use railhub::{Controller, EventBatch, Seconds, SliceHandoff, SliceId};
+
+/// Takes what happened since the last batch and gives the commands that follow.
+pub trait DecisionEngine {
+    /// Decides on a batch of events.
+    fn handle_batch(&mut self, batch: &EventBatch, commands: &mut DeltaBuilder);
+
+    /// What the next holder of a slice is told of it, if this engine tells anything.
+    fn export_handoff(&self, _now: Seconds, _slice: SliceId) -> Option<SliceHandoff> {
+        None
+    }
+
+    /// Takes what the previous holder of a slice told `age` seconds ago; after the batch that brought the slice.
+    fn import_handoff(&mut self, _now: Seconds, _slice: SliceId, _handoff: &SliceHandoff, _age: Seconds) {}
+}
+
+impl DecisionEngine for Controller {
+    fn handle_batch(&mut self, batch: &EventBatch, commands: &mut DeltaBuilder) {
+        Controller::round(self, batch, commands);
+    }
+
+    fn export_handoff(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
+        Controller::save(self, now, slice)
+    }
+
+    fn import_handoff(&mut self, now: Seconds, slice: SliceId, handoff: &SliceHandoff, age: Seconds) {
+        Controller::restore(self, now, slice, handoff, age);
+    }
+}
--- a/crates/railhub-steward/src/draft.rs
+++ b/crates/railhub-steward/src/delta_builder.rs
@@ -1,14 +1,21 @@
-//! What one round decided.
-use crate::tables::Change;
+//! Collects the commands of one batch.
+use crate::change::{Change, ClassAdmission};
 use railhub::{BarrierId, ClassId, CommandSink, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId};
 
+/// What the decisions ordered in one batch.
 #[derive(Default)]
 pub struct DeltaBuilder {
+    /// What proxies are to hold.
     pub change: Change,
-    pub mark: Option<BarrierId>,
-    pub handed: Vec<(SliceId, ProxyId)>,
+    /// The barrier that a proxy passes once it has acknowledged the change.
+    pub barrier: Option<BarrierId>,
+    /// Proxies that are assigned a table, where there are no slices.
+    pub assigned_tables: Vec<(SliceId, ProxyId)>,
+    /// Hosts to be probed.
     pub probes: Vec<HostId>,
-    pub wakes: Vec<(Seconds, TimerId)>,
+    /// Timers, each after so many seconds.
+    pub timers: Vec<(Seconds, TimerId)>,
+    /// The decisions with their causes, for the log.
     pub notes: Vec<String>,
 }
 
@@ -17,22 +24,22 @@
         self.change.lines.insert((slice, host), weight);
     }
     fn hand_table(&mut self, table: SliceId, proxy: ProxyId) {
-        self.handed.push((table, proxy));
+        self.assigned_tables.push((table, proxy));
     }
     fn set_level(&mut self, class: ClassId, share: f64, second_try: RetryPolicy) {
-        self.change.levels.insert(class, (share, second_try));
+        self.change.admission_rates.insert(class, ClassAdmission { rate: share, retry: second_try });
     }
     fn shut_out(&mut self, host: HostId, out: bool) {
-        self.change.shut.insert(host, out);
+        self.change.exclusions.insert(host, out);
     }
     fn mark(&mut self, mark: BarrierId) {
-        self.mark = Some(mark);
+        self.barrier = Some(mark);
     }
     fn probe(&mut self, host: HostId) {
         self.probes.push(host);
     }
     fn wake(&mut self, after: Seconds, timer: TimerId) {
-        self.wakes.push((after, timer));
+        self.timers.push((after, timer));
     }
     fn note(&mut self, text: &str) {
         self.notes.push(text.to_owned());
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -1,63 +1,78 @@
-//! What the owner is told.
-use railhub::{EndpointList, HealthCheckResult, ProxyId, SliceAssignment, SliceId, ZoneId};
+//! What the owner of the core is sent.
+use crate::core::{LeaseChanges, StreamId};
+use crate::delta_queue::DeltaResponse;
+use crate::stream_error::StreamError;
+use crate::stream_handle::StreamHandle;
+use railhub::{EndpointList, HealthCheckResult, ProxyId, SliceAssignment, ZoneId};
 use railhub_proto::{LoadReport, Subscribe};
 use std::sync::Arc;
 
-use crate::kernel::SliceAcquired;
-use crate::streams::StreamHandle;
-
-/// Words and sums that may wait: some seconds' worth from thousands of proxies.
-const WORDS: usize = 16 << 10;
-const SUMS: usize = 8 << 10;
-
-/// One connection of a proxy.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct StreamId(pub u64);
+/// Events that may wait: some seconds' worth from thousands of proxies. Past it the sender waits.
+const MAX_PENDING_EVENTS: usize = 16 << 10;
+/// Load reports that may wait. Past it they are dropped and counted.
+const MAX_PENDING_REPORTS: usize = 8 << 10;
 
+/// Something that happened to a part of the controller.
 pub enum OwnerEvent {
-    List(EndpointList),
-    Charges(Vec<SliceAssignment>),
-    /// Where stewards share: slices with the epochs that they came under, those that are another's, and those whose
-    /// leases are over.
-    Grants {
-        gained: Vec<SliceAcquired>,
-        lost: Vec<SliceId>,
-        lapsed: Vec<SliceId>,
-    },
-    Probe(HealthCheckResult),
-    Joins {
+    /// The endpoint list was updated.
+    EndpointList(EndpointList),
+    /// All slices with their tables, where this controller is alone.
+    Assignments(Vec<SliceAssignment>),
+    /// Leases were gained and lost, where controllers share the slices.
+    LeaseChanges(LeaseChanges),
+    /// A probe ended.
+    HealthCheck(HealthCheckResult),
+    /// A proxy has subscribed.
+    Subscribed {
+        /// Its stream.
         stream: StreamId,
+        /// Who it is and what it holds.
         subscribe: Subscribe,
-        door: Arc<StreamHandle>,
+        /// Takes its deltas.
+        handle: Arc<StreamHandle>,
     },
-    Leaves {
+    /// A proxy's stream has ended.
+    Disconnected {
+        /// The stream.
         stream: StreamId,
+        /// The proxy.
         proxy: ProxyId,
-        why: String,
-    },
-    Ack {
-        stream: StreamId,
-        proxy: ProxyId,
-        nonce: u64,
+        /// Why it ended.
+        error: StreamError,
     },
-    Nack {
+    /// A proxy has responded to a delta.
+    DeltaResponse {
+        /// Its stream.
         stream: StreamId,
+        /// The proxy.
         proxy: ProxyId,
+        /// The delta.
         nonce: u64,
+        /// Whether it was applied.
+        response: DeltaResponse,
+        /// Why it was rejected; empty for an acknowledgement.
         reason: String,
     },
+    /// The owner is to end.
     Stop,
 }
 
-pub struct Report {
+/// A load report that waits.
+pub struct ReceivedReport {
+    /// The stream that it came on.
     pub stream: StreamId,
+    /// The proxy.
     pub proxy: ProxyId,
+    /// The proxy's zone.
     pub zone: ZoneId,
-    pub sums: LoadReport,
+    /// The report.
+    pub report: LoadReport,
 }
 
-pub type Inbox = railhub_net::Inbox<OwnerEvent, Report>;
+/// The queues to the owner of the core.
+pub type Inbox = railhub_net::Inbox<OwnerEvent, ReceivedReport>;
 
+/// Empty queues.
 pub fn inbox() -> Inbox {
-    Inbox::new(WORDS, SUMS)
+    Inbox::new(MAX_PENDING_EVENTS, MAX_PENDING_REPORTS)
 }
--- a/crates/railhub-steward/src/installation.rs
+++ b/crates/railhub-steward/src/installation.rs
@@ -1,90 +1,119 @@
-//! What a steward is told in its file: where the others are, what it may do, and its limits.
-use crate::fleet::FleetTerms;
+//! A controller's INI file: where its peers are, what it may do, and its limits.
+use crate::membership::settings::MembershipSettings;
 use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
 use railhub_ini::{Complaint, Section, Sheet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Largest number of streams unless the file says otherwise.
-const STREAMS_MOST: usize = 10_000;
+/// Streams open at once unless the file says otherwise.
+const DEFAULT_MAX_STREAMS: usize = 10_000;
+/// Classes that a file may have.
+const MAX_CLASSES: usize = 64;
+/// What the name of a class's section begins with.
+const CLASS_PREFIX: &str = "class ";
 
+/// What a controller knows when it starts.
 #[derive(Clone, Debug)]
 pub struct Installation {
+    /// Where proxies connect.
     pub listen: SocketAddr,
-    pub roster: SocketAddr,
-    /// Absent where operations are not cut into slices.
+    /// Where the endpoint list is.
+    pub endpoint_list: SocketAddr,
+    /// Where the store is; absent where operations are not cut into slices.
     pub store: Option<SocketAddr>,
-    pub terms: ControllerConfig,
+    /// What the decisions know when they start.
+    pub config: ControllerConfig,
+    /// Names of the classes, by their numbers.
     pub class_names: Vec<String>,
-    /// Lines of sums that the decisions are given in a second.
-    pub reports_a_second: f64,
-    pub probe_within: Seconds,
-    pub probes_at_once: usize,
-    /// A proxy that owes an acknowledgement for so long is cut off.
-    pub stuck_after: Seconds,
-    pub first_within: Seconds,
-    pub silent_after: Seconds,
-    pub streams_most: usize,
-    /// Where the operations that sums tell of are written, if anywhere.
+    /// Totals of load reports that the decisions are given in a second.
+    pub max_reports_per_second: f64,
+    /// Seconds that a probe may take.
+    pub probe_timeout: Seconds,
+    /// Probes at once.
+    pub max_concurrent_probes: usize,
+    /// Seconds that a proxy may leave a delta without a response.
+    pub response_timeout: Seconds,
+    /// Seconds until a stream's subscription must have come.
+    pub subscribe_timeout: Seconds,
+    /// Seconds until each later message of a stream must have come.
+    pub idle_timeout: Seconds,
+    /// Streams open at once.
+    pub max_streams: usize,
+    /// Where the operations that load reports tell of are recorded, if anywhere.
     pub traffic: Option<PathBuf>,
-    /// Absent where this steward is alone.
-    pub fleet: Option<FleetTerms>,
+    /// How the controller takes part in the membership; absent where it is alone.
+    pub membership: Option<MembershipSettings>,
 }
 
 impl Installation {
-    /// Whether stewards share the slices: they are leased from the store, and come and go.
+    /// Whether controllers share the slices: they lease them from the store.
     pub fn shares(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| fleet.share)
+        self.membership.as_ref().is_some_and(|settings| settings.share)
     }
 
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// The file cannot be read, or is no controller's; the error names the line.
     pub fn open(path: &Path) -> Result<Installation, Complaint> {
         Installation::read(&Sheet::open(path)?)
     }
 
+    /// Reads a document.
+    ///
+    /// # Errors
+    /// A section or key is missing, unknown or has an invalid value; the error names its line.
     pub fn read(sheet: &Sheet) -> Result<Installation, Complaint> {
-        let is_class = |name: &str| name.starts_with("class ");
+        let is_class = |name: &str| name.starts_with(CLASS_PREFIX);
         sheet.only(|name| matches!(name, "steward" | "limits" | "fleet") || is_class(name))?;
         let (mut classes, mut class_names) = (Vec::new(), Vec::new());
         for name in sheet.sections().into_iter().filter(|name| is_class(name)) {
             let section = sheet.section(&name);
-            classes.push(class_terms(&section)?);
+            classes.push(class_config(&section)?);
             section.done()?;
-            class_names.push(name["class ".len()..].trim().to_owned());
+            class_names.push(name[CLASS_PREFIX.len()..].trim().to_owned());
         }
-        let steward = sheet.section("steward");
-        if classes.is_empty() || classes.len() > 64 {
+        let (steward, limits) = (sheet.section("steward"), sheet.section("limits"));
+        if classes.is_empty() || classes.len() > MAX_CLASSES {
             return Err(steward.wrong("", format!("has {} classes, 1 to 64 are needed", classes.len())));
         }
-        let limits = sheet.section("limits");
         let installation = Installation {
             listen: steward.or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
-            roster: steward.need("roster")?,
+            endpoint_list: steward.need("roster")?,
             store: steward.text("store").map(|_| steward.need("store")).transpose()?,
-            terms: terms(&steward, &limits, classes)?,
+            config: controller_config(&steward, &limits, classes)?,
             class_names,
-            reports_a_second: limits.within("reports_a_second", 800.0, 1.0, 1e6)?,
-            probe_within: limits.within("probe_within", 0.4, 0.001, 60.0)?,
-            probes_at_once: limits.within("probes_at_once", 64.0, 1.0, 10_000.0)? as usize,
-            stuck_after: limits.within("stuck_after", 10.0, 0.1, 3600.0)?,
-            first_within: limits.within("first_within", 5.0, 0.01, 3600.0)?,
-            silent_after: limits.within("silent_after", 10.0, 0.1, 3600.0)?,
+            max_reports_per_second: limits.within("reports_a_second", 800.0, 1.0, 1e6)?,
+            probe_timeout: limits.within("probe_within", 0.4, 0.001, 60.0)?,
+            max_concurrent_probes: limits.within("probes_at_once", 64.0, 1.0, 10_000.0)? as usize,
+            response_timeout: limits.within("stuck_after", 10.0, 0.1, 3600.0)?,
+            subscribe_timeout: limits.within("first_within", 5.0, 0.01, 3600.0)?,
+            idle_timeout: limits.within("silent_after", 10.0, 0.1, 3600.0)?,
             traffic: steward.text("traffic").map(PathBuf::from),
-            fleet: FleetTerms::read(sheet)?,
-            streams_most: limits.within("streams_most", STREAMS_MOST as f64, 1.0, 65_535.0)? as usize,
+            membership: MembershipSettings::read(sheet)?,
+            max_streams: limits.within("streams_most", DEFAULT_MAX_STREAMS as f64, 1.0, 65_535.0)? as usize,
         };
-        if (installation.terms.slices > 0) != installation.store.is_some() {
+        installation.check_store(sheet)?;
+        steward.done()?;
+        limits.done()?;
+        Ok(installation)
+    }
+
+    /// Slices need a store, and a membership that shares them needs slices.
+    fn check_store(&self, sheet: &Sheet) -> Result<(), Complaint> {
+        let has_slices = self.config.slices > 0;
+        if has_slices != self.store.is_some() {
+            let steward = sheet.section("steward");
             return Err(steward.wrong("store", "is needed where there are slices, and only there"));
         }
-        if installation.shares() && installation.terms.slices == 0 {
+        if self.shares() && !has_slices {
             return Err(sheet.section("fleet").wrong("share", "needs slices, and a store that leases them"));
         }
-        steward.done()?;
-        limits.done()?;
-        Ok(installation)
+        Ok(())
     }
 }
 
-fn terms(
+fn controller_config(
     steward: &Section,
     limits: &Section,
     classes: Vec<ClassConfig>,
@@ -109,25 +138,26 @@
     })
 }
 
-fn class_terms(section: &Section) -> Result<ClassConfig, Complaint> {
+fn class_config(section: &Section) -> Result<ClassConfig, Complaint> {
     Ok(ClassConfig {
         contract_time: section.need_within("contract_time", 0.0, 3600.0)?,
         gain: section.within("gain", 1.0, 0.0, 1e9)?,
-        repeat: match section.choice(
-            "repeats",
-            "never",
-            &[
-                ("safe", Idempotency::Safe),
-                ("keyed", Idempotency::IdempotencyKeyGlobal(0.0)),
-                ("keyed nearby", Idempotency::IdempotencyKeyLocal),
-                ("never", Idempotency::Never),
-            ],
-        )? {
-            Idempotency::IdempotencyKeyGlobal(_) => {
-                Idempotency::IdempotencyKeyGlobal(section.need_within("key_window", 0.0, 1e6)?)
-            }
-            repeat => repeat,
-        },
+        repeat: idempotency(section)?,
+    })
+}
+
+fn idempotency(section: &Section) -> Result<Idempotency, Complaint> {
+    let kinds = [
+        ("safe", Idempotency::Safe),
+        ("keyed", Idempotency::IdempotencyKeyGlobal(0.0)),
+        ("keyed nearby", Idempotency::IdempotencyKeyLocal),
+        ("never", Idempotency::Never),
+    ];
+    Ok(match section.choice("repeats", "never", &kinds)? {
+        Idempotency::IdempotencyKeyGlobal(_) => {
+            Idempotency::IdempotencyKeyGlobal(section.need_within("key_window", 0.0, 1e6)?)
+        }
+        kind => kind,
     })
 }
 
--- a/crates/railhub-steward/src/lib.rs
+++ b/crates/railhub-steward/src/lib.rs
@@ -1,45 +1,54 @@
-//! The running steward: tells the decisions what happens and carries out what they decide.
+//! The running controller: gives the decisions the events, and carries out what they order.
 //!
-//! Who owns what: a [`kernel`] holds the decisions' state, the tables and the proxies' membership, free of sockets and
-//! clocks; one thread ([`owner`]) owns it, fed by bounded queues ([`inbox`]). Each proxy's stream has a reader and a writer coroutine ([`streams`]);
-//! what waits for a proxy is owned by its [`outbox`]. Roster, store and probes are a coroutine or a few each.
+//! Who owns what: the [`core`] holds the decisions' state, the published tables and the sessions of proxies, free of
+//! sockets and clocks. One thread, the owner, drives it, fed by the bounded queues of the [`inbox`]. Each proxy's stream
+//! has a reader and a writer coroutine; what waits for a proxy is in its [`delta_queue`]. The endpoint list, the store
+//! and the probes have a coroutine or a few each. Where controllers know of each other, [`membership`] is a thread and a
+//! socket of its own.
 //!
 //! The way of one delta:
-//! 1. News or a turn makes the owner run a round; the decisions write into a draft.
-//! 2. The draft becomes a change of the [`tables`], which gets the next version.
-//! 3. The change is encoded once and put into each joined proxy's outbox; touched tables go to the store.
-//! 4. The proxy's writer takes it. If the last one has not left yet, both are folded into one later delta.
-//! 5. The proxy's acknowledgement comes to the owner, which tells the decisions of the mark.
+//! 1. An event or a timer that is due makes the owner run a batch; the decisions write their commands into a
+//!    [`delta_builder`].
+//! 2. Its change is applied to the [`tables`], which makes the next version.
+//! 3. The change is encoded once and pushed to each joined proxy's queue; touched tables go to the store.
+//! 4. The proxy's writer takes it. While the last one has not left, both are merged into one later delta.
+//! 5. The proxy's response comes to the owner, which tells the decisions of the barrier that was passed.
 //!
-//! The way of one report: sums come up a proxy's stream, are added up by zone and host ([`intake`]) and handed
-//! to the decisions each second, the oldest first, as many as the limit lets in.
+//! The way of one load report: it comes up a proxy's stream, is validated, waits in the inbox, is added up by the
+//! [`report_aggregator`] and given to the decisions each second, the oldest first, as many as the limit allows.
 //!
-//! Stewards that know of each other: a `[fleet]` section starts [`fleet`], a thread and a socket of its own round the
-//! lease manager of `railhub-membership`; without the section there is none of it.
-//!
-//! The way of one failure: a stream that breaks, is silent, sends what is no message, or does not confirm for
-//! too long ends alone, with a reason sent and logged. The owner tells the decisions that the proxy left.
-pub mod claims;
-pub mod decides;
-pub mod draft;
-pub mod fleet;
+//! The way of one failure: a stream that breaks, is silent, sends an invalid message, or leaves a delta without a
+//! response for too long ends alone, with a reason sent and logged. The owner tells the decisions that the proxy left.
+#![warn(missing_docs)]
+pub mod change;
+pub mod core;
+pub mod decision_engine;
+pub mod delta_builder;
+pub mod delta_queue;
+mod endpoint_list_poller;
+mod health_checker;
 pub mod inbox;
 pub mod installation;
-pub mod intake;
-pub mod kernel;
-mod leases;
-pub mod outbox;
+pub mod lapsed_slices;
+mod lease_clock;
+mod lease_table;
+pub mod membership;
+pub mod message_rate_limiter;
 mod owner;
-pub mod pace;
-mod probes;
-mod roster;
+mod process_environment;
+pub mod publication;
+pub mod registration;
+pub mod report_aggregator;
+pub mod report_validation;
 mod service;
-pub mod standing;
+pub mod snapshot_admission;
 mod store;
-mod streams;
+mod stream_error;
+mod stream_handle;
+mod stream_server;
 pub mod tables;
-pub mod traffic;
+pub mod traffic_writer;
 
+pub use self::core::Figures;
 pub use installation::Installation;
-pub use kernel::Figures;
 pub use service::{Running, StartError};
--- /dev/null
+++ b/crates/railhub-steward/src/membership/cpu_meter.rs
@@ -0,0 +1,38 @@
+//! How busy this process keeps its cores.
+
+/// Seconds that a reading covers at the least.
+const MIN_INTERVAL: f64 = 0.001;
+
+/// Measures processor time between readings.
+pub(super) struct CpuMeter {
+    read_at: f64,
+    cpu_seconds: f64,
+}
+
+impl CpuMeter {
+    pub(super) fn start(now: f64) -> CpuMeter {
+        CpuMeter { read_at: now, cpu_seconds: cpu_seconds() }
+    }
+
+    /// Cores that were busy since the last reading.
+    pub(super) fn busy_cores(&mut self, now: f64) -> f32 {
+        let reading = CpuMeter::start(now);
+        let before = std::mem::replace(self, reading);
+        ((self.cpu_seconds - before.cpu_seconds) / (now - before.read_at).max(MIN_INTERVAL)) as f32
+    }
+}
+
+/// Seconds of processor time that this process took.
+fn cpu_seconds() -> f64 {
+    // SAFETY: the call fills in one rusage, for which all zeroes are a value.
+    let usage = unsafe {
+        let mut usage = std::mem::zeroed::<libc::rusage>();
+        libc::getrusage(libc::RUSAGE_SELF, &mut usage);
+        usage
+    };
+    seconds_of(usage.ru_utime) + seconds_of(usage.ru_stime)
+}
+
+fn seconds_of(time: libc::timeval) -> f64 {
+    time.tv_sec as f64 + time.tv_usec as f64 / 1e6
+}
--- /dev/null
+++ b/crates/railhub-steward/src/membership/lease_coordinator.rs
@@ -0,0 +1,292 @@
+//! The membership thread: feeds the lease manager datagrams, store responses and the time, and carries out its effects.
+use super::cpu_meter::CpuMeter;
+use super::figures::MembershipFigures;
+use super::slice_sharing::SliceSharing;
+use super::view_responder::{view_page, ViewRateLimiter};
+use crate::core::Figures;
+use crate::lease_clock::LeaseClock;
+use crate::store::StoredTable;
+use railhub_membership::lease_manager::{Effects, LeaseManager};
+use railhub_membership::member::Load;
+use railhub_membership::messages::{Destination, MemberChange, Message};
+use railhub_membership::packet::{self, Packet, MAX_DATAGRAM_BYTES};
+use railhub_membership::swim::Membership;
+use railhub_membership::NodeId;
+use railhub_net::{now, seconds};
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::atomic::{AtomicU8, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// Seconds that the thread sleeps at the longest, so that it sees that it is to end.
+const MAX_SLEEP: f64 = 0.05;
+/// The shortest time-out of the socket.
+const MIN_SOCKET_TIMEOUT: Duration = Duration::from_micros(100);
+/// Seconds between measurements of this controller's load.
+const LOAD_INTERVAL: f64 = 1.0;
+/// Seconds within which a controller that leaves hands its slices over; the rest is taken when the leases end.
+const HAND_OVER_TIMEOUT: f64 = 2.0;
+/// Seconds between polls for the store's response while one is due.
+const STORE_POLL_INTERVAL: f64 = 0.004;
+
+/// What the thread is to do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u8)]
+pub(super) enum RunState {
+    /// Take part.
+    Running,
+    /// Hand the slices over, tell the others, and end.
+    Leaving,
+    /// End without a message to the others, as a crash would.
+    Stopping,
+}
+
+/// A [`RunState`] that the thread reads and its starter sets.
+pub(super) struct RunSwitch(AtomicU8);
+
+impl RunSwitch {
+    pub(super) fn new() -> RunSwitch {
+        RunSwitch(AtomicU8::new(RunState::Running as u8))
+    }
+
+    /// Ends the thread; a state that was set before stays.
+    pub(super) fn end(&self, state: RunState) {
+        let running = RunState::Running as u8;
+        let _ = self.0.compare_exchange(running, state as u8, Ordering::AcqRel, Ordering::Acquire);
+    }
+
+    fn get(&self) -> RunState {
+        match self.0.load(Ordering::Acquire) {
+            running if running == RunState::Running as u8 => RunState::Running,
+            leaving if leaving == RunState::Leaving as u8 => RunState::Leaving,
+            _ => RunState::Stopping,
+        }
+    }
+}
+
+/// What the thread shares with the rest of the process.
+pub(super) struct SharedFigures {
+    /// The core's figures, for the load that the others are told.
+    pub(super) core: Arc<Mutex<Figures>>,
+    /// The thread's own.
+    pub(super) membership: Arc<Mutex<MembershipFigures>>,
+}
+
+/// Owns the lease manager and its socket.
+pub(super) struct LeaseCoordinator {
+    lease_manager: LeaseManager,
+    clock: LeaseClock,
+    socket: UdpSocket,
+    installation: String,
+    /// Present where slices are shared.
+    sharing: Option<SliceSharing>,
+    /// Slices of the installation.
+    slices: u16,
+    figures: MembershipFigures,
+    shared_figures: SharedFigures,
+    load_measured_at: f64,
+    cpu: CpuMeter,
+    view_requests: ViewRateLimiter,
+}
+
+impl LeaseCoordinator {
+    pub(super) fn new(
+        lease_manager: LeaseManager,
+        clock: LeaseClock,
+        socket: UdpSocket,
+        installation: String,
+        sharing: Option<SliceSharing>,
+        slices: u16,
+        shared_figures: SharedFigures,
+    ) -> LeaseCoordinator {
+        LeaseCoordinator {
+            lease_manager,
+            clock,
+            socket,
+            installation,
+            sharing,
+            slices,
+            figures: MembershipFigures::default(),
+            shared_figures,
+            load_measured_at: 0.0,
+            cpu: CpuMeter::start(clock.now()),
+            view_requests: ViewRateLimiter::default(),
+        }
+    }
+
+    /// This controller's process, as the others know it.
+    pub(super) fn process(&self) -> u64 {
+        self.membership().incarnation().process
+    }
+
+    fn membership(&self) -> &Membership {
+        self.lease_manager.membership()
+    }
+
+    /// Runs until the switch ends it.
+    pub(super) fn run(mut self, switch: &RunSwitch) {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
+        // When the next tick is due. A message may bring it forward and never puts it off: messages that come without
+        // end must not hold up ticks.
+        let mut due = 0.0;
+        while switch.get() == RunState::Running {
+            self.poll_store();
+            let now = self.clock.now();
+            if now >= due {
+                self.tick(now);
+                due = self.lease_manager.next_at(now);
+                continue;
+            }
+            if let Some((length, sender)) = self.receive(&mut bytes, due - now) {
+                self.on_datagram(&bytes[..length], sender);
+                due = due.min(self.lease_manager.next_at(self.clock.now()));
+            }
+        }
+        if switch.get() == RunState::Leaving {
+            self.leave();
+        }
+    }
+
+    /// Waits for a datagram until the next tick or poll is due.
+    fn receive(&self, bytes: &mut [u8], until_tick: f64) -> Option<(usize, SocketAddr)> {
+        let request_in_flight = self.lease_manager.request_in_flight();
+        let longest = if request_in_flight { STORE_POLL_INTERVAL } else { MAX_SLEEP };
+        let timeout = seconds(until_tick.min(longest)).max(MIN_SOCKET_TIMEOUT);
+        if self.socket.set_read_timeout(Some(timeout)).is_err() {
+            std::thread::sleep(timeout);
+        }
+        self.socket.recv_from(bytes).ok()
+    }
+
+    fn leave(&mut self) {
+        if self.sharing.is_some() {
+            self.hand_over();
+        }
+        let effects = self.lease_manager.leave(self.clock.now());
+        self.carry_out(effects);
+    }
+
+    /// Releases all slices, as far as the time for it reaches.
+    fn hand_over(&mut self) {
+        self.lease_manager.drain();
+        let until = now() + HAND_OVER_TIMEOUT;
+        while now() < until && self.has_slices_to_release() {
+            self.poll_store();
+            self.tick(self.clock.now());
+            std::thread::sleep(seconds(STORE_POLL_INTERVAL));
+        }
+    }
+
+    fn has_slices_to_release(&self) -> bool {
+        !self.lease_manager.is_drained() || self.lease_manager.request_in_flight()
+    }
+
+    fn tick(&mut self, now: f64) {
+        if now - self.load_measured_at >= LOAD_INTERVAL {
+            self.load_measured_at = now;
+            self.measure_load(now);
+        }
+        let effects = self.lease_manager.tick(now);
+        self.apply_leases(&effects, Vec::new());
+        self.carry_out(effects);
+    }
+
+    fn measure_load(&mut self, now: f64) {
+        let busy = self.cpu.busy_cores(now);
+        let proxies = self.shared_figures.core.lock().expect("no holder panics").joined as u32;
+        let held = self.sharing.is_some().then(|| self.lease_manager.leases().count() as u32);
+        let slices = held.unwrap_or(self.slices.into());
+        self.lease_manager.set_load(Load { slices, proxies, busy });
+        self.figures.leases = held.unwrap_or(0) as usize;
+        self.figures.tables_rejected =
+            self.sharing.as_ref().map_or(0, |sharing| sharing.store.tables_rejected());
+        self.figures.alive = self.membership().alive();
+        self.figures.sent = self.membership().sent();
+        self.figures.superseded = self.membership().is_superseded();
+        *self.shared_figures.membership.lock().expect("no holder panics") = self.figures.clone();
+    }
+
+    /// Takes the store's response to a request for leases, if there is one.
+    fn poll_store(&mut self) {
+        let response = self.sharing.as_ref().and_then(|sharing| sharing.store.take_lease_response());
+        let Some(leased) = response else { return };
+        let effects = self.lease_manager.on_response(self.clock.now(), &leased.response);
+        self.apply_leases(&effects, leased.tables);
+        self.carry_out(effects);
+    }
+
+    fn apply_leases(&self, effects: &Effects, tables: Vec<StoredTable>) {
+        if let Some(sharing) = &self.sharing {
+            sharing.apply(self.lease_manager.leases(), effects, tables);
+        }
+    }
+
+    fn on_datagram(&mut self, bytes: &[u8], sender: SocketAddr) {
+        match packet::decode(&self.installation, bytes) {
+            Ok(Packet::Words(message)) => {
+                self.figures.received += 1;
+                let effects = self.lease_manager.hear(self.clock.now(), &message);
+                self.carry_out(effects);
+            }
+            Ok(Packet::Look { nonce, from: first }) => self.send_view(nonce, first, sender),
+            Ok(Packet::View(_)) => {}
+            Ok(Packet::Drain { steward, process }) => self.on_drain_request(steward, process),
+            Err(error) => self.figures.dropped.count(error),
+        }
+    }
+
+    fn on_drain_request(&mut self, node: NodeId, process: u64) {
+        let is_this_process = node == self.membership().me() && process == self.process();
+        if is_this_process && !self.lease_manager.draining() {
+            tracing::info!("drain requested, handing slices over");
+            self.lease_manager.drain();
+        }
+    }
+
+    fn carry_out(&mut self, effects: Effects) {
+        if let (Some(request), Some(sharing)) = (effects.request, &self.sharing) {
+            sharing.store.request_leases(request);
+        }
+        for (destination, message) in effects.mail {
+            self.send(destination, message);
+        }
+        for change in &effects.changed {
+            log_view_change(change);
+        }
+    }
+
+    fn send(&self, destination: Destination, message: Message) {
+        let address = match destination {
+            Destination::Node(id) => self.membership().address(id),
+            Destination::Address(address) => Some(address),
+        };
+        let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
+        if let Some(address) = address {
+            // One that cannot be sent is one that was lost.
+            let _ = self.socket.send_to(&bytes, address);
+        }
+    }
+
+    fn send_view(&mut self, nonce: u64, first: NodeId, to: SocketAddr) {
+        let now = self.clock.now();
+        if !self.view_requests.allow(now) {
+            self.figures.view_requests_dropped += 1;
+            return;
+        }
+        let view = view_page(self.membership(), now, nonce, first, self.figures.dropped.all());
+        let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
+        let _ = self.socket.send_to(&bytes, to);
+    }
+}
+
+fn log_view_change(change: &MemberChange) {
+    tracing::info!(
+        controller = change.about.0,
+        process = change.incarnation.process,
+        incarnation = change.incarnation.count,
+        status = ?change.status,
+        withdrawn = change.withdrawn,
+        cause = change.why,
+        "membership view changed"
+    );
+}
--- /dev/null
+++ b/crates/railhub-steward/src/membership/service.rs
@@ -0,0 +1,127 @@
+//! Starts the membership thread and ends it.
+use super::figures::MembershipFigures;
+use super::lease_coordinator::{LeaseCoordinator, RunState, RunSwitch, SharedFigures};
+use super::settings::MembershipSettings;
+use super::slice_sharing::SliceSharing;
+use crate::core::Figures;
+use railhub_membership::lease_manager::{LeaseManager, LeaseManagerOptions};
+use railhub_membership::member::NodeMetadata;
+use railhub_membership::packet;
+use railhub_membership::swim::MembershipConfig;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::{Arc, Mutex};
+use std::thread::JoinHandle;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Seconds after a start before leases are requested: who else is there is learnt first.
+const SETTLE_TIME: f64 = 1.0;
+/// The weight of this controller in the placement of slices.
+const WEIGHT: f64 = 1.0;
+/// Version of the program, as the others see it.
+const PROGRAM: &str = env!("CARGO_PKG_VERSION");
+
+/// The membership thread. Dropping it ends the thread without a message to the others, as a crash would.
+pub struct MembershipService {
+    /// Where the socket is bound.
+    pub address: SocketAddr,
+    /// This process, as the others know it.
+    pub process: u64,
+    switch: Arc<RunSwitch>,
+    figures: Arc<Mutex<MembershipFigures>>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl MembershipService {
+    /// Starts the thread. `core_figures` tells the load; `sharing` is present where slices are shared.
+    ///
+    /// # Errors
+    /// The address cannot be bound, or the thread cannot be started.
+    pub fn start(
+        settings: &MembershipSettings,
+        core_figures: Arc<Mutex<Figures>>,
+        sharing: Option<SliceSharing>,
+        slices: u16,
+    ) -> io::Result<MembershipService> {
+        let socket = UdpSocket::bind(settings.listen)?;
+        let address = socket.local_addr()?;
+        let figures = Arc::new(Mutex::new(MembershipFigures::default()));
+        let shared_slices = sharing.as_ref().map_or(0, |sharing| sharing.slices);
+        let coordinator = LeaseCoordinator::new(
+            lease_manager(settings, address, shared_slices),
+            settings.clock,
+            socket,
+            settings.installation.clone(),
+            sharing,
+            slices,
+            SharedFigures { core: core_figures, membership: figures.clone() },
+        );
+        let process = coordinator.process();
+        tracing::info!(controller = settings.id.0, process, %address, "membership started");
+        let switch = Arc::new(RunSwitch::new());
+        let thread_switch = switch.clone();
+        let builder = std::thread::Builder::new().name("fleet".into());
+        let thread = builder.spawn(move || coordinator.run(&thread_switch))?;
+        Ok(MembershipService { address, process, switch, figures, thread: Some(thread) })
+    }
+
+    /// What the thread has seen so far.
+    pub fn figures(&self) -> MembershipFigures {
+        self.figures.lock().expect("no holder panics").clone()
+    }
+
+    /// Hands the slices over, tells the others that this controller leaves, and ends the thread.
+    pub fn leave(&mut self) {
+        self.end(RunState::Leaving);
+    }
+
+    fn end(&mut self, state: RunState) {
+        self.switch.end(state);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+impl Drop for MembershipService {
+    fn drop(&mut self) {
+        self.end(RunState::Stopping);
+    }
+}
+
+fn lease_manager(settings: &MembershipSettings, address: SocketAddr, shared_slices: u16) -> LeaseManager {
+    let process = settings.process.unwrap_or_else(process_number);
+    let metadata = NodeMetadata {
+        address: Some(settings.advertise.unwrap_or(address)),
+        program: PROGRAM.to_owned(),
+        protocol: u32::from(packet::VERSION),
+        settings: settings.settings_digest,
+        draining: false,
+        store_unreachable: false,
+    };
+    let config = MembershipConfig {
+        seeds: settings.join.clone(),
+        forget_after: settings.forget_after,
+        without: settings.without,
+    };
+    let options = LeaseManagerOptions {
+        me: settings.id,
+        process,
+        weights: &BTreeMap::from([(settings.id, WEIGHT)]),
+        metadata,
+        config,
+        slices: shared_slices,
+        span: settings.lease,
+        settle: SETTLE_TIME,
+        seed: process,
+    };
+    LeaseManager::new(&options, settings.clock.now())
+}
+
+/// Microseconds since 1970: higher than any earlier process of this controller, unless the clock was set back, which
+/// the others report then.
+fn process_number() -> u64 {
+    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since.as_micros() as u64
+}
--- /dev/null
+++ b/crates/railhub-steward/src/membership/view_responder.rs
@@ -0,0 +1,45 @@
+//! Answers requests for this controller's view of the others, at a limited rate.
+use railhub_membership::packet::{View, MAX_VIEW_ENTRIES};
+use railhub_membership::swim::{Membership, ViewEntry};
+use railhub_membership::NodeId;
+
+/// Requests for the view that are answered in a second. Further ones are dropped and counted.
+const MAX_VIEWS_PER_SECOND: u32 = 400;
+/// Seconds that requests are counted in.
+const COUNTING_INTERVAL: f64 = 1.0;
+
+/// Counts requests for the view.
+#[derive(Default)]
+pub(super) struct ViewRateLimiter {
+    interval_began: f64,
+    requests: u32,
+}
+
+impl ViewRateLimiter {
+    /// Counts a request and returns whether it is within the limit.
+    pub(super) fn allow(&mut self, now: f64) -> bool {
+        if now - self.interval_began >= COUNTING_INTERVAL {
+            (self.interval_began, self.requests) = (now, 0);
+        }
+        self.requests += 1;
+        self.requests <= MAX_VIEWS_PER_SECOND
+    }
+}
+
+/// One page of the view, beginning with the entry of `first`. `dropped`: datagrams that were dropped so far.
+pub(super) fn view_page(membership: &Membership, now: f64, nonce: u64, first: NodeId, dropped: u64) -> View {
+    let wanted = membership.view(now).into_iter().filter(|shown| shown.entry.about >= first);
+    let mut lines: Vec<ViewEntry> = wanted.take(MAX_VIEW_ENTRIES + 1).collect();
+    let next = (lines.len() > MAX_VIEW_ENTRIES).then(|| lines[MAX_VIEW_ENTRIES].entry.about);
+    lines.truncate(MAX_VIEW_ENTRIES);
+    View {
+        nonce,
+        viewer: membership.me(),
+        process: membership.incarnation().process,
+        digest: membership.digest(),
+        lines,
+        next,
+        dropped,
+        superseded: membership.is_superseded(),
+    }
+}
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -1,196 +1,202 @@
-//! The thread that owns a steward's kernel: takes in words, runs rounds, and passes on what they ask for.
+//! The thread that owns the core: takes events, lets the core process them, and passes on what it orders.
+//!
+//! The way of one event: it waits in the [`Inbox`], is taken with up to [`MAX_EVENTS_PER_BATCH`] others, and changes the
+//! core's state or its next batch; then sessions are admitted, timers that are due are taken, and the core decides.
+use crate::core::{ControllerCore, Figures, LeaseChanges};
+use crate::delta_queue::DeltaResponse;
 use crate::inbox::{Inbox, OwnerEvent};
 use crate::installation::Installation;
-use crate::kernel::{ControllerCore, Environment, Figures};
-use crate::probes::Probes;
-use crate::store::StoreWriter;
-use crate::streams::StreamHandle;
-use crate::tables::Change;
-use crate::traffic::TrafficWriter;
-use railhub::{HostId, Phase, ProxyId, Seconds, SliceHandoff, SliceId};
+use crate::process_environment::{CommandTargets, ProcessEnvironment};
+use crate::stream_handle::StreamHandle;
+use railhub::{EndpointList, Phase, Seconds, SliceId};
 use railhub_net::{now, seconds};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
-/// Seconds the owner sleeps at most, so that joins that wait for room and stuck proxies are seen.
-const LONGEST_SLEEP: Seconds = 0.01;
-/// Seconds for words on deltas to gather before the owner looks again: they come by the hundred at once, and
-/// nothing hangs on one of them.
-const GATHER: Seconds = 0.0001;
-/// Words taken in for one round: a round must end.
-const WORDS_A_ROUND: usize = 4096;
-
-pub struct Owner {
-    kernel: ControllerCore<Arc<StreamHandle>>,
-    around: Around,
-    inbox: Arc<Inbox>,
-    /// The last look brought nothing but words on deltas.
-    only_acks: bool,
-    shown: Arc<Mutex<Figures>>,
-}
-
-/// Where an owner's orders go besides the proxies.
-pub struct CommandTargets {
-    pub probes: Probes,
-    pub store: Option<Arc<StoreWriter>>,
-    pub traffic: Option<TrafficWriter>,
-}
-
-/// What the kernel asks of the rest of the process.
-struct Around {
-    class_names: Vec<String>,
-    outlets: CommandTargets,
+/// Seconds that the owner sleeps at the longest, so that sessions that wait for room and stalled ones are seen.
+const MAX_SLEEP: Seconds = 0.01;
+/// Seconds for acknowledgements to gather before the owner looks again: they come by the hundred at once, and nothing
+/// hangs on one of them.
+const ACK_GATHER_TIME: Seconds = 0.0001;
+/// Events taken for one batch: a batch must end.
+const MAX_EVENTS_PER_BATCH: usize = 4096;
+/// Incarnations in a second of the machine's clock.
+const INCARNATIONS_PER_SECOND: f64 = 1e9;
+
+/// What the owner took from its inbox.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Received {
+    Nothing,
+    AcksOnly,
+    Events,
+    Stop,
 }
 
-impl Environment for Around {
-    fn probe(&mut self, host: HostId) {
-        self.outlets.probes.ask(host);
-    }
-
-    fn store(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>) {
-        if let Some(store) = &self.outlets.store {
-            store.put(slice, epoch, lines);
-        }
-    }
-
-    fn hand_on(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceHandoff) {
-        if let Some(store) = &self.outlets.store {
-            store.hand_on(slice, epoch, lines, state);
-        }
-    }
-
-    fn given_up(&mut self, slices: &[SliceId]) {
-        if let Some(store) = &self.outlets.store {
-            store.given_up(slices);
-        }
-    }
-
-    fn decided(&mut self, cause: &str) {
-        tracing::info!(cause, "decision");
-    }
-
-    /// Levels and shut-outs have no note of their own.
-    fn published(&mut self, change: &Change, version: u64) {
-        for (class, (share, again)) in &change.levels {
-            let name = self.class_names.get(usize::from(class.0)).map_or("", String::as_str);
-            tracing::info!(class = name, share, again = ?again, cause = "a level changes", "decision");
-        }
-        for (host, out) in &change.shut {
-            let cause = if *out { "host is shut out of all tables" } else { "host is let in again" };
-            tracing::info!(host = %host, cause, "decision");
-        }
-        tracing::debug!(version, lines = change.cost(), "a delta leaves");
-    }
-
-    fn proxy(&mut self, proxy: ProxyId, what: &str, why: &str) {
-        tracing::info!(proxy = proxy.0, why, "{what}");
-    }
+/// Owns the core.
+pub(crate) struct Owner {
+    core: ControllerCore<Arc<StreamHandle>>,
+    environment: ProcessEnvironment,
+    inbox: Arc<Inbox>,
+    figures: Arc<Mutex<Figures>>,
 }
 
 impl Owner {
-    pub fn new(
+    /// An owner with a new core. `incarnation`: of the core, where the clock does not give it.
+    pub(crate) fn new(
         installation: Installation,
         incarnation: Option<u64>,
         inbox: Arc<Inbox>,
-        outlets: CommandTargets,
-        shown: Arc<Mutex<Figures>>,
+        targets: CommandTargets,
+        figures: Arc<Mutex<Figures>>,
     ) -> Owner {
         let now = now();
-        let around = Around { class_names: installation.class_names.clone(), outlets };
-        let kernel = ControllerCore::new(installation, incarnation.unwrap_or((now * 1e9) as u64), now);
-        Owner { kernel, around, inbox, only_acks: false, shown }
+        let environment = ProcessEnvironment { class_names: installation.class_names.clone(), targets };
+        let incarnation = incarnation.unwrap_or((now * INCARNATIONS_PER_SECOND) as u64);
+        let core = ControllerCore::new(installation, incarnation, now);
+        Owner { core, environment, inbox, figures }
     }
 
-    /// Runs until it is told to stop.
-    pub fn run(mut self) {
+    /// Runs until it is sent [`OwnerEvent::Stop`].
+    pub(crate) fn run(mut self) {
         self.inbox.own();
+        let mut received = Received::Nothing;
         loop {
-            self.sleep();
-            let (mut acks, mut others) = (0, 0);
-            for _ in 0..WORDS_A_ROUND {
-                match self.inbox.next_word() {
-                    Some(OwnerEvent::Stop) => return,
-                    Some(word) => {
-                        *(if matches!(word, OwnerEvent::Ack { .. }) { &mut acks } else { &mut others }) += 1;
-                        self.hear(word);
-                    }
-                    None => break,
-                }
+            self.sleep(received);
+            received = self.receive();
+            if received == Received::Stop {
+                return;
             }
-            self.only_acks = acks > 0 && others == 0;
-            if self.kernel.is_ready() {
-                self.kernel.let_in(now());
-                if self.kernel.ring(now()) {
-                    self.take_sums();
+            if self.core.is_ready() {
+                self.process();
+            }
+        }
+    }
+
+    fn process(&mut self) {
+        self.core.admit_sessions(now());
+        if self.core.take_due_timers(now()) {
+            self.flush_load_reports();
+        }
+        self.core.process(now(), now, &mut self.environment);
+        self.core.end_stalled_sessions(now(), &mut self.environment);
+    }
+
+    /// Takes the events that wait.
+    fn receive(&mut self) -> Received {
+        let mut received = Received::Nothing;
+        for _ in 0..MAX_EVENTS_PER_BATCH {
+            match self.inbox.next_word() {
+                None => break,
+                Some(OwnerEvent::Stop) => return Received::Stop,
+                Some(event) => {
+                    if !is_ack(&event) {
+                        received = Received::Events;
+                    } else if received == Received::Nothing {
+                        received = Received::AcksOnly;
+                    }
+                    self.on_event(event);
                 }
-                self.kernel.act(now(), now, &mut self.around);
-                self.kernel.look_for_stuck(now(), &mut self.around);
             }
         }
+        received
     }
 
-    fn sleep(&self) {
+    fn sleep(&self, received: Received) {
         let now = now();
-        let due = self.kernel.next_due().unwrap_or(f64::INFINITY).min(now + LONGEST_SLEEP);
-        if self.kernel.is_owed() && self.only_acks && due > now {
-            std::thread::sleep(seconds(GATHER.min(due - now)));
-        } else if self.inbox.is_quiet() && due > now {
+        let due = self.core.next_timer_due().unwrap_or(f64::INFINITY).min(now + MAX_SLEEP);
+        if due <= now {
+            return;
+        }
+        if self.core.awaits_responses() && received == Received::AcksOnly {
+            std::thread::sleep(seconds(ACK_GATHER_TIME.min(due - now)));
+        } else if self.inbox.is_quiet() {
             std::thread::park_timeout(seconds(due - now));
         }
     }
 
-    fn hear(&mut self, word: OwnerEvent) {
-        let Owner { kernel, around, .. } = self;
-        match word {
-            OwnerEvent::List(list) => {
-                let of = |phase| list.entries.iter().filter(|entry| entry.phase == phase).count();
-                let (draining, gone) = (of(Phase::Draining), of(Phase::Gone));
-                let (hosts, whole) = (list.entries.len(), list.whole);
-                tracing::info!(hosts, whole, draining, gone, "the host list has news");
-                kernel.hear_list(list);
+    fn on_event(&mut self, event: OwnerEvent) {
+        let Owner { core, environment, .. } = self;
+        match event {
+            OwnerEvent::EndpointList(list) => {
+                log_endpoint_list(&list);
+                core.on_endpoint_list(list);
             }
-            OwnerEvent::Charges(charges) => {
-                tracing::info!(slices = charges.len(), "slices are in charge, with their tables");
-                kernel.hear_charges(charges);
+            OwnerEvent::Assignments(assignments) => {
+                tracing::info!(slices = assignments.len(), "slices assigned");
+                core.on_assignments(assignments);
             }
-            OwnerEvent::Grants { gained, lost, lapsed } => {
-                let slices = |ids: &mut dyn Iterator<Item = u16>| {
-                    ids.map(|id| id.to_string()).collect::<Vec<_>>().join(" ")
-                };
-                let come = slices(&mut gained.iter().map(|gained| gained.charge.slice.0));
-                let gone = slices(&mut lost.iter().map(|slice| slice.0));
-                let over = slices(&mut lapsed.iter().map(|slice| slice.0));
-                tracing::info!(come, gone, over, "slices come into charge and go");
-                kernel.hear_grants(now(), gained, &lost, &lapsed, around);
+            OwnerEvent::LeaseChanges(changes) => {
+                log_lease_changes(&changes);
+                core.on_lease_changes(now(), changes, environment);
             }
-            OwnerEvent::Probe(result) => kernel.hear_probe(result),
-            OwnerEvent::Joins { stream, subscribe, door } => {
-                kernel.join(now(), stream, subscribe, door, around)
+            OwnerEvent::HealthCheck(result) => core.on_health_check(result),
+            OwnerEvent::Subscribed { stream, subscribe, handle } => {
+                core.on_subscribe(now(), stream, subscribe, handle, environment);
             }
-            OwnerEvent::Leaves { stream, proxy, why } => kernel.leave(now(), stream, proxy, &why, around),
-            OwnerEvent::Ack { stream, proxy, nonce } => _ = kernel.settle(now(), proxy, stream, nonce, false),
-            OwnerEvent::Nack { stream, proxy, nonce, reason } => {
-                if kernel.settle(now(), proxy, stream, nonce, true) {
-                    tracing::error!(proxy = proxy.0, version = nonce, reason, "a version is refused");
+            OwnerEvent::Disconnected { stream, proxy, error } => {
+                core.on_disconnect(now(), stream, proxy, &error.to_string(), environment);
+            }
+            OwnerEvent::DeltaResponse { stream, proxy, nonce, response, reason } => {
+                let was_in_flight = core.on_delta_response(now(), proxy, stream, nonce, response);
+                if was_in_flight && response == DeltaResponse::Nack {
+                    tracing::error!(proxy = proxy.0, version = nonce, reason, "delta rejected by proxy");
                 }
             }
             OwnerEvent::Stop => {}
         }
     }
 
-    fn take_sums(&mut self) {
-        while let Some(report) = self.inbox.next_report() {
-            if let Some(traffic) = &mut self.around.outlets.traffic {
-                traffic.take(now(), report.proxy, report.zone, &report.sums);
+    /// Takes the load reports that wait, and gives the decisions what their rate allows.
+    fn flush_load_reports(&mut self) {
+        while let Some(received) = self.inbox.next_report() {
+            let (proxy, zone) = (received.proxy, received.zone);
+            if let Some(traffic) = &mut self.environment.targets.traffic {
+                traffic.record(now(), proxy, zone, &received.report);
             }
-            self.kernel.take_sums(report.stream, report.proxy, report.zone, &report.sums);
+            self.core.on_load_report(received.stream, proxy, zone, &received.report);
         }
-        self.kernel.flush_sums(now());
-        let mut figures = self.kernel.figures();
-        figures.sums_dropped += self.inbox.sums_dropped.load(Ordering::Relaxed);
-        figures.probes_dropped = self.around.outlets.probes.dropped();
-        let traffic = self.around.outlets.traffic.as_ref();
-        figures.traffic_dropped = traffic.map_or(0, |traffic| traffic.dropped);
-        *self.shown.lock().expect("no holder panics") = figures;
+        self.core.flush_load_reports(now());
+        *self.figures.lock().expect("no holder panics") = self.current_figures();
+    }
+
+    /// The core's figures with those of the parts around it.
+    fn current_figures(&self) -> Figures {
+        let targets = &self.environment.targets;
+        let mut figures = self.core.figures();
+        figures.reports_dropped += self.inbox.sums_dropped.load(Ordering::Relaxed);
+        figures.probes_dropped = targets.health_checker.dropped();
+        figures.traffic_dropped = targets.traffic.as_ref().map_or(0, |traffic| traffic.dropped);
+        figures
     }
 }
+
+fn is_ack(event: &OwnerEvent) -> bool {
+    matches!(event, OwnerEvent::DeltaResponse { response: DeltaResponse::Ack, .. })
+}
+
+fn log_endpoint_list(list: &EndpointList) {
+    let count = |phase| list.entries.iter().filter(|entry| entry.phase == phase).count();
+    let (draining, gone) = (count(Phase::Draining), count(Phase::Gone));
+    tracing::info!(
+        hosts = list.entries.len(),
+        complete = list.whole,
+        draining,
+        gone,
+        "endpoint list updated"
+    );
+}
+
+fn log_lease_changes(changes: &LeaseChanges) {
+    let gained: Vec<SliceId> = changes.gained.iter().map(|acquired| acquired.assignment.slice).collect();
+    tracing::info!(
+        gained = slice_numbers(&gained),
+        lost = slice_numbers(&changes.lost),
+        lapsed = slice_numbers(&changes.lapsed),
+        "leases changed"
+    );
+}
+
+fn slice_numbers(slices: &[SliceId]) -> String {
+    let numbers: Vec<String> = slices.iter().map(|slice| slice.0.to_string()).collect();
+    numbers.join(" ")
+}
--- /dev/null
+++ b/crates/railhub-steward/src/process_environment.rs
@@ -0,0 +1,82 @@
+//! Carries out in this process what the core orders: probes, tables for the store, log lines.
+use crate::change::Change;
+use crate::core::{Environment, SessionEvent};
+use crate::health_checker::HealthChecker;
+use crate::store::StoreWriter;
+use crate::tables::TableLines;
+use crate::traffic_writer::TrafficWriter;
+use railhub::{HostId, ProxyId, SliceHandoff, SliceId};
+use std::sync::Arc;
+
+/// Where the core's orders go besides the proxies.
+pub(crate) struct CommandTargets {
+    /// Probes hosts.
+    pub(crate) health_checker: HealthChecker,
+    /// Writes tables; absent where there are no slices.
+    pub(crate) store: Option<Arc<StoreWriter>>,
+    /// Records traffic, where a file is named.
+    pub(crate) traffic: Option<TrafficWriter>,
+}
+
+/// The core's environment in a running controller.
+pub(crate) struct ProcessEnvironment {
+    /// Names of the classes, by their numbers.
+    pub(crate) class_names: Vec<String>,
+    /// Where orders go.
+    pub(crate) targets: CommandTargets,
+}
+
+impl Environment for ProcessEnvironment {
+    fn probe(&mut self, host: HostId) {
+        self.targets.health_checker.ask(host);
+    }
+
+    fn store_table(&mut self, slice: SliceId, epoch: u64, lines: TableLines) {
+        if let Some(store) = &self.targets.store {
+            store.write_table(slice, epoch, lines);
+        }
+    }
+
+    fn hand_over(&mut self, slice: SliceId, epoch: u64, lines: TableLines, handoff: SliceHandoff) {
+        if let Some(store) = &self.targets.store {
+            store.hand_over(slice, epoch, lines, &handoff);
+        }
+    }
+
+    fn allow_release(&mut self, slices: &[SliceId]) {
+        if let Some(store) = &self.targets.store {
+            store.allow_release(slices);
+        }
+    }
+
+    fn decided(&mut self, cause: &str) {
+        tracing::info!(cause, "decision");
+    }
+
+    /// Admission rates and exclusions have no note of the decisions.
+    fn published(&mut self, change: &Change, version: u64) {
+        for (class, admission) in &change.admission_rates {
+            let class = self.class_names.get(usize::from(class.0)).map_or("", String::as_str);
+            let (rate, retry) = (admission.rate, admission.retry);
+            tracing::info!(class, rate, ?retry, cause = "admission rate changed", "decision");
+        }
+        for (host, excluded) in &change.exclusions {
+            let cause = if *excluded { "host excluded from all tables" } else { "host readmitted" };
+            tracing::info!(%host, cause, "decision");
+        }
+        tracing::debug!(version, lines = change.cost(), "delta published");
+    }
+
+    fn session_event(&mut self, proxy: ProxyId, event: SessionEvent) {
+        let proxy = proxy.0;
+        match event {
+            SessionEvent::DuplicateRejected => {
+                tracing::info!(proxy, "stream rejected, another process is registered as this proxy");
+            }
+            SessionEvent::Disconnected { reason } => tracing::info!(proxy, reason, "proxy disconnected"),
+            SessionEvent::ResponseTimeout => {
+                tracing::info!(proxy, "proxy did not respond to a delta, stream closed");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/railhub-steward/src/store/bodies.rs
@@ -0,0 +1,126 @@
+//! The bodies that a controller and the store exchange. Their JSON names are the store's.
+use crate::core::SliceAcquired;
+use crate::tables::TableLines;
+use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
+use railhub_membership::lease_manager::LeaseResponse;
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+
+/// Version of the handoff that this program writes and reads.
+const HANDOFF_VERSION: u32 = 1;
+/// Operations per second that a handoff may claim.
+const MAX_HANDOFF_RATE: f64 = 1e9;
+/// Seconds that a handoff may pin a slice for.
+const MAX_HANDOFF_PIN: Seconds = 3600.0;
+
+/// A slice's table.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct StoredTable {
+    /// The slice.
+    pub slice: u16,
+    /// The epoch of the lease that it is written under; 0 where the controller is alone.
+    #[serde(default)]
+    pub epoch: u64,
+    /// The weights of hosts.
+    pub lines: Vec<(SocketAddr, f64)>,
+    /// What its previous holder told of it: a [`StoredHandoff`], if it is of a version that this program reads.
+    #[serde(rename = "state", default, skip_serializing_if = "Option::is_none")]
+    pub handoff: Option<serde_json::Value>,
+    /// Seconds since the handoff was written, by the store's clock.
+    #[serde(default)]
+    pub age: f64,
+}
+
+/// What the previous holder of a slice knew of it, as it is kept beside the table. Programs that know less leave fields
+/// out; another version is not read.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct StoredHandoff {
+    /// Version of the handoff.
+    pub version: u32,
+    /// Operations per second.
+    pub rate: f64,
+    /// Seconds until the slice may move again.
+    #[serde(rename = "rests")]
+    pub pinned_for: f64,
+    /// The host that the slice was taken from and returns to.
+    #[serde(rename = "home", default)]
+    pub preferred_host: Option<String>,
+}
+
+/// The store's response to a request for leases, with the tables of what was granted anew.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct LeasedTables {
+    /// Which leases were granted and refused.
+    #[serde(rename = "says")]
+    pub response: LeaseResponse,
+    /// The tables.
+    pub tables: Vec<StoredTable>,
+}
+
+impl From<&SliceHandoff> for StoredHandoff {
+    fn from(handoff: &SliceHandoff) -> StoredHandoff {
+        StoredHandoff {
+            version: HANDOFF_VERSION,
+            rate: handoff.rate,
+            pinned_for: handoff.rests,
+            preferred_host: handoff.home.map(|host| host.to_string()),
+        }
+    }
+}
+
+impl StoredHandoff {
+    /// `None`: it is of another version, or has an impossible value.
+    fn validate(&self) -> Option<SliceHandoff> {
+        let home = match &self.preferred_host {
+            Some(name) => Some(HostId::new(name)?),
+            None => None,
+        };
+        let is_possible = (0.0..=MAX_HANDOFF_RATE).contains(&self.rate)
+            && (0.0..=MAX_HANDOFF_PIN).contains(&self.pinned_for);
+        let is_valid = self.version == HANDOFF_VERSION && is_possible;
+        is_valid.then_some(SliceHandoff { rate: self.rate, rests: self.pinned_for, home })
+    }
+}
+
+impl StoredTable {
+    /// A slice without a table.
+    pub fn empty(slice: u16) -> StoredTable {
+        StoredTable { slice, epoch: 0, lines: Vec::new(), handoff: None, age: 0.0 }
+    }
+
+    /// A table to be written. Hosts whose names are no addresses are left out.
+    pub(super) fn to_write(
+        slice: SliceId,
+        epoch: u64,
+        lines: &TableLines,
+        handoff: Option<&StoredHandoff>,
+    ) -> StoredTable {
+        let lines = lines.iter().filter_map(|(host, weight)| Some((host.address()?, *weight)));
+        let handoff = handoff.and_then(|handoff| serde_json::to_value(handoff).ok());
+        StoredTable { slice: slice.0, epoch, lines: lines.collect(), handoff, age: 0.0 }
+    }
+
+    /// The slice and its table for the decisions.
+    pub fn into_assignment(self) -> SliceAssignment {
+        let lines = self.lines.into_iter().map(|(host, weight)| (HostId::from(host), weight));
+        SliceAssignment { slice: SliceId(self.slice), given: true, lines: lines.collect() }
+    }
+
+    /// The slice as it is acquired under a lease. An invalid handoff is ignored.
+    pub fn acquired(self, epoch: u64) -> SliceAcquired {
+        let handoff = self.valid_handoff();
+        if self.handoff.is_some() && handoff.is_none() {
+            tracing::warn!(slice = self.slice, "invalid slice handoff ignored");
+        }
+        let handoff = handoff.zip(Some(self.age)).filter(|(_, age)| *age >= 0.0);
+        SliceAcquired { assignment: self.into_assignment(), epoch, handoff }
+    }
+
+    fn valid_handoff(&self) -> Option<SliceHandoff> {
+        let stored: StoredHandoff = serde_json::from_value(self.handoff.clone()?).ok()?;
+        stored.validate()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/railhub-steward/src/stream_handle.rs
@@ -0,0 +1,119 @@
+//! What the owner of the core and a stream's writer share.
+use crate::change::Change;
+use crate::core::{CloseReason, ProxyChannel};
+use crate::delta_queue::{DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction};
+use crate::lease_table::LeaseTable;
+use crate::publication::Publication;
+use may::sync::{Mutex, Semphore};
+use railhub::Seconds;
+use std::sync::Arc;
+
+/// The deltas of one stream, and what wakes its writer.
+pub struct StreamHandle {
+    state: Mutex<HandleState>,
+    wake: Semphore,
+    /// Which slices may be published, where controllers share them.
+    leases: Option<Arc<LeaseTable>>,
+}
+
+struct HandleState {
+    queue: DeltaQueue,
+    /// The stream is to end, with this reason.
+    goodbye: Option<String>,
+}
+
+/// What a stream's writer is to do next.
+pub(crate) enum StreamAction {
+    /// End the stream with this reason.
+    Close(String),
+    /// Go on as the queue says.
+    Continue(WriterAction),
+}
+
+impl StreamHandle {
+    pub(crate) fn new(quota: MessageQuota, leases: Option<Arc<LeaseTable>>) -> StreamHandle {
+        let state = HandleState { queue: DeltaQueue::new(quota), goodbye: None };
+        StreamHandle { state: Mutex::new(state), wake: Semphore::new(0), leases }
+    }
+
+    /// Ends the stream, with a reason if the proxy still reads. The first reason stays.
+    pub(crate) fn end(&self, reason: &str) {
+        self.with_state(|state| {
+            state.goodbye.get_or_insert_with(|| reason.to_owned());
+        });
+        self.wake();
+    }
+
+    /// What the writer is to do next.
+    pub(crate) fn next_action(&self, now: Seconds) -> StreamAction {
+        self.with_state(|state| match &state.goodbye {
+            Some(reason) => StreamAction::Close(reason.clone()),
+            None => StreamAction::Continue(state.queue.next_action(now)),
+        })
+    }
+
+    /// Waits until there is something to do.
+    pub(crate) fn wait(&self) {
+        self.wake.wait();
+    }
+
+    /// Ends a [`StreamHandle::wait`].
+    pub(crate) fn wake(&self) {
+        self.wake.post();
+    }
+
+    /// The bytes of a delta without slices whose leases have ended since it was decided, as the proxy reads slowly or
+    /// the process stood still; `None` if there are none. What is left out is the next holder's to publish.
+    pub(crate) fn without_expired(&self, publication: &Publication) -> Option<Vec<u8>> {
+        let leases = self.leases.as_ref()?;
+        let expired = leases.expired(&publication.change.epochs);
+        if expired.is_empty() {
+            return None;
+        }
+        let mut change = Change::clone(&publication.change);
+        change.retain_slices(|slice| !expired.contains(&slice));
+        Some(publication.with_change(change).bytes)
+    }
+
+    fn with_state<T>(&self, action: impl FnOnce(&mut HandleState) -> T) -> T {
+        action(&mut self.state.lock().expect("no holder panics"))
+    }
+}
+
+impl ProxyChannel for Arc<StreamHandle> {
+    fn push(&self, publication: Arc<Publication>) {
+        self.with_state(|state| state.queue.push(publication));
+        self.wake();
+    }
+
+    fn on_response(&self, nonce: u64, response: DeltaResponse) -> ResponseEffect {
+        let (effect, has_pending) = self.with_state(|state| {
+            let effect = state.queue.on_response(nonce, response);
+            (effect, state.queue.has_pending())
+        });
+        if has_pending {
+            self.wake();
+        }
+        effect
+    }
+
+    fn is_idle(&self) -> bool {
+        self.with_state(|state| state.queue.is_idle())
+    }
+
+    fn backlog_lines(&self, message_cost: f64) -> f64 {
+        self.with_state(|state| state.queue.backlog_lines(message_cost))
+    }
+
+    fn unacknowledged_since(&self) -> Option<Seconds> {
+        self.with_state(|state| state.queue.unacknowledged_since())
+    }
+
+    fn merged(&self) -> u64 {
+        self.with_state(|state| state.queue.merged)
+    }
+
+    fn close(&self, reason: CloseReason) {
+        self.end(&reason.to_string());
+    }
+}
--- /dev/null
+++ b/crates/railhub-steward/src/stream_server.rs
@@ -0,0 +1,203 @@
+//! The proxies' streams: a reader and a writer coroutine each.
+//!
+//! The way of one stream: it is counted, its first message must be a subscription, then its writer starts and the owner
+//! of the core is told. The reader passes on each message until one is wrong, too many come, or the connection ends;
+//! then the writer says goodbye with the reason, and the owner is told.
+use crate::core::StreamId;
+use crate::delta_queue::{DeltaResponse, MessageQuota, WriterAction};
+use crate::inbox::{Inbox, OwnerEvent, ReceivedReport};
+use crate::lease_table::LeaseTable;
+use crate::message_rate_limiter::MessageRateLimiter;
+use crate::report_validation::validate;
+use crate::stream_error::StreamError;
+use crate::stream_handle::{StreamAction, StreamHandle};
+use may::net::TcpStream;
+use railhub::{ProxyId, Seconds, ZoneId};
+use railhub_net::{after, go, now, split, FrameReader, FrameWriter};
+use railhub_proto::{
+    from_controller, from_proxy, FromController, FromProxy, Goodbye, Subscribe, MAX_FROM_PROXY_BYTES,
+};
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+use std::sync::Arc;
+
+/// Seconds within which a goodbye must leave.
+const GOODBYE_TIMEOUT: Seconds = 0.2;
+/// The reason of a stream whose reader ended without one.
+const STREAM_ENDED: &str = "the stream ends";
+
+/// What streams are held to.
+#[derive(Clone, Copy, Debug)]
+pub struct StreamLimits {
+    /// Seconds until the subscription must have come.
+    pub subscribe_timeout: Seconds,
+    /// Seconds until each later message must have come, and within which a message must be written.
+    pub idle_timeout: Seconds,
+    /// Streams open at once.
+    pub max_streams: usize,
+    /// Messages to one proxy.
+    pub quota: MessageQuota,
+}
+
+/// Takes new connections; it counts streams and numbers them.
+pub struct StreamServer {
+    limits: StreamLimits,
+    inbox: Arc<Inbox>,
+    /// Which slices may be published, where controllers share them.
+    leases: Option<Arc<LeaseTable>>,
+    last_stream: AtomicU64,
+    open_streams: AtomicUsize,
+}
+
+impl StreamServer {
+    /// A server without streams.
+    pub fn new(limits: StreamLimits, inbox: Arc<Inbox>, leases: Option<Arc<LeaseTable>>) -> StreamServer {
+        let (last_stream, open_streams) = (AtomicU64::new(0), AtomicUsize::new(0));
+        StreamServer { limits, inbox, leases, last_stream, open_streams }
+    }
+
+    /// Serves a new connection in a coroutine of its own.
+    pub fn serve(self: &Arc<StreamServer>, connection: TcpStream) {
+        let limit = self.limits.max_streams;
+        if self.open_streams.fetch_add(1, Ordering::Relaxed) >= limit {
+            self.open_streams.fetch_sub(1, Ordering::Relaxed);
+            tracing::warn!(limit, "stream rejected, too many are open");
+            return;
+        }
+        let server = self.clone();
+        go(move || {
+            let stream = StreamId(server.last_stream.fetch_add(1, Ordering::Relaxed) + 1);
+            if let Ok((reader, writer)) = split(connection, MAX_FROM_PROXY_BYTES) {
+                server.run_stream(stream, reader, writer);
+            }
+            server.open_streams.fetch_sub(1, Ordering::Relaxed);
+        });
+    }
+
+    /// Follows a stream from its first message to its end.
+    fn run_stream(&self, stream: StreamId, mut reader: FrameReader, mut writer: FrameWriter) {
+        reader.patience(Some(self.limits.subscribe_timeout));
+        writer.patience(self.limits.idle_timeout);
+        let subscribe = match read_subscription(&mut reader) {
+            Ok(subscribe) => subscribe,
+            Err(error) => {
+                tracing::warn!(stream = stream.0, %error, "stream ended before it subscribed");
+                return say_goodbye(&mut writer, &error.to_string());
+            }
+        };
+        let proxy = ProxyId(subscribe.proxy as u16);
+        let zone = ZoneId(subscribe.zone as u16);
+        let handle = Arc::new(StreamHandle::new(self.limits.quota, self.leases.clone()));
+        let _end_of_writer = EndOfWriter(handle.clone());
+        let of_writer = handle.clone();
+        go(move || write(writer, &of_writer));
+        self.inbox.tell(OwnerEvent::Subscribed { stream, subscribe, handle: handle.clone() });
+        reader.patience(Some(self.limits.idle_timeout));
+        let session = SessionReader { stream, proxy, zone, inbox: &self.inbox };
+        let error = session.run(&mut reader);
+        handle.end(&error.to_string());
+        self.inbox.tell(OwnerEvent::Disconnected { stream, proxy, error });
+    }
+}
+
+/// Ends the writer however the reader ends.
+struct EndOfWriter(Arc<StreamHandle>);
+
+impl Drop for EndOfWriter {
+    fn drop(&mut self) {
+        self.0.end(STREAM_ENDED);
+    }
+}
+
+fn read_subscription(reader: &mut FrameReader) -> Result<Subscribe, StreamError> {
+    let message: FromProxy = reader.receive()?;
+    let Some(from_proxy::Payload::Subscribe(subscribe)) = message.payload else {
+        return Err(StreamError::NoSubscription);
+    };
+    let (proxy, zone) = (subscribe.proxy, subscribe.zone);
+    if u16::try_from(proxy.max(zone)).is_err() {
+        return Err(StreamError::NumberTooLarge { proxy, zone });
+    }
+    Ok(subscribe)
+}
+
+/// Passes on what a proxy sends after its subscription.
+struct SessionReader<'a> {
+    stream: StreamId,
+    proxy: ProxyId,
+    zone: ZoneId,
+    inbox: &'a Inbox,
+}
+
+impl SessionReader<'_> {
+    /// Reads until the stream ends.
+    fn run(&self, reader: &mut FrameReader) -> StreamError {
+        let mut limiter = MessageRateLimiter::new(now());
+        loop {
+            if let Err(error) = self.read_message(reader) {
+                return error;
+            }
+            if !limiter.allow(now()) {
+                return StreamError::TooManyMessages;
+            }
+        }
+    }
+
+    /// Reads one message. It lives in a frame of its own, so that an idle stream's stack stays small.
+    #[inline(never)]
+    fn read_message(&self, reader: &mut FrameReader) -> Result<(), StreamError> {
+        let message: FromProxy = reader.receive()?;
+        match message.payload {
+            Some(from_proxy::Payload::Ack(ack)) => {
+                self.respond(ack.nonce, DeltaResponse::Ack, String::new());
+            }
+            Some(from_proxy::Payload::Nack(nack)) => {
+                self.respond(nack.nonce, DeltaResponse::Nack, nack.reason);
+            }
+            Some(from_proxy::Payload::LoadReport(report)) => {
+                validate(&report)?;
+                let (stream, proxy, zone) = (self.stream, self.proxy, self.zone);
+                self.inbox.report(ReceivedReport { stream, proxy, zone, report });
+            }
+            Some(from_proxy::Payload::Subscribe(_)) => return Err(StreamError::SecondSubscription),
+            None => return Err(StreamError::UnknownMessage),
+        }
+        Ok(())
+    }
+
+    fn respond(&self, nonce: u64, response: DeltaResponse, reason: String) {
+        let (stream, proxy) = (self.stream, self.proxy);
+        self.inbox.tell(OwnerEvent::DeltaResponse { stream, proxy, nonce, response, reason });
+    }
+}
+
+/// Writes what the queue gives until the stream ends. It holds no lock while it writes.
+fn write(mut writer: FrameWriter, handle: &Arc<StreamHandle>) {
+    loop {
+        let action = match handle.next_action(now()) {
+            StreamAction::Close(reason) => return say_goodbye(&mut writer, &reason),
+            StreamAction::Continue(action) => action,
+        };
+        match action {
+            WriterAction::Nothing => handle.wait(),
+            WriterAction::WaitUntil(until) => {
+                let waiting = handle.clone();
+                after(until - now(), move || waiting.wake());
+                handle.wait();
+            }
+            WriterAction::Write(publication) => {
+                let without_expired = handle.without_expired(&publication);
+                let bytes = without_expired.as_ref().unwrap_or(&publication.bytes);
+                if writer.send_bytes(bytes).is_err() {
+                    return writer.close();
+                }
+            }
+        }
+    }
+}
+
+fn say_goodbye(writer: &mut FrameWriter, reason: &str) {
+    writer.patience(GOODBYE_TIMEOUT);
+    let goodbye = Goodbye { reason: reason.to_owned() };
+    let _ = writer.send(&FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) });
+    writer.close();
+}
--- /dev/null
+++ b/crates/railhub-steward/src/traffic_writer.rs
@@ -0,0 +1,155 @@
+//! Records the operations that load reports tell of. The owner of the core passes reports on and never waits for the
+//! disk: what does not fit the queue is counted and left out.
+use crate::installation::Installation;
+use railhub::{ProxyId, Seconds, ZoneId};
+use railhub_proto::{LoadReport, SliceLoad};
+use railhub_traffic::file::{TrafficFault, Writer};
+use railhub_traffic::{Facts, Row};
+use std::fs::File;
+use std::io::BufWriter;
+use std::path::{Path, PathBuf};
+use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// Reports that may wait for the disk: some seconds of 300 proxies.
+const MAX_PENDING_REPORTS: usize = 2048;
+/// Time between flushes: a controller that is killed loses at most the rows of so long.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
+/// Zones that a file can tell apart: a proxy names its own, whatever it is.
+const MAX_ZONES: usize = 256;
+/// Earlier files that are kept beside the present one.
+const MAX_EARLIER_FILES: u32 = 1000;
+
+type Rows = Vec<Row>;
+
+/// Records traffic in a file; dropping it ends the file.
+pub struct TrafficWriter {
+    rows: Option<SyncSender<Rows>>,
+    thread: Option<JoinHandle<()>>,
+    began: Seconds,
+    classes: usize,
+    slices: u32,
+    /// Reports that were not recorded.
+    pub dropped: u64,
+}
+
+impl TrafficWriter {
+    /// Starts recording if the installation names a file. The file is made at once, so that one that cannot be made is
+    /// reported at the start.
+    ///
+    /// # Errors
+    /// The file cannot be made, or an earlier one cannot be moved.
+    pub fn start(installation: &Installation, now: Seconds) -> Result<Option<TrafficWriter>, TrafficFault> {
+        let Some(path) = &installation.traffic else { return Ok(None) };
+        let slices = u32::from(installation.config.slices);
+        let facts = Facts {
+            classes: installation.class_names.clone(),
+            zones: (0..MAX_ZONES).map(|zone| format!("zone-{zone}")).collect(),
+            slices,
+            // Which proxies join is not known yet.
+            proxies: 0,
+            length: 0.0,
+        };
+        let classes = facts.classes.len();
+        let file_error = |error| TrafficFault::File(path.display().to_string(), error);
+        let writer = open(path, &facts).map_err(file_error)?;
+        let (sender, receiver) = sync_channel(MAX_PENDING_REPORTS);
+        let thread = std::thread::spawn(move || {
+            if let Err(error) = write(writer, &receiver) {
+                tracing::error!(%error, "traffic recording stopped");
+            }
+        });
+        let (rows, thread) = (Some(sender), Some(thread));
+        Ok(Some(TrafficWriter { rows, thread, began: now, classes, slices, dropped: 0 }))
+    }
+
+    /// Records a report.
+    pub fn record(&mut self, now: Seconds, proxy: ProxyId, zone: ZoneId, report: &LoadReport) {
+        if usize::from(zone.0) >= MAX_ZONES {
+            self.dropped += 1;
+            return;
+        }
+        let at = (now - self.began).max(0.0);
+        let span = report.span.clamp(0.0, at);
+        let mut rows = Rows::new();
+        for load in report.slices.iter().filter(|load| self.is_recorded(load)) {
+            rows.push(Row {
+                at,
+                class: load.class,
+                slice: load.slice,
+                zone: u32::from(zone.0),
+                proxy: u32::from(proxy.0),
+                key: None,
+                work: None,
+                count: load.operations,
+                span,
+            });
+        }
+        let is_lost = self.rows.as_ref().is_some_and(|sender| sender.try_send(rows).is_err());
+        self.dropped += u64::from(is_lost);
+    }
+
+    /// Whether the class and slice are known and there is something to record.
+    fn is_recorded(&self, load: &SliceLoad) -> bool {
+        (load.class as usize) < self.classes && load.slice < self.slices.max(1) && load.operations > 0
+    }
+}
+
+impl Drop for TrafficWriter {
+    fn drop(&mut self) {
+        self.rows = None;
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+fn open(path: &Path, facts: &Facts) -> std::io::Result<Writer<BufWriter<File>>> {
+    move_earlier_file(path)?;
+    let file = File::create(path)?;
+    Writer::start(BufWriter::new(file), facts)
+}
+
+/// Moves the file of an earlier process to the first name with a free number.
+fn move_earlier_file(path: &Path) -> std::io::Result<()> {
+    if !path.exists() {
+        return Ok(());
+    }
+    let free = (1..MAX_EARLIER_FILES).map(|number| numbered(path, number)).find(|name| !name.exists());
+    let too_many = format!("{MAX_EARLIER_FILES} earlier files are kept beside it: move some away");
+    std::fs::rename(path, free.ok_or(std::io::Error::other(too_many))?)
+}
+
+fn numbered(path: &Path, number: u32) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(format!(".{number}"));
+    PathBuf::from(name)
+}
+
+/// Writes rows until their sender is dropped, then ends the file.
+fn write(mut writer: Writer<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
+    let began = Instant::now();
+    let mut flushed_at = began;
+    loop {
+        match rows.recv_timeout(FLUSH_INTERVAL) {
+            Ok(rows) => {
+                for row in &rows {
+                    writer.put(row)?;
+                }
+            }
+            Err(RecvTimeoutError::Timeout) => {}
+            Err(RecvTimeoutError::Disconnected) => {
+                writer.finish(began.elapsed().as_secs_f64())?;
+                return Ok(());
+            }
+        }
+        if flushed_at.elapsed() >= FLUSH_INTERVAL {
+            flushed_at = Instant::now();
+            writer.flush()?;
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/railhub-versions/src/process.rs
+++ b/crates/railhub-versions/src/process.rs
@@ -1,8 +1,8 @@
 //! The program that decides. It is asked and waited for: a simulated run goes on when it has answered.
 use crate::wire;
 use railhub::{ControllerConfig, EventBatch};
-use railhub_steward::decides::DecisionEngine;
-use railhub_steward::draft::DeltaBuilder;
+use railhub_steward::decision_engine::DecisionEngine;
+use railhub_steward::delta_builder::DeltaBuilder;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -127,7 +127,7 @@
 }
 
 impl DecisionEngine for Version {
-    fn round(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) {
+    fn handle_batch(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) {
         if self.to.is_none() {
             return;
         }
--- a/crates/railhub-versions/src/wire.rs
+++ b/crates/railhub-versions/src/wire.rs
@@ -3,7 +3,7 @@
     BarrierId, ClassId, CommandSink, ControllerConfig, EventBatch, HealthCheckOutcome, HostId, Idempotency,
     Phase, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
 };
-use railhub_steward::draft::DeltaBuilder;
+use railhub_steward::delta_builder::DeltaBuilder;
 use std::fmt::{Display, Write};
 use std::str::FromStr;
 
