--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -87,7 +87,7 @@
         }
         figures_at = Instant::now() + FIGURES_INTERVAL;
         if let Some(fleet) = running.membership_figures() {
-            let (dropped, looks_dropped) = (fleet.dropped.all(), fleet.view_requests_dropped);
+            let (dropped, looks_dropped) = (fleet.dropped.total(), fleet.view_requests_dropped);
             let causes = serde_json::to_string(&fleet.dropped)?;
             let (alive, sent, heard) = (fleet.alive, fleet.sent, fleet.received);
             let (charges, tables_refused) = (fleet.leases, fleet.tables_rejected);
--- a/crates/railhub-fleet/src/baseline.rs
+++ b/crates/railhub-fleet/src/baseline.rs
@@ -1,6 +1,6 @@
 //! What plain policies publish, for comparing: they go by the list, one of them by sums as well.
 use crate::list::Line;
-use railhub::{HostId, Phase, SliceAssignment, SliceId};
+use railhub::{HostId, Phase, SliceAssignment, SliceId, WeightedHost};
 use railhub_proto::LoadReport;
 use railhub_steward::change::Change;
 use railhub_steward::tables::Tables;
@@ -58,7 +58,10 @@
 
     pub fn hear_charges(&mut self, charges: &[SliceAssignment]) {
         if self.policy == Baseline::Hash {
-            charges.iter().for_each(|charge| self.tables.load_table(charge.slice, &charge.lines));
+            for assignment in charges {
+                let SliceAssignment::Assigned { slice, entries } = assignment else { continue };
+                self.tables.load_table(*slice, entries);
+            }
         }
     }
 
@@ -137,16 +140,16 @@
     let mut change = Change::default();
     for (slice, lines) in wanted.iter().enumerate() {
         let slice = SliceId(slice as u16);
-        let held = tables.lines_of(slice);
+        let held = tables.entries_of(slice);
         for (host, weight) in lines {
-            if !held.contains(&(HostId::from(*host), *weight)) {
+            if !held.contains(&WeightedHost { host: HostId::from(*host), weight: *weight }) {
                 change.lines.insert((slice, HostId::from(*host)), *weight);
             }
         }
-        for (host, _) in
-            held.iter().filter(|(host, _)| !lines.iter().any(|line| HostId::from(line.0) == *host))
-        {
-            change.lines.insert((slice, *host), 0.0);
+        for WeightedHost { host, .. } in held {
+            if !lines.iter().any(|line| HostId::from(line.0) == host) {
+                change.lines.insert((slice, host), 0.0);
+            }
         }
     }
     change
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -4,7 +4,8 @@
 use crate::list::{to_list, to_record};
 use crate::world::{Policy, World};
 use railhub::{
-    HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId, ZoneId,
+    HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId, WeightedHost,
+    ZoneId,
 };
 use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
@@ -85,15 +86,15 @@
 #[derive(Default)]
 struct Asked {
     probes: Vec<HostId>,
-    stored: Vec<(SliceId, Vec<(HostId, f64)>)>,
+    stored: Vec<(SliceId, Vec<WeightedHost>)>,
 }
 
 impl Environment for Asked {
     fn probe(&mut self, host: HostId) {
         self.probes.push(host);
     }
-    fn store_table(&mut self, slice: SliceId, _: u64, lines: Vec<(HostId, f64)>) {
-        self.stored.push((slice, lines));
+    fn store_table(&mut self, slice: SliceId, _: u64, entries: Vec<WeightedHost>) {
+        self.stored.push((slice, entries));
     }
     fn decided(&mut self, _: &str) {}
     fn published(&mut self, _: &Change, _: u64) {}
@@ -187,10 +188,13 @@
     }
 
     fn give_charges(&mut self) {
-        let tables = self.tables.iter().map(|(slice, lines)| SliceAssignment {
+        let entry = |(host, weight): &(std::net::SocketAddr, f64)| WeightedHost {
+            host: HostId::from(*host),
+            weight: *weight,
+        };
+        let tables = self.tables.iter().map(|(slice, lines)| SliceAssignment::Assigned {
             slice: SliceId(*slice as u16),
-            given: true,
-            lines: lines.iter().map(|(host, weight)| (HostId::from(*host), *weight)).collect(),
+            entries: lines.iter().map(entry).collect(),
         });
         let charges: Vec<SliceAssignment> = tables.collect();
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
@@ -300,9 +304,9 @@
                 self.agenda.after(self.physics.way, Due::Probed(place));
             }
         }
-        for (slice, lines) in asked.stored {
+        for (slice, entries) in asked.stored {
             let lines =
-                lines.into_iter().filter_map(|(host, weight)| Some((host.address()?, weight))).collect();
+                entries.iter().filter_map(|entry| Some((entry.host.address()?, entry.weight))).collect();
             let to = if self.store_away { &mut self.unstored } else { &mut self.tables };
             to.insert(u32::from(slice.0), lines);
         }
@@ -470,7 +474,7 @@
         } else if host.ailments.drains {
             (HealthCheckOutcome::Rejected, took)
         } else {
-            (HealthCheckOutcome::Answered, took)
+            (HealthCheckOutcome::Passed, took)
         };
         self.agenda.after(after, Due::ProbeEnds(place, end));
     }
@@ -478,7 +482,7 @@
     pub fn probe_ends(&mut self, place: HostAt, end: HealthCheckOutcome) {
         let host = HostId::from(self.hosts[place].address);
         if let Some(Mind::ControllerCore(kernel)) = self.steward.as_mut().map(|steward| &mut steward.mind) {
-            kernel.on_health_check(HealthCheckResult { host, end });
+            kernel.on_health_check(HealthCheckResult { host, outcome: end });
             let steward = self.steward.as_mut().expect("its kernel has just heard");
             if !std::mem::replace(&mut steward.gathers, true) {
                 self.agenda.after(GATHER, Due::StewardWakes);
--- a/crates/railhub-membership/src/placement/tests.rs
+++ b/crates/railhub-membership/src/placement/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use proptest::prelude::*;
 
-fn stewards(ids: &[u16]) -> BTreeMap<NodeId, f64> {
+fn nodes(ids: &[u16]) -> BTreeMap<NodeId, f64> {
     ids.iter().map(|id| (NodeId(*id), 1.0)).collect()
 }
 
 #[test]
 fn slices_are_spread_by_weight() {
-    let mut all = stewards(&[1, 2, 3]);
+    let mut all = nodes(&[1, 2, 3]);
     all.insert(NodeId(3), 2.0);
     let of = |id: u16| (0..4000).filter(|slice| rendezvous_owner(*slice, &all) == Some(NodeId(id))).count();
     assert!(of(1).abs_diff(1000) < 90 && of(2).abs_diff(1000) < 90, "{} {}", of(1), of(2));
@@ -19,7 +19,7 @@
     fn a_steward_that_goes_moves_its_own_slices_and_no_others(ids in prop::collection::btree_set(0..50u16, 2..9), gone in 0..9usize) {
         let ids: Vec<u16> = ids.into_iter().collect();
         let gone = NodeId(ids[gone % ids.len()]);
-        let all = stewards(&ids);
+        let all = nodes(&ids);
         let mut left = all.clone();
         left.remove(&gone);
         for slice in 0..300 {
@@ -31,44 +31,45 @@
 
 #[test]
 fn one_that_flaps_gets_no_slices_until_it_has_stood_for_long() {
-    let mut sharing = Placement::new(stewards(&[1, 2]));
-    sharing.hear(0.0, NodeId(1), true);
-    sharing.hear(0.0, NodeId(2), true);
-    assert_eq!(sharing.eligible_nodes(0.0).len(), 2, "at the start nobody has a past");
+    let mut placement = Placement::new(nodes(&[1, 2]));
+    placement.on_liveness(0.0, NodeId(1), true);
+    placement.on_liveness(0.0, NodeId(2), true);
+    assert_eq!(placement.eligible_nodes(0.0).len(), 2, "at the start nobody has a past");
     let mut changes = 0;
     let mut bore = true;
     for step in 0..40 {
         // Up and down every 3 s.
         let now = 10.0 + f64::from(step) * 1.5;
-        sharing.hear(now, NodeId(2), (step / 2) % 2 == 1);
-        let bears = sharing.eligible_nodes(now).contains_key(&NodeId(2));
+        placement.on_liveness(now, NodeId(2), (step / 2) % 2 == 1);
+        let bears = placement.eligible_nodes(now).contains_key(&NodeId(2));
         changes += usize::from(bears != std::mem::replace(&mut bore, bears));
     }
     assert_eq!(changes, 1, "it lost its slices once and got none back");
-    sharing.hear(71.0, NodeId(2), true);
-    assert!(!sharing.eligible_nodes(90.0).contains_key(&NodeId(2)));
-    assert!(sharing.eligible_nodes(71.0 + MAX_HOLD_DOWN).contains_key(&NodeId(2)));
+    placement.on_liveness(71.0, NodeId(2), true);
+    assert!(!placement.eligible_nodes(90.0).contains_key(&NodeId(2)));
+    assert!(placement.eligible_nodes(71.0 + MAX_HOLD_DOWN).contains_key(&NodeId(2)));
 }
 
 #[test]
 fn when_nobody_has_earned_trust_all_that_live_have_to_do() {
-    let mut sharing = Placement::new(stewards(&[1, 2]));
+    let mut placement = Placement::new(nodes(&[1, 2]));
     for id in [1, 2] {
-        sharing.hear(0.0, NodeId(id), true);
-        sharing.hear(1.0, NodeId(id), false);
-        sharing.hear(1.5, NodeId(id), true);
+        placement.on_liveness(0.0, NodeId(id), true);
+        placement.on_liveness(1.0, NodeId(id), false);
+        placement.on_liveness(1.5, NodeId(id), true);
     }
-    assert_eq!(sharing.eligible_nodes(2.0).len(), 2);
-    sharing.drain(NodeId(1), true);
-    assert_eq!(sharing.eligible_nodes(2.0).into_keys().collect::<Vec<_>>(), [NodeId(2)]);
+    assert_eq!(placement.eligible_nodes(2.0).len(), 2);
+    placement.set_draining(NodeId(1), true);
+    assert_eq!(placement.eligible_nodes(2.0).into_keys().collect::<Vec<_>>(), [NodeId(2)]);
 }
 
 #[test]
 fn handovers_are_paced() {
-    let mut sharing = Placement::new(stewards(&[1]));
-    let counted =
-        |sharing: &mut Placement, now: f64| (0..1000).filter(|_| sharing.take_handover_permit(now)).count();
-    assert_eq!(counted(&mut sharing, 10.0), (HANDOVER_RATE * HANDOVER_BURST) as usize);
-    assert_eq!(counted(&mut sharing, 10.0), 0);
-    assert_eq!(counted(&mut sharing, 10.25), (HANDOVER_RATE * 0.25) as usize);
+    let mut placement = Placement::new(nodes(&[1]));
+    let counted = |placement: &mut Placement, now: f64| {
+        (0..1000).filter(|_| placement.take_handover_permit(now)).count()
+    };
+    assert_eq!(counted(&mut placement, 10.0), (HANDOVER_RATE * HANDOVER_BURST) as usize);
+    assert_eq!(counted(&mut placement, 10.0), 0);
+    assert_eq!(counted(&mut placement, 10.25), (HANDOVER_RATE * 0.25) as usize);
 }
--- a/crates/railhub-platform-net/src/relay/tests.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader/tests.rs
@@ -1,12 +1,14 @@
 //! Reading a line against its time-out.
 use super::*;
+use railhub_net::{dial, go, seconds};
+use std::io::Write;
 use std::sync::mpsc::channel;
 
 #[test]
 fn an_answer_that_came_whole_before_its_guard_fired_counts_and_one_in_part_does_not() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("silent for too long"))] {
+    for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("relay silent for too long"))] {
         let (sender, receiver) = channel();
         go(move || {
             let mut stream = dial(address, 1.0).expect("it listens");
@@ -20,7 +22,7 @@
                 may::coroutine::sleep(seconds(0.001));
             }
             let read = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
-            let mut lines = Lines::new(relay_events::MAX_LINE_BYTES);
+            let mut lines = new_lines();
             sender.send(next_line(&mut stream, &guard, &mut lines, read)).expect("still read");
         });
         let (mut peer, _) = listener.accept().expect("it dials");
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -1,12 +1,12 @@
 //! The bytes of each message, both ways: what is sent byte for byte, what is read from literal bytes to typed values.
 use railhub::{
     BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
-    RetryPolicy, SliceId, SliceLoadReport, ZoneId,
+    RetryPolicy, SliceId, SliceLoadReport, WeightedHost, ZoneId,
+};
+use railhub_platform::{
+    wire, CallResponse, CollectorMessage, Command, EndpointPage, InvalidEntry, Names, NodeConfig,
+    PendingCommands, RelayEvent,
 };
-use railhub_platform::collector::{self, CollectorMessage};
-use railhub_platform::orders::{Command, PendingCommands};
-use railhub_platform::relay_events::{self, CallResponse, RelayEvent};
-use railhub_platform::{discovery, EndpointPage, InvalidEntry, Names, NodeConfig};
 
 fn names() -> Names {
     NodeConfig::parse(include_str!("assignment.json")).expect("a valid file").names
@@ -28,55 +28,64 @@
 fn call(commands: &[Command]) -> Vec<u8> {
     let mut pending = PendingCommands::default();
     commands.iter().for_each(|command| pending.push(*command));
-    pending.call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
+    pending.next_call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
 }
 
 fn relay_event(line: &str) -> Result<RelayEvent, InvalidEntry> {
-    relay_events::read(line.as_bytes())
+    wire::relay::decode_event(line.as_bytes())
 }
 
 fn response(line: &str) -> Result<CallResponse, InvalidEntry> {
-    relay_events::answer(line.as_bytes(), 8, 2)
+    wire::relay::decode_response(line.as_bytes(), 8, 2)
 }
 
 fn collector_message(body: &str) -> Result<CollectorMessage, InvalidEntry> {
-    collector::read(body.as_bytes(), &names(), 40)
+    wire::collector::decode(body.as_bytes(), &names(), 40)
 }
 
 fn page(line: &str) -> Result<EndpointPage, InvalidEntry> {
-    discovery::read(line.as_bytes(), &names())
+    wire::discovery::decode_page(line.as_bytes(), &names())
 }
 
 #[test]
 fn sends_each_command_in_these_bytes() {
     for (command, order) in [
         (
-            Command::Line(SliceId(4), host("s-5be2a07c"), 1.5),
+            Command::SetWeight {
+                slice: SliceId(4),
+                line: WeightedHost { host: host("s-5be2a07c"), weight: 1.5 },
+            },
             r#"{"op":"share","table":4,"server":"s-5be2a07c","weight":1.5}"#,
         ),
         (
-            Command::Line(SliceId(65535), host("s-1"), 0.0),
+            Command::SetWeight {
+                slice: SliceId(65535),
+                line: WeightedHost { host: host("s-1"), weight: 0.0 },
+            },
             r#"{"op":"share","table":65535,"server":"s-1","weight":0.0}"#,
         ),
         (
-            Command::Line(SliceId(0), host("s-1"), 0.0001),
+            Command::SetWeight {
+                slice: SliceId(0),
+                line: WeightedHost { host: host("s-1"), weight: 0.0001 },
+            },
             r#"{"op":"share","table":0,"server":"s-1","weight":0.0001}"#,
         ),
-        (Command::Shut(host("s-5be2a07c"), true), r#"{"op":"withdraw","server":"s-5be2a07c"}"#),
-        (Command::Shut(host("s-5be2a07c"), false), r#"{"op":"restore","server":"s-5be2a07c"}"#),
+        (Command::Exclude(host("s-5be2a07c")), r#"{"op":"withdraw","server":"s-5be2a07c"}"#),
+        (Command::Readmit(host("s-5be2a07c")), r#"{"op":"restore","server":"s-5be2a07c"}"#),
         (
-            Command::Level(ClassId(0), 0.9, RetryPolicy::Never),
+            Command::SetAdmissionRate { class: ClassId(0), rate: 0.9, retry: RetryPolicy::Never },
             r#"{"op":"admit","classes":["view"],"level":0.9,"retry":0}"#,
         ),
         (
-            Command::Level(ClassId(1), 1.0, RetryPolicy::IfNotExecuted),
+            Command::SetAdmissionRate { class: ClassId(1), rate: 1.0, retry: RetryPolicy::IfNotExecuted },
             r#"{"op":"admit","classes":["deposit"],"level":1.0,"retry":1}"#,
         ),
         (
-            Command::Level(ClassId(1), 0.0, RetryPolicy::AfterFailure),
+            Command::SetAdmissionRate { class: ClassId(1), rate: 0.0, retry: RetryPolicy::AfterFailure },
             r#"{"op":"admit","classes":["deposit"],"level":0.0,"retry":2}"#,
         ),
-        (Command::Mark(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
+        (Command::Barrier(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
     ] {
         let expected = format!(
             "{}{order}{}",
@@ -89,12 +98,15 @@
 #[test]
 fn sends_commands_in_order_in_one_call_and_a_retry_in_the_same_bytes_under_the_next_id() {
     let mut pending = PendingCommands::default();
-    pending.push(Command::Line(SliceId(4), host("s-1"), 1.0));
-    pending.push(Command::Shut(host("s-2"), true));
-    pending.push(Command::Mark(BarrierId(7)));
+    pending.push(Command::SetWeight {
+        slice: SliceId(4),
+        line: WeightedHost { host: host("s-1"), weight: 1.0 },
+    });
+    pending.push(Command::Exclude(host("s-2")));
+    pending.push(Command::Barrier(BarrierId(7)));
     for id in 1..=12 {
-        let call = pending.call(&[]).expect("a call");
-        assert_eq!((call.id, call.count), (id, 3));
+        let call = pending.next_call(&[]).expect("a call");
+        assert_eq!((call.id, call.commands), (id, 3));
         let expected = format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},{}",
             concat!(
@@ -110,11 +122,11 @@
 #[test]
 fn sends_these_bytes_to_subscribe_and_to_answer_a_visitor() {
     assert_eq!(
-        text(&relay_events::subscribe(10)),
+        text(&wire::relay::encode_subscribe(10)),
         "{\"jsonrpc\":\"2.0\",\"id\":10,\"method\":\"subscribe\"}\n"
     );
-    assert_eq!(collector::pong(), framed(r#"{"t":"pong"}"#));
-    assert_eq!(collector::pong()[..4], [0, 0, 0, 12]);
+    assert_eq!(wire::collector::encode_pong(), framed(r#"{"t":"pong"}"#));
+    assert_eq!(wire::collector::encode_pong()[..4], [0, 0, 0, 12]);
     for (cause, why) in [
         (InvalidEntry::Unreadable, "it cannot be read"),
         (InvalidEntry::Fields, "a field is missing or of another type"),
@@ -122,7 +134,10 @@
         (InvalidEntry::Unknown, "it names what does not exist"),
         (InvalidEntry::Kind, "it is of a kind that is not taken here"),
     ] {
-        assert_eq!(collector::refusal(cause), framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#)));
+        assert_eq!(
+            wire::collector::encode_refusal(cause),
+            framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#))
+        );
     }
 }
 
@@ -139,19 +154,19 @@
         (r#"{"jsonrpc":"2.0","method":"left","params":{"proxy":17}}"#, RelayEvent::ProxyLeft(ProxyId(17))),
         (
             r#"{"jsonrpc":"2.0","method":"applied","params":{"proxy":17,"mark":905,"took_ms":310.4}}"#,
-            RelayEvent::BarrierAcked(BarrierAck { proxy: ProxyId(17), mark: BarrierId(905) }),
+            RelayEvent::BarrierAcked(BarrierAck { proxy: ProxyId(17), barrier: BarrierId(905) }),
         ),
         (
             r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":true}}"#,
-            RelayEvent::SliceAssigned { slice, on: true },
+            RelayEvent::SliceAssigned { slice, assigned: true },
         ),
         (
             r#"{"jsonrpc":"2.0","method":"given","params":{"slice":88,"on":false}}"#,
-            RelayEvent::SliceAssigned { slice, on: false },
+            RelayEvent::SliceAssigned { slice, assigned: false },
         ),
         (
             r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-5be2a07c","weight":1.0}}"#,
-            RelayEvent::StoredEntry { slice, host: host("s-5be2a07c"), weight: 1.0 },
+            RelayEvent::StoredEntry { slice, line: WeightedHost { host: host("s-5be2a07c"), weight: 1.0 } },
         ),
     ] {
         assert_eq!(relay_event(line), Ok(event), "{line}");
@@ -189,19 +204,19 @@
     assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
     assert!(matches!(
         collector_message(r#"{"t":"collector","zone":"a"}"#),
-        Ok(CollectorMessage::Collector(ZoneId(0)))
+        Ok(CollectorMessage::Join(ZoneId(0)))
     ));
     let body = r#"{"t":"heard","zone":"a","server":"s-5be2a07c","tries":212,"failed":3,"mean_ms":41.5,"span_ms":1000.0,"load":{"inflight":7,"util":0.61}}"#;
     let expected = HostLoadReport {
         zone: ZoneId(0),
         host: host("s-5be2a07c"),
-        tries: 212.0,
+        attempts: 212.0,
         failed: 3.0,
-        mean_time: 0.0415,
+        mean_latency: 0.0415,
         span: 1.0,
-        busy: Some(0.61),
+        cpu_utilization: Some(0.61),
     };
-    let without_load = HostLoadReport { busy: None, ..expected.clone() };
+    let without_load = HostLoadReport { cpu_utilization: None, ..expected.clone() };
     for (body, expected) in [
         (body.to_owned(), expected.clone()),
         (body.replace("inflight", "rif").replace("util", "busy"), expected.clone()),
@@ -230,19 +245,19 @@
         ("s-2", Phase::Draining, Some(1_700_000_000.25), 2.5, "m2"),
         ("s-3", Phase::Gone, None, 0.0, ""),
     ]
-    .map(|(name, phase, started, weight, kind)| EndpointEntry {
+    .map(|(name, phase, started_at, weight, kind)| EndpointEntry {
         host: host(name),
         phase,
-        started,
+        started_at,
         weight,
         kind: names().kind(kind),
     });
     assert_eq!(format!("{:?}", list.list().entries), format!("{expected:?}"));
-    assert!(list.list().whole && list.generation == 41);
+    assert!(list.list().complete && list.generation == 41);
     let addresses: Vec<String> = list.entries.iter().map(|entry| entry.address.to_string()).collect();
     assert_eq!(addresses, ["10.1.0.18:7070", "10.1.0.19:7070", "10.1.0.20:7070"]);
     let changes = page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
-    assert!(!changes.list().whole && changes.generation == 43 && changes.entries.is_empty());
+    assert!(!changes.list().complete && changes.generation == 43 && changes.entries.is_empty());
 }
 
 #[test]
@@ -252,16 +267,34 @@
         [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
-    assert_eq!((read.sockets, read.memory_mb, read.tick, read.known.generation), (256, 32, 0.001, 41));
+    assert_eq!(
+        (read.sockets, read.memory_mb, read.tick_interval, read.known.generation),
+        (256, 32, 0.001, 41)
+    );
     assert_eq!(read.names.classes, ["view", "deposit"]);
     assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
-    let terms = read.terms;
-    assert_eq!((terms.slices, terms.single_owner, terms.may_probe), (40, false, true));
-    assert_eq!((terms.levels_by_share, terms.cold_from, terms.warm_within), (true, 0.16, 18.0));
-    assert_eq!((terms.fall_multiple, terms.backlog, terms.message_cost), (2.5, 900.5, 12.0));
-    assert_eq!((terms.message_cap, terms.messages_span, terms.first_wait), (20, 10.0, 1.2));
-    assert_eq!((terms.write_lease, terms.write_life, terms.dropped_may_stay), (0.0, 0.0, false));
-    let classes: Vec<_> =
-        terms.classes.iter().map(|class| (class.contract_time, class.gain, class.repeat)).collect();
+    let terms = read.controller;
+    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (40, false, true));
+    assert_eq!(
+        (terms.admission_by_fraction, terms.cold_capacity_fraction, terms.warm_up_time),
+        (true, 0.16, 18.0)
+    );
+    assert_eq!((terms.overload_multiple, terms.backlog_limit, terms.message_overhead), (2.5, 900.5, 12.0));
+    assert_eq!(
+        (terms.message_quota, terms.message_quota_window, terms.first_attempt_timeout_multiple),
+        (20, 10.0, 1.2)
+    );
+    assert_eq!((terms.write_lease, terms.max_write_duration, terms.delisted_may_serve), (0.0, 0.0, false));
+    let classes: Vec<_> = terms
+        .classes
+        .iter()
+        .map(|class| (class.contract_time, class.priority_weight, class.idempotency))
+        .collect();
     assert_eq!(classes, [(0.8, 1.0, Idempotency::Safe), (1.2, 2.0, Idempotency::Never)]);
 }
+
+#[test]
+fn requests_these_paths_of_discovery_and_hosts() {
+    assert_eq!(wire::discovery::watch_path(41), "/discovery/hosts?watch=1&after=41");
+    assert_eq!((wire::hosts::HEALTH_CHECK_PATH, wire::hosts::NOT_SERVING_STATUS), ("/alive", 503));
+}
--- a/crates/railhub-steward/src/core/controller_core.rs
+++ b/crates/railhub-steward/src/core/controller_core.rs
@@ -58,7 +58,7 @@
         ControllerCore {
             engine,
             // Where controllers share the slices, one that has none yet serves its proxies all the same.
-            slices_received: installation.config.slices == 0 || shares,
+            slices_received: installation.config.slice_count == 0 || shares,
             shared: shares.then(SharedSlices::default),
             tables: Tables::default(),
             incarnation,
@@ -82,21 +82,23 @@
         if let Some(shared) = &mut self.shared {
             shared.lapsed.on_endpoint_list(&list);
         }
-        self.batch.lists.push(list);
+        self.batch.endpoint_lists.push(list);
     }
 
     /// Takes all slices with their tables, where this controller is alone.
     pub fn on_assignments(&mut self, assignments: Vec<SliceAssignment>) {
         self.slices_received = true;
         for assignment in &assignments {
-            self.tables.load_table(assignment.slice, &assignment.lines);
+            if let SliceAssignment::Assigned { slice, entries } = assignment {
+                self.tables.load_table(*slice, entries);
+            }
         }
-        self.batch.charges.extend(assignments);
+        self.batch.assignments.extend(assignments);
     }
 
     /// Takes the result of a health check.
     pub fn on_health_check(&mut self, result: HealthCheckResult) {
-        self.batch.probes.push(result);
+        self.batch.health_checks.push(result);
     }
 
     /// Whether the endpoint list and the slices are known. Before, there is nothing to decide and nothing to publish.
@@ -138,8 +140,8 @@
         let elapsed = now - self.reports_flushed_at;
         let (hosts, slices) = self.reports.flush(elapsed, self.installation.max_reports_per_second);
         self.reports_flushed_at = now;
-        self.batch.tries.extend(hosts);
-        self.batch.demand.extend(slices);
+        self.batch.host_loads.extend(hosts);
+        self.batch.slice_loads.extend(slices);
     }
 
     /// Gives the decisions the events since the last batch, if there are any, and carries out their commands. `clock`
@@ -183,10 +185,10 @@
 
 /// Load reports alone make no batch: they come with the next timer.
 fn has_events(batch: &EventBatch) -> bool {
-    !batch.lists.is_empty()
-        || !batch.charges.is_empty()
-        || !batch.streams.is_empty()
-        || !batch.probes.is_empty()
-        || !batch.confirmed.is_empty()
+    !batch.endpoint_lists.is_empty()
+        || !batch.assignments.is_empty()
+        || !batch.proxy_streams.is_empty()
+        || !batch.health_checks.is_empty()
+        || !batch.barrier_acks.is_empty()
         || !batch.timers.is_empty()
 }
--- a/crates/railhub-steward/src/core/environment.rs
+++ b/crates/railhub-steward/src/core/environment.rs
@@ -1,7 +1,6 @@
 //! What the core asks of the world besides its proxies, and tells it.
 use crate::change::Change;
-use crate::tables::TableLines;
-use railhub::{HostId, ProxyId, SliceHandoff, SliceId};
+use railhub::{HostId, ProxyId, SliceHandoff, SliceId, WeightedHost};
 
 /// Something about a session that operators want to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,9 +21,16 @@
     /// Probes a host; its result comes as an event.
     fn probe(&mut self, host: HostId);
     /// Stores a slice's table. `epoch`: under which the slice is leased; 0 where this controller is alone.
-    fn store_table(&mut self, slice: SliceId, epoch: u64, lines: TableLines);
+    fn store_table(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>);
     /// Stores the table of a slice that is released, with what its next holder is told.
-    fn hand_over(&mut self, _slice: SliceId, _epoch: u64, _lines: TableLines, _handoff: SliceHandoff) {}
+    fn hand_over(
+        &mut self,
+        _slice: SliceId,
+        _epoch: u64,
+        _entries: Vec<WeightedHost>,
+        _handoff: SliceHandoff,
+    ) {
+    }
     /// All that is to be stored of these slices has been passed on: their leases may be released.
     fn allow_release(&mut self, _slices: &[SliceId]) {}
     /// A decision was made.
--- a/crates/railhub-steward/src/core/lease_changes.rs
+++ b/crates/railhub-steward/src/core/lease_changes.rs
@@ -32,7 +32,7 @@
 
     /// Nobody is known to hold the slice now: its table stands as it is.
     fn on_lease_lapsed(&mut self, slice: SliceId) {
-        let hosts = self.tables.lines_of(slice).into_iter().map(|line| line.0).collect();
+        let hosts = self.tables.entries_of(slice).into_iter().map(|entry| entry.host).collect();
         if let Some(shared) = &mut self.shared {
             shared.lapsed.add(slice, hosts);
         }
@@ -44,7 +44,7 @@
         }
         let Some(epoch) = self.tables.epoch(slice) else { return };
         if let Some(handoff) = self.engine.export_handoff(now, slice) {
-            environment.hand_over(slice, epoch, self.tables.lines_of(slice), handoff);
+            environment.hand_over(slice, epoch, self.tables.entries_of(slice), handoff);
         }
     }
 
@@ -53,13 +53,12 @@
         if let Some(shared) = &mut self.shared {
             shared.remove(slice);
         }
-        self.batch.charges.push(SliceAssignment { slice, given: false, lines: Vec::new() });
+        self.batch.assignments.push(SliceAssignment::Revoked { slice });
     }
 
     fn acquire(&mut self, now: Seconds, acquired: SliceAcquired) {
-        let SliceAcquired { assignment, epoch, handoff } = acquired;
-        let slice = assignment.slice;
-        self.tables.acquire(slice, epoch, &assignment.lines);
+        let SliceAcquired { slice, entries, epoch, handoff } = acquired;
+        self.tables.acquire(slice, epoch, &entries);
         if let Some(shared) = &mut self.shared {
             shared.lapsed.remove(slice);
             shared.opening.insert(slice);
@@ -67,6 +66,6 @@
                 shared.handoffs.insert(slice, ReceivedHandoff { handoff, written_at: now - age });
             }
         }
-        self.batch.charges.push(assignment);
+        self.batch.assignments.push(SliceAssignment::Assigned { slice, entries });
     }
 }
--- a/crates/railhub-steward/src/core/shared_slices.rs
+++ b/crates/railhub-steward/src/core/shared_slices.rs
@@ -1,13 +1,15 @@
 //! Slices that come and go, where controllers share them.
 use crate::lapsed_slices::LapsedSlices;
-use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
+use railhub::{HostId, Seconds, SliceHandoff, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A slice whose lease this controller has gained.
 #[derive(Clone, Debug)]
 pub struct SliceAcquired {
-    /// The slice with its table as the store has it.
-    pub assignment: SliceAssignment,
+    /// The slice.
+    pub slice: SliceId,
+    /// Its table as the store has it.
+    pub entries: Vec<WeightedHost>,
     /// The epoch of the lease.
     pub epoch: u64,
     /// What the previous holder told of it, and how many seconds ago, if it did.
--- a/crates/railhub-steward/src/core/streams.rs
+++ b/crates/railhub-steward/src/core/streams.rs
@@ -59,7 +59,7 @@
         self.figures.merged += session.channel.merged();
         if session.is_joined() {
             environment.session_event(proxy, SessionEvent::Disconnected { reason: reason.to_owned() });
-            self.batch.streams.push(ProxyStreamEvent { proxy, up: false, first: false });
+            self.batch.proxy_streams.push(ProxyStreamEvent::Disconnected(proxy));
         }
     }
 
@@ -81,7 +81,7 @@
             self.propagation.proxy_done(now, proxy);
         }
         self.figures.nacks += u64::from(response == DeltaResponse::Nack);
-        self.batch.confirmed.extend(barrier.map(|mark| BarrierAck { proxy, mark }));
+        self.batch.barrier_acks.extend(barrier.map(|barrier| BarrierAck { proxy, barrier }));
         true
     }
 
@@ -91,7 +91,7 @@
             return;
         }
         let terms = &self.installation.config;
-        let (backlog, message_cost) = (terms.backlog, terms.message_cost);
+        let (backlog, message_cost) = (terms.backlog_limit, terms.message_overhead);
         let mut waiting = self.sessions.backlog_lines(message_cost);
         while let Some((proxy, subscribe)) = self.sessions.first_joining() {
             let (incarnation, version) = (subscribe.incarnation, subscribe.version);
@@ -110,7 +110,7 @@
         let is_ours = incarnation == self.incarnation;
         let lacking = is_ours.then(|| self.tables.changes_since(version)).flatten();
         let change = lacking.unwrap_or_else(|| self.tables.snapshot());
-        let has_no_slices = self.installation.config.slices == 0;
+        let has_no_slices = self.installation.config.slice_count == 0;
         let mut change = if has_no_slices { change.without_lines() } else { change };
         if self.shared.is_some() {
             self.tables.stamp_epochs(&mut change);
@@ -120,11 +120,15 @@
 
     fn admit(&mut self, now: Seconds, proxy: ProxyId, change: Change) {
         let publication = Publication::new(change, self.incarnation, self.tables.version, now, None);
-        let Some((session, first)) = self.sessions.join_first() else { return };
+        let Some((session, is_first)) = self.sessions.join_first() else { return };
         session.channel.push(Arc::new(publication));
         self.propagation.begin(now);
         self.propagation.await_proxy(proxy);
-        self.batch.streams.push(ProxyStreamEvent { proxy, up: true, first });
+        self.batch.proxy_streams.push(if is_first {
+            ProxyStreamEvent::Connected(proxy)
+        } else {
+            ProxyStreamEvent::Reconnected(proxy)
+        });
     }
 
     /// Ends sessions whose responses are overdue: what waits for them would count for ever.
--- a/crates/railhub-steward/src/decision_engine.rs
+++ b/crates/railhub-steward/src/decision_engine.rs
@@ -18,14 +18,14 @@
 
 impl DecisionEngine for Controller {
     fn handle_batch(&mut self, batch: &EventBatch, commands: &mut DeltaBuilder) {
-        Controller::round(self, batch, commands);
+        Controller::handle_batch(self, batch, commands);
     }
 
     fn export_handoff(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
-        Controller::save(self, now, slice)
+        self.slice_handoff(now, slice)
     }
 
     fn import_handoff(&mut self, now: Seconds, slice: SliceId, handoff: &SliceHandoff, age: Seconds) {
-        Controller::restore(self, now, slice, handoff, age);
+        self.apply_handoff(now, slice, handoff, age);
     }
 }
--- a/crates/railhub-steward/src/endpoint_list_poller.rs
+++ b/crates/railhub-steward/src/endpoint_list_poller.rs
@@ -92,7 +92,7 @@
     for entry in &page.hosts {
         entries.push(to_endpoint(entry)?);
     }
-    Ok(Update { version: page.version, list: EndpointList { whole: page.complete, entries } })
+    Ok(Update { version: page.version, list: EndpointList { complete: page.complete, entries } })
 }
 
 fn to_endpoint(entry: &PageEntry) -> Result<EndpointEntry, EndpointListError> {
@@ -106,6 +106,6 @@
     if !(weight.is_finite() && weight >= 0.0) {
         return Err(EndpointListError::ImpossibleWeight { host, weight });
     }
-    let started = entry.started.filter(|at| at.is_finite());
-    Ok(EndpointEntry { host: HostId::from(host), phase, started, weight, kind: KindId(entry.kind) })
+    let started_at = entry.started.filter(|at| at.is_finite());
+    Ok(EndpointEntry { host: HostId::from(host), phase, started_at, weight, kind: KindId(entry.kind) })
 }
--- a/crates/railhub-steward/src/health_checker.rs
+++ b/crates/railhub-steward/src/health_checker.rs
@@ -21,7 +21,7 @@
 pub fn start(max_concurrent: usize, timeout: Seconds, inbox: &Arc<Inbox>) -> HealthChecker {
     let inbox = inbox.clone();
     Pool::start(max_concurrent, MAX_PENDING_PROBES, move |host| {
-        inbox.tell(OwnerEvent::HealthCheck(HealthCheckResult { host, end: probe(host, timeout) }));
+        inbox.tell(OwnerEvent::HealthCheck(HealthCheckResult { host, outcome: probe(host, timeout) }));
     })
 }
 
@@ -30,7 +30,7 @@
     // A host whose name is no address cannot be reached.
     let Some(address) = host.address() else { return HealthCheckOutcome::Unreachable };
     match Caller::new(address, seconds(timeout)).call("GET", "/probe", &[]) {
-        Ok(_) => HealthCheckOutcome::Answered,
+        Ok(_) => HealthCheckOutcome::Passed,
         Err(HttpError::Status(REJECTED_STATUS)) => HealthCheckOutcome::Rejected,
         Err(HttpError::Silent | HttpError::Status(_)) => HealthCheckOutcome::Failed,
         Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended | HttpError::Malformed(_)) => {
--- a/crates/railhub-steward/src/lapsed_slices.rs
+++ b/crates/railhub-steward/src/lapsed_slices.rs
@@ -20,7 +20,7 @@
 impl LapsedSlices {
     /// Applies an update of the endpoint list. Hosts missing from a complete list are gone.
     pub fn on_endpoint_list(&mut self, list: &EndpointList) {
-        if list.whole {
+        if list.complete {
             for phase in self.phases.values_mut() {
                 *phase = Phase::Gone;
             }
--- a/crates/railhub-steward/src/membership/lease_coordinator.rs
+++ b/crates/railhub-steward/src/membership/lease_coordinator.rs
@@ -8,7 +8,7 @@
 use crate::store::StoredTable;
 use railhub_membership::lease_manager::{Effects, LeaseManager};
 use railhub_membership::member::Load;
-use railhub_membership::messages::{Destination, MemberChange, Message};
+use railhub_membership::messages::{Destination, MemberChange, OutgoingMessage};
 use railhub_membership::packet::{self, Packet, MAX_DATAGRAM_BYTES};
 use railhub_membership::swim::Membership;
 use railhub_membership::NodeId;
@@ -134,12 +134,12 @@
             let now = self.clock.now();
             if now >= due {
                 self.tick(now);
-                due = self.lease_manager.next_at(now);
+                due = self.lease_manager.next_tick_at(now);
                 continue;
             }
             if let Some((length, sender)) = self.receive(&mut bytes, due - now) {
                 self.on_datagram(&bytes[..length], sender);
-                due = due.min(self.lease_manager.next_at(self.clock.now()));
+                due = due.min(self.lease_manager.next_tick_at(self.clock.now()));
             }
         }
         if switch.get() == RunState::Leaving {
@@ -162,13 +162,13 @@
         if self.sharing.is_some() {
             self.hand_over();
         }
-        let effects = self.lease_manager.leave(self.clock.now());
+        let effects = self.lease_manager.leave();
         self.carry_out(effects);
     }
 
     /// Releases all slices, as far as the time for it reaches.
     fn hand_over(&mut self) {
-        self.lease_manager.drain();
+        self.lease_manager.start_draining();
         let until = now() + HAND_OVER_TIMEOUT;
         while now() < until && self.has_slices_to_release() {
             self.poll_store();
@@ -192,16 +192,16 @@
     }
 
     fn measure_load(&mut self, now: f64) {
-        let busy = self.cpu.busy_cores(now);
+        let cpu_cores = self.cpu.busy_cores(now);
         let proxies = self.shared_figures.core.lock().expect("no holder panics").joined as u32;
         let held = self.sharing.is_some().then(|| self.lease_manager.leases().count() as u32);
         let slices = held.unwrap_or(self.slices.into());
-        self.lease_manager.set_load(Load { slices, proxies, busy });
+        self.lease_manager.set_load(Load { slices, proxies, cpu_cores });
         self.figures.leases = held.unwrap_or(0) as usize;
         self.figures.tables_rejected =
             self.sharing.as_ref().map_or(0, |sharing| sharing.store.tables_rejected());
-        self.figures.alive = self.membership().alive();
-        self.figures.sent = self.membership().sent();
+        self.figures.alive = self.membership().live_count();
+        self.figures.sent = self.membership().messages_sent();
         self.figures.superseded = self.membership().is_superseded();
         *self.shared_figures.membership.lock().expect("no holder panics") = self.figures.clone();
     }
@@ -223,44 +223,44 @@
 
     fn on_datagram(&mut self, bytes: &[u8], sender: SocketAddr) {
         match packet::decode(&self.installation, bytes) {
-            Ok(Packet::Words(message)) => {
+            Ok(Packet::Message(message)) => {
                 self.figures.received += 1;
-                let effects = self.lease_manager.hear(self.clock.now(), &message);
+                let effects = self.lease_manager.on_message(self.clock.now(), &message);
                 self.carry_out(effects);
             }
-            Ok(Packet::Look { nonce, from: first }) => self.send_view(nonce, first, sender),
+            Ok(Packet::ViewRequest { nonce, from: first }) => self.send_view(nonce, first, sender),
             Ok(Packet::View(_)) => {}
-            Ok(Packet::Drain { steward, process }) => self.on_drain_request(steward, process),
+            Ok(Packet::Drain { node, process }) => self.on_drain_request(node, process),
             Err(error) => self.figures.dropped.count(error),
         }
     }
 
     fn on_drain_request(&mut self, node: NodeId, process: u64) {
-        let is_this_process = node == self.membership().me() && process == self.process();
-        if is_this_process && !self.lease_manager.draining() {
+        let is_this_process = node == self.membership().local_id() && process == self.process();
+        if is_this_process && !self.lease_manager.is_draining() {
             tracing::info!("drain requested, handing slices over");
-            self.lease_manager.drain();
+            self.lease_manager.start_draining();
         }
     }
 
     fn carry_out(&mut self, effects: Effects) {
-        if let (Some(request), Some(sharing)) = (effects.request, &self.sharing) {
+        if let (Some(request), Some(sharing)) = (effects.lease_request, &self.sharing) {
             sharing.store.request_leases(request);
         }
-        for (destination, message) in effects.mail {
-            self.send(destination, message);
+        for outgoing in effects.messages {
+            self.send(outgoing);
         }
-        for change in &effects.changed {
+        for change in &effects.member_changes {
             log_view_change(change);
         }
     }
 
-    fn send(&self, destination: Destination, message: Message) {
-        let address = match destination {
+    fn send(&self, outgoing: OutgoingMessage) {
+        let address = match outgoing.to {
             Destination::Node(id) => self.membership().address(id),
             Destination::Address(address) => Some(address),
         };
-        let bytes = packet::encode(&self.installation, &Packet::Words(Box::new(message)));
+        let bytes = packet::encode(&self.installation, &Packet::Message(Box::new(outgoing.message)));
         if let Some(address) = address {
             // One that cannot be sent is one that was lost.
             let _ = self.socket.send_to(&bytes, address);
@@ -273,7 +273,7 @@
             self.figures.view_requests_dropped += 1;
             return;
         }
-        let view = view_page(self.membership(), now, nonce, first, self.figures.dropped.all());
+        let view = view_page(self.membership(), now, nonce, first, self.figures.dropped.total());
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
     }
@@ -281,12 +281,12 @@
 
 fn log_view_change(change: &MemberChange) {
     tracing::info!(
-        controller = change.about.0,
+        controller = change.id.0,
         process = change.incarnation.process,
         incarnation = change.incarnation.count,
         status = ?change.status,
-        withdrawn = change.withdrawn,
-        cause = change.why,
+        ejected = change.ejected,
+        cause = change.cause,
         "membership view changed"
     );
 }
--- a/crates/railhub-steward/src/membership/service.rs
+++ b/crates/railhub-steward/src/membership/service.rs
@@ -94,9 +94,9 @@
     let process = settings.process.unwrap_or_else(process_number);
     let metadata = NodeMetadata {
         address: Some(settings.advertise.unwrap_or(address)),
-        program: PROGRAM.to_owned(),
-        protocol: u32::from(packet::VERSION),
-        settings: settings.settings_digest,
+        program_version: PROGRAM.to_owned(),
+        protocol_version: u32::from(packet::VERSION),
+        settings_digest: settings.settings_digest,
         draining: false,
         store_unreachable: false,
     };
@@ -106,14 +106,14 @@
         without: settings.without,
     };
     let options = LeaseManagerOptions {
-        me: settings.id,
+        id: settings.id,
         process,
         weights: &BTreeMap::from([(settings.id, WEIGHT)]),
         metadata,
         config,
         slices: shared_slices,
-        span: settings.lease,
-        settle: SETTLE_TIME,
+        lease_duration: settings.lease,
+        settle_time: SETTLE_TIME,
         seed: process,
     };
     LeaseManager::new(&options, settings.clock.now())
--- a/crates/railhub-steward/src/membership/settings.rs
+++ b/crates/railhub-steward/src/membership/settings.rs
@@ -2,7 +2,7 @@
 use crate::lease_clock::LeaseClock;
 use railhub_ini::{Complaint, Section, Sheet};
 use railhub_membership::packet::MAX_INSTALLATION_BYTES;
-use railhub_membership::table::Safeguard;
+use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
 use railhub_net::now;
 use std::net::SocketAddr;
--- a/crates/railhub-steward/src/membership/slice_sharing.rs
+++ b/crates/railhub-steward/src/membership/slice_sharing.rs
@@ -31,11 +31,11 @@
         let mut changes = LeaseChanges::default();
         if !self.ignores_lease_expiry {
             changes.lost = effects.lost.iter().map(|slice| SliceId(*slice)).collect();
-            changes.lapsed = effects.lapsed.iter().map(|slice| SliceId(*slice)).collect();
+            changes.lapsed = effects.expired.iter().map(|slice| SliceId(*slice)).collect();
         }
         let mut tables: BTreeMap<u16, StoredTable> =
             tables.into_iter().map(|table| (table.slice, table)).collect();
-        for (slice, epoch) in &effects.gained {
+        for (slice, epoch) in &effects.acquired {
             // The store gives each with its table; without one it is filled as a slice that has none.
             let table = tables.remove(slice).unwrap_or(StoredTable::empty(*slice));
             changes.gained.push(table.acquired(epoch.0));
--- a/crates/railhub-steward/src/membership/view_responder.rs
+++ b/crates/railhub-steward/src/membership/view_responder.rs
@@ -1,6 +1,7 @@
 //! Answers requests for this controller's view of the others, at a limited rate.
 use railhub_membership::packet::{View, MAX_VIEW_ENTRIES};
-use railhub_membership::swim::{Membership, ViewEntry};
+use railhub_membership::swim::Membership;
+use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 
 /// Requests for the view that are answered in a second. Further ones are dropped and counted.
@@ -28,16 +29,16 @@
 
 /// One page of the view, beginning with the entry of `first`. `dropped`: datagrams that were dropped so far.
 pub(super) fn view_page(membership: &Membership, now: f64, nonce: u64, first: NodeId, dropped: u64) -> View {
-    let wanted = membership.view(now).into_iter().filter(|shown| shown.entry.about >= first);
-    let mut lines: Vec<ViewEntry> = wanted.take(MAX_VIEW_ENTRIES + 1).collect();
-    let next = (lines.len() > MAX_VIEW_ENTRIES).then(|| lines[MAX_VIEW_ENTRIES].entry.about);
-    lines.truncate(MAX_VIEW_ENTRIES);
+    let wanted = membership.view(now).into_iter().filter(|shown| shown.member.id >= first);
+    let mut entries: Vec<ViewEntry> = wanted.take(MAX_VIEW_ENTRIES + 1).collect();
+    let next = (entries.len() > MAX_VIEW_ENTRIES).then(|| entries[MAX_VIEW_ENTRIES].member.id);
+    entries.truncate(MAX_VIEW_ENTRIES);
     View {
         nonce,
-        viewer: membership.me(),
+        viewer: membership.local_id(),
         process: membership.incarnation().process,
         digest: membership.digest(),
-        lines,
+        entries,
         next,
         dropped,
         superseded: membership.is_superseded(),
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -179,7 +179,7 @@
     let (draining, gone) = (count(Phase::Draining), count(Phase::Gone));
     tracing::info!(
         hosts = list.entries.len(),
-        complete = list.whole,
+        complete = list.complete,
         draining,
         gone,
         "endpoint list updated"
@@ -187,7 +187,7 @@
 }
 
 fn log_lease_changes(changes: &LeaseChanges) {
-    let gained: Vec<SliceId> = changes.gained.iter().map(|acquired| acquired.assignment.slice).collect();
+    let gained: Vec<SliceId> = changes.gained.iter().map(|acquired| acquired.slice).collect();
     tracing::info!(
         gained = slice_numbers(&gained),
         lost = slice_numbers(&changes.lost),
--- a/crates/railhub-steward/src/process_environment.rs
+++ b/crates/railhub-steward/src/process_environment.rs
@@ -3,9 +3,8 @@
 use crate::core::{Environment, SessionEvent};
 use crate::health_checker::HealthChecker;
 use crate::store::StoreWriter;
-use crate::tables::TableLines;
 use crate::traffic_writer::TrafficWriter;
-use railhub::{HostId, ProxyId, SliceHandoff, SliceId};
+use railhub::{HostId, ProxyId, SliceHandoff, SliceId, WeightedHost};
 use std::sync::Arc;
 
 /// Where the core's orders go besides the proxies.
@@ -31,15 +30,15 @@
         self.targets.health_checker.ask(host);
     }
 
-    fn store_table(&mut self, slice: SliceId, epoch: u64, lines: TableLines) {
+    fn store_table(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>) {
         if let Some(store) = &self.targets.store {
-            store.write_table(slice, epoch, lines);
+            store.write_table(slice, epoch, entries);
         }
     }
 
-    fn hand_over(&mut self, slice: SliceId, epoch: u64, lines: TableLines, handoff: SliceHandoff) {
+    fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: SliceHandoff) {
         if let Some(store) = &self.targets.store {
-            store.hand_over(slice, epoch, lines, &handoff);
+            store.hand_over(slice, epoch, entries, &handoff);
         }
     }
 
--- a/crates/railhub-steward/src/report_aggregator.rs
+++ b/crates/railhub-steward/src/report_aggregator.rs
@@ -117,15 +117,15 @@
 
 fn host_report(zone: ZoneId, host: HostId, total: &Total, span: Seconds) -> HostLoadReport {
     let succeeded = total.count - total.failed;
-    let mean_time = if succeeded > 0.0 { total.success_time / succeeded } else { 0.0 };
+    let mean_latency = if succeeded > 0.0 { total.success_time / succeeded } else { 0.0 };
     HostLoadReport {
         zone,
         host,
-        tries: total.count,
+        attempts: total.count,
         failed: total.failed,
-        mean_time,
+        mean_latency,
         span,
-        busy: total.utilization,
+        cpu_utilization: total.utilization,
     }
 }
 
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -61,7 +61,7 @@
             store,
             inbox: inbox.clone(),
             leases,
-            slices: installation.config.slices,
+            slices: installation.config.slice_count,
             ignores_lease_expiry: ignores_lease_expiry(&installation),
         });
         let membership = start_membership(&installation, &figures, sharing)?;
@@ -149,7 +149,7 @@
         subscribe_timeout: installation.subscribe_timeout,
         idle_timeout: installation.idle_timeout,
         max_streams: installation.max_streams,
-        quota: MessageQuota { max_messages: terms.message_cap, window: terms.messages_span },
+        quota: MessageQuota { max_messages: terms.message_quota, window: terms.message_quota_window },
     };
     let server = Arc::new(StreamServer::new(limits, inbox.clone(), leases));
     let listener = Listener::open(installation.listen, move |connection, _| server.serve(connection));
@@ -171,7 +171,7 @@
     sharing: Option<SliceSharing>,
 ) -> Result<Option<MembershipService>, StartError> {
     let Some(settings) = &installation.membership else { return Ok(None) };
-    let slices = installation.config.slices;
+    let slices = installation.config.slice_count;
     match MembershipService::start(settings, figures.clone(), sharing, slices) {
         Ok(service) => Ok(Some(service)),
         Err(error) => Err(StartError::Membership(settings.listen, error)),
--- a/crates/railhub-steward/src/store/bodies.rs
+++ b/crates/railhub-steward/src/store/bodies.rs
@@ -1,8 +1,7 @@
 //! The bodies that a controller and the store exchange. Their JSON names are the store's.
 use crate::core::SliceAcquired;
-use crate::tables::TableLines;
-use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId};
-use railhub_membership::lease_manager::LeaseResponse;
+use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId, WeightedHost};
+use railhub_membership::lease_messages::LeaseResponse;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -62,8 +61,8 @@
         StoredHandoff {
             version: HANDOFF_VERSION,
             rate: handoff.rate,
-            pinned_for: handoff.rests,
-            preferred_host: handoff.home.map(|host| host.to_string()),
+            pinned_for: handoff.pinned_for,
+            preferred_host: handoff.preferred_host.map(|host| host.to_string()),
         }
     }
 }
@@ -71,14 +70,14 @@
 impl StoredHandoff {
     /// `None`: it is of another version, or has an impossible value.
     fn validate(&self) -> Option<SliceHandoff> {
-        let home = match &self.preferred_host {
+        let preferred_host = match &self.preferred_host {
             Some(name) => Some(HostId::new(name)?),
             None => None,
         };
         let is_possible = (0.0..=MAX_HANDOFF_RATE).contains(&self.rate)
             && (0.0..=MAX_HANDOFF_PIN).contains(&self.pinned_for);
         let is_valid = self.version == HANDOFF_VERSION && is_possible;
-        is_valid.then_some(SliceHandoff { rate: self.rate, rests: self.pinned_for, home })
+        is_valid.then_some(SliceHandoff { rate: self.rate, pinned_for: self.pinned_for, preferred_host })
     }
 }
 
@@ -92,18 +91,17 @@
     pub(super) fn to_write(
         slice: SliceId,
         epoch: u64,
-        lines: &TableLines,
+        entries: &[WeightedHost],
         handoff: Option<&StoredHandoff>,
     ) -> StoredTable {
-        let lines = lines.iter().filter_map(|(host, weight)| Some((host.address()?, *weight)));
+        let lines = entries.iter().filter_map(|entry| Some((entry.host.address()?, entry.weight)));
         let handoff = handoff.and_then(|handoff| serde_json::to_value(handoff).ok());
         StoredTable { slice: slice.0, epoch, lines: lines.collect(), handoff, age: 0.0 }
     }
 
     /// The slice and its table for the decisions.
     pub fn into_assignment(self) -> SliceAssignment {
-        let lines = self.lines.into_iter().map(|(host, weight)| (HostId::from(host), weight));
-        SliceAssignment { slice: SliceId(self.slice), given: true, lines: lines.collect() }
+        SliceAssignment::Assigned { slice: SliceId(self.slice), entries: self.into_entries() }
     }
 
     /// The slice as it is acquired under a lease. An invalid handoff is ignored.
@@ -113,7 +111,12 @@
             tracing::warn!(slice = self.slice, "invalid slice handoff ignored");
         }
         let handoff = handoff.zip(Some(self.age)).filter(|(_, age)| *age >= 0.0);
-        SliceAcquired { assignment: self.into_assignment(), epoch, handoff }
+        SliceAcquired { slice: SliceId(self.slice), entries: self.into_entries(), epoch, handoff }
+    }
+
+    fn into_entries(self) -> Vec<WeightedHost> {
+        let entries = self.lines.into_iter();
+        entries.map(|(host, weight)| WeightedHost { host: host.into(), weight }).collect()
     }
 
     fn valid_handoff(&self) -> Option<SliceHandoff> {
--- a/crates/railhub-steward/src/store/client.rs
+++ b/crates/railhub-steward/src/store/client.rs
@@ -1,7 +1,7 @@
 //! Requests to the store.
 use super::bodies::{LeasedTables, StoredTable};
 use railhub::Seconds;
-use railhub_membership::lease_manager::LeaseRequest;
+use railhub_membership::lease_messages::LeaseRequest;
 use railhub_net::http::{Caller, HttpError};
 use railhub_net::seconds;
 use std::fmt;
--- a/crates/railhub-steward/src/store/writer.rs
+++ b/crates/railhub-steward/src/store/writer.rs
@@ -2,10 +2,9 @@
 use super::bodies::{LeasedTables, StoredHandoff, StoredTable};
 use super::client::{StoreClient, StoreError};
 use crate::inbox::{Inbox, OwnerEvent};
-use crate::tables::TableLines;
 use may::sync::{Mutex, Semphore};
-use railhub::{Seconds, SliceHandoff, SliceId};
-use railhub_membership::lease_manager::LeaseRequest;
+use railhub::{Seconds, SliceHandoff, SliceId, WeightedHost};
+use railhub_membership::lease_messages::LeaseRequest;
 use railhub_net::{now, seconds, Task};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -29,7 +28,7 @@
 #[derive(Clone, Debug)]
 struct PendingWrite {
     epoch: u64,
-    lines: TableLines,
+    entries: Vec<WeightedHost>,
     handoff: Option<StoredHandoff>,
 }
 
@@ -41,7 +40,7 @@
     request: LeaseRequest,
 }
 
-/// Takes tables to be written and requests for leases. A slice waits once, with its latest lines, so what waits is
+/// Takes tables to be written and requests for leases. A slice waits once, with its latest entries, so what waits is
 /// bounded by their number; of requests and responses the latest replaces an older one.
 pub struct StoreWriter {
     shared: Arc<Shared>,
@@ -87,15 +86,15 @@
     }
 
     /// Writes a slice's table.
-    pub fn write_table(&self, slice: SliceId, epoch: u64, lines: TableLines) {
-        let write = PendingWrite { epoch, lines, handoff: None };
+    pub fn write_table(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>) {
+        let write = PendingWrite { epoch, entries, handoff: None };
         self.shared.writes.lock().expect("no holder panics").insert(slice, write);
         self.shared.wake.post();
     }
 
     /// Writes the table of a slice that is released, with what its next holder is told.
-    pub fn hand_over(&self, slice: SliceId, epoch: u64, lines: TableLines, handoff: &SliceHandoff) {
-        let write = PendingWrite { epoch, lines, handoff: Some(handoff.into()) };
+    pub fn hand_over(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: &SliceHandoff) {
+        let write = PendingWrite { epoch, entries, handoff: Some(handoff.into()) };
         self.shared.writes.lock().expect("no holder panics").insert(slice, write);
     }
 
@@ -183,7 +182,7 @@
     }
     let mut tables = Vec::with_capacity(batch.len());
     for (slice, write) in &batch {
-        tables.push(StoredTable::to_write(*slice, write.epoch, &write.lines, write.handoff.as_ref()));
+        tables.push(StoredTable::to_write(*slice, write.epoch, &write.entries, write.handoff.as_ref()));
     }
     match client.write_tables(&tables) {
         Ok(rejected) => {
--- a/crates/railhub-steward/src/tables.rs
+++ b/crates/railhub-steward/src/tables.rs
@@ -1,7 +1,7 @@
 //! What proxies are to hold: tables, admission rates and exclusions in versions, and the latest changes between the
 //! versions. Free of I/O and of clocks.
 use crate::change::{Change, ClassAdmission};
-use railhub::{ClassId, HostId, SliceId};
+use railhub::{ClassId, HostId, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -10,9 +10,6 @@
 /// Lines in all changes that are kept.
 const MAX_LOGGED_LINES: usize = 50_000;
 
-/// The weights of a table.
-pub type TableLines = Vec<(HostId, f64)>;
-
 /// The published state and the log of its latest changes.
 #[derive(Default)]
 pub struct Tables {
@@ -30,14 +27,15 @@
 
 impl Tables {
     /// Sets a table as the store has it. Proxies that join get it; no version is made.
-    pub fn load_table(&mut self, slice: SliceId, lines: &[(HostId, f64)]) {
-        self.tables.insert(slice, lines.iter().copied().collect());
+    pub fn load_table(&mut self, slice: SliceId, entries: &[WeightedHost]) {
+        let table = entries.iter().map(|entry| (entry.host, entry.weight)).collect();
+        self.tables.insert(slice, table);
     }
 
     /// Adds a slice under a lease, with its table as the store has it. Proxies follow the previous holder's table
     /// until they are sent [`Tables::opening_change`].
-    pub fn acquire(&mut self, slice: SliceId, epoch: u64, lines: &[(HostId, f64)]) {
-        self.load_table(slice, lines);
+    pub fn acquire(&mut self, slice: SliceId, epoch: u64, entries: &[WeightedHost]) {
+        self.load_table(slice, entries);
         self.epochs.insert(slice, epoch);
     }
 
@@ -56,8 +54,9 @@
     pub fn opening_change(&self, slices: &BTreeSet<SliceId>) -> Change {
         let mut change = Change { cleared: slices.clone(), ..Change::default() };
         for slice in slices {
-            let lines = self.lines_of(*slice);
-            change.lines.extend(lines.into_iter().map(|(host, weight)| ((*slice, host), weight)));
+            for entry in self.entries_of(*slice) {
+                change.lines.insert((*slice, entry.host), entry.weight);
+            }
         }
         change
     }
@@ -100,10 +99,10 @@
         }
     }
 
-    /// The lines of a slice's table, by host.
-    pub fn lines_of(&self, slice: SliceId) -> TableLines {
+    /// The entries of a slice's table, by host.
+    pub fn entries_of(&self, slice: SliceId) -> Vec<WeightedHost> {
         let table = self.tables.get(&slice);
-        table.into_iter().flatten().map(|(host, weight)| (*host, *weight)).collect()
+        table.into_iter().flatten().map(|(host, weight)| (*host, *weight).into()).collect()
     }
 
     /// All that a proxy which holds nothing is to hold. It names every table that the proxy may have.
@@ -126,7 +125,8 @@
 
     /// One complete table, for a proxy that is assigned it.
     pub fn assignment_of(&self, table: SliceId) -> Change {
-        let lines = self.lines_of(table).into_iter().map(|(host, weight)| ((table, host), weight));
+        let entries = self.entries_of(table);
+        let lines = entries.into_iter().map(|entry| ((table, entry.host), entry.weight));
         Change {
             cleared: BTreeSet::from([table]),
             lines: lines.collect(),
--- a/crates/railhub-steward/src/traffic_writer.rs
+++ b/crates/railhub-steward/src/traffic_writer.rs
@@ -42,7 +42,7 @@
     /// The file cannot be made, or an earlier one cannot be moved.
     pub fn start(installation: &Installation, now: Seconds) -> Result<Option<TrafficWriter>, TrafficFault> {
         let Some(path) = &installation.traffic else { return Ok(None) };
-        let slices = u32::from(installation.config.slices);
+        let slices = u32::from(installation.config.slice_count);
         let facts = Facts {
             classes: installation.class_names.clone(),
             zones: (0..MAX_ZONES).map(|zone| format!("zone-{zone}")).collect(),
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -1,7 +1,7 @@
 //! What one core tells of a slice that it gives up, and what the next one makes of it.
 use railhub::{
     ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId, Seconds,
-    SliceAssignment,
+    WeightedHost,
 };
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
 use railhub_ini::Sheet;
@@ -49,9 +49,9 @@
 
 impl Environment for RecordingEnvironment {
     fn probe(&mut self, _: HostId) {}
-    fn store_table(&mut self, _: SliceId, _: u64, _: Vec<(HostId, f64)>) {}
-    fn hand_over(&mut self, slice: SliceId, epoch: u64, lines: Vec<(HostId, f64)>, state: SliceHandoff) {
-        assert!(!lines.is_empty(), "the table goes along");
+    fn store_table(&mut self, _: SliceId, _: u64, _: Vec<WeightedHost>) {}
+    fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, state: SliceHandoff) {
+        assert!(!entries.is_empty(), "the table goes along");
         self.handed_on.push((slice, epoch, state));
     }
     fn decided(&mut self, _: &str) {}
@@ -70,18 +70,24 @@
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
     let installation = Installation::read(&Sheet::read("s.ini", text).expect("readable")).expect("right");
-    let classes = vec![ClassConfig { contract_time: 1.0, gain: 1.0, repeat: Idempotency::Safe }];
+    let classes =
+        vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
     let terms = ControllerConfig { classes, ..installation.config.clone() };
     let mut core = ControllerCore::new(Installation { config: terms, ..installation }, process, 0.0);
-    let entry =
-        |n| EndpointEntry { host: host(n), phase: Phase::Ready, started: None, weight: 4.0, kind: KindId(0) };
-    core.on_endpoint_list(EndpointList { whole: true, entries: (1..4).map(entry).collect() });
+    let entry = |n| EndpointEntry {
+        host: host(n),
+        phase: Phase::Ready,
+        started_at: None,
+        weight: 4.0,
+        kind: KindId(0),
+    };
+    core.on_endpoint_list(EndpointList { complete: true, entries: (1..4).map(entry).collect() });
     core
 }
 
 fn gained(epoch: u64, handoff: Option<(SliceHandoff, Seconds)>) -> LeaseChanges {
-    let assignment = SliceAssignment { slice: SLICE, given: true, lines: vec![(host(1), 1.0)] };
-    let gained = vec![SliceAcquired { assignment, epoch, handoff }];
+    let entries = vec![(host(1), 1.0).into()];
+    let gained = vec![SliceAcquired { slice: SLICE, entries, epoch, handoff }];
     LeaseChanges { gained, ..LeaseChanges::default() }
 }
 
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -250,13 +250,17 @@
     assert_eq!(read.max_streams, 13);
     assert_eq!(read.traffic.as_deref(), Some(Path::new("ops.traffic")));
     let terms = &read.config;
-    assert_eq!((terms.slices, terms.single_owner, terms.may_probe), (40, true, false));
-    assert_eq!((terms.dropped_may_stay, terms.levels_by_share), (true, false));
-    assert_eq!((terms.write_lease, terms.write_life, terms.cold_from), (14.0, 15.0, 0.5));
-    assert_eq!((terms.warm_within, terms.fall_multiple, terms.backlog), (16.0, 3.5, 17.0));
-    assert_eq!((terms.message_cost, terms.message_cap), (18.0, 19));
-    assert_eq!((terms.messages_span, terms.first_wait), (20.0, 21.0));
-    let classes: Vec<_> = terms.classes.iter().map(|c| (c.contract_time, c.gain, c.repeat)).collect();
+    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (40, true, false));
+    assert_eq!((terms.delisted_may_serve, terms.admission_by_fraction), (true, false));
+    assert_eq!(
+        (terms.write_lease, terms.max_write_duration, terms.cold_capacity_fraction),
+        (14.0, 15.0, 0.5)
+    );
+    assert_eq!((terms.warm_up_time, terms.overload_multiple, terms.backlog_limit), (16.0, 3.5, 17.0));
+    assert_eq!((terms.message_overhead, terms.message_quota), (18.0, 19));
+    assert_eq!((terms.message_quota_window, terms.first_attempt_timeout_multiple), (20.0, 21.0));
+    let classes: Vec<_> =
+        terms.classes.iter().map(|c| (c.contract_time, c.priority_weight, c.idempotency)).collect();
     let keyed = Idempotency::IdempotencyKeyGlobal(30.0);
     let nearby = Idempotency::IdempotencyKeyLocal;
     assert_eq!(classes, [(0.8, 2.0, Idempotency::Safe), (1.2, 1.0, keyed), (1.3, 1.0, nearby)]);
@@ -267,7 +271,7 @@
     assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (22.0, 4.0, Some(25)));
     let clock = fleet.clock;
     assert_eq!((clock.speed, clock.jumps_after, clock.jumps_by), (1.5, 23.0, 24.0));
-    assert_eq!(fleet.without, Some(railhub_membership::table::Safeguard::GossipLimit));
+    assert_eq!(fleet.without, Some(railhub_membership::safeguard::Safeguard::GossipLimit));
     assert_eq!(fleet.settings_digest, SETTINGS_DIGEST);
 }
 
@@ -282,12 +286,15 @@
     assert_eq!((read.response_timeout, read.subscribe_timeout, read.idle_timeout), (10.0, 5.0, 10.0));
     assert_eq!(read.max_streams, 10_000);
     let terms = &read.config;
-    assert_eq!((terms.slices, terms.single_owner, terms.may_probe), (0, false, true));
-    assert_eq!((terms.dropped_may_stay, terms.levels_by_share), (false, true));
-    assert_eq!((terms.write_lease, terms.write_life, terms.cold_from), (10.0, 10.0, 1.0));
-    assert_eq!((terms.warm_within, terms.fall_multiple, terms.backlog), (0.0, 2.5, 50_000.0));
-    assert_eq!((terms.message_cost, terms.message_cap), (8.0, 20));
-    assert_eq!((terms.messages_span, terms.first_wait), (10.0, 1.0));
+    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (0, false, true));
+    assert_eq!((terms.delisted_may_serve, terms.admission_by_fraction), (false, true));
+    assert_eq!(
+        (terms.write_lease, terms.max_write_duration, terms.cold_capacity_fraction),
+        (10.0, 10.0, 1.0)
+    );
+    assert_eq!((terms.warm_up_time, terms.overload_multiple, terms.backlog_limit), (0.0, 2.5, 50_000.0));
+    assert_eq!((terms.message_overhead, terms.message_quota), (8.0, 20));
+    assert_eq!((terms.message_quota_window, terms.first_attempt_timeout_multiple), (10.0, 1.0));
     let fleet = read.membership.expect("a section of its own");
     assert_eq!((fleet.listen.port(), fleet.advertise, fleet.share), (0, None, false));
     assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (600.0, 3.0, None));
