--- a/crates/railhub-chaos/src/bed/shared.rs
+++ b/crates/railhub-chaos/src/bed/shared.rs
@@ -6,7 +6,7 @@
 use railhub_day::stewards::TestClock;
 use railhub_day::troubles::{Act, CutWay, Trouble};
 use railhub_day::Day;
-use railhub_ini::{Complaint, Sheet};
+use railhub_ini::{Diagnostic, Document};
 
 /// The fleet, but for its sizes: hosts that die and a deploy go on beside the stewards' faults.
 const FLEET: &str = include_str!("shared.ini");
@@ -22,8 +22,8 @@
     seed: u64,
     faults: &[Fault],
     sabotage: Option<Sabotage>,
-) -> Result<(Day, Vec<What>), Complaint> {
-    let mut day = Day::read(&Sheet::read("the fleet of a chaos run", FLEET)?)?;
+) -> Result<(Day, Vec<What>), Diagnostic> {
+    let mut day = Day::read(&Document::parse("the fleet of a chaos run", FLEET)?)?;
     (day.seed, day.name) = (seed, format!("{}, seed {seed}", chaos.name));
     (day.stewards, day.lease) = (usize::from(chaos.stewards), chaos.span);
     (day.slices, day.limits.slices) = (u32::from(chaos.slices), u32::from(chaos.slices));
--- a/crates/railhub-chaos/src/faults.rs
+++ b/crates/railhub-chaos/src/faults.rs
@@ -1,5 +1,5 @@
 //! What goes wrong in a run: drawn from a seed within what a file allows.
-use railhub_ini::{Complaint, Section, Sheet};
+use railhub_ini::{Diagnostic, Document, Section};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -181,22 +181,22 @@
 }
 
 impl Chaos {
-    pub fn open(path: &Path) -> Result<Chaos, Complaint> {
-        Chaos::read(&Sheet::open(path)?)
+    pub fn open(path: &Path) -> Result<Chaos, Diagnostic> {
+        Chaos::read(&Document::open(path)?)
     }
 
-    pub fn read(sheet: &Sheet) -> Result<Chaos, Complaint> {
-        sheet.only(|name| name == "chaos" || name.starts_with("fault "))?;
-        let section = sheet.section("chaos");
+    pub fn read(document: &Document) -> Result<Chaos, Diagnostic> {
+        document.reject_unknown_sections(|name| name == "chaos" || name.starts_with("fault "))?;
+        let section = document.section("chaos");
         let mut chaos = Chaos {
-            name: section.or("name", "unnamed".to_owned())?,
-            stewards: section.within("stewards", 3.0, 1.0, f64::from(STEWARDS_MOST))? as u16,
-            slices: section.within("slices", 48.0, 1.0, 10_000.0)? as u16,
-            proxies: section.within("proxies", 6.0, 1.0, 1000.0)? as u16,
-            length: section.within("length", 60.0, 20.0, 3600.0)?,
-            span: section.within("span", 3.0, 0.5, 60.0)?,
-            faults_most: section.within("faults_most", 5.0, 0.0, 100.0)? as usize,
-            lost: section.within("lost", 0.01, 0.0, 0.5)?,
+            name: section.value_or("name", "unnamed".to_owned())?,
+            stewards: section.in_range("stewards", 3.0, 1.0, f64::from(STEWARDS_MOST))? as u16,
+            slices: section.in_range("slices", 48.0, 1.0, 10_000.0)? as u16,
+            proxies: section.in_range("proxies", 6.0, 1.0, 1000.0)? as u16,
+            length: section.in_range("length", 60.0, 20.0, 3600.0)?,
+            span: section.in_range("span", 3.0, 0.5, 60.0)?,
+            faults_most: section.in_range("faults_most", 5.0, 0.0, 100.0)? as usize,
+            lost: section.in_range("lost", 0.01, 0.0, 0.5)?,
             judged: section.choice(
                 "judge",
                 "leases",
@@ -205,20 +205,19 @@
             named: Vec::new(),
             later: Vec::new(),
         };
-        section.done()?;
-        for name in sheet.sections().iter().filter(|name| name.starts_with("fault ")) {
-            let section = sheet.section(name);
+        section.reject_unread_keys()?;
+        for name in document.section_names().iter().filter(|name| name.starts_with("fault ")) {
+            let section = document.section(name);
             let fault = named(&section, &chaos)?;
-            section.done()?;
+            section.reject_unread_keys()?;
             if let What::Join { steward } = fault.what {
                 chaos.later.push(steward);
             }
             chaos.named.push(fault);
         }
         if chaos.stewards > DRAWN_MOST && chaos.named.is_empty() && chaos.faults_most > 0 {
-            return Err(
-                section.wrong("stewards", format!("may be {DRAWN_MOST} at the most where faults are drawn"))
-            );
+            return Err(section
+                .diagnostic("stewards", format!("may be {DRAWN_MOST} at the most where faults are drawn")));
         }
         chaos.named.sort_by(|a, b| a.at.total_cmp(&b.at));
         Ok(chaos)
@@ -306,11 +305,11 @@
 }
 
 /// One fault of a file.
-fn named(section: &Section, chaos: &Chaos) -> Result<Fault, Complaint> {
+fn named(section: &Section, chaos: &Chaos) -> Result<Fault, Diagnostic> {
     let most = f64::from(chaos.stewards.saturating_sub(1));
-    let steward = |key: &str| section.need_within(key, 0.0, most).map(|id| id as u16);
-    let share = |key: &str| section.within(key, 0.0, 0.0, 1.0);
-    let kind: String = section.need("kind")?;
+    let steward = |key: &str| section.required_in_range(key, 0.0, most).map(|id| id as u16);
+    let share = |key: &str| section.in_range(key, 0.0, 0.0, 1.0);
+    let kind: String = section.required("kind")?;
     let what = match kind.as_str() {
         "kill" => What::Kill { steward: steward("steward")? },
         "pause" => What::Pause { steward: steward("steward")? },
@@ -324,29 +323,32 @@
         "cut_store" => What::CutStore { steward: steward("steward")? },
         "store_away" => What::StoreAway,
         "store_loses_answers" => What::StoreLosesAnswers,
-        "store_slow" => What::StoreSlow { by: section.need_within("by", 0.0, 60.0)? },
-        "store_forgets" => What::StoreForgets { by: section.within("by", 0.0, 0.0, 60.0)? },
+        "store_slow" => What::StoreSlow { by: section.required_in_range("by", 0.0, 60.0)? },
+        "store_forgets" => What::StoreForgets { by: section.in_range("by", 0.0, 0.0, 60.0)? },
         "slow_orders" => {
-            What::SlowOrders { steward: steward("steward")?, by: section.need_within("by", 0.0, 10.0)? }
+            What::SlowOrders { steward: steward("steward")?, by: section.required_in_range("by", 0.0, 10.0)? }
+        }
+        "drift" => {
+            What::Drift { steward: steward("steward")?, by: section.required_in_range("by", -0.1, 0.1)? }
         }
-        "drift" => What::Drift { steward: steward("steward")?, by: section.need_within("by", -0.1, 0.1)? },
         "jump" => {
-            What::Jump { steward: steward("steward")?, by: section.need_within("by", -1000.0, 1000.0)? }
+            What::Jump { steward: steward("steward")?, by: section.required_in_range("by", -1000.0, 1000.0)? }
         }
         "replay" => What::Replay,
         "cut" => What::Cut { from: steward("from")?, to: steward("to")? },
         "apart" => What::Apart { a: steward("a")?, b: steward("b")? },
-        "starve" => {
-            What::Starve { steward: steward("steward")?, share: section.need_within("share", 0.01, 1.0)? }
-        }
+        "starve" => What::Starve {
+            steward: steward("steward")?,
+            share: section.required_in_range("share", 0.01, 1.0)?,
+        },
         "flood" => {
-            let count = section.within("count", 2000.0, 1.0, 1e6)? as u32;
+            let count = section.in_range("count", 2000.0, 1.0, 1e6)? as u32;
             What::Flood { steward: steward("steward")?, count }
         }
         "split" => {
             let side = section.list("side").into_iter().map(|id| {
                 let id = id.parse::<u16>().ok().filter(|id| *id < chaos.stewards.min(DRAWN_MOST + 1));
-                id.ok_or_else(|| section.wrong("side", "names stewards, as in 0, 1"))
+                id.ok_or_else(|| section.diagnostic("side", "names stewards, as in 0, 1"))
             });
             let side = side.collect::<Result<Vec<u16>, _>>()?;
             What::Split { side: side.into_iter().fold(0, |side, id| side | 1 << id) }
@@ -356,12 +358,12 @@
                 lost: share("lost")?,
                 doubled: share("doubled")?,
                 reordered: share("reordered")?,
-                delay: section.within("delay", 0.0, 0.0, 10.0)?,
-                jitter: section.within("jitter", 0.0, 0.0, 10.0)?,
+                delay: section.in_range("delay", 0.0, 0.0, 10.0)?,
+                jitter: section.in_range("jitter", 0.0, 0.0, 10.0)?,
             },
         },
-        other => return Err(section.wrong("kind", format!("'{other}' is not known"))),
+        other => return Err(section.diagnostic("kind", format!("'{other}' is not known"))),
     };
-    let at = section.need_within("at", 0.0, 3600.0)?;
-    Ok(Fault { at, long: section.within("for", 0.0, 0.0, 3600.0)?, what })
+    let at = section.required_in_range("at", 0.0, 3600.0)?;
+    Ok(Fault { at, long: section.in_range("for", 0.0, 0.0, 3600.0)?, what })
 }
--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -2,7 +2,7 @@
 use crate::Ending;
 use clap::Args;
 use railhub_day::Day;
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_platform_net::Signals;
 use railhub_steward::{Installation, Running};
 use serde::Serialize;
@@ -121,11 +121,11 @@
 
 /// A file with a [day] section is a scenario, any other a controller's settings.
 pub fn check(file: &Path) -> Result<(), Ending> {
-    let sheet = Sheet::open(file)?;
-    if sheet.section("day").is_there() {
-        Day::read(&sheet)?;
+    let document = Document::open(file)?;
+    if document.section("day").exists() {
+        Day::read(&document)?;
     } else {
-        Installation::read(&sheet)?;
+        Installation::read(&document)?;
     }
     Ok(())
 }
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::fleet_shares::{Drain, Slices};
 use crate::Ending;
 use clap::{Args, Subcommand};
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::view::ViewEntry;
@@ -107,8 +107,8 @@
         FleetCommand::View(look) => (look, 1),
         FleetCommand::Watch(look) => (look, if look.times == 0 { u64::MAX } else { look.times }),
     };
-    let sheet = Sheet::open(&look.conf)?;
-    let terms = FleetTerms::read(&sheet)?;
+    let document = Document::open(&look.conf)?;
+    let terms = FleetTerms::read(&document)?;
     let terms = terms.ok_or_else(|| Ending::Input(format!("{}: no [fleet] section", look.conf.display())))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     loop {
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -2,7 +2,7 @@
 use crate::fleet::{look_at_all, Told, ToldLine};
 use crate::Ending;
 use clap::Args;
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
 use railhub_net::http::{Caller, HttpError};
@@ -54,8 +54,8 @@
 }
 
 pub fn slices(arguments: &Slices) -> Result<(), Ending> {
-    let sheet = Sheet::open(&arguments.conf)?;
-    let installation = Installation::read(&sheet)?;
+    let document = Document::open(&arguments.conf)?;
+    let installation = Installation::read(&document)?;
     let store = installation.store.filter(|_| installation.shares());
     let store = store.ok_or_else(|| Ending::Input("these stewards share no slices".into()))?;
     let held = ask(store).map_err(|fault| Ending::Input(format!("the store {store}: {fault}")))?;
@@ -108,8 +108,8 @@
 }
 
 pub fn drain(arguments: &Drain) -> Result<(), Ending> {
-    let sheet = Sheet::open(&arguments.conf)?;
-    let terms = FleetTerms::read(&sheet)?;
+    let document = Document::open(&arguments.conf)?;
+    let terms = FleetTerms::read(&document)?;
     let terms = terms.ok_or_else(|| Ending::Input("no [fleet] section".into()))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     let until = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, 3600.0));
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -8,7 +8,7 @@
 use railhub_experiment::stats::{estimate, Estimate};
 use railhub_fleet::fit::samples;
 use railhub_fleet::{run as run_model, Baseline, Physics, Policy};
-use railhub_ini::{Complaint, Sheet};
+use railhub_ini::{Diagnostic, Document};
 use railhub_record::{read, save};
 use railhub_rules::limits;
 use std::path::{Path, PathBuf};
@@ -118,15 +118,15 @@
     }
 }
 
-pub fn read_physics(path: &Path) -> Result<Physics, Complaint> {
-    let sheet = Sheet::open(path)?;
-    sheet.only(|name| name == "physics")?;
-    let section = sheet.section("physics");
+pub fn read_physics(path: &Path) -> Result<Physics, Diagnostic> {
+    let document = Document::open(path)?;
+    document.reject_unknown_sections(|name| name == "physics")?;
+    let section = document.section("physics");
     let physics = Physics {
-        way: section.need_within("way", 0.0, 10.0)?,
-        work_late: section.need_within("work_late", 0.0, 10.0)?,
+        way: section.required_in_range("way", 0.0, 10.0)?,
+        work_late: section.required_in_range("work_late", 0.0, 10.0)?,
     };
-    section.done()?;
+    section.reject_unread_keys()?;
     Ok(physics)
 }
 
--- a/crates/railhub-day/src/import.rs
+++ b/crates/railhub-day/src/import.rs
@@ -163,8 +163,9 @@
     let name = from.display();
     let text = std::fs::read_to_string(from).map_err(|e| format!("{name}: cannot be read: {e}"))?;
     let (script, lost) = translate(&text, hosts).map_err(|e| format!("{name}:{e}"))?;
-    let sheet = railhub_ini::Sheet::read(&to.display().to_string(), &script).map_err(|e| e.to_string())?;
-    crate::Day::read(&sheet).map_err(|e| format!("the script made of {name} is wrong: {e}"))?;
+    let document =
+        railhub_ini::Document::parse(&to.display().to_string(), &script).map_err(|e| e.to_string())?;
+    crate::Day::read(&document).map_err(|e| format!("the script made of {name} is wrong: {e}"))?;
     std::fs::write(to, script).map_err(|e| format!("{}: cannot be written: {e}", to.display()))?;
     Ok(lost)
 }
--- a/crates/railhub-day/src/replay.rs
+++ b/crates/railhub-day/src/replay.rs
@@ -5,7 +5,7 @@
 //! the day's shape and growth do not, what was recorded has its own.
 use crate::draw::{self, Arrival, Coming};
 use crate::script::{ClassScript, Day};
-use railhub_ini::{Complaint, Section};
+use railhub_ini::{Diagnostic, Section};
 use railhub_record::{Event, Limits, What};
 use railhub_standin::client::Drawn;
 use railhub_traffic::scale::{scale, CopiesOf};
@@ -26,15 +26,15 @@
     folder: &Path,
     zones: &[String],
     classes: &[ClassScript],
-) -> Result<Option<Arc<Traffic>>, Complaint> {
+) -> Result<Option<Arc<Traffic>>, Diagnostic> {
     let Some(name) = load.text("traffic") else { return Ok(None) };
-    let wrong = |what: String| load.wrong("traffic", what);
+    let wrong = |what: String| load.diagnostic("traffic", what);
     if load.text("share").is_some() || load.text("shape").is_some() {
         return Err(wrong("says what comes: share and shape may not stand beside it".into()));
     }
     let opened = file::open(&folder.join(name)).map_err(|e| wrong(e.to_string()))?;
-    let times = load.within("traffic_times", 1.0, 0.001, 1000.0)?;
-    let stretch = load.within("traffic_stretch", 1.0, 0.01, 100.0)?;
+    let times = load.in_range("traffic_times", 1.0, 0.001, 1000.0)?;
+    let stretch = load.in_range("traffic_stretch", 1.0, 0.01, 100.0)?;
     let copies = [("same keys", CopiesOf::SameKeys), ("other keys", CopiesOf::OtherKeys)];
     let copies = load.choice("traffic_copies", "same keys", &copies)?;
     let mut traffic = opened.traffic;
--- a/crates/railhub-day/src/replay/tests.rs
+++ b/crates/railhub-day/src/replay/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 
 const TEXT: &str = "[day]\nlength = 5\n[fleet]\nhosts = 3\nproxies = 4\nslices = 6\nzones = a, b\n\
     [load]\ntraffic = FILE\n[kind k]\ncores = 2\n[class view]\nwork = 0.05\ncontract_time = 0.5\nhard_stop = 1\n";
@@ -18,8 +18,8 @@
     let file = std::env::temp_dir().join(format!("railhub-replay-{}-{name}", std::process::id()));
     file::save(&file, traffic).expect("writable");
     let text = TEXT.replace("FILE", file.file_name().and_then(|n| n.to_str()).expect("a name"));
-    let sheet = Sheet::read("d.ini", &text.replace(change.0, change.1)).expect("readable");
-    let day = Day::read_beside(&sheet, &std::env::temp_dir());
+    let document = Document::parse("d.ini", &text.replace(change.0, change.1)).expect("readable");
+    let day = Day::read_beside(&document, &std::env::temp_dir());
     std::fs::remove_file(&file).expect("there");
     day.map_err(|e| e.to_string())
 }
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -2,7 +2,7 @@
 use crate::replay;
 use crate::stewards::TestClock;
 use crate::troubles::{self, Trouble};
-use railhub_ini::{Complaint, Section, Sheet};
+use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::{ClassLimits, Limits, Repeats};
 use railhub_standin::client::ClientFacts;
@@ -86,90 +86,90 @@
 }
 
 impl Day {
-    pub fn open(path: &Path) -> Result<Day, Complaint> {
-        Day::read_beside(&Sheet::open(path)?, path.parent().unwrap_or(Path::new(".")))
+    pub fn open(path: &Path) -> Result<Day, Diagnostic> {
+        Day::read_beside(&Document::open(path)?, path.parent().unwrap_or(Path::new(".")))
     }
 
-    pub fn read(sheet: &Sheet) -> Result<Day, Complaint> {
-        Day::read_beside(sheet, Path::new("."))
+    pub fn read(document: &Document) -> Result<Day, Diagnostic> {
+        Day::read_beside(document, Path::new("."))
     }
 
     /// Files that the day names lie in `folder`.
-    pub fn read_beside(sheet: &Sheet, folder: &Path) -> Result<Day, Complaint> {
+    pub fn read_beside(document: &Document, folder: &Path) -> Result<Day, Diagnostic> {
         let named = |prefix: &'static str| move |name: &String| name.starts_with(prefix);
-        sheet.only(|name| {
+        document.reject_unknown_sections(|name| {
             let plain =
                 ["day", "fleet", "stewards", "load", "clients", "roster", "reports", "channel", "rules"];
             plain.contains(&name) || ["class ", "kind ", "trouble "].iter().any(|p| name.starts_with(p))
         })?;
-        let sections = sheet.sections();
+        let sections = document.section_names();
         let mut classes = Vec::new();
         for name in sections.iter().filter(|name| named("class ")(name)) {
-            classes.push(class(&sheet.section(name))?);
+            classes.push(class(&document.section(name))?);
         }
         let mut kinds = Vec::new();
         for name in sections.iter().filter(|name| named("kind ")(name)) {
-            kinds.push(kind(&sheet.section(name))?);
+            kinds.push(kind(&document.section(name))?);
         }
-        let day = sheet.section("day");
+        let day = document.section("day");
         if classes.is_empty() || kinds.is_empty() {
-            return Err(day.wrong("", "needs at least one [class NAME] and one [kind NAME]"));
+            return Err(day.diagnostic("", "needs at least one [class NAME] and one [kind NAME]"));
         }
-        let fleet = sheet.section("fleet");
-        let load = sheet.section("load");
-        let clients = sheet.section("clients");
-        let roster = sheet.section("roster");
-        let reports = sheet.section("reports");
-        let channel = sheet.section("channel");
-        let rules = sheet.section("rules");
-        let stewards = sheet.section("stewards");
+        let fleet = document.section("fleet");
+        let load = document.section("load");
+        let clients = document.section("clients");
+        let roster = document.section("roster");
+        let reports = document.section("reports");
+        let channel = document.section("channel");
+        let rules = document.section("rules");
+        let stewards = document.section("stewards");
         let zones = match fleet.list("zones") {
             names if names.is_empty() => vec!["here".to_owned()],
             names => names,
         };
-        let slices = fleet.within("slices", 0.0, 0.0, 60_000.0)? as u32;
+        let slices = fleet.in_range("slices", 0.0, 0.0, 60_000.0)? as u32;
         let replay = replay::read(&load, folder, &zones, &classes)?;
         let script = Day {
-            name: day.or("name", "unnamed".to_owned())?,
-            seed: day.or("seed", 1)?,
-            length: day.need_within("length", 1.0, 3600.0)?,
+            name: day.value_or("name", "unnamed".to_owned())?,
+            seed: day.value_or("seed", 1)?,
+            length: day.required_in_range("length", 1.0, 3600.0)?,
             zone_shares: zone_shares(&load, &zones)?,
-            hosts: fleet.need_within("hosts", 1.0, 2000.0)? as usize,
-            connections: fleet.within("connections", 2000.0, 1.0, 60_000.0)? as usize,
-            probe_work: fleet.within("probe_work", 0.002, 0.0, 10.0)?,
-            busy_every: fleet.within("busy_every", 0.0, 0.0, 60.0)?,
-            kept_gain: fleet.within("kept_gain", 0.0, 0.0, 0.95)?,
-            kept_for: fleet.within("kept_for", 10.0, 0.0, 3600.0)?,
-            proxies: fleet.need_within("proxies", 1.0, 5000.0)? as usize,
+            hosts: fleet.required_in_range("hosts", 1.0, 2000.0)? as usize,
+            connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
+            probe_work: fleet.in_range("probe_work", 0.002, 0.0, 10.0)?,
+            busy_every: fleet.in_range("busy_every", 0.0, 0.0, 60.0)?,
+            kept_gain: fleet.in_range("kept_gain", 0.0, 0.0, 0.95)?,
+            kept_for: fleet.in_range("kept_for", 10.0, 0.0, 3600.0)?,
+            proxies: fleet.required_in_range("proxies", 1.0, 5000.0)? as usize,
             pick: fleet.choice("pick", "two", &[("two", Pick::TwoByWork), ("weighted", Pick::Weighted)])?,
-            slice_spread: fleet.within("slice_spread", 0.6, 0.0, 5.0)?,
-            load: if replay.is_some() { 0.0 } else { load.need_within("share", 0.01, 3.0)? },
+            slice_spread: fleet.in_range("slice_spread", 0.6, 0.0, 5.0)?,
+            load: if replay.is_some() { 0.0 } else { load.required_in_range("share", 0.01, 3.0)? },
             replay,
             shape: shape(&load)?,
-            keys: load.within("keys", 2000.0, 1.0, 1e6)? as usize,
+            keys: load.in_range("keys", 2000.0, 1.0, 1e6)? as usize,
             clients: ClientFacts {
-                retries: clients.within("retries", 1.0, 0.0, 10.0)? as u32,
-                try_share: clients.within("try_share", 0.7, 0.01, 1.0)?,
-                pause: clients.within("pause", 0.1, 0.0, 60.0)?,
+                retries: clients.in_range("retries", 1.0, 0.0, 10.0)? as u32,
+                try_share: clients.in_range("try_share", 0.7, 0.01, 1.0)?,
+                pause: clients.in_range("pause", 0.1, 0.0, 60.0)?,
             },
-            roster_add: roster.within("add", 1.0, 0.0, 60.0)?,
-            roster_notice: roster.within("notice", 2.0, 0.0, 60.0)?,
-            report_every: reports.within("every", 1.0, 0.05, 60.0)?,
-            report_late: reports.within("late", 0.5, 0.0, 60.0)?,
-            reports_a_second: reports.within("a_second", 800.0, 1.0, 1e6)?,
-            lines_a_second: channel.within("lines_a_second", 40_000.0, 10.0, 1e9)?,
-            redial: channel.within("redial", 1.0, 0.0, 60.0)?,
-            connect_within: fleet.within("connect_within", 0.25, 0.01, 60.0)?,
-            hold: rules.within("hold", 0.2, 0.0, 60.0)?,
-            first_wait: rules.within("first_wait", 1.0, 0.0, 100.0)?,
+            roster_add: roster.in_range("add", 1.0, 0.0, 60.0)?,
+            roster_notice: roster.in_range("notice", 2.0, 0.0, 60.0)?,
+            report_every: reports.in_range("every", 1.0, 0.05, 60.0)?,
+            report_late: reports.in_range("late", 0.5, 0.0, 60.0)?,
+            reports_a_second: reports.in_range("a_second", 800.0, 1.0, 1e6)?,
+            lines_a_second: channel.in_range("lines_a_second", 40_000.0, 10.0, 1e9)?,
+            redial: channel.in_range("redial", 1.0, 0.0, 60.0)?,
+            connect_within: fleet.in_range("connect_within", 0.25, 0.01, 60.0)?,
+            hold: rules.in_range("hold", 0.2, 0.0, 60.0)?,
+            first_wait: rules.in_range("first_wait", 1.0, 0.0, 100.0)?,
             limits: Limits {
                 zones: zones.clone(),
-                proxies: fleet.or("proxies", 1)?,
+                proxies: fleet.value_or("proxies", 1)?,
                 ..limits(&rules, &classes, slices)?
             },
             troubles: Vec::new(),
-            stewards: stewards.within("count", 1.0, 1.0, STEWARDS_MOST)? as usize,
-            lease: stewards.within("lease", 3.0, 0.5, 60.0)?,
+            stewards: stewards.in_range("count", 1.0, 1.0, STEWARDS_MOST)? as usize,
+            lease: stewards.in_range("lease", 3.0, 0.5, 60.0)?,
             clocks: Vec::new(),
             broken_store: StoreFaults::default(),
             stewards_without: None,
@@ -179,14 +179,14 @@
             classes,
         };
         if script.stewards > 1 && slices == 0 {
-            return Err(stewards.wrong("count", "needs slices that stewards can share"));
+            return Err(stewards.diagnostic("count", "needs slices that stewards can share"));
         }
         let mut found = Vec::new();
         for name in sections.iter().filter(|name| named("trouble ")(name)) {
-            found.push(troubles::read(&sheet.section(name), &script)?);
+            found.push(troubles::read(&document.section(name), &script)?);
         }
         for section in [day, fleet, stewards, load, clients, roster, reports, channel, rules] {
-            section.done()?;
+            section.reject_unread_keys()?;
         }
         Ok(Day { troubles: found, ..script })
     }
@@ -196,7 +196,7 @@
     }
 }
 
-fn zone_shares(load: &Section, zones: &[String]) -> Result<Vec<f64>, Complaint> {
+fn zone_shares(load: &Section, zones: &[String]) -> Result<Vec<f64>, Diagnostic> {
     let texts = load.list("zone_shares");
     if texts.is_empty() {
         return Ok(vec![1.0; zones.len()]);
@@ -208,22 +208,24 @@
     {
         Ok(shares)
     } else {
-        Err(load.wrong("zone_shares", format!("needs {} shares, one a zone", zones.len())))
+        Err(load.diagnostic("zone_shares", format!("needs {} shares, one a zone", zones.len())))
     }
 }
 
 /// `shape = 0:1.0, 20:1.3`: times the load at moments of the day, a straight line between.
-fn shape(load: &Section) -> Result<Vec<(f64, f64)>, Complaint> {
+fn shape(load: &Section) -> Result<Vec<(f64, f64)>, Diagnostic> {
     let points = load.list("shape").into_iter().map(|point| {
         let (at, times) = point.split_once(':')?;
         Some((at.trim().parse().ok()?, times.trim().parse::<f64>().ok().filter(|times| *times >= 0.0)?))
     });
     let points: Option<Vec<(f64, f64)>> = points.collect();
     let ordered = |points: &Vec<(f64, f64)>| points.windows(2).all(|two| two[0].0 < two[1].0);
-    points.filter(ordered).ok_or_else(|| load.wrong("shape", "needs points like 0:1.0, 20:1.3, in order"))
+    points
+        .filter(ordered)
+        .ok_or_else(|| load.diagnostic("shape", "needs points like 0:1.0, 20:1.3, in order"))
 }
 
-fn class(section: &Section) -> Result<ClassScript, Complaint> {
+fn class(section: &Section) -> Result<ClassScript, Diagnostic> {
     let repeats = section.choice(
         "repeats",
         "never",
@@ -238,37 +240,37 @@
     let script = ClassScript {
         facts: ClassFacts {
             name: section.name["class ".len()..].trim().to_owned(),
-            contract_time: section.need_within("contract_time", 0.001, 3600.0)?,
-            hard_stop: section.need_within("hard_stop", 0.001, 3600.0)?,
-            gain: section.within("gain", 1.0, 0.0, 1e9)?,
+            contract_time: section.required_in_range("contract_time", 0.001, 3600.0)?,
+            hard_stop: section.required_in_range("hard_stop", 0.001, 3600.0)?,
+            gain: section.in_range("gain", 1.0, 0.0, 1e9)?,
             repeats,
-            key_window: if keyed { section.need_within("key_window", 0.0, 1e6)? } else { 0.0 },
+            key_window: if keyed { section.required_in_range("key_window", 0.0, 1e6)? } else { 0.0 },
             writes: section.flag("writes", false)?,
         },
-        share: section.within("share", 1.0, 0.0, 1e6)?,
-        work: section.need_within("work", 1e-6, 100.0)?,
-        spread: section.within("spread", 0.5, 0.0, 10.0)?,
+        share: section.in_range("share", 1.0, 0.0, 1e6)?,
+        work: section.required_in_range("work", 1e-6, 100.0)?,
+        spread: section.in_range("spread", 0.5, 0.0, 10.0)?,
     };
-    section.done()?;
+    section.reject_unread_keys()?;
     Ok(script)
 }
 
-fn kind(section: &Section) -> Result<KindScript, Complaint> {
-    let least = section.within("speed_least", 1.0, 0.01, 100.0)?;
+fn kind(section: &Section) -> Result<KindScript, Diagnostic> {
+    let least = section.in_range("speed_least", 1.0, 0.01, 100.0)?;
     let kind = KindScript {
         name: section.name["kind ".len()..].trim().to_owned(),
-        share: section.within("share", 1.0, 0.0, 1e6)?,
-        cores: section.within("cores", 4.0, 1.0, 1024.0)? as usize,
-        speed: (least, section.within("speed_most", least, least, 100.0)?),
-        queue: section.within("queue", 40.0, 0.0, 1e6)? as usize,
-        cold_from: section.within("cold_from", 0.3, 0.01, 1.0)?,
-        warm_after: section.within("warm_after", 10.0, 0.0, 3600.0)?,
+        share: section.in_range("share", 1.0, 0.0, 1e6)?,
+        cores: section.in_range("cores", 4.0, 1.0, 1024.0)? as usize,
+        speed: (least, section.in_range("speed_most", least, least, 100.0)?),
+        queue: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
+        cold_from: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
+        warm_after: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
     };
-    section.done()?;
+    section.reject_unread_keys()?;
     Ok(kind)
 }
 
-fn limits(rules: &Section, classes: &[ClassScript], slices: u32) -> Result<Limits, Complaint> {
+fn limits(rules: &Section, classes: &[ClassScript], slices: u32) -> Result<Limits, Diagnostic> {
     let classes = classes.iter().map(|class| ClassLimits {
         name: class.facts.name.clone(),
         contract_time: class.facts.contract_time,
@@ -282,17 +284,17 @@
         classes: classes.collect(),
         slices,
         single_owner: false,
-        lost_for: rules.within("lost_for", 6.0, 0.01, 3600.0)?,
-        grace: rules.within("grace", 3.0, 0.01, 3600.0)?,
+        lost_for: rules.in_range("lost_for", 6.0, 0.01, 3600.0)?,
+        grace: rules.in_range("grace", 3.0, 0.01, 3600.0)?,
         only_draining_binds: !rules.flag("removal_binds", true)?,
-        fall_multiple: rules.within("fall_multiple", 2.5, 0.1, 1000.0)?,
-        fall_for: rules.within("fall_for", 2.0, 0.01, 600.0)?,
-        cold_from: rules.within("cold_from", 0.2, 0.0, 1.0)?,
-        warm_within: rules.within("warm_within", 15.0, 0.0, 3600.0)?,
-        backlog: rules.within("backlog", 20_000.0, 1.0, 1e9)?,
-        message_cost: rules.within("message_cost", 8.0, 0.0, 1e6)?,
-        message_cap: rules.within("message_cap", 20.0, 0.0, 1e6)? as u32,
-        messages_span: rules.within("messages_span", 10.0, 0.1, 3600.0)?,
+        fall_multiple: rules.in_range("fall_multiple", 2.5, 0.1, 1000.0)?,
+        fall_for: rules.in_range("fall_for", 2.0, 0.01, 600.0)?,
+        cold_from: rules.in_range("cold_from", 0.2, 0.0, 1.0)?,
+        warm_within: rules.in_range("warm_within", 15.0, 0.0, 3600.0)?,
+        backlog: rules.in_range("backlog", 20_000.0, 1.0, 1e9)?,
+        message_cost: rules.in_range("message_cost", 8.0, 0.0, 1e6)?,
+        message_cap: rules.in_range("message_cap", 20.0, 0.0, 1e6)? as u32,
+        messages_span: rules.in_range("messages_span", 10.0, 0.1, 3600.0)?,
         from: 0.0,
         until: 0.0,
         zones: Vec::new(),
--- a/crates/railhub-day/src/script/tests.rs
+++ b/crates/railhub-day/src/script/tests.rs
@@ -5,7 +5,7 @@
     [trouble one]\nkind = crash\nat = 2\nfor = 1\nhosts = 1\n";
 
 fn read(text: &str) -> Result<Day, String> {
-    Sheet::read("d.ini", text).and_then(|sheet| Day::read(&sheet)).map_err(|e| e.to_string())
+    Document::parse("d.ini", text).and_then(|document| Day::read(&document)).map_err(|e| e.to_string())
 }
 
 #[test]
--- a/crates/railhub-day/src/troubles.rs
+++ b/crates/railhub-day/src/troubles.rs
@@ -2,7 +2,7 @@
 use crate::draw;
 use crate::script::Day;
 use crate::world::World;
-use railhub_ini::{Complaint, Section};
+use railhub_ini::{Diagnostic, Section};
 use railhub_net::{now, seconds};
 use railhub_standin::host::Ailments;
 use railhub_standin::links::SlowLink;
@@ -178,58 +178,61 @@
     pub act: Act,
 }
 
-pub fn read(section: &Section, day: &Day) -> Result<Trouble, Complaint> {
-    let kind: String = section.need("kind")?;
-    let hosts = || -> Result<usize, Complaint> {
-        let part = section.within("part", 0.0, 0.0, 1.0)?;
+pub fn read(section: &Section, day: &Day) -> Result<Trouble, Diagnostic> {
+    let kind: String = section.required("kind")?;
+    let hosts = || -> Result<usize, Diagnostic> {
+        let part = section.in_range("part", 0.0, 0.0, 1.0)?;
         let least = usize::from(part > 0.0);
         let counted = ((part * day.hosts as f64).round() as usize).max(least);
-        let hosts = section.or("hosts", counted)?;
+        let hosts = section.value_or("hosts", counted)?;
         if hosts > 0 {
             Ok(hosts)
         } else {
-            Err(section.wrong("hosts", "is missing: hosts = 2, or part = 0.1"))
+            Err(section.diagnostic("hosts", "is missing: hosts = 2, or part = 0.1"))
         }
     };
-    let share = || section.need_within("share", 0.0, 1.0);
-    let times = || section.need_within("times", 1.0, 1000.0);
-    let zone = |key: &str| -> Result<Option<u32>, Complaint> {
+    let share = || section.required_in_range("share", 0.0, 1.0);
+    let times = || section.required_in_range("times", 1.0, 1000.0);
+    let zone = |key: &str| -> Result<Option<u32>, Diagnostic> {
         let Some(name) = section.text(key) else { return Ok(None) };
         let place = day.zones.iter().position(|zone| zone == name);
-        place.map(|n| Some(n as u32)).ok_or_else(|| section.wrong(key, format!("'{name}' is no zone")))
+        place.map(|n| Some(n as u32)).ok_or_else(|| section.diagnostic(key, format!("'{name}' is no zone")))
+    };
+    let need_zone = || zone("zone")?.ok_or_else(|| section.diagnostic("zone", "is missing"));
+    let steward = || {
+        Ok::<usize, Diagnostic>(section.in_range("steward", 0.0, 0.0, day.stewards as f64 - 1.0)? as usize)
     };
-    let need_zone = || zone("zone")?.ok_or_else(|| section.wrong("zone", "is missing"));
-    let steward =
-        || Ok::<usize, Complaint>(section.within("steward", 0.0, 0.0, day.stewards as f64 - 1.0)? as usize);
     let one_of = |key: &str| {
         let most = day.stewards as f64 - 1.0;
-        section.need_within(key, 0.0, most).map(|id| id as usize)
+        section.required_in_range(key, 0.0, most).map(|id| id as usize)
     };
     let act = match kind.as_str() {
         "crash" => Act::Crash { hosts: hosts()? },
         "deploy" => Act::Deploy {
             hosts: hosts()?,
-            batch: section.within("batch", 1.0, 1.0, 1000.0)? as usize,
-            drain: section.within("drain", 4.0, 0.0, 600.0)?,
+            batch: section.in_range("batch", 1.0, 1.0, 1000.0)? as usize,
+            drain: section.in_range("drain", 4.0, 0.0, 600.0)?,
         },
         "hang" => Act::Hang { hosts: hosts()? },
         "slow" => Act::Slow { hosts: hosts()?, times: times()? },
         "pauses" => Act::Pauses {
             hosts: hosts()?,
-            pause: section.need_within("pause", 0.0, 60.0)?,
-            every: section.need_within("every", 0.01, 600.0)?,
+            pause: section.required_in_range("pause", 0.0, 60.0)?,
+            every: section.required_in_range("every", 0.01, 600.0)?,
         },
         "neighbour" => Act::Neighbour {
             hosts: hosts()?,
-            takes: section.need_within("takes", 0.0, 0.95)?,
-            every: section.need_within("every", 0.01, 600.0)?,
+            takes: section.required_in_range("takes", 0.0, 0.95)?,
+            every: section.required_in_range("every", 0.01, 600.0)?,
         },
         "answers_lost" => Act::AnswersLost { hosts: hosts()?, share: share()? },
-        "hot_key" => Act::HotKey { share: share()?, keys: section.within("keys", 1.0, 1.0, 100.0)? as usize },
+        "hot_key" => {
+            Act::HotKey { share: share()?, keys: section.in_range("keys", 1.0, 1.0, 100.0)? as usize }
+        }
         "heavy" => Act::Heavy { share: share()?, times: times()? },
         "give_up" => Act::GiveUp {
             share: share()?,
-            patience: section.need_within("patience", 0.01, 10.0)?,
+            patience: section.required_in_range("patience", 0.01, 10.0)?,
             how: section.choice(
                 "how",
                 "short",
@@ -243,8 +246,8 @@
                 None => ShiftHow::Mix,
             },
         },
-        "growth" => Act::Growth { times: times()?, follows: section.within("follows", 1.0, 0.0, 2.0)? },
-        "late_sums" => Act::LateSums { by: section.need_within("by", 0.0, 600.0)? },
+        "growth" => Act::Growth { times: times()?, follows: section.in_range("follows", 1.0, 0.0, 2.0)? },
+        "late_sums" => Act::LateSums { by: section.required_in_range("by", 0.0, 600.0)? },
         "list_shrinks" => Act::ListShrinks { hosts: hosts()? },
         "ghosts" => Act::Ghosts { hosts: hosts()?, kinds: ghosts(section)? },
         "list_breaks" => Act::ListBreaks,
@@ -265,60 +268,62 @@
         },
         "steward_way" => Act::StewardWay { from: one_of("from")?, to: one_of("to")? },
         "steward_drained" => Act::StewardDrained { steward: steward()? },
-        "slow_orders" => Act::SlowOrders { steward: steward()?, by: section.need_within("by", 0.0, 10.0)? },
+        "slow_orders" => {
+            Act::SlowOrders { steward: steward()?, by: section.required_in_range("by", 0.0, 10.0)? }
+        }
         "stewards_split" => Act::StewardsSplit { side: side(section, day)? },
         "steward_links" => Act::StewardLinks {
-            lost: section.within("lost", 0.0, 0.0, 1.0)?,
-            delay: section.within("delay", 0.0, 0.0, 10.0)?,
+            lost: section.in_range("lost", 0.0, 0.0, 1.0)?,
+            delay: section.in_range("delay", 0.0, 0.0, 10.0)?,
         },
-        "store_slow" => Act::StoreSlow { by: section.need_within("by", 0.0, 60.0)? },
+        "store_slow" => Act::StoreSlow { by: section.required_in_range("by", 0.0, 60.0)? },
         "store_loses_answers" => Act::StoreLosesAnswers,
-        "store_forgets" => Act::StoreForgets { by: section.within("by", 0.0, 0.0, 60.0)? },
+        "store_forgets" => Act::StoreForgets { by: section.in_range("by", 0.0, 0.0, 60.0)? },
         "slow_link" => Act::SlowLink {
             zone: need_zone()?,
             other: zone("other")?,
-            delay: section.need_within("delay", 0.0, 60.0)?,
-            lost: section.within("lost", 0.0, 0.0, 1.0)?,
+            delay: section.required_in_range("delay", 0.0, 60.0)?,
+            lost: section.in_range("lost", 0.0, 0.0, 1.0)?,
         },
         "refused_version" => Act::RefusedVersion { share: share()? },
-        other => return Err(section.wrong("kind", format!("'{other}' is not known"))),
+        other => return Err(section.diagnostic("kind", format!("'{other}' is not known"))),
     };
     let trouble = Trouble {
         name: section.name["trouble ".len()..].trim().to_owned(),
         kind,
-        at: section.need_within("at", 0.0, day.length)?,
-        long: section.within("for", 0.0, 0.0, 3600.0)?,
+        at: section.required_in_range("at", 0.0, day.length)?,
+        long: section.in_range("for", 0.0, 0.0, 3600.0)?,
         act,
     };
-    section.done()?;
+    section.reject_unread_keys()?;
     Ok(trouble)
 }
 
 /// Whom a steward is cut off from: `from = stewards, store, list, proxies`.
-fn from_whom(section: &Section) -> Result<Vec<String>, Complaint> {
+fn from_whom(section: &Section) -> Result<Vec<String>, Diagnostic> {
     let names = section.list("from");
     let known = |name: &String| ["stewards", "store", "list", "proxies"].contains(&name.as_str());
     if names.is_empty() || !names.iter().all(known) {
-        return Err(section.wrong("from", "names some of stewards, store, list, proxies"));
+        return Err(section.diagnostic("from", "names some of stewards, store, list, proxies"));
     }
     Ok(names)
 }
 
-fn side(section: &Section, day: &Day) -> Result<Vec<usize>, Complaint> {
+fn side(section: &Section, day: &Day) -> Result<Vec<usize>, Diagnostic> {
     let side =
         section.list("side").into_iter().map(|id| id.parse::<usize>().ok().filter(|id| *id < day.stewards));
     side.collect::<Option<Vec<usize>>>()
         .filter(|side| !side.is_empty())
-        .ok_or_else(|| section.wrong("side", "names stewards, as in 0, 1"))
+        .ok_or_else(|| section.diagnostic("side", "names stewards, as in 0, 1"))
 }
 
-fn ghosts(section: &Section) -> Result<Vec<Ghost>, Complaint> {
+fn ghosts(section: &Section) -> Result<Vec<Ghost>, Diagnostic> {
     let names = match section.list("how") {
         names if names.is_empty() => vec!["refuse".to_owned()],
         names => names,
     };
     let all = [("refuse", Ghost::Refuse), ("error", Ghost::Error), ("silent", Ghost::Silent)];
-    names.iter().map(|name| section.chosen("how", name, &all)).collect()
+    names.iter().map(|name| section.parse_choice("how", name, &all)).collect()
 }
 
 /// Plays one trouble to its end; waits in its own coroutine.
--- a/crates/railhub-experiment/src/plan.rs
+++ b/crates/railhub-experiment/src/plan.rs
@@ -2,7 +2,7 @@
 //! constants or its version. A sweep makes an arm of each value.
 use railhub_day::Day;
 use railhub_fleet::{Baseline, Policy};
-use railhub_ini::{Complaint, Section, Sheet};
+use railhub_ini::{Diagnostic, Document, Section};
 use railhub_versions::variant;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -55,41 +55,41 @@
 }
 
 impl Experiment {
-    pub fn open(path: &Path) -> Result<Experiment, Complaint> {
-        let sheet = Sheet::open(path)?;
+    pub fn open(path: &Path) -> Result<Experiment, Diagnostic> {
+        let document = Document::open(path)?;
         let is_arm = |name: &str| name.starts_with("arm ");
-        sheet.only(|name| name == "experiment" || name == "sweep" || is_arm(name))?;
-        let head = sheet.section("experiment");
+        document.reject_unknown_sections(|name| name == "experiment" || name == "sweep" || is_arm(name))?;
+        let head = document.section("experiment");
         let folder = path.parent().unwrap_or(Path::new(".")).to_owned();
         let source = folder.join(head.text("source").unwrap_or(".."));
         let ground = Ground { days: days(&head, &folder)?, folder, source };
         let mut arms = Vec::new();
-        for name in sheet.sections().into_iter().filter(|name| is_arm(name)) {
-            let section = sheet.section(&name);
+        for name in document.section_names().into_iter().filter(|name| is_arm(name)) {
+            let section = document.section(&name);
             let keys = section.keys().into_iter();
             let keys = keys.map(|key| (section.text(&key).unwrap_or_default().to_owned(), key));
             let keys = keys.map(|(value, key)| (key, value)).collect();
             arms.push(ground.arm(&section, name["arm ".len()..].trim(), &keys, Vec::new())?);
         }
-        let sweep = sheet.section("sweep");
-        let swept = if sweep.is_there() { swept(&sweep, &ground, &mut arms)? } else { Vec::new() };
+        let sweep = document.section("sweep");
+        let swept = if sweep.exists() { swept(&sweep, &ground, &mut arms)? } else { Vec::new() };
         if arms.len() < 2 {
-            return Err(head.wrong("", "needs two arms at least: [arm NAME], or a [sweep]"));
+            return Err(head.diagnostic("", "needs two arms at least: [arm NAME], or a [sweep]"));
         }
         let days = ground.days.iter().map(|(path, _)| path.file_stem().unwrap_or_default());
         let experiment = Experiment {
-            name: head.or("name", "unnamed".to_owned())?,
+            name: head.value_or("name", "unnamed".to_owned())?,
             arms,
             source: ground.source.clone(),
             days: days.map(|name| name.to_string_lossy().into_owned()).collect(),
             sweep: swept,
-            first_seed: head.or("first_seed", 1)?,
-            blocks_least: head.within("blocks_least", 8.0, 3.0, 10_000.0)? as usize,
-            blocks_most: head.within("blocks_most", 100.0, 3.0, 100_000.0)? as usize,
-            close_enough: head.within("close_enough", 0.005, 0.0, 1.0)?,
-            worth_having: head.within("worth_having", 0.005, 0.0, 1.0)?,
+            first_seed: head.value_or("first_seed", 1)?,
+            blocks_least: head.in_range("blocks_least", 8.0, 3.0, 10_000.0)? as usize,
+            blocks_most: head.in_range("blocks_most", 100.0, 3.0, 100_000.0)? as usize,
+            close_enough: head.in_range("close_enough", 0.005, 0.0, 1.0)?,
+            worth_having: head.in_range("worth_having", 0.005, 0.0, 1.0)?,
         };
-        head.done()?;
+        head.reject_unread_keys()?;
         Ok(experiment)
     }
 
@@ -108,39 +108,40 @@
     }
 }
 
-fn days(head: &Section, folder: &Path) -> Result<Vec<(PathBuf, String)>, Complaint> {
+fn days(head: &Section, folder: &Path) -> Result<Vec<(PathBuf, String)>, Diagnostic> {
     let mut names = head.list("days");
     names.extend(head.text("day").map(str::to_owned));
     if names.is_empty() {
-        return Err(head.wrong("day", "is missing: day = FILE, or days = FILE, FILE"));
+        return Err(head.diagnostic("day", "is missing: day = FILE, or days = FILE, FILE"));
     }
     let read = |name: &String| {
         let file = folder.join(name);
         let text = std::fs::read_to_string(&file);
-        let text = text.map_err(|e| head.wrong("day", format!("{}: cannot be read: {e}", file.display())))?;
+        let text =
+            text.map_err(|e| head.diagnostic("day", format!("{}: cannot be read: {e}", file.display())))?;
         Ok((file, text))
     };
     names.iter().map(read).collect()
 }
 
 /// Adds an arm for each value, or each pair of values, of the keys that are swept.
-fn swept(sweep: &Section, ground: &Ground, arms: &mut Vec<Arm>) -> Result<Vec<String>, Complaint> {
-    let axis = |key: &str, values: &str| -> Result<Option<(String, Vec<f64>)>, Complaint> {
+fn swept(sweep: &Section, ground: &Ground, arms: &mut Vec<Arm>) -> Result<Vec<String>, Diagnostic> {
+    let axis = |key: &str, values: &str| -> Result<Option<(String, Vec<f64>)>, Diagnostic> {
         let Some(name) = sweep.text(key).map(str::to_owned) else { return Ok(None) };
         let texts = sweep.list(values);
         let read: Option<Vec<f64>> = texts.iter().map(|text| text.parse().ok()).collect();
         let read = read.filter(|values| values.len() >= 2);
-        Ok(Some((name, read.ok_or_else(|| sweep.wrong(values, "needs two numbers at least"))?)))
+        Ok(Some((name, read.ok_or_else(|| sweep.diagnostic(values, "needs two numbers at least"))?)))
     };
-    let first = axis("key", "values")?.ok_or_else(|| sweep.wrong("key", "is missing"))?;
+    let first = axis("key", "values")?.ok_or_else(|| sweep.diagnostic("key", "is missing"))?;
     let second = axis("key2", "values2")?;
-    sweep.done()?;
+    sweep.reject_unread_keys()?;
     let others: Vec<Option<f64>> = match &second {
         Some((_, values)) => values.iter().copied().map(Some).collect(),
         None => vec![None],
     };
     if first.1.len() * others.len() > SWEEP_MOST {
-        return Err(sweep.wrong("values", format!("make more than {SWEEP_MOST} arms")));
+        return Err(sweep.diagnostic("values", format!("make more than {SWEEP_MOST} arms")));
     }
     for other in &others {
         for value in &first.1 {
@@ -164,7 +165,7 @@
         name: &str,
         keys: &BTreeMap<String, String>,
         swept: Vec<f64>,
-    ) -> Result<Arm, Complaint> {
+    ) -> Result<Arm, Diagnostic> {
         let mut texts: Vec<String> = self.days.iter().map(|day| day.1.clone()).collect();
         let (mut constants, mut policy, mut luck) = (BTreeMap::new(), None, 0);
         for (key, value) in keys {
@@ -175,30 +176,32 @@
             } else if key == "version" {
                 let program = self.folder.join(value);
                 if !program.is_file() {
-                    return Err(section.wrong(key, format!("'{value}' is no program")));
+                    return Err(section.diagnostic(key, format!("'{value}' is no program")));
                 }
                 policy = Some(Policy::Version(program));
             } else if key == "luck" {
-                luck = value.parse().map_err(|_| section.wrong(key, format!("cannot be '{value}'")))?;
+                luck = value.parse().map_err(|_| section.diagnostic(key, format!("cannot be '{value}'")))?;
             } else {
                 for text in &mut texts {
                     let unknown =
-                        || section.wrong(key, "is no [section] of the day and a key: rules.grace = 3");
+                        || section.diagnostic(key, "is no [section] of the day and a key: rules.grace = 3");
                     *text = replaced(text, key, value).ok_or_else(unknown)?;
                 }
             }
         }
         if !constants.is_empty() && policy.is_some() {
-            return Err(section.wrong("policy", "and version may not stand beside constants of the module"));
+            return Err(
+                section.diagnostic("policy", "and version may not stand beside constants of the module")
+            );
         }
         if !constants.is_empty() {
-            variant::check(&self.source, &constants).map_err(|e| section.wrong("", e))?;
+            variant::check(&self.source, &constants).map_err(|e| section.diagnostic("", e))?;
         }
         let days = self.days.iter().zip(&texts).map(|((path, _), text)| {
             let name = path.display().to_string();
             let folder = path.parent().unwrap_or(Path::new("."));
-            let day = Sheet::read(&name, text).and_then(|sheet| Day::read_beside(&sheet, folder));
-            day.map_err(|e| section.wrong("", format!("makes no good day: {e}")))
+            let day = Document::parse(&name, text).and_then(|document| Day::read_beside(&document, folder));
+            day.map_err(|e| section.diagnostic("", format!("makes no good day: {e}")))
         });
         let days = days.collect::<Result<_, _>>()?;
         Ok(Arm {
@@ -212,7 +215,7 @@
     }
 }
 
-fn plain(section: &Section, name: &str) -> Result<Policy, Complaint> {
+fn plain(section: &Section, name: &str) -> Result<Policy, Diagnostic> {
     let all = [
         ("steward", Policy::Steward),
         ("fixed", Policy::Fixed),
@@ -220,7 +223,7 @@
         ("even", Policy::Baseline(Baseline::Even)),
         ("latency", Policy::Baseline(Baseline::Latency)),
     ];
-    section.chosen("policy", name, &all)
+    section.parse_choice("policy", name, &all)
 }
 
 /// The text with `section.key` set to a value; `None` if the day has no such section.
--- a/crates/railhub-fleet/benches/speed.rs
+++ b/crates/railhub-fleet/benches/speed.rs
@@ -2,7 +2,7 @@
 //! timed test would fail on a busy machine.
 use railhub_day::Day;
 use railhub_fleet::{run, Physics, Policy};
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use std::path::Path;
 use std::time::Instant;
 
@@ -43,8 +43,8 @@
     let text = change(text, "proxies", (hosts * 2).to_string());
     let text = change(text, "slices", (hosts * 6).to_string());
     let text = change(text, "length", LENGTH.to_string());
-    let sheet = Sheet::read("sized.ini", &text).expect("readable");
-    let mut day = Day::read(&sheet).expect("a good day");
+    let document = Document::parse("sized.ini", &text).expect("readable");
+    let mut day = Day::read(&document).expect("a good day");
     // Cores that fit the rate, at the same load.
     let rate = RATE_A_HOST * hosts as f64;
     let work: f64 = day.classes.iter().map(|class| class.share * class.work).sum();
--- a/crates/railhub-fleet/src/world.rs
+++ b/crates/railhub-fleet/src/world.rs
@@ -10,7 +10,7 @@
 use railhub_day::script::Day;
 use railhub_day::troubles::Act;
 use railhub_day::world::{first_tables, proxy_facts, steward_file, Tables};
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_record::{Event, Limits, What};
 use railhub_standin::held::Held;
 use railhub_standin::host::{HostFacts, SeenKeys};
@@ -128,8 +128,9 @@
         return Err("days with several stewards are played on loopback".into());
     }
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let sheet = Sheet::read("the steward's settings", &steward_file(day, nowhere, nowhere));
-    let installation = sheet.and_then(|sheet| Installation::read(&sheet)).map_err(|e| e.to_string())?;
+    let document = Document::parse("the steward's settings", &steward_file(day, nowhere, nowhere));
+    let installation =
+        document.and_then(|document| Installation::read(&document)).map_err(|e| e.to_string())?;
     let mut world = World::new(day, policy.clone(), physics, installation, luck);
     world.open();
     world.play();
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -38,9 +38,9 @@
 
 /// The steward's side: says where it listens, then its figures for each line it is sent.
 fn be_steward(conf: &str) {
-    let sheet = railhub_ini::Sheet::read("bench", conf).expect("readable");
+    let document = railhub_ini::Document::parse("bench", conf).expect("readable");
     let running =
-        railhub_steward::Running::start(railhub_steward::Installation::read(&sheet).expect("right"))
+        railhub_steward::Running::start(railhub_steward::Installation::read(&document).expect("right"))
             .expect("loopback");
     println!("{}", running.address);
     for line in std::io::stdin().lines() {
--- a/crates/railhub-steward/src/fleet.rs
+++ b/crates/railhub-steward/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::leases::LeaseTable;
 use crate::store::{StoreWriter, StoredTable};
 use railhub::SliceId;
-use railhub_ini::{Complaint, Sheet};
+use railhub_ini::{Diagnostic, Document};
 use railhub_membership::lease_manager::{Effects, LeaseManager, LeaseManagerOptions};
 use railhub_membership::member::{Load, NodeMetadata};
 use railhub_membership::messages::{Destination, OutgoingMessage};
@@ -94,24 +94,24 @@
     ///
     /// # Errors
     /// What is wrong, with its line.
-    pub fn read(sheet: &Sheet) -> Result<Option<FleetTerms>, Complaint> {
-        let fleet = sheet.section("fleet");
-        if !fleet.is_there() {
+    pub fn read(document: &Document) -> Result<Option<FleetTerms>, Diagnostic> {
+        let fleet = document.section("fleet");
+        if !fleet.exists() {
             return Ok(None);
         }
-        let installation: String = fleet.need("installation")?;
+        let installation: String = fleet.required("installation")?;
         if installation.is_empty() || installation.len() > packet::MAX_INSTALLATION_BYTES {
-            return Err(
-                fleet.wrong("installation", format!("needs 1 to {} bytes", packet::MAX_INSTALLATION_BYTES))
-            );
+            return Err(fleet
+                .diagnostic("installation", format!("needs 1 to {} bytes", packet::MAX_INSTALLATION_BYTES)));
         }
         let join = fleet.list("join").into_iter().map(|text| {
-            text.parse().map_err(|_| fleet.wrong("join", format!("cannot be '{text}': addresses are needed")))
+            text.parse()
+                .map_err(|_| fleet.diagnostic("join", format!("cannot be '{text}': addresses are needed")))
         });
         let join: Vec<SocketAddr> = join.collect::<Result<_, _>>()?;
         if join.len() > SEEDS_MOST {
             return Err(
-                fleet.wrong("join", format!("has {} addresses, {SEEDS_MOST} at the most", join.len()))
+                fleet.diagnostic("join", format!("has {} addresses, {SEEDS_MOST} at the most", join.len()))
             );
         }
         let safeguards = [
@@ -130,25 +130,25 @@
                 || section == "steward" && matches!(key, "listen" | "traffic")
         };
         let terms = FleetTerms {
-            id: NodeId(fleet.need_within("id", 0.0, f64::from(u16::MAX - 1))? as u16),
+            id: NodeId(fleet.required_in_range("id", 0.0, f64::from(u16::MAX - 1))? as u16),
             installation,
-            listen: fleet.or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
-            advertise: fleet.text("advertise").map(|_| fleet.need("advertise")).transpose()?,
+            listen: fleet.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
+            advertise: fleet.text("advertise").map(|_| fleet.required("advertise")).transpose()?,
             join,
-            forget_after: fleet.within("forget_after", 600.0, 1.0, 1e6)?,
+            forget_after: fleet.in_range("forget_after", 600.0, 1.0, 1e6)?,
             share: fleet.flag("share", false)?,
-            lease: fleet.within("lease", 3.0, 0.5, 60.0)?,
+            lease: fleet.in_range("lease", 3.0, 0.5, 60.0)?,
             clock: LeaseClock {
-                speed: fleet.within("clock_speed", 1.0, 0.5, 2.0)?,
-                jumps_after: fleet.within("clock_jumps_after", 0.0, 0.0, 1e6)?,
-                jumps_by: fleet.within("clock_jumps_by", 0.0, -1e4, 1e4)?,
+                speed: fleet.in_range("clock_speed", 1.0, 0.5, 2.0)?,
+                jumps_after: fleet.in_range("clock_jumps_after", 0.0, 0.0, 1e6)?,
+                jumps_by: fleet.in_range("clock_jumps_by", 0.0, -1e4, 1e4)?,
                 began: now(),
             },
-            process: fleet.text("process").map(|_| fleet.need("process")).transpose()?,
+            process: fleet.text("process").map(|_| fleet.required("process")).transpose()?,
             without: fleet.choice("without", "nothing", &safeguards)?,
-            settings: sheet.digest(own),
+            settings: document.digest(own),
         };
-        fleet.done()?;
+        fleet.reject_unread_keys()?;
         Ok(Some(terms))
     }
 }
--- a/crates/railhub-steward/src/installation/tests.rs
+++ b/crates/railhub-steward/src/installation/tests.rs
@@ -5,7 +5,7 @@
     [class pay]\ncontract_time = 1.2\ngain = 2\n";
 
 fn read(text: &str) -> Result<Installation, String> {
-    Installation::read(&Sheet::read("s.ini", text).expect("readable")).map_err(|e| e.to_string())
+    Installation::read(&Document::parse("s.ini", text).expect("readable")).map_err(|e| e.to_string())
 }
 
 #[test]
--- a/crates/railhub-steward/src/traffic/tests.rs
+++ b/crates/railhub-steward/src/traffic/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_proto::SliceLoad;
 use railhub_traffic::file;
 
@@ -8,7 +8,7 @@
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:2\nslices = 4\ntraffic = {path}\n\
          [class view]\ncontract_time = 1\n"
     );
-    Installation::read(&Sheet::read("s.ini", &text).expect("readable")).expect("right")
+    Installation::read(&Document::parse("s.ini", &text).expect("readable")).expect("right")
 }
 
 fn sums(slice: u32, class: u32) -> LoadReport {
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -4,7 +4,7 @@
     Seconds, SliceAssignment,
 };
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use railhub_steward::inbox::StreamId;
 use railhub_steward::kernel::{ControllerCore, Environment, ProxyChannel, SliceAcquired};
@@ -66,7 +66,7 @@
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
-    let installation = Installation::read(&Sheet::read("s.ini", text).expect("readable")).expect("right");
+    let installation = Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
     let terms = ControllerConfig { classes, ..installation.terms.clone() };
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -1,7 +1,7 @@
 //! What a controller reads and writes, byte for byte: its INI file, the bodies it exchanges with the endpoint list and
 //! the store, the deltas it publishes, the traffic it records and the figures it shows.
 use railhub::{ClassId, HostId, Idempotency, ProxyId, RetryPolicy, SliceId, ZoneId};
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad};
 use railhub_steward::fleet::FleetFigures;
 use railhub_steward::outbox::Publication;
@@ -23,7 +23,7 @@
 }
 
 fn read(text: &str) -> Installation {
-    Installation::read(&Sheet::read("s.ini", text).expect("readable")).expect("right")
+    Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right")
 }
 
 fn hex(bytes: &[u8]) -> String {
