--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -11,9 +11,8 @@
 use crate::status::{ControllerStatus, DurationRecorder};
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::seconds;
-use railhub_platform::orders::Call;
-use railhub_platform::relay_events::CallResponse;
-use railhub_platform::{EndpointPage, NodeConfig, PlatformController, Probe};
+
+use railhub_platform::{Call, CallResponse, EndpointPage, NodeConfig, PlatformController, Probe};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -35,7 +34,8 @@
 }
 
 impl ControllerThread {
-    /// Prepares the controller and publishes its first status, by which the discovery watch resumes after the known list.
+    /// Prepares the controller and publishes its first status, by which the discovery watch resumes after the known
+    /// list.
     pub fn new(
         config: &NodeConfig,
         shared: &Arc<SharedState>,
@@ -58,7 +58,7 @@
 
     /// Runs until the process ends.
     pub fn run(mut self) {
-        self.shared.inbox.own();
+        self.shared.inbox.bind_owner();
         loop {
             self.sleep_until_due();
             self.apply_events();
@@ -78,14 +78,14 @@
         if self.controller.commands_pending() > 0 && self.timing.call_not_before() > now {
             due = due.min(self.timing.call_not_before());
         }
-        if self.shared.inbox.is_quiet() && due > now {
+        if self.shared.inbox.has_no_events() && due > now {
             std::thread::park_timeout(seconds(due - now));
         }
     }
 
     fn apply_events(&mut self) {
         for _ in 0..EVENT_BATCH_LIMIT {
-            let Some(event) = self.shared.inbox.next_word() else { return };
+            let Some(event) = self.shared.inbox.next_event() else { return };
             self.on_event(event);
         }
     }
@@ -104,10 +104,10 @@
     fn on_endpoint_page(&mut self, page: &EndpointPage) {
         let generation = page.generation;
         if self.controller.on_endpoint_page(now(), page) {
-            let (entries, complete) = (page.entries.len(), page.whole);
+            let (entries, complete) = (page.entries.len(), page.complete);
             tracing::info!(generation, entries, complete, "endpoint list updated");
         } else if generation < self.controller.generation() {
-            // An older configuration's watch overtook it: what this watch tells next would build on a page that was not
+            // An older configuration's watch overtook it: its next page would build on a page that was not
             // applied.
             tracing::info!(generation, "stale endpoint page, restarting the discovery watch");
             self.shared.discovery_watch.close();
@@ -157,19 +157,19 @@
     fn handle_batch(&mut self) {
         let started_at = now();
         let effects = self.controller.poll(started_at);
-        for lateness in effects.late {
+        for lateness in effects.timer_lateness {
             self.timer_lateness.record(lateness);
         }
         for probe in effects.probes {
-            self.health_checker.ask(probe);
+            self.health_checker.submit(probe);
         }
-        for cause in effects.notes {
-            tracing::info!(cause, "decision");
+        for cause in effects.notices {
+            tracing::info!(%cause, "decision");
         }
-        self.batches += effects.rounds;
+        self.batches += effects.batches;
         self.longest_batch = self.longest_batch.max(now() - started_at);
         if let Some(reason) = self.controller.take_resubscribe_reason() {
-            tracing::warn!(reason, "resubscribing to the relay for a new snapshot");
+            tracing::warn!(%reason, "resubscribing to the relay for a new snapshot");
             self.shared.subscription.close();
         }
     }
@@ -195,9 +195,10 @@
             pending_commands: controller.commands_pending(),
             batches: self.batches,
             snapshot_applied: controller.is_synchronized(),
-            reports_dropped: controller.load_reports_dropped + inbox.sums_dropped.load(Ordering::Relaxed),
+            reports_dropped: controller.load_reports_dropped()
+                + inbox.reports_dropped.load(Ordering::Relaxed),
             health_checks_dropped: self.health_checker.dropped(),
-            health_checks_stale: controller.probes_outdated,
+            health_checks_stale: controller.probes_outdated(),
             commands_coalesced: controller.commands_folded(),
             unnamed_classes: controller.commands_unnamed(),
             timer_lateness: self.timer_lateness.summary(),
@@ -209,6 +210,6 @@
 }
 
 fn log_call(call: &Call) {
-    tracing::debug!(id = call.id, commands = call.count, bytes = call.bytes.len(), "call sent");
+    tracing::debug!(id = call.id, commands = call.commands, bytes = call.bytes.len(), "call sent");
     tracing::trace!(id = call.id, line = %String::from_utf8_lossy(&call.bytes).trim_end(), "call");
 }
--- a/crates/railhub-platform-net/src/events.rs
+++ b/crates/railhub-platform-net/src/events.rs
@@ -1,7 +1,7 @@
 //! What sockets send to the controller thread: events, which must not be lost, and load reports, which may be.
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::Inbox;
-use railhub_platform::relay_events::{CallResponse, RelayEvent, SubscriptionId};
+use railhub_platform::{CallResponse, RelayEvent, SubscriptionId};
 use railhub_platform::{EndpointPage, Probe};
 
 /// Events that may wait for the controller thread; senders wait while the queue is full.
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -10,8 +10,8 @@
 use crate::shared_state::SharedState;
 use may::net::TcpStream;
 use railhub::ZoneId;
-use railhub_platform::collector::{self, CollectorMessage};
-use railhub_platform::InvalidEntry;
+use railhub_platform::wire::collector;
+use railhub_platform::{CollectorMessage, InvalidEntry};
 use railhub_proto::Deframer;
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -58,7 +58,7 @@
     peer: Peer<'a>,
     deframer: Deframer,
     limiter: ReadLimiter,
-    /// Before the stream, so that its guard is dropped first.
+    /// Before the stream, so that its time-out is dropped first.
     place: ConnectionPlace,
     stream: TcpStream,
 }
@@ -84,7 +84,7 @@
     fn step(&mut self) -> Next {
         match self.next_message() {
             Received::Nothing => self.read(),
-            Received::Message(frame) => self.on_frame(frame),
+            Received::Message(message) => self.on_message(message),
             Received::Invalid { reason, shown } => self.on_invalid(reason, shown),
             Received::TooLong => self.close_with(InvalidEntry::Unreadable, String::new()),
         }
@@ -92,13 +92,14 @@
 
     fn next_message(&mut self) -> Received {
         let shared = self.shared;
-        let message = self.deframer.body(|body| match collector::read(body, &shared.names, shared.slices) {
-            Ok(frame) => Received::Message(frame),
-            Err(reason) => {
-                let start = &body[..body.len().min(MAX_MESSAGE_SHOWN)];
-                Received::Invalid { reason, shown: String::from_utf8_lossy(start).into_owned() }
-            }
-        });
+        let message =
+            self.deframer.body(|body| match collector::decode(body, &shared.names, shared.slices) {
+                Ok(message) => Received::Message(message),
+                Err(reason) => {
+                    let start = &body[..body.len().min(MAX_MESSAGE_SHOWN)];
+                    Received::Invalid { reason, shown: String::from_utf8_lossy(start).into_owned() }
+                }
+            });
         match message {
             Ok(Some(received)) => received,
             Ok(None) => Received::Nothing,
@@ -119,10 +120,10 @@
         Next::Continue
     }
 
-    fn on_frame(&mut self, frame: CollectorMessage) -> Next {
-        match frame {
+    fn on_message(&mut self, message: CollectorMessage) -> Next {
+        match message {
             CollectorMessage::Ping => self.answer_ping(),
-            CollectorMessage::Collector(zone) if !self.has_joined() => self.join(zone),
+            CollectorMessage::Join(zone) if !self.has_joined() => self.join(zone),
             CollectorMessage::HostLoad(report) if self.has_joined() => self.report(LoadReport::Host(report)),
             CollectorMessage::SliceLoad(report) if self.has_joined() => {
                 self.report(LoadReport::Slice(report))
@@ -132,7 +133,7 @@
     }
 
     fn answer_ping(&self) -> Next {
-        let is_written = self.write(&collector::pong());
+        let is_written = self.write(&collector::encode_pong());
         if is_written {
             Next::Continue
         } else {
@@ -150,7 +151,7 @@
     }
 
     fn report(&self, report: LoadReport) -> Next {
-        self.shared.inbox.report(report);
+        self.shared.inbox.push_report(report);
         Next::Continue
     }
 
@@ -169,7 +170,7 @@
             Peer::Collector { .. } => RejectionCause::CollectorStream,
         };
         self.shared.rejections.record_with_sample(cause, || format!("{reason}: {shown}"));
-        self.write(&collector::refusal(reason));
+        self.write(&collector::encode_refusal(reason));
         Next::Close
     }
 
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -1,30 +1,33 @@
 use super::*;
+use crate::command::Command;
+use railhub::{HostId, SliceAssignment, WeightedHost};
 
-const NONE: SubscriptionId = SubscriptionId { file: 0, count: 0 };
+/// The current subscription before any is confirmed.
+const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
 fn controller() -> PlatformController {
     PlatformController::new(
-        &NodeConfig::parse(include_str!("../../tests/assignment.json")).expect("a good file"),
+        &NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file"),
     )
 }
 
 #[test]
-fn a_proxy_that_left_just_before_a_new_subscription_is_told_to_have_left() {
+fn reports_a_proxy_that_left_just_before_a_new_subscription() {
     let mut controller = controller();
     let (proxy, now) = (ProxyId(5), 1.0);
     controller.on_relay_event(now, NONE, RelayEvent::ProxyJoined { proxy, first: true });
     controller.on_relay_event(now, NONE, RelayEvent::ProxyLeft(proxy));
-    let first = SubscriptionId { file: 0, count: 1 };
+    let first = SubscriptionId { config_version: 0, sequence: 1 };
     [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
-        .for_each(|news| controller.on_relay_event(now, first, news));
-    assert!(controller.round.proxy_streams.last() == Some(&ProxyStreamEvent::Disconnected(proxy)));
+        .for_each(|event| controller.on_relay_event(now, first, event));
+    assert!(controller.batch.events.proxy_streams.last() == Some(&ProxyStreamEvent::Disconnected(proxy)));
 }
 
 #[test]
-fn lists_that_wait_for_the_relay_are_one_list_of_each_host_once() {
+fn merges_waiting_lists_into_one_with_each_host_once() {
     let mut controller = controller();
-    let names = controller.names.clone();
+    let names = NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file").names;
     for generation in 42..500 {
         let (old, new) = (generation - 1, generation);
         let page = format!(
@@ -32,48 +35,70 @@
              {{\"instanceId\":\"n-{old}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"gone\",\"weight\":1}},\
              {{\"instanceId\":\"n-{new}\",\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"ready\",\"weight\":1}}]}}"
         );
-        assert!(controller
-            .on_endpoint_page(1.0, &crate::discovery::read(page.as_bytes(), &names).expect("a page")));
+        assert!(controller.on_endpoint_page(
+            1.0,
+            &crate::wire::discovery::decode_page(page.as_bytes(), &names).expect("a page")
+        ));
     }
-    let [list] = controller.round.endpoint_lists.as_slice() else { panic!("one list") };
+    let [list] = controller.batch.events.endpoint_lists.as_slice() else { panic!("one list") };
     let hosts: Vec<&str> = list.entries.iter().map(|entry| entry.host.name()).collect();
     assert_eq!((list.complete, hosts), (true, vec!["s-1", "s-2", "n-499"]));
 }
 
 #[test]
-fn a_single_owners_table_never_has_two_lines_in_what_is_believed() {
-    let file = include_str!("../../tests/assignment.json").replace(
+fn a_single_owners_table_never_has_two_lines() {
+    let file = include_str!("../../tests/node_config.json").replace(
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
     );
-    let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a good file"));
+    let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a valid file"));
     let slice = SliceId(3);
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
     for name in ["s-1", "s-2"] {
         controller.on_relay_event(
             1.0,
             NONE,
-            RelayEvent::StoredEntry { slice, host: HostId::new(name).expect("a name"), weight: 1.0 },
+            RelayEvent::StoredEntry {
+                slice,
+                line: WeightedHost { host: HostId::new(name).expect("a name"), weight: 1.0 },
+            },
         );
     }
-    let held = WeightedHost { host: HostId::new("s-2").expect("a name"), weight: 1.0 };
-    assert_eq!(controller.charges, [SliceAssignment::Assigned { slice, entries: vec![held] }]);
-    controller.waiting.push(Command::Line(slice, HostId::new("s-9").expect("a name"), 1.0));
-    let settled = controller.waiting.settled(slice, &to_lines(&[held]));
-    assert_eq!(settled, [(HostId::new("s-9").expect("a name"), 1.0)]);
+    let stored = WeightedHost { host: HostId::new("s-2").expect("a name"), weight: 1.0 };
+    assert_eq!(
+        controller.assignments.assignments,
+        [SliceAssignment::Assigned { slice, entries: vec![stored] }]
+    );
+    controller.commands.push(Command::SetWeight {
+        slice,
+        line: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
+    });
+    let table = controller.commands.table_when_accepted(slice, &[stored]);
+    assert_eq!(table, [WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 }]);
 }
 
 #[test]
-fn a_line_joins_the_latest_word_on_its_slice() {
+fn a_line_joins_the_latest_assignment_of_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
-    controller.round.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: false });
-    controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
-    assert_eq!(controller.charges, [SliceAssignment::Revoked { slice }]);
-    assert_eq!(controller.round.assignments, [SliceAssignment::Assigned { slice, entries: Vec::new() }]);
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, on: true });
-    controller.on_relay_event(1.0, NONE, RelayEvent::StoredEntry { slice, host, weight: 1.0 });
+    controller.batch.events.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: false });
+    controller.on_relay_event(
+        1.0,
+        NONE,
+        RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
+    );
+    assert_eq!(controller.assignments.assignments, [SliceAssignment::Revoked { slice }]);
+    assert_eq!(
+        controller.batch.events.assignments,
+        [SliceAssignment::Assigned { slice, entries: Vec::new() }]
+    );
+    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
+    controller.on_relay_event(
+        1.0,
+        NONE,
+        RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
+    );
     let entries = vec![WeightedHost { host, weight: 1.0 }];
-    assert_eq!(controller.charges[1], SliceAssignment::Assigned { slice, entries });
+    assert_eq!(controller.assignments.assignments[1], SliceAssignment::Assigned { slice, entries });
 }
--- /dev/null
+++ b/src/decision/mod.rs
@@ -0,0 +1,298 @@
+//! The decisions of a controller: a [`Controller`] takes event batches and gives commands.
+//!
+//! Events change what is known at once. Once a second a batch is also a tick, which evaluates scores, moves slices by
+//! load and sets admission rates. Endpoint lists, assignments and hosts that go down are acted on at once. What
+//! changed leaves as one update at the end of the batch.
+//!
+//! Each rule is in a module of its own; [`Controller::handle_batch`] has their order.
+mod admission;
+mod assignment;
+mod endpoint_list;
+mod exclusion;
+mod health_check;
+mod health_score;
+mod host;
+mod load_estimate;
+mod load_report;
+mod outlier_ejection;
+mod placement;
+mod publish;
+mod rendezvous;
+mod retry_policy;
+mod service_time;
+mod single_owner;
+mod single_table;
+mod slice;
+mod slow_start;
+mod table;
+
+use crate::interface::{
+    BarrierAck, CommandSink, ControllerConfig, DecisionEvent, EventBatch, HostId, HostLoadReport, Phase,
+    ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceHandoff, SliceId, TimerId, WeightedHost,
+};
+use admission::AdmissionControl;
+use assignment::{apply_assignment, apply_handoff, drop_outdated_estimates, handoff, typical_rate};
+use endpoint_list::{apply_endpoint_list, forget_gone_hosts};
+use exclusion::Exclusions;
+use health_check::apply_health_check;
+use health_score::TICK_INTERVAL;
+use host::Host;
+use load_estimate::{estimate_loads, owned_capacity, HostLoads};
+use load_report::{apply_host_load, apply_slice_load};
+use outlier_ejection::evaluate_outliers;
+use placement::failback::fail_back;
+use placement::failover::fail_over;
+use placement::rebalancing::{rebalance, MoveQuota};
+use placement::slice_moves::SliceMoves;
+use placement::standby::choose_standbys;
+use publish::{PublishState, Publisher};
+use slice::Slices;
+use std::collections::{BTreeMap, BTreeSet};
+
+#[cfg(test)]
+mod tests;
+
+/// The timer of the tick.
+const TICK_TIMER: TimerId = TimerId(0);
+
+/// Decides for the slices that it is assigned.
+#[derive(Default)]
+pub struct Controller {
+    config: ControllerConfig,
+    /// It has handled a batch.
+    is_started: bool,
+    hosts: BTreeMap<HostId, Host>,
+    slices: Slices,
+    /// When it was assigned slices and had none.
+    first_assigned_at: Seconds,
+    /// Proxies with a stream.
+    proxies: BTreeSet<ProxyId>,
+    /// When a proxy last disconnected: it may go on writing by the tables that it had.
+    last_disconnect_at: Seconds,
+    ejected_outlier: Option<HostId>,
+    admission: AdmissionControl,
+    move_quota: MoveQuota,
+    exclusions: Exclusions,
+    publisher: Publisher,
+}
+
+impl Controller {
+    /// A controller that knows no host and no slice.
+    pub fn new(config: ControllerConfig) -> Controller {
+        let classes = config.classes.len();
+        Controller {
+            admission: AdmissionControl::new(classes),
+            publisher: Publisher::new(classes),
+            move_quota: MoveQuota::new(config.slice_count),
+            config,
+            ..Controller::default()
+        }
+    }
+
+    /// The slices that it is assigned, and the table that each one has as last published or stored.
+    pub fn assigned_tables(&self) -> impl Iterator<Item = (SliceId, &[WeightedHost])> {
+        self.slices.iter().map(|(id, slice)| (*id, slice.published.as_slice()))
+    }
+
+    /// What the next controller that a slice is assigned to gets to know; `None` of a slice that is not this one's.
+    pub fn slice_handoff(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
+        Some(handoff(now, self.slices.get(&slice)?, &self.admission.rates))
+    }
+
+    /// Applies the handoff of the controller that had a slice before, `age` seconds after it was made. Ignored of a
+    /// slice that is not assigned or is reported already, and when it is old.
+    pub fn apply_handoff(&mut self, now: Seconds, slice: SliceId, handoff: &SliceHandoff, age: Seconds) {
+        if let Some(slice) = self.slices.get_mut(&slice) {
+            apply_handoff(now, slice, handoff, age);
+        }
+    }
+
+    /// Handles all that came in since the last batch: first what is known changes, then the rules run on it.
+    pub fn handle_batch(&mut self, batch: &EventBatch, commands: &mut impl CommandSink) {
+        let now = batch.now;
+        let is_tick = self.start_batch(batch);
+        for list in &batch.endpoint_lists {
+            apply_endpoint_list(now, list, &self.config, &mut self.hosts, commands);
+        }
+        self.apply_assignments(now, &batch.assignments);
+        self.apply_load_reports(batch);
+        let mut hosts_went_down = false;
+        for result in &batch.health_checks {
+            hosts_went_down |= apply_health_check(now, result, &mut self.hosts, commands);
+        }
+        for event in &batch.proxy_streams {
+            self.apply_proxy_stream(now, event, batch.oldest_pending_at);
+        }
+        for ack in &batch.barrier_acks {
+            self.apply_barrier_ack(now, ack);
+        }
+        self.apply_acknowledged_updates(now);
+        let must_act = hosts_went_down || !batch.endpoint_lists.is_empty() || !batch.assignments.is_empty();
+        if self.config.slice_count == 0 {
+            self.publish_single_table(batch, commands);
+        } else if is_tick || must_act {
+            self.evaluate(now, is_tick, commands);
+        }
+        if is_tick {
+            self.end_tick(now, commands);
+        }
+    }
+
+    /// Whether the batch is a tick: the first one is, and each with a timer that is due.
+    fn start_batch(&mut self, batch: &EventBatch) -> bool {
+        let is_first = !self.is_started;
+        if is_first {
+            self.last_disconnect_at = batch.now;
+        }
+        self.is_started = true;
+        is_first || !batch.timers.is_empty()
+    }
+
+    /// Runs the rules in their order: eject, place, admit, publish.
+    fn evaluate(&mut self, now: Seconds, is_tick: bool, commands: &mut impl CommandSink) {
+        if is_tick {
+            let is_shedding = self.admission.is_shedding();
+            self.ejected_outlier =
+                evaluate_outliers(now, &mut self.hosts, self.ejected_outlier, is_shedding, commands);
+        }
+        drop_outdated_estimates(now, &mut self.slices);
+        let mut loads = self.loads(now);
+        self.place_slices(now, is_tick, &mut loads, commands);
+        if is_tick {
+            self.admission.update(&self.config, &self.slices, &loads);
+        }
+        choose_standbys(&self.hosts, &loads, self.ejected_outlier, &mut self.slices);
+        self.publish(now, is_tick, commands);
+    }
+
+    fn loads(&self, now: Seconds) -> HostLoads {
+        estimate_loads(now, &self.config, &self.hosts, &self.slices, &self.admission.rates)
+    }
+
+    /// Moves slices; `loads` follow.
+    fn place_slices(
+        &mut self,
+        now: Seconds,
+        is_tick: bool,
+        loads: &mut HostLoads,
+        commands: &mut impl CommandSink,
+    ) {
+        let mut moves = SliceMoves {
+            now,
+            config: &self.config,
+            hosts: &mut self.hosts,
+            slices: &mut self.slices,
+            loads,
+            admission_rates: &self.admission.rates,
+            ejected: self.ejected_outlier,
+        };
+        let failed_over = fail_over(&mut moves);
+        if failed_over > 0 {
+            commands.report(DecisionEvent::SlicesFailedOver(failed_over));
+        }
+        // Where a slice has a single owner a move stops it for seconds: it leaves only hosts that must be left.
+        if is_tick && !self.config.single_owner {
+            fail_back(&mut moves);
+            rebalance(&mut moves, &mut self.move_quota);
+        }
+    }
+
+    /// Publishes tables, exclusions and admission rates that differ from the published ones.
+    fn publish(&mut self, now: Seconds, is_tick: bool, commands: &mut impl CommandSink) {
+        let state = PublishState {
+            now,
+            is_tick,
+            config: &self.config,
+            proxies: &self.proxies,
+            hosts: &self.hosts,
+            admission: &self.admission,
+            slices: &mut self.slices,
+            exclusions: &mut self.exclusions,
+        };
+        self.publisher.publish(state, commands);
+    }
+
+    /// Publishes the table of a key space that is not sliced, and puts proxies that connected on it.
+    fn publish_single_table(&mut self, batch: &EventBatch, commands: &mut impl CommandSink) {
+        single_table::publish(batch.now, &self.hosts, &self.config, &mut self.slices, commands);
+        for event in &batch.proxy_streams {
+            if event.is_connected() && self.proxies.contains(&event.proxy()) {
+                commands.assign_table(single_table::TABLE, event.proxy());
+            }
+        }
+    }
+
+    /// Starts health checks, forgets hosts, and sets the timer of the next tick.
+    fn end_tick(&mut self, now: Seconds, commands: &mut impl CommandSink) {
+        if self.config.health_checks_allowed {
+            for (id, _) in self.hosts.iter().filter(|(_, host)| host.phase == Phase::Ready) {
+                commands.check_health(*id);
+            }
+        }
+        let (hosts, slices) = (&mut self.hosts, &mut self.slices);
+        forget_gone_hosts(now, self.ejected_outlier, hosts, slices, &mut self.exclusions);
+        commands.set_timer(TICK_INTERVAL, TICK_TIMER);
+    }
+
+    fn apply_assignments(&mut self, now: Seconds, assignments: &[SliceAssignment]) {
+        let estimated_rate = if assignments.is_empty() { 0.0 } else { typical_rate(&self.slices) };
+        let classes = self.config.classes.len();
+        for assignment in assignments {
+            if self.slices.is_empty() {
+                self.first_assigned_at = now;
+            }
+            self.publisher.backlog.forget_slice(assignment.slice());
+            apply_assignment(now, assignment, estimated_rate, classes, &mut self.hosts, &mut self.slices);
+        }
+    }
+
+    fn apply_load_reports(&mut self, batch: &EventBatch) {
+        for report in &batch.host_loads {
+            self.apply_host_load(batch.now, report);
+        }
+        for report in &batch.slice_loads {
+            apply_slice_load(batch.now, report, &mut self.slices);
+        }
+    }
+
+    fn apply_host_load(&mut self, now: Seconds, report: &HostLoadReport) {
+        let Some(host) = self.hosts.get_mut(&report.host) else { return };
+        let capacity = owned_capacity(now, host, &self.config, self.slices.len());
+        apply_host_load(now, report, capacity, self.first_assigned_at, &self.config, host);
+    }
+
+    /// Changes the connected proxies, and what exclusions and the backlog know of them.
+    fn apply_proxy_stream(
+        &mut self,
+        now: Seconds,
+        event: &ProxyStreamEvent,
+        oldest_pending_at: Option<Seconds>,
+    ) {
+        let proxy = event.proxy();
+        if !event.is_connected() {
+            if self.proxies.remove(&proxy) {
+                self.last_disconnect_at = now;
+            }
+            self.publisher.backlog.remove_proxy(proxy);
+            return;
+        }
+        // The first proxy to connect had a stream before: this controller has restarted.
+        if matches!(event, ProxyStreamEvent::Reconnected(_)) && self.proxies.is_empty() {
+            self.exclusions.mark_all_unconfirmed(self.hosts.keys().copied());
+        }
+        self.exclusions.mark_unconfirmed();
+        let was_connected = !self.proxies.insert(proxy);
+        self.publisher.on_connected(proxy, was_connected, oldest_pending_at);
+    }
+
+    fn apply_barrier_ack(&mut self, now: Seconds, ack: &BarrierAck) {
+        self.publisher.backlog.acknowledge(now, ack.proxy, ack.barrier);
+        self.apply_acknowledged_updates(now);
+    }
+
+    fn apply_acknowledged_updates(&mut self, now: Seconds) {
+        let updates = self.publisher.backlog.take_acknowledged();
+        let last_disconnect_at = self.last_disconnect_at;
+        single_owner::apply_acknowledged(now, &updates, last_disconnect_at, &self.config, &mut self.slices);
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,12 @@
 //! The decisions of railhub, a configuration controller for a fleet of proxies.
 //!
-//! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each [`EventBatch`] and a [`CommandSink`].
-pub mod brain;
-mod channel;
-pub mod interface;
-mod sums;
+//! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each
+//! [`EventBatch`] and a [`CommandSink`].
+#![warn(missing_docs)]
+mod decaying;
+mod decision;
+mod interface;
+mod update_backlog;
 
-pub use brain::Controller;
+pub use decision::Controller;
 pub use interface::*;
