--- /dev/null
+++ b/crates/railhub-links/tests/record.rs
@@ -0,0 +1,69 @@
+//! The lines of the record as literals: scripts read them, so they must not change while the names in the code do.
+use railhub_links::tcp::TcpLink;
+use railhub_links::{Board, Fate, Faults};
+use std::io::Write;
+use std::sync::{Arc, Mutex};
+
+/// Keeps what is written.
+#[derive(Clone, Default)]
+struct Kept(Arc<Mutex<Vec<u8>>>);
+
+impl Write for Kept {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().expect("no holder panics").write(bytes)
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+/// The lines without their times.
+fn lines(kept: &Kept) -> Vec<String> {
+    let text = String::from_utf8(kept.0.lock().expect("no holder panics").clone()).expect("text");
+    let without_time = |line: &str| {
+        let (before, after) = line.split_once(r#""at":"#).expect("each line has a time");
+        let (_, after) = after.split_once(',').expect("a time is not the last field");
+        format!("{before}{after}")
+    };
+    text.lines().map(without_time).collect()
+}
+
+#[test]
+fn record_lines() {
+    let kept = Kept::default();
+    let board = Arc::new(Board::new(7, Some(Box::new(kept.clone()))));
+    let faults =
+        Faults { lost: 0.25, reordered: 0.5, doubled: 1.0, delay: 0.01, jitter: 0.02, rate: 1e6, cut: false };
+    board.set("a", "b", faults);
+    for _ in 0..20 {
+        board.pass("a", "b", 100);
+    }
+    board.set("b", "a", Faults { cut: true, ..Faults::default() });
+    board.pass("b", "a", 100);
+    let link = TcpLink::open(board.clone(), "a", "b", None).expect("a port");
+    assert_eq!(link.reset(), 0);
+    board.finish();
+    let expected = [
+        r#"{"what":"way","from":"a","to":"b","faults":{"lost":0.25,"reordered":0.5,"doubled":1.0,"delay":0.01,"jitter":0.02,"rate":1000000.0,"cut":false}}"#,
+        r#"{"what":"way","from":"b","to":"a","faults":{"lost":0.0,"reordered":0.0,"doubled":0.0,"delay":0.0,"jitter":0.0,"rate":0.0,"cut":true}}"#,
+        r#"{"what":"resets","a":"a","b":"b","connections":0}"#,
+        r#"{"what":"counts","from":"a","to":"b","counts":{"passed":13,"lost":7,"cut":0,"overrun":0,"reordered":8,"doubled":13,"bytes":1300}}"#,
+        r#"{"what":"counts","from":"b","to":"a","counts":{"passed":0,"lost":0,"cut":1,"overrun":0,"reordered":0,"doubled":0,"bytes":0}}"#,
+    ];
+    assert_eq!(lines(&kept), expected);
+}
+
+#[test]
+fn fates_json() {
+    let json = serde_json::to_string(&[Fate::Passes, Fate::Lost]).expect("it can be written");
+    assert_eq!(json, r#"["passes","lost"]"#);
+}
+
+#[test]
+fn faults_are_read_with_defaults() {
+    let text = r#"{"lost":0.1,"reordered":0.2,"doubled":0.3,"delay":0.4,"jitter":0.5,"rate":6.0,"cut":true}"#;
+    let faults: Faults = serde_json::from_str(text).expect("it can be read");
+    assert_eq!(serde_json::to_string(&faults).expect("it can be written"), text);
+    assert_eq!(serde_json::from_str::<Faults>("{}").expect("it can be read"), Faults::default());
+}
