--- a/crates/railhub-proto/src/controller_messages.rs
+++ b/crates/railhub-proto/src/controller_messages.rs
@@ -45,7 +45,7 @@
     /// The zone that the proxy runs in.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// Tells one running proxy from another that claims the same number.
+    /// Differs for each process that runs as this proxy.
     #[prost(uint64, tag = "3")]
     pub process: u64,
     /// The controller process whose version the proxy holds.
@@ -189,7 +189,7 @@
     #[prost(uint32, optional, tag = "10")]
     pub assigned_table: Option<u32>,
     /// Where controllers share the slices: the epoch that each slice named above is published under. A proxy that
-    /// has applied a newer epoch of a slice ignores what the delta says of it.
+    /// has applied a newer epoch of a slice ignores its part of the delta.
     #[prost(message, repeated, tag = "11")]
     pub epochs: Vec<SliceEpoch>,
 }
--- a/crates/railhub-proto/tests/wire_format.rs
+++ b/crates/railhub-proto/tests/wire_format.rs
@@ -55,8 +55,8 @@
 #[test]
 fn an_acknowledgement_and_a_refusal_keep_their_bytes() {
     from_a_proxy(from_proxy::Payload::Ack(Ack { nonce: 513 }), "1203088104");
-    let refusal = Nack { nonce: 514, reason: "line 3".into() };
-    from_a_proxy(from_proxy::Payload::Nack(refusal), "1a0b08820412066c696e652033");
+    let nack = Nack { nonce: 514, reason: "line 3".into() };
+    from_a_proxy(from_proxy::Payload::Nack(nack), "1a0b08820412066c696e652033");
 }
 
 #[test]
@@ -69,8 +69,8 @@
         utilization: busy,
     };
     let demand = vec![SliceLoad { slice: 40, class: 1, operations: 1000 }];
-    let sums = LoadReport { span: 1.25, hosts: vec![host(Some(0.5)), host(None)], slices: demand };
-    from_a_proxy(from_proxy::Payload::LoadReport(sums), "225509000000000000f43f12240a0b31302e302e302e313a383010fa01180321000000000080344029000000000000e03f121b0a0b31302e302e302e313a383010fa0118032100000000008034401a070828100118e807");
+    let report = LoadReport { span: 1.25, hosts: vec![host(Some(0.5)), host(None)], slices: demand };
+    from_a_proxy(from_proxy::Payload::LoadReport(report), "225509000000000000f43f12240a0b31302e302e302e313a383010fa01180321000000000080344029000000000000e03f121b0a0b31302e302e302e313a383010fa0118032100000000008034401a070828100118e807");
 }
 
 #[test]
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -162,12 +162,12 @@
 
     fn follow(&self, address: SocketAddr, number: u32, report: Option<LoadReport>) {
         let mut stream = subscribe(address, number);
-        if let Some(sums) = report {
+        if let Some(report) = report {
             let mut writer = stream.try_clone().expect("handles left");
-            let sums = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(sums)) });
+            let report = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(report)) });
             go(move || loop {
                 may::coroutine::sleep(seconds(1.0));
-                if writer.write_all(&sums).is_err() {
+                if writer.write_all(&report).is_err() {
                     return;
                 }
             });
@@ -224,7 +224,7 @@
     values[values.len() / 2]
 }
 
-/// A delta from decision to the last of 300 words, over bare `may` sockets with the same bytes; then the same
+/// A delta from decision to the last of 300 acknowledgements, over bare `may` sockets with the same bytes; then the same
 /// with one more proxy that never reads.
 fn fan_out() {
     let mut ratios = Vec::new();
@@ -394,9 +394,9 @@
         utilization: None,
     });
     let demand = (0..SLICES).step_by(9).map(|slice| SliceLoad { slice, class: 0, operations: 2 });
-    let sums = LoadReport { span: 1.0, hosts: hosts.collect(), slices: demand.collect() };
+    let report = LoadReport { span: 1.0, hosts: hosts.collect(), slices: demand.collect() };
     let peers = Peers::default();
-    let _tasks = peers.join(bench.address, 0, 300, Some(sums));
+    let _tasks = peers.join(bench.address, 0, 300, Some(report));
     bench.wait("joined", 300);
     for batch in 0..10 {
         std::thread::sleep(seconds(3.0));
--- a/crates/railhub-steward/src/change.rs
+++ b/crates/railhub-steward/src/change.rs
@@ -32,7 +32,7 @@
 }
 
 impl Change {
-    /// Whether the change says nothing.
+    /// Whether the change names nothing.
     pub fn is_empty(&self) -> bool {
         !self.reset && self.assigned_table.is_none() && self.cost() == 0
     }
--- a/crates/railhub-steward/src/core/controller_core.rs
+++ b/crates/railhub-steward/src/core/controller_core.rs
@@ -41,7 +41,7 @@
 }
 
 impl<C: ProxyChannel> ControllerCore<C> {
-    /// A core with the decisions of the package `railhub`. `incarnation` tells this process from every other.
+    /// A core with the decisions of the package `railhub`. `incarnation` differs for each process.
     pub fn new(installation: Installation, incarnation: u64, now: Seconds) -> ControllerCore<C> {
         let engine = Box::new(Controller::new(installation.config.clone()));
         ControllerCore::with_engine(engine, installation, incarnation, now)
--- a/crates/railhub-steward/src/core/environment.rs
+++ b/crates/railhub-steward/src/core/environment.rs
@@ -1,4 +1,4 @@
-//! What the core asks of the world besides its proxies, and tells it.
+//! What the core orders of the process around it, besides its proxies.
 use crate::change::Change;
 use railhub::{HostId, ProxyId, SliceHandoff, SliceId, WeightedHost};
 
@@ -22,7 +22,7 @@
     fn probe(&mut self, host: HostId);
     /// Stores a slice's table. `epoch`: under which the slice is leased; 0 where this controller is alone.
     fn store_table(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>);
-    /// Stores the table of a slice that is released, with what its next holder is told.
+    /// Stores the table of a slice that is released, with the handoff for its next holder.
     fn hand_over(
         &mut self,
         _slice: SliceId,
--- a/crates/railhub-steward/src/core/figures.rs
+++ b/crates/railhub-steward/src/core/figures.rs
@@ -60,7 +60,7 @@
     pub propagation_latest: Seconds,
 }
 
-/// Durations, of which quantiles are asked.
+/// Durations and their quantiles.
 pub(super) struct DurationHistogram(Histogram<u64>);
 
 impl DurationHistogram {
--- a/crates/railhub-steward/src/core/shared_slices.rs
+++ b/crates/railhub-steward/src/core/shared_slices.rs
@@ -12,7 +12,7 @@
     pub entries: Vec<WeightedHost>,
     /// The epoch of the lease.
     pub epoch: u64,
-    /// What the previous holder told of it, and how many seconds ago, if it did.
+    /// The handoff of the previous holder, and its age in seconds, if there is one.
     pub handoff: Option<(SliceHandoff, Seconds)>,
 }
 
--- a/crates/railhub-steward/src/decision_engine.rs
+++ b/crates/railhub-steward/src/decision_engine.rs
@@ -7,12 +7,13 @@
     /// Decides on a batch of events.
     fn handle_batch(&mut self, batch: &EventBatch, commands: &mut DeltaBuilder);
 
-    /// What the next holder of a slice is told of it, if this engine tells anything.
+    /// What the next holder of a slice is given, if this engine gives anything.
     fn export_handoff(&self, _now: Seconds, _slice: SliceId) -> Option<SliceHandoff> {
         None
     }
 
-    /// Takes what the previous holder of a slice told `age` seconds ago; after the batch that brought the slice.
+    /// Applies the handoff that the previous holder of a slice wrote `age` seconds ago; called after the batch that
+    /// brought the slice.
     fn import_handoff(&mut self, _now: Seconds, _slice: SliceId, _handoff: &SliceHandoff, _age: Seconds) {}
 }
 
--- a/crates/railhub-steward/src/delta_queue.rs
+++ b/crates/railhub-steward/src/delta_queue.rs
@@ -1,5 +1,5 @@
 //! The deltas of one proxy: at most one that is pending, and a few in flight. While the proxy does not read, all that
-//! comes is merged into the pending one, so its size is bounded by what there is to say. Free of I/O and of clocks.
+//! comes is merged into the pending one, so its size is bounded by the number of resources. Free of I/O and of clocks.
 //!
 //! The way of one publication:
 //! 1. [`DeltaQueue::push`] makes it the pending delta, merged with one that is pending already.
@@ -164,7 +164,7 @@
     }
 
     /// The proxy has rejected the delta of this nonce. Its change is kept back until there is something new to send,
-    /// less what later deltas in flight say.
+    /// less what later deltas in flight supersede.
     pub fn on_nack(&mut self, nonce: u64) -> ResponseEffect {
         let Some(place) = self.place_in_flight(nonce) else { return ResponseEffect::Stale };
         let sent = self.in_flight.remove(place).expect("found above");
--- a/crates/railhub-steward/src/delta_queue/tests.rs
+++ b/crates/railhub-steward/src/delta_queue/tests.rs
@@ -68,8 +68,8 @@
 #[test]
 fn a_snapshot_folded_with_later_levels_keeps_both() {
     let mut queue = DeltaQueue::default();
-    let whole = Change { reset: true, cleared: [SliceId(1)].into(), ..Change::default() };
-    queue.push(Arc::new(Publication::new(whole, 1, 1, 0.0, None)));
+    let snapshot = Change { reset: true, cleared: [SliceId(1)].into(), ..Change::default() };
+    queue.push(Arc::new(Publication::new(snapshot, 1, 1, 0.0, None)));
     let level = Change {
         admission_rates: [(ClassId(0), ClassAdmission { rate: 0.5, retry: RetryPolicy::Never })].into(),
         ..Change::default()
--- a/crates/railhub-steward/src/lib.rs
+++ b/crates/railhub-steward/src/lib.rs
@@ -12,13 +12,13 @@
 //! 2. Its change is applied to the [`tables`], which makes the next version.
 //! 3. The change is encoded once and pushed to each joined proxy's queue; touched tables go to the store.
 //! 4. The proxy's writer takes it. While the last one has not left, both are merged into one later delta.
-//! 5. The proxy's response comes to the owner, which tells the decisions of the barrier that was passed.
+//! 5. The proxy's response comes to the owner, which gives the decisions the barrier that was passed.
 //!
 //! The way of one load report: it comes up a proxy's stream, is validated, waits in the inbox, is added up by the
 //! [`report_aggregator`] and given to the decisions each second, the oldest first, as many as the limit allows.
 //!
 //! The way of one failure: a stream that breaks, is silent, sends an invalid message, or leaves a delta without a
-//! response for too long ends alone, with a reason sent and logged. The owner tells the decisions that the proxy left.
+//! response for too long ends alone, with a reason sent and logged. The decisions get the disconnect with the next batch.
 #![warn(missing_docs)]
 pub mod change;
 pub mod core;
--- a/crates/railhub-steward/src/membership/lease_coordinator.rs
+++ b/crates/railhub-steward/src/membership/lease_coordinator.rs
@@ -35,7 +35,7 @@
 pub(super) enum RunState {
     /// Take part.
     Running,
-    /// Hand the slices over, tell the others, and end.
+    /// Hand the slices over, announce that this controller leaves, and end.
     Leaving,
     /// End without a message to the others, as a crash would.
     Stopping,
@@ -66,7 +66,7 @@
 
 /// What the thread shares with the rest of the process.
 pub(super) struct SharedFigures {
-    /// The core's figures, for the load that the others are told.
+    /// The core's figures, for the load that is announced to the others.
     pub(super) core: Arc<Mutex<Figures>>,
     /// The thread's own.
     pub(super) membership: Arc<Mutex<MembershipFigures>>,
--- a/crates/railhub-steward/src/membership/service.rs
+++ b/crates/railhub-steward/src/membership/service.rs
@@ -34,7 +34,7 @@
 }
 
 impl MembershipService {
-    /// Starts the thread. `core_figures` tells the load; `sharing` is present where slices are shared.
+    /// Starts the thread. `core_figures` gives the load; `sharing` is present where slices are shared.
     ///
     /// # Errors
     /// The address cannot be bound, or the thread cannot be started.
@@ -71,7 +71,7 @@
         self.figures.lock().expect("no holder panics").clone()
     }
 
-    /// Hands the slices over, tells the others that this controller leaves, and ends the thread.
+    /// Hands the slices over, announces that this controller leaves, and ends the thread.
     pub fn leave(&mut self) {
         self.end(RunState::Leaving);
     }
--- a/crates/railhub-steward/src/report_aggregator/tests.rs
+++ b/crates/railhub-steward/src/report_aggregator/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use railhub_proto::{HostLoad, SliceLoad};
 
-fn sums(span: f64, tries: u32) -> LoadReport {
+fn report(span: f64, tries: u32) -> LoadReport {
     let host = "127.0.0.1:8000".to_owned();
     let hosts = vec![HostLoad {
         host,
@@ -22,7 +22,7 @@
         let reports = if (10..14).contains(&second) { 0 } else { 10 };
         let held = if second == 14 { 5.0 } else { 1.0 };
         for _ in 0..reports {
-            aggregator.add(ZoneId(0), &sums(held, (5.0 * held) as u32), 10);
+            aggregator.add(ZoneId(0), &report(held, (5.0 * held) as u32), 10);
         }
         for sum in aggregator.flush(1.0, 100.0).1 {
             operations += sum.operations;
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -97,7 +97,7 @@
         self.membership.as_ref().map(|service| service.address)
     }
 
-    /// The number that tells this process from others of the same controller, if it is in a membership.
+    /// The number of this process, which differs for each process of the controller, if it is in a membership.
     pub fn membership_process(&self) -> Option<u64> {
         self.membership.as_ref().map(|service| service.process)
     }
@@ -107,7 +107,7 @@
         self.membership.as_ref().map(MembershipService::figures)
     }
 
-    /// Hands the slices over and tells the other controllers that this one leaves.
+    /// Hands the slices over and announces to the other controllers that this one leaves.
     pub fn leave(&mut self) {
         if let Some(service) = &mut self.membership {
             service.leave();
--- a/crates/railhub-steward/src/store/bodies.rs
+++ b/crates/railhub-steward/src/store/bodies.rs
@@ -22,7 +22,7 @@
     pub epoch: u64,
     /// The weights of hosts.
     pub lines: Vec<(SocketAddr, f64)>,
-    /// What its previous holder told of it: a [`StoredHandoff`], if it is of a version that this program reads.
+    /// The handoff of its previous holder: a [`StoredHandoff`], if it is of a version that this program reads.
     #[serde(rename = "state", default, skip_serializing_if = "Option::is_none")]
     pub handoff: Option<serde_json::Value>,
     /// Seconds since the handoff was written, by the store's clock.
--- a/crates/railhub-steward/src/store/bodies/tests.rs
+++ b/crates/railhub-steward/src/store/bodies/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn told(state: serde_json::Value, age: f64) -> Option<(SliceHandoff, Seconds)> {
+fn handoff(state: serde_json::Value, age: f64) -> Option<(SliceHandoff, Seconds)> {
     StoredTable { handoff: Some(state), age, ..StoredTable::empty(3) }.acquired(7).handoff
 }
 
@@ -8,11 +8,11 @@
 fn what_cannot_be_believed_of_a_slice_is_left_out() {
     let good =
         serde_json::json!({ "version": 1, "rate": 12.5, "rests": 2.0, "home": "127.0.0.1:80", "new": 1 });
-    assert_eq!(told(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
-    let spoilt = |key: &str, value: serde_json::Value| {
+    assert_eq!(handoff(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
+    let invalid = |key: &str, value: serde_json::Value| {
         let mut state = good.clone();
         state[key] = value;
-        told(state, 0.5)
+        handoff(state, 0.5)
     };
     for (key, value) in [
         ("version", serde_json::json!(2)),
@@ -21,10 +21,10 @@
         ("rests", serde_json::json!(1e9)),
         ("home", serde_json::json!("")),
     ] {
-        assert!(spoilt(key, value.clone()).is_none(), "{key} {value}");
+        assert!(invalid(key, value.clone()).is_none(), "{key} {value}");
     }
-    assert!(told(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
-    assert!(told(good, -3.0).is_none(), "from the future");
+    assert!(handoff(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
+    assert!(handoff(good, -3.0).is_none(), "from the future");
 }
 
 #[test]
--- a/crates/railhub-steward/src/store/writer.rs
+++ b/crates/railhub-steward/src/store/writer.rs
@@ -92,7 +92,7 @@
         self.shared.wake.post();
     }
 
-    /// Writes the table of a slice that is released, with what its next holder is told.
+    /// Writes the table of a slice that is released, with the handoff for its next holder.
     pub fn hand_over(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: &SliceHandoff) {
         let write = PendingWrite { epoch, entries, handoff: Some(handoff.into()) };
         self.shared.writes.lock().expect("no holder panics").insert(slice, write);
--- a/crates/railhub-steward/src/stream_handle.rs
+++ b/crates/railhub-steward/src/stream_handle.rs
@@ -26,7 +26,7 @@
 pub(crate) enum StreamAction {
     /// End the stream with this reason.
     Close(String),
-    /// Go on as the queue says.
+    /// Go on with what the queue gives.
     Continue(WriterAction),
 }
 
--- a/crates/railhub-steward/src/stream_server.rs
+++ b/crates/railhub-steward/src/stream_server.rs
@@ -1,8 +1,8 @@
 //! The proxies' streams: a reader and a writer coroutine each.
 //!
 //! The way of one stream: it is counted, its first message must be a subscription, then its writer starts and the owner
-//! of the core is told. The reader passes on each message until one is wrong, too many come, or the connection ends;
-//! then the writer says goodbye with the reason, and the owner is told.
+//! of the core gets the subscription. The reader passes on each message until one is invalid, too many come, or the
+//! connection ends; then the writer sends a goodbye with the reason, and the owner gets the disconnect.
 use crate::core::StreamId;
 use crate::delta_queue::{DeltaResponse, MessageQuota, WriterAction};
 use crate::inbox::{Inbox, OwnerEvent, ReceivedReport};
@@ -81,7 +81,7 @@
             Ok(subscribe) => subscribe,
             Err(error) => {
                 tracing::warn!(stream = stream.0, %error, "stream ended before it subscribed");
-                return say_goodbye(&mut writer, &error.to_string());
+                return send_goodbye(&mut writer, &error.to_string());
             }
         };
         let proxy = ProxyId(subscribe.proxy as u16);
@@ -174,7 +174,7 @@
 fn write(mut writer: FrameWriter, handle: &Arc<StreamHandle>) {
     loop {
         let action = match handle.next_action(now()) {
-            StreamAction::Close(reason) => return say_goodbye(&mut writer, &reason),
+            StreamAction::Close(reason) => return send_goodbye(&mut writer, &reason),
             StreamAction::Continue(action) => action,
         };
         match action {
@@ -195,7 +195,7 @@
     }
 }
 
-fn say_goodbye(writer: &mut FrameWriter, reason: &str) {
+fn send_goodbye(writer: &mut FrameWriter, reason: &str) {
     writer.patience(GOODBYE_TIMEOUT);
     let goodbye = Goodbye { reason: reason.to_owned() };
     let _ = writer.send(&FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) });
--- a/crates/railhub-steward/src/tables/tests.rs
+++ b/crates/railhub-steward/src/tables/tests.rs
@@ -5,10 +5,10 @@
     HostId::new(&format!("127.0.0.1:{}", 8000 + n)).expect("a name")
 }
 
-fn change(words: &[(u16, u16, u8)], clears: &[u16]) -> Change {
+fn change(lines: &[(u16, u16, u8)], clears: &[u16]) -> Change {
     Change {
         cleared: clears.iter().map(|slice| SliceId(*slice)).collect(),
-        lines: (words.iter())
+        lines: (lines.iter())
             .map(|(slice, at, weight)| ((SliceId(*slice), host(*at)), f64::from(*weight)))
             .collect(),
         ..Change::default()
@@ -30,8 +30,8 @@
 type Step = (Vec<(u16, u16, u8)>, Vec<u16>);
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let words = proptest::collection::vec((0..4u16, 0..4u16, 0..3u8), 0..6);
-    proptest::collection::vec((words, proptest::collection::vec(0..4u16, 0..2)), 1..20)
+    let lines = proptest::collection::vec((0..4u16, 0..4u16, 0..3u8), 0..6);
+    proptest::collection::vec((lines, proptest::collection::vec(0..4u16, 0..2)), 1..20)
 }
 
 proptest! {
@@ -40,8 +40,8 @@
         let mut tables = Tables::default();
         let (mut by_one, mut away) = (BTreeMap::new(), BTreeMap::new());
         let mut away_at = 0;
-        for (place, (words, clears)) in steps.iter().enumerate() {
-            let change = change(words, clears);
+        for (place, (lines, clears)) in steps.iter().enumerate() {
+            let change = change(lines, clears);
             tables.apply(Arc::new(change.clone()));
             follow(&mut by_one, &change);
             if place <= left_at {
@@ -66,8 +66,8 @@
         let mut held = BTreeMap::new();
         let mut right = BTreeMap::new();
         follow(&mut right, &refused);
-        for (words, _) in &steps[1..] {
-            let later = change(words, &[]);
+        for (lines, _) in &steps[1..] {
+            let later = change(lines, &[]);
             refused.remove_superseded(&later);
             follow(&mut held, &later);
             follow(&mut right, &later);
--- a/crates/railhub-steward/src/traffic_writer/tests.rs
+++ b/crates/railhub-steward/src/traffic_writer/tests.rs
@@ -11,7 +11,7 @@
     Installation::read(&Sheet::read("s.ini", &text).expect("readable")).expect("right")
 }
 
-fn sums(slice: u32, class: u32) -> LoadReport {
+fn report(slice: u32, class: u32) -> LoadReport {
     let demand = vec![SliceLoad { slice, class, operations: 30 }];
     LoadReport { span: 2.0, hosts: Vec::new(), slices: demand }
 }
@@ -21,12 +21,12 @@
     let path = std::env::temp_dir().join(format!("railhub-sums-{}.traffic", std::process::id()));
     let installation = installation(&path.display().to_string());
     let mut writer = TrafficWriter::start(&installation, 10.0).expect("writable").expect("named");
-    writer.record(15.0, ProxyId(3), ZoneId(1), &sums(2, 0));
-    writer.record(11.0, ProxyId(3), ZoneId(1), &sums(0, 0));
-    for bad in [sums(4, 0), sums(1, 1)] {
+    writer.record(15.0, ProxyId(3), ZoneId(1), &report(2, 0));
+    writer.record(11.0, ProxyId(3), ZoneId(1), &report(0, 0));
+    for bad in [report(4, 0), report(1, 1)] {
         writer.record(15.0, ProxyId(3), ZoneId(1), &bad);
     }
-    writer.record(15.0, ProxyId(3), ZoneId(9000), &sums(1, 0));
+    writer.record(15.0, ProxyId(3), ZoneId(9000), &report(1, 0));
     assert_eq!(writer.dropped, 1, "a zone that the file cannot tell apart");
     drop(writer);
     let opened = file::open(&path).expect("a good file");
@@ -44,7 +44,7 @@
     let installation = installation(&path.display().to_string());
     for n in 0..3u32 {
         let mut writer = TrafficWriter::start(&installation, 10.0).expect("writable").expect("named");
-        writer.record(12.0 + f64::from(n), ProxyId(3), ZoneId(1), &sums(n, 0));
+        writer.record(12.0 + f64::from(n), ProxyId(3), ZoneId(1), &report(n, 0));
         drop(writer);
     }
     let slice = |name: &str| file::open(&folder.join(name)).expect("a good file").traffic.rows[0].slice;
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet round a steward, and peers that are driven step by step.
+//! A small fleet around a controller, and peers that are driven step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
 use railhub_proto::{
@@ -137,7 +137,7 @@
 
 /// What ended a wait.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum Received {
     Delta(Box<Delta>),
     Goodbye(String),
     Closed,
@@ -145,28 +145,28 @@
 }
 
 impl Peer {
-    pub fn dial(steward: SocketAddr, number: u32) -> Peer {
-        Peer::dial_as(steward, number, u64::from(number) + 1, Held::default())
+    pub fn connect(controller: SocketAddr, number: u32) -> Peer {
+        Peer::connect_as(controller, number, u64::from(number) + 1, Held::default())
     }
 
     /// As such a process, holding something already.
-    pub fn dial_as(steward: SocketAddr, number: u32, process: u64, held: Held) -> Peer {
-        let stream = TcpStream::connect(steward).expect("the steward listens");
+    pub fn connect_as(controller: SocketAddr, number: u32, process: u64, held: Held) -> Peer {
+        let stream = TcpStream::connect(controller).expect("the steward listens");
         let mut peer = Peer::new(stream, held);
         let (incarnation, version) = (peer.held.incarnation, peer.held.version);
         let subscribe = Subscribe { proxy: number, zone: number % 2, process, incarnation, version };
-        peer.say(from_proxy::Payload::Subscribe(subscribe));
+        peer.send(from_proxy::Payload::Subscribe(subscribe));
         peer
     }
 
     /// The same, dialled again while it is turned away since the end of an earlier process is not seen yet; with its
     /// first delta, neither taken in nor answered.
-    pub fn dial_after(steward: SocketAddr, number: u32, process: u64, held: &Held) -> (Peer, Delta) {
+    pub fn connect_after(controller: SocketAddr, number: u32, process: u64, held: &Held) -> (Peer, Delta) {
         let until = Instant::now() + LONG;
         loop {
-            let mut peer = Peer::dial_as(steward, number, process, held.clone());
-            match peer.hear(LONG) {
-                Heard::Delta(delta) => return (peer, *delta),
+            let mut peer = Peer::connect_as(controller, number, process, held.clone());
+            match peer.receive(LONG) {
+                Received::Delta(delta) => return (peer, *delta),
                 other => assert!(Instant::now() < until, "still turned away: {other:?}"),
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -178,85 +178,85 @@
         Peer { stream, deframer: Deframer::new(MAX_FROM_CONTROLLER_BYTES), held }
     }
 
-    pub fn say(&mut self, word: from_proxy::Payload) {
-        let _ = self.stream.write_all(&frame(&FromProxy { payload: Some(word) }));
+    pub fn send(&mut self, payload: from_proxy::Payload) {
+        let _ = self.stream.write_all(&frame(&FromProxy { payload: Some(payload) }));
     }
 
-    pub fn hear(&mut self, within: Duration) -> Heard {
+    pub fn receive(&mut self, within: Duration) -> Received {
         let until = Instant::now() + within;
         loop {
             match self.deframer.message::<FromController>().expect("a steward sends messages") {
                 Some(FromController { payload: Some(from_controller::Payload::Delta(delta)) }) => {
-                    return Heard::Delta(Box::new(delta))
+                    return Received::Delta(Box::new(delta))
                 }
                 Some(FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) }) => {
-                    return Heard::Goodbye(goodbye.reason)
+                    return Received::Goodbye(goodbye.reason)
                 }
                 _ => {}
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Heard::Nothing;
+                return Received::Nothing;
             }
             let _ = self.stream.set_read_timeout(Some(left));
             let mut bytes = [0; 65_536];
             match self.stream.read(&mut bytes) {
-                Ok(0) => return Heard::Closed,
+                Ok(0) => return Received::Closed,
                 Ok(read) => self.deframer.push(&bytes[..read]),
                 Err(e)
                     if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
                 {
-                    return Heard::Nothing
+                    return Received::Nothing
                 }
-                Err(_) => return Heard::Closed,
+                Err(_) => return Received::Closed,
             }
         }
     }
 
     /// The next delta, neither taken in nor answered.
     pub fn delta(&mut self) -> Delta {
-        match self.hear(LONG) {
-            Heard::Delta(delta) => *delta,
+        match self.receive(LONG) {
+            Received::Delta(delta) => *delta,
             other => panic!("a delta was due, not {other:?}"),
         }
     }
 
     /// Takes a delta in and says so.
-    pub fn accept(&mut self, delta: &Delta) {
+    pub fn acknowledge(&mut self, delta: &Delta) {
         self.held.take_in(delta).expect("a good delta");
-        self.say(from_proxy::Payload::Ack(Ack { nonce: delta.nonce }));
+        self.send(from_proxy::Payload::Ack(Ack { nonce: delta.nonce }));
     }
 
-    pub fn refuse(&mut self, delta: &Delta) {
+    pub fn reject(&mut self, delta: &Delta) {
         self.held.has_gap = true;
-        self.say(from_proxy::Payload::Nack(Nack { nonce: delta.nonce, reason: "a test".into() }));
+        self.send(from_proxy::Payload::Nack(Nack { nonce: delta.nonce, reason: "a test".into() }));
     }
 
     /// Obeys until what it holds is as wanted.
-    pub fn obey_until(&mut self, wanted: impl Fn(&Held) -> bool) {
+    pub fn apply_until(&mut self, wanted: impl Fn(&Held) -> bool) {
         let until = Instant::now() + LONG;
         while !wanted(&self.held) {
             assert!(Instant::now() < until, "it never came to hold that: {:?}", self.held);
-            if let Heard::Delta(delta) = self.hear(Duration::from_millis(200)) {
-                self.accept(&delta);
+            if let Received::Delta(delta) = self.receive(Duration::from_millis(200)) {
+                self.acknowledge(&delta);
             }
         }
     }
 
     /// Obeys for so long.
-    pub fn obey_for(&mut self, span: Duration) {
+    pub fn apply_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while let Some(left) = until.checked_duration_since(Instant::now()) {
-            match self.hear(left) {
-                Heard::Delta(delta) => self.accept(&delta),
-                Heard::Nothing => {}
+            match self.receive(left) {
+                Received::Delta(delta) => self.acknowledge(&delta),
+                Received::Nothing => {}
                 other => panic!("the stream ended: {other:?}"),
             }
         }
     }
 
-    pub fn report(&mut self, sums: LoadReport) {
-        self.say(from_proxy::Payload::LoadReport(sums));
+    pub fn report(&mut self, report: LoadReport) {
+        self.send(from_proxy::Payload::LoadReport(report));
     }
 }
 
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -1,4 +1,4 @@
-//! What one core tells of a slice that it gives up, and what the next one makes of it.
+//! The handoff of a slice from one core to the next.
 use railhub::{
     ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId, Seconds,
     WeightedHost,
@@ -22,7 +22,7 @@
 
 impl ProxyChannel for RecordingChannel {
     fn push(&self, publication: Arc<Publication>) {
-        self.0.lock().expect("whole").push(publication);
+        self.0.lock().expect("no holder panics").push(publication);
     }
     fn on_response(&self, _: u64, _: DeltaResponse) -> ResponseEffect {
         ResponseEffect::Stale
@@ -103,8 +103,8 @@
     environment: &mut RecordingEnvironment,
 ) {
     let demand = vec![SliceLoad { slice: SLICE.0.into(), class: 0, operations }];
-    let sums = LoadReport { span: 1.0, hosts: Vec::new(), slices: demand };
-    core.on_load_report(StreamId(1), ProxyId(0), ZoneId(0), &sums);
+    let report = LoadReport { span: 1.0, hosts: Vec::new(), slices: demand };
+    core.on_load_report(StreamId(1), ProxyId(0), ZoneId(0), &report);
     if core.take_due_timers(now) {
         core.flush_load_reports(now);
     }
@@ -137,19 +137,19 @@
     let (slice, epoch, state) = environment.handed_on.pop().expect("it tells of what it gives up");
     assert_eq!((slice, epoch), (SLICE, 1));
     assert!((25.0..60.0).contains(&state.rate), "{state:?}");
-    // Nothing is said of the slice any more, and what was said bears its epoch.
-    let before = sent.0.lock().expect("whole").len();
+    // Nothing is published of the slice any more, and what was published bears its epoch.
+    let before = sent.0.lock().expect("no holder panics").len();
     (6..9).for_each(|n| second(&mut first, 0.1 + f64::from(n), 40, &mut environment));
-    let said = sent.0.lock().expect("whole").clone();
-    assert!(said[..before].iter().any(|publication| publication.change.epochs.get(&SLICE) == Some(&1)));
-    assert!(said[before..].iter().all(|publication| publication.change.slices().is_empty()));
-    let told = |age: Seconds| {
-        let (mut heir, mut environment) = (core(2), RecordingEnvironment::default());
-        heir.on_lease_changes(10.0, gained(2, Some((state, age))), &mut environment);
-        heir.process(10.0, || 10.0, &mut environment);
-        heir.on_lease_changes(10.1, lost(), &mut environment);
+    let published = sent.0.lock().expect("no holder panics").clone();
+    assert!(published[..before].iter().any(|publication| publication.change.epochs.get(&SLICE) == Some(&1)));
+    assert!(published[before..].iter().all(|publication| publication.change.slices().is_empty()));
+    let rate_after = |age: Seconds| {
+        let (mut next_holder, mut environment) = (core(2), RecordingEnvironment::default());
+        next_holder.on_lease_changes(10.0, gained(2, Some((state, age))), &mut environment);
+        next_holder.process(10.0, || 10.0, &mut environment);
+        next_holder.on_lease_changes(10.1, lost(), &mut environment);
         environment.handed_on.pop().expect("it tells on").2.rate
     };
-    assert!((told(0.3) - state.rate).abs() < 1e-6, "as the former one knew it");
-    assert_eq!(told(60.0), 0.0, "a minute old: it begins anew");
+    assert!((rate_after(0.3) - state.rate).abs() < 1e-6, "as the former one knew it");
+    assert_eq!(rate_after(60.0), 0.0, "a minute old: it begins anew");
 }
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -334,9 +334,9 @@
     );
     let mut writer = TrafficWriter::start(&read(&text), 10.0).expect("writable").expect("named");
     let demand = |slice, class| SliceLoad { slice, class, operations: 30 };
-    let sums = |span, demand| LoadReport { span, hosts: Vec::new(), slices: demand };
-    writer.record(15.0, ProxyId(3), ZoneId(1), &sums(2.0, vec![demand(2, 0), demand(0, 1)]));
-    writer.record(11.0, ProxyId(300), ZoneId(0), &sums(2.0, vec![demand(3, 0)]));
+    let report = |span, demand| LoadReport { span, hosts: Vec::new(), slices: demand };
+    writer.record(15.0, ProxyId(3), ZoneId(1), &report(2.0, vec![demand(2, 0), demand(0, 1)]));
+    writer.record(11.0, ProxyId(300), ZoneId(0), &report(2.0, vec![demand(3, 0)]));
     drop(writer);
     let bytes = std::fs::read(&path).expect("written");
     std::fs::remove_file(&path).expect("there");
