--- a/crates/railhub-chaos/src/bed/play.rs
+++ b/crates/railhub-chaos/src/bed/play.rs
@@ -6,7 +6,7 @@
 use crate::view::sim::{How, FLAP, ROUND};
 use crate::view::{ends, Node, Seen};
 use railhub_links::udp::UdpLinks;
-use railhub_links::{Board, Crossing, Faults};
+use railhub_links::{Crossing, Faults, LinkController};
 use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, Packet};
 use railhub_membership::safeguard::Safeguard;
@@ -79,7 +79,7 @@
     installation: String,
     began: f64,
     links: UdpLinks,
-    board: Arc<Board>,
+    link_controller: Arc<LinkController>,
     nodes: BTreeMap<Node, Running>,
     current: BTreeMap<u16, Node>,
     /// Each steward's name on the links and public address; another one after it has moved.
@@ -112,17 +112,17 @@
 impl<'a> Bed<'a> {
     fn open(plan: &'a Plan<'a>) -> Result<Bed<'a>, String> {
         let record = file(&plan.folder.join("links.jsonl"))?;
-        let board = Arc::new(Board::new(plan.seed, Some(Box::new(record))));
+        let link_controller = Arc::new(LinkController::new(plan.seed, Some(Box::new(record))));
         let installation = format!("chaos-{}", plan.seed);
         let (began, heard, events) = (now(), Arc::new(Mutex::new(Heard::default())), Events::default());
         let tap = tap(installation.clone(), began, heard.clone(), events.clone());
-        let links = UdpLinks::open(board.clone(), tap);
+        let links = UdpLinks::open(link_controller.clone(), tap);
         let mut bed = Bed {
             plan,
             installation,
             began,
             links,
-            board,
+            link_controller,
             nodes: BTreeMap::new(),
             current: BTreeMap::new(),
             ends: BTreeMap::new(),
@@ -184,7 +184,7 @@
             .map_err(|e| format!("{}: {e}", conf.display()))?;
         let started = Process::start(self.plan.binary, &conf, &log)?;
         let end = self.ends[&steward].0.clone();
-        self.links.place(&end, Some(started.fleet));
+        self.links.set_real_address(&end, Some(started.fleet));
         self.asked.lock().expect("no holder panics").insert(node, started.fleet);
         self.see(Seen::Up { at: self.at(), node, steward });
         self.nodes.insert(node, Running { process: Arc::new(started), steward, end });
@@ -200,7 +200,7 @@
         act(&running.process);
         self.see(Seen::Down { at: self.at(), node, steward });
         if self.nodes.values().all(|other| other.end != running.end) {
-            self.links.place(&running.end, None);
+            self.links.set_real_address(&running.end, None);
         }
     }
 
@@ -224,8 +224,8 @@
             for (b, to) in ends.iter().filter(|(b, _)| *b != a) {
                 let cut = crate::view::sim::is_cut(&self.on, &self.apart, self.plan.faults, *from, *to);
                 let faults = Faults { cut, ..bad };
-                if self.board.faults(a, b) != faults {
-                    self.board.set(a, b, faults);
+                if self.link_controller.faults(a, b) != faults {
+                    self.link_controller.set(a, b, faults);
                 }
             }
         }
@@ -234,7 +234,7 @@
     fn links_now(&self) -> Faults {
         let on = self.on.iter().map(|number| &self.plan.faults[*number]);
         let LinkFaults { lost, doubled, reordered, delay, jitter } = links_on(self.plan.chaos.lost, on);
-        Faults { lost, doubled, reordered, delay, jitter, ..Faults::default() }
+        Faults { lost, duplicated: doubled, reordered, delay, jitter, ..Faults::default() }
     }
 
     fn run(&mut self) -> Result<(), String> {
@@ -391,7 +391,7 @@
 
     fn finish(self) -> Result<Played, String> {
         self.starving.values().for_each(|ends| ends.store(true, Ordering::Release));
-        self.board.finish();
+        self.link_controller.finish();
         let at = self.at();
         self.nodes.iter().for_each(|(node, running)| self.see_cost(*node, &running.process));
         self.nodes.values().for_each(|running| running.process.kill());
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -7,7 +7,7 @@
 use railhub_chaos::{Chaos, Fault, Judged, LinkFaults, What};
 use railhub_day::{Launch, Launched};
 use railhub_links::tcp::TcpLink;
-use railhub_links::{Board, Faults};
+use railhub_links::{Faults, LinkController};
 use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
 use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
@@ -273,7 +273,7 @@
     let folder = folder("service");
     let (peer, conf) = steward(&folder, 2, None);
     let (_other, _) = steward(&folder, 3, Some(peer.fleet));
-    let board = Arc::new(Board::new(10, None));
+    let link_controller = Arc::new(LinkController::new(10, None));
     let bed = Arc::new(Mutex::new(Vec::<Arc<TcpLink>>::new()));
     let (links, at, home) = (bed.clone(), peer.fleet, folder.clone());
     let count = AtomicUsize::new(0);
@@ -283,7 +283,7 @@
         for key in ["roster", "store"] {
             let line = text.lines().find(|line| line.starts_with(key)).ok_or("no such key")?.to_owned();
             let real = line.split('=').nth(1).and_then(|text| text.trim().parse().ok());
-            let link = TcpLink::open(board.clone(), "1", key, real).map_err(|e| e.to_string())?;
+            let link = TcpLink::open(link_controller.clone(), "1", key, real).map_err(|e| e.to_string())?;
             text = text.replace(&line, &format!("{key} = {}", link.address));
             links.lock().expect("whole").push(Arc::new(link));
         }
@@ -291,22 +291,24 @@
         let conf = home.join(format!("day-{number}.ini"));
         std::fs::write(&conf, text).map_err(|e| e.to_string())?;
         let process = Process::start(Path::new(BINARY), &conf, &conf.with_extension("log"))?;
-        let door = TcpLink::open(board.clone(), "proxies", "1", Some(process.listening));
+        let door = TcpLink::open(link_controller.clone(), "proxies", "1", Some(process.listening));
         let door = Arc::new(door.map_err(|e| e.to_string())?);
         let (address, fleet) = (door.address, process.fleet);
         links.lock().expect("whole").push(door.clone());
-        let board = board.clone();
+        let link_controller = link_controller.clone();
         // The first process alone is troubled; the day itself kills it.
         let troubles = (number == 0).then(|| {
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs(3));
-                board.set_both("1", "roster", Faults { cut: true, ..Faults::default() });
+                link_controller.set_both("1", "roster", Faults { cut: true, ..Faults::default() });
                 let reset = door.reset();
                 damage(fleet, "hand", 100_000);
                 std::thread::sleep(Duration::from_millis(1500));
-                board.set_both("1", "roster", Faults::default());
-                let held =
-                    board.counts().into_iter().filter(|((from, to), _)| from == "roster" || to == "roster");
+                link_controller.set_both("1", "roster", Faults::default());
+                let held = link_controller
+                    .counts()
+                    .into_iter()
+                    .filter(|((from, to), _)| from == "roster" || to == "roster");
                 assert!(held.map(|(_, counts)| counts.cut).sum::<u64>() > 0, "the list's words were held");
                 assert!(reset > 0, "there were streams to reset");
             })
--- a/crates/railhub-day/src/stewards.rs
+++ b/crates/railhub-day/src/stewards.rs
@@ -6,7 +6,7 @@
 use crate::world::steward_file;
 use railhub_links::tcp::TcpLink;
 use railhub_links::udp::UdpLinks;
-use railhub_links::{Board, Faults};
+use railhub_links::{Faults, LinkController};
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
 use railhub_standin::roster::Roster;
@@ -54,7 +54,7 @@
 }
 
 struct Net {
-    board: Arc<Board>,
+    link_controller: Arc<LinkController>,
     udp: UdpLinks,
     ways: Vec<Ways>,
     /// Troubles that are on, by number.
@@ -105,8 +105,8 @@
         let ways = &net.ways[steward];
         let text = steward_file(day, ways.list.address, ways.store.address) + &net.section(day, steward);
         let launched = launch(&text)?;
-        ways.door.place(Some(launched.address));
-        net.udp.place(&name(steward), launched.fleet);
+        ways.door.set_target(Some(launched.address));
+        net.udp.set_real_address(&name(steward), launched.fleet);
         self.running.lock().expect("no holder panics")[steward] = Some(launched);
         Ok(ways.door.address)
     }
@@ -115,8 +115,8 @@
     pub fn kill(&self, steward: usize) -> bool {
         let launched = self.running.lock().expect("no holder panics")[steward].take();
         if let Some(net) = &self.net {
-            net.ways[steward].door.place(None);
-            net.udp.place(&name(steward), None);
+            net.ways[steward].door.set_target(None);
+            net.udp.set_real_address(&name(steward), None);
         }
         launched.map(|launched| (launched.kill)()).is_some()
     }
@@ -159,19 +159,19 @@
 
 impl Net {
     fn open(day: &Day, list: &Roster, store: SocketAddr) -> io::Result<Net> {
-        let board = Arc::new(Board::new(day.seed, None));
-        let udp = UdpLinks::open(board.clone(), Box::new(|_| {}));
+        let link_controller = Arc::new(LinkController::new(day.seed, None));
+        let udp = UdpLinks::open(link_controller.clone(), Box::new(|_| {}));
         let ways = (0..day.stewards).map(|steward| {
             let own = name(steward);
             Ok(Ways {
-                door: TcpLink::open(board.clone(), PROXIES, &own, None)?,
-                list: TcpLink::open(board.clone(), &own, LIST, Some(list.door(steward as u32)?))?,
-                store: TcpLink::open(board.clone(), &own, STORE, Some(store))?,
+                door: TcpLink::open(link_controller.clone(), PROXIES, &own, None)?,
+                list: TcpLink::open(link_controller.clone(), &own, LIST, Some(list.door(steward as u32)?))?,
+                store: TcpLink::open(link_controller.clone(), &own, STORE, Some(store))?,
                 public: udp.add(&own)?,
             })
         });
         let ways = ways.collect::<io::Result<Vec<Ways>>>()?;
-        Ok(Net { board, udp, ways, on: Mutex::default() })
+        Ok(Net { link_controller, udp, ways, on: Mutex::default() })
     }
 
     /// The section that makes it one of a fleet.
@@ -197,8 +197,8 @@
         for (a, from) in ends.iter().enumerate() {
             for (b, to) in ends.iter().enumerate().filter(|(b, _)| *b != a && a.min(*b) < count) {
                 let faults = faults(on, a, b, count);
-                if self.board.faults(from, to) != faults {
-                    self.board.set(from, to, faults);
+                if self.link_controller.faults(from, to) != faults {
+                    self.link_controller.set(from, to, faults);
                 }
             }
         }
--- /dev/null
+++ b/crates/railhub-links/src/direction.rs
@@ -0,0 +1,89 @@
+//! One direction between two endpoints: when each packet leaves, if it does. Free of sockets and of clocks.
+use crate::faults::{Counts, Faults};
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+/// Seconds that a reordered packet is held back, at most.
+const MAX_REORDER_DELAY: f64 = 0.05;
+/// Seconds of traffic that the queue of a limited rate holds before it drops.
+const MAX_QUEUE_DELAY: f64 = 0.5;
+
+/// The traffic from one endpoint to another.
+#[derive(Clone, Debug)]
+pub struct Direction {
+    /// What is wrong with it now.
+    pub faults: Faults,
+    /// What it has done so far.
+    pub counts: Counts,
+    /// When the limited rate lets the next packet leave.
+    free_at: f64,
+    rng: ChaCha8Rng,
+}
+
+impl Direction {
+    /// A direction without faults.
+    pub fn new(rng: ChaCha8Rng) -> Direction {
+        Direction { faults: Faults::default(), counts: Counts::default(), free_at: 0.0, rng }
+    }
+
+    /// Draws nothing for a fraction of 0.
+    fn draw(&mut self, fraction: f64) -> bool {
+        fraction > 0.0 && self.rng.random::<f64>() < fraction
+    }
+
+    /// The times at which a packet that comes now leaves: none if it is dropped, two if it is duplicated.
+    pub fn pass(&mut self, now: f64, bytes: usize) -> Vec<f64> {
+        let faults = self.faults;
+        if faults.cut {
+            self.counts.cut += 1;
+            return Vec::new();
+        }
+        if self.draw(faults.lost) {
+            self.counts.lost += 1;
+            return Vec::new();
+        }
+        let Some(queued_until) = self.enqueue(now, bytes) else {
+            self.counts.queue_dropped += 1;
+            return Vec::new();
+        };
+        let mut departures = vec![self.departure(queued_until)];
+        if self.draw(faults.reordered) {
+            self.counts.reordered += 1;
+            departures[0] += self.reorder_delay();
+        }
+        if self.draw(faults.duplicated) {
+            self.counts.duplicated += 1;
+            let duplicate = self.departure(queued_until) + self.reorder_delay();
+            departures.push(duplicate);
+        }
+        self.counts.passed += 1;
+        self.counts.bytes += bytes as u64;
+        departures
+    }
+
+    /// When the limited rate has sent a packet; `None`: the queue is full.
+    fn enqueue(&mut self, now: f64, bytes: usize) -> Option<f64> {
+        if self.faults.bytes_per_second <= 0.0 {
+            return Some(now);
+        }
+        let free_at = self.free_at.max(now);
+        if free_at - now > MAX_QUEUE_DELAY {
+            return None;
+        }
+        self.free_at = free_at + bytes as f64 / self.faults.bytes_per_second;
+        Some(self.free_at)
+    }
+
+    fn departure(&mut self, queued_until: f64) -> f64 {
+        let max_jitter = self.faults.jitter;
+        let jitter = if max_jitter > 0.0 { self.rng.random::<f64>() * max_jitter } else { 0.0 };
+        queued_until + self.faults.delay + jitter
+    }
+
+    fn reorder_delay(&mut self) -> f64 {
+        self.rng.random::<f64>() * MAX_REORDER_DELAY
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/railhub-links/src/tcp.rs
+++ b/crates/railhub-links/src/tcp.rs
@@ -1,6 +1,7 @@
-//! Connections between ends: each is taken by the relay, which dials the other end itself and pumps both ways.
-use crate::board::Board;
-use crate::End;
+//! Connections between endpoints: the relay accepts each, connects to the other endpoint itself, and relays both
+//! directions.
+use crate::endpoint::Endpoint;
+use crate::link_controller::LinkController;
 use railhub_net::{now, seconds};
 use socket2::SockRef;
 use std::io::{self, Read, Write};
@@ -10,192 +11,235 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Bytes pumped at once.
-const PIECE: usize = 16 * 1024;
-/// Between looks at whether the relay has ended, and at a way that is cut.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// Seconds until what a way lost is sent again: a common least time of TCP.
-const AGAIN_AFTER: f64 = 0.2;
-/// Connections at once: further ones are closed at once, as by a full host.
-const CONNECTIONS_MOST: usize = 512;
-const DIAL_WITHIN: Duration = Duration::from_secs(1);
+/// Bytes that are relayed at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Time between checks of whether the relay has ended, and of a direction that is cut.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between checks for a new connection.
+const ACCEPT_INTERVAL: Duration = Duration::from_millis(5);
+/// Seconds after which a lost chunk is sent again: a common minimum of TCP's retransmission timeout.
+const RETRANSMISSION_TIMEOUT: f64 = 0.2;
+/// Connections at once; further ones are closed, as by a full host.
+const MAX_CONNECTIONS: usize = 512;
+/// How long connecting to the other endpoint may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Shared {
-    board: Arc<Board>,
-    from: End,
-    to: End,
+    controller: Arc<LinkController>,
+    from: Endpoint,
+    to: Endpoint,
     target: Mutex<Option<SocketAddr>>,
-    open: Mutex<Vec<Open>>,
-    /// Connections that are being taken or pumped.
-    count: AtomicUsize,
+    connections: Mutex<Vec<Connection>>,
+    /// Connections that are being accepted or relayed.
+    connection_count: AtomicUsize,
     ended: AtomicBool,
 }
 
 /// One connection through the relay.
-struct Open {
+struct Connection {
     near: TcpStream,
     far: TcpStream,
-    /// It ends without a word: both sides are reset.
+    /// Both sides are to be reset.
     reset: Arc<AtomicBool>,
 }
 
-/// A relay from one end to another; dropping it ends its connections.
+/// The side of a connection that a relaying thread reads from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadSide {
+    /// The endpoint that connected.
+    Near,
+    /// The endpoint that was connected to.
+    Far,
+}
+
+/// A relay from one endpoint to another; dropping it ends its connections.
 pub struct TcpLink {
+    /// Where the relay listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl TcpLink {
-    pub fn open(board: Arc<Board>, from: &str, to: &str, target: Option<SocketAddr>) -> io::Result<TcpLink> {
+    /// Relays connections of `from` to `to`, which listens at `target`; `None`: nowhere yet.
+    ///
+    /// # Errors
+    /// No port can be opened.
+    pub fn open(
+        controller: Arc<LinkController>,
+        from: &str,
+        to: &str,
+        target: Option<SocketAddr>,
+    ) -> io::Result<TcpLink> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            board,
+            controller,
             from: from.to_owned(),
             to: to.to_owned(),
             target: Mutex::new(target),
-            open: Mutex::default(),
-            count: AtomicUsize::new(0),
+            connections: Mutex::default(),
+            connection_count: AtomicUsize::new(0),
             ended: AtomicBool::new(false),
         });
-        let serving = shared.clone();
-        let thread = std::thread::spawn(move || serving.serve(&listener));
+        let accepting = shared.clone();
+        let thread = std::thread::spawn(move || accepting.accept(&listener));
         Ok(TcpLink { address, shared, thread: Some(thread) })
     }
 
-    /// Where the other end listens now; `None`: nowhere.
-    pub fn place(&self, target: Option<SocketAddr>) {
+    /// Sets where the other endpoint listens; `None`: nowhere.
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.shared.target.lock().expect("no holder panics") = target;
     }
 
-    /// Ends all connections at once, both sides with a reset.
+    /// Resets all connections on both sides. Returns their number.
     pub fn reset(&self) -> usize {
-        let open = std::mem::take(&mut *self.shared.open.lock().expect("no holder panics"));
-        for one in &open {
-            // A socket that lingers for no time is reset when the last of its holders lets it go: the pumps, which look
-            // at the flag. Shutting it down first would say a proper end instead.
-            for stream in [&one.near, &one.far] {
+        let connections = std::mem::take(&mut *self.shared.connections.lock().expect("no holder panics"));
+        for connection in &connections {
+            // A socket that lingers for no time is reset when the last of its holders, the relaying threads, drops it;
+            // they end by the flag. Shutting it down first would end it in order instead.
+            for stream in [&connection.near, &connection.far] {
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
             }
-            one.reset.store(true, Ordering::Release);
+            connection.reset.store(true, Ordering::Release);
         }
-        self.shared.board.note_resets(&self.shared.from, &self.shared.to, open.len());
-        open.len()
+        self.shared.controller.record_resets(&self.shared.from, &self.shared.to, connections.len());
+        connections.len()
     }
 }
 
 impl Drop for TcpLink {
     fn drop(&mut self) {
         self.shared.ended.store(true, Ordering::Release);
-        self.thread.take().into_iter().for_each(|thread| _ = thread.join());
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
         self.reset();
     }
 }
 
 impl Shared {
-    fn serve(self: &Arc<Shared>, listener: &TcpListener) {
-        while !self.ended.load(Ordering::Acquire) {
+    fn has_ended(&self) -> bool {
+        self.ended.load(Ordering::Acquire)
+    }
+
+    fn accept(self: &Arc<Shared>, listener: &TcpListener) {
+        while !self.has_ended() {
             match listener.accept() {
-                // Too many: this one is closed at once.
-                Ok(_) if self.count.load(Ordering::Acquire) >= CONNECTIONS_MOST => {}
+                Ok(_) if self.connection_count.load(Ordering::Acquire) >= MAX_CONNECTIONS => {}
                 Ok((near, _)) => {
-                    self.count.fetch_add(1, Ordering::AcqRel);
+                    self.connection_count.fetch_add(1, Ordering::AcqRel);
                     let shared = self.clone();
                     std::thread::spawn(move || {
-                        shared.join(near);
-                        shared.count.fetch_sub(1, Ordering::AcqRel);
+                        shared.connect_and_relay(near);
+                        shared.connection_count.fetch_sub(1, Ordering::AcqRel);
                     });
                 }
-                Err(_) => std::thread::sleep(LOOK_EVERY / 4),
+                Err(_) => std::thread::sleep(ACCEPT_INTERVAL),
             }
         }
     }
 
     fn is_cut(&self) -> bool {
-        self.board.faults(&self.from, &self.to).cut || self.board.faults(&self.to, &self.from).cut
+        let controller = &self.controller;
+        controller.faults(&self.from, &self.to).cut || controller.faults(&self.to, &self.from).cut
     }
 
-    /// Dials the other end, when the ways let that through, and pumps.
-    fn join(self: &Arc<Shared>, near: TcpStream) {
+    /// Connects to the other endpoint, once neither direction is cut, and relays until the connection ends.
+    fn connect_and_relay(self: &Arc<Shared>, near: TcpStream) {
         let _ = near.set_nonblocking(false);
         while self.is_cut() {
-            if self.ended.load(Ordering::Acquire) {
+            if self.has_ended() {
                 return;
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(CHECK_INTERVAL);
         }
         let target = *self.target.lock().expect("no holder panics");
-        let far = target.and_then(|target| TcpStream::connect_timeout(&target, DIAL_WITHIN).ok());
+        let far = target.and_then(|target| TcpStream::connect_timeout(&target, CONNECT_TIMEOUT).ok());
         let Some(far) = far else { return };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let reset = Arc::new(AtomicBool::new(false));
-        let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
-        if let (Ok(near), Ok(far)) = (near.try_clone(), far.try_clone()) {
-            let mut open = self.open.lock().expect("no holder panics");
-            // Those whose pumps have ended are let go.
-            open.retain(|one| Arc::strong_count(&one.reset) > 1);
-            open.push(Open { near, far, reset: reset.clone() });
-        }
-        let (shared, also) = (self.clone(), reset.clone());
-        let back = std::thread::spawn(move || shared.pump(far_too, near_too, false, &also));
-        self.pump(near, far, true, &reset);
+        let (Ok(near_writer), Ok(far_reader)) = (near.try_clone(), far.try_clone()) else { return };
+        self.register(&near, &far, &reset);
+        let (shared, also_reset) = (self.clone(), reset.clone());
+        let back =
+            std::thread::spawn(move || shared.relay(far_reader, near_writer, ReadSide::Far, &also_reset));
+        self.relay(near, far, ReadSide::Near, &reset);
         let _ = back.join();
     }
 
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, forth: bool, reset: &AtomicBool) {
-        let (a, b) = if forth { (&self.from, &self.to) } else { (&self.to, &self.from) };
-        let _ = (from.set_read_timeout(Some(LOOK_EVERY)), to.set_write_timeout(Some(LOOK_EVERY)));
-        let mut piece = vec![0; PIECE];
-        while !self.ended.load(Ordering::Acquire) {
+    /// Keeps a connection, so that it can be reset; those that have ended are dropped.
+    fn register(&self, near: &TcpStream, far: &TcpStream, reset: &Arc<AtomicBool>) {
+        let (Ok(near), Ok(far)) = (near.try_clone(), far.try_clone()) else { return };
+        let mut connections = self.connections.lock().expect("no holder panics");
+        // The relaying threads of one that has ended hold its flag no more.
+        connections.retain(|connection| Arc::strong_count(&connection.reset) > 1);
+        connections.push(Connection { near, far, reset: reset.clone() });
+    }
+
+    fn relay(&self, mut reader: TcpStream, mut writer: TcpStream, side: ReadSide, reset: &AtomicBool) {
+        let (from, to) = match side {
+            ReadSide::Near => (&self.from, &self.to),
+            ReadSide::Far => (&self.to, &self.from),
+        };
+        let _ =
+            (reader.set_read_timeout(Some(CHECK_INTERVAL)), writer.set_write_timeout(Some(CHECK_INTERVAL)));
+        let mut chunk = vec![0; CHUNK_BYTES];
+        while !self.has_ended() {
             if reset.load(Ordering::Acquire) {
                 return;
             }
-            let length = match from.read(&mut piece) {
+            let length = match reader.read(&mut chunk) {
                 Ok(0) => break,
                 Ok(length) => length,
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => continue,
+                Err(error) if is_timeout(&error) => continue,
                 Err(_) => break,
             };
-            if !self.wait_for_way(a, b, length, reset) || !self.write(&mut to, &piece[..length], reset) {
+            if !self.wait_for_departure(from, to, length, reset)
+                || !self.write(&mut writer, &chunk[..length], reset)
+            {
                 break;
             }
         }
         if !reset.load(Ordering::Acquire) {
-            let _ = (from.shutdown(Shutdown::Read), to.shutdown(Shutdown::Write));
+            let _ = (reader.shutdown(Shutdown::Read), writer.shutdown(Shutdown::Write));
         }
     }
 
-    /// Writes all of a piece, however slowly it is read; false: somebody ended it.
-    fn write(&self, to: &mut TcpStream, piece: &[u8], reset: &AtomicBool) -> bool {
+    /// Writes a complete chunk, however slowly it is read. Returns false if the relay or the connection has ended.
+    fn write(&self, writer: &mut TcpStream, chunk: &[u8], reset: &AtomicBool) -> bool {
         let mut written = 0;
-        while written < piece.len() {
-            if self.ended.load(Ordering::Acquire) || reset.load(Ordering::Acquire) {
+        while written < chunk.len() {
+            if self.has_ended() || reset.load(Ordering::Acquire) {
                 return false;
             }
-            match to.write(&piece[written..]) {
+            match writer.write(&chunk[written..]) {
                 Ok(0) => return false,
                 Ok(length) => written += length,
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+                Err(error) if is_timeout(&error) => {}
                 Err(_) => return false,
             }
         }
         true
     }
 
-    /// Holds a piece until its way lets it through; false: the relay or the connection has ended.
-    fn wait_for_way(&self, from: &str, to: &str, bytes: usize, reset: &AtomicBool) -> bool {
+    /// Holds a chunk until its direction lets it through. Returns false if the relay or the connection has ended.
+    fn wait_for_departure(&self, from: &str, to: &str, bytes: usize, reset: &AtomicBool) -> bool {
         loop {
-            if self.ended.load(Ordering::Acquire) || reset.load(Ordering::Acquire) {
+            if self.has_ended() || reset.load(Ordering::Acquire) {
                 return false;
             }
-            if let Some(at) = self.board.pass(from, to, bytes).first() {
+            if let Some(at) = self.controller.pass(from, to, bytes).first() {
                 std::thread::sleep(seconds(at - now()));
                 return true;
             }
-            let cut = self.board.faults(from, to).cut;
-            std::thread::sleep(if cut { LOOK_EVERY } else { seconds(AGAIN_AFTER) });
+            let is_cut = self.controller.faults(from, to).cut;
+            std::thread::sleep(if is_cut { CHECK_INTERVAL } else { seconds(RETRANSMISSION_TIMEOUT) });
         }
     }
 }
+
+fn is_timeout(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+}
--- a/crates/railhub-links/src/udp.rs
+++ b/crates/railhub-links/src/udp.rs
@@ -1,10 +1,9 @@
-//! Datagrams between ends. Each end has one public address, a socket of the relay; who sent a datagram is known by
-//! the address that it came from.
-use crate::board::{Board, Crossing, Fate};
-use crate::End;
+//! Datagrams between endpoints. Each endpoint has one public address, a socket of the relay; the sender of a datagram is
+//! known by its source address.
+use crate::endpoint::Endpoint;
+use crate::link_controller::{Crossing, Delivery, LinkController};
+use crate::send_queue::{QueuedDatagram, SendQueue};
 use railhub_net::{now, seconds};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,60 +11,48 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Bytes of a datagram at the most.
-const BYTES_MOST: usize = 65_507;
-/// Ends, of which those that nobody named (lookers, strangers) are some: further strangers are not let in.
-const ENDS_MOST: usize = 256;
-/// Datagrams that wait at once: further ones are dropped, as by a full switch.
-const WAITING_MOST: usize = 100_000;
-/// Between looks at whether the relay has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Bytes of a datagram: the most that UDP carries.
+const MAX_DATAGRAM_BYTES: usize = 65_507;
+/// Endpoints, those included that nobody named (observers, strangers): further strangers get no answer.
+const MAX_ENDPOINTS: usize = 256;
+/// Time between checks of whether the relay has ended.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Shortest wait for the next datagram.
+const MIN_WAIT: Duration = Duration::from_micros(50);
 
-/// Sees every datagram that comes to the relay, whatever becomes of it.
+/// Is called with every datagram that comes to the relay, whatever becomes of it.
 pub type Tap = Box<dyn Fn(&Crossing) + Send + Sync>;
 
-struct Place {
-    name: End,
+struct RelayedEndpoint {
+    name: Endpoint,
     socket: Arc<UdpSocket>,
     /// Where its process listens, once that is known.
-    real: Option<SocketAddr>,
-}
-
-struct Waiting {
-    from: usize,
-    to: usize,
-    bytes: Vec<u8>,
-}
-
-#[derive(Default)]
-struct Queue {
-    order: BinaryHeap<Reverse<(u64, u64)>>,
-    waiting: BTreeMap<u64, Waiting>,
-    last: u64,
+    real_address: Option<SocketAddr>,
 }
 
 struct Shared {
-    board: Arc<Board>,
-    places: Mutex<Vec<Place>>,
-    queue: Mutex<Queue>,
-    more: Condvar,
+    controller: Arc<LinkController>,
+    endpoints: Mutex<Vec<RelayedEndpoint>>,
+    queue: Mutex<SendQueue>,
+    queue_changed: Condvar,
     tap: Tap,
     ended: AtomicBool,
 }
 
-/// The relay; dropping it ends its threads.
+/// The relay of all datagrams; dropping it ends its threads.
 pub struct UdpLinks {
     shared: Arc<Shared>,
     threads: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl UdpLinks {
-    pub fn open(board: Arc<Board>, tap: Tap) -> UdpLinks {
+    /// A relay without endpoints.
+    pub fn open(controller: Arc<LinkController>, tap: Tap) -> UdpLinks {
         let shared = Arc::new(Shared {
-            board,
-            places: Mutex::default(),
+            controller,
+            endpoints: Mutex::default(),
             queue: Mutex::default(),
-            more: Condvar::new(),
+            queue_changed: Condvar::new(),
             tap,
             ended: AtomicBool::new(false),
         });
@@ -74,7 +61,10 @@
         UdpLinks { shared, threads: Mutex::new(vec![sender]) }
     }
 
-    /// A new end; its public address, which does not change while its process comes and goes.
+    /// Adds an endpoint. Returns its public address, which stays the same while its process comes and goes.
+    ///
+    /// # Errors
+    /// No socket can be opened.
     pub fn add(&self, name: &str) -> io::Result<SocketAddr> {
         let (place, public) = self.shared.add(name, None)?;
         let shared = self.shared.clone();
@@ -83,17 +73,19 @@
         Ok(public)
     }
 
-    /// Where an end's process listens now; `None`: nowhere.
-    pub fn place(&self, name: &str, real: Option<SocketAddr>) {
-        let mut places = self.shared.places.lock().expect("no holder panics");
-        places.iter_mut().filter(|place| place.name == name).for_each(|place| place.real = real);
+    /// Sets where an endpoint's process listens; `None`: nowhere.
+    pub fn set_real_address(&self, name: &str, real_address: Option<SocketAddr>) {
+        let mut endpoints = self.shared.endpoints.lock().expect("no holder panics");
+        for endpoint in endpoints.iter_mut().filter(|endpoint| endpoint.name == name) {
+            endpoint.real_address = real_address;
+        }
     }
 
-    /// Sends something as if it came from an end, past its way: an old datagram again, or a spoilt one.
+    /// Sends a datagram as if it came from an endpoint, past all faults: an old one again, or a corrupt one.
     pub fn inject(&self, from: &str, to: &str, bytes: &[u8]) {
-        let (from, to) = (self.shared.find(from), self.shared.find(to));
+        let (from, to) = (self.shared.place_of(from), self.shared.place_of(to));
         if let (Some(from), Some(to)) = (from, to) {
-            self.shared.emit(&Waiting { from, to, bytes: bytes.to_vec() });
+            self.shared.emit(&QueuedDatagram { from, to, bytes: bytes.to_vec() });
         }
     }
 }
@@ -101,7 +93,7 @@
 impl Drop for UdpLinks {
     fn drop(&mut self) {
         self.shared.ended.store(true, Ordering::Release);
-        self.shared.more.notify_all();
+        self.shared.queue_changed.notify_all();
         for thread in self.threads.lock().expect("no holder panics").drain(..) {
             let _ = thread.join();
         }
@@ -109,65 +101,61 @@
 }
 
 impl Shared {
-    fn add(&self, name: &str, real: Option<SocketAddr>) -> io::Result<(usize, SocketAddr)> {
+    fn add(&self, name: &str, real_address: Option<SocketAddr>) -> io::Result<(usize, SocketAddr)> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-        socket.set_read_timeout(Some(LOOK_EVERY))?;
+        socket.set_read_timeout(Some(END_CHECK_INTERVAL))?;
         let public = socket.local_addr()?;
-        let mut places = self.places.lock().expect("no holder panics");
-        places.push(Place { name: name.to_owned(), socket: Arc::new(socket), real });
-        Ok((places.len() - 1, public))
+        let mut endpoints = self.endpoints.lock().expect("no holder panics");
+        endpoints.push(RelayedEndpoint { name: name.to_owned(), socket: Arc::new(socket), real_address });
+        Ok((endpoints.len() - 1, public))
     }
 
-    fn find(&self, name: &str) -> Option<usize> {
-        self.places.lock().expect("no holder panics").iter().position(|place| place.name == name)
+    fn place_of(&self, name: &str) -> Option<usize> {
+        let endpoints = self.endpoints.lock().expect("no holder panics");
+        endpoints.iter().position(|endpoint| endpoint.name == name)
     }
 
     fn receive(self: &Arc<Shared>, to: usize) {
-        let socket = self.places.lock().expect("no holder panics")[to].socket.clone();
-        let mut bytes = vec![0; BYTES_MOST];
+        let socket = self.endpoints.lock().expect("no holder panics")[to].socket.clone();
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while !self.ended.load(Ordering::Acquire) {
-            if let Ok((length, source)) = socket.recv_from(&mut bytes) {
-                self.take(source, to, &bytes[..length]);
+            if let Ok((length, source)) = socket.recv_from(&mut buffer) {
+                self.relay(source, to, &buffer[..length]);
             }
         }
     }
 
-    fn take(self: &Arc<Shared>, source: SocketAddr, to: usize, bytes: &[u8]) {
-        let Some(from) = self.who(source) else { return };
-        let names = {
-            let places = self.places.lock().expect("no holder panics");
-            (places[from].name.clone(), places[to].name.clone())
+    fn relay(self: &Arc<Shared>, source: SocketAddr, to: usize, bytes: &[u8]) {
+        let Some(from) = self.sender(source) else { return };
+        let (from_name, to_name) = {
+            let endpoints = self.endpoints.lock().expect("no holder panics");
+            (endpoints[from].name.clone(), endpoints[to].name.clone())
         };
-        let leaves = self.board.pass(&names.0, &names.1, bytes.len());
-        let fate = if leaves.is_empty() { Fate::Lost } else { Fate::Passes };
-        (self.tap)(&Crossing { at: now(), from: &names.0, to: &names.1, bytes, fate });
+        let departures = self.controller.pass(&from_name, &to_name, bytes.len());
+        let delivery = if departures.is_empty() { Delivery::Dropped } else { Delivery::Delivered };
+        (self.tap)(&Crossing { at: now(), from: &from_name, to: &to_name, bytes, delivery });
         let mut queue = self.queue.lock().expect("no holder panics");
-        for at in leaves {
-            if queue.waiting.len() < WAITING_MOST {
-                queue.last += 1;
-                let number = queue.last;
-                queue.order.push(Reverse(((at * 1e6) as u64, number)));
-                queue.waiting.insert(number, Waiting { from, to, bytes: bytes.to_vec() });
-            }
+        for at in departures {
+            queue.push(at, QueuedDatagram { from, to, bytes: bytes.to_vec() });
         }
-        self.more.notify_one();
+        self.queue_changed.notify_one();
     }
 
-    /// The end that sends from an address. A stranger becomes an end, so that it can be answered.
-    fn who(self: &Arc<Shared>, source: SocketAddr) -> Option<usize> {
-        let known = |places: &[Place]| places.iter().position(|place| place.real == Some(source));
+    /// The endpoint that sends from an address. A stranger becomes an endpoint, so that it can be answered.
+    fn sender(self: &Arc<Shared>, source: SocketAddr) -> Option<usize> {
         let count = {
-            let places = self.places.lock().expect("no holder panics");
-            if let Some(place) = known(&places) {
-                return Some(place);
+            let endpoints = self.endpoints.lock().expect("no holder panics");
+            let known = endpoints.iter().position(|endpoint| endpoint.real_address == Some(source));
+            if known.is_some() {
+                return known;
             }
-            places.len()
+            endpoints.len()
         };
-        if count >= ENDS_MOST {
+        if count >= MAX_ENDPOINTS {
             return None;
         }
         let (place, _) = self.add(&format!("stranger {count}"), Some(source)).ok()?;
-        // What is answered comes to its public address: it is heard there like at any other, until the relay ends.
+        // Answers come to its public address, which is read like any other until the relay ends.
         let shared = self.clone();
         std::thread::spawn(move || shared.receive(place));
         Some(place)
@@ -176,25 +164,29 @@
     fn send_when_due(&self) {
         while !self.ended.load(Ordering::Acquire) {
             let mut queue = self.queue.lock().expect("no holder panics");
-            let due = queue.order.peek().map(|Reverse((at, number))| (*at as f64 / 1e6, *number));
-            let wait = due.map_or(LOOK_EVERY, |(at, _)| seconds(at - now()).min(LOOK_EVERY));
-            if let Some((_, number)) = due.filter(|(at, _)| *at <= now()) {
-                queue.order.pop();
-                let waiting = queue.waiting.remove(&number);
+            let next_at = queue.next_at();
+            let wait = next_at.map_or(END_CHECK_INTERVAL, |at| seconds(at - now()).min(END_CHECK_INTERVAL));
+            if next_at.is_some_and(|at| at <= now()) {
+                let datagram = queue.pop();
                 drop(queue);
-                waiting.iter().for_each(|waiting| self.emit(waiting));
+                if let Some(datagram) = datagram {
+                    self.emit(&datagram);
+                }
             } else {
-                let _ = self.more.wait_timeout(queue, wait.max(Duration::from_micros(50)));
+                let _ = self.queue_changed.wait_timeout(queue, wait.max(MIN_WAIT));
             }
         }
     }
 
-    fn emit(&self, waiting: &Waiting) {
-        let ends = {
-            let places = self.places.lock().expect("no holder panics");
-            places[waiting.to].real.map(|real| (places[waiting.from].socket.clone(), real))
+    /// Sends a datagram to its endpoint's process. Where that is not there, the datagram is lost.
+    fn emit(&self, datagram: &QueuedDatagram) {
+        let route = {
+            let endpoints = self.endpoints.lock().expect("no holder panics");
+            let real_address = endpoints[datagram.to].real_address;
+            real_address.map(|address| (endpoints[datagram.from].socket.clone(), address))
         };
-        // One that cannot be sent is one that is lost: its process is not there.
-        ends.into_iter().for_each(|(socket, real)| _ = socket.send_to(&waiting.bytes, real));
+        if let Some((socket, address)) = route {
+            let _ = socket.send_to(&datagram.bytes, address);
+        }
     }
 }
--- a/crates/railhub-links/tests/record.rs
+++ b/crates/railhub-links/tests/record.rs
@@ -1,6 +1,6 @@
 //! The lines of the record as literals: scripts read them, so they must not change while the names in the code do.
 use railhub_links::tcp::TcpLink;
-use railhub_links::{Board, Fate, Faults};
+use railhub_links::{Delivery, Faults, LinkController};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
@@ -32,18 +32,25 @@
 #[test]
 fn record_lines() {
     let kept = Kept::default();
-    let board = Arc::new(Board::new(7, Some(Box::new(kept.clone()))));
-    let faults =
-        Faults { lost: 0.25, reordered: 0.5, doubled: 1.0, delay: 0.01, jitter: 0.02, rate: 1e6, cut: false };
-    board.set("a", "b", faults);
+    let link_controller = Arc::new(LinkController::new(7, Some(Box::new(kept.clone()))));
+    let faults = Faults {
+        lost: 0.25,
+        reordered: 0.5,
+        duplicated: 1.0,
+        delay: 0.01,
+        jitter: 0.02,
+        bytes_per_second: 1e6,
+        cut: false,
+    };
+    link_controller.set("a", "b", faults);
     for _ in 0..20 {
-        board.pass("a", "b", 100);
+        link_controller.pass("a", "b", 100);
     }
-    board.set("b", "a", Faults { cut: true, ..Faults::default() });
-    board.pass("b", "a", 100);
-    let link = TcpLink::open(board.clone(), "a", "b", None).expect("a port");
+    link_controller.set("b", "a", Faults { cut: true, ..Faults::default() });
+    link_controller.pass("b", "a", 100);
+    let link = TcpLink::open(link_controller.clone(), "a", "b", None).expect("a port");
     assert_eq!(link.reset(), 0);
-    board.finish();
+    link_controller.finish();
     let expected = [
         r#"{"what":"way","from":"a","to":"b","faults":{"lost":0.25,"reordered":0.5,"doubled":1.0,"delay":0.01,"jitter":0.02,"rate":1000000.0,"cut":false}}"#,
         r#"{"what":"way","from":"b","to":"a","faults":{"lost":0.0,"reordered":0.0,"doubled":0.0,"delay":0.0,"jitter":0.0,"rate":0.0,"cut":true}}"#,
@@ -56,7 +63,7 @@
 
 #[test]
 fn fates_json() {
-    let json = serde_json::to_string(&[Fate::Passes, Fate::Lost]).expect("it can be written");
+    let json = serde_json::to_string(&[Delivery::Delivered, Delivery::Dropped]).expect("it can be written");
     assert_eq!(json, r#"["passes","lost"]"#);
 }
 
--- a/crates/railhub-links/tests/relays.rs
+++ b/crates/railhub-links/tests/relays.rs
@@ -1,18 +1,18 @@
 //! Real sockets through the relays.
 use railhub_links::tcp::TcpLink;
 use railhub_links::udp::UdpLinks;
-use railhub_links::{Board, Faults};
+use railhub_links::{Faults, LinkController};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 /// Within this a thing happens on loopback, or it does not happen.
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("settable");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("settable");
     socket
 }
 
@@ -21,25 +21,25 @@
     let seen = Arc::new(Mutex::new(Vec::new()));
     let tapped = seen.clone();
     let tap = Box::new(move |crossing: &railhub_links::Crossing| {
-        tapped.lock().expect("whole").push((crossing.from.to_owned(), crossing.to.to_owned()));
+        tapped.lock().expect("no holder panics").push((crossing.from.to_owned(), crossing.to.to_owned()));
     });
-    let board = Arc::new(Board::new(1, None));
-    let links = UdpLinks::open(board.clone(), tap);
+    let link_controller = Arc::new(LinkController::new(1, None));
+    let links = UdpLinks::open(link_controller.clone(), tap);
     let (a, b) = (socket(), socket());
     let (public_a, public_b) = (links.add("a").expect("an end"), links.add("b").expect("an end"));
-    links.place("a", a.local_addr().ok());
-    links.place("b", b.local_addr().ok());
+    links.set_real_address("a", a.local_addr().ok());
+    links.set_real_address("b", b.local_addr().ok());
     a.send_to(b"hello", public_b).expect("sent");
     let mut bytes = [0; 100];
     let (length, from) = b.recv_from(&mut bytes).expect("it comes");
     assert_eq!((&bytes[..length], from), (&b"hello"[..], public_a));
     b.send_to(b"back", from).expect("sent");
     assert_eq!(a.recv_from(&mut bytes).expect("it comes").1, public_b);
-    board.set("a", "b", Faults { cut: true, ..Faults::default() });
+    link_controller.set("a", "b", Faults { cut: true, ..Faults::default() });
     a.send_to(b"lost", public_b).expect("sent");
     b.set_read_timeout(Some(Duration::from_millis(300))).expect("settable");
-    assert!(b.recv_from(&mut bytes).is_err(), "the way is cut");
-    b.set_read_timeout(Some(PATIENCE)).expect("settable");
+    assert!(b.recv_from(&mut bytes).is_err(), "the direction is cut");
+    b.set_read_timeout(Some(TIMEOUT)).expect("settable");
     b.send_to(b"one way", public_a).expect("sent");
     assert!(a.recv_from(&mut bytes).is_ok(), "the other is not");
     // One that nobody named is answered too.
@@ -49,32 +49,33 @@
     b.send_to(b"me", asker).expect("sent");
     assert_eq!(stranger.recv_from(&mut bytes).expect("it comes").1, public_b);
     let ends = ("a".to_owned(), "b".to_owned());
-    assert_eq!((board.counts()[&ends].passed, board.counts()[&ends].cut), (1, 1));
-    assert_eq!(seen.lock().expect("whole").iter().filter(|s| **s == ends).count(), 2);
+    assert_eq!((link_controller.counts()[&ends].passed, link_controller.counts()[&ends].cut), (1, 1));
+    assert_eq!(seen.lock().expect("no holder panics").iter().filter(|s| **s == ends).count(), 2);
 }
 
 #[test]
 fn a_connection_falls_silent_and_stays_open_goes_on_and_is_reset() {
-    let board = Arc::new(Board::new(1, None));
+    let link_controller = Arc::new(LinkController::new(1, None));
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let link = TcpLink::open(board.clone(), "proxy", "steward", server.local_addr().ok()).expect("a relay");
+    let link = TcpLink::open(link_controller.clone(), "proxy", "steward", server.local_addr().ok())
+        .expect("a relay");
     let mut near = TcpStream::connect(link.address).expect("connected");
     let (mut far, _) = server.accept().expect("taken");
     near.set_read_timeout(Some(Duration::from_millis(200))).expect("settable");
     let mut bytes = [0; 5];
     near.write_all(b"hello").expect("sent");
     far.read_exact(&mut bytes).expect("it comes");
-    board.set_both("proxy", "steward", Faults { cut: true, ..Faults::default() });
+    link_controller.set_both("proxy", "steward", Faults { cut: true, ..Faults::default() });
     far.write_all(b"world").expect("taken by the relay");
     assert!(near.read_exact(&mut bytes).is_err(), "silent, and open");
-    board.set_both("proxy", "steward", Faults::default());
-    near.set_read_timeout(Some(PATIENCE)).expect("settable");
+    link_controller.set_both("proxy", "steward", Faults::default());
+    near.set_read_timeout(Some(TIMEOUT)).expect("settable");
     near.read_exact(&mut bytes).expect("it comes after all");
     assert_eq!(&bytes, b"world");
     assert_eq!(link.reset(), 1);
     let ended = near.read(&mut bytes).expect_err("no proper end");
     assert_eq!(ended.kind(), std::io::ErrorKind::ConnectionReset);
-    far.set_read_timeout(Some(PATIENCE)).expect("settable");
+    far.set_read_timeout(Some(TIMEOUT)).expect("settable");
     let ended = far.read(&mut bytes).expect_err("no proper end");
     assert_eq!(ended.kind(), std::io::ErrorKind::ConnectionReset);
 }
