--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -2,12 +2,13 @@
 //!
 //! An update is one message to every connected proxy. It takes what differs from what was last published, in this
 //! order: admission rates and retry policies, exclusions, tables by urgency; and a barrier, by whose acknowledgements
-//! the channel's backlog is known. What does not fit waits for the next update. An update waits
-//! - for the message quota: `URGENT_MESSAGE_RESERVE` messages are kept for urgent updates, and past
+//! the channel's backlog is known. What does not fit waits for the next update. Something has not left because of
+//! - the message quota: `URGENT_MESSAGE_RESERVE` messages are kept for urgent updates, and past
 //!   `IMMEDIATE_QUOTA_FRACTION` updates leave on ticks only, so that a burst of urgent ones leaves some for a drain;
-//! - for the backlog: lines that wait in the channel and the update's own stay within `MAX_BACKLOG_FRACTION` of the
-//!   limit, and within `MAX_ORDINARY_BACKLOG_FRACTION` where no table lacks a usable host;
-//! - for a single owner's former writes (`single_owner`).
+//! - the backlog: lines that wait in the channel for all proxies, and the update's own, stay within
+//!   `MAX_BACKLOG_FRACTION` of the limit; for a table that names a usable host already, within
+//!   `MAX_ORDINARY_BACKLOG_FRACTION`; behind a table that does not fit, less urgent ones wait, too;
+//! - a single owner's former writes, which must have ended (`single_owner`).
 use super::admission::AdmissionControl;
 use super::exclusion::{ExclusionChange, Exclusions};
 use super::host::Host;
@@ -38,6 +39,7 @@
 /// The admission of a class, as published.
 #[derive(Clone, Copy, PartialEq)]
 pub struct ClassAdmission {
+    /// Admitted fraction of the operations, from 0 to 1.
     pub rate: f64,
     pub retry_policy: RetryPolicy,
 }
@@ -49,7 +51,7 @@
     table: Vec<WeightedHost>,
 }
 
-/// What is to be published; tables and exclusions are noted here as they are.
+/// What is to be published. Publishing changes the published tables of the slices, and the exclusions.
 pub struct PublishState<'a> {
     pub now: Seconds,
     pub is_tick: bool,
@@ -79,11 +81,14 @@
     lines: f64,
     /// Lines that wait in the channel.
     waiting_lines: f64,
+    /// Connected proxies, at least one.
     proxies: f64,
+    /// Lines that may wait.
     backlog_limit: f64,
 }
 
 impl UpdateDraft {
+    /// This many lines more keep the channel within a fraction of the backlog limit.
     fn fits(&self, more_lines: f64, max_fraction: f64) -> bool {
         self.waiting_lines + self.proxies * (self.lines + more_lines) <= self.backlog_limit * max_fraction
     }
--- a/src/decision/tests/backlog_model.rs
+++ b/src/decision/tests/backlog_model.rs
@@ -1,5 +1,5 @@
 //! The rule of a short queue against a channel that keeps a count of its own: messages leave one after another, each
-//! proxy's part at a time that is fixed when it is ordered; the count falls as the oldest leaves.
+//! proxy's part at a time that is fixed when it is accepted; the count falls as the oldest leaves.
 use super::*;
 use crate::update_backlog::Update;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
     confirmed: BarrierAck,
 }
 
-/// A message that the channel takes late.
+/// A message that the channel accepts late.
 struct LateMessage {
     lines: f64,
     barrier: BarrierId,
@@ -39,9 +39,9 @@
 struct ModelChannel {
     random: ChaCha8Rng,
     late: Vec<LateMessage>,
-    /// When the first of them was ordered, and when all are taken.
+    /// When the first of them was sent, and when all are accepted.
     late_since: Option<Seconds>,
-    taken_at: Seconds,
+    accepted_at: Seconds,
     entries: VecDeque<Entry>,
     acknowledgements: Vec<Acknowledgement>,
     pace: f64,
@@ -56,7 +56,7 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             late: Vec::new(),
             late_since: None,
-            taken_at: 0.0,
+            accepted_at: 0.0,
             entries: VecDeque::new(),
             acknowledgements: Vec::new(),
             pace: PACE,
@@ -65,11 +65,11 @@
         }
     }
 
-    /// Takes a message now or, as where the way to the channel is broken, up to a second later.
-    fn order(&mut self, now: Seconds, lines: f64, barrier: BarrierId) {
+    /// Accepts a message now or, as where the way to the channel is broken, up to a second later.
+    fn accept_or_delay(&mut self, now: Seconds, lines: f64, barrier: BarrierId) {
         if self.late_since.is_none() && self.random.random_bool(0.1) {
             self.late_since = Some(now);
-            self.taken_at = now + self.random.random_range(0.2..1.0);
+            self.accepted_at = now + self.random.random_range(0.2..1.0);
         }
         if self.late_since.is_some() {
             self.late.push(LateMessage { lines, barrier });
@@ -78,8 +78,8 @@
         }
     }
 
-    fn take_late(&mut self, now: Seconds) {
-        if self.late_since.is_some() && self.taken_at <= now {
+    fn accept_late(&mut self, now: Seconds) {
+        if self.late_since.is_some() && self.accepted_at <= now {
             self.late_since = None;
             for message in std::mem::take(&mut self.late) {
                 self.send(now, message.lines, message.barrier);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// What waited for the proxy is lost; its room in the channel is used by what is sent from now on.
+    /// What waited for the proxy is lost; its place in the channel is used by what is sent from now on.
     fn disconnect(&mut self, now: Seconds, proxy: ProxyId) {
         let lost = self.entries.iter().filter(|entry| entry.proxy == proxy && entry.leaves_at > now);
         self.free_at -= lost.map(|entry| entry.lines).sum::<f64>() / self.pace;
@@ -117,8 +117,8 @@
 
     fn take_acknowledgements(&mut self, now: Seconds) -> Vec<BarrierAck> {
         let arrived = self.acknowledgements.extract_if(.., |sent| sent.at <= now).collect::<Vec<_>>();
-        let heard = arrived.into_iter().filter(|_| !self.random.random_bool(ACKNOWLEDGEMENT_LOSS));
-        heard.map(|sent| sent.confirmed).collect()
+        let received = arrived.into_iter().filter(|_| !self.random.random_bool(ACKNOWLEDGEMENT_LOSS));
+        received.map(|sent| sent.confirmed).collect()
     }
 }
 
@@ -131,86 +131,74 @@
 }
 
 /// A minute in which seven in ten proxies leave at once now and then and come back, on a channel that is slow at
-/// times. The most that waited after a message, as a share of the limit, and how many lines were commands.
+/// times. The most that waited after a message, as a share of the limit, and how many lines were published.
 fn most_waiting(seed: u64) -> (f64, usize) {
     let mut controller = controller(ControllerConfig { backlog_limit: LIMIT, message_quota: 0, ..config() });
     controller.publisher.backlog = UpdateBacklog::default();
     let mut channel = ModelChannel::new(seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
     let mut returns: Vec<(Seconds, ProxyId)> = Vec::new();
-    let (mut most, mut written_lines) = (0.0_f64, 0);
+    let (mut most, mut published_lines) = (0.0_f64, 0);
     let moved_at = random.random_range(105.0..155.0);
     for proxy in (FIRST_MOVED..PROXIES).map(ProxyId) {
         returns.push((moved_at + random.random_range(0.0..1.0), proxy));
     }
     let everyone = (0..FIRST_MOVED).map(|k| ProxyStreamEvent::Connected(ProxyId(k))).collect();
-    controller.handle_batch(
-        &EventBatch { now: 100.5, proxy_streams: everyone, ..EventBatch::default() },
-        &mut RecordedCommands::default(),
-    );
+    let connected = EventBatch { now: 100.5, proxy_streams: everyone, ..EventBatch::default() };
+    controller.handle_batch(&connected, &mut RecordedCommands::default());
     for step in 0..600 {
         let now = 101.0 + STEP * f64::from(step);
         if random.random_bool(0.02) {
             channel.pace = PACE / [1.0, 2.0, 4.0, 8.0][random.random_range(0..4)];
         }
-        let mut streams = Vec::new();
+        let mut proxy_streams = Vec::new();
         if random.random_bool(0.03) {
             let mut killed: Vec<ProxyId> = channel.connected.iter().copied().collect();
             killed.retain(|_| random.random_bool(0.7));
             for proxy in killed {
                 channel.disconnect(now, proxy);
                 returns.push((now + random.random_range(0.5..2.5), proxy));
-                streams.push(ProxyStreamEvent::Disconnected(proxy));
+                proxy_streams.push(ProxyStreamEvent::Disconnected(proxy));
             }
         }
         for (_, proxy) in returns.extract_if(.., |(at, _)| *at <= now) {
             channel.connected.insert(proxy);
-            streams.push(ProxyStreamEvent::Connected(proxy));
+            proxy_streams.push(ProxyStreamEvent::Connected(proxy));
         }
-        channel.take_late(now);
+        channel.accept_late(now);
         most = most.max(channel.waiting(now) / LIMIT);
         shuffle_owners(&mut controller, &mut random);
-        let pending_since = channel.late_since;
+        let oldest_pending_at = channel.late_since;
         let timers = if step % 10 == 0 { vec![TimerId(0)] } else { Vec::new() };
         let barrier_acks = channel.take_acknowledgements(now);
         let mut commands = RecordedCommands::default();
-        controller.handle_batch(
-            &EventBatch {
-                now,
-                proxy_streams: streams,
-                timers,
-                barrier_acks,
-                oldest_pending_at: pending_since,
-                ..EventBatch::default()
-            },
-            &mut commands,
-        );
+        let streams_and_timers = EventBatch { now, proxy_streams, timers, ..EventBatch::default() };
+        let batch = EventBatch { barrier_acks, oldest_pending_at, ..streams_and_timers };
+        controller.handle_batch(&batch, &mut commands);
         if let Some(barrier) = commands.barriers.last() {
-            let orders = commands.lines.len()
-                + commands.exclusions.len()
-                + commands.admission.len()
-                + commands.barriers.len();
-            channel.order(now, controller.config.message_overhead + orders as f64, *barrier);
+            let (lines, exclusions) = (commands.lines.len(), commands.exclusions.len());
+            let sent = lines + exclusions + commands.admission.len() + commands.barriers.len();
+            channel.accept_or_delay(now, controller.config.message_overhead + sent as f64, *barrier);
             most = most.max(channel.waiting(now) / LIMIT);
-            written_lines += commands.lines.len();
+            published_lines += commands.lines.len();
         }
     }
-    (most, written_lines)
+    (most, published_lines)
 }
 
 #[test]
 fn no_more_waits_than_the_limit_while_proxies_leave_return_and_acknowledge_on_a_slow_channel() {
     let runs: Vec<_> = (0..300).map(most_waiting).collect();
-    for (seed, (most, written_lines)) in runs.iter().enumerate() {
+    for (seed, (most, published_lines)) in runs.iter().enumerate() {
         assert!(*most <= 1.0, "seed {seed}: {most} of the limit waited");
-        assert!(*written_lines > 300, "seed {seed}: only {written_lines} lines in a minute");
+        assert!(*published_lines > 300, "seed {seed}: only {published_lines} lines in a minute");
     }
     assert!(runs.iter().any(|(most, _)| *most > 0.7), "the limit was never near");
 }
 
 #[test]
 fn rates_exclusions_and_tables_of_one_batch_wait_where_the_backlog_is_nearly_full() {
-    for (share, said) in [(0.89, true), (0.95, false), (1.0, false)] {
+    for (share, is_published) in [(0.89, true), (0.95, false), (1.0, false)] {
         let mut controller =
             controller(ControllerConfig { backlog_limit: 1000.0, message_overhead: 0.0, ..config() });
         controller.publisher.backlog = UpdateBacklog::default();
@@ -229,7 +217,7 @@
         let update =
             controller.publisher.backlog.updates().iter().find(|update| update.barrier != BarrierId(77));
         let lines = update.map_or(0.0, |update| update.lines);
-        assert_eq!(!commands.admission.is_empty(), said, "at {share} of the limit");
+        assert_eq!(!commands.admission.is_empty(), is_published, "at {share} of the limit");
         assert!(2.0 * (waiting + lines) <= 1000.0, "{share}: {lines} lines more for each proxy");
     }
 }
