--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -2,11 +2,11 @@
 use crate::fleet::{look_at_all, Told, ToldLine};
 use crate::Ending;
 use clap::Args;
-use railhub_ini::Sheet;
+use railhub_ini::Document;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
-use railhub_net::http::{Caller, HttpError};
-use railhub_steward::fleet::FleetTerms;
+use railhub_net::http::{Client, HttpError};
+use railhub_steward::membership::MembershipSettings;
 use railhub_steward::Installation;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -54,8 +54,8 @@
 }
 
 pub fn slices(arguments: &Slices) -> Result<(), Ending> {
-    let sheet = Sheet::open(&arguments.conf)?;
-    let installation = Installation::read(&sheet)?;
+    let document = Document::open(&arguments.conf)?;
+    let installation = Installation::read(&document)?;
     let store = installation.store.filter(|_| installation.shares());
     let store = store.ok_or_else(|| Ending::Input("these stewards share no slices".into()))?;
     let held = ask(store).map_err(|fault| Ending::Input(format!("the store {store}: {fault}")))?;
@@ -64,7 +64,7 @@
         return Ok(());
     }
     // Whose process is whose is what the stewards know.
-    let names = match &installation.fleet {
+    let names = match &installation.membership {
         Some(terms) => names(&look_at_all(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, terms, &[])),
         None => BTreeMap::new(),
     };
@@ -73,12 +73,12 @@
 }
 
 fn ask(store: SocketAddr) -> Result<Vec<Held>, HttpError> {
-    railhub_net::start();
+    railhub_net::start_runtime();
     let (sender, receiver) = channel();
-    railhub_net::go(move || {
-        let _ = sender.send(Caller::new(store, STORE_WITHIN).ask("/leases"));
+    railhub_net::spawn(move || {
+        let _ = sender.send(Client::new(store, STORE_WITHIN).get_json("/leases"));
     });
-    receiver.recv().unwrap_or(Err(HttpError::Ended))
+    receiver.recv().unwrap_or(Err(HttpError::Closed))
 }
 
 fn names(told: &Told) -> BTreeMap<u64, u16> {
@@ -108,8 +108,8 @@
 }
 
 pub fn drain(arguments: &Drain) -> Result<(), Ending> {
-    let sheet = Sheet::open(&arguments.conf)?;
-    let terms = FleetTerms::read(&sheet)?;
+    let document = Document::open(&arguments.conf)?;
+    let terms = MembershipSettings::read(&document)?;
     let terms = terms.ok_or_else(|| Ending::Input("no [fleet] section".into()))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     let until = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, 3600.0));
--- a/crates/railhub-fleet/src/baseline.rs
+++ b/crates/railhub-fleet/src/baseline.rs
@@ -1,8 +1,9 @@
 //! What plain policies publish, for comparing: they go by the list, one of them by sums as well.
 use crate::list::Line;
-use railhub::{HostId, Phase, SliceAssignment, SliceId};
+use railhub::{HostId, Phase, SliceAssignment, SliceId, WeightedHost};
 use railhub_proto::LoadReport;
-use railhub_steward::tables::{Change, Tables};
+use railhub_steward::change::Change;
+use railhub_steward::tables::Tables;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,9 +60,7 @@
         if self.policy == Baseline::Hash {
             for assignment in charges {
                 let SliceAssignment::Assigned { slice, entries } = assignment else { continue };
-                let lines: Vec<(HostId, f64)> =
-                    entries.iter().map(|entry| (entry.host, entry.weight)).collect();
-                self.tables.take_stored(*slice, &lines);
+                self.tables.load_table(*slice, entries);
             }
         }
     }
@@ -90,9 +89,9 @@
 
     /// All that a proxy needs which has just come.
     pub fn whole(&self) -> (Change, u64) {
-        let mut whole = self.tables.whole();
+        let mut whole = self.tables.snapshot();
         if self.policy != Baseline::Hash {
-            whole.handed = Some(SliceId(0));
+            whole.assigned_table = Some(SliceId(0));
         }
         (whole, self.tables.version)
     }
@@ -141,16 +140,16 @@
     let mut change = Change::default();
     for (slice, lines) in wanted.iter().enumerate() {
         let slice = SliceId(slice as u16);
-        let held = tables.lines_of(slice);
+        let held = tables.entries_of(slice);
         for (host, weight) in lines {
-            if !held.contains(&(HostId::from(*host), *weight)) {
+            if !held.contains(&WeightedHost { host: HostId::from(*host), weight: *weight }) {
                 change.lines.insert((slice, HostId::from(*host)), *weight);
             }
         }
-        for (host, _) in
-            held.iter().filter(|(host, _)| !lines.iter().any(|line| HostId::from(line.0) == *host))
-        {
-            change.lines.insert((slice, *host), 0.0);
+        for WeightedHost { host, .. } in held {
+            if !lines.iter().any(|line| HostId::from(line.0) == host) {
+                change.lines.insert((slice, host), 0.0);
+            }
         }
     }
     change
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -3,7 +3,7 @@
 //! The steward runs as a process of its own (this binary, started anew); peers are coroutines here, which read
 //! frames and acknowledge them without taking them in.
 use may::net::{TcpListener, TcpStream};
-use railhub_net::{connect, go, now, seconds, Task};
+use railhub_net::{connect, now, seconds, spawn, Task};
 use railhub_proto::{
     frame, from_proxy, Ack, FromController, FromProxy, HostLoad, LoadReport, SliceLoad, Subscribe,
 };
@@ -22,7 +22,7 @@
 const SLICES: u32 = 975;
 
 fn main() {
-    railhub_net::start();
+    railhub_net::start_runtime();
     if let Ok(conf) = std::env::var(CHILD) {
         return be_steward(&conf);
     }
@@ -38,9 +38,9 @@
 
 /// The steward's side: says where it listens, then its figures for each line it is sent.
 fn be_steward(conf: &str) {
-    let sheet = railhub_ini::Sheet::read("bench", conf).expect("readable");
+    let document = railhub_ini::Document::parse("bench", conf).expect("readable");
     let running =
-        railhub_steward::Running::start(railhub_steward::Installation::read(&sheet).expect("right"))
+        railhub_steward::Running::start(railhub_steward::Installation::read(&document).expect("right"))
             .expect("loopback");
     println!("{}", running.address);
     for line in std::io::stdin().lines() {
@@ -155,19 +155,19 @@
         (from..from + count)
             .map(|number| {
                 let (peers, report) = (self.clone(), report.clone());
-                Task::go(move || peers.follow(address, number, report))
+                Task::spawn(move || peers.follow(address, number, report))
             })
             .collect()
     }
 
     fn follow(&self, address: SocketAddr, number: u32, report: Option<LoadReport>) {
         let mut stream = subscribe(address, number);
-        if let Some(sums) = report {
+        if let Some(report) = report {
             let mut writer = stream.try_clone().expect("handles left");
-            let sums = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(sums)) });
-            go(move || loop {
+            let report = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(report)) });
+            spawn(move || loop {
                 may::coroutine::sleep(seconds(1.0));
-                if writer.write_all(&sums).is_err() {
+                if writer.write_all(&report).is_err() {
                     return;
                 }
             });
@@ -224,7 +224,7 @@
     values[values.len() / 2]
 }
 
-/// A delta from decision to the last of 300 words, over bare `may` sockets with the same bytes; then the same
+/// A delta from decision to the last of 300 acknowledgements, over bare `may` sockets with the same bytes; then the same
 /// with one more proxy that never reads.
 fn fan_out() {
     let mut ratios = Vec::new();
@@ -331,7 +331,7 @@
             stream.set_nodelay(true).expect("open");
             let start = Arc::new(may::sync::Semphore::new(0));
             let (wait, frame, left, last) = (start.clone(), frame.clone(), left.clone(), last.clone());
-            go(move || {
+            spawn(move || {
                 let mut answer = [0; 64];
                 // What the client says first.
                 let _ = stream.read(&mut answer);
@@ -394,9 +394,9 @@
         utilization: None,
     });
     let demand = (0..SLICES).step_by(9).map(|slice| SliceLoad { slice, class: 0, operations: 2 });
-    let sums = LoadReport { span: 1.0, hosts: hosts.collect(), slices: demand.collect() };
+    let report = LoadReport { span: 1.0, hosts: hosts.collect(), slices: demand.collect() };
     let peers = Peers::default();
-    let _tasks = peers.join(bench.address, 0, 300, Some(sums));
+    let _tasks = peers.join(bench.address, 0, 300, Some(report));
     bench.wait("joined", 300);
     for batch in 0..10 {
         std::thread::sleep(seconds(3.0));
--- a/crates/railhub-steward/src/installation/tests.rs
+++ b/crates/railhub-steward/src/installation/tests.rs
@@ -5,15 +5,15 @@
     [class pay]\ncontract_time = 1.2\ngain = 2\n";
 
 fn read(text: &str) -> Result<Installation, String> {
-    Installation::read(&Sheet::read("s.ini", text).expect("readable")).map_err(|e| e.to_string())
+    Installation::read(&Document::parse("s.ini", text).expect("readable")).map_err(|e| e.to_string())
 }
 
 #[test]
 fn a_file_becomes_terms_in_its_order_of_classes() {
     let read = read(TEXT).expect("right");
     assert_eq!(read.class_names, ["view", "pay"]);
-    assert_eq!((read.terms.slice_count, read.terms.backlog_limit), (40, 9000.0));
-    assert_eq!(read.terms.classes[1].idempotency, Idempotency::Never);
+    assert_eq!((read.config.slice_count, read.config.backlog_limit), (40, 9000.0));
+    assert_eq!(read.config.classes[1].idempotency, Idempotency::Never);
 }
 
 #[test]
--- a/crates/railhub-steward/src/store/tests.rs
+++ b/crates/railhub-steward/src/store/bodies/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-fn told(state: serde_json::Value, age: f64) -> Option<(SliceHandoff, Seconds)> {
-    StoredTable { state: Some(state), age, ..StoredTable::empty(3) }.gained(7).state
+fn handoff(state: serde_json::Value, age: f64) -> Option<(SliceHandoff, Seconds)> {
+    StoredTable { handoff: Some(state), age, ..StoredTable::empty(3) }.acquired(7).handoff
 }
 
 #[test]
 fn what_cannot_be_believed_of_a_slice_is_left_out() {
     let good =
         serde_json::json!({ "version": 1, "rate": 12.5, "rests": 2.0, "home": "127.0.0.1:80", "new": 1 });
-    assert_eq!(told(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
-    let spoilt = |key: &str, value: serde_json::Value| {
+    assert_eq!(handoff(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
+    let invalid = |key: &str, value: serde_json::Value| {
         let mut state = good.clone();
         state[key] = value;
-        told(state, 0.5)
+        handoff(state, 0.5)
     };
     for (key, value) in [
         ("version", serde_json::json!(2)),
@@ -21,10 +21,10 @@
         ("rests", serde_json::json!(1e9)),
         ("home", serde_json::json!("")),
     ] {
-        assert!(spoilt(key, value.clone()).is_none(), "{key} {value}");
+        assert!(invalid(key, value.clone()).is_none(), "{key} {value}");
     }
-    assert!(told(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
-    assert!(told(good, -3.0).is_none(), "from the future");
+    assert!(handoff(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
+    assert!(handoff(good, -3.0).is_none(), "from the future");
 }
 
 #[test]
@@ -33,7 +33,7 @@
         "says": { "number": 3, "granted": [[5, 7]], "refused": [6] },
         "tables": [],
     });
-    let leased: Leased = serde_json::from_value(answer).expect("what a store of any version answers");
+    let leased: LeasedTables = serde_json::from_value(answer).expect("what a store of any version answers");
     assert_eq!((leased.response.number, leased.response.refused), (3, vec![6]));
     assert_eq!(leased.response.granted.len(), 1);
 }
