--- a/crates/railhub-steward/src/draft.rs
+++ b/crates/railhub-steward/src/delta_builder.rs
@@ -1,16 +1,23 @@
-//! What one round decided.
-use crate::tables::Change;
+//! Collects the commands of one batch.
+use crate::change::{Change, ClassAdmission};
 use railhub::{
     BarrierId, ClassId, CommandSink, DecisionEvent, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
 };
 
+/// What the decisions ordered in one batch.
 #[derive(Default)]
 pub struct DeltaBuilder {
+    /// What proxies are to hold.
     pub change: Change,
-    pub mark: Option<BarrierId>,
-    pub handed: Vec<(SliceId, ProxyId)>,
+    /// The barrier that a proxy passes once it has acknowledged the change.
+    pub barrier: Option<BarrierId>,
+    /// Proxies that are assigned a table, where there are no slices.
+    pub assigned_tables: Vec<(SliceId, ProxyId)>,
+    /// Hosts to be probed.
     pub probes: Vec<HostId>,
-    pub wakes: Vec<(Seconds, TimerId)>,
+    /// Timers, each after so many seconds.
+    pub timers: Vec<(Seconds, TimerId)>,
+    /// The decisions with their causes, for the log.
     pub notes: Vec<String>,
 }
 
@@ -19,25 +26,25 @@
         self.change.lines.insert((slice, host), weight);
     }
     fn assign_table(&mut self, table: SliceId, proxy: ProxyId) {
-        self.handed.push((table, proxy));
+        self.assigned_tables.push((table, proxy));
     }
-    fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry_policy: RetryPolicy) {
-        self.change.levels.insert(class, (rate, retry_policy));
+    fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry: RetryPolicy) {
+        self.change.admission_rates.insert(class, ClassAdmission { rate, retry });
     }
     fn exclude_host(&mut self, host: HostId) {
-        self.change.shut.insert(host, true);
+        self.change.exclusions.insert(host, true);
     }
     fn readmit_host(&mut self, host: HostId) {
-        self.change.shut.insert(host, false);
+        self.change.exclusions.insert(host, false);
     }
     fn set_barrier(&mut self, barrier: BarrierId) {
-        self.mark = Some(barrier);
+        self.barrier = Some(barrier);
     }
     fn check_health(&mut self, host: HostId) {
         self.probes.push(host);
     }
     fn set_timer(&mut self, after: Seconds, timer: TimerId) {
-        self.wakes.push((after, timer));
+        self.timers.push((after, timer));
     }
     fn report(&mut self, event: DecisionEvent) {
         self.notes.push(event.to_string());
