--- a/crates/railhub-steward/src/endpoint_list_poller.rs
+++ b/crates/railhub-steward/src/endpoint_list_poller.rs
@@ -5,7 +5,7 @@
 //! holds.
 use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
-use railhub_net::http::{Caller, HttpError};
+use railhub_net::http::{Client, HttpError};
 use railhub_net::{seconds, Task};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -59,19 +59,19 @@
 
 /// Starts polling. Dropping the task ends it.
 pub fn start(endpoint_list: SocketAddr, inbox: Arc<Inbox>) -> Task {
-    Task::go(move || run(endpoint_list, &inbox))
+    Task::spawn(move || run(endpoint_list, &inbox))
 }
 
 fn run(endpoint_list: SocketAddr, inbox: &Inbox) {
-    let mut caller = Caller::new(endpoint_list, seconds(RESPONSE_TIMEOUT));
+    let mut client = Client::new(endpoint_list, seconds(RESPONSE_TIMEOUT));
     let (mut version, mut is_failing) = (0, false);
     loop {
-        match poll(&mut caller, endpoint_list, version) {
+        match poll(&mut client, endpoint_list, version) {
             Ok(update) => {
                 is_failing = false;
                 if update.version != version {
                     version = update.version;
-                    inbox.tell(OwnerEvent::EndpointList(update.list));
+                    inbox.send(OwnerEvent::EndpointList(update.list));
                 }
                 may::coroutine::sleep(seconds(MIN_POLL_INTERVAL));
             }
@@ -85,8 +85,8 @@
     }
 }
 
-fn poll(caller: &mut Caller, address: SocketAddr, version: u64) -> Result<Update, EndpointListError> {
-    let page = caller.ask(&format!("/hosts?after={version}"));
+fn poll(client: &mut Client, address: SocketAddr, version: u64) -> Result<Update, EndpointListError> {
+    let page = client.get_json(&format!("/hosts?after={version}"));
     let page: Page = page.map_err(|source| EndpointListError::Request { address, source })?;
     let mut entries = Vec::with_capacity(page.hosts.len());
     for entry in &page.hosts {
--- a/crates/railhub-steward/src/health_checker.rs
+++ b/crates/railhub-steward/src/health_checker.rs
@@ -5,8 +5,8 @@
 //! proves nothing.
 use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{HealthCheckOutcome, HealthCheckResult, HostId, Seconds};
-use railhub_net::http::{Caller, HttpError};
-use railhub_net::{seconds, Pool};
+use railhub_net::http::{Client, HttpError};
+use railhub_net::{seconds, WorkerPool};
 use std::sync::Arc;
 
 /// Probes that may wait for a free prober: more than the hosts of the largest fleet.
@@ -15,13 +15,13 @@
 const REJECTED_STATUS: u16 = 503;
 
 /// Probes hosts.
-pub type HealthChecker = Pool<HostId>;
+pub type HealthChecker = WorkerPool<HostId>;
 
 /// Starts `max_concurrent` probers.
 pub fn start(max_concurrent: usize, timeout: Seconds, inbox: &Arc<Inbox>) -> HealthChecker {
     let inbox = inbox.clone();
-    Pool::start(max_concurrent, MAX_PENDING_PROBES, move |host| {
-        inbox.tell(OwnerEvent::HealthCheck(HealthCheckResult { host, outcome: probe(host, timeout) }));
+    WorkerPool::start(max_concurrent, MAX_PENDING_PROBES, move |host| {
+        inbox.send(OwnerEvent::HealthCheck(HealthCheckResult { host, outcome: probe(host, timeout) }));
     })
 }
 
@@ -29,11 +29,11 @@
 fn probe(host: HostId, timeout: Seconds) -> HealthCheckOutcome {
     // A host whose name is no address cannot be reached.
     let Some(address) = host.address() else { return HealthCheckOutcome::Unreachable };
-    match Caller::new(address, seconds(timeout)).call("GET", "/probe", &[]) {
+    match Client::new(address, seconds(timeout)).request("GET", "/probe", &[]) {
         Ok(_) => HealthCheckOutcome::Passed,
         Err(HttpError::Status(REJECTED_STATUS)) => HealthCheckOutcome::Rejected,
-        Err(HttpError::Silent | HttpError::Status(_)) => HealthCheckOutcome::Failed,
-        Err(HttpError::Unreached(_) | HttpError::Broken(_) | HttpError::Ended | HttpError::Malformed(_)) => {
+        Err(HttpError::Timeout | HttpError::Status(_)) => HealthCheckOutcome::Failed,
+        Err(HttpError::Connect(_) | HttpError::Io(_) | HttpError::Closed | HttpError::Malformed(_)) => {
             HealthCheckOutcome::Unreachable
         }
     }
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -1,7 +1,7 @@
 //! What the owner of the core is sent.
 use crate::core::{LeaseChanges, StreamId};
 use crate::delta_queue::DeltaResponse;
-use crate::stream_error::StreamError;
+use crate::session_error::SessionError;
 use crate::stream_handle::StreamHandle;
 use railhub::{EndpointList, HealthCheckResult, ProxyId, SliceAssignment, ZoneId};
 use railhub_proto::{LoadReport, Subscribe};
@@ -38,7 +38,7 @@
         /// The proxy.
         proxy: ProxyId,
         /// Why it ended.
-        error: StreamError,
+        error: SessionError,
     },
     /// A proxy has responded to a delta.
     DeltaResponse {
--- a/crates/railhub-steward/src/membership/slice_sharing.rs
+++ b/crates/railhub-steward/src/membership/slice_sharing.rs
@@ -41,7 +41,7 @@
             changes.gained.push(table.acquired(epoch.0));
         }
         if !changes.is_empty() {
-            self.inbox.tell(OwnerEvent::LeaseChanges(changes));
+            self.inbox.send(OwnerEvent::LeaseChanges(changes));
         }
     }
 }
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -58,7 +58,7 @@
 
     /// Runs until it is sent [`OwnerEvent::Stop`].
     pub(crate) fn run(mut self) {
-        self.inbox.own();
+        self.inbox.bind_owner();
         let mut received = Received::Nothing;
         loop {
             self.sleep(received);
@@ -85,7 +85,7 @@
     fn receive(&mut self) -> Received {
         let mut received = Received::Nothing;
         for _ in 0..MAX_EVENTS_PER_BATCH {
-            match self.inbox.next_word() {
+            match self.inbox.next_event() {
                 None => break,
                 Some(OwnerEvent::Stop) => return Received::Stop,
                 Some(event) => {
@@ -109,7 +109,7 @@
         }
         if self.core.awaits_responses() && received == Received::AcksOnly {
             std::thread::sleep(seconds(ACK_GATHER_TIME.min(due - now)));
-        } else if self.inbox.is_quiet() {
+        } else if self.inbox.has_no_events() {
             std::thread::park_timeout(seconds(due - now));
         }
     }
@@ -163,7 +163,7 @@
     fn current_figures(&self) -> Figures {
         let targets = &self.environment.targets;
         let mut figures = self.core.figures();
-        figures.reports_dropped += self.inbox.sums_dropped.load(Ordering::Relaxed);
+        figures.reports_dropped += self.inbox.reports_dropped.load(Ordering::Relaxed);
         figures.probes_dropped = targets.health_checker.dropped();
         figures.traffic_dropped = targets.traffic.as_ref().map_or(0, |traffic| traffic.dropped);
         figures
--- a/crates/railhub-steward/src/process_environment.rs
+++ b/crates/railhub-steward/src/process_environment.rs
@@ -27,7 +27,7 @@
 
 impl Environment for ProcessEnvironment {
     fn probe(&mut self, host: HostId) {
-        self.targets.health_checker.ask(host);
+        self.targets.health_checker.submit(host);
     }
 
     fn store_table(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>) {
--- a/crates/railhub-steward/src/stream_error.rs
+++ b/crates/railhub-steward/src/session_error.rs
@@ -1,14 +1,14 @@
-//! Why a proxy's stream ends on its own account.
+//! Why a session with a proxy ends on the side of the stream.
 use crate::report_validation::ReportError;
-use railhub_net::StreamEnd;
+use railhub_net::StreamError;
 use thiserror::Error;
 
 /// What ended a stream; the text goes to the proxy and to the log.
 #[derive(Debug, Error)]
-pub enum StreamError {
+pub enum SessionError {
     /// The connection ended, broke, was silent for too long, or brought no message.
     #[error(transparent)]
-    Connection(#[from] StreamEnd),
+    Connection(#[from] StreamError),
     /// The stream was opened with another message than a subscription.
     #[error("the first message is no subscription")]
     NoSubscription,
--- a/crates/railhub-steward/src/store/client.rs
+++ b/crates/railhub-steward/src/store/client.rs
@@ -2,7 +2,7 @@
 use super::bodies::{LeasedTables, StoredTable};
 use railhub::Seconds;
 use railhub_membership::lease_messages::LeaseRequest;
-use railhub_net::http::{Caller, HttpError};
+use railhub_net::http::{Client, HttpError};
 use railhub_net::seconds;
 use std::fmt;
 use std::net::SocketAddr;
@@ -44,30 +44,30 @@
 /// A connection to the store.
 pub(super) struct StoreClient {
     address: SocketAddr,
-    caller: Caller,
+    client: Client,
 }
 
 impl StoreClient {
     /// A client whose requests take at most `timeout`.
     pub(super) fn new(address: SocketAddr, timeout: Seconds) -> StoreClient {
-        StoreClient { address, caller: Caller::new(address, seconds(timeout)) }
+        StoreClient { address, client: Client::new(address, seconds(timeout)) }
     }
 
     /// All slices with their tables, for a controller that is alone.
     pub(super) fn read_slices(&mut self) -> Result<Vec<StoredTable>, StoreError> {
-        let tables = self.caller.ask("/charges");
+        let tables = self.client.get_json("/charges");
         tables.map_err(|source| self.error(StoreOperation::ReadSlices, source))
     }
 
     /// Writes tables and returns the slices whose tables the store rejects.
     pub(super) fn write_tables(&mut self, tables: &Vec<StoredTable>) -> Result<Vec<u16>, StoreError> {
-        let rejected = self.caller.exchange("PUT", "/tables", tables);
+        let rejected = self.client.exchange_json("PUT", "/tables", tables);
         rejected.map_err(|source| self.error(StoreOperation::WriteTables, source))
     }
 
     /// Takes, renews and releases leases.
     pub(super) fn request_leases(&mut self, request: &LeaseRequest) -> Result<LeasedTables, StoreError> {
-        let leased = self.caller.exchange("POST", "/leases", request);
+        let leased = self.client.exchange_json("POST", "/leases", request);
         leased.map_err(|source| self.error(StoreOperation::RequestLeases, source))
     }
 
--- a/crates/railhub-steward/src/store/writer.rs
+++ b/crates/railhub-steward/src/store/writer.rs
@@ -69,14 +69,14 @@
             wake: Semphore::new(0),
         });
         let of_task = shared.clone();
-        let task = Task::go(move || run(StoreClient::new(store, timeout), &of_task));
+        let task = Task::spawn(move || run(StoreClient::new(store, timeout), &of_task));
         StoreWriter { shared, _tasks: vec![task] }
     }
 
     /// For a controller that is alone: it is given all slices.
     pub fn start_alone(store: SocketAddr, inbox: Arc<Inbox>) -> StoreWriter {
         let mut writer = StoreWriter::start(store, RESPONSE_TIMEOUT);
-        writer._tasks.push(Task::go(move || read_slices(store, &inbox)));
+        writer._tasks.push(Task::spawn(move || read_slices(store, &inbox)));
         writer
     }
 
@@ -131,7 +131,7 @@
         match client.read_slices() {
             Ok(tables) => {
                 let assignments = tables.into_iter().map(StoredTable::into_assignment).collect();
-                inbox.tell(OwnerEvent::Assignments(assignments));
+                inbox.send(OwnerEvent::Assignments(assignments));
                 return;
             }
             Err(error) => {
--- a/crates/railhub-steward/src/stream_server.rs
+++ b/crates/railhub-steward/src/stream_server.rs
@@ -9,11 +9,11 @@
 use crate::lease_table::LeaseTable;
 use crate::message_rate_limiter::MessageRateLimiter;
 use crate::report_validation::validate;
-use crate::stream_error::StreamError;
+use crate::session_error::SessionError;
 use crate::stream_handle::{StreamAction, StreamHandle};
 use may::net::TcpStream;
 use railhub::{ProxyId, Seconds, ZoneId};
-use railhub_net::{after, go, now, split, FrameReader, FrameWriter};
+use railhub_net::{now, run_after, spawn, split_framed, FrameReader, FrameWriter};
 use railhub_proto::{
     from_controller, from_proxy, FromController, FromProxy, Goodbye, Subscribe, MAX_FROM_PROXY_BYTES,
 };
@@ -64,9 +64,9 @@
             return;
         }
         let server = self.clone();
-        go(move || {
+        spawn(move || {
             let stream = StreamId(server.last_stream.fetch_add(1, Ordering::Relaxed) + 1);
-            if let Ok((reader, writer)) = split(connection, MAX_FROM_PROXY_BYTES) {
+            if let Ok((reader, writer)) = split_framed(connection, MAX_FROM_PROXY_BYTES) {
                 server.run_stream(stream, reader, writer);
             }
             server.open_streams.fetch_sub(1, Ordering::Relaxed);
@@ -75,8 +75,8 @@
 
     /// Follows a stream from its first message to its end.
     fn run_stream(&self, stream: StreamId, mut reader: FrameReader, mut writer: FrameWriter) {
-        reader.patience(Some(self.limits.subscribe_timeout));
-        writer.patience(self.limits.idle_timeout);
+        reader.set_idle_timeout(Some(self.limits.subscribe_timeout));
+        writer.set_send_timeout(self.limits.idle_timeout);
         let subscribe = match read_subscription(&mut reader) {
             Ok(subscribe) => subscribe,
             Err(error) => {
@@ -89,13 +89,13 @@
         let handle = Arc::new(StreamHandle::new(self.limits.quota, self.leases.clone()));
         let _end_of_writer = EndOfWriter(handle.clone());
         let of_writer = handle.clone();
-        go(move || write(writer, &of_writer));
-        self.inbox.tell(OwnerEvent::Subscribed { stream, subscribe, handle: handle.clone() });
-        reader.patience(Some(self.limits.idle_timeout));
+        spawn(move || write(writer, &of_writer));
+        self.inbox.send(OwnerEvent::Subscribed { stream, subscribe, handle: handle.clone() });
+        reader.set_idle_timeout(Some(self.limits.idle_timeout));
         let session = SessionReader { stream, proxy, zone, inbox: &self.inbox };
         let error = session.run(&mut reader);
         handle.end(&error.to_string());
-        self.inbox.tell(OwnerEvent::Disconnected { stream, proxy, error });
+        self.inbox.send(OwnerEvent::Disconnected { stream, proxy, error });
     }
 }
 
@@ -108,14 +108,14 @@
     }
 }
 
-fn read_subscription(reader: &mut FrameReader) -> Result<Subscribe, StreamError> {
+fn read_subscription(reader: &mut FrameReader) -> Result<Subscribe, SessionError> {
     let message: FromProxy = reader.receive()?;
     let Some(from_proxy::Payload::Subscribe(subscribe)) = message.payload else {
-        return Err(StreamError::NoSubscription);
+        return Err(SessionError::NoSubscription);
     };
     let (proxy, zone) = (subscribe.proxy, subscribe.zone);
     if u16::try_from(proxy.max(zone)).is_err() {
-        return Err(StreamError::NumberTooLarge { proxy, zone });
+        return Err(SessionError::NumberTooLarge { proxy, zone });
     }
     Ok(subscribe)
 }
@@ -130,21 +130,21 @@
 
 impl SessionReader<'_> {
     /// Reads until the stream ends.
-    fn run(&self, reader: &mut FrameReader) -> StreamError {
+    fn run(&self, reader: &mut FrameReader) -> SessionError {
         let mut limiter = MessageRateLimiter::new(now());
         loop {
             if let Err(error) = self.read_message(reader) {
                 return error;
             }
             if !limiter.allow(now()) {
-                return StreamError::TooManyMessages;
+                return SessionError::TooManyMessages;
             }
         }
     }
 
     /// Reads one message. It lives in a frame of its own, so that an idle stream's stack stays small.
     #[inline(never)]
-    fn read_message(&self, reader: &mut FrameReader) -> Result<(), StreamError> {
+    fn read_message(&self, reader: &mut FrameReader) -> Result<(), SessionError> {
         let message: FromProxy = reader.receive()?;
         match message.payload {
             Some(from_proxy::Payload::Ack(ack)) => {
@@ -156,17 +156,17 @@
             Some(from_proxy::Payload::LoadReport(report)) => {
                 validate(&report)?;
                 let (stream, proxy, zone) = (self.stream, self.proxy, self.zone);
-                self.inbox.report(ReceivedReport { stream, proxy, zone, report });
+                self.inbox.push_report(ReceivedReport { stream, proxy, zone, report });
             }
-            Some(from_proxy::Payload::Subscribe(_)) => return Err(StreamError::SecondSubscription),
-            None => return Err(StreamError::UnknownMessage),
+            Some(from_proxy::Payload::Subscribe(_)) => return Err(SessionError::SecondSubscription),
+            None => return Err(SessionError::UnknownMessage),
         }
         Ok(())
     }
 
     fn respond(&self, nonce: u64, response: DeltaResponse, reason: String) {
         let (stream, proxy) = (self.stream, self.proxy);
-        self.inbox.tell(OwnerEvent::DeltaResponse { stream, proxy, nonce, response, reason });
+        self.inbox.send(OwnerEvent::DeltaResponse { stream, proxy, nonce, response, reason });
     }
 }
 
@@ -181,7 +181,7 @@
             WriterAction::Nothing => handle.wait(),
             WriterAction::WaitUntil(until) => {
                 let waiting = handle.clone();
-                after(until - now(), move || waiting.wake());
+                run_after(until - now(), move || waiting.wake());
                 handle.wait();
             }
             WriterAction::Write(publication) => {
@@ -196,7 +196,7 @@
 }
 
 fn send_goodbye(writer: &mut FrameWriter, reason: &str) {
-    writer.patience(GOODBYE_TIMEOUT);
+    writer.set_send_timeout(GOODBYE_TIMEOUT);
     let goodbye = Goodbye { reason: reason.to_owned() };
     let _ = writer.send(&FromController { payload: Some(from_controller::Payload::Goodbye(goodbye)) });
     writer.close();
