--- a/crates/railhub-steward/src/endpoint_list_poller.rs
+++ b/crates/railhub-steward/src/endpoint_list_poller.rs
@@ -63,10 +63,10 @@
 }
 
 fn run(endpoint_list: SocketAddr, inbox: &Inbox) {
-    let mut caller = Client::new(endpoint_list, seconds(RESPONSE_TIMEOUT));
+    let mut client = Client::new(endpoint_list, seconds(RESPONSE_TIMEOUT));
     let (mut version, mut is_failing) = (0, false);
     loop {
-        match poll(&mut caller, endpoint_list, version) {
+        match poll(&mut client, endpoint_list, version) {
             Ok(update) => {
                 is_failing = false;
                 if update.version != version {
@@ -85,8 +85,8 @@
     }
 }
 
-fn poll(caller: &mut Client, address: SocketAddr, version: u64) -> Result<Update, EndpointListError> {
-    let page = caller.get_json(&format!("/hosts?after={version}"));
+fn poll(client: &mut Client, address: SocketAddr, version: u64) -> Result<Update, EndpointListError> {
+    let page = client.get_json(&format!("/hosts?after={version}"));
     let page: Page = page.map_err(|source| EndpointListError::Request { address, source })?;
     let mut entries = Vec::with_capacity(page.hosts.len());
     for entry in &page.hosts {
