--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -3,7 +3,7 @@
 use railhub_day::Day;
 use railhub_fleet::{run, Physics, Policy};
 use railhub_record::Event;
-use railhub_rules::{judge, limits};
+use railhub_rules::{check, limits};
 use std::path::{Path, PathBuf};
 
 fn played(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
@@ -25,7 +25,7 @@
             let served = |policy: &Policy| {
                 let events = played(name, seed, policy);
                 assert!(
-                    judge(&events).expect("a record").iter().all(|verdict| verdict.kept),
+                    check(&events).expect("a record").iter().all(|verdict| verdict.kept),
                     "{name} {seed}"
                 );
                 service(&events, limits(&events).expect("limits come first")).whole
--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -8,7 +8,7 @@
 use railhub_chaos::{run as simulate, Chaos, Fault, Sabotage};
 use railhub_day::{play, report};
 use railhub_record::save;
-use railhub_rules::{judge, limits, taken_up, Verdict};
+use railhub_rules::{check, limits, takeover_times, Verdict};
 use railhub_standin::proxy::Sabotage as BrokenProxy;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -91,7 +91,7 @@
     let (day, _) = shared::day(chaos, seed, &faults, sabotage).map_err(|e| e.to_string())?;
     let broken = (sabotage == Some(Sabotage::NoFence)).then_some(BrokenProxy::ObeysOldEpochs);
     let played = play(&day, Some(into_folder(&folder)), broken, None, &|_| {})?;
-    let rules = judge(&played.events)?;
+    let rules = check(&played.events).map_err(|error| error.to_string())?;
     let limits = limits(&played.events).ok_or("the record has no limits")?;
     let service = report::service(&played.events, limits).whole;
     let is_broken = rules.iter().any(|verdict| !verdict.kept);
@@ -109,7 +109,7 @@
         let rules = rules.into_iter().filter(|verdict| !verdict.kept).collect();
         Failed { seed, rules, faults, folder, simulated }
     });
-    Ok(Ran { service, taken_up: taken_up(&played.events), failed })
+    Ok(Ran { service, taken_up: takeover_times(&played.events), failed })
 }
 
 fn sum_up(chaos: &Chaos, arguments: &ChaosArguments, runs: &[Ran], not_played: Vec<(u64, String)>) -> Told {
@@ -153,9 +153,9 @@
     let Some(first) = &told.first else { return out };
     out += &format!("seed {}:\n", first.seed);
     for verdict in &first.rules {
-        out += &format!("  rule {} {}: {} times\n", verdict.rule, verdict.name, verdict.broken);
-        for breach in &verdict.breaches {
-            out += &format!("    {:.3} s: {}\n", breach.at, breach.what);
+        out += &format!("  rule {} {}: {} times\n", verdict.rule, verdict.name, verdict.violation_count);
+        for violation in &verdict.violations {
+            out += &format!("    {:.3} s: {}\n", violation.at, violation.description);
         }
     }
     for fault in &first.faults {
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -6,7 +6,7 @@
 use railhub_day::report::{rules_words, service, words, Report, Service};
 use railhub_day::{import, play, Day};
 use railhub_record::{read, read_part, Event};
-use railhub_rules::{judge, limits};
+use railhub_rules::{check as check_recording, limits};
 use railhub_series::{causes, over_time, told};
 use railhub_standin::proxy::Sabotage;
 use std::io::IsTerminal;
@@ -145,7 +145,7 @@
 
 /// Prints what came of a day; a broken rule is an ending of its own.
 pub fn finish(run: &Run, events: &[Event], fixed: Option<Service>, json: bool) -> Result<(), Ending> {
-    let rules = judge(events).map_err(Ending::Input)?;
+    let rules = check_recording(events).map_err(|error| Ending::Input(error.to_string()))?;
     let limits = limits(events).ok_or(Ending::Input("the record has no limits".into()))?;
     let report = Report {
         day: run.day.to_owned(),
@@ -175,7 +175,8 @@
 }
 
 pub fn check(arguments: &CheckArguments) -> Result<(), Ending> {
-    let rules = judge(&read(&arguments.record)?).map_err(Ending::Input)?;
+    let rules =
+        check_recording(&read(&arguments.record)?).map_err(|error| Ending::Input(error.to_string()))?;
     if arguments.json {
         println!("{}", serde_json::to_string(&rules)?);
     } else {
--- a/crates/railhub-day/src/report.rs
+++ b/crates/railhub-day/src/report.rs
@@ -152,11 +152,12 @@
             verdict.worst * 100.0,
             verdict.checked
         );
-        for breach in &verdict.breaches {
-            let _ = writeln!(out, "    at {:.3}: {}", breach.at, breach.what);
+        for violation in &verdict.violations {
+            let _ = writeln!(out, "    at {:.3}: {}", violation.at, violation.description);
         }
-        if verdict.broken > verdict.breaches.len() as u64 {
-            let _ = writeln!(out, "    and {} more", verdict.broken - verdict.breaches.len() as u64);
+        if verdict.violation_count > verdict.violations.len() as u64 {
+            let _ =
+                writeln!(out, "    and {} more", verdict.violation_count - verdict.violations.len() as u64);
         }
     }
     out
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -1,7 +1,7 @@
 //! What is kept of a run: its record is thrown away.
 use railhub_day::report::service;
 use railhub_record::Event;
-use railhub_rules::{judge, limits};
+use railhub_rules::{check, limits};
 use railhub_series::causes::happenings;
 use railhub_series::tail::Tail;
 use railhub_series::{loads, over_time, tail};
@@ -47,13 +47,13 @@
 pub fn figures(events: &[Event], day: usize, seed: u64) -> Result<RunFigures, String> {
     let limits = limits(events).ok_or("a run without limits")?;
     let service = service(events, limits);
-    let verdicts = judge(events)?;
+    let verdicts = check(events).map_err(|error| error.to_string())?;
     let broken = verdicts.iter().filter(|verdict| !verdict.kept);
     let breaches = broken.clone().flat_map(|verdict| {
-        verdict.breaches.iter().map(|breach| Moment {
+        verdict.violations.iter().map(|violation| Moment {
             rule: verdict.rule,
-            at: breach.at - limits.from,
-            what: breach.what.clone(),
+            at: violation.at - limits.from,
+            what: violation.description.clone(),
         })
     });
     let lines = over_time(events, limits);
--- a/crates/railhub-experiment/src/predict.rs
+++ b/crates/railhub-experiment/src/predict.rs
@@ -2,7 +2,7 @@
 use railhub_day::report::service;
 use railhub_day::Day;
 use railhub_fleet::{run_with_luck, Physics, Policy};
-use railhub_rules::{judge, limits};
+use railhub_rules::{check, limits};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -67,7 +67,7 @@
 fn one(day: &Day, policy: &Policy, physics: Physics, luck: u64) -> Result<(f64, f64, bool), String> {
     let events = run_with_luck(day, policy, physics, luck)?;
     let service = service(&events, limits(&events).ok_or("a run without limits")?);
-    let kept = judge(&events)?.iter().all(|verdict| verdict.kept);
+    let kept = check(&events).map_err(|error| error.to_string())?.iter().all(|verdict| verdict.kept);
     Ok((service.whole, service.worst_10_s, kept))
 }
 
--- a/crates/railhub-fleet/tests/days.rs
+++ b/crates/railhub-fleet/tests/days.rs
@@ -4,7 +4,7 @@
 use railhub_day::Day;
 use railhub_fleet::{run, Baseline, Physics, Policy};
 use railhub_record::{Event, What};
-use railhub_rules::{judge, limits};
+use railhub_rules::{check, limits};
 use std::path::Path;
 
 fn day(name: &str) -> Day {
@@ -34,7 +34,7 @@
         for seed in 1..=10 {
             let day = Day { seed, ..day(name) };
             let events = play(&day, &Policy::Steward);
-            let broken: Vec<_> = judge(&events).expect("a record").into_iter().filter(|v| !v.kept).collect();
+            let broken: Vec<_> = check(&events).expect("a record").into_iter().filter(|v| !v.kept).collect();
             assert!(broken.is_empty(), "{name}, seed {seed}: {broken:?}");
         }
     }
@@ -68,7 +68,7 @@
     let day = day("one-hot-key.ini");
     for policy in [Baseline::Even, Baseline::Latency] {
         let events = play(&day, &Policy::Baseline(policy));
-        let lost = judge(&events).expect("a record").swap_remove(0);
+        let lost = check(&events).expect("a record").swap_remove(0);
         assert!(lost.rule == 1 && lost.kept && lost.checked > 0, "{policy:?}: {lost:?}");
     }
 }
@@ -79,7 +79,7 @@
     for (name, hosts, better) in [("one-hot-key.ini", 12, 0.1), ("grows-to-150.ini", 150, 0.02)] {
         let day = day(name);
         let events = play(&day, &Policy::Steward);
-        assert!(judge(&events).expect("a record").iter().all(|verdict| verdict.kept), "{name}");
+        assert!(check(&events).expect("a record").iter().all(|verdict| verdict.kept), "{name}");
         let up = events.iter().filter(|event| matches!(event.what, Some(What::HostUp(_)))).count();
         assert_eq!(up, hosts, "{name}");
         let gained = served(&events) - served(&play(&day, &Policy::Fixed));
--- /dev/null
+++ b/crates/railhub-rules/src/draining.rs
@@ -0,0 +1,126 @@
+//! Rule 3: nothing is sent to a draining or gone host past the grace (draining only, where removal does not
+//! bind). Where controllers share the slices, the owner of the slice at the proxy is held to it; a drain that its
+//! predecessor knew of, and could still publish, counts from then.
+use crate::channel_slowdown::ChannelSlowdown;
+use crate::endpoint_view::EndpointView;
+use crate::slice_ownership::SliceOwnership;
+use crate::verdict::Verdict;
+use railhub_record::{Event, Limits, Listed, Roster, StewardLife, Stream, Try, What};
+use std::collections::BTreeMap;
+
+/// The verdict on rule 3.
+pub fn check(events: &[Event], limits: &Limits) -> Verdict {
+    let mut state = CheckState {
+        verdict: Verdict::new(3, "drains are kept"),
+        limits,
+        slowdown: ChannelSlowdown::from_events(events),
+        drains: BTreeMap::new(),
+        streams: BTreeMap::new(),
+        ownership: SliceOwnership::default(),
+    };
+    for event in events {
+        match &event.what {
+            Some(What::Roster(update)) => state.on_endpoints(event.at, update),
+            Some(What::StewardLife(life)) => state.on_process_event(event.at, life),
+            Some(What::Stream(stream)) => state.on_stream(event.at, stream),
+            Some(What::Delta(received)) => _ = state.ownership.on_delta(event.at, received),
+            Some(What::Try(attempt)) => state.on_attempt(event.at, attempt),
+            _ => {}
+        }
+    }
+    state.verdict
+}
+
+/// The hosts that one controller has to drain.
+#[derive(Default)]
+struct KnownDrains {
+    endpoints: EndpointView,
+    /// Since when, in seconds. A host that was listed as draining stays here when it is then listed as gone.
+    since: BTreeMap<String, f64>,
+}
+
+impl KnownDrains {
+    /// Applies an endpoint-list update. Returns how many drains it begins.
+    fn on_update(&mut self, at: f64, update: &Roster, limits: &Limits) -> u64 {
+        self.endpoints.on_update(at, update);
+        let mut begun = 0;
+        for (host, endpoint) in &self.endpoints.hosts {
+            let must_drain = match endpoint.listed {
+                Listed::Ready => false,
+                Listed::Draining => true,
+                Listed::Gone => !limits.only_draining_binds || self.since.contains_key(host),
+            };
+            if !must_drain {
+                self.since.remove(host);
+            } else if !self.since.contains_key(host) {
+                self.since.insert(host.clone(), endpoint.since);
+                begun += 1;
+            }
+        }
+        begun
+    }
+}
+
+struct CheckState<'a> {
+    verdict: Verdict,
+    limits: &'a Limits,
+    slowdown: ChannelSlowdown,
+    /// By controller.
+    drains: BTreeMap<u32, KnownDrains>,
+    /// When a stream opened, in seconds, by proxy and controller.
+    streams: BTreeMap<(u32, u32), f64>,
+    ownership: SliceOwnership,
+}
+
+impl CheckState<'_> {
+    fn on_endpoints(&mut self, at: f64, update: &Roster) {
+        let drains = self.drains.entry(update.steward).or_default();
+        for _ in 0..drains.on_update(at, update, self.limits) {
+            self.verdict.check_passed();
+        }
+    }
+
+    fn on_process_event(&mut self, at: f64, life: &StewardLife) {
+        self.ownership.on_process_event(at, life);
+        if !life.up {
+            self.drains.remove(&life.steward);
+        }
+    }
+
+    fn on_stream(&mut self, at: f64, stream: &Stream) {
+        let key = (stream.proxy, stream.steward);
+        if stream.up {
+            self.streams.insert(key, at);
+        } else {
+            self.streams.remove(&key);
+        }
+    }
+
+    fn on_attempt(&mut self, at: f64, attempt: &Try) {
+        let (proxy, slice) = (attempt.proxy, attempt.slice);
+        let owner = self.ownership.owner(proxy, slice);
+        let Some(connected_at) = self.streams.get(&(proxy, owner)) else { return };
+        let Some(draining_since) = self.draining_since(owner, attempt) else { return };
+        let accountable_since = self.ownership.accountable_since(proxy, slice);
+        let from = draining_since.max(*connected_at).max(accountable_since);
+        let grace = self.limits.grace * self.slowdown.max_factor(from, at);
+        let late = at - from;
+        self.verdict.check(at, late / grace, || {
+            format!("proxy {proxy} sent to {} {late:.2} s after it was to be left", attempt.host)
+        });
+    }
+
+    /// Since when the attempt's host has been draining for the owner of its slice, if it is and the owner can publish.
+    /// After a takeover, the first of the controllers that knew of it counts.
+    fn draining_since(&self, owner: u32, attempt: &Try) -> Option<f64> {
+        let known_to = |drains: &KnownDrains| drains.since.get(&attempt.host).copied();
+        let known_to_owner = self.drains.get(&owner).and_then(known_to)?;
+        if !self.ownership.can_publish(owner) {
+            return None;
+        }
+        if !self.ownership.took_over(attempt.proxy, attempt.slice) {
+            return Some(known_to_owner);
+        }
+        Some(self.drains.values().filter_map(known_to).fold(known_to_owner, f64::min))
+    }
+}
--- /dev/null
+++ b/crates/railhub-rules/src/duplicate_effect.rs
@@ -0,0 +1,163 @@
+//! Rule 2: a retry that the controllers allowed never takes effect twice; with a single owner, writes of a slice are
+//! never with two hosts at a time, nor with a former owner after a later one.
+use crate::verdict::Verdict;
+use railhub_record::{ClassLimits, Effect, Event, Limits, Repeats, Try, What};
+use std::collections::BTreeMap;
+
+/// A window shorter than this many seconds counts as this long.
+const MIN_KEY_WINDOW: f64 = 1e-9;
+
+/// One request of a client, with all attempts that a proxy made for it.
+#[derive(Default)]
+struct Request<'a> {
+    attempts: Vec<(f64, &'a Try)>,
+    /// Numbers of the attempts that are proved never to have run.
+    not_executed: Vec<u32>,
+}
+
+impl Request<'_> {
+    fn may_have_run(&self, attempt: &Try) -> bool {
+        !self.not_executed.contains(&attempt.number)
+    }
+}
+
+/// What the recording holds on the operations.
+#[derive(Default)]
+struct Operations<'a> {
+    /// By operation and number of the request.
+    requests: BTreeMap<(u64, u32), Request<'a>>,
+    effects: BTreeMap<u64, Vec<(f64, &'a Effect)>>,
+    zones: BTreeMap<&'a str, u32>,
+}
+
+/// The verdict on rule 2.
+pub fn check(events: &[Event], limits: &Limits) -> Verdict {
+    let mut verdict = Verdict::new(2, "no effect twice");
+    let operations = Operations::from_events(events);
+    for ((operation, _), request) in &operations.requests {
+        let Some((first_at, first)) = request.attempts.first() else { continue };
+        let Some(class) = limits.classes.get(first.class as usize) else { continue };
+        check_retries(&mut verdict, class, request, &operations.zones);
+        if class.repeats() == Repeats::Never {
+            operations.check_effects(&mut verdict, *operation, request, *first_at);
+        }
+    }
+    if limits.single_owner {
+        check_single_owner(&mut verdict, events, limits);
+    }
+    verdict
+}
+
+impl<'a> Operations<'a> {
+    fn from_events(events: &'a [Event]) -> Operations<'a> {
+        let mut operations = Operations::default();
+        for event in events {
+            match &event.what {
+                Some(What::HostUp(up)) => _ = operations.zones.insert(&up.host, up.zone),
+                Some(What::Try(attempt)) => {
+                    let request = operations.request(attempt.operation, attempt.coming);
+                    request.attempts.push((event.at, attempt));
+                }
+                Some(What::TryEnd(end)) if end.never_ran => {
+                    operations.request(end.operation, end.coming).not_executed.push(end.number);
+                }
+                Some(What::Effect(effect)) if !effect.dropped => {
+                    operations.effects.entry(effect.operation).or_default().push((event.at, effect));
+                }
+                _ => {}
+            }
+        }
+        operations
+    }
+
+    fn request(&mut self, operation: u64, number: u32) -> &mut Request<'a> {
+        self.requests.entry((operation, number)).or_default()
+    }
+
+    /// Checks that an operation without idempotency took effect once, at the hosts that its only request reached.
+    fn check_effects(&self, verdict: &mut Verdict, operation: u64, request: &Request, first_at: f64) {
+        let reached =
+            |effect: &Effect| request.attempts.iter().any(|(_, attempt)| attempt.host == effect.host);
+        let effects = self.effects.get(&operation).into_iter().flatten();
+        let count = effects.filter(|(at, effect)| reached(effect) && *at >= first_at).count();
+        let requests = self.requests.range((operation, 0)..=(operation, u32::MAX)).count();
+        // Where the client sent the operation again, that request may be the second effect.
+        if requests == 1 && count > 0 {
+            verdict.check_condition(first_at, count > 1, || {
+                format!("operation {operation} took effect {count} times")
+            });
+        }
+    }
+}
+
+/// Checks each retry against the first attempt before it that may have run.
+fn check_retries(verdict: &mut Verdict, class: &ClassLimits, request: &Request, zones: &BTreeMap<&str, u32>) {
+    for (index, (at, retry)) in request.attempts.iter().enumerate().skip(1) {
+        let earlier = &request.attempts[..index];
+        let Some((first_at, first)) = earlier.iter().find(|(_, attempt)| request.may_have_run(attempt))
+        else {
+            verdict.check_passed();
+            continue;
+        };
+        let describe = || {
+            let (operation, proxy) = (retry.operation, retry.proxy);
+            format!(
+                "proxy {proxy} sent operation {operation} to {} after {} may have run it",
+                retry.host, first.host
+            )
+        };
+        let window_fraction = (at - first_at) / class.key_window.max(MIN_KEY_WINDOW);
+        let same_zone = zones.get(first.host.as_str()) == zones.get(retry.host.as_str());
+        match class.repeats() {
+            Repeats::Safe => verdict.check_passed(),
+            Repeats::IdempotencyKeyGlobal => verdict.check(*at, window_fraction, describe),
+            Repeats::IdempotencyKeyLocal if same_zone => verdict.check(*at, window_fraction, describe),
+            Repeats::IdempotencyKeyLocal | Repeats::Never => verdict.check_condition(*at, true, describe),
+        }
+    }
+}
+
+/// One write of a slice at a host, from its start to its end, in seconds.
+struct Write<'a> {
+    began: f64,
+    ended: f64,
+    host: &'a str,
+}
+
+/// Checks that the writes of a slice are with one host at a time, and never return to a former owner.
+fn check_single_owner(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
+    for (slice, mut writes) in writes_by_slice(events, limits) {
+        writes.sort_by(|a, b| a.began.total_cmp(&b.began));
+        let mut former: Vec<&str> = Vec::new();
+        let mut owner: Option<(&str, f64)> = None;
+        for Write { began, ended, host } in writes {
+            let mut violated = false;
+            let mut until = ended;
+            match owner {
+                Some((present, present_until)) if present == host => until = present_until.max(ended),
+                Some((present, present_until)) => {
+                    former.push(present);
+                    violated = began < present_until || former.contains(&host);
+                }
+                None => {}
+            }
+            owner = Some((host, until));
+            verdict.check_condition(began, violated, || {
+                format!("a write of slice {slice} was with {host}, which does not own it alone")
+            });
+        }
+    }
+}
+
+fn writes_by_slice<'a>(events: &'a [Event], limits: &Limits) -> BTreeMap<u32, Vec<Write<'a>>> {
+    let mut writes: BTreeMap<u32, Vec<Write>> = BTreeMap::new();
+    for event in events {
+        let Some(What::Effect(effect)) = &event.what else { continue };
+        let class = limits.classes.get(effect.class as usize);
+        if class.is_some_and(|class| class.writes) {
+            let write = Write { began: effect.began, ended: event.at, host: &effect.host };
+            writes.entry(effect.slice).or_default().push(write);
+        }
+    }
+    writes
+}
--- /dev/null
+++ b/crates/railhub-rules/src/endpoint_view.rs
@@ -0,0 +1,48 @@
+//! The endpoint list as a controller has received it.
+use railhub_record::{Listed, Roster};
+use std::collections::BTreeMap;
+
+/// The latest state received for one host.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedEndpoint {
+    pub listed: Listed,
+    /// When its process started, in seconds, where the list has it.
+    pub started: Option<f64>,
+    /// When this state was first received, in seconds.
+    pub since: f64,
+}
+
+/// All hosts that a controller has received, by name.
+#[derive(Default)]
+pub struct EndpointView {
+    pub hosts: BTreeMap<String, ReceivedEndpoint>,
+}
+
+impl EndpointView {
+    /// Applies an update. A host that is missing from a complete list is gone.
+    pub fn on_update(&mut self, at: f64, update: &Roster) {
+        if update.whole {
+            self.mark_missing_as_gone(at, update);
+        }
+        for entry in &update.entries {
+            let (listed, started) = (entry.listed(), entry.started);
+            let unchanged = self.hosts.get(&entry.host).filter(|known| known.listed == listed);
+            let since = unchanged.map_or(at, |known| known.since);
+            self.hosts.insert(entry.host.clone(), ReceivedEndpoint { listed, started, since });
+        }
+    }
+
+    fn mark_missing_as_gone(&mut self, at: f64, update: &Roster) {
+        for (host, known) in &mut self.hosts {
+            let is_listed = update.entries.iter().any(|entry| entry.host == *host);
+            if !is_listed && known.listed != Listed::Gone {
+                *known = ReceivedEndpoint { listed: Listed::Gone, started: None, since: at };
+            }
+        }
+    }
+
+    /// Forgets everything: the controller's process ended, and the next one receives the list afresh.
+    pub fn clear(&mut self) {
+        self.hosts.clear();
+    }
+}
--- a/crates/railhub-rules/src/lib.rs
+++ b/crates/railhub-rules/src/lib.rs
@@ -1,97 +1,69 @@
-//! Judges the five rules from a record alone: what crossed the sockets, and what the hosts are.
+//! Checks invariants against a recording alone: what crossed the sockets, and what the hosts are.
 //!
-//! Shares no code with what a steward decides by, and knows nothing of it. Each rule is a function over the
-//! events in the order of their times; it says whether the rule was kept, how near it came, and where it broke.
-mod channel;
-mod charge;
-mod cold;
-mod leaving;
-mod lost;
-mod sharing;
-mod slow;
-mod told;
-mod twice;
-
-pub use sharing::taken_up;
-
-use railhub_record::{Event, Limits, What};
-use serde::Serialize;
-
-/// Breaches that a verdict names; the rest are counted.
-const NAMED: usize = 5;
-
-#[derive(Clone, Debug, Serialize)]
-pub struct Breach {
-    /// Seconds on the record's clock.
-    pub at: f64,
-    pub what: String,
-}
-
-#[derive(Clone, Debug, Serialize)]
-pub struct Verdict {
-    pub rule: u8,
-    pub name: &'static str,
-    pub kept: bool,
-    /// The nearest it came: part of the limit that was used; past 1 the rule is broken.
-    pub worst: f64,
-    /// How many things were looked at: none means that nothing is proved.
-    pub checked: u64,
-    pub broken: u64,
-    pub breaches: Vec<Breach>,
-}
-
-impl Verdict {
-    fn new(rule: u8, name: &'static str) -> Verdict {
-        Verdict { rule, name, kept: true, worst: 0.0, checked: 0, broken: 0, breaches: Vec::new() }
-    }
+//! Owns the invariants and their verdicts. Shares no code with what a controller decides by, and knows nothing of it.
+//! Each invariant is a function over the events in the order of their times; its verdict says whether the invariant
+//! held, how near it came to its limit, and where it was violated.
+//!
+//! One recorded event, as [`check`] handles it:
+//!
+//! 1. [`limits`] finds the limits of the run, first in the recording; without valid ones nothing is checked.
+//! 2. Each invariant reads the events from the first to the last. Its `check` hands an event to the matching
+//!    `on_...` function, which updates what the invariant follows: the endpoint list as a controller has received it
+//!    (`endpoint_view`), the owner of a slice at a proxy (`slice_ownership`), a proxy's tables (`proxy_tables`).
+//! 3. An event that puts the invariant to the proof, such as an attempt at a host, becomes one check: the fraction of
+//!    the limit that was used. Time limits are multiplied by the scenario's slowdown of the update channel
+//!    (`channel_slowdown`).
+//! 4. [`Verdict`] counts the check, keeps the largest fraction, and describes the violation if it is above 1.
+//!
+//! | rule | invariant | module |
+//! | --- | --- | --- |
+//! | 1 | a connected proxy has a usable host for each slice | `usable_host` |
+//! | 2 | no retry takes effect twice; one owner at a time writes | `duplicate_effect` |
+//! | 3 | nothing is sent to a draining host past the grace | `draining` |
+//! | 4 | no host is overloaded in slow start | `slow_start` |
+//! | 5 | backlog and messages stay within limits | `update_channel` |
+//! | 6 to 10 | epochs, leases and grants of shared slices | `shared_slices` |
+#![warn(missing_docs)]
+mod channel_slowdown;
+mod draining;
+mod duplicate_effect;
+mod endpoint_view;
+mod error;
+mod limits;
+mod proxy_tables;
+mod shared_slices;
+mod slice_ownership;
+mod slow_start;
+mod update_channel;
+mod usable_host;
+mod verdict;
 
-    /// One thing looked at, and the part of its limit that it used.
-    fn look(&mut self, at: f64, used: f64, what: impl FnOnce() -> String) {
-        self.checked += 1;
-        self.worst = self.worst.max(used);
-        if used > 1.0 {
-            self.kept = false;
-            self.broken += 1;
-            if self.breaches.len() < NAMED {
-                self.breaches.push(Breach { at, what: what() });
-            }
-        }
-    }
-}
+pub use error::CheckError;
+pub use limits::limits;
+pub use shared_slices::takeover_times;
+pub use verdict::{Verdict, Violation};
 
-/// Seconds of a run, and slices, that are believed: a script has 3600 and 60,000 at the most, and looking through
-/// more would take for ever.
-const LONGEST_RUN: f64 = 86_400.0;
-const SLICES_MOST: u32 = 1 << 16;
+use railhub_record::Event;
 
-/// The verdicts on all five rules, and, where stewards share the slices, on what they promise; an error if the record does not say what the rules are.
-pub fn judge(events: &[Event]) -> Result<Vec<Verdict>, String> {
-    let limits = limits(events).ok_or("the record has no limits, or some that cannot be")?;
+/// The verdicts on rules 1 to 5 and, where controllers share the slices, on rules 6 to 10. The events must be in the
+/// order of their times.
+///
+/// # Errors
+/// [`CheckError::NoValidLimits`] if the recording does not state the limits of its run.
+pub fn check(events: &[Event]) -> Result<Vec<Verdict>, CheckError> {
+    let limits = limits(events).ok_or(CheckError::NoValidLimits)?;
     let mut verdicts = vec![
-        lost::judge(events, limits),
-        twice::judge(events, limits),
-        leaving::judge(events, limits),
-        cold::judge(events, limits),
-        channel::judge(events, limits),
+        usable_host::check(events, limits),
+        duplicate_effect::check(events, limits),
+        draining::check(events, limits),
+        slow_start::check(events, limits),
+        update_channel::check(events, limits),
     ];
-    if charge::is_shared(events) {
-        verdicts.extend(sharing::judge(events));
+    if slice_ownership::is_shared(events) {
+        verdicts.extend(shared_slices::check(events));
     }
     Ok(verdicts)
 }
 
-/// What the rules of a run are. A record that says what cannot be says nothing.
-pub fn limits(events: &[Event]) -> Option<&Limits> {
-    let found = events.iter().find_map(|event| match &event.what {
-        Some(What::Limits(limits)) => Some(limits),
-        _ => None,
-    });
-    found.filter(|limits| {
-        limits.from >= 0.0
-            && (0.0..=LONGEST_RUN).contains(&(limits.until - limits.from))
-            && limits.slices <= SLICES_MOST
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/railhub-rules/src/limits.rs
@@ -0,0 +1,23 @@
+//! The limits that a recording states for its run.
+use railhub_record::{Event, Limits, What};
+
+/// Seconds of a run that are believed; a scenario has 3600 at the most.
+const MAX_RUN_DURATION: f64 = 86_400.0;
+/// Slices that are believed; a scenario has 60,000 at the most.
+const MAX_SLICES: u32 = 1 << 16;
+
+/// The limits of a run: the first that the recording states, or none if those are out of range.
+pub fn limits(events: &[Event]) -> Option<&Limits> {
+    let found = events.iter().find_map(|event| match &event.what {
+        Some(What::Limits(limits)) => Some(limits),
+        _ => None,
+    });
+    found.filter(|limits| is_plausible(limits))
+}
+
+/// Whether a check of all slices over the whole run ends in reasonable time.
+fn is_plausible(limits: &Limits) -> bool {
+    limits.from >= 0.0
+        && (0.0..=MAX_RUN_DURATION).contains(&(limits.until - limits.from))
+        && limits.slices <= MAX_SLICES
+}
--- /dev/null
+++ b/crates/railhub-rules/src/update_channel.rs
@@ -0,0 +1,64 @@
+//! Rule 5: the update channel's backlog and the messages to each proxy stay within limits.
+use crate::verdict::Verdict;
+use railhub_record::{Event, Limits, What};
+use std::collections::{BTreeMap, VecDeque};
+
+/// The verdict on rule 5.
+pub fn check(events: &[Event], limits: &Limits) -> Verdict {
+    let mut verdict = Verdict::new(5, "a short queue");
+    check_message_rate(&mut verdict, events, limits);
+    check_backlog(&mut verdict, events, limits);
+    verdict
+}
+
+/// Checks the messages to each proxy within the span; each of several controllers keeps to the limit by itself.
+fn check_message_rate(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
+    if limits.message_cap == 0 {
+        return;
+    }
+    // When messages within the span arrived, by proxy and controller.
+    let mut recent: BTreeMap<(u32, u32), VecDeque<f64>> = BTreeMap::new();
+    for event in events {
+        match &event.what {
+            Some(What::Stream(stream)) if stream.up => _ = recent.remove(&(stream.proxy, stream.steward)),
+            Some(What::Delta(received)) => {
+                let arrivals = recent.entry((received.proxy, received.steward)).or_default();
+                arrivals.push_back(event.at);
+                while arrivals.front().is_some_and(|at| *at <= event.at - limits.messages_span) {
+                    arrivals.pop_front();
+                }
+                let limit_fraction = arrivals.len() as f64 / f64::from(limits.message_cap);
+                verdict.check(event.at, limit_fraction, || {
+                    format!("proxy {} got {} messages within the span", received.proxy, arrivals.len())
+                });
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Lines that enter (above 0) or leave (below 0) the backlog.
+struct BacklogChange {
+    at: f64,
+    lines: f64,
+}
+
+/// Checks the lines that are published and have not reached their proxy.
+fn check_backlog(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
+    let mut changes = Vec::new();
+    for event in events {
+        if let Some(What::Delta(received)) = &event.what {
+            let lines = received.delta.cost() as f64 + limits.message_cost;
+            changes.push(BacklogChange { at: received.delta.ordered_at.min(event.at), lines });
+            changes.push(BacklogChange { at: event.at, lines: -lines });
+        }
+    }
+    changes.sort_by(|a, b| a.at.total_cmp(&b.at).then(a.lines.total_cmp(&b.lines)));
+    let mut waiting = 0.0;
+    for change in changes {
+        waiting += change.lines;
+        if change.lines > 0.0 {
+            verdict.check(change.at, waiting / limits.backlog, || format!("{waiting:.0} lines waited"));
+        }
+    }
+}
--- /dev/null
+++ b/crates/railhub-rules/src/usable_host.rs
@@ -0,0 +1,137 @@
+//! Rule 1: no connected proxy is without a usable host for a slice beyond the limit, while a warm host is listed ready.
+use crate::channel_slowdown::ChannelSlowdown;
+use crate::endpoint_view::EndpointView;
+use crate::proxy_tables::ProxyTables;
+use crate::slice_ownership::SliceOwnership;
+use crate::verdict::Verdict;
+use railhub_record::{Event, Limits, Listed, Received, Roster, StewardLife, Stream, What};
+use std::collections::BTreeMap;
+
+/// The verdict on rule 1.
+pub fn check(events: &[Event], limits: &Limits) -> Verdict {
+    let mut state = CheckState {
+        proxies: BTreeMap::new(),
+        endpoints: EndpointView::default(),
+        spans: UnservedSpans {
+            verdict: Verdict::new(1, "nobody left without a host"),
+            streams: BTreeMap::new(),
+            ownership: SliceOwnership::default(),
+            warm_since: None,
+            limits,
+            slowdown: ChannelSlowdown::from_events(events),
+        },
+    };
+    for event in events {
+        match &event.what {
+            Some(What::Roster(update)) => state.on_endpoints(event.at, update),
+            Some(What::Stream(stream)) => state.on_stream(event.at, stream),
+            Some(What::Delta(received)) => state.on_delta(event.at, received),
+            Some(What::StewardLife(life)) => state.on_process_event(event.at, life),
+            _ => {}
+        }
+    }
+    state.check_open_spans(events.last().map_or(0.0, |event| event.at));
+    state.spans.verdict
+}
+
+struct CheckState<'a> {
+    proxies: BTreeMap<u32, ProxyTables>,
+    endpoints: EndpointView,
+    spans: UnservedSpans<'a>,
+}
+
+impl CheckState<'_> {
+    fn on_endpoints(&mut self, at: f64, update: &Roster) {
+        self.endpoints.on_update(at, update);
+        let before = self.spans.warm_since.filter(|since| *since <= at);
+        let next = self.first_warm_at().map(|first| match before {
+            Some(since) if first <= at => since,
+            _ => first.max(at),
+        });
+        let interrupted = before.is_some() && next != before;
+        if next.is_none() || interrupted {
+            self.check_open_spans(at);
+        }
+        self.spans.warm_since = next;
+    }
+
+    /// When the first of the hosts that are listed ready is warm; may lie in the future.
+    fn first_warm_at(&self) -> Option<f64> {
+        let warm_within = self.spans.limits.warm_within;
+        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.listed == Listed::Ready);
+        let warm_at = ready.map(|endpoint| endpoint.started.map_or(0.0, |started| started + warm_within));
+        warm_at.min_by(f64::total_cmp)
+    }
+
+    fn on_stream(&mut self, at: f64, stream: &Stream) {
+        let proxy = self.proxies.entry(stream.proxy).or_default();
+        let key = (stream.proxy, stream.steward);
+        if stream.up {
+            self.spans.streams.insert(key, at);
+            proxy.update_unserved(at, self.spans.limits.slices);
+        } else {
+            self.spans.check(stream.proxy, &proxy.unserved, at);
+            self.spans.streams.remove(&key);
+        }
+    }
+
+    fn on_delta(&mut self, at: f64, received: &Received) {
+        let stale = self.spans.ownership.on_delta(at, received);
+        let proxy = self.proxies.entry(received.proxy).or_default();
+        let mut ended = proxy.unserved.clone();
+        proxy.apply(at, &received.delta, &stale, self.spans.limits.slices);
+        ended.retain(|slice, _| !proxy.unserved.contains_key(slice));
+        self.spans.check(received.proxy, &ended, at);
+    }
+
+    fn on_process_event(&mut self, at: f64, life: &StewardLife) {
+        self.spans.ownership.on_process_event(at, life);
+        if self.spans.ownership.none_running() {
+            self.check_open_spans(at);
+            self.endpoints.clear();
+            self.spans.warm_since = None;
+        }
+    }
+
+    /// Checks all spans that are still open, and restarts them.
+    fn check_open_spans(&mut self, at: f64) {
+        for (number, proxy) in &mut self.proxies {
+            self.spans.check(*number, &proxy.unserved, at);
+            for since in proxy.unserved.values_mut() {
+                *since = at;
+            }
+        }
+    }
+}
+
+/// Checks spans in which a slice had no usable host at a proxy.
+struct UnservedSpans<'a> {
+    verdict: Verdict,
+    /// When a stream opened, in seconds, by proxy and controller.
+    streams: BTreeMap<(u32, u32), f64>,
+    ownership: SliceOwnership,
+    /// Since when a warm host has been listed ready without interruption; may lie in the future.
+    warm_since: Option<f64>,
+    limits: &'a Limits,
+    slowdown: ChannelSlowdown,
+}
+
+impl UnservedSpans<'_> {
+    /// Checks spans that last until `at`. A proxy counts as connected for a slice while it has a stream to the owner.
+    fn check(&mut self, proxy: u32, unserved: &BTreeMap<u32, f64>, at: f64) {
+        let Some(warm_since) = self.warm_since else { return };
+        for (slice, since) in unserved {
+            let owner = self.ownership.owner(proxy, *slice);
+            let Some(connected_at) = self.streams.get(&(proxy, owner)) else { continue };
+            let accountable_since = self.ownership.accountable_since(proxy, *slice);
+            let from = since.max(*connected_at).max(warm_since).max(accountable_since);
+            let limit = self.limits.lost_for * self.slowdown.max_factor(from, at);
+            let limit_fraction = (at - from) / limit;
+            if limit_fraction > 0.0 {
+                self.verdict.check(at, limit_fraction, || {
+                    format!("proxy {proxy} had no line for slice {slice} for {:.2} s", at - from)
+                });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/railhub-rules/src/verdict.rs
@@ -0,0 +1,68 @@
+//! The verdict on one invariant: what was checked, how near it came to its limit, and where it was violated.
+use serde::Serialize;
+
+/// Violations that a verdict describes; further ones are only counted.
+const MAX_DESCRIBED_VIOLATIONS: usize = 5;
+/// Fraction of the limit that a violated yes-or-no condition counts as having used.
+const VIOLATED_FRACTION: f64 = 2.0;
+
+/// One violation of an invariant.
+#[derive(Clone, Debug, Serialize)]
+pub struct Violation {
+    /// Seconds on the recording's clock.
+    pub at: f64,
+    /// What was seen, in a sentence.
+    #[serde(rename = "what")]
+    pub description: String,
+}
+
+/// The verdict on one invariant over one recording.
+#[derive(Clone, Debug, Serialize)]
+pub struct Verdict {
+    /// The invariant's number.
+    pub rule: u8,
+    /// The invariant's name.
+    pub name: &'static str,
+    /// No check failed. Proves nothing while `checked` is 0.
+    pub kept: bool,
+    /// The largest fraction of the limit that a check used; the invariant is violated above 1.
+    pub worst: f64,
+    /// Checks made.
+    pub checked: u64,
+    /// Checks that failed.
+    #[serde(rename = "broken")]
+    pub violation_count: u64,
+    /// The first of the violations.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
+}
+
+impl Verdict {
+    pub(crate) fn new(rule: u8, name: &'static str) -> Verdict {
+        Verdict { rule, name, kept: true, worst: 0.0, checked: 0, violation_count: 0, violations: Vec::new() }
+    }
+
+    /// Counts one check that used `limit_fraction` of its limit; above 1 it is a violation, which `describe` words.
+    pub(crate) fn check(&mut self, at: f64, limit_fraction: f64, describe: impl FnOnce() -> String) {
+        self.checked += 1;
+        self.worst = self.worst.max(limit_fraction);
+        if limit_fraction > 1.0 {
+            self.kept = false;
+            self.violation_count += 1;
+            if self.violations.len() < MAX_DESCRIBED_VIOLATIONS {
+                self.violations.push(Violation { at, description: describe() });
+            }
+        }
+    }
+
+    /// Counts one check of a condition that either holds or is violated.
+    pub(crate) fn check_condition(&mut self, at: f64, violated: bool, describe: impl FnOnce() -> String) {
+        let limit_fraction = if violated { VIOLATED_FRACTION } else { 0.0 };
+        self.check(at, limit_fraction, describe);
+    }
+
+    /// Counts one check that cannot fail.
+    pub(crate) fn check_passed(&mut self) {
+        self.checked += 1;
+    }
+}
