--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -41,7 +41,7 @@
     let events = played("short.ini", 3, &adapter());
     let lives = events
         .iter()
-        .filter(|event| matches!(&event.what, Some(railhub_record::What::StewardLife(life)) if life.up));
+        .filter(|event| matches!(&event.kind, Some(railhub_record::EventKind::ControllerLifecycle(life)) if life.running));
     assert_eq!(lives.count(), 2);
 }
 
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -5,7 +5,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use railhub_day::report::{rules_words, service, words, Report, Service};
 use railhub_day::{import, play, Day};
-use railhub_record::{read, read_part, Event};
+use railhub_record::{read, read_partial, Event, PartialRecording};
 use railhub_rules::{check as check_recording, limits};
 use railhub_series::{causes, over_time, told};
 use railhub_standin::proxy::Sabotage;
@@ -136,8 +136,8 @@
 /// A report of a record that is all there is: neither day nor seed are known.
 pub fn report(arguments: &CheckArguments) -> Result<(), Ending> {
     let name = arguments.record.display().to_string();
-    let (events, cut_off) = read_part(&arguments.record)?;
-    if cut_off {
+    let PartialRecording { events, is_truncated } = read_partial(&arguments.record)?;
+    if is_truncated {
         eprintln!("{name}: cut off; the {} events before the cut are used", events.len());
     }
     finish(&Run { day: &name, seed: 0, how: "from a record" }, &events, None, arguments.json)
--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -2,7 +2,7 @@
 use crate::Ending;
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_day::replay::of_record;
-use railhub_record::read_part;
+use railhub_record::{read_partial, PartialRecording};
 use railhub_rules::limits;
 use railhub_traffic::cut::{cut, Part};
 use railhub_traffic::file::{open, save};
@@ -84,8 +84,8 @@
 pub fn run(arguments: &TrafficArguments) -> Result<(), Ending> {
     match &arguments.what {
         What::Record { record, output } => {
-            let (events, cut_off) = read_part(record)?;
-            if cut_off {
+            let PartialRecording { events, is_truncated } = read_partial(record)?;
+            if is_truncated {
                 eprintln!(
                     "{}: cut off; the {} events before the cut are used",
                     record.display(),
@@ -94,7 +94,7 @@
             }
             let limits = limits(&events).ok_or(Ending::Input("the record has no limits".into()))?;
             let mut traffic = of_record(&events, limits);
-            if cut_off {
+            if is_truncated {
                 // What came last has not ended: of the last seconds only a part is known.
                 let until = events.last().map_or(0.0, |event| event.at) - limits.from - longest_stop(limits);
                 traffic = cut(&traffic, &Part { until: Some(until.max(0.0)), ..Part::default() });
--- a/crates/railhub-day/src/replay.rs
+++ b/crates/railhub-day/src/replay.rs
@@ -6,7 +6,7 @@
 use crate::draw::{self, Arrival, Coming};
 use crate::script::{ClassScript, Day};
 use railhub_ini::{Diagnostic, Section};
-use railhub_record::{Event, Limits, What};
+use railhub_record::{Event, EventKind, Limits};
 use railhub_standin::client::Drawn;
 use railhub_traffic::scale::{scale, CopiesOf};
 use railhub_traffic::{file, Facts, Row, Traffic, OPERATIONS_MOST};
@@ -159,8 +159,8 @@
         length: limits.until - limits.from,
     };
     let length = facts.length;
-    let rows = events.iter().filter_map(|event| match &event.what {
-        Some(What::Operation(end)) => Some(Row {
+    let rows = events.iter().filter_map(|event| match &event.kind {
+        Some(EventKind::OperationEnd(end)) => Some(Row {
             // A client may begin some hundredths late: the last of them are still of this day.
             at: (end.began - limits.from).clamp(0.0, (length - LAST).max(0.0)),
             class: end.class,
@@ -180,8 +180,8 @@
 }
 
 fn highest_zone(events: &[Event]) -> u32 {
-    let zones = events.iter().filter_map(|event| match &event.what {
-        Some(What::Operation(end)) => Some(end.zone),
+    let zones = events.iter().filter_map(|event| match &event.kind {
+        Some(EventKind::OperationEnd(end)) => Some(end.zone),
         _ => None,
     });
     zones.max().unwrap_or(0)
--- a/crates/railhub-day/src/replay/tests.rs
+++ b/crates/railhub-day/src/replay/tests.rs
@@ -68,7 +68,7 @@
 fn a_record_becomes_traffic_that_brings_all_its_operations_again() {
     let end = |n: u64, began: f64| Event {
         at: began + 0.1,
-        what: Some(What::Operation(railhub_record::OperationEnd {
+        kind: Some(EventKind::OperationEnd(railhub_record::OperationEnd {
             operation: n,
             slice: (n % 6) as u32,
             zone: 1,
@@ -76,7 +76,7 @@
             key: n,
             work: 0.02,
             proxy: 3,
-            comings: 1,
+            requests: 1,
             ..railhub_record::OperationEnd::default()
         })),
     };
--- a/crates/railhub-day/src/report.rs
+++ b/crates/railhub-day/src/report.rs
@@ -1,5 +1,5 @@
 //! Service and verdicts out of a record.
-use railhub_record::{Event, Limits, OperationEnd, Outcome, What};
+use railhub_record::{Event, EventKind, Limits, OperationEnd, Outcome};
 use railhub_rules::Verdict;
 use serde::Serialize;
 use std::fmt::Write;
@@ -45,12 +45,14 @@
 
 pub fn service(events: &[Event], limits: &Limits) -> Service {
     let ends: Vec<&OperationEnd> = (events.iter())
-        .filter_map(|event| match &event.what {
-            Some(What::Operation(end)) => Some(end),
+        .filter_map(|event| match &event.kind {
+            Some(EventKind::OperationEnd(end)) => Some(end),
             _ => None,
         })
         .collect();
-    let gain = |end: &OperationEnd| limits.classes.get(end.class as usize).map_or(0.0, |class| class.gain);
+    let gain = |end: &OperationEnd| {
+        limits.classes.get(end.class as usize).map_or(0.0, |class| class.priority_weight)
+    };
     let between = |from: f64, until: f64| {
         let inside = ends.iter().filter(|end| (from..until).contains(&(end.began - limits.from)));
         let (mut asked, mut answered) = (0.0, 0.0);
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -4,7 +4,7 @@
 use crate::troubles::{self, Trouble};
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::lease_store::StoreFaults;
-use railhub_record::{ClassLimits, Limits, Repeats};
+use railhub_record::{ClassLimits, Limits, OperationIdempotency};
 use railhub_standin::client::ClientFacts;
 use railhub_standin::held::Pick;
 use railhub_standin::ClassFacts;
@@ -230,13 +230,16 @@
         "repeats",
         "never",
         &[
-            ("safe", Repeats::Safe),
-            ("keyed", Repeats::IdempotencyKeyGlobal),
-            ("keyed nearby", Repeats::IdempotencyKeyLocal),
-            ("never", Repeats::Never),
+            ("safe", OperationIdempotency::Safe),
+            ("keyed", OperationIdempotency::IdempotencyKeyGlobal),
+            ("keyed nearby", OperationIdempotency::IdempotencyKeyLocal),
+            ("never", OperationIdempotency::Never),
         ],
     )?;
-    let keyed = matches!(repeats, Repeats::IdempotencyKeyGlobal | Repeats::IdempotencyKeyLocal);
+    let keyed = matches!(
+        repeats,
+        OperationIdempotency::IdempotencyKeyGlobal | OperationIdempotency::IdempotencyKeyLocal
+    );
     let script = ClassScript {
         facts: ClassFacts {
             name: section.name["class ".len()..].trim().to_owned(),
@@ -275,8 +278,8 @@
         name: class.facts.name.clone(),
         contract_time: class.facts.contract_time,
         hard_stop: class.facts.hard_stop,
-        gain: class.facts.gain,
-        repeats: class.facts.repeats.into(),
+        priority_weight: class.facts.gain,
+        idempotency: class.facts.repeats.into(),
         key_window: class.facts.key_window,
         writes: class.facts.writes,
     });
@@ -284,17 +287,17 @@
         classes: classes.collect(),
         slices,
         single_owner: false,
-        lost_for: rules.in_range("lost_for", 6.0, 0.01, 3600.0)?,
+        max_unserved: rules.in_range("lost_for", 6.0, 0.01, 3600.0)?,
         grace: rules.in_range("grace", 3.0, 0.01, 3600.0)?,
-        only_draining_binds: !rules.flag("removal_binds", true)?,
-        fall_multiple: rules.in_range("fall_multiple", 2.5, 0.1, 1000.0)?,
-        fall_for: rules.in_range("fall_for", 2.0, 0.01, 600.0)?,
-        cold_from: rules.in_range("cold_from", 0.2, 0.0, 1.0)?,
-        warm_within: rules.in_range("warm_within", 15.0, 0.0, 3600.0)?,
-        backlog: rules.in_range("backlog", 20_000.0, 1.0, 1e9)?,
+        removed_hosts_exempt: !rules.flag("removal_binds", true)?,
+        overload_multiple: rules.in_range("fall_multiple", 2.5, 0.1, 1000.0)?,
+        overload_span: rules.in_range("fall_for", 2.0, 0.01, 600.0)?,
+        cold_capacity_fraction: rules.in_range("cold_from", 0.2, 0.0, 1.0)?,
+        max_warm_up: rules.in_range("warm_within", 15.0, 0.0, 3600.0)?,
+        max_backlog: rules.in_range("backlog", 20_000.0, 1.0, 1e9)?,
         message_cost: rules.in_range("message_cost", 8.0, 0.0, 1e6)?,
-        message_cap: rules.in_range("message_cap", 20.0, 0.0, 1e6)? as u32,
-        messages_span: rules.in_range("messages_span", 10.0, 0.1, 3600.0)?,
+        max_messages: rules.in_range("message_cap", 20.0, 0.0, 1e6)? as u32,
+        message_span: rules.in_range("messages_span", 10.0, 0.1, 3600.0)?,
         from: 0.0,
         until: 0.0,
         zones: Vec::new(),
--- a/crates/railhub-day/src/troubles.rs
+++ b/crates/railhub-day/src/troubles.rs
@@ -332,7 +332,7 @@
     let slower = match trouble.act {
         Act::SlowChannel { times } => times,
         // Nobody can be told sooner: the shortest of the rules' times grows by the delay, the others more.
-        Act::SlowOrders { by, .. } => 1.0 + by / world.day.limits.grace.min(world.day.limits.lost_for),
+        Act::SlowOrders { by, .. } => 1.0 + by / world.day.limits.grace.min(world.day.limits.max_unserved),
         _ => 0.0,
     };
     world.note_trouble(trouble, true, slower);
--- a/crates/railhub-day/src/world.rs
+++ b/crates/railhub-day/src/world.rs
@@ -6,7 +6,7 @@
 use crate::troubles::{self, Act, Ghost, Trouble};
 use may::sync::Mutex;
 use railhub_net::{now, Task};
-use railhub_record::{Limits, Recorder, StewardLife, What};
+use railhub_record::{ControllerLifecycle, EventKind, Limits, Recorder};
 use railhub_standin::channel::Channel;
 use railhub_standin::host::{Host, HostFacts, OpenHost, Repeated};
 use railhub_standin::links::Links;
@@ -113,7 +113,9 @@
     /// What the rules of this run are, written down first.
     pub fn note_limits(&self) {
         let (from, until) = (self.began, self.began + self.day.length);
-        self.around.recorder.note(0.0, What::Limits(Limits { from, until, ..self.day.limits.clone() }));
+        self.around
+            .recorder
+            .record(0.0, EventKind::Limits(Limits { from, until, ..self.day.limits.clone() }));
     }
 
     fn with_hosts<T>(&self, act: impl FnOnce(&mut Vec<Placed>) -> T) -> T {
@@ -244,8 +246,9 @@
     pub fn note_trouble(&self, trouble: &Trouble, on: bool, channel_slower: f64) {
         let note = format!("{:?}", trouble.act);
         let name = format!("{} ({})", trouble.name, trouble.kind);
-        let event = railhub_record::Trouble { name, on, note, channel_slower };
-        self.around.recorder.note(now(), What::Trouble(event));
+        let event =
+            railhub_record::InjectedFault { name, active: on, note, channel_slowdown: channel_slower };
+        self.around.recorder.record(now(), EventKind::InjectedFault(event));
     }
 
     /// Launches a steward and tells the proxies where it is. Waits for it: not in a coroutine.
@@ -260,8 +263,13 @@
 
     fn note_life(&self, steward: usize, up: bool) {
         let set_back = self.day.clocks.get(steward).is_some_and(|clock| clock.jumps_by < 0.0);
-        let life = StewardLife { up, steward: steward as u32, still: false, set_back };
-        self.around.recorder.note(now(), What::StewardLife(life));
+        let life = ControllerLifecycle {
+            running: up,
+            controller: steward as u32,
+            paused: false,
+            clock_set_back: set_back,
+        };
+        self.around.recorder.record(now(), EventKind::ControllerLifecycle(life));
     }
 
     pub fn start_steward(self: &Arc<World>, steward: usize) {
@@ -288,8 +296,13 @@
     /// Its process stands still, or goes on.
     pub fn pause_steward(&self, steward: usize, stops: bool) {
         self.stewards.pause(steward, stops);
-        let life = StewardLife { up: true, steward: steward as u32, still: stops, set_back: false };
-        self.around.recorder.note(now(), What::StewardLife(life));
+        let life = ControllerLifecycle {
+            running: true,
+            controller: steward as u32,
+            paused: stops,
+            clock_set_back: false,
+        };
+        self.around.recorder.record(now(), EventKind::ControllerLifecycle(life));
     }
 
     /// It is told to hand its slices over.
@@ -365,34 +378,34 @@
     if day.slices > 0 {
         let _ = writeln!(text, "store = {store}");
     }
-    let binds = if limits.only_draining_binds { "no" } else { "yes" };
+    let binds = if limits.removed_hosts_exempt { "no" } else { "yes" };
     let _ = write!(
         text,
         "removal_binds = {binds}\n\n[limits]\nfirst_wait = {}\ncold_from = {}\nwarm_within = {}\n\
          fall_multiple = {}\nbacklog = {}\nmessage_cost = {}\nmessage_cap = {}\nmessages_span = {}\n\
          reports_a_second = {}\n",
         day.first_wait,
-        limits.cold_from,
-        limits.warm_within,
-        limits.fall_multiple,
-        limits.backlog,
+        limits.cold_capacity_fraction,
+        limits.max_warm_up,
+        limits.overload_multiple,
+        limits.max_backlog,
         limits.message_cost,
-        limits.message_cap,
-        limits.messages_span,
+        limits.max_messages,
+        limits.message_span,
         day.reports_a_second,
     );
     for class in &limits.classes {
-        use railhub_record::Repeats;
-        let repeats = match class.repeats() {
-            Repeats::Safe => "safe".to_owned(),
-            Repeats::IdempotencyKeyGlobal => format!("keyed\nkey_window = {}", class.key_window),
-            Repeats::IdempotencyKeyLocal => "keyed nearby".to_owned(),
-            Repeats::Never => "never".to_owned(),
+        use railhub_record::OperationIdempotency;
+        let repeats = match class.idempotency() {
+            OperationIdempotency::Safe => "safe".to_owned(),
+            OperationIdempotency::IdempotencyKeyGlobal => format!("keyed\nkey_window = {}", class.key_window),
+            OperationIdempotency::IdempotencyKeyLocal => "keyed nearby".to_owned(),
+            OperationIdempotency::Never => "never".to_owned(),
         };
         let _ = write!(
             text,
             "\n[class {}]\ncontract_time = {}\ngain = {}\nrepeats = {repeats}\n",
-            class.name, class.contract_time, class.gain
+            class.name, class.contract_time, class.priority_weight
         );
     }
     text
--- a/crates/railhub-fleet/benches/speed.rs
+++ b/crates/railhub-fleet/benches/speed.rs
@@ -22,8 +22,9 @@
         let began = Instant::now();
         let events = run(&day, &Policy::Steward, Physics::default()).expect("it runs");
         let took = began.elapsed().as_secs_f64();
-        let is_end =
-            |event: &&railhub_record::Event| matches!(event.what, Some(railhub_record::What::Operation(_)));
+        let is_end = |event: &&railhub_record::Event| {
+            matches!(event.kind, Some(railhub_record::EventKind::OperationEnd(_)))
+        };
         let operations = events.iter().filter(is_end).count() as f64;
         let (rate, speed, each) = (operations / LENGTH, LENGTH / took, took * 1e6 / operations);
         println!("{hosts:>5} {rate:>13.0} {speed:>27.1} {each:>26.1}");
@@ -51,6 +52,6 @@
     let power = railhub_day::draw::capacity(&railhub_day::draw::hosts(&day, day.hosts, "hosts"));
     let scale = day.load * power / (rate * work);
     day.classes.iter_mut().for_each(|class| class.work *= scale);
-    day.limits.backlog *= (hosts as f64 / 150.0).powi(2).max(1.0);
+    day.limits.max_backlog *= (hosts as f64 / 150.0).powi(2).max(1.0);
     day
 }
--- a/crates/railhub-fleet/src/fit.rs
+++ b/crates/railhub-fleet/src/fit.rs
@@ -1,5 +1,5 @@
 //! What a machine adds, out of a loopback record: how long a message takes, and how late work ends.
-use railhub_record::{Event, What};
+use railhub_record::{Event, EventKind};
 use std::collections::BTreeMap;
 
 /// Seconds: a message that takes longer met a slow link or a pause, work that ends later waited for a core.
@@ -21,18 +21,18 @@
     let mut tries: BTreeMap<(u64, u32, u32), (f64, &str, f64)> = BTreeMap::new();
     let mut effects: BTreeMap<(u64, &str), (f64, f64)> = BTreeMap::new();
     for event in events {
-        match &event.what {
-            Some(What::HostUp(up)) if !up.cold => _ = speeds.insert(&up.host, up.speed),
-            Some(What::HostUp(up)) => _ = speeds.remove(up.host.as_str()),
-            Some(What::Try(tried)) => {
-                let key = (tried.operation, tried.coming, tried.number);
+        match &event.kind {
+            Some(EventKind::HostStarted(up)) if !up.cold => _ = speeds.insert(&up.host, up.speed),
+            Some(EventKind::HostStarted(up)) => _ = speeds.remove(up.host.as_str()),
+            Some(EventKind::Attempt(tried)) => {
+                let key = (tried.operation, tried.request, tried.number);
                 tries.insert(key, (event.at, &tried.host, tried.work));
             }
-            Some(What::Effect(effect)) if !effect.dropped => {
+            Some(EventKind::Effect(effect)) if !effect.dropped => {
                 effects.insert((effect.operation, &effect.host), (effect.began, event.at));
             }
-            Some(What::TryEnd(end)) if end.completed => {
-                let Some((sent, host, work)) = tries.remove(&(end.operation, end.coming, end.number)) else {
+            Some(EventKind::AttemptEnd(end)) if end.completed => {
+                let Some((sent, host, work)) = tries.remove(&(end.operation, end.request, end.number)) else {
                     continue;
                 };
                 let Some((came, done)) = effects.get(&(end.operation, host)) else { continue };
--- a/crates/railhub-fleet/src/list.rs
+++ b/crates/railhub-fleet/src/list.rs
@@ -1,6 +1,6 @@
 //! The host list of the model: the truth as it has been noticed, lies on top, and what the steward was told.
 use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase};
-use railhub_record::{Entry, Roster};
+use railhub_record::{EndpointStatus, EndpointsReceived};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -81,16 +81,16 @@
     EndpointList { complete: whole, entries: entries.collect() }
 }
 
-pub fn to_record(whole: bool, lines: &[(SocketAddr, Line)]) -> Roster {
-    let entries = lines.iter().map(|(host, line)| Entry {
+pub fn to_record(whole: bool, lines: &[(SocketAddr, Line)]) -> EndpointsReceived {
+    let entries = lines.iter().map(|(host, line)| EndpointStatus {
         host: host.to_string(),
-        listed: match line.phase {
-            Phase::Ready => railhub_record::Listed::Ready,
-            Phase::Draining => railhub_record::Listed::Draining,
-            Phase::Gone => railhub_record::Listed::Gone,
+        phase: match line.phase {
+            Phase::Ready => railhub_record::EndpointPhase::Ready,
+            Phase::Draining => railhub_record::EndpointPhase::Draining,
+            Phase::Gone => railhub_record::EndpointPhase::Gone,
         }
         .into(),
-        started: line.started,
+        started_at: line.started,
     });
-    Roster { whole, entries: entries.collect(), steward: 0 }
+    EndpointsReceived { complete: whole, entries: entries.collect(), controller: 0 }
 }
--- a/crates/railhub-fleet/src/operations.rs
+++ b/crates/railhub-fleet/src/operations.rs
@@ -3,7 +3,7 @@
 use crate::hosts::Taken;
 use crate::world::World;
 use railhub_proto::RetryCondition;
-use railhub_record::{Effect, OperationEnd, Outcome, Repeats, Try, TryEnd, What};
+use railhub_record::{Attempt, AttemptEnd, Effect, EventKind, OperationEnd, OperationIdempotency, Outcome};
 use railhub_standin::client::Drawn;
 use railhub_standin::held::Pick;
 use railhub_standin::CallEnd;
@@ -147,9 +147,9 @@
         let Some(op) = self.ops[id.0].as_ref() else { return };
         let Some(host) = op.host.map(|place| &self.hosts[place]).filter(|host| host.alive) else { return };
         let drawn = op.drawn;
-        let tried = Try {
+        let tried = Attempt {
             operation: drawn.operation,
-            coming: op.comings,
+            request: op.comings,
             number: op.tried.len() as u32,
             proxy: op.proxy as u32,
             host: host.address.to_string(),
@@ -157,7 +157,7 @@
             slice: drawn.slice,
             work: drawn.work,
         };
-        self.note_at(self.agenda.now + later, What::Try(tried));
+        self.note_at(self.agenda.now + later, EventKind::Attempt(tried));
     }
 
     /// The try is at its host.
@@ -220,7 +220,7 @@
                 began: job.came,
                 dropped: repeat,
             };
-            self.note(What::Effect(effect));
+            self.note(EventKind::Effect(effect));
         }
         let (lost, busy) = self.hosts[place].answers(now);
         if !lost {
@@ -265,12 +265,12 @@
             _ => (None, None),
         };
         proxy.totals.tried(host, time, busy);
-        let ended = TryEnd {
+        let ended = AttemptEnd {
             operation: op.drawn.operation,
-            coming: op.comings,
+            request: op.comings,
             number: op.tried.len() as u32,
             completed: time.is_some(),
-            never_ran: end.never_ran(),
+            not_executed: end.never_ran(),
         };
         if time.is_some() {
             op.end = ComingEnd::Completed;
@@ -283,7 +283,7 @@
             RetryCondition::AfterFailure => true,
         };
         let more = time.is_none() && goes_on && op.tried.len() < 2;
-        self.note(What::TryEnd(ended));
+        self.note(EventKind::AttemptEnd(ended));
         if more {
             self.looks(id);
         } else {
@@ -297,9 +297,9 @@
         let op = self.ops[id.0].as_ref().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
         let may_repeat = match class.repeats {
-            Repeats::Safe => true,
-            Repeats::IdempotencyKeyGlobal => now - op.began <= class.key_window,
-            Repeats::IdempotencyKeyLocal | Repeats::Never => false,
+            OperationIdempotency::Safe => true,
+            OperationIdempotency::IdempotencyKeyGlobal => now - op.began <= class.key_window,
+            OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => false,
         };
         if op.end == ComingEnd::Completed || op.end == ComingEnd::Failed && !may_repeat {
             return self.ends(id);
@@ -326,13 +326,13 @@
             zone: self.proxies[op.proxy].zone,
             began: op.began,
             outcome: outcome.into(),
-            comings: op.comings,
+            requests: op.comings,
             key: op.drawn.key,
             work: op.drawn.work,
             proxy: op.proxy as u32,
         };
         self.under_way -= 1;
-        self.note(What::Operation(end));
+        self.note(EventKind::OperationEnd(end));
     }
 
     /// The process at a host ended: what the proxies had out there breaks, once they see it.
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -8,7 +8,7 @@
     ZoneId,
 };
 use railhub_proto::{LoadReport, Subscribe};
-use railhub_record::{Answered, Received, StewardLife, Stream, What};
+use railhub_record::{ControllerLifecycle, DeltaAcknowledged, DeltaReceived, EventKind, ProxyStream};
 use railhub_steward::change::Change;
 use railhub_steward::core::{CloseReason, ControllerCore, Environment, ProxyChannel, SessionEvent, StreamId};
 use railhub_steward::delta_queue::{DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction};
@@ -161,7 +161,10 @@
             touched: Touched::default(),
             gathers: false,
         });
-        self.note(What::StewardLife(StewardLife { up: true, ..StewardLife::default() }));
+        self.note(EventKind::ControllerLifecycle(ControllerLifecycle {
+            running: true,
+            ..ControllerLifecycle::default()
+        }));
         if self.day.slices > 0 && !self.store_away {
             self.give_charges();
         }
@@ -179,7 +182,10 @@
 
     pub fn kill_steward(&mut self) {
         let Some(steward) = self.steward.take() else { return };
-        self.note(What::StewardLife(StewardLife { up: false, ..StewardLife::default() }));
+        self.note(EventKind::ControllerLifecycle(ControllerLifecycle {
+            running: false,
+            ..ControllerLifecycle::default()
+        }));
         for proxy in 0..steward.gates.len() {
             if steward.gates[proxy].is_some() {
                 self.stream_ends(proxy);
@@ -233,7 +239,7 @@
     }
 
     fn hear_list(&mut self, whole: bool, lines: &[(std::net::SocketAddr, crate::list::Line)]) {
-        self.note(What::Roster(to_record(whole, lines)));
+        self.note(EventKind::EndpointsReceived(to_record(whole, lines)));
         self.known.extend(lines.iter().copied());
         let list = to_list(whole, lines);
         match self.steward.as_mut().map(|steward| &mut steward.mind) {
@@ -357,7 +363,7 @@
         let (held_by, version) = (held.incarnation, if held.has_gap { 0 } else { held.version });
         let zone = self.proxies[proxy].zone;
         let cap =
-            MessageQuota { max_messages: self.day.limits.message_cap, window: self.day.limits.messages_span };
+            MessageQuota { max_messages: self.day.limits.max_messages, window: self.day.limits.message_span };
         let Some(steward) = self.steward.as_mut() else {
             self.waits_to_dial.push(proxy);
             return;
@@ -378,7 +384,7 @@
                 gate.push(Arc::new(Publication::new(whole, steward.incarnation, version, now, None)));
             }
         }
-        self.note(What::Stream(Stream { proxy: proxy as u32, up: true, steward: 0 }));
+        self.note(EventKind::ProxyStream(ProxyStream { proxy: proxy as u32, open: true, controller: 0 }));
         self.steward_acts();
     }
 
@@ -400,7 +406,7 @@
         if self.proxies[proxy].stream.take().is_none() {
             return;
         }
-        self.note(What::Stream(Stream { proxy: proxy as u32, up: false, steward: 0 }));
+        self.note(EventKind::ProxyStream(ProxyStream { proxy: proxy as u32, open: false, controller: 0 }));
         let pause = self.proxies[proxy].random() * self.day.redial;
         self.agenda.after(pause, Due::Dials(proxy));
     }
@@ -411,16 +417,20 @@
         }
         let Publication { change, incarnation, version, ordered_at, .. } = publication;
         let delta = change.to_delta(*incarnation, *version, *ordered_at);
-        self.note(What::Delta(Received { proxy: proxy as u32, delta: delta.clone(), steward: 0 }));
+        self.note(EventKind::DeltaReceived(DeltaReceived {
+            proxy: proxy as u32,
+            delta: delta.clone(),
+            controller: 0,
+        }));
         let state = &mut self.proxies[proxy];
         let refuses = std::mem::take(&mut state.refuses_next);
         let refused = refuses || state.held.take_in(&delta).is_err();
         state.held.has_gap |= refused;
-        self.note(What::Answered(Answered {
+        self.note(EventKind::DeltaAcknowledged(DeltaAcknowledged {
             proxy: proxy as u32,
             nonce: *version,
-            refused,
-            ..Answered::default()
+            rejected: refused,
+            ..DeltaAcknowledged::default()
         }));
         self.agenda.after(self.physics.way, Due::Word(proxy, stream, *version, refused));
     }
--- a/crates/railhub-fleet/src/troubles.rs
+++ b/crates/railhub-fleet/src/troubles.rs
@@ -5,7 +5,7 @@
 use railhub::Phase;
 use railhub_day::draw;
 use railhub_day::troubles::{choose, Act, Ghost, Trouble};
-use railhub_record::{HostDown, HostUp, What};
+use railhub_record::{EventKind, HostStarted, HostStopped};
 use railhub_standin::host::Ailments;
 use std::net::SocketAddr;
 
@@ -51,21 +51,21 @@
         let now = self.agenda.now;
         self.hosts[place].start(now, cold);
         let host = &self.hosts[place];
-        self.note(What::HostUp(HostUp {
+        self.note(EventKind::HostStarted(HostStarted {
             host: host.address.to_string(),
             zone: host.facts.zone,
             cores: host.facts.cores as f64,
             speed: host.facts.speed,
             cold,
-            cold_from: host.facts.cold_from,
-            warm_after: host.facts.warm_after,
+            cold_capacity_fraction: host.facts.cold_from,
+            warm_up_time: host.facts.warm_after,
         }));
     }
 
     fn host_dies(&mut self, place: HostAt) {
         let now = self.agenda.now;
         if self.hosts[place].die(now) {
-            self.note(What::HostDown(HostDown { host: self.hosts[place].address.to_string() }));
+            self.note(EventKind::HostStopped(HostStopped { host: self.hosts[place].address.to_string() }));
             self.breaks_at(place);
         }
     }
@@ -146,7 +146,12 @@
             _ => 0.0,
         };
         let (name, note) = (format!("{} ({})", trouble.name, trouble.kind), format!("{:?}", trouble.act));
-        self.note(What::Trouble(railhub_record::Trouble { name, on, note, channel_slower }));
+        self.note(EventKind::InjectedFault(railhub_record::InjectedFault {
+            name,
+            active: on,
+            note,
+            channel_slowdown: channel_slower,
+        }));
     }
 
     pub fn trouble_on(&mut self, number: usize) {
--- a/crates/railhub-fleet/src/world.rs
+++ b/crates/railhub-fleet/src/world.rs
@@ -11,7 +11,7 @@
 use railhub_day::troubles::Act;
 use railhub_day::world::{first_tables, proxy_facts, steward_file, Tables};
 use railhub_ini::Document;
-use railhub_record::{Event, Limits, What};
+use railhub_record::{Event, EventKind, Limits};
 use railhub_standin::held::Held;
 use railhub_standin::host::{HostFacts, SeenKeys};
 use railhub_standin::sums::Totals;
@@ -212,13 +212,13 @@
         place
     }
 
-    pub fn note(&mut self, what: What) {
+    pub fn note(&mut self, what: EventKind) {
         self.note_at(self.agenda.now, what);
     }
 
     /// What happens a little later than it is decided; the record is put in order at its end.
-    pub fn note_at(&mut self, at: f64, what: What) {
-        self.events.push(Event { at, what: Some(what) });
+    pub fn note_at(&mut self, at: f64, what: EventKind) {
+        self.events.push(Event { at, kind: Some(what) });
     }
 
     /// Seconds more each way between two zones, and the share lost.
@@ -238,7 +238,7 @@
     fn open(&mut self) {
         let (from, until) = (self.began, self.began + self.day.length);
         let limits = Limits { from, until, ..self.day.limits.clone() };
-        self.events.push(Event { at: 0.0, what: Some(What::Limits(limits)) });
+        self.events.push(Event { at: 0.0, kind: Some(EventKind::Limits(limits)) });
         for place in 0..self.hosts.len() {
             self.host_starts(place, false);
             let host = &self.hosts[place];
--- a/crates/railhub-fleet/tests/days.rs
+++ b/crates/railhub-fleet/tests/days.rs
@@ -3,7 +3,7 @@
 use railhub_day::report::service;
 use railhub_day::Day;
 use railhub_fleet::{run, Baseline, Physics, Policy};
-use railhub_record::{Event, What};
+use railhub_record::{Event, EventKind};
 use railhub_rules::{check, limits};
 use std::path::Path;
 
@@ -45,7 +45,8 @@
     let day = day("first-bad-day.ini");
     for policy in [Policy::Steward, Policy::Fixed, Policy::Baseline(Baseline::Even)] {
         let events = play(&day, &policy);
-        let ends = events.iter().filter(|event| matches!(event.what, Some(What::Operation(_)))).count();
+        let ends =
+            events.iter().filter(|event| matches!(event.kind, Some(EventKind::OperationEnd(_)))).count();
         let facts = railhub_day::draw::hosts(&day, day.hosts, "hosts");
         let drawn = railhub_day::draw::arrivals(&day, railhub_day::draw::capacity(&facts)).len();
         assert_eq!(ends, drawn, "{policy:?}");
@@ -80,7 +81,7 @@
         let day = day(name);
         let events = play(&day, &Policy::Steward);
         assert!(check(&events).expect("a record").iter().all(|verdict| verdict.kept), "{name}");
-        let up = events.iter().filter(|event| matches!(event.what, Some(What::HostUp(_)))).count();
+        let up = events.iter().filter(|event| matches!(event.kind, Some(EventKind::HostStarted(_)))).count();
         assert_eq!(up, hosts, "{name}");
         let gained = served(&events) - served(&play(&day, &Policy::Fixed));
         assert!(gained > better, "{name}: {gained}");
--- a/crates/railhub-record/tests/file_format.rs
+++ b/crates/railhub-record/tests/file_format.rs
@@ -12,8 +12,8 @@
         name: "read".into(),
         contract_time: 0.5,
         hard_stop: 2.5,
-        gain: 3.0,
-        repeats: Repeats::IdempotencyKeyLocal.into(),
+        priority_weight: 3.0,
+        idempotency: OperationIdempotency::IdempotencyKeyLocal.into(),
         key_window: 30.0,
         writes: true,
     };
@@ -21,17 +21,17 @@
         classes: vec![class],
         slices: 7,
         single_owner: true,
-        lost_for: 4.0,
+        max_unserved: 4.0,
         grace: 1.5,
-        only_draining_binds: true,
-        fall_multiple: 1.25,
-        fall_for: 6.0,
-        cold_from: 0.2,
-        warm_within: 9.0,
-        backlog: 500.0,
+        removed_hosts_exempt: true,
+        overload_multiple: 1.25,
+        overload_span: 6.0,
+        cold_capacity_fraction: 0.2,
+        max_warm_up: 9.0,
+        max_backlog: 500.0,
         message_cost: 12.0,
-        message_cap: 11,
-        messages_span: 8.0,
+        max_messages: 11,
+        message_span: 8.0,
         from: 2.0,
         until: 52.0,
         zones: vec!["a".into(), "b".into()],
@@ -39,41 +39,52 @@
     }
 }
 
-fn host_events() -> Vec<What> {
+fn host_events() -> Vec<EventKind> {
     let host = "127.0.0.1:8001".to_owned();
-    let up = HostUp {
+    let up = HostStarted {
         host: host.clone(),
         zone: 1,
         cores: 4.0,
         speed: 1.5,
         cold: true,
-        cold_from: 0.25,
-        warm_after: 3.5,
+        cold_capacity_fraction: 0.25,
+        warm_up_time: 3.5,
     };
-    let entry = Entry { host: host.clone(), listed: Listed::Gone.into(), started: Some(1.75) };
+    let entry =
+        EndpointStatus { host: host.clone(), phase: EndpointPhase::Gone.into(), started_at: Some(1.75) };
     vec![
-        What::HostUp(up),
-        What::HostDown(HostDown { host }),
-        What::Roster(Roster { whole: true, entries: vec![entry], steward: 2 }),
+        EventKind::HostStarted(up),
+        EventKind::HostStopped(HostStopped { host }),
+        EventKind::EndpointsReceived(EndpointsReceived {
+            complete: true,
+            entries: vec![entry],
+            controller: 2,
+        }),
     ]
 }
 
-fn proxy_events() -> Vec<What> {
+fn proxy_events() -> Vec<EventKind> {
     let line = TableLine { slice: 3, host: "127.0.0.1:8001".into(), weight: 0.75 };
     let delta = Delta { version: 6, lines: vec![line], ..Delta::default() };
     vec![
-        What::Stream(Stream { proxy: 1, up: true, steward: 2 }),
-        What::Delta(Received { proxy: 1, delta, steward: 2 }),
-        What::Answered(Answered { proxy: 1, nonce: 9, refused: true, steward: 2, left_out: vec![3, 4] }),
+        EventKind::ProxyStream(ProxyStream { proxy: 1, open: true, controller: 2 }),
+        EventKind::DeltaReceived(DeltaReceived { proxy: 1, delta, controller: 2 }),
+        EventKind::DeltaAcknowledged(DeltaAcknowledged {
+            proxy: 1,
+            nonce: 9,
+            rejected: true,
+            controller: 2,
+            stale_slices: vec![3, 4],
+        }),
     ]
 }
 
-fn operation_events() -> Vec<What> {
+fn operation_events() -> Vec<EventKind> {
     let host = "127.0.0.1:8001".to_owned();
     let operation = 0x1_0000_0001;
-    let attempt = Try {
+    let attempt = Attempt {
         operation,
-        coming: 2,
+        request: 2,
         number: 3,
         proxy: 4,
         host: host.clone(),
@@ -88,36 +99,52 @@
         zone: 2,
         began: 10.5,
         outcome: Outcome::GaveUp.into(),
-        comings: 3,
+        requests: 3,
         key: 77,
         work: 0.125,
         proxy: 4,
     };
     vec![
-        What::Try(attempt),
-        What::TryEnd(TryEnd { operation, coming: 2, number: 3, completed: true, never_ran: true }),
-        What::Effect(Effect { operation, host, class: 1, slice: 6, began: 10.75, dropped: true }),
-        What::Operation(operation_end),
+        EventKind::Attempt(attempt),
+        EventKind::AttemptEnd(AttemptEnd {
+            operation,
+            request: 2,
+            number: 3,
+            completed: true,
+            not_executed: true,
+        }),
+        EventKind::Effect(Effect { operation, host, class: 1, slice: 6, began: 10.75, dropped: true }),
+        EventKind::OperationEnd(operation_end),
     ]
 }
 
-fn controller_events() -> Vec<What> {
+fn controller_events() -> Vec<EventKind> {
     vec![
-        What::Trouble(Trouble { name: "crash".into(), on: true, note: "of a".into(), channel_slower: 5.0 }),
-        What::StewardLife(StewardLife { up: true, steward: 2, still: true, set_back: true }),
-        What::Granted(Granted { slice: 6, epoch: 8, process: 99 }),
-        What::Stored(Stored { slice: 6, epoch: 8, written: true }),
+        EventKind::InjectedFault(InjectedFault {
+            name: "crash".into(),
+            active: true,
+            note: "of a".into(),
+            channel_slowdown: 5.0,
+        }),
+        EventKind::ControllerLifecycle(ControllerLifecycle {
+            running: true,
+            controller: 2,
+            paused: true,
+            clock_set_back: true,
+        }),
+        EventKind::SliceGranted(SliceGranted { slice: 6, epoch: 8, process: 99 }),
+        EventKind::TableWrite(TableWrite { slice: 6, epoch: 8, written: true }),
     ]
 }
 
 fn every_event() -> Vec<Event> {
-    let mut kinds = vec![What::Limits(limits())];
+    let mut kinds = vec![EventKind::Limits(limits())];
     kinds.extend(host_events());
     kinds.extend(proxy_events());
     kinds.extend(operation_events());
     kinds.extend(controller_events());
     let numbered = kinds.into_iter().enumerate();
-    numbered.map(|(number, what)| Event { at: number as f64 + 0.5, what: Some(what) }).collect()
+    numbered.map(|(number, what)| Event { at: number as f64 + 0.5, kind: Some(what) }).collect()
 }
 
 fn scratch(name: &str) -> PathBuf {
@@ -142,7 +169,7 @@
     let path = scratch("recorded");
     let recorder = Recorder::start(Some(&path)).expect("a file");
     for event in every_event() {
-        recorder.note(event.at, event.what.expect("a kind"));
+        recorder.record(event.at, event.kind.expect("a kind"));
     }
     recorder.finish().expect("written");
     assert_eq!(bytes_and_remove(&path), std::fs::read(fixture()).expect("a fixture"));
--- a/crates/railhub-rules/src/channel_slowdown.rs
+++ b/crates/railhub-rules/src/channel_slowdown.rs
@@ -1,5 +1,5 @@
 //! How much slower the scenario makes the controllers' update channel, and when. Time limits grow by the same factor.
-use railhub_record::{Event, What};
+use railhub_record::{Event, EventKind};
 use std::collections::BTreeMap;
 
 struct FactorChange {
@@ -18,12 +18,12 @@
         let mut active: BTreeMap<&str, f64> = BTreeMap::new();
         let mut changes = Vec::new();
         for event in events {
-            let Some(What::Trouble(fault)) = &event.what else { continue };
-            if fault.channel_slower <= 0.0 {
+            let Some(EventKind::InjectedFault(fault)) = &event.kind else { continue };
+            if fault.channel_slowdown <= 0.0 {
                 continue;
             }
-            if fault.on {
-                active.insert(&fault.name, fault.channel_slower);
+            if fault.active {
+                active.insert(&fault.name, fault.channel_slowdown);
             } else {
                 active.remove(fault.name.as_str());
             }
--- a/crates/railhub-rules/src/draining.rs
+++ b/crates/railhub-rules/src/draining.rs
@@ -5,7 +5,9 @@
 use crate::endpoint_view::EndpointView;
 use crate::slice_ownership::SliceOwnership;
 use crate::verdict::Verdict;
-use railhub_record::{Event, Limits, Listed, Roster, StewardLife, Stream, Try, What};
+use railhub_record::{
+    Attempt, ControllerLifecycle, EndpointPhase, EndpointsReceived, Event, EventKind, Limits, ProxyStream,
+};
 use std::collections::BTreeMap;
 
 /// The verdict on rule 3.
@@ -19,12 +21,12 @@
         ownership: SliceOwnership::default(),
     };
     for event in events {
-        match &event.what {
-            Some(What::Roster(update)) => state.on_endpoints(event.at, update),
-            Some(What::StewardLife(life)) => state.on_process_event(event.at, life),
-            Some(What::Stream(stream)) => state.on_stream(event.at, stream),
-            Some(What::Delta(received)) => _ = state.ownership.on_delta(event.at, received),
-            Some(What::Try(attempt)) => state.on_attempt(event.at, attempt),
+        match &event.kind {
+            Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
+            Some(EventKind::ControllerLifecycle(life)) => state.on_process_event(event.at, life),
+            Some(EventKind::ProxyStream(stream)) => state.on_stream(event.at, stream),
+            Some(EventKind::DeltaReceived(received)) => _ = state.ownership.on_delta(event.at, received),
+            Some(EventKind::Attempt(attempt)) => state.on_attempt(event.at, attempt),
             _ => {}
         }
     }
@@ -41,14 +43,14 @@
 
 impl KnownDrains {
     /// Applies an endpoint-list update. Returns how many drains it begins.
-    fn on_update(&mut self, at: f64, update: &Roster, limits: &Limits) -> u64 {
+    fn on_update(&mut self, at: f64, update: &EndpointsReceived, limits: &Limits) -> u64 {
         self.endpoints.on_update(at, update);
         let mut begun = 0;
         for (host, endpoint) in &self.endpoints.hosts {
             let must_drain = match endpoint.listed {
-                Listed::Ready => false,
-                Listed::Draining => true,
-                Listed::Gone => !limits.only_draining_binds || self.since.contains_key(host),
+                EndpointPhase::Ready => false,
+                EndpointPhase::Draining => true,
+                EndpointPhase::Gone => !limits.removed_hosts_exempt || self.since.contains_key(host),
             };
             if !must_drain {
                 self.since.remove(host);
@@ -73,30 +75,30 @@
 }
 
 impl CheckState<'_> {
-    fn on_endpoints(&mut self, at: f64, update: &Roster) {
-        let drains = self.drains.entry(update.steward).or_default();
+    fn on_endpoints(&mut self, at: f64, update: &EndpointsReceived) {
+        let drains = self.drains.entry(update.controller).or_default();
         for _ in 0..drains.on_update(at, update, self.limits) {
             self.verdict.check_passed();
         }
     }
 
-    fn on_process_event(&mut self, at: f64, life: &StewardLife) {
+    fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
         self.ownership.on_process_event(at, life);
-        if !life.up {
-            self.drains.remove(&life.steward);
+        if !life.running {
+            self.drains.remove(&life.controller);
         }
     }
 
-    fn on_stream(&mut self, at: f64, stream: &Stream) {
-        let key = (stream.proxy, stream.steward);
-        if stream.up {
+    fn on_stream(&mut self, at: f64, stream: &ProxyStream) {
+        let key = (stream.proxy, stream.controller);
+        if stream.open {
             self.streams.insert(key, at);
         } else {
             self.streams.remove(&key);
         }
     }
 
-    fn on_attempt(&mut self, at: f64, attempt: &Try) {
+    fn on_attempt(&mut self, at: f64, attempt: &Attempt) {
         let (proxy, slice) = (attempt.proxy, attempt.slice);
         let owner = self.ownership.owner(proxy, slice);
         let Some(connected_at) = self.streams.get(&(proxy, owner)) else { return };
@@ -112,7 +114,7 @@
 
     /// Since when the attempt's host has been draining for the owner of its slice, if it is and the owner can publish.
     /// After a takeover, the first of the controllers that knew of it counts.
-    fn draining_since(&self, owner: u32, attempt: &Try) -> Option<f64> {
+    fn draining_since(&self, owner: u32, attempt: &Attempt) -> Option<f64> {
         let known_to = |drains: &KnownDrains| drains.since.get(&attempt.host).copied();
         let known_to_owner = self.drains.get(&owner).and_then(known_to)?;
         if !self.ownership.can_publish(owner) {
--- a/crates/railhub-rules/src/duplicate_effect.rs
+++ b/crates/railhub-rules/src/duplicate_effect.rs
@@ -1,7 +1,7 @@
 //! Rule 2: a retry that the controllers allowed never takes effect twice; with a single owner, writes of a slice are
 //! never with two hosts at a time, nor with a former owner after a later one.
 use crate::verdict::Verdict;
-use railhub_record::{ClassLimits, Effect, Event, Limits, Repeats, Try, What};
+use railhub_record::{Attempt, ClassLimits, Effect, Event, EventKind, Limits, OperationIdempotency};
 use std::collections::BTreeMap;
 
 /// A window shorter than this many seconds counts as this long.
@@ -10,13 +10,13 @@
 /// One request of a client, with all attempts that a proxy made for it.
 #[derive(Default)]
 struct Request<'a> {
-    attempts: Vec<(f64, &'a Try)>,
+    attempts: Vec<(f64, &'a Attempt)>,
     /// Numbers of the attempts that are proved never to have run.
     not_executed: Vec<u32>,
 }
 
 impl Request<'_> {
-    fn may_have_run(&self, attempt: &Try) -> bool {
+    fn may_have_run(&self, attempt: &Attempt) -> bool {
         !self.not_executed.contains(&attempt.number)
     }
 }
@@ -38,7 +38,7 @@
         let Some((first_at, first)) = request.attempts.first() else { continue };
         let Some(class) = limits.classes.get(first.class as usize) else { continue };
         check_retries(&mut verdict, class, request, &operations.zones);
-        if class.repeats() == Repeats::Never {
+        if class.idempotency() == OperationIdempotency::Never {
             operations.check_effects(&mut verdict, *operation, request, *first_at);
         }
     }
@@ -52,16 +52,16 @@
     fn from_events(events: &'a [Event]) -> Operations<'a> {
         let mut operations = Operations::default();
         for event in events {
-            match &event.what {
-                Some(What::HostUp(up)) => _ = operations.zones.insert(&up.host, up.zone),
-                Some(What::Try(attempt)) => {
-                    let request = operations.request(attempt.operation, attempt.coming);
+            match &event.kind {
+                Some(EventKind::HostStarted(up)) => _ = operations.zones.insert(&up.host, up.zone),
+                Some(EventKind::Attempt(attempt)) => {
+                    let request = operations.request(attempt.operation, attempt.request);
                     request.attempts.push((event.at, attempt));
                 }
-                Some(What::TryEnd(end)) if end.never_ran => {
-                    operations.request(end.operation, end.coming).not_executed.push(end.number);
+                Some(EventKind::AttemptEnd(end)) if end.not_executed => {
+                    operations.request(end.operation, end.request).not_executed.push(end.number);
                 }
-                Some(What::Effect(effect)) if !effect.dropped => {
+                Some(EventKind::Effect(effect)) if !effect.dropped => {
                     operations.effects.entry(effect.operation).or_default().push((event.at, effect));
                 }
                 _ => {}
@@ -108,11 +108,15 @@
         };
         let window_fraction = (at - first_at) / class.key_window.max(MIN_KEY_WINDOW);
         let same_zone = zones.get(first.host.as_str()) == zones.get(retry.host.as_str());
-        match class.repeats() {
-            Repeats::Safe => verdict.check_passed(),
-            Repeats::IdempotencyKeyGlobal => verdict.check(*at, window_fraction, describe),
-            Repeats::IdempotencyKeyLocal if same_zone => verdict.check(*at, window_fraction, describe),
-            Repeats::IdempotencyKeyLocal | Repeats::Never => verdict.check_condition(*at, true, describe),
+        match class.idempotency() {
+            OperationIdempotency::Safe => verdict.check_passed(),
+            OperationIdempotency::IdempotencyKeyGlobal => verdict.check(*at, window_fraction, describe),
+            OperationIdempotency::IdempotencyKeyLocal if same_zone => {
+                verdict.check(*at, window_fraction, describe)
+            }
+            OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => {
+                verdict.check_condition(*at, true, describe)
+            }
         }
     }
 }
@@ -152,7 +156,7 @@
 fn writes_by_slice<'a>(events: &'a [Event], limits: &Limits) -> BTreeMap<u32, Vec<Write<'a>>> {
     let mut writes: BTreeMap<u32, Vec<Write>> = BTreeMap::new();
     for event in events {
-        let Some(What::Effect(effect)) = &event.what else { continue };
+        let Some(EventKind::Effect(effect)) = &event.kind else { continue };
         let class = limits.classes.get(effect.class as usize);
         if class.is_some_and(|class| class.writes) {
             let write = Write { began: effect.began, ended: event.at, host: &effect.host };
--- a/crates/railhub-rules/src/endpoint_view.rs
+++ b/crates/railhub-rules/src/endpoint_view.rs
@@ -1,11 +1,11 @@
 //! The endpoint list as a controller has received it.
-use railhub_record::{Listed, Roster};
+use railhub_record::{EndpointPhase, EndpointsReceived};
 use std::collections::BTreeMap;
 
 /// The latest state received for one host.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedEndpoint {
-    pub listed: Listed,
+    pub listed: EndpointPhase,
     /// When its process started, in seconds, where the list has it.
     pub started: Option<f64>,
     /// When this state was first received, in seconds.
@@ -20,23 +20,23 @@
 
 impl EndpointView {
     /// Applies an update. A host that is missing from a complete list is gone.
-    pub fn on_update(&mut self, at: f64, update: &Roster) {
-        if update.whole {
+    pub fn on_update(&mut self, at: f64, update: &EndpointsReceived) {
+        if update.complete {
             self.mark_missing_as_gone(at, update);
         }
         for entry in &update.entries {
-            let (listed, started) = (entry.listed(), entry.started);
+            let (listed, started) = (entry.phase(), entry.started_at);
             let unchanged = self.hosts.get(&entry.host).filter(|known| known.listed == listed);
             let since = unchanged.map_or(at, |known| known.since);
             self.hosts.insert(entry.host.clone(), ReceivedEndpoint { listed, started, since });
         }
     }
 
-    fn mark_missing_as_gone(&mut self, at: f64, update: &Roster) {
+    fn mark_missing_as_gone(&mut self, at: f64, update: &EndpointsReceived) {
         for (host, known) in &mut self.hosts {
             let is_listed = update.entries.iter().any(|entry| entry.host == *host);
-            if !is_listed && known.listed != Listed::Gone {
-                *known = ReceivedEndpoint { listed: Listed::Gone, started: None, since: at };
+            if !is_listed && known.listed != EndpointPhase::Gone {
+                *known = ReceivedEndpoint { listed: EndpointPhase::Gone, started: None, since: at };
             }
         }
     }
--- a/crates/railhub-rules/src/limits.rs
+++ b/crates/railhub-rules/src/limits.rs
@@ -1,5 +1,5 @@
 //! The limits that a recording states for its run.
-use railhub_record::{Event, Limits, What};
+use railhub_record::{Event, EventKind, Limits};
 
 /// Seconds of a run that are believed; a scenario has 3600 at the most.
 const MAX_RUN_DURATION: f64 = 86_400.0;
@@ -8,8 +8,8 @@
 
 /// The limits of a run: the first that the recording states, or none if those are out of range.
 pub fn limits(events: &[Event]) -> Option<&Limits> {
-    let found = events.iter().find_map(|event| match &event.what {
-        Some(What::Limits(limits)) => Some(limits),
+    let found = events.iter().find_map(|event| match &event.kind {
+        Some(EventKind::Limits(limits)) => Some(limits),
         _ => None,
     });
     found.filter(|limits| is_plausible(limits))
--- a/crates/railhub-rules/src/shared_slices/accepted.rs
+++ b/crates/railhub-rules/src/shared_slices/accepted.rs
@@ -1,30 +1,30 @@
 //! The deltas that a proxy accepted, matched with its acknowledgements.
-use railhub_record::{Answered, Event, Received, What};
+use railhub_record::{DeltaAcknowledged, DeltaReceived, Event, EventKind};
 use std::collections::BTreeMap;
 
 /// A delta that a proxy accepted.
 pub struct AcceptedDelta<'a> {
     /// When it reached the proxy, in seconds.
     pub at: f64,
-    pub received: &'a Received,
-    pub ack: &'a Answered,
+    pub received: &'a DeltaReceived,
+    pub ack: &'a DeltaAcknowledged,
 }
 
 /// Deltas and when they arrived, by proxy, controller and nonce.
-type Unacknowledged<'a> = BTreeMap<(u32, u32, u64), Vec<(f64, &'a Received)>>;
+type Unacknowledged<'a> = BTreeMap<(u32, u32, u64), Vec<(f64, &'a DeltaReceived)>>;
 
 /// The accepted deltas in the order of their acknowledgements.
 pub fn accepted_deltas(events: &[Event]) -> Vec<AcceptedDelta<'_>> {
     let mut unacknowledged: Unacknowledged = BTreeMap::new();
     let mut accepted = Vec::new();
     for event in events {
-        match &event.what {
-            Some(What::Delta(received)) => {
-                let key = (received.proxy, received.steward, received.delta.nonce);
+        match &event.kind {
+            Some(EventKind::DeltaReceived(received)) => {
+                let key = (received.proxy, received.controller, received.delta.nonce);
                 unacknowledged.entry(key).or_default().push((event.at, received));
             }
-            Some(What::Answered(ack)) if !ack.refused => {
-                let key = (ack.proxy, ack.steward, ack.nonce);
+            Some(EventKind::DeltaAcknowledged(ack)) if !ack.rejected => {
+                let key = (ack.proxy, ack.controller, ack.nonce);
                 for (at, received) in unacknowledged.remove(&key).unwrap_or_default() {
                     accepted.push(AcceptedDelta { at, received, ack });
                 }
--- a/crates/railhub-rules/src/shared_slices/epochs.rs
+++ b/crates/railhub-rules/src/shared_slices/epochs.rs
@@ -1,7 +1,7 @@
 //! Rules 6, 7 and 10: epochs and versions as the proxies see them.
 use super::accepted::accepted_deltas;
 use crate::verdict::Verdict;
-use railhub_record::{Event, What};
+use railhub_record::{Event, EventKind};
 use std::collections::BTreeMap;
 
 /// Rule 6: no two processes publish a slice under one epoch.
@@ -10,7 +10,7 @@
     // The first process that published, by slice and epoch.
     let mut publishers: BTreeMap<(u32, u64), u64> = BTreeMap::new();
     for event in events {
-        let Some(What::Delta(received)) = &event.what else { continue };
+        let Some(EventKind::DeltaReceived(received)) = &event.kind else { continue };
         let process = received.delta.incarnation;
         for assignment in &received.delta.epochs {
             let (slice, epoch) = (assignment.slice, assignment.epoch);
@@ -32,7 +32,7 @@
         let proxy = accepted.received.proxy;
         for assignment in &accepted.received.delta.epochs {
             let (slice, epoch) = (assignment.slice, assignment.epoch);
-            if accepted.ack.left_out.contains(&slice) {
+            if accepted.ack.stale_slices.contains(&slice) {
                 continue;
             }
             let known = newest.entry((proxy, slice)).or_default();
--- a/crates/railhub-rules/src/shared_slices/leases.rs
+++ b/crates/railhub-rules/src/shared_slices/leases.rs
@@ -1,6 +1,6 @@
 //! Rules 8 and 9: what controllers publish and the store writes, against the leases that the store granted.
 use crate::verdict::Verdict;
-use railhub_record::{Event, Granted, Received, Stored, What};
+use railhub_record::{DeltaReceived, Event, EventKind, SliceGranted, TableWrite};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds that a grant's answer may be under way on loopback, and a batch of a busy process take: until then a
@@ -14,9 +14,11 @@
     let grants = grants_by_slice(events);
     let mut clock_set_back: BTreeSet<u32> = BTreeSet::new();
     for event in events {
-        match &event.what {
-            Some(What::StewardLife(life)) if life.set_back => _ = clock_set_back.insert(life.steward),
-            Some(What::Delta(received)) if !clock_set_back.contains(&received.steward) => {
+        match &event.kind {
+            Some(EventKind::ControllerLifecycle(life)) if life.clock_set_back => {
+                _ = clock_set_back.insert(life.controller)
+            }
+            Some(EventKind::DeltaReceived(received)) if !clock_set_back.contains(&received.controller) => {
                 check_delta(&mut verdict, event.at, received, &grants);
             }
             _ => {}
@@ -33,7 +35,7 @@
 fn grants_by_slice(events: &[Event]) -> BTreeMap<u32, Vec<Grant>> {
     let mut grants: BTreeMap<u32, Vec<Grant>> = BTreeMap::new();
     for event in events {
-        if let Some(What::Granted(granted)) = &event.what {
+        if let Some(EventKind::SliceGranted(granted)) = &event.kind {
             let grant = Grant { at: event.at, epoch: granted.epoch };
             grants.entry(granted.slice).or_default().push(grant);
         }
@@ -41,7 +43,7 @@
     grants
 }
 
-fn check_delta(verdict: &mut Verdict, at: f64, received: &Received, grants: &BTreeMap<u32, Vec<Grant>>) {
+fn check_delta(verdict: &mut Verdict, at: f64, received: &DeltaReceived, grants: &BTreeMap<u32, Vec<Grant>>) {
     for assignment in &received.delta.epochs {
         let (slice, epoch) = (assignment.slice, assignment.epoch);
         let mut of_slice = grants.get(&slice).into_iter().flatten();
@@ -62,10 +64,10 @@
         newest: BTreeMap::new(),
     };
     for event in events {
-        match &event.what {
-            Some(What::Granted(granted)) => state.on_grant(event.at, granted),
-            Some(What::Stored(stored)) if stored.written => state.on_write(event.at, stored),
-            Some(What::Delta(received)) => state.on_delta(event.at, received),
+        match &event.kind {
+            Some(EventKind::SliceGranted(granted)) => state.on_grant(event.at, granted),
+            Some(EventKind::TableWrite(stored)) if stored.written => state.on_write(event.at, stored),
+            Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
             _ => {}
         }
     }
@@ -81,7 +83,7 @@
 }
 
 impl GrantCheck {
-    fn on_grant(&mut self, at: f64, granted: &Granted) {
+    fn on_grant(&mut self, at: f64, granted: &SliceGranted) {
         let (slice, epoch) = (granted.slice, granted.epoch);
         let before = self.newest.insert(slice, epoch).unwrap_or(0);
         self.verdict
@@ -89,7 +91,7 @@
         self.holders.insert((slice, epoch), granted.process);
     }
 
-    fn on_write(&mut self, at: f64, stored: &Stored) {
+    fn on_write(&mut self, at: f64, stored: &TableWrite) {
         let (slice, epoch) = (stored.slice, stored.epoch);
         let newest = self.newest.get(&slice).copied().unwrap_or(0);
         self.verdict.check_condition(at, epoch < newest, || {
@@ -97,7 +99,7 @@
         });
     }
 
-    fn on_delta(&mut self, at: f64, received: &Received) {
+    fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         let process = received.delta.incarnation;
         for assignment in &received.delta.epochs {
             let (slice, epoch) = (assignment.slice, assignment.epoch);
--- a/crates/railhub-rules/src/shared_slices/takeover.rs
+++ b/crates/railhub-rules/src/shared_slices/takeover.rs
@@ -1,5 +1,5 @@
 //! How long a proxy waits for the next owner of a slice after a controller's end.
-use railhub_record::{Event, Received, What};
+use railhub_record::{DeltaReceived, Event, EventKind};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy)]
@@ -22,9 +22,11 @@
 pub fn takeover_times(events: &[Event]) -> Vec<f64> {
     let mut takeovers = Takeovers::default();
     for event in events {
-        match &event.what {
-            Some(What::StewardLife(life)) if !life.up => takeovers.on_process_end(event.at, life.steward),
-            Some(What::Delta(received)) => takeovers.on_delta(event.at, received),
+        match &event.kind {
+            Some(EventKind::ControllerLifecycle(life)) if !life.running => {
+                takeovers.on_process_end(event.at, life.controller)
+            }
+            Some(EventKind::DeltaReceived(received)) => takeovers.on_delta(event.at, received),
             _ => {}
         }
     }
@@ -40,13 +42,13 @@
         }
     }
 
-    fn on_delta(&mut self, at: f64, received: &Received) {
+    fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         for assignment in &received.delta.epochs {
             let key = (received.proxy, assignment.slice);
             if self.owners.get(&key).is_some_and(|known| known.epoch >= assignment.epoch) {
                 continue;
             }
-            self.owners.insert(key, Owner { controller: received.steward, epoch: assignment.epoch });
+            self.owners.insert(key, Owner { controller: received.controller, epoch: assignment.epoch });
             if let Some(since) = self.waiting_since.remove(&key) {
                 self.times.push(at - since);
             }
--- a/crates/railhub-rules/src/slice_ownership.rs
+++ b/crates/railhub-rules/src/slice_ownership.rs
@@ -1,6 +1,6 @@
 //! Which controller owns a slice as seen by a proxy: the one of the newest epoch that reached this proxy. Also which
 //! controllers can publish at all.
-use railhub_record::{Event, Received, StewardLife, What};
+use railhub_record::{ControllerLifecycle, DeltaReceived, Event, EventKind};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy)]
@@ -28,13 +28,13 @@
 
 impl SliceOwnership {
     /// Applies a delta that reached a proxy. Returns its slices that carry an older epoch than the proxy has seen.
-    pub fn on_delta(&mut self, at: f64, received: &Received) -> BTreeSet<u32> {
+    pub fn on_delta(&mut self, at: f64, received: &DeltaReceived) -> BTreeSet<u32> {
         let mut stale = BTreeSet::new();
         for assignment in &received.delta.epochs {
             let key = (received.proxy, assignment.slice);
             let mut owner = Owner {
                 epoch: assignment.epoch,
-                controller: received.steward,
+                controller: received.controller,
                 accountable_since: 0.0,
                 took_over: false,
             };
@@ -55,17 +55,17 @@
     }
 
     /// Applies a start, pause, resumption or end of a controller's process.
-    pub fn on_process_event(&mut self, at: f64, life: &StewardLife) {
-        match (life.up, life.still) {
-            (true, true) => _ = self.paused.insert(life.steward),
+    pub fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
+        match (life.running, life.paused) {
+            (true, true) => _ = self.paused.insert(life.controller),
             (true, false) => {
-                self.running.insert(life.steward);
-                self.paused.remove(&life.steward);
-                self.resumed_at.insert(life.steward, at);
+                self.running.insert(life.controller);
+                self.paused.remove(&life.controller);
+                self.resumed_at.insert(life.controller, at);
             }
             (false, _) => {
-                self.running.remove(&life.steward);
-                self.paused.remove(&life.steward);
+                self.running.remove(&life.controller);
+                self.paused.remove(&life.controller);
             }
         }
     }
@@ -102,5 +102,7 @@
 
 /// Whether the slices of a run are shared between several controllers.
 pub fn is_shared(events: &[Event]) -> bool {
-    events.iter().any(|event| matches!(&event.what, Some(What::Granted(_) | What::Stored(_))))
+    events
+        .iter()
+        .any(|event| matches!(&event.kind, Some(EventKind::SliceGranted(_) | EventKind::TableWrite(_))))
 }
--- a/crates/railhub-rules/src/slow_start.rs
+++ b/crates/railhub-rules/src/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::channel_slowdown::ChannelSlowdown;
 use crate::slice_ownership::SliceOwnership;
 use crate::verdict::Verdict;
-use railhub_record::{Event, HostUp, Limits, Received, Roster, Try, What};
+use railhub_record::{Attempt, DeltaReceived, EndpointsReceived, Event, EventKind, HostStarted, Limits};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Factor on the budget for chance, on top of one operation's work.
@@ -28,12 +28,12 @@
         ownership: SliceOwnership::default(),
     };
     for event in events {
-        match &event.what {
-            Some(What::HostUp(up)) => state.on_host_start(event.at, up),
-            Some(What::HostDown(down)) => _ = state.warming.remove(down.host.as_str()),
-            Some(What::Roster(update)) => state.on_endpoints(event.at, update),
-            Some(What::Delta(received)) => state.on_delta(event.at, received),
-            Some(What::Try(attempt)) => state.on_attempt(event.at, attempt),
+        match &event.kind {
+            Some(EventKind::HostStarted(up)) => state.on_host_start(event.at, up),
+            Some(EventKind::HostStopped(down)) => _ = state.warming.remove(down.host.as_str()),
+            Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
+            Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
+            Some(EventKind::Attempt(attempt)) => state.on_attempt(event.at, attempt),
             _ => {}
         }
     }
@@ -51,7 +51,7 @@
 
 /// A host that started cold.
 struct WarmingHost<'a> {
-    up: &'a HostUp,
+    up: &'a HostStarted,
     started_at: f64,
     /// When a controller received the start from the endpoint list, in seconds.
     listed_at: Option<f64>,
@@ -71,8 +71,8 @@
     }
 
     fn capacity_fraction(&self, at: f64) -> f64 {
-        let progress = (at - self.started_at) / self.up.warm_after.max(MIN_WARM_UP);
-        (self.up.cold_from + (1.0 - self.up.cold_from) * progress).clamp(0.0, 1.0)
+        let progress = (at - self.started_at) / self.up.warm_up_time.max(MIN_WARM_UP);
+        (self.up.cold_capacity_fraction + (1.0 - self.up.cold_capacity_fraction) * progress).clamp(0.0, 1.0)
     }
 
     fn push(&mut self, sent: SentWork, span: f64) {
@@ -96,7 +96,7 @@
 }
 
 impl<'a> CheckState<'a> {
-    fn on_host_start(&mut self, at: f64, up: &'a HostUp) {
+    fn on_host_start(&mut self, at: f64, up: &'a HostStarted) {
         if up.cold {
             let host =
                 WarmingHost { up, started_at: at, listed_at: None, sent: VecDeque::new(), largest_work: 0.0 };
@@ -106,33 +106,34 @@
         }
     }
 
-    fn on_endpoints(&mut self, at: f64, update: &Roster) {
+    fn on_endpoints(&mut self, at: f64, update: &EndpointsReceived) {
         for entry in &update.entries {
             let Some(host) = self.warming.get_mut(entry.host.as_str()) else { continue };
-            let has_start = entry.started.is_some_and(|started| started >= host.started_at - START_TOLERANCE);
+            let has_start =
+                entry.started_at.is_some_and(|started| started >= host.started_at - START_TOLERANCE);
             if has_start && host.listed_at.is_none() {
                 host.listed_at = Some(at);
             }
         }
     }
 
-    fn on_delta(&mut self, at: f64, received: &Received) {
+    fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         self.ownership.on_delta(at, received);
-        self.last_published.insert((received.proxy, received.steward), received.delta.ordered_at);
+        self.last_published.insert((received.proxy, received.controller), received.delta.ordered_at);
     }
 
-    fn on_attempt(&mut self, at: f64, attempt: &Try) {
+    fn on_attempt(&mut self, at: f64, attempt: &Attempt) {
         let informed = self.is_informed(at, attempt);
         let Some(host) = self.warming.get_mut(attempt.host.as_str()) else { return };
-        if at - host.started_at > host.up.warm_after {
+        if at - host.started_at > host.up.warm_up_time {
             return;
         }
-        let span = self.limits.fall_for;
+        let span = self.limits.overload_span;
         host.push(SentWork { at, work: attempt.work, informed }, span);
         let total: f64 = host.sent.iter().map(|sent| sent.work).sum();
         let by_informed: f64 = host.sent.iter().filter(|sent| sent.informed).map(|sent| sent.work).sum();
         let from = (at - span).max(host.started_at);
-        let budget = self.limits.fall_multiple * host.capacity(from, span);
+        let budget = self.limits.overload_multiple * host.capacity(from, span);
         let limit_fraction = (total - host.largest_work) / (budget * BUDGET_SLACK);
         if by_informed >= MIN_INFORMED_FRACTION * total {
             self.verdict.check(at, limit_fraction, || {
@@ -143,7 +144,7 @@
 
     /// Whether the attempt's proxy could know of the host's start: the slice's owner published after it received the
     /// start, or had the grace to.
-    fn is_informed(&self, at: f64, attempt: &Try) -> bool {
+    fn is_informed(&self, at: f64, attempt: &Attempt) -> bool {
         let host = self.warming.get(attempt.host.as_str());
         let Some(listed_at) = host.and_then(|host| host.listed_at) else { return false };
         let owner = self.ownership.owner(attempt.proxy, attempt.slice);
--- a/crates/railhub-rules/src/tests.rs
+++ b/crates/railhub-rules/src/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use railhub_record::{Limits, What};
+use railhub_record::{EventKind, Limits};
 
 #[test]
 fn limits_that_cannot_be_are_an_error_and_no_endless_look() {
     let with = |from: f64, until: f64, slices: u32| {
         let limits = Limits { from, until, slices, ..Limits::default() };
-        check(&[Event { at: 0.0, what: Some(What::Limits(limits)) }]).is_ok()
+        check(&[Event { at: 0.0, kind: Some(EventKind::Limits(limits)) }]).is_ok()
     };
     assert!(with(2.0, 50.0, 100));
     for (from, until, slices) in
--- a/crates/railhub-rules/src/update_channel.rs
+++ b/crates/railhub-rules/src/update_channel.rs
@@ -1,6 +1,6 @@
 //! Rule 5: the update channel's backlog and the messages to each proxy stay within limits.
 use crate::verdict::Verdict;
-use railhub_record::{Event, Limits, What};
+use railhub_record::{Event, EventKind, Limits};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The verdict on rule 5.
@@ -13,21 +13,23 @@
 
 /// Checks the messages to each proxy within the span; each of several controllers keeps to the limit by itself.
 fn check_message_rate(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
-    if limits.message_cap == 0 {
+    if limits.max_messages == 0 {
         return;
     }
     // When messages within the span arrived, by proxy and controller.
     let mut recent: BTreeMap<(u32, u32), VecDeque<f64>> = BTreeMap::new();
     for event in events {
-        match &event.what {
-            Some(What::Stream(stream)) if stream.up => _ = recent.remove(&(stream.proxy, stream.steward)),
-            Some(What::Delta(received)) => {
-                let arrivals = recent.entry((received.proxy, received.steward)).or_default();
+        match &event.kind {
+            Some(EventKind::ProxyStream(stream)) if stream.open => {
+                _ = recent.remove(&(stream.proxy, stream.controller))
+            }
+            Some(EventKind::DeltaReceived(received)) => {
+                let arrivals = recent.entry((received.proxy, received.controller)).or_default();
                 arrivals.push_back(event.at);
-                while arrivals.front().is_some_and(|at| *at <= event.at - limits.messages_span) {
+                while arrivals.front().is_some_and(|at| *at <= event.at - limits.message_span) {
                     arrivals.pop_front();
                 }
-                let limit_fraction = arrivals.len() as f64 / f64::from(limits.message_cap);
+                let limit_fraction = arrivals.len() as f64 / f64::from(limits.max_messages);
                 verdict.check(event.at, limit_fraction, || {
                     format!("proxy {} got {} messages within the span", received.proxy, arrivals.len())
                 });
@@ -47,7 +49,7 @@
 fn check_backlog(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
     let mut changes = Vec::new();
     for event in events {
-        if let Some(What::Delta(received)) = &event.what {
+        if let Some(EventKind::DeltaReceived(received)) = &event.kind {
             let lines = received.delta.cost() as f64 + limits.message_cost;
             changes.push(BacklogChange { at: received.delta.ordered_at.min(event.at), lines });
             changes.push(BacklogChange { at: event.at, lines: -lines });
@@ -58,7 +60,7 @@
     for change in changes {
         waiting += change.lines;
         if change.lines > 0.0 {
-            verdict.check(change.at, waiting / limits.backlog, || format!("{waiting:.0} lines waited"));
+            verdict.check(change.at, waiting / limits.max_backlog, || format!("{waiting:.0} lines waited"));
         }
     }
 }
--- a/crates/railhub-rules/src/usable_host.rs
+++ b/crates/railhub-rules/src/usable_host.rs
@@ -4,7 +4,10 @@
 use crate::proxy_tables::ProxyTables;
 use crate::slice_ownership::SliceOwnership;
 use crate::verdict::Verdict;
-use railhub_record::{Event, Limits, Listed, Received, Roster, StewardLife, Stream, What};
+use railhub_record::{
+    ControllerLifecycle, DeltaReceived, EndpointPhase, EndpointsReceived, Event, EventKind, Limits,
+    ProxyStream,
+};
 use std::collections::BTreeMap;
 
 /// The verdict on rule 1.
@@ -22,11 +25,11 @@
         },
     };
     for event in events {
-        match &event.what {
-            Some(What::Roster(update)) => state.on_endpoints(event.at, update),
-            Some(What::Stream(stream)) => state.on_stream(event.at, stream),
-            Some(What::Delta(received)) => state.on_delta(event.at, received),
-            Some(What::StewardLife(life)) => state.on_process_event(event.at, life),
+        match &event.kind {
+            Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
+            Some(EventKind::ProxyStream(stream)) => state.on_stream(event.at, stream),
+            Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
+            Some(EventKind::ControllerLifecycle(life)) => state.on_process_event(event.at, life),
             _ => {}
         }
     }
@@ -41,7 +44,7 @@
 }
 
 impl CheckState<'_> {
-    fn on_endpoints(&mut self, at: f64, update: &Roster) {
+    fn on_endpoints(&mut self, at: f64, update: &EndpointsReceived) {
         self.endpoints.on_update(at, update);
         let before = self.spans.warm_since.filter(|since| *since <= at);
         let next = self.first_warm_at().map(|first| match before {
@@ -57,16 +60,16 @@
 
     /// When the first of the hosts that are listed ready is warm; may lie in the future.
     fn first_warm_at(&self) -> Option<f64> {
-        let warm_within = self.spans.limits.warm_within;
-        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.listed == Listed::Ready);
+        let warm_within = self.spans.limits.max_warm_up;
+        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.listed == EndpointPhase::Ready);
         let warm_at = ready.map(|endpoint| endpoint.started.map_or(0.0, |started| started + warm_within));
         warm_at.min_by(f64::total_cmp)
     }
 
-    fn on_stream(&mut self, at: f64, stream: &Stream) {
+    fn on_stream(&mut self, at: f64, stream: &ProxyStream) {
         let proxy = self.proxies.entry(stream.proxy).or_default();
-        let key = (stream.proxy, stream.steward);
-        if stream.up {
+        let key = (stream.proxy, stream.controller);
+        if stream.open {
             self.spans.streams.insert(key, at);
             proxy.update_unserved(at, self.spans.limits.slices);
         } else {
@@ -75,7 +78,7 @@
         }
     }
 
-    fn on_delta(&mut self, at: f64, received: &Received) {
+    fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         let stale = self.spans.ownership.on_delta(at, received);
         let proxy = self.proxies.entry(received.proxy).or_default();
         let mut ended = proxy.unserved.clone();
@@ -84,7 +87,7 @@
         self.spans.check(received.proxy, &ended, at);
     }
 
-    fn on_process_event(&mut self, at: f64, life: &StewardLife) {
+    fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
         self.spans.ownership.on_process_event(at, life);
         if self.spans.ownership.none_running() {
             self.check_open_spans(at);
@@ -125,7 +128,7 @@
             let Some(connected_at) = self.streams.get(&(proxy, owner)) else { continue };
             let accountable_since = self.ownership.accountable_since(proxy, *slice);
             let from = since.max(*connected_at).max(warm_since).max(accountable_since);
-            let limit = self.limits.lost_for * self.slowdown.max_factor(from, at);
+            let limit = self.limits.max_unserved * self.slowdown.max_factor(from, at);
             let limit_fraction = (at - from) / limit;
             if limit_fraction > 0.0 {
                 self.verdict.check(at, limit_fraction, || {
--- a/crates/railhub-series/src/causes.rs
+++ b/crates/railhub-series/src/causes.rs
@@ -2,7 +2,7 @@
 //! followed another does not make it its effect.
 use crate::changes::{levels, Level};
 use crate::lines::{Lines, STEP};
-use railhub_record::{Event, Limits, Listed, What};
+use railhub_record::{EndpointPhase, Event, EventKind, Limits};
 use serde::Serialize;
 
 /// Seconds before a change that are looked through.
@@ -45,18 +45,18 @@
 /// What operators would call an event, in order of time, with seconds of the day.
 pub fn happenings(events: &[Event], limits: &Limits) -> Vec<(f64, String)> {
     let what = |event: &Event| -> Option<String> {
-        Some(match event.what.as_ref()? {
-            What::Trouble(trouble) => {
-                format!("{} {}", trouble.name, if trouble.on { "begins" } else { "ends" })
+        Some(match event.kind.as_ref()? {
+            EventKind::InjectedFault(trouble) => {
+                format!("{} {}", trouble.name, if trouble.active { "begins" } else { "ends" })
             }
-            What::StewardLife(life) => {
-                format!("the steward {}", if life.up { "starts" } else { "is killed" })
+            EventKind::ControllerLifecycle(life) => {
+                format!("the steward {}", if life.running { "starts" } else { "is killed" })
             }
-            What::Roster(roster) => {
-                let of = |listed| roster.entries.iter().filter(|entry| entry.listed() == listed).count();
-                let (gone, draining) = (of(Listed::Gone), of(Listed::Draining));
-                let fresh = roster.entries.iter().filter(|e| e.started.is_some()).count();
-                match (roster.whole, gone, draining, fresh) {
+            EventKind::EndpointsReceived(roster) => {
+                let of = |listed| roster.entries.iter().filter(|entry| entry.phase() == listed).count();
+                let (gone, draining) = (of(EndpointPhase::Gone), of(EndpointPhase::Draining));
+                let fresh = roster.entries.iter().filter(|e| e.started_at.is_some()).count();
+                match (roster.complete, gone, draining, fresh) {
                     (true, ..) | (_, 0, 0, 0) => return None,
                     (_, gone, 0, 0) => format!("the list drops {gone} hosts"),
                     (_, 0, draining, 0) => format!("the list drains {draining} hosts"),
--- a/crates/railhub-series/src/lines.rs
+++ b/crates/railhub-series/src/lines.rs
@@ -1,7 +1,7 @@
 //! Events added up by seconds of the day.
 use crate::owing::Owing;
 use crate::tables::Tables;
-use railhub_record::{Event, Limits, Outcome, What};
+use railhub_record::{Event, EventKind, Limits, Outcome};
 use serde::Serialize;
 use std::collections::BTreeSet;
 
@@ -63,17 +63,18 @@
             stand(&mut lines, stood_until..step, owing.deltas(), joined.len(), hosts.len());
             stood_until = stood_until.max(step);
         }
-        match &event.what {
-            Some(What::Operation(end)) => {
+        match &event.kind {
+            Some(EventKind::OperationEnd(end)) => {
                 let began = ((end.began - limits.from) / STEP).max(0.0) as usize;
                 if began < steps {
-                    let gain = limits.classes.get(end.class as usize).map_or(0.0, |class| class.gain);
+                    let gain =
+                        limits.classes.get(end.class as usize).map_or(0.0, |class| class.priority_weight);
                     lines.operations[began] += 1;
                     asked[began] += gain;
                     answered[began] += if end.outcome() == Outcome::Completed { gain } else { 0.0 };
                 }
             }
-            Some(What::Delta(received)) => {
+            Some(EventKind::DeltaReceived(received)) => {
                 let (moves, withdrawals) = tables.take(&received.delta).unwrap_or_default();
                 owing.got(received.proxy, received.delta.version, received.delta.cost());
                 if let Some(step) = step {
@@ -82,14 +83,14 @@
                     lines.messages[step] += 1;
                 }
             }
-            Some(What::Answered(word)) => owing.word(word.proxy, word.nonce),
-            Some(What::Stream(stream)) if stream.up => _ = joined.insert(stream.proxy),
-            Some(What::Stream(stream)) => {
+            Some(EventKind::DeltaAcknowledged(word)) => owing.word(word.proxy, word.nonce),
+            Some(EventKind::ProxyStream(stream)) if stream.open => _ = joined.insert(stream.proxy),
+            Some(EventKind::ProxyStream(stream)) => {
                 joined.remove(&stream.proxy);
                 owing.gone(stream.proxy);
             }
-            Some(What::HostUp(up)) => _ = hosts.insert(up.host.clone()),
-            Some(What::HostDown(down)) => _ = hosts.remove(&down.host),
+            Some(EventKind::HostStarted(up)) => _ = hosts.insert(up.host.clone()),
+            Some(EventKind::HostStopped(down)) => _ = hosts.remove(&down.host),
             _ => {}
         }
     }
--- a/crates/railhub-series/src/loads.rs
+++ b/crates/railhub-series/src/loads.rs
@@ -1,5 +1,5 @@
 //! What each host had to do.
-use railhub_record::{Event, Limits, What};
+use railhub_record::{Event, EventKind, Limits};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -28,16 +28,16 @@
     let inside = |at: f64| at.clamp(limits.from, limits.until);
     let mut sums: BTreeMap<&str, Sum> = BTreeMap::new();
     for event in events {
-        match &event.what {
-            Some(What::HostUp(up)) => {
+        match &event.kind {
+            Some(EventKind::HostStarted(up)) => {
                 let sum = sums.entry(&up.host).or_default();
                 (sum.zone, sum.power, sum.up_since) = (up.zone, up.cores * up.speed, Some(inside(event.at)));
             }
-            Some(What::HostDown(down)) => {
+            Some(EventKind::HostStopped(down)) => {
                 let sum = sums.entry(&down.host).or_default();
                 sum.up += sum.up_since.take().map_or(0.0, |since| inside(event.at) - since);
             }
-            Some(What::Try(tried)) => {
+            Some(EventKind::Attempt(tried)) => {
                 let sum = sums.entry(&tried.host).or_default();
                 sum.tries += 1;
                 sum.work += tried.work;
--- a/crates/railhub-series/src/tail.rs
+++ b/crates/railhub-series/src/tail.rs
@@ -1,6 +1,6 @@
 //! How long operations took, by class.
 use hdrhistogram::Histogram;
-use railhub_record::{Event, Limits, Outcome, What};
+use railhub_record::{Event, EventKind, Limits, Outcome};
 use serde::Serialize;
 
 /// Microseconds, the unit that histograms count in, of a second.
@@ -59,7 +59,7 @@
     };
     let mut tails: Vec<Tail> = limits.classes.iter().map(empty).collect();
     for event in events {
-        let Some(What::Operation(end)) = &event.what else { continue };
+        let Some(EventKind::OperationEnd(end)) = &event.kind else { continue };
         let Some(tail) = tails.get_mut(end.class as usize) else { continue };
         match end.outcome() {
             Outcome::Completed | Outcome::Late => {
--- a/crates/railhub-standin/src/client.rs
+++ b/crates/railhub-standin/src/client.rs
@@ -2,7 +2,7 @@
 use crate::proxy::{Coming, Proxy, ProxyEnd};
 use crate::ClassFacts;
 use railhub_net::{now, seconds};
-use railhub_record::{OperationEnd, Outcome, Recorder, Repeats, What};
+use railhub_record::{EventKind, OperationEnd, OperationIdempotency, Outcome, Recorder};
 use std::sync::Arc;
 
 /// How clients behave on a day. Times in seconds.
@@ -50,9 +50,9 @@
         };
         let in_window = now() - began <= class.key_window;
         let may_repeat = match class.repeats {
-            Repeats::Safe => true,
-            Repeats::IdempotencyKeyGlobal => in_window,
-            Repeats::IdempotencyKeyLocal | Repeats::Never => false,
+            OperationIdempotency::Safe => true,
+            OperationIdempotency::IdempotencyKeyGlobal => in_window,
+            OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => false,
         };
         if end == ProxyEnd::Completed || end == ProxyEnd::Failed && !may_repeat {
             break;
@@ -66,10 +66,10 @@
         zone: proxy.facts.zone,
         began,
         outcome: outcome.into(),
-        comings,
+        requests: comings,
         key: drawn.key,
         work: drawn.work,
         proxy: proxy.facts.number,
     };
-    recorder.note(now(), What::Operation(end));
+    recorder.record(now(), EventKind::OperationEnd(end));
 }
--- a/crates/railhub-standin/src/host.rs
+++ b/crates/railhub-standin/src/host.rs
@@ -9,7 +9,7 @@
     from_host, to_host, AttemptOutcome, FromHost, HostHello, Operation, Response, ToHost,
     MAX_HOST_MESSAGE_BYTES,
 };
-use railhub_record::{Effect, HostDown, HostUp, Recorder, Repeats, What};
+use railhub_record::{Effect, EventKind, HostStarted, HostStopped, OperationIdempotency, Recorder};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -53,9 +53,9 @@
     /// Whether this is a repeat, to be dropped; else it is remembered.
     pub fn is_repeat(&mut self, class: &ClassFacts, zone: u32, operation: u64, now: f64) -> bool {
         let group = match class.repeats {
-            Repeats::IdempotencyKeyGlobal => None,
-            Repeats::IdempotencyKeyLocal => Some(zone),
-            Repeats::Safe | Repeats::Never => return false,
+            OperationIdempotency::IdempotencyKeyGlobal => None,
+            OperationIdempotency::IdempotencyKeyLocal => Some(zone),
+            OperationIdempotency::Safe | OperationIdempotency::Never => return false,
         };
         if self.seen.len() > KEYS_MOST {
             self.seen.retain(|_, at| now - *at <= class.key_window);
@@ -175,16 +175,16 @@
             let busy = BusyMeter::new(at);
             *state = State { busy, ..fresh };
         });
-        self.recorder.note(
+        self.recorder.record(
             at,
-            What::HostUp(HostUp {
+            EventKind::HostStarted(HostStarted {
                 host: self.address.to_string(),
                 zone: self.facts.zone,
                 cores: self.facts.cores as f64,
                 speed: self.facts.speed,
                 cold,
-                cold_from: self.facts.cold_from,
-                warm_after: self.facts.warm_after,
+                cold_capacity_fraction: self.facts.cold_from,
+                warm_up_time: self.facts.warm_after,
             }),
         );
         at
@@ -199,7 +199,7 @@
             was_alive.then(|| std::mem::take(&mut state.connections))
         });
         let Some(connections) = connections else { return };
-        self.recorder.note(now(), What::HostDown(HostDown { host: self.address.to_string() }));
+        self.recorder.record(now(), EventKind::HostStopped(HostStopped { host: self.address.to_string() }));
         connections.values().for_each(|writer| writer.lock().expect("no holder panics").close());
     }
 
@@ -386,7 +386,7 @@
             began: job.came,
             dropped: repeat,
         };
-        self.recorder.note(now(), What::Effect(effect));
+        self.recorder.record(now(), EventKind::Effect(effect));
         self.answer(job, AttemptOutcome::Completed);
         true
     }
--- a/crates/railhub-standin/src/lib.rs
+++ b/crates/railhub-standin/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod sums;
 
 pub use lane::CallEnd;
-use railhub_record::Repeats;
+use railhub_record::OperationIdempotency;
 
 /// What all stand-ins of a fleet know of a class of operations. Times in seconds.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     pub contract_time: f64,
     pub hard_stop: f64,
     pub gain: f64,
-    pub repeats: Repeats,
+    pub repeats: OperationIdempotency,
     pub key_window: f64,
     pub writes: bool,
 }
--- a/crates/railhub-standin/src/proxy.rs
+++ b/crates/railhub-standin/src/proxy.rs
@@ -12,7 +12,9 @@
     from_controller, from_proxy, Ack, Delta, FromController, FromProxy, Nack, Operation, RetryCondition,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
-use railhub_record::{Answered, Received, Recorder, Stream, Try, TryEnd, What};
+use railhub_record::{
+    Attempt, AttemptEnd, DeltaAcknowledged, DeltaReceived, EventKind, ProxyStream, Recorder,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -197,8 +199,8 @@
         }
         let writer = Arc::new(Mutex::new(writer));
         self.streams.lock().expect("no holder panics").insert(steward, writer.clone());
-        let stream = |up| What::Stream(Stream { proxy, up, steward: steward as u32 });
-        self.around.recorder.note(now(), stream(true));
+        let stream = |up| EventKind::ProxyStream(ProxyStream { proxy, open: up, controller: steward as u32 });
+        self.around.recorder.record(now(), stream(true));
         while let Ok(FromController { payload: Some(word) }) = reader.receive() {
             match word {
                 from_controller::Payload::Delta(delta) => {
@@ -212,7 +214,7 @@
                 }
             }
         }
-        self.around.recorder.note(now(), stream(false));
+        self.around.recorder.record(now(), stream(false));
         self.streams.lock().expect("no holder panics").remove(&steward);
         writer.lock().expect("no holder panics").close();
     }
@@ -222,8 +224,8 @@
         let delta = self.tamper(steward, delta);
         let (proxy, nonce) = (self.facts.number, delta.nonce);
         let recorder = &self.around.recorder;
-        let received = Received { proxy, delta: delta.clone(), steward: steward as u32 };
-        recorder.note(now(), What::Delta(received));
+        let received = DeltaReceived { proxy, delta: delta.clone(), controller: steward as u32 };
+        recorder.record(now(), EventKind::DeltaReceived(received));
         let taken = if self.refuse_next.swap(false, Ordering::Relaxed) {
             Err("told to refuse".to_owned())
         } else {
@@ -231,8 +233,14 @@
             self.held.lock().expect("no holder panics").take_in(steward, &delta, fenced)
         };
         let (refused, left_out) = (taken.is_err(), taken.clone().unwrap_or_default());
-        let answered = Answered { proxy, nonce, refused, steward: steward as u32, left_out };
-        recorder.note(now(), What::Answered(answered));
+        let answered = DeltaAcknowledged {
+            proxy,
+            nonce,
+            rejected: refused,
+            controller: steward as u32,
+            stale_slices: left_out,
+        };
+        recorder.record(now(), EventKind::DeltaAcknowledged(answered));
         let word = match taken {
             Ok(_) => from_proxy::Payload::Ack(Ack { nonce }),
             Err(reason) => {
@@ -252,8 +260,8 @@
                     let (proxy, nonce) = (self.facts.number, delta.nonce);
                     let again = Delta { lines: Vec::new(), cleared: Vec::new(), ..delta.clone() };
                     let delta = Delta { nonce, reset: false, ..again };
-                    let again = Received { proxy, delta, steward: steward as u32 };
-                    self.around.recorder.note(now(), What::Delta(again));
+                    let again = DeltaReceived { proxy, delta, controller: steward as u32 };
+                    self.around.recorder.record(now(), EventKind::DeltaReceived(again));
                 }
             }
             Some(Sabotage::IgnoresLeaving) => {
@@ -396,8 +404,9 @@
         self.totals.lock().expect("no holder panics").tried(host, time, busy);
         let (operation, coming) = (drawn.operation, coming.coming);
         let completed = time.is_some();
-        let ended = TryEnd { operation, coming, number, completed, never_ran: end.never_ran() };
-        self.around.recorder.note(now(), What::TryEnd(ended));
+        let ended =
+            AttemptEnd { operation, request: coming, number, completed, not_executed: end.never_ran() };
+        self.around.recorder.record(now(), EventKind::AttemptEnd(ended));
         end
     }
 
@@ -412,8 +421,8 @@
         let message = Operation { attempt_id: 0, operation_id: operation, key, class, slice, work };
         lane.call(message, wait, || {
             let (coming, proxy, host) = (coming.coming, self.facts.number, host.to_string());
-            let tried = Try { operation, coming, number, proxy, host, class, slice, work };
-            self.around.recorder.note(now(), What::Try(tried));
+            let tried = Attempt { operation, request: coming, number, proxy, host, class, slice, work };
+            self.around.recorder.record(now(), EventKind::Attempt(tried));
         })
     }
 }
--- a/crates/railhub-standin/src/roster.rs
+++ b/crates/railhub-standin/src/roster.rs
@@ -2,7 +2,7 @@
 use may::net::TcpStream;
 use may::sync::Mutex;
 use railhub_net::{http, now, seconds, spawn, Listener};
-use railhub_record::{Entry, Listed, Recorder, What};
+use railhub_record::{EndpointPhase, EndpointStatus, EventKind, Recorder};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::io;
@@ -179,7 +179,7 @@
             may::coroutine::sleep(seconds(LOOK));
         };
         if page.version != after {
-            recorder.note(now(), What::Roster(recorded(&page, steward)));
+            recorder.record(now(), EventKind::EndpointsReceived(recorded(&page, steward)));
         }
         if http::write_json_response(&mut stream, &page).is_err() {
             return;
@@ -187,16 +187,20 @@
     }
 }
 
-fn recorded(page: &Page, steward: u32) -> railhub_record::Roster {
-    let entries = page.hosts.iter().map(|entry| Entry {
+fn recorded(page: &Page, steward: u32) -> railhub_record::EndpointsReceived {
+    let entries = page.hosts.iter().map(|entry| EndpointStatus {
         host: entry.host.to_string(),
-        listed: match entry.phase {
-            DRAINING => Listed::Draining,
-            GONE => Listed::Gone,
-            _ => Listed::Ready,
+        phase: match entry.phase {
+            DRAINING => EndpointPhase::Draining,
+            GONE => EndpointPhase::Gone,
+            _ => EndpointPhase::Ready,
         }
         .into(),
-        started: entry.started,
+        started_at: entry.started,
     });
-    railhub_record::Roster { whole: page.whole, entries: entries.collect(), steward }
+    railhub_record::EndpointsReceived {
+        complete: page.whole,
+        entries: entries.collect(),
+        controller: steward,
+    }
 }
--- a/crates/railhub-standin/src/store.rs
+++ b/crates/railhub-standin/src/store.rs
@@ -6,7 +6,7 @@
 use railhub_membership::lease_store::{LeaseStore, StoreFaults};
 use railhub_membership::Epoch;
 use railhub_net::{http, now, seconds, spawn, Listener};
-use railhub_record::{Granted, Recorder, Stored, What};
+use railhub_record::{EventKind, Recorder, SliceGranted, TableWrite};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -154,8 +154,8 @@
 }
 
 impl Shared {
-    fn note(&self, what: What) {
-        self.recorder.iter().for_each(|recorder| recorder.note(now(), what.clone()));
+    fn note(&self, what: EventKind) {
+        self.recorder.iter().for_each(|recorder| recorder.record(now(), what.clone()));
     }
 
     fn keep_copy(&self, state: &State) {
@@ -177,7 +177,7 @@
             let StoredTable { slice, epoch, lines, state: told, .. } = table;
             let written = u16::try_from(slice).is_ok_and(|slice| state.grants.may_write(slice, Epoch(epoch)));
             if epoch > 0 {
-                self.note(What::Stored(Stored { slice, epoch, written }));
+                self.note(EventKind::TableWrite(TableWrite { slice, epoch, written }));
             }
             if written {
                 state.tables.insert(slice, lines);
@@ -198,7 +198,7 @@
         let answer = state.grants.handle_request(now(), request);
         for (slice, epoch) in &answer.acquired {
             let (slice, epoch, process) = (u32::from(*slice), epoch.0, request.process);
-            self.note(What::Granted(Granted { slice, epoch, process }));
+            self.note(EventKind::SliceGranted(SliceGranted { slice, epoch, process }));
         }
         let taken = answer.response.granted.iter().filter(|(slice, _)| request.acquire.contains(slice));
         let tables = taken.map(|(slice, epoch)| {
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -5,7 +5,7 @@
     frame, from_controller, from_proxy, Ack, Deframer, Delta, FromController, FromProxy, LoadReport, Nack,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
-use railhub_record::{Recorder, Repeats};
+use railhub_record::{OperationIdempotency, Recorder};
 use railhub_standin::held::Held;
 use railhub_standin::host::{HostFacts, OpenHost, Repeated};
 use railhub_standin::roster::{Roster, RosterEntry, READY};
@@ -53,7 +53,7 @@
         contract_time: 1.0,
         hard_stop: 2.0,
         gain: 1.0,
-        repeats: Repeats::Safe,
+        repeats: OperationIdempotency::Safe,
         key_window: 0.0,
         writes: false,
     };
--- a/crates/railhub-watch/src/scene.rs
+++ b/crates/railhub-watch/src/scene.rs
@@ -1,6 +1,6 @@
 //! What stands at a moment of a run, out of the events up to it.
 use railhub_proto::RetryCondition;
-use railhub_record::{Event, Limits, Listed, Outcome, What};
+use railhub_record::{EndpointPhase, Event, EventKind, Limits, Outcome};
 use railhub_series::owing::Owing;
 use railhub_series::tables::Tables;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,7 +36,7 @@
     pub shut: bool,
     warm_at: f64,
     runs: bool,
-    listed: Option<Listed>,
+    listed: Option<EndpointPhase>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -80,39 +80,39 @@
         let at = event.at - self.limits.as_ref().map_or(event.at, |limits| limits.from);
         // Events of several writers come a little out of order.
         self.now = self.now.max(at);
-        let Some(what) = &event.what else { return };
+        let Some(what) = &event.kind else { return };
         match what {
-            What::Limits(limits) => {
+            EventKind::Limits(limits) => {
                 self.now = -limits.from.min(1e9);
                 self.limits = Some(limits.clone());
             }
-            What::HostUp(up) => {
+            EventKind::HostStarted(up) => {
                 let host = self.hosts.entry(up.host.clone()).or_default();
                 (host.zone, host.power, host.runs) = (up.zone, up.cores * up.speed, true);
-                host.warm_at = if up.cold { at + up.warm_after } else { f64::NEG_INFINITY };
+                host.warm_at = if up.cold { at + up.warm_up_time } else { f64::NEG_INFINITY };
             }
-            What::HostDown(down) => self.hosts.entry(down.host.clone()).or_default().runs = false,
-            What::Roster(roster) => {
+            EventKind::HostStopped(down) => self.hosts.entry(down.host.clone()).or_default().runs = false,
+            EventKind::EndpointsReceived(roster) => {
                 for entry in &roster.entries {
-                    self.hosts.entry(entry.host.clone()).or_default().listed = Some(entry.listed());
+                    self.hosts.entry(entry.host.clone()).or_default().listed = Some(entry.phase());
                 }
             }
-            What::Stream(stream) if stream.up => _ = self.joined.insert(stream.proxy),
-            What::Stream(stream) => {
+            EventKind::ProxyStream(stream) if stream.open => _ = self.joined.insert(stream.proxy),
+            EventKind::ProxyStream(stream) => {
                 self.joined.remove(&stream.proxy);
                 self.owing.gone(stream.proxy);
             }
-            What::Delta(received) => self.take_delta(received.proxy, &received.delta),
-            What::Answered(word) => self.owing.word(word.proxy, word.nonce),
-            What::Try(tried) => {
+            EventKind::DeltaReceived(received) => self.take_delta(received.proxy, &received.delta),
+            EventKind::DeltaAcknowledged(word) => self.owing.word(word.proxy, word.nonce),
+            EventKind::Attempt(tried) => {
                 let host = self.hosts.entry(tried.host.clone()).or_default();
                 host.work = host.work_by(at) + tried.work / MEMORY;
                 host.work_at = at;
             }
-            What::Operation(end) => {
+            EventKind::OperationEnd(end) => {
                 *self.outcomes.entry(end.outcome()).or_default() += 1;
                 let Some(limits) = &self.limits else { return };
-                let gain = limits.classes.get(end.class as usize).map_or(0.0, |class| class.gain);
+                let gain = limits.classes.get(end.class as usize).map_or(0.0, |class| class.priority_weight);
                 let second = self.seconds.entry((end.began - limits.from).floor() as i64).or_default();
                 second.asked += gain;
                 second.answered += if end.outcome() == Outcome::Completed { gain } else { 0.0 };
@@ -121,20 +121,23 @@
                     self.seconds.pop_first();
                 }
             }
-            What::Trouble(trouble) => {
+            EventKind::InjectedFault(trouble) => {
                 let name = trouble.name.clone();
-                self.tell(at, format!("{name} {}", if trouble.on { "begins" } else { "ends" }));
-                if trouble.on {
+                self.tell(at, format!("{name} {}", if trouble.active { "begins" } else { "ends" }));
+                if trouble.active {
                     self.troubles.insert(name);
                 } else {
                     self.troubles.remove(&name);
                 }
             }
-            What::StewardLife(life) => {
-                self.steward_up = life.up;
-                self.tell(at, format!("the steward {}", if life.up { "starts" } else { "is killed" }));
+            EventKind::ControllerLifecycle(life) => {
+                self.steward_up = life.running;
+                self.tell(at, format!("the steward {}", if life.running { "starts" } else { "is killed" }));
             }
-            What::TryEnd(_) | What::Effect(_) | What::Granted(_) | What::Stored(_) => {}
+            EventKind::AttemptEnd(_)
+            | EventKind::Effect(_)
+            | EventKind::SliceGranted(_)
+            | EventKind::TableWrite(_) => {}
         }
     }
 
@@ -207,9 +210,9 @@
 
     pub fn standing(&self, now: f64) -> Standing {
         match self.listed {
-            Some(Listed::Gone) => Standing::Gone,
+            Some(EndpointPhase::Gone) => Standing::Gone,
             _ if !self.runs => Standing::Down,
-            Some(Listed::Draining) => Standing::Draining,
+            Some(EndpointPhase::Draining) => Standing::Draining,
             _ if self.warm_at > now => Standing::Cold,
             _ => Standing::Ready,
         }
--- a/crates/railhub-watch/src/source.rs
+++ b/crates/railhub-watch/src/source.rs
@@ -1,5 +1,5 @@
 //! Follows a record that may still grow.
-use railhub_record::{read_bytes, whole_blocks, Event, RecordFault};
+use railhub_record::{complete_bytes, read_bytes, Event, RecordError};
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
@@ -18,14 +18,15 @@
 }
 
 impl Source {
-    pub fn open(path: &Path) -> Result<Source, RecordFault> {
+    pub fn open(path: &Path) -> Result<Source, RecordError> {
         let name = path.display().to_string();
+        let io_error = |source: io::Error| RecordError::Io { file: name.clone(), source };
         let mut head = Vec::new();
-        let file = File::open(path).map_err(|e| RecordFault::File(name.clone(), e))?;
-        file.take(HEAD as u64).read_to_end(&mut head).map_err(|e| RecordFault::File(name.clone(), e))?;
+        let file = File::open(path).map_err(io_error)?;
+        file.take(HEAD as u64).read_to_end(&mut head).map_err(io_error)?;
         // A record that was just begun may have nothing in it yet.
         if !head.is_empty() {
-            whole_blocks(&name, &head)?;
+            complete_bytes(&name, &head)?;
         }
         let mut source =
             Source { path: path.to_owned(), head, at: HEAD as u64, end: 0.0, events: Vec::new() };
@@ -34,21 +35,21 @@
     }
 
     /// Takes in what has come; how many events that were.
-    pub fn look(&mut self) -> Result<usize, RecordFault> {
+    pub fn look(&mut self) -> Result<usize, RecordError> {
         let name = self.path.display().to_string();
-        let fault = |e: io::Error| RecordFault::File(name.clone(), e);
-        let mut file = File::open(&self.path).map_err(fault)?;
+        let io_error = |source: io::Error| RecordError::Io { file: name.clone(), source };
+        let mut file = File::open(&self.path).map_err(io_error)?;
         if self.head.len() < HEAD {
             self.head.clear();
-            (&mut file).take(HEAD as u64).read_to_end(&mut self.head).map_err(fault)?;
+            (&mut file).take(HEAD as u64).read_to_end(&mut self.head).map_err(io_error)?;
             if self.head.len() < HEAD {
                 return Ok(0);
             }
         }
-        file.seek(SeekFrom::Start(self.at)).map_err(fault)?;
+        file.seek(SeekFrom::Start(self.at)).map_err(io_error)?;
         let mut bytes = self.head.clone();
-        file.take(READ_MOST).read_to_end(&mut bytes).map_err(fault)?;
-        let good = whole_blocks(&name, &bytes)?;
+        file.take(READ_MOST).read_to_end(&mut bytes).map_err(io_error)?;
+        let good = complete_bytes(&name, &bytes)?;
         let events = read_bytes(&name, &bytes[..good])?;
         self.at += (good - HEAD) as u64;
         let count = events.len();
--- a/crates/railhub-watch/src/view.rs
+++ b/crates/railhub-watch/src/view.rs
@@ -31,7 +31,7 @@
     let (line, rate) = scene.service();
     let (deltas, lines) = scene.backlog();
     let service = line.last().map_or("-".to_owned(), |(_, service)| format!("{service:.2}"));
-    let backlog = scene.limits.as_ref().map_or(0.0, |limits| limits.backlog);
+    let backlog = scene.limits.as_ref().map_or(0.0, |limits| limits.max_backlog);
     let steward = if scene.steward_up { "up" } else { "AWAY" };
     let first = format!(
         "{:.1} s   service {service}   {rate} operations/s   steward {steward}   {} proxies joined",
