--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -9,7 +9,7 @@
 use railhub_day::{play, report};
 use railhub_record::save;
 use railhub_rules::{check, limits, takeover_times, Verdict};
-use railhub_standin::proxy::Sabotage as BrokenProxy;
+use railhub_standin::Sabotage as BrokenProxy;
 use serde::Serialize;
 use std::path::PathBuf;
 
@@ -89,7 +89,7 @@
     let folder = folder.unwrap_or_else(|| scratch(seed));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let (day, _) = shared::day(chaos, seed, &faults, sabotage).map_err(|e| e.to_string())?;
-    let broken = (sabotage == Some(Sabotage::NoFence)).then_some(BrokenProxy::ObeysOldEpochs);
+    let broken = (sabotage == Some(Sabotage::NoFence)).then_some(BrokenProxy::AcceptsOldEpochs);
     let played = play(&day, Some(into_folder(&folder)), broken, None, &|_| {})?;
     let rules = check(&played.events).map_err(|error| error.to_string())?;
     let limits = limits(&played.events).ok_or("the record has no limits")?;
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -8,7 +8,7 @@
 use railhub_record::{read, read_partial, Event, PartialRecording};
 use railhub_rules::{check as check_recording, limits};
 use railhub_series::{causes, over_time, told};
-use railhub_standin::proxy::Sabotage;
+use railhub_standin::Sabotage;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
@@ -77,10 +77,10 @@
     fn how(self) -> Sabotage {
         match self {
             BrokenRule::One => Sabotage::LosesLines,
-            BrokenRule::Two => Sabotage::RepeatsBlindly,
-            BrokenRule::Three => Sabotage::IgnoresLeaving,
+            BrokenRule::Two => Sabotage::RetriesBlindly,
+            BrokenRule::Three => Sabotage::IgnoresExclusions,
             BrokenRule::Four => Sabotage::FloodsColdHosts,
-            BrokenRule::Five => Sabotage::GetsTooManyMessages,
+            BrokenRule::Five => Sabotage::ReceivesTooManyMessages,
         }
     }
 }
--- a/crates/railhub-day/src/draw.rs
+++ b/crates/railhub-day/src/draw.rs
@@ -3,8 +3,8 @@
 use crate::replay;
 use crate::script::Day;
 use crate::troubles::{Act, GiveUpHow, ShiftHow};
-use railhub_standin::client::Drawn;
-use railhub_standin::host::HostFacts;
+use railhub_standin::host::HostConfig;
+use railhub_standin::PlannedOperation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Zipf};
@@ -19,7 +19,7 @@
 pub struct Arrival {
     pub at: f64,
     pub proxy: usize,
-    pub drawn: Drawn,
+    pub drawn: PlannedOperation,
 }
 
 /// A stream of chance of its own for each purpose.
@@ -31,7 +31,7 @@
 }
 
 /// Hosts as they are at the start, and as later ones will be.
-pub fn hosts(day: &Day, count: usize, purpose: &str) -> Vec<HostFacts> {
+pub fn hosts(day: &Day, count: usize, purpose: &str) -> Vec<HostConfig> {
     let mut chance = chance(day.seed, purpose);
     let total: f64 = day.kinds.iter().map(|kind| kind.share).sum();
     let one = |n: usize| {
@@ -43,25 +43,25 @@
         let place = place.unwrap_or(day.kinds.len() - 1);
         let kind = &day.kinds[place];
         let speed = kind.speed.0 + (kind.speed.1 - kind.speed.0) * chance.random::<f64>();
-        HostFacts {
+        HostConfig {
             zone: (n % day.zones.len()) as u32,
             kind: place as u16,
             cores: kind.cores,
             speed,
-            queue: kind.queue,
-            cold_from: kind.cold_from,
-            warm_after: kind.warm_after,
-            connections: day.connections,
+            max_queued: kind.queue,
+            cold_capacity_fraction: kind.cold_from,
+            warm_up_time: kind.warm_after,
+            max_connections: day.connections,
             probe_work: day.probe_work,
-            busy_every: day.busy_every,
-            kept_gain: day.kept_gain,
-            kept_for: day.kept_for,
+            utilization_interval: day.busy_every,
+            cache_saving: day.kept_gain,
+            cache_lifetime: day.kept_for,
         }
     };
     (0..count).map(one).collect()
 }
 
-pub fn capacity(hosts: &[HostFacts]) -> f64 {
+pub fn capacity(hosts: &[HostConfig]) -> f64 {
     hosts.iter().map(|host| host.cores as f64 * host.speed).sum()
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// Each slice's first host: the one that is least filled for its size.
-pub fn first_owners(day: &Day, hosts: &[HostFacts]) -> Vec<usize> {
+pub fn first_owners(day: &Day, hosts: &[HostConfig]) -> Vec<usize> {
     let mut filled = vec![0.0; hosts.len()];
     let owner = |size: &f64| {
         let after = |n: &usize| (filled[*n] + size) / (hosts[*n].cores as f64);
@@ -226,14 +226,14 @@
         coming.trouble(day, at, sizes.len(), &mut chance);
         let zone = place(&mut chance, &coming.zones);
         let script = &day.classes[coming.class];
-        let drawn = Drawn {
+        let drawn = PlannedOperation {
             operation,
             class: coming.class as u32,
             key: coming.key,
             slice: coming.slice as u32,
             work: coming.times * spread(&mut chance, script.work, script.spread),
             patience: coming.patience,
-            comes_back: coming.comes_back,
+            returns: coming.comes_back,
         };
         all.push(Arrival { at, proxy: place(&mut chance, &by_zone[zone]), drawn });
     }
--- a/crates/railhub-day/src/play.rs
+++ b/crates/railhub-day/src/play.rs
@@ -7,7 +7,7 @@
 use railhub_net::{now, seconds, spawn};
 use railhub_record::{Event, Recorder};
 use railhub_standin::client;
-use railhub_standin::proxy::Sabotage;
+use railhub_standin::Sabotage;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/railhub-day/src/replay.rs
+++ b/crates/railhub-day/src/replay.rs
@@ -7,7 +7,7 @@
 use crate::script::{ClassScript, Day};
 use railhub_ini::{Diagnostic, Section};
 use railhub_record::{Event, EventKind, Limits};
-use railhub_standin::client::Drawn;
+use railhub_standin::PlannedOperation;
 use railhub_traffic::scale::{scale, CopiesOf};
 use railhub_traffic::{file, Facts, Row, Traffic, OPERATIONS_MOST};
 use rand::RngExt;
@@ -128,14 +128,14 @@
             let moved = coming.class != row.class as usize;
             let work = row.work.filter(|_| !moved);
             let work = work.unwrap_or_else(|| draw::spread(&mut chance, script.work, script.spread));
-            let drawn = Drawn {
+            let drawn = PlannedOperation {
                 operation: 0,
                 class: coming.class as u32,
                 key: coming.key,
                 slice: coming.slice as u32,
                 work: coming.times * work,
                 patience: coming.patience,
-                comes_back: coming.comes_back,
+                returns: coming.comes_back,
             };
             all.push(Arrival { at, proxy, drawn });
         }
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -5,9 +5,9 @@
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::{ClassLimits, Limits, OperationIdempotency};
-use railhub_standin::client::ClientFacts;
-use railhub_standin::held::Pick;
-use railhub_standin::ClassFacts;
+use railhub_standin::client::ClientConfig;
+use railhub_standin::routing::BalancingPolicy;
+use railhub_standin::OperationClass;
 use railhub_traffic::Traffic;
 use std::path::Path;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 pub struct ClassScript {
-    pub facts: ClassFacts,
+    pub facts: OperationClass,
     pub share: f64,
     /// Mean core seconds of an operation, and their spread over the mean.
     pub work: f64,
@@ -51,7 +51,7 @@
     pub kept_gain: f64,
     pub kept_for: f64,
     pub proxies: usize,
-    pub pick: Pick,
+    pub pick: BalancingPolicy,
     pub slices: u32,
     pub slice_spread: f64,
     /// Share of what the hosts can do that is asked for, at moments of the day.
@@ -61,7 +61,7 @@
     /// Operations as they were recorded, in place of drawn ones.
     pub replay: Option<Arc<Traffic>>,
     pub classes: Vec<ClassScript>,
-    pub clients: ClientFacts,
+    pub clients: ClientConfig,
     pub roster_add: f64,
     pub roster_notice: f64,
     pub report_every: f64,
@@ -141,16 +141,20 @@
             kept_gain: fleet.in_range("kept_gain", 0.0, 0.0, 0.95)?,
             kept_for: fleet.in_range("kept_for", 10.0, 0.0, 3600.0)?,
             proxies: fleet.required_in_range("proxies", 1.0, 5000.0)? as usize,
-            pick: fleet.choice("pick", "two", &[("two", Pick::TwoByWork), ("weighted", Pick::Weighted)])?,
+            pick: fleet.choice(
+                "pick",
+                "two",
+                &[("two", BalancingPolicy::LeastOutstandingOfTwo), ("weighted", BalancingPolicy::Weighted)],
+            )?,
             slice_spread: fleet.in_range("slice_spread", 0.6, 0.0, 5.0)?,
             load: if replay.is_some() { 0.0 } else { load.required_in_range("share", 0.01, 3.0)? },
             replay,
             shape: shape(&load)?,
             keys: load.in_range("keys", 2000.0, 1.0, 1e6)? as usize,
-            clients: ClientFacts {
-                retries: clients.in_range("retries", 1.0, 0.0, 10.0)? as u32,
-                try_share: clients.in_range("try_share", 0.7, 0.01, 1.0)?,
-                pause: clients.in_range("pause", 0.1, 0.0, 60.0)?,
+            clients: ClientConfig {
+                max_retries: clients.in_range("retries", 1.0, 0.0, 10.0)? as u32,
+                request_timeout_fraction: clients.in_range("try_share", 0.7, 0.01, 1.0)?,
+                retry_backoff: clients.in_range("pause", 0.1, 0.0, 60.0)?,
             },
             roster_add: roster.in_range("add", 1.0, 0.0, 60.0)?,
             roster_notice: roster.in_range("notice", 2.0, 0.0, 60.0)?,
@@ -191,7 +195,7 @@
         Ok(Day { troubles: found, ..script })
     }
 
-    pub fn class_facts(&self) -> Vec<ClassFacts> {
+    pub fn class_facts(&self) -> Vec<OperationClass> {
         self.classes.iter().map(|class| class.facts.clone()).collect()
     }
 }
@@ -241,12 +245,12 @@
         OperationIdempotency::IdempotencyKeyGlobal | OperationIdempotency::IdempotencyKeyLocal
     );
     let script = ClassScript {
-        facts: ClassFacts {
+        facts: OperationClass {
             name: section.name["class ".len()..].trim().to_owned(),
             contract_time: section.required_in_range("contract_time", 0.001, 3600.0)?,
             hard_stop: section.required_in_range("hard_stop", 0.001, 3600.0)?,
-            gain: section.in_range("gain", 1.0, 0.0, 1e9)?,
-            repeats,
+            priority_weight: section.in_range("gain", 1.0, 0.0, 1e9)?,
+            idempotency: repeats,
             key_window: if keyed { section.required_in_range("key_window", 0.0, 1e6)? } else { 0.0 },
             writes: section.flag("writes", false)?,
         },
@@ -278,8 +282,8 @@
         name: class.facts.name.clone(),
         contract_time: class.facts.contract_time,
         hard_stop: class.facts.hard_stop,
-        priority_weight: class.facts.gain,
-        idempotency: class.facts.repeats.into(),
+        priority_weight: class.facts.priority_weight,
+        idempotency: class.facts.idempotency.into(),
         key_window: class.facts.key_window,
         writes: class.facts.writes,
     });
--- a/crates/railhub-day/src/stewards.rs
+++ b/crates/railhub-day/src/stewards.rs
@@ -9,7 +9,7 @@
 use railhub_links::{Faults, LinkController};
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
-use railhub_standin::roster::Roster;
+use railhub_standin::endpoint_list::EndpointList;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -78,7 +78,7 @@
 impl Stewards {
     /// # Errors
     /// No port for a link.
-    pub fn open(day: &Day, list: &Roster, store: SocketAddr) -> io::Result<Stewards> {
+    pub fn open(day: &Day, list: &EndpointList, store: SocketAddr) -> io::Result<Stewards> {
         let net = (day.stewards > 1).then(|| Net::open(day, list, store)).transpose()?;
         Ok(Stewards { net, running: Mutex::new((0..day.stewards).map(|_| None).collect()) })
     }
@@ -158,14 +158,19 @@
 }
 
 impl Net {
-    fn open(day: &Day, list: &Roster, store: SocketAddr) -> io::Result<Net> {
+    fn open(day: &Day, list: &EndpointList, store: SocketAddr) -> io::Result<Net> {
         let link_controller = Arc::new(LinkController::new(day.seed, None));
         let udp = UdpLinks::open(link_controller.clone(), Box::new(|_| {}));
         let ways = (0..day.stewards).map(|steward| {
             let own = name(steward);
             Ok(Ways {
                 door: TcpLink::open(link_controller.clone(), PROXIES, &own, None)?,
-                list: TcpLink::open(link_controller.clone(), &own, LIST, Some(list.door(steward as u32)?))?,
+                list: TcpLink::open(
+                    link_controller.clone(),
+                    &own,
+                    LIST,
+                    Some(list.listen_for(steward as u32)?),
+                )?,
                 store: TcpLink::open(link_controller.clone(), &own, STORE, Some(store))?,
                 public: udp.add(&own)?,
             })
--- a/crates/railhub-day/src/troubles.rs
+++ b/crates/railhub-day/src/troubles.rs
@@ -4,8 +4,8 @@
 use crate::world::World;
 use railhub_ini::{Diagnostic, Section};
 use railhub_net::{now, seconds};
-use railhub_standin::host::Ailments;
-use railhub_standin::links::SlowLink;
+use railhub_standin::host::HostFaults;
+use railhub_standin::zone_links::DegradedLink;
 use rand::seq::SliceRandom;
 use std::sync::Arc;
 
@@ -346,11 +346,11 @@
     let until = world.began + trouble.at + trouble.long;
     let wait = || may::coroutine::sleep(seconds(until - now()));
     let chosen = |count: usize| world.choose(count, number);
-    let ail = |count: usize, on: &dyn Fn(&mut Ailments), off: &dyn Fn(&mut Ailments)| {
+    let ail = |count: usize, on: &dyn Fn(&mut HostFaults), off: &dyn Fn(&mut HostFaults)| {
         let hosts = chosen(count);
-        hosts.iter().for_each(|host| world.host(*host).ail(on));
+        hosts.iter().for_each(|host| world.host(*host).change_faults(on));
         wait();
-        hosts.iter().for_each(|host| world.host(*host).ail(off));
+        hosts.iter().for_each(|host| world.host(*host).change_faults(off));
         world.release(&hosts);
     };
     match &trouble.act {
@@ -363,23 +363,25 @@
         }
         Act::Deploy { hosts, batch, drain } => deploy(trouble, number, world, *hosts, *batch, *drain),
         Act::Hang { hosts } => ail(*hosts, &|a| a.hangs = true, &|a| a.hangs = false),
-        Act::Slow { hosts, times } => ail(*hosts, &|a| a.slower *= times, &|a| a.slower /= times),
+        Act::Slow { hosts, times } => ail(*hosts, &|a| a.slowdown *= times, &|a| a.slowdown /= times),
         Act::AnswersLost { hosts, share } => {
-            ail(*hosts, &|a| a.answers_lost = *share, &|a| a.answers_lost = 0.0);
+            ail(*hosts, &|a| a.response_loss = *share, &|a| a.response_loss = 0.0);
         }
         Act::Pauses { hosts, pause, every } => {
             let hosts = chosen(*hosts);
             while now() < until {
-                hosts.iter().for_each(|host| world.host(*host).ail(|a| a.still_until = now() + pause));
+                hosts
+                    .iter()
+                    .for_each(|host| world.host(*host).change_faults(|a| a.paused_until = now() + pause));
                 may::coroutine::sleep(seconds(pause + every));
             }
         }
         Act::Neighbour { hosts, takes, every } => {
             let (hosts, times) = (chosen(*hosts), 1.0 / (1.0 - takes));
             while now() < until {
-                hosts.iter().for_each(|host| world.host(*host).ail(|a| a.slower *= times));
+                hosts.iter().for_each(|host| world.host(*host).change_faults(|a| a.slowdown *= times));
                 may::coroutine::sleep(seconds(every.min(until - now()).max(PULSE)));
-                hosts.iter().for_each(|host| world.host(*host).ail(|a| a.slower /= times));
+                hosts.iter().for_each(|host| world.host(*host).change_faults(|a| a.slowdown /= times));
                 may::coroutine::sleep(seconds(*every));
             }
         }
@@ -399,42 +401,44 @@
         }
         Act::ListShrinks { hosts } => {
             let entries = chosen(*hosts).into_iter().map(|host| world.entry(host, "gone"));
-            world.roster.lie(number as u64, Some(entries.collect()));
+            world.roster.set_override(number as u64, Some(entries.collect()));
             wait();
-            world.roster.lie(number as u64, None);
+            world.roster.set_override(number as u64, None);
         }
         Act::Ghosts { hosts, kinds } => {
             let ghosts = (0..*hosts).filter_map(|n| world.add_ghost(&kinds[n % kinds.len()]));
             let entries = ghosts.collect::<Vec<_>>().into_iter().map(|host| world.entry(host, "ready"));
-            world.roster.lie(number as u64, Some(entries.collect()));
+            world.roster.set_override(number as u64, Some(entries.collect()));
             wait();
-            world.roster.lie(number as u64, None);
+            world.roster.set_override(number as u64, None);
         }
         Act::ListBreaks => {
-            world.roster.break_down(true);
+            world.roster.set_unavailable(true);
             wait();
-            world.roster.break_down(false);
+            world.roster.set_unavailable(false);
         }
         Act::StoreAway => {
-            world.store.set_away(true);
+            world.store.set_unavailable(true);
             wait();
-            world.store.set_away(false);
+            world.store.set_unavailable(false);
         }
         Act::LostZone { zone, silent } => {
             let hosts = world.in_zone(*zone);
             let each = |act: &dyn Fn(usize)| hosts.iter().for_each(|host| act(*host));
             if *silent {
-                each(&|host| world.host(host).ail(|a| a.hangs = true));
+                each(&|host| world.host(host).change_faults(|a| a.hangs = true));
                 wait();
-                each(&|host| world.host(host).ail(|a| a.hangs = false));
+                each(&|host| world.host(host).change_faults(|a| a.hangs = false));
             } else {
                 each(&|host| world.crash(host));
                 wait();
                 each(&|host| world.start_again(host));
             }
         }
-        Act::BrokenStreams { share } => world.some_proxies(*share, number, |proxy| proxy.break_stream()),
-        Act::RefusedVersion { share } => world.some_proxies(*share, number, |proxy| proxy.refuse_next()),
+        Act::BrokenStreams { share } => world.some_proxies(*share, number, |proxy| proxy.break_streams()),
+        Act::RefusedVersion { share } => {
+            world.some_proxies(*share, number, |proxy| proxy.reject_next_delta())
+        }
         Act::SlowChannel { times } => {
             world.around.channel.slow_down(*times);
             wait();
@@ -461,21 +465,21 @@
             world.strike_links(number, None);
         }
         Act::StoreSlow { by } => {
-            world.store.set_slow(*by);
+            world.store.set_response_delay(*by);
             wait();
-            world.store.set_slow(0.0);
+            world.store.set_response_delay(0.0);
         }
         Act::StoreLosesAnswers => {
-            world.store.lose_answers(true);
+            world.store.lose_responses(true);
             wait();
-            world.store.lose_answers(false);
+            world.store.lose_responses(false);
         }
-        Act::StoreForgets { by } => world.store.start_again(*by),
+        Act::StoreForgets { by } => world.store.restart(*by),
         Act::SlowLink { zone, other, delay, lost } => {
-            let link = SlowLink { zone: *zone, other: *other, delay: *delay, lost: *lost };
-            world.around.links.slow_down(number, link);
+            let link = DegradedLink { zone: *zone, other: *other, delay: *delay, loss: *lost };
+            world.around.links.degrade(number, link);
             wait();
-            world.around.links.mend(number);
+            world.around.links.restore(number);
         }
     }
 }
--- a/crates/railhub-day/src/world.rs
+++ b/crates/railhub-day/src/world.rs
@@ -7,12 +7,13 @@
 use may::sync::Mutex;
 use railhub_net::{now, Task};
 use railhub_record::{ControllerLifecycle, EventKind, Limits, Recorder};
-use railhub_standin::channel::Channel;
-use railhub_standin::host::{Host, HostFacts, OpenHost, Repeated};
-use railhub_standin::links::Links;
-use railhub_standin::proxy::{Proxy, ProxyFacts, Sabotage, Surroundings};
-use railhub_standin::roster::{Roster, RosterEntry, DRAINING, GONE, READY};
+use railhub_standin::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, GONE, READY};
+use railhub_standin::host::{Host, HostConfig, ListeningHost, SharedSeenOperations};
+use railhub_standin::proxy::{Environment, Proxy, ProxyConfig};
 use railhub_standin::store::Store;
+use railhub_standin::update_channel::UpdateChannel;
+use railhub_standin::zone_links::ZoneLinks;
+use railhub_standin::Sabotage;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -26,14 +27,14 @@
     pub day: Day,
     /// When the day's clock began, on the machine's.
     pub began: f64,
-    pub around: Surroundings,
-    pub roster: Roster,
+    pub around: Environment,
+    pub roster: EndpointList,
     pub store: Store,
     pub proxies: Vec<Arc<Proxy>>,
     hosts: Mutex<Vec<Placed>>,
     /// Hosts that a trouble holds already.
     taken: Mutex<BTreeSet<usize>>,
-    repeated: Repeated,
+    repeated: SharedSeenOperations,
     launch: Option<Launch>,
     stewards: Stewards,
     starting: std::sync::Mutex<()>,
@@ -41,7 +42,7 @@
 }
 
 struct Placed {
-    open: OpenHost,
+    open: ListeningHost,
     started: Option<f64>,
     weight: f64,
     is_ghost: bool,
@@ -59,30 +60,31 @@
         sabotage: Option<Sabotage>,
     ) -> io::Result<Arc<World>> {
         let classes = Arc::new(day.class_facts());
-        let repeated = Repeated::default();
+        let repeated = SharedSeenOperations::default();
         let facts = draw::hosts(day, day.hosts, "hosts");
         let mut hosts = Vec::new();
         for facts in &facts {
-            let open = OpenHost::open(facts.clone(), classes.clone(), repeated.clone(), recorder.clone())?;
+            let open =
+                ListeningHost::open(facts.clone(), classes.clone(), repeated.clone(), recorder.clone())?;
             open.host.start(false);
             let weight = facts.cores as f64;
             hosts.push(Placed { open, started: None, weight, is_ghost: false, leaves: false });
         }
         let addresses: Vec<_> = hosts.iter().map(|placed| placed.open.host.address).collect();
         let tables = first_tables(day, &facts, &addresses);
-        let roster = Roster::open(recorder.clone())?;
-        roster.tell(hosts.iter().map(|placed| placed.entry(READY)).collect());
+        let roster = EndpointList::open(recorder.clone())?;
+        roster.update(hosts.iter().map(|placed| placed.entry(READY)).collect());
         let zones: BTreeMap<_, _> =
-            hosts.iter().map(|placed| (placed.open.host.address, placed.open.host.facts.zone)).collect();
-        let around = Surroundings {
+            hosts.iter().map(|placed| (placed.open.host.address, placed.open.host.config.zone)).collect();
+        let around = Environment {
             classes,
-            stewards: Arc::new(Mutex::new(vec![None; day.stewards])),
+            controllers: Arc::new(Mutex::new(vec![None; day.stewards])),
             zones: Arc::new(Mutex::new(zones)),
-            links: Links::default(),
-            channel: Channel::new(day.lines_a_second, day.limits.message_cost),
+            links: ZoneLinks::default(),
+            channel: UpdateChannel::new(day.lines_a_second, day.limits.message_cost),
             recorder: recorder.clone(),
-            later: Arc::default(),
-            newest: Arc::default(),
+            extra_report_delay_ms: Arc::default(),
+            newest_host: Arc::default(),
         };
         let proxies = (0..day.proxies).map(|n| {
             // Cold hosts fall only to many; everything else a few proxies can break alone.
@@ -91,7 +93,7 @@
         });
         let proxies: Vec<_> = proxies.collect();
         let shared = (day.stewards > 1).then(|| recorder.clone());
-        let store = Store::open_as(tables, day.lease, shared, day.broken_store)?;
+        let store = Store::open_with(tables, day.lease, shared, day.broken_store)?;
         let stewards = Stewards::open(day, &roster, store.address)?;
         Ok(Arc::new(World {
             day: day.clone(),
@@ -126,7 +128,7 @@
         self.with_hosts(|hosts| hosts[place].open.host.clone())
     }
 
-    pub fn entry(&self, place: usize, phase: &'static str) -> RosterEntry {
+    pub fn entry(&self, place: usize, phase: &'static str) -> ListedEndpoint {
         self.with_hosts(|hosts| hosts[place].entry(phase))
     }
 
@@ -152,7 +154,7 @@
         self.with_hosts(|hosts| {
             let inside = |n: &usize| {
                 let placed = &hosts[*n];
-                placed.open.host.facts.zone == zone && !placed.is_ghost && !placed.leaves
+                placed.open.host.config.zone == zone && !placed.is_ghost && !placed.leaves
             };
             (0..hosts.len()).filter(inside).collect()
         })
@@ -160,8 +162,8 @@
 
     /// Its process dies; the list notices later.
     pub fn crash(&self, place: usize) {
-        self.host(place).die();
-        self.roster.tell_after(self.day.roster_notice, vec![self.entry(place, GONE)]);
+        self.host(place).kill();
+        self.roster.update_after(self.day.roster_notice, vec![self.entry(place, GONE)]);
     }
 
     /// It comes back cold, unless it was being replaced meanwhile.
@@ -173,22 +175,22 @@
         let started = host.start(true);
         self.with_hosts(|hosts| hosts[place].started = Some(started));
         // What the list has not noticed yet must not come after this word.
-        self.roster.tell_after(
+        self.roster.update_after(
             self.day.roster_add.max(self.day.roster_notice + 0.05),
             vec![self.entry(place, READY)],
         );
-        *self.around.newest.lock().expect("no holder panics") = Some(host.address);
+        *self.around.newest_host.lock().expect("no holder panics") = Some(host.address);
     }
 
     pub fn drain(&self, place: usize) {
         self.with_hosts(|hosts| hosts[place].leaves = true);
-        self.host(place).ail(|ailments| ailments.drains = true);
-        self.roster.tell_after(self.day.roster_add, vec![self.entry(place, DRAINING)]);
+        self.host(place).change_faults(|ailments| ailments.drains = true);
+        self.roster.update_after(self.day.roster_add, vec![self.entry(place, DRAINING)]);
     }
 
     pub fn stop_drained(&self, place: usize) {
-        self.host(place).die();
-        self.roster.tell_after(self.day.roster_add, vec![self.entry(place, GONE)]);
+        self.host(place).kill();
+        self.roster.update_after(self.day.roster_add, vec![self.entry(place, GONE)]);
     }
 
     /// A new machine, cold.
@@ -201,8 +203,8 @@
         let host = self.host(place);
         let started = host.start(true);
         self.with_hosts(|hosts| hosts[place].started = Some(started));
-        self.roster.tell_after(self.day.roster_add, vec![self.entry(place, READY)]);
-        *self.around.newest.lock().expect("no holder panics") = Some(host.address);
+        self.roster.update_after(self.day.roster_add, vec![self.entry(place, READY)]);
+        *self.around.newest_host.lock().expect("no holder panics") = Some(host.address);
     }
 
     /// Something that is listed and is none of ours.
@@ -212,7 +214,7 @@
         let host = self.host(place);
         if *kind != Ghost::Refuse {
             host.start(false);
-            host.ail(|ailments| match kind {
+            host.change_faults(|ailments| match kind {
                 Ghost::Error => ailments.fails = true,
                 _ => ailments.hangs = true,
             });
@@ -220,10 +222,10 @@
         Some(place)
     }
 
-    fn place_host(&self, facts: HostFacts, is_ghost: bool) -> Option<usize> {
+    fn place_host(&self, facts: HostConfig, is_ghost: bool) -> Option<usize> {
         let (weight, zone) = (facts.cores as f64, facts.zone);
         let classes = self.around.classes.clone();
-        let opened = OpenHost::open(facts, classes, self.repeated.clone(), self.around.recorder.clone());
+        let opened = ListeningHost::open(facts, classes, self.repeated.clone(), self.around.recorder.clone());
         let open = opened.inspect_err(|error| tracing::error!(%error, "a host cannot listen")).ok()?;
         self.around.zones.lock().expect("no holder panics").insert(open.host.address, zone);
         Some(self.with_hosts(|hosts| {
@@ -240,7 +242,7 @@
 
     /// Sums come so much later than so far; below 0: earlier again.
     pub fn set_sums_later(&self, by: f64) {
-        self.around.later.fetch_add((by * 1000.0).round() as i64, Ordering::Relaxed);
+        self.around.extra_report_delay_ms.fetch_add((by * 1000.0).round() as i64, Ordering::Relaxed);
     }
 
     pub fn note_trouble(&self, trouble: &Trouble, on: bool, channel_slower: f64) {
@@ -257,7 +259,7 @@
         let address =
             self.stewards.launch(&self.day, launch, steward, self.roster.address, self.store.address)?;
         self.note_life(steward, true);
-        self.around.stewards.lock().expect("no holder panics")[steward] = Some(address);
+        self.around.controllers.lock().expect("no holder panics")[steward] = Some(address);
         Ok(())
     }
 
@@ -287,7 +289,7 @@
     }
 
     pub fn kill_steward(&self, steward: usize) {
-        self.around.stewards.lock().expect("no holder panics")[steward] = None;
+        self.around.controllers.lock().expect("no holder panics")[steward] = None;
         if self.stewards.kill(steward) {
             self.note_life(steward, false);
         }
@@ -318,7 +320,7 @@
     pub fn follow_stewards(&self) {
         if self.launch.is_some() {
             let mut tasks = self.tasks.lock().expect("no holder panics");
-            tasks.extend(self.proxies.iter().flat_map(|proxy| proxy.follow_stewards()));
+            tasks.extend(self.proxies.iter().flat_map(|proxy| proxy.follow_controllers()));
         }
     }
 
@@ -327,38 +329,38 @@
         self.tasks.lock().expect("no holder panics").clear();
         (0..self.stewards.count()).for_each(|steward| self.kill_steward(steward));
         self.proxies.iter().for_each(|proxy| {
-            proxy.break_stream();
+            proxy.break_streams();
             proxy.close();
         });
         let hosts: Vec<_> = self.with_hosts(|hosts| hosts.iter().map(|p| p.open.host.clone()).collect());
-        hosts.iter().for_each(|host: &Arc<Host>| host.die());
+        hosts.iter().for_each(|host: &Arc<Host>| host.kill());
     }
 }
 
 impl Placed {
-    fn entry(&self, phase: &'static str) -> RosterEntry {
-        let (host, kind) = (self.open.host.address, self.open.host.facts.kind);
-        RosterEntry { host, phase, started: self.started, weight: self.weight, kind }
+    fn entry(&self, phase: &'static str) -> ListedEndpoint {
+        let (host, kind) = (self.open.host.address, self.open.host.config.kind);
+        ListedEndpoint { host, phase, started: self.started, weight: self.weight, kind }
     }
 }
 
-pub fn proxy_facts(day: &Day, n: usize) -> ProxyFacts {
-    ProxyFacts {
+pub fn proxy_facts(day: &Day, n: usize) -> ProxyConfig {
+    ProxyConfig {
         number: n as u32,
         zone: (n % day.zones.len()) as u32,
-        pick: day.pick,
-        hold: day.hold,
-        first_wait: day.first_wait,
-        connect_within: day.connect_within,
-        report_every: day.report_every,
-        report_late: day.report_late,
-        redial: day.redial,
+        policy: day.pick,
+        no_host_timeout: day.hold,
+        first_attempt_timeout_fraction: day.first_wait,
+        connect_timeout: day.connect_within,
+        report_interval: day.report_every,
+        report_delay: day.report_late,
+        max_reconnect_delay: day.redial,
         seed: day.seed ^ (n as u64) << 20,
     }
 }
 
 /// The tables that the day begins with, by the hosts' addresses.
-pub fn first_tables(day: &Day, facts: &[HostFacts], addresses: &[SocketAddr]) -> Tables {
+pub fn first_tables(day: &Day, facts: &[HostConfig], addresses: &[SocketAddr]) -> Tables {
     if day.slices == 0 {
         let lines = addresses.iter().zip(facts).map(|(address, facts)| (*address, facts.cores as f64));
         return Tables::from([(0, lines.collect())]);
--- a/crates/railhub-fleet/src/events.rs
+++ b/crates/railhub-fleet/src/events.rs
@@ -1,7 +1,7 @@
 //! What is due, in the order of its time; of what is due at once, the first said is the first done.
 use crate::operations::OpId;
 use railhub_proto::LoadReport;
-use railhub_standin::CallEnd;
+use railhub_standin::AttemptResult;
 use railhub_steward::core::StreamId;
 use railhub_steward::publication::Publication;
 use std::cmp::Ordering;
@@ -18,7 +18,7 @@
     Looks(OpId),
     Reaches(OpId, u64),
     WaitEnds(OpId, u64),
-    Answered(OpId, u64, CallEnd),
+    Answered(OpId, u64, AttemptResult),
     Begins(HostAt, u64, Job),
     Done(HostAt, u64, Job, bool),
     Dials(ProxyAt),
--- a/crates/railhub-fleet/src/hosts.rs
+++ b/crates/railhub-fleet/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts of the model: cores, a queue, a cold start, kept keys, and what ails them.
 use crate::events::{Agenda, Due, HostAt, Job};
-use railhub_standin::host::{Ailments, BusyMeter, HostFacts};
-use railhub_standin::CallEnd;
+use railhub_standin::host::{HostConfig, HostFaults, UtilizationMeter};
+use railhub_standin::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 pub struct Host {
     pub address: SocketAddr,
-    pub facts: HostFacts,
+    pub facts: HostConfig,
     pub alive: bool,
     /// Counts starts and ends: what an earlier process had in hand is lost.
     pub life: u64,
@@ -20,13 +20,13 @@
     pub weight: f64,
     pub is_ghost: bool,
     pub leaves: bool,
-    pub ailments: Ailments,
+    pub ailments: HostFaults,
     running: usize,
     queue: VecDeque<Job>,
     cancelled: BTreeSet<u64>,
     kept: BTreeMap<u64, f64>,
     answered: u64,
-    meter: BusyMeter,
+    meter: UtilizationMeter,
 }
 
 /// What became of a try that reached a host.
@@ -38,7 +38,7 @@
 }
 
 impl Host {
-    pub fn new(address: SocketAddr, facts: HostFacts) -> Host {
+    pub fn new(address: SocketAddr, facts: HostConfig) -> Host {
         let weight = facts.cores as f64;
         Host {
             address,
@@ -51,13 +51,13 @@
             weight,
             is_ghost: false,
             leaves: false,
-            ailments: Ailments::default(),
+            ailments: HostFaults::default(),
             running: 0,
             queue: VecDeque::new(),
             cancelled: BTreeSet::new(),
             kept: BTreeMap::new(),
             answered: 0,
-            meter: BusyMeter::default(),
+            meter: UtilizationMeter::default(),
         }
     }
 
@@ -66,7 +66,7 @@
         self.life += 1;
         (self.since, self.cold) = (now, cold);
         self.started = cold.then_some(now);
-        self.ailments = Ailments::default();
+        self.ailments = HostFaults::default();
         self.forget(now);
     }
 
@@ -83,7 +83,7 @@
         self.queue.clear();
         self.cancelled.clear();
         self.kept.clear();
-        self.meter = BusyMeter::new(now);
+        self.meter = UtilizationMeter::new(now);
     }
 
     pub fn take(&mut self, now: f64, job: Job) -> Taken {
@@ -93,7 +93,7 @@
             self.meter.count(self.running, now);
             self.running += 1;
             Taken::Begins
-        } else if self.queue.len() < self.facts.queue {
+        } else if self.queue.len() < self.facts.max_queued {
             self.queue.push_back(job);
             Taken::Waits
         } else {
@@ -121,32 +121,33 @@
     }
 
     pub fn stands_still(&self, now: f64) -> bool {
-        self.ailments.hangs || self.ailments.still_until > now
+        self.ailments.hangs || self.ailments.paused_until > now
     }
 
     /// Seconds that so much work takes, begun now.
     pub fn work_time(&mut self, now: f64, work: f64, key: u64) -> f64 {
         let warmth = if self.cold {
-            let grown = (now - self.since) / self.facts.warm_after.max(1e-3);
-            (self.facts.cold_from + (1.0 - self.facts.cold_from) * grown).clamp(0.01, 1.0)
+            let grown = (now - self.since) / self.facts.warm_up_time.max(1e-3);
+            (self.facts.cold_capacity_fraction + (1.0 - self.facts.cold_capacity_fraction) * grown)
+                .clamp(0.01, 1.0)
         } else {
             1.0
         };
-        let saved = if self.facts.kept_gain > 0.0 {
+        let saved = if self.facts.cache_saving > 0.0 {
             let met = self.kept.insert(key, now);
-            met.filter(|met| now - met <= self.facts.kept_for).map_or(0.0, |_| self.facts.kept_gain)
+            met.filter(|met| now - met <= self.facts.cache_lifetime).map_or(0.0, |_| self.facts.cache_saving)
         } else {
             0.0
         };
-        work * (1.0 - saved) * self.ailments.slower / (self.facts.speed * warmth)
+        work * (1.0 - saved) * self.ailments.slowdown / (self.facts.speed * warmth)
     }
 
     /// An answer leaves: whether it is lost on the way, and the busy share it tells.
     pub fn answers(&mut self, now: f64) -> (bool, Option<f64>) {
         self.answered += 1;
-        let share = self.ailments.answers_lost;
+        let share = self.ailments.response_loss;
         let lost = (self.answered as f64 * share).fract() < share;
-        (lost, self.meter.tell(self.running, self.facts.cores, self.facts.busy_every, now))
+        (lost, self.meter.sample(self.running, self.facts.cores, self.facts.utilization_interval, now))
     }
 }
 
@@ -160,5 +161,5 @@
 }
 
 pub fn refused(job: Job) -> Due {
-    Due::Answered(job.op, job.attempt, CallEnd::Refused)
+    Due::Answered(job.op, job.attempt, AttemptResult::Rejected)
 }
--- a/crates/railhub-fleet/src/operations.rs
+++ b/crates/railhub-fleet/src/operations.rs
@@ -4,9 +4,9 @@
 use crate::world::World;
 use railhub_proto::RetryCondition;
 use railhub_record::{Attempt, AttemptEnd, Effect, EventKind, OperationEnd, OperationIdempotency, Outcome};
-use railhub_standin::client::Drawn;
-use railhub_standin::held::Pick;
-use railhub_standin::CallEnd;
+use railhub_standin::routing::{Admission, BalancingPolicy};
+use railhub_standin::AttemptResult;
+use railhub_standin::PlannedOperation;
 use rand::RngExt;
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
 
 /// An operation under way.
 pub struct Op {
-    drawn: Drawn,
+    drawn: PlannedOperation,
     proxy: usize,
     began: f64,
     comings: u32,
@@ -75,8 +75,9 @@
         let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.hold);
         let op = self.ops[id.0].as_mut().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
-        let more = op.comings <= clients.retries || op.drawn.comes_back && op.comings <= clients.retries + 1;
-        let patience = class.hard_stop * clients.try_share.min(op.drawn.patience);
+        let more =
+            op.comings <= clients.max_retries || op.drawn.returns && op.comings <= clients.max_retries + 1;
+        let patience = class.hard_stop * clients.request_timeout_fraction.min(op.drawn.patience);
         let left = (op.began + class.hard_stop - now).min(patience);
         if !more || left <= 0.0 {
             return self.ends(id);
@@ -88,8 +89,8 @@
         op.end = ComingEnd::Refused;
         let (proxy, drawn) = (op.proxy, op.drawn);
         let proxy = &mut self.proxies[proxy];
-        proxy.totals.came(drawn.slice, drawn.class);
-        let (share, again) = proxy.held.level(drawn.class);
+        proxy.totals.count_operation(drawn.slice, drawn.class);
+        let Admission { rate: share, retry: again } = proxy.held.admission(drawn.class);
         let refused = share < 1.0 && proxy.chance.random::<f64>() >= share;
         self.op(id).again = again;
         if refused {
@@ -121,7 +122,10 @@
         }
         let mut chance = proxy.chance.clone();
         let may_follow = op.tried.len() < 2 && op.again == RetryCondition::AfterFailure && {
-            proxy.held.pick(op.drawn.slice, &op.tried, Pick::Weighted, &mut chance, |_| 0).is_some()
+            proxy
+                .held
+                .pick(op.drawn.slice, &op.tried, BalancingPolicy::Weighted, &mut chance, |_| 0)
+                .is_some()
         };
         op.wait = if may_follow { left.min(self.day.first_wait * class.contract_time) } else { left };
         *proxy.out.entry(host).or_default() += 1;
@@ -165,7 +169,9 @@
         let now = self.agenda.now;
         let Some(op) = self.ops[id.0].as_ref().filter(|op| op.attempt == attempt) else { return };
         let Some(place) = op.host else {
-            return self.agenda.after(self.physics.way, Due::Answered(id, attempt, CallEnd::Unreached));
+            return self
+                .agenda
+                .after(self.physics.way, Due::Answered(id, attempt, AttemptResult::Unreachable));
         };
         let job = Job { op: id, attempt, came: now };
         let taken = self.hosts[place].take(now, job);
@@ -174,7 +180,7 @@
             Taken::Waits => {}
             Taken::Full => self.agenda.after(self.physics.way, crate::hosts::refused(job)),
             Taken::Dead => {
-                self.agenda.after(self.physics.way, Due::Answered(id, attempt, CallEnd::Unreached));
+                self.agenda.after(self.physics.way, Due::Answered(id, attempt, AttemptResult::Unreachable));
             }
         }
     }
@@ -189,7 +195,7 @@
         }
         let drawn = self.drawn(job.op);
         let class = &self.classes[drawn.class as usize];
-        let repeat = self.repeated.is_repeat(class, self.hosts[place].facts.zone, drawn.operation, now);
+        let repeat = self.repeated.is_duplicate(class, self.hosts[place].facts.zone, drawn.operation, now);
         let took = self.hosts[place].work_time(now, drawn.work, drawn.key);
         let none = repeat || self.hosts[place].ailments.fails;
         let took = if none { 0.0 } else { took + self.physics.work_late };
@@ -197,7 +203,7 @@
     }
 
     /// An operation stays known after its end: hosts may still work on it.
-    fn drawn(&self, id: OpId) -> Drawn {
+    fn drawn(&self, id: OpId) -> PlannedOperation {
         self.arrivals[id.0].drawn
     }
 
@@ -224,7 +230,7 @@
         }
         let (lost, busy) = self.hosts[place].answers(now);
         if !lost {
-            let end = if fails { CallEnd::Failed } else { CallEnd::Completed(busy) };
+            let end = if fails { AttemptResult::Failed } else { AttemptResult::Completed(busy) };
             self.agenda.after(self.physics.way, Due::Answered(job.op, job.attempt, end));
         }
         if let Some(next) = self.hosts[place].next_job(now) {
@@ -237,21 +243,21 @@
         if let Some(place) = op.host {
             self.hosts[place].cancel(attempt);
         }
-        self.call_ends(id, CallEnd::TimedOut);
+        self.call_ends(id, AttemptResult::TimedOut);
     }
 
-    pub fn answered(&mut self, id: OpId, attempt: u64, end: CallEnd) {
+    pub fn answered(&mut self, id: OpId, attempt: u64, end: AttemptResult) {
         let now = self.agenda.now;
         let Some(op) = self.ops[id.0].as_mut().filter(|op| op.attempt == attempt) else { return };
         let delay = std::mem::take(&mut op.delay);
-        if delay > 0.0 && matches!(end, CallEnd::Completed(_)) {
+        if delay > 0.0 && matches!(end, AttemptResult::Completed(_)) {
             // The way back is as slow; the wait may end first.
             return self.agenda.at(now + delay, Due::Answered(id, attempt, end));
         }
         self.call_ends(id, end);
     }
 
-    fn call_ends(&mut self, id: OpId, end: CallEnd) {
+    fn call_ends(&mut self, id: OpId, end: AttemptResult) {
         let now = self.agenda.now;
         let op = self.ops[id.0].as_mut().expect("an operation under way");
         op.attempt = 0;
@@ -261,25 +267,25 @@
             *out = out.saturating_sub(1);
         }
         let (time, busy) = match end {
-            CallEnd::Completed(busy) => (Some(now - op.called_at), busy),
+            AttemptResult::Completed(busy) => (Some(now - op.called_at), busy),
             _ => (None, None),
         };
-        proxy.totals.tried(host, time, busy);
+        proxy.totals.count_attempt(host, time, busy);
         let ended = AttemptEnd {
             operation: op.drawn.operation,
             request: op.comings,
             number: op.tried.len() as u32,
             completed: time.is_some(),
-            not_executed: end.never_ran(),
+            not_executed: end.not_executed(),
         };
         if time.is_some() {
             op.end = ComingEnd::Completed;
-        } else if !end.never_ran() {
+        } else if !end.not_executed() {
             op.end = ComingEnd::Failed;
         }
         let goes_on = match op.again {
             RetryCondition::Never => false,
-            RetryCondition::IfNotExecuted => end.never_ran(),
+            RetryCondition::IfNotExecuted => end.not_executed(),
             RetryCondition::AfterFailure => true,
         };
         let more = time.is_none() && goes_on && op.tried.len() < 2;
@@ -293,10 +299,10 @@
 
     fn coming_ends(&mut self, id: OpId) {
         let now = self.agenda.now;
-        let pause = self.day.clients.pause;
+        let pause = self.day.clients.retry_backoff;
         let op = self.ops[id.0].as_ref().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
-        let may_repeat = match class.repeats {
+        let may_repeat = match class.idempotency {
             OperationIdempotency::Safe => true,
             OperationIdempotency::IdempotencyKeyGlobal => now - op.began <= class.key_window,
             OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => false,
@@ -344,7 +350,7 @@
             .map(|(n, op)| (n, op.attempt))
             .collect();
         for (n, attempt) in broken {
-            self.agenda.after(way, Due::Answered(OpId(n), attempt, CallEnd::Failed));
+            self.agenda.after(way, Due::Answered(OpId(n), attempt, AttemptResult::Failed));
         }
     }
 }
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -424,7 +424,7 @@
         }));
         let state = &mut self.proxies[proxy];
         let refuses = std::mem::take(&mut state.refuses_next);
-        let refused = refuses || state.held.take_in(&delta).is_err();
+        let refused = refuses || state.held.apply(&delta).is_err();
         state.held.has_gap |= refused;
         self.note(EventKind::DeltaAcknowledged(DeltaAcknowledged {
             proxy: proxy as u32,
@@ -457,7 +457,7 @@
 
     pub fn reports(&mut self, proxy: ProxyAt) {
         let now = self.agenda.now;
-        let sums = self.proxies[proxy].totals.take(now);
+        let sums = self.proxies[proxy].totals.take_report(now);
         let late = self.day.report_late + self.sums_later;
         self.agenda.after(late, Due::SumsArrive(proxy, Box::new(sums)));
         self.agenda.after(self.day.report_every, Due::Reports(proxy));
@@ -473,8 +473,8 @@
     pub fn probed(&mut self, place: HostAt) {
         let (now, within) = (self.agenda.now, self.installation.probe_timeout);
         let host = &self.hosts[place];
-        let still = (host.ailments.still_until - now).max(0.0);
-        let took = still + self.day.probe_work * host.ailments.slower / host.facts.speed;
+        let still = (host.ailments.paused_until - now).max(0.0);
+        let took = still + self.day.probe_work * host.ailments.slowdown / host.facts.speed;
         let (end, after) = if !host.alive {
             (HealthCheckOutcome::Unreachable, self.physics.way)
         } else if host.ailments.hangs || took > within {
--- a/crates/railhub-fleet/src/troubles.rs
+++ b/crates/railhub-fleet/src/troubles.rs
@@ -6,7 +6,7 @@
 use railhub_day::draw;
 use railhub_day::troubles::{choose, Act, Ghost, Trouble};
 use railhub_record::{EventKind, HostStarted, HostStopped};
-use railhub_standin::host::Ailments;
+use railhub_standin::host::HostFaults;
 use std::net::SocketAddr;
 
 /// Seconds by which a host's start is noticed after its end was: one word must not overtake the other.
@@ -57,8 +57,8 @@
             cores: host.facts.cores as f64,
             speed: host.facts.speed,
             cold,
-            cold_capacity_fraction: host.facts.cold_from,
-            warm_up_time: host.facts.warm_after,
+            cold_capacity_fraction: host.facts.cold_capacity_fraction,
+            warm_up_time: host.facts.warm_up_time,
         }));
     }
 
@@ -121,7 +121,7 @@
         place
     }
 
-    fn ail(&mut self, places: &[HostAt], change: impl Fn(&mut Ailments)) {
+    fn ail(&mut self, places: &[HostAt], change: impl Fn(&mut HostFaults)) {
         places.iter().for_each(|place| change(&mut self.hosts[*place].ailments));
     }
 
@@ -171,11 +171,11 @@
             }
             Act::Slow { hosts, times } => {
                 let struck = self.choose(*hosts, number);
-                self.ail(&struck, |a| a.slower *= times);
+                self.ail(&struck, |a| a.slowdown *= times);
             }
             Act::AnswersLost { hosts, share } => {
                 let struck = self.choose(*hosts, number);
-                self.ail(&struck, |a| a.answers_lost = *share);
+                self.ail(&struck, |a| a.response_loss = *share);
             }
             Act::Pauses { hosts, .. } | Act::Neighbour { hosts, .. } => {
                 self.choose(*hosts, number);
@@ -239,8 +239,8 @@
         match &trouble.act {
             Act::Crash { .. } => struck.iter().for_each(|place| self.start_again(*place)),
             Act::Hang { .. } => self.ail(&struck, |a| a.hangs = false),
-            Act::Slow { times, .. } => self.ail(&struck, |a| a.slower /= times),
-            Act::AnswersLost { .. } => self.ail(&struck, |a| a.answers_lost = 0.0),
+            Act::Slow { times, .. } => self.ail(&struck, |a| a.slowdown /= times),
+            Act::AnswersLost { .. } => self.ail(&struck, |a| a.response_loss = 0.0),
             Act::LateSums { by } => self.sums_later -= by,
             Act::ListShrinks { .. } | Act::Ghosts { .. } => {
                 self.list.lie(number, None);
@@ -274,7 +274,7 @@
         match &trouble.act {
             Act::Pauses { pause, every, .. } if now < until => {
                 let struck = self.struck[number].clone();
-                self.ail(&struck, |a| a.still_until = now + pause);
+                self.ail(&struck, |a| a.paused_until = now + pause);
                 again(self, pause + every);
             }
             Act::Neighbour { takes, every, .. } => {
@@ -282,12 +282,12 @@
                 let struck =
                     if self.struck[number].is_empty() { Vec::new() } else { self.struck[number].clone() };
                 if step.is_multiple_of(2) && now < until {
-                    self.ail(&struck, |a| a.slower *= times);
+                    self.ail(&struck, |a| a.slowdown *= times);
                     // The way back is due before the trouble forgets whom it struck.
                     let span = every.min((until - now - 1e-6).max(0.0));
                     again(self, span);
                 } else if !step.is_multiple_of(2) {
-                    self.ail(&struck, |a| a.slower /= times);
+                    self.ail(&struck, |a| a.slowdown /= times);
                     again(self, *every);
                 }
             }
--- a/crates/railhub-fleet/src/world.rs
+++ b/crates/railhub-fleet/src/world.rs
@@ -12,10 +12,10 @@
 use railhub_day::world::{first_tables, proxy_facts, steward_file, Tables};
 use railhub_ini::Document;
 use railhub_record::{Event, EventKind, Limits};
-use railhub_standin::held::Held;
-use railhub_standin::host::{HostFacts, SeenKeys};
-use railhub_standin::sums::Totals;
-use railhub_standin::ClassFacts;
+use railhub_standin::host::{HostConfig, SeenOperations};
+use railhub_standin::load_totals::LoadTotals;
+use railhub_standin::routing::RoutingState;
+use railhub_standin::OperationClass;
 use railhub_steward::core::StreamId;
 use railhub_steward::Installation;
 use railhub_versions::process::FaultPlace;
@@ -63,8 +63,8 @@
 
 pub struct Proxy {
     pub zone: u32,
-    pub held: Held,
-    pub totals: Totals,
+    pub held: RoutingState,
+    pub totals: LoadTotals,
     pub chance: ChaCha8Rng,
     /// Tries out at each host.
     pub out: BTreeMap<SocketAddr, usize>,
@@ -85,14 +85,14 @@
     pub installation: Installation,
     pub began: f64,
     pub agenda: Agenda,
-    pub classes: Vec<ClassFacts>,
+    pub classes: Vec<OperationClass>,
     pub arrivals: Vec<Arrival>,
     pub ops: Vec<Option<Op>>,
     pub under_way: usize,
     pub last_attempt: u64,
     pub hosts: Vec<Host>,
     pub places: BTreeMap<SocketAddr, HostAt>,
-    pub repeated: SeenKeys,
+    pub repeated: SeenOperations,
     pub proxies: Vec<Proxy>,
     pub list: List,
     /// What a plain policy knows of the list.
@@ -151,8 +151,8 @@
             let facts = proxy_facts(day, n);
             Proxy {
                 zone: facts.zone,
-                held: Held::default(),
-                totals: Totals::new(0.0),
+                held: RoutingState::default(),
+                totals: LoadTotals::new(0.0),
                 chance: ChaCha8Rng::seed_from_u64(facts.seed ^ luck.wrapping_mul(LUCK_MIX)),
                 out: BTreeMap::new(),
                 stream: None,
@@ -173,7 +173,7 @@
             last_attempt: 0,
             hosts: Vec::new(),
             places: BTreeMap::new(),
-            repeated: SeenKeys::default(),
+            repeated: SeenOperations::default(),
             proxies: proxies.collect(),
             list: List::default(),
             known: BTreeMap::new(),
@@ -199,12 +199,12 @@
         }
         let addresses: Vec<SocketAddr> = world.hosts.iter().map(|host| host.address).collect();
         world.tables = first_tables(day, &facts, &addresses);
-        let held = Held::standing(world.tables.clone());
+        let held = RoutingState::with_tables(world.tables.clone());
         world.proxies.iter_mut().for_each(|proxy| proxy.held = held.clone());
         world
     }
 
-    pub fn place_host(&mut self, facts: HostFacts) -> HostAt {
+    pub fn place_host(&mut self, facts: HostConfig) -> HostAt {
         let place = self.hosts.len();
         let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + place as u16));
         self.hosts.push(Host::new(address, facts));
--- a/crates/railhub-standin/src/client.rs
+++ b/crates/railhub-standin/src/client.rs
@@ -1,75 +1,76 @@
-//! A client: comes again when its class allows, and gives up at its hard stop.
-use crate::proxy::{Coming, Proxy, ProxyEnd};
-use crate::ClassFacts;
+//! A client: sends an operation to its proxy, retries as the operation's class allows, and gives up at the hard stop.
+use crate::operation::{OperationClass, PlannedOperation};
+use crate::proxy::{Proxy, ProxyOutcome, ProxyRequest};
 use railhub_net::{now, seconds};
 use railhub_record::{EventKind, OperationEnd, OperationIdempotency, Outcome, Recorder};
 use std::sync::Arc;
 
-/// How clients behave on a day. Times in seconds.
+/// How clients behave.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientFacts {
-    /// Further comings at the most.
-    pub retries: u32,
-    /// A try is given up after this share of the hard stop.
-    pub try_share: f64,
-    pub pause: f64,
+pub struct ClientConfig {
+    /// Requests after the first.
+    pub max_retries: u32,
+    /// A request times out after this fraction of the hard stop.
+    pub request_timeout_fraction: f64,
+    /// Seconds before the first retry; grows by as much with each further one.
+    pub retry_backoff: f64,
 }
 
-/// An operation as drawn.
-#[derive(Clone, Copy, Debug)]
-pub struct Drawn {
-    pub operation: u64,
-    pub class: u32,
-    pub key: u64,
-    pub slice: u32,
-    pub work: f64,
-    /// Share of the hard stop that this client has; below 1 it gives up early.
-    pub patience: f64,
-    /// It comes again when it has given up.
-    pub comes_back: bool,
-}
-
-/// One operation from its first coming to its end.
-pub fn run(drawn: Drawn, facts: ClientFacts, class: &ClassFacts, proxy: &Arc<Proxy>, recorder: &Recorder) {
+/// Runs one operation from its first request to its end, and records the end.
+pub fn run(
+    operation: PlannedOperation,
+    config: ClientConfig,
+    class: &OperationClass,
+    proxy: &Arc<Proxy>,
+    recorder: &Recorder,
+) {
     let began = now();
-    let until = began + class.hard_stop;
-    let (mut comings, mut outcome) = (0, Outcome::GaveUp);
-    while comings <= facts.retries || drawn.comes_back && comings <= facts.retries + 1 {
-        let patience = class.hard_stop * facts.try_share.min(drawn.patience);
-        let left = (until - now()).min(patience);
-        if left <= 0.0 {
+    let (mut requests, mut outcome) = (0, Outcome::GaveUp);
+    let extra_requests = u32::from(operation.returns);
+    while requests <= config.max_retries + extra_requests {
+        let max_timeout = class.hard_stop * config.request_timeout_fraction.min(operation.patience);
+        let timeout = (began + class.hard_stop - now()).min(max_timeout);
+        if timeout <= 0.0 {
             break;
         }
-        comings += 1;
-        let end = proxy.handle(Coming { drawn, coming: comings, wait: left });
-        outcome = match end {
-            ProxyEnd::Completed if now() - began <= class.contract_time => Outcome::Completed,
-            ProxyEnd::Completed => Outcome::Late,
-            ProxyEnd::Refused => Outcome::Refused,
-            ProxyEnd::Failed => Outcome::Failed,
-        };
-        let in_window = now() - began <= class.key_window;
-        let may_repeat = match class.repeats {
-            OperationIdempotency::Safe => true,
-            OperationIdempotency::IdempotencyKeyGlobal => in_window,
-            OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => false,
-        };
-        if end == ProxyEnd::Completed || end == ProxyEnd::Failed && !may_repeat {
+        requests += 1;
+        let end = proxy.handle(ProxyRequest { operation, request: requests, timeout });
+        outcome = client_outcome(end, now() - began, class);
+        let may_retry = end == ProxyOutcome::Rejected
+            || end == ProxyOutcome::Failed && may_retry_failure(class, now() - began);
+        if !may_retry {
             break;
         }
-        may::coroutine::sleep(seconds(facts.pause * f64::from(comings)));
+        may::coroutine::sleep(seconds(config.retry_backoff * f64::from(requests)));
     }
     let end = OperationEnd {
-        operation: drawn.operation,
-        class: drawn.class,
-        slice: drawn.slice,
-        zone: proxy.facts.zone,
+        operation: operation.operation,
+        class: operation.class,
+        slice: operation.slice,
+        zone: proxy.config.zone,
         began,
         outcome: outcome.into(),
-        requests: comings,
-        key: drawn.key,
-        work: drawn.work,
-        proxy: proxy.facts.number,
+        requests,
+        key: operation.key,
+        work: operation.work,
+        proxy: proxy.config.number,
     };
     recorder.record(now(), EventKind::OperationEnd(end));
 }
+
+fn client_outcome(end: ProxyOutcome, elapsed: f64, class: &OperationClass) -> Outcome {
+    match end {
+        ProxyOutcome::Completed if elapsed <= class.contract_time => Outcome::Completed,
+        ProxyOutcome::Completed => Outcome::Late,
+        ProxyOutcome::Rejected => Outcome::Refused,
+        ProxyOutcome::Failed => Outcome::Failed,
+    }
+}
+
+fn may_retry_failure(class: &OperationClass, elapsed: f64) -> bool {
+    match class.idempotency {
+        OperationIdempotency::Safe => true,
+        OperationIdempotency::IdempotencyKeyGlobal => elapsed <= class.key_window,
+        OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => false,
+    }
+}
--- /dev/null
+++ b/crates/railhub-standin/src/endpoint_list/server.rs
@@ -0,0 +1,57 @@
+//! Serves the endpoint list over HTTP: a poll without news is held for a while.
+use super::versions::{EndpointPage, ListState, DRAINING, GONE};
+use may::net::TcpStream;
+use may::sync::Mutex;
+use railhub_net::{http, now, seconds};
+use railhub_record::{EndpointPhase, EndpointStatus, EndpointsReceived, EventKind, Recorder};
+
+/// Seconds that a poll without news is held.
+const POLL_HOLD: f64 = 1.0;
+/// Seconds between looks for news while a poll is held.
+const NEWS_CHECK_INTERVAL: f64 = 0.01;
+
+/// Serves one connection until it breaks or the list is unavailable.
+pub fn serve(mut stream: TcpStream, controller: u32, state: &Mutex<ListState>, recorder: &Recorder) {
+    let mut buffer = Vec::new();
+    while let Ok(Some(request)) = http::read_request(&mut stream, &mut buffer) {
+        let after = http::query_number(&request.path, "after").unwrap_or(0);
+        let Some(page) = wait_for_news(state, after) else { return };
+        if page.version != after {
+            let received = to_event(&page, controller);
+            recorder.record(now(), EventKind::EndpointsReceived(received));
+        }
+        if http::write_json_response(&mut stream, &page).is_err() {
+            return;
+        }
+    }
+}
+
+/// The page after a version, once there are changes or the poll was held long enough; none if the list is unavailable.
+fn wait_for_news(state: &Mutex<ListState>, after: u64) -> Option<EndpointPage> {
+    let until = now() + POLL_HOLD;
+    loop {
+        let state = state.lock().expect("no holder panics");
+        if state.unavailable {
+            return None;
+        }
+        if state.version != after || now() >= until {
+            return Some(state.page(after));
+        }
+        drop(state);
+        may::coroutine::sleep(seconds(NEWS_CHECK_INTERVAL));
+    }
+}
+
+fn to_event(page: &EndpointPage, controller: u32) -> EndpointsReceived {
+    let entries = page.hosts.iter().map(|entry| EndpointStatus {
+        host: entry.host.to_string(),
+        phase: match entry.phase {
+            DRAINING => EndpointPhase::Draining,
+            GONE => EndpointPhase::Gone,
+            _ => EndpointPhase::Ready,
+        }
+        .into(),
+        started_at: entry.started,
+    });
+    EndpointsReceived { complete: page.complete, entries: entries.collect(), controller }
+}
--- /dev/null
+++ b/crates/railhub-standin/src/host_connection.rs
@@ -0,0 +1,214 @@
+//! A proxy's connection to one host: opened when needed, with many attempts outstanding at once.
+use may::sync::{Mutex, SyncFlag};
+use railhub_net::{connect, run_after, seconds, spawn, split_framed, FrameReader, FrameWriter};
+use railhub_proto::{
+    from_host, to_host, AttemptOutcome, Cancel, FromHost, Operation, ProxyHello, Response, ToHost,
+    MAX_HOST_MESSAGE_BYTES,
+};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+use std::sync::Arc;
+
+/// How an attempt ended for the proxy.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum AttemptResult {
+    /// The host completed it, and may have reported its utilization.
+    Completed(Option<f64>),
+    /// The host rejected it: it never ran.
+    Rejected,
+    /// The host could not be reached: it never ran.
+    Unreachable,
+    /// The host failed it, or the connection broke: it may have run.
+    Failed,
+    /// No response came in time: it may have run.
+    TimedOut,
+}
+
+impl AttemptResult {
+    /// Whether there is proof that the attempt never ran.
+    pub fn not_executed(self) -> bool {
+        matches!(self, AttemptResult::Rejected | AttemptResult::Unreachable)
+    }
+}
+
+#[derive(Default)]
+struct PendingAttempt {
+    done: SyncFlag,
+    result: Mutex<Option<AttemptResult>>,
+}
+
+impl PendingAttempt {
+    /// Ends the attempt; the first result counts.
+    fn finish(&self, result: AttemptResult) {
+        self.result.lock().expect("no holder panics").get_or_insert(result);
+        self.done.fire();
+    }
+}
+
+type SharedWriter = Arc<Mutex<FrameWriter>>;
+
+#[derive(Default)]
+struct OpenConnection {
+    /// Counts the connections that were opened.
+    number: u64,
+    writer: Option<SharedWriter>,
+}
+
+/// A proxy's connection to one host.
+pub struct HostConnection {
+    host: SocketAddr,
+    proxy: u32,
+    connect_timeout: f64,
+    open: Mutex<OpenConnection>,
+    /// Attempts without a result, and the connection that each was sent on.
+    pending: Mutex<BTreeMap<u64, (u64, Arc<PendingAttempt>)>>,
+    last_attempt: AtomicU64,
+    outstanding: AtomicUsize,
+}
+
+impl HostConnection {
+    /// Not connected yet. `connect_timeout` in seconds.
+    pub fn new(host: SocketAddr, proxy: u32, connect_timeout: f64) -> HostConnection {
+        HostConnection {
+            host,
+            proxy,
+            connect_timeout,
+            open: Mutex::default(),
+            pending: Mutex::default(),
+            last_attempt: AtomicU64::new(0),
+            outstanding: AtomicUsize::new(0),
+        }
+    }
+
+    /// Attempts without a result.
+    pub fn outstanding(&self) -> usize {
+        self.outstanding.load(Ordering::Relaxed)
+    }
+
+    /// Sends an operation and waits for its result, `timeout` seconds at the most. Calls `on_send` just before it is
+    /// written to the socket.
+    pub fn call(
+        self: &Arc<HostConnection>,
+        operation: Operation,
+        timeout: f64,
+        on_send: impl FnOnce(),
+    ) -> AttemptResult {
+        self.outstanding.fetch_add(1, Ordering::Relaxed);
+        let result = self.attempt(operation, timeout, on_send);
+        self.outstanding.fetch_sub(1, Ordering::Relaxed);
+        result
+    }
+
+    fn attempt(
+        self: &Arc<HostConnection>,
+        operation: Operation,
+        timeout: f64,
+        on_send: impl FnOnce(),
+    ) -> AttemptResult {
+        let Some((connection, writer)) = self.connected() else { return AttemptResult::Unreachable };
+        let attempt_id = self.last_attempt.fetch_add(1, Ordering::Relaxed) + 1;
+        let pending = Arc::new(PendingAttempt::default());
+        self.pending.lock().expect("no holder panics").insert(attempt_id, (connection, pending.clone()));
+        on_send();
+        let operation = Operation { attempt_id, ..operation };
+        if send(&writer, to_host::Payload::Operation(operation)).is_err() {
+            self.pending.lock().expect("no holder panics").remove(&attempt_id);
+            return AttemptResult::Failed;
+        }
+        let waiting = Arc::downgrade(&pending);
+        run_after(timeout, move || {
+            if let Some(pending) = waiting.upgrade() {
+                pending.finish(AttemptResult::TimedOut);
+            }
+        });
+        pending.done.wait();
+        let result = pending.result.lock().expect("no holder panics").unwrap_or(AttemptResult::Failed);
+        if result == AttemptResult::TimedOut {
+            self.pending.lock().expect("no holder panics").remove(&attempt_id);
+            let _ = send(&writer, to_host::Payload::Cancel(Cancel { attempt_id }));
+        }
+        result
+    }
+
+    /// The open connection's number and writer; connects if there is none.
+    fn connected(self: &Arc<HostConnection>) -> Option<(u64, SharedWriter)> {
+        let mut open = self.open.lock().expect("no holder panics");
+        if let Some(writer) = &open.writer {
+            return Some((open.number, writer.clone()));
+        }
+        let (reader, writer) = self.connect()?;
+        let writer = Arc::new(Mutex::new(writer));
+        open.number += 1;
+        open.writer = Some(writer.clone());
+        let (connection, number) = (self.clone(), open.number);
+        spawn(move || connection.read_responses(number, reader));
+        Some((open.number, writer))
+    }
+
+    fn connect(&self) -> Option<(FrameReader, FrameWriter)> {
+        let stream = connect(self.host, seconds(self.connect_timeout)).ok()?;
+        let (mut reader, mut writer) = split_framed(stream, MAX_HOST_MESSAGE_BYTES).ok()?;
+        reader.set_idle_timeout(Some(self.connect_timeout));
+        let hello = to_host::Payload::ProxyHello(ProxyHello { proxy: self.proxy });
+        writer.send(&ToHost { payload: Some(hello) }).ok()?;
+        let FromHost { payload: Some(from_host::Payload::Hello(_)) } = reader.receive().ok()? else {
+            return None;
+        };
+        reader.set_idle_timeout(None);
+        Some((reader, writer))
+    }
+
+    /// Reads responses until the connection breaks, then fails what it has outstanding.
+    fn read_responses(&self, number: u64, mut reader: FrameReader) {
+        while let Ok(FromHost { payload: Some(payload) }) = reader.receive() {
+            if let from_host::Payload::Response(response) = payload {
+                self.on_response(&response);
+            }
+        }
+        let mut open = self.open.lock().expect("no holder panics");
+        if open.number == number {
+            close(open.writer.take());
+        }
+        drop(open);
+        self.fail_pending(number);
+    }
+
+    fn fail_pending(&self, connection: u64) {
+        let mut pending = self.pending.lock().expect("no holder panics");
+        let sent_on_it = pending.iter().filter(|(_, (number, _))| *number == connection);
+        let attempts: Vec<u64> = sent_on_it.map(|(attempt_id, _)| *attempt_id).collect();
+        for attempt_id in attempts {
+            if let Some((_, pending)) = pending.remove(&attempt_id) {
+                pending.finish(AttemptResult::Failed);
+            }
+        }
+    }
+
+    fn on_response(&self, response: &Response) {
+        let pending = self.pending.lock().expect("no holder panics").remove(&response.attempt_id);
+        if let Some((_, pending)) = pending {
+            pending.finish(match response.outcome() {
+                AttemptOutcome::Completed => AttemptResult::Completed(response.utilization),
+                AttemptOutcome::Refused => AttemptResult::Rejected,
+                AttemptOutcome::Failed => AttemptResult::Failed,
+            });
+        }
+    }
+
+    /// Closes the connection.
+    pub fn close(&self) {
+        let writer = self.open.lock().expect("no holder panics").writer.take();
+        close(writer);
+    }
+}
+
+fn close(writer: Option<SharedWriter>) {
+    if let Some(writer) = writer {
+        writer.lock().expect("no holder panics").close();
+    }
+}
+
+fn send(writer: &Mutex<FrameWriter>, payload: to_host::Payload) -> std::io::Result<()> {
+    writer.lock().expect("no holder panics").send(&ToHost { payload: Some(payload) })
+}
--- a/crates/railhub-standin/src/lib.rs
+++ b/crates/railhub-standin/src/lib.rs
@@ -1,33 +1,38 @@
-//! Small stand-ins, many to a process, all on loopback: [`host`]s that do timed work, [`proxy`] stand-ins that obey
-//! tables, levels, shut-outs and second tries and nothing else, [`client`]s, a [`roster`] that can be late, lie
-//! or break, and a [`store`] that outlives the steward.
+//! Emulates everything around the controllers, many to a process and all on loopback: hosts that do timed work,
+//! proxies that apply what they are sent and decide nothing, clients, an endpoint list that can be late, wrong or
+//! unavailable, and a slice store that outlives the controllers.
 //!
-//! The way of one operation: a client hands it to its proxy; the proxy looks up the slice's table, draws
-//! whether it is let in, picks a host and sends; the host queues it, works for a time and answers; the proxy
-//! counts the try and, as its level says, tries once more; the client comes again if its class allows. Each
-//! step that crosses a socket is recorded.
-pub mod channel;
+//! Owns the emulated processes and the faults that a scenario injects into them. Each step that crosses a socket is
+//! recorded. One operation, from its client to its end:
+//!
+//! 1. [`client::run`] sends a request to its proxy, with a timeout from the class's hard stop.
+//! 2. [`proxy::Proxy::handle`] counts it, applies the admission rate of the slice's owner, and picks a host from the
+//!    slice's table ([`fenced_routing`], [`routing`]), waiting a little if none is usable.
+//! 3. The proxy adds the delay and loss of the link between the zones ([`zone_links`]) and sends the attempt on its
+//!    connection to the host ([`AttemptResult`]).
+//! 4. [`host::Host`] rejects it if its cores and queue are full; otherwise it waits for a core, takes the time of its
+//!    work, and gets its response.
+//! 5. The proxy counts the attempt for its next load report ([`load_totals`]), and retries once as the admission has
+//!    it.
+//! 6. The client retries if the class allows, and records how the operation ended.
+//!
+//! One update, from a controller to a table: the proxy's stream receives a delta, which waits for the update channel
+//! ([`update_channel`]); the routing state applies all of it or rejects it; the proxy acknowledges it.
+#![warn(missing_docs)]
 pub mod client;
-pub mod held;
+pub mod endpoint_list;
+pub mod fenced_routing;
 pub mod host;
-mod lane;
-pub mod links;
+mod host_connection;
+pub mod load_totals;
+mod operation;
 pub mod proxy;
-pub mod roster;
+pub mod routing;
+mod sabotage;
 pub mod store;
-pub mod sums;
-
-pub use lane::CallEnd;
-use railhub_record::OperationIdempotency;
+pub mod update_channel;
+pub mod zone_links;
 
-/// What all stand-ins of a fleet know of a class of operations. Times in seconds.
-#[derive(Clone, Debug)]
-pub struct ClassFacts {
-    pub name: String,
-    pub contract_time: f64,
-    pub hard_stop: f64,
-    pub gain: f64,
-    pub repeats: OperationIdempotency,
-    pub key_window: f64,
-    pub writes: bool,
-}
+pub use host_connection::AttemptResult;
+pub use operation::{OperationClass, PlannedOperation};
+pub use sabotage::Sabotage;
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-steward/benches/streams.rs
@@ -7,8 +7,8 @@
 use railhub_proto::{
     frame, from_proxy, Ack, FromController, FromProxy, HostLoad, LoadReport, SliceLoad, Subscribe,
 };
-use railhub_standin::host::{HostFacts, OpenHost, Repeated};
-use railhub_standin::roster::{Roster, RosterEntry, DRAINING, READY};
+use railhub_standin::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, READY};
+use railhub_standin::host::{HostConfig, ListeningHost, SharedSeenOperations};
 use railhub_standin::store::Store;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -52,8 +52,8 @@
 }
 
 struct Bench {
-    hosts: Vec<OpenHost>,
-    roster: Roster,
+    hosts: Vec<ListeningHost>,
+    roster: EndpointList,
     _store: Store,
     child: Child,
     asks: ChildStdin,
@@ -64,30 +64,35 @@
 impl Bench {
     fn start(hosts: usize, slices: u32, stuck_after: f64) -> Bench {
         let recorder = railhub_record::Recorder::start(None).expect("in memory");
-        let facts = HostFacts {
+        let facts = HostConfig {
             zone: 0,
             kind: 0,
             cores: 4,
             speed: 1.0,
-            queue: 10,
-            cold_from: 1.0,
-            warm_after: 0.0,
-            connections: 1000,
+            max_queued: 10,
+            cold_capacity_fraction: 1.0,
+            warm_up_time: 0.0,
+            max_connections: 1000,
             probe_work: 0.0,
-            busy_every: 0.0,
-            kept_gain: 0.0,
-            kept_for: 0.0,
+            utilization_interval: 0.0,
+            cache_saving: 0.0,
+            cache_lifetime: 0.0,
         };
         let open = |_| {
             let classes = Arc::new(Vec::new());
-            let host = OpenHost::open(facts.clone(), classes, Repeated::default(), recorder.clone());
+            let host = ListeningHost::open(
+                facts.clone(),
+                classes,
+                SharedSeenOperations::default(),
+                recorder.clone(),
+            );
             let host = host.expect("loopback");
             host.host.start(false);
             host
         };
-        let hosts: Vec<OpenHost> = (0..hosts).map(open).collect();
-        let roster = Roster::open(recorder.clone()).expect("loopback");
-        roster.tell(hosts.iter().map(|host| entry(host, READY)).collect());
+        let hosts: Vec<ListeningHost> = (0..hosts).map(open).collect();
+        let roster = EndpointList::open(recorder.clone()).expect("loopback");
+        roster.update(hosts.iter().map(|host| entry(host, READY)).collect());
         let owner = |slice: u32| hosts[slice as usize % hosts.len()].host.address;
         let store = Store::open((0..slices).map(|slice| (slice, vec![(owner(slice), 1.0)])).collect());
         let store = store.expect("loopback");
@@ -118,7 +123,7 @@
         }
     }
 
-    fn list(&self, place: usize, phase: &'static str) -> RosterEntry {
+    fn list(&self, place: usize, phase: &'static str) -> ListedEndpoint {
         entry(&self.hosts[place], phase)
     }
 
@@ -136,8 +141,8 @@
     }
 }
 
-fn entry(host: &OpenHost, phase: &'static str) -> RosterEntry {
-    RosterEntry { host: host.host.address, phase, started: None, weight: 4.0, kind: 0 }
+fn entry(host: &ListeningHost, phase: &'static str) -> ListedEndpoint {
+    ListedEndpoint { host: host.host.address, phase, started: None, weight: 4.0, kind: 0 }
 }
 
 /// Peers that acknowledge all they are sent.
@@ -241,7 +246,7 @@
         for batch in 0..7 {
             let before = bench.figures()["versions"].as_u64().unwrap_or(0);
             let drained = (batch * 8..(batch + 1) * 8).map(|place| bench.list(place, DRAINING)).collect();
-            bench.roster.tell(drained);
+            bench.roster.update(drained);
             let figures = bench.wait("versions", before + 1);
             let sample = peers.sample.lock().expect("no holder panics").clone();
             let message: FromController = prost::Message::decode(&sample[..]).expect("a message");
@@ -401,7 +406,7 @@
     for batch in 0..10 {
         std::thread::sleep(seconds(3.0));
         let drained = (batch * 8..(batch + 1) * 8).map(|place| bench.list(place, DRAINING)).collect();
-        bench.roster.tell(drained);
+        bench.roster.update(drained);
     }
     let figures = bench.figures();
     let ms = |what: &str| figures[what].as_f64().unwrap_or(f64::NAN) * 1000.0;
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-steward/tests/common/mod.rs
@@ -6,11 +6,11 @@
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
 use railhub_record::{OperationIdempotency, Recorder};
-use railhub_standin::held::Held;
-use railhub_standin::host::{HostFacts, OpenHost, Repeated};
-use railhub_standin::roster::{Roster, RosterEntry, READY};
+use railhub_standin::endpoint_list::{EndpointList, ListedEndpoint, READY};
+use railhub_standin::host::{HostConfig, ListeningHost, SharedSeenOperations};
+use railhub_standin::routing::RoutingState;
 use railhub_standin::store::Store;
-use railhub_standin::ClassFacts;
+use railhub_standin::OperationClass;
 use railhub_steward::{Installation, Running};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,26 +21,26 @@
 pub const LONG: Duration = Duration::from_secs(20);
 
 pub struct Fleet {
-    pub hosts: Vec<OpenHost>,
-    pub roster: Roster,
+    pub hosts: Vec<ListeningHost>,
+    pub roster: EndpointList,
     pub store: Store,
     pub installation: Installation,
 }
 
-fn facts(zone: u32) -> HostFacts {
-    HostFacts {
+fn facts(zone: u32) -> HostConfig {
+    HostConfig {
         zone,
         kind: 0,
         cores: 4,
         speed: 1.0,
-        queue: 40,
-        cold_from: 0.3,
-        warm_after: 1.0,
-        connections: 1000,
+        max_queued: 40,
+        cold_capacity_fraction: 0.3,
+        warm_up_time: 1.0,
+        max_connections: 1000,
         probe_work: 0.0,
-        busy_every: 0.0,
-        kept_gain: 0.0,
-        kept_for: 0.0,
+        utilization_interval: 0.0,
+        cache_saving: 0.0,
+        cache_lifetime: 0.0,
     }
 }
 
@@ -48,25 +48,30 @@
     static START: Once = Once::new();
     START.call_once(railhub_net::start_runtime);
     let recorder = Recorder::start(None).expect("in memory");
-    let class = ClassFacts {
+    let class = OperationClass {
         name: "view".into(),
         contract_time: 1.0,
         hard_stop: 2.0,
-        gain: 1.0,
-        repeats: OperationIdempotency::Safe,
+        priority_weight: 1.0,
+        idempotency: OperationIdempotency::Safe,
         key_window: 0.0,
         writes: false,
     };
     let classes = Arc::new(vec![class]);
     let open = |n| {
-        let host = OpenHost::open(facts(n % 2), classes.clone(), Repeated::default(), recorder.clone());
+        let host = ListeningHost::open(
+            facts(n % 2),
+            classes.clone(),
+            SharedSeenOperations::default(),
+            recorder.clone(),
+        );
         let host = host.expect("loopback");
         host.host.start(false);
         host
     };
-    let hosts: Vec<OpenHost> = (0..hosts as u32).map(open).collect();
-    let roster = Roster::open(recorder.clone()).expect("loopback");
-    roster.tell((0..hosts.len()).map(|n| entry(&hosts, n, READY)).collect());
+    let hosts: Vec<ListeningHost> = (0..hosts as u32).map(open).collect();
+    let roster = EndpointList::open(recorder.clone()).expect("loopback");
+    roster.update((0..hosts.len()).map(|n| entry(&hosts, n, READY)).collect());
     let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
     let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
@@ -109,9 +114,9 @@
     Fleet { hosts, roster, store, installation }
 }
 
-pub fn entry(hosts: &[OpenHost], n: usize, phase: &'static str) -> RosterEntry {
+pub fn entry(hosts: &[ListeningHost], n: usize, phase: &'static str) -> ListedEndpoint {
     let host = hosts[n].host.address;
-    RosterEntry { host, phase, started: None, weight: 4.0, kind: 0 }
+    ListedEndpoint { host, phase, started: None, weight: 4.0, kind: 0 }
 }
 
 impl Fleet {
@@ -120,7 +125,7 @@
     }
 
     pub fn list(&self, n: usize, phase: &'static str) {
-        self.roster.tell(vec![entry(&self.hosts, n, phase)]);
+        self.roster.update(vec![entry(&self.hosts, n, phase)]);
     }
 
     pub fn address(&self, n: usize) -> SocketAddr {
@@ -132,7 +137,7 @@
 pub struct Peer {
     pub stream: TcpStream,
     deframer: Deframer,
-    pub held: Held,
+    pub held: RoutingState,
 }
 
 /// What ended a wait.
@@ -146,11 +151,11 @@
 
 impl Peer {
     pub fn connect(controller: SocketAddr, number: u32) -> Peer {
-        Peer::connect_as(controller, number, u64::from(number) + 1, Held::default())
+        Peer::connect_as(controller, number, u64::from(number) + 1, RoutingState::default())
     }
 
     /// As such a process, holding something already.
-    pub fn connect_as(controller: SocketAddr, number: u32, process: u64, held: Held) -> Peer {
+    pub fn connect_as(controller: SocketAddr, number: u32, process: u64, held: RoutingState) -> Peer {
         let stream = TcpStream::connect(controller).expect("the steward listens");
         let mut peer = Peer::new(stream, held);
         let (incarnation, version) = (peer.held.incarnation, peer.held.version);
@@ -161,7 +166,12 @@
 
     /// The same, dialled again while it is turned away since the end of an earlier process is not seen yet; with its
     /// first delta, neither taken in nor answered.
-    pub fn connect_after(controller: SocketAddr, number: u32, process: u64, held: &Held) -> (Peer, Delta) {
+    pub fn connect_after(
+        controller: SocketAddr,
+        number: u32,
+        process: u64,
+        held: &RoutingState,
+    ) -> (Peer, Delta) {
         let until = Instant::now() + LONG;
         loop {
             let mut peer = Peer::connect_as(controller, number, process, held.clone());
@@ -174,7 +184,7 @@
     }
 
     /// A connection that has said nothing yet.
-    pub fn new(stream: TcpStream, held: Held) -> Peer {
+    pub fn new(stream: TcpStream, held: RoutingState) -> Peer {
         Peer { stream, deframer: Deframer::new(MAX_FROM_CONTROLLER_BYTES), held }
     }
 
@@ -223,7 +233,7 @@
 
     /// Takes a delta in and says so.
     pub fn acknowledge(&mut self, delta: &Delta) {
-        self.held.take_in(delta).expect("a good delta");
+        self.held.apply(delta).expect("a good delta");
         self.send(from_proxy::Payload::Ack(Ack { nonce: delta.nonce }));
     }
 
@@ -233,7 +243,7 @@
     }
 
     /// Obeys until what it holds is as wanted.
-    pub fn apply_until(&mut self, wanted: impl Fn(&Held) -> bool) {
+    pub fn apply_until(&mut self, wanted: impl Fn(&RoutingState) -> bool) {
         let until = Instant::now() + LONG;
         while !wanted(&self.held) {
             assert!(Instant::now() < until, "it never came to hold that: {:?}", self.held);
@@ -261,12 +271,12 @@
 }
 
 /// Whether any line of a table names the host.
-pub fn names(held: &Held, host: SocketAddr) -> bool {
+pub fn names(held: &RoutingState, host: SocketAddr) -> bool {
     held.tables().values().flatten().any(|line| line.0 == host)
 }
 
 /// All tables, their lines in order.
-pub fn tables(held: &Held) -> Vec<(u32, Vec<(SocketAddr, f64)>)> {
+pub fn tables(held: &RoutingState) -> Vec<(u32, Vec<(SocketAddr, f64)>)> {
     let sorted = |lines: &Vec<(SocketAddr, f64)>| {
         let mut lines = lines.clone();
         lines.sort_by_key(|line| line.0);
--- a/crates/railhub-steward/tests/streams.rs
+++ b/crates/railhub-steward/tests/streams.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use railhub_proto::{from_proxy, Ack, HostLoad, LoadReport};
-use railhub_standin::held::Held;
-use railhub_standin::roster::{DRAINING, READY};
+use railhub_standin::endpoint_list::{DRAINING, READY};
+use railhub_standin::routing::RoutingState;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -84,7 +84,7 @@
     back.acknowledge(&delta);
     back.apply_until(|held| !names(held, gone));
     // A version of another controller process means nothing here: it gets a snapshot.
-    let mut other = Held::default();
+    let mut other = RoutingState::default();
     (other.incarnation, other.version) = (5, 3);
     let mut stranger = Peer::connect_as(controller.address, 1, 1, other);
     assert!(stranger.delta().reset);
@@ -146,9 +146,9 @@
 fn of_two_connections_that_claim_one_proxy_the_same_process_replaces_and_another_is_turned_away() {
     let fleet = fleet(2, 10);
     let controller = fleet.start();
-    let mut holder = Peer::connect_as(controller.address, 3, 77, Held::default());
+    let mut holder = Peer::connect_as(controller.address, 3, 77, RoutingState::default());
     holder.apply_until(|held| held.tables().len() == 10);
-    let mut thief = Peer::connect_as(controller.address, 3, 78, Held::default());
+    let mut thief = Peer::connect_as(controller.address, 3, 78, RoutingState::default());
     assert_eq!(thief.receive(LONG), Received::Goodbye("another process speaks for this proxy".into()));
     let mut again = Peer::connect_as(controller.address, 3, 77, holder.held.clone());
     let reason = loop {
@@ -164,7 +164,7 @@
     again.apply_until(|held| !names(held, gone));
     // Once the holder has ended, another process may have the number.
     drop(again);
-    let (mut next, delta) = Peer::connect_after(controller.address, 3, 78, &Held::default());
+    let (mut next, delta) = Peer::connect_after(controller.address, 3, 78, &RoutingState::default());
     next.acknowledge(&delta);
     next.apply_until(|held| held.tables().len() == 10);
 }
@@ -211,7 +211,7 @@
         }
     };
     let stream = TcpStream::connect(controller.address).expect("the steward listens");
-    let mut silent = Peer::new(stream, Held::default());
+    let mut silent = Peer::new(stream, RoutingState::default());
     assert_eq!(reason(&mut silent), "silent for too long");
     let mut flood = Peer::connect(controller.address, 1);
     for nonce in 0..2000 {
--- a/crates/railhub-steward/tests/surroundings.rs
+++ b/crates/railhub-steward/tests/surroundings.rs
@@ -3,7 +3,7 @@
 
 use common::{entry, eventually, fleet, names, tables, Peer, Received};
 use railhub_proto::{HostLoad, LoadReport, SliceLoad};
-use railhub_standin::roster::{DRAINING, GONE, READY};
+use railhub_standin::endpoint_list::{DRAINING, GONE, READY};
 use std::time::Duration;
 
 const SHORT: Duration = Duration::from_millis(1500);
@@ -16,11 +16,11 @@
     peer.apply_until(|held| held.tables().len() == 20);
     peer.apply_for(SHORT);
     let all = (0..4).map(|n| entry(&fleet.hosts, n, GONE)).collect();
-    fleet.roster.lie(1, Some(all));
+    fleet.roster.set_override(1, Some(all));
     peer.apply_for(Duration::from_secs(4));
     assert_eq!(tables(&peer.held).len(), 20);
     assert!((0..4).any(|n| names(&peer.held, fleet.address(n))));
-    fleet.roster.lie(1, None);
+    fleet.roster.set_override(1, None);
     fleet.list(3, DRAINING);
     let gone = fleet.address(3);
     peer.apply_until(|held| !names(held, gone));
@@ -60,11 +60,11 @@
 #[test]
 fn nothing_is_given_to_proxies_before_the_store_has_answered() {
     let fleet = fleet(4, 40);
-    fleet.store.set_away(true);
+    fleet.store.set_unavailable(true);
     let controller = fleet.start();
     let mut peer = Peer::connect(controller.address, 0);
     assert_eq!(peer.receive(SHORT), Received::Nothing, "an empty table would lose every slice");
-    fleet.store.set_away(false);
+    fleet.store.set_unavailable(false);
     peer.apply_until(|held| held.tables().len() == 40);
 }
 
@@ -74,12 +74,12 @@
     let controller = fleet.start();
     let mut peer = Peer::connect(controller.address, 0);
     peer.apply_until(|held| held.tables().len() == 40);
-    fleet.store.set_away(true);
+    fleet.store.set_unavailable(true);
     fleet.list(0, DRAINING);
     let gone = fleet.address(0);
     peer.apply_until(|held| !names(held, gone));
     assert!(fleet.store.tables().values().flatten().any(|line| line.0 == gone));
-    fleet.store.set_away(false);
+    fleet.store.set_unavailable(false);
     eventually("the store catches up", || fleet.store.tables().values().flatten().all(|line| line.0 != gone));
 }
 
@@ -90,8 +90,8 @@
     let mut peer = Peer::connect(controller.address, 0);
     peer.apply_until(|held| held.tables().len() == 20);
     let dead = fleet.address(2);
-    fleet.hosts[2].host.die();
-    let standby_only = |held: &railhub_standin::held::Held| {
+    fleet.hosts[2].host.kill();
+    let standby_only = |held: &railhub_standin::routing::RoutingState| {
         held.tables().values().all(|table| table.iter().all(|line| line.0 != dead || line.1 < 0.5))
     };
     peer.apply_until(standby_only);
@@ -124,9 +124,10 @@
     let fleet = fleet(4, 0);
     let controller = fleet.start();
     let mut peers: Vec<Peer> = (0..5).map(|n| Peer::connect(controller.address, n)).collect();
-    let lines = |held: &railhub_standin::held::Held| held.tables().values().map(Vec::len).sum::<usize>();
+    let lines =
+        |held: &railhub_standin::routing::RoutingState| held.tables().values().map(Vec::len).sum::<usize>();
     for peer in &mut peers {
-        peer.apply_until(|held| held.on_table == Some(0) && lines(held) == 4);
+        peer.apply_until(|held| held.assigned_table == Some(0) && lines(held) == 4);
     }
     fleet.list(1, DRAINING);
     let gone = fleet.address(1);
