--- a/crates/railhub-membership/src/gossip.rs
+++ b/crates/railhub-membership/src/gossip.rs
@@ -39,7 +39,7 @@
     }
 
     /// Takes at most `max` entries from the front, except those that the message includes anyway. Each goes back to
-    /// the end until it has been sent often enough for a cluster of `cluster_size`; with `unlimited`, for ever.
+    /// the end until it has been sent often enough for a cluster of `cluster_size`; with `unlimited`, without end.
     pub fn take(
         &mut self,
         max: usize,
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -7,9 +7,9 @@
 //!   2017). [`member`] is an entry and the order of entries, [`table`] how they merge (with tombstones), [`gossip`]
 //!   what is passed on, [`local_health`] and [`probe_score`] how the node and each other one fare, [`messages`] what
 //!   nodes exchange, [`packet`] the bytes, [`view`] what observers see.
-//! - *Leases* ([`lease`]: read it first): [`placement`] is whose a slice should be, [`lease`] whose it is in the holder's
-//!   view, [`lease_store`] with [`lease_record`] in the store's, [`lease_messages`] what the two exchange, [`fence`]
-//!   what receivers of commands check.
+//! - *Leases* ([`lease`]: read it first): [`placement`] is whose a slice should be, [`lease`] whose it is in the
+//!   holder's view, [`lease_store`] with [`lease_record`] in the store's, [`lease_messages`] what the two exchange,
+//!   [`fence`] what receivers of commands check.
 //!
 //! [`safeguard`] lists the rules that tests can leave out.
 //!
--- a/crates/railhub-membership/src/swim/identity.rs
+++ b/crates/railhub-membership/src/swim/identity.rs
@@ -1,7 +1,8 @@
 //! Two processes under one id. The one with the lower process number takes no part any more.
 //!
-//! A process with a higher number may be reported without a message of its own: after a clock was set back, the numbers of earlier
-//! processes of this node are above its own. If no message of it comes in time, this process takes a number above it.
+//! A process with a higher number may be reported without a message of its own: after a clock was set back, the numbers
+//! of earlier processes of this node are above its own. If no message of it comes in time, this process takes a number
+//! above it.
 use super::membership::{IdentityConflict, Membership, MembershipOutput};
 use crate::member::{Member, Status};
 use crate::messages::{Destination, MemberChange, Message, Payload};
--- a/crates/railhub-membership/src/swim/receive.rs
+++ b/crates/railhub-membership/src/swim/receive.rs
@@ -38,9 +38,9 @@
         output
     }
 
-    /// The sender's process was superseded or tombstoned, or there is no room for it. It is sent a correction at the address that
-    /// it gives; of its gossip only what concerns this node counts. Plain gossip is not answered: two nodes that have
-    /// forgotten each other would correct each other for ever.
+    /// The sender's process was superseded or tombstoned, or there is no room for it. It is sent a correction at the
+    /// address that it gives; of its gossip only what concerns this node counts. Plain gossip is not answered: two
+    /// nodes that have forgotten each other would correct each other without end.
     fn on_stale_sender(&mut self, now: Seconds, message: &Message, output: &mut MembershipOutput) {
         let local = self.local_id();
         for update in message.gossip.iter().filter(|update| update.id == local) {
