--- /dev/null
+++ b/crates/railhub-adapter/src/settings.rs
@@ -0,0 +1,92 @@
+//! Decodes the settings of a `CREATE` that the decisions read.
+use crate::error::WireError;
+use crate::wire_line::WireLine;
+use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
+
+/// Classes that an instance may have.
+const MAX_CLASSES: usize = 255;
+
+/// What the numbers of an instance stand for on the wire.
+pub struct Names {
+    /// Names of the classes.
+    pub classes: Vec<String>,
+    /// Names of the zones; further ones are added as reports name them.
+    pub zones: Vec<String>,
+    /// Names of the kinds of hosts, added as the endpoint list names them.
+    pub kinds: Vec<String>,
+    /// Place of the busy share of a host's cores in load reports.
+    pub utilization_at: Option<usize>,
+}
+
+/// The settings of an instance.
+///
+/// # Errors
+/// A setting is missing or has an invalid value.
+pub fn decode(line: &WireLine) -> Result<(ControllerConfig, Names), WireError> {
+    let reports = line.optional("telemetry.names").unwrap_or_default();
+    let utilization_at = reports.split(',').position(|name| name == "busy");
+    let zones = line.text("zones")?.split(',').filter(|name| !name.is_empty());
+    let zones = zones.map(str::to_owned).collect();
+    let mut names = Names { classes: Vec::new(), zones, kinds: Vec::new(), utilization_at };
+    let mut classes = Vec::new();
+    for number in 0..line.value::<usize>("request_classes.count")?.min(MAX_CLASSES) {
+        let field = |tail: &str| format!("request_classes.{number}.{tail}");
+        names.classes.push(line.text(&field("name"))?.to_owned());
+        classes.push(ClassConfig {
+            contract_time: line.seconds(&field("aim_us"))?,
+            priority_weight: line.amount(&field("worth"))?,
+            idempotency: idempotency(line, &field)?,
+        });
+    }
+    Ok((controller_config(line, classes)?, names))
+}
+
+fn idempotency(line: &WireLine, field: &impl Fn(&str) -> String) -> Result<Idempotency, WireError> {
+    Ok(match line.text(&field("effect"))? {
+        "repeatable" => Idempotency::Safe,
+        "by_key" if line.text(&field("group"))? == "all" => {
+            Idempotency::IdempotencyKeyGlobal(line.seconds(&field("key_ttl_us"))?)
+        }
+        "by_key" => Idempotency::IdempotencyKeyLocal,
+        "once" => Idempotency::Never,
+        other => return Err(line.invalid(&field("effect"), other)),
+    })
+}
+
+fn controller_config(line: &WireLine, classes: Vec<ClassConfig>) -> Result<ControllerConfig, WireError> {
+    let single_owner = line.flag("family_info.exclusive")?;
+    Ok(ControllerConfig {
+        classes,
+        slice_count: line.value("family_info.key_ranges")?,
+        single_owner,
+        write_lease: write_time(line, "family_info.write_lease_us", single_owner)?,
+        max_write_duration: write_time(line, "family_info.write_life_us", single_owner)?,
+        health_checks_allowed: line.flag("ceilings.probes")?,
+        delisted_may_serve: optional_flag(line, "rules.removal_not_binding")?,
+        admission_by_fraction: line.text("family_info.throttle_by")? == "share",
+        cold_capacity_fraction: line.amount("rules.cold_from")?,
+        warm_up_time: line.seconds("rules.warm_within_us")?,
+        overload_multiple: line.amount("rules.fall_multiple")?,
+        backlog_limit: line.amount("family_info.backlog")?,
+        message_overhead: line.amount("family_info.envelope")?,
+        message_quota: line.value("family_info.update_cap")?,
+        message_quota_window: line.seconds("family_info.messages_over_us")?,
+        first_attempt_timeout_multiple: line.amount("family_info.first_wait")?,
+    })
+}
+
+/// A time that only instances with a single owner a slice have.
+fn write_time(line: &WireLine, field: &str, single_owner: bool) -> Result<Seconds, WireError> {
+    if single_owner {
+        line.seconds(field)
+    } else {
+        Ok(0.0)
+    }
+}
+
+fn optional_flag(line: &WireLine, field: &str) -> Result<bool, WireError> {
+    match line.optional(field) {
+        Some(_) => line.flag(field),
+        None => Ok(false),
+    }
+}
--- /dev/null
+++ b/crates/railhub-adapter/src/wire_line.rs
@@ -0,0 +1,92 @@
+//! One line of the wire: a name, then fields as name=value.
+use crate::error::{FieldProblem, WireError};
+use railhub::{HostId, Seconds};
+use std::str::FromStr;
+
+/// Microseconds in a second: the wire has whole microseconds.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// A line and its fields.
+pub struct WireLine<'a> {
+    /// The line's name; empty for an empty line.
+    pub name: &'a str,
+    number: usize,
+    fields: Vec<(&'a str, &'a str)>,
+}
+
+impl<'a> WireLine<'a> {
+    /// Reads a line. `number`: its number, from 1.
+    ///
+    /// # Errors
+    /// A part of the line is no field.
+    pub fn read(text: &'a str, number: usize) -> Result<WireLine<'a>, WireError> {
+        let mut parts = text.split(' ').filter(|part| !part.is_empty());
+        let name = parts.next().unwrap_or_default();
+        let mut fields = Vec::new();
+        for part in parts {
+            let Some(field) = part.split_once('=') else {
+                let (name, part) = (name.to_owned(), part.to_owned());
+                return Err(WireError::NotAField { line: number, name, part });
+            };
+            fields.push(field);
+        }
+        Ok(WireLine { name, number, fields })
+    }
+
+    /// A field's text, if the line has the field.
+    pub fn optional(&self, field: &str) -> Option<&'a str> {
+        self.fields.iter().find(|(name, _)| *name == field).map(|(_, value)| *value)
+    }
+
+    /// A field's text.
+    pub fn text(&self, field: &str) -> Result<&'a str, WireError> {
+        self.optional(field).ok_or_else(|| self.error(field, FieldProblem::Missing))
+    }
+
+    /// A field's value.
+    pub fn value<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
+        let text = self.text(field)?;
+        text.parse().map_err(|_| self.invalid(field, text))
+    }
+
+    /// A number that is finite and not below 0.
+    pub fn amount(&self, field: &str) -> Result<f64, WireError> {
+        let value: f64 = self.value(field)?;
+        if value.is_finite() && value >= 0.0 {
+            Ok(value)
+        } else {
+            Err(self.invalid(field, &value.to_string()))
+        }
+    }
+
+    /// A time, which the wire has in whole microseconds.
+    pub fn seconds(&self, field: &str) -> Result<Seconds, WireError> {
+        Ok(self.value::<u64>(field)? as f64 / MICROS_PER_SECOND)
+    }
+
+    /// A yes or no.
+    pub fn flag(&self, field: &str) -> Result<bool, WireError> {
+        match self.text(field)? {
+            "1" | "true" => Ok(true),
+            "0" | "false" => Ok(false),
+            other => Err(self.invalid(field, other)),
+        }
+    }
+
+    /// The host that the line is about.
+    pub fn host(&self) -> Result<HostId, WireError> {
+        let name = self.text("host")?;
+        HostId::new(name).ok_or_else(|| self.invalid("host", name))
+    }
+
+    /// An error in a field.
+    pub fn error(&self, field: &str, problem: FieldProblem) -> WireError {
+        let (name, field) = (self.name.to_owned(), field.to_owned());
+        WireError::Field { line: self.number, name, field, problem }
+    }
+
+    /// An impossible value of a field.
+    pub fn invalid(&self, field: &str, value: &str) -> WireError {
+        self.error(field, FieldProblem::Invalid(value.to_owned()))
+    }
+}
