--- a/crates/railhub-steward/src/installation.rs
+++ b/crates/railhub-steward/src/installation.rs
@@ -1,7 +1,7 @@
 //! A controller's INI file: where its peers are, what it may do, and its limits.
 use crate::membership::settings::MembershipSettings;
 use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
-use railhub_ini::{Complaint, Section, Sheet};
+use railhub_ini::{Diagnostic, Document, Section};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -55,59 +55,63 @@
     ///
     /// # Errors
     /// The file cannot be read, or is no controller's; the error names the line.
-    pub fn open(path: &Path) -> Result<Installation, Complaint> {
-        Installation::read(&Sheet::open(path)?)
+    pub fn open(path: &Path) -> Result<Installation, Diagnostic> {
+        Installation::read(&Document::open(path)?)
     }
 
     /// Reads a document.
     ///
     /// # Errors
     /// A section or key is missing, unknown or has an invalid value; the error names its line.
-    pub fn read(sheet: &Sheet) -> Result<Installation, Complaint> {
+    pub fn read(document: &Document) -> Result<Installation, Diagnostic> {
         let is_class = |name: &str| name.starts_with(CLASS_PREFIX);
-        sheet.only(|name| matches!(name, "steward" | "limits" | "fleet") || is_class(name))?;
+        document.reject_unknown_sections(|name| {
+            matches!(name, "steward" | "limits" | "fleet") || is_class(name)
+        })?;
         let (mut classes, mut class_names) = (Vec::new(), Vec::new());
-        for name in sheet.sections().into_iter().filter(|name| is_class(name)) {
-            let section = sheet.section(&name);
+        for name in document.section_names().into_iter().filter(|name| is_class(name)) {
+            let section = document.section(&name);
             classes.push(class_config(&section)?);
-            section.done()?;
+            section.reject_unread_keys()?;
             class_names.push(name[CLASS_PREFIX.len()..].trim().to_owned());
         }
-        let (steward, limits) = (sheet.section("steward"), sheet.section("limits"));
+        let (steward, limits) = (document.section("steward"), document.section("limits"));
         if classes.is_empty() || classes.len() > MAX_CLASSES {
-            return Err(steward.wrong("", format!("has {} classes, 1 to 64 are needed", classes.len())));
+            return Err(steward.diagnostic("", format!("has {} classes, 1 to 64 are needed", classes.len())));
         }
         let installation = Installation {
-            listen: steward.or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
-            endpoint_list: steward.need("roster")?,
-            store: steward.text("store").map(|_| steward.need("store")).transpose()?,
+            listen: steward.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
+            endpoint_list: steward.required("roster")?,
+            store: steward.text("store").map(|_| steward.required("store")).transpose()?,
             config: controller_config(&steward, &limits, classes)?,
             class_names,
-            max_reports_per_second: limits.within("reports_a_second", 800.0, 1.0, 1e6)?,
-            probe_timeout: limits.within("probe_within", 0.4, 0.001, 60.0)?,
-            max_concurrent_probes: limits.within("probes_at_once", 64.0, 1.0, 10_000.0)? as usize,
-            response_timeout: limits.within("stuck_after", 10.0, 0.1, 3600.0)?,
-            subscribe_timeout: limits.within("first_within", 5.0, 0.01, 3600.0)?,
-            idle_timeout: limits.within("silent_after", 10.0, 0.1, 3600.0)?,
+            max_reports_per_second: limits.in_range("reports_a_second", 800.0, 1.0, 1e6)?,
+            probe_timeout: limits.in_range("probe_within", 0.4, 0.001, 60.0)?,
+            max_concurrent_probes: limits.in_range("probes_at_once", 64.0, 1.0, 10_000.0)? as usize,
+            response_timeout: limits.in_range("stuck_after", 10.0, 0.1, 3600.0)?,
+            subscribe_timeout: limits.in_range("first_within", 5.0, 0.01, 3600.0)?,
+            idle_timeout: limits.in_range("silent_after", 10.0, 0.1, 3600.0)?,
             traffic: steward.text("traffic").map(PathBuf::from),
-            membership: MembershipSettings::read(sheet)?,
-            max_streams: limits.within("streams_most", DEFAULT_MAX_STREAMS as f64, 1.0, 65_535.0)? as usize,
+            membership: MembershipSettings::read(document)?,
+            max_streams: limits.in_range("streams_most", DEFAULT_MAX_STREAMS as f64, 1.0, 65_535.0)? as usize,
         };
-        installation.check_store(sheet)?;
-        steward.done()?;
-        limits.done()?;
+        installation.check_store(document)?;
+        steward.reject_unread_keys()?;
+        limits.reject_unread_keys()?;
         Ok(installation)
     }
 
     /// Slices need a store, and a membership that shares them needs slices.
-    fn check_store(&self, sheet: &Sheet) -> Result<(), Complaint> {
+    fn check_store(&self, document: &Document) -> Result<(), Diagnostic> {
         let has_slices = self.config.slice_count > 0;
         if has_slices != self.store.is_some() {
-            let steward = sheet.section("steward");
-            return Err(steward.wrong("store", "is needed where there are slices, and only there"));
+            let steward = document.section("steward");
+            return Err(steward.diagnostic("store", "is needed where there are slices, and only there"));
         }
         if self.shares() && !has_slices {
-            return Err(sheet.section("fleet").wrong("share", "needs slices, and a store that leases them"));
+            return Err(document
+                .section("fleet")
+                .diagnostic("share", "needs slices, and a store that leases them"));
         }
         Ok(())
     }
@@ -117,36 +121,36 @@
     steward: &Section,
     limits: &Section,
     classes: Vec<ClassConfig>,
-) -> Result<ControllerConfig, Complaint> {
+) -> Result<ControllerConfig, Diagnostic> {
     Ok(ControllerConfig {
         classes,
-        slice_count: steward.within("slices", 0.0, 0.0, 65_534.0)? as u16,
+        slice_count: steward.in_range("slices", 0.0, 0.0, 65_534.0)? as u16,
         single_owner: steward.flag("single_owner", false)?,
-        write_lease: limits.within("write_lease", 10.0, 0.0, 3600.0)?,
-        max_write_duration: limits.within("write_life", 10.0, 0.0, 3600.0)?,
+        write_lease: limits.in_range("write_lease", 10.0, 0.0, 3600.0)?,
+        max_write_duration: limits.in_range("write_life", 10.0, 0.0, 3600.0)?,
         health_checks_allowed: steward.flag("probes", true)?,
         delisted_may_serve: !steward.flag("removal_binds", true)?,
         admission_by_fraction: steward.flag("levels", true)?,
-        cold_capacity_fraction: limits.within("cold_from", 1.0, 0.0, 1.0)?,
-        warm_up_time: limits.within("warm_within", 0.0, 0.0, 86_400.0)?,
-        overload_multiple: limits.within("fall_multiple", 2.5, 0.1, 1000.0)?,
-        backlog_limit: limits.within("backlog", 50_000.0, 1.0, 1e9)?,
-        message_overhead: limits.within("message_cost", 8.0, 0.0, 1e6)?,
-        message_quota: limits.within("message_cap", 20.0, 0.0, 1e6)? as u32,
-        message_quota_window: limits.within("messages_span", 10.0, 0.1, 3600.0)?,
-        first_attempt_timeout_multiple: limits.within("first_wait", 1.0, 0.0, 100.0)?,
+        cold_capacity_fraction: limits.in_range("cold_from", 1.0, 0.0, 1.0)?,
+        warm_up_time: limits.in_range("warm_within", 0.0, 0.0, 86_400.0)?,
+        overload_multiple: limits.in_range("fall_multiple", 2.5, 0.1, 1000.0)?,
+        backlog_limit: limits.in_range("backlog", 50_000.0, 1.0, 1e9)?,
+        message_overhead: limits.in_range("message_cost", 8.0, 0.0, 1e6)?,
+        message_quota: limits.in_range("message_cap", 20.0, 0.0, 1e6)? as u32,
+        message_quota_window: limits.in_range("messages_span", 10.0, 0.1, 3600.0)?,
+        first_attempt_timeout_multiple: limits.in_range("first_wait", 1.0, 0.0, 100.0)?,
     })
 }
 
-fn class_config(section: &Section) -> Result<ClassConfig, Complaint> {
+fn class_config(section: &Section) -> Result<ClassConfig, Diagnostic> {
     Ok(ClassConfig {
-        contract_time: section.need_within("contract_time", 0.0, 3600.0)?,
-        priority_weight: section.within("gain", 1.0, 0.0, 1e9)?,
+        contract_time: section.required_in_range("contract_time", 0.0, 3600.0)?,
+        priority_weight: section.in_range("gain", 1.0, 0.0, 1e9)?,
         idempotency: idempotency(section)?,
     })
 }
 
-fn idempotency(section: &Section) -> Result<Idempotency, Complaint> {
+fn idempotency(section: &Section) -> Result<Idempotency, Diagnostic> {
     let kinds = [
         ("safe", Idempotency::Safe),
         ("keyed", Idempotency::IdempotencyKeyGlobal(0.0)),
@@ -155,7 +159,7 @@
     ];
     Ok(match section.choice("repeats", "never", &kinds)? {
         Idempotency::IdempotencyKeyGlobal(_) => {
-            Idempotency::IdempotencyKeyGlobal(section.need_within("key_window", 0.0, 1e6)?)
+            Idempotency::IdempotencyKeyGlobal(section.required_in_range("key_window", 0.0, 1e6)?)
         }
         kind => kind,
     })
--- a/crates/railhub-steward/src/membership/settings.rs
+++ b/crates/railhub-steward/src/membership/settings.rs
@@ -1,6 +1,6 @@
 //! The `[fleet]` section of a controller's file.
 use crate::lease_clock::LeaseClock;
-use railhub_ini::{Complaint, Section, Sheet};
+use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::packet::MAX_INSTALLATION_BYTES;
 use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
@@ -56,26 +56,26 @@
     ///
     /// # Errors
     /// A key is missing, unknown or has an invalid value; the error names its line.
-    pub fn read(sheet: &Sheet) -> Result<Option<MembershipSettings>, Complaint> {
-        let fleet = sheet.section("fleet");
-        if !fleet.is_there() {
+    pub fn read(document: &Document) -> Result<Option<MembershipSettings>, Diagnostic> {
+        let fleet = document.section("fleet");
+        if !fleet.exists() {
             return Ok(None);
         }
         let settings = MembershipSettings {
             installation: read_installation(&fleet)?,
             join: read_seeds(&fleet)?,
-            id: NodeId(fleet.need_within("id", 0.0, f64::from(u16::MAX - 1))? as u16),
-            listen: fleet.or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
-            advertise: fleet.text("advertise").map(|_| fleet.need("advertise")).transpose()?,
-            forget_after: fleet.within("forget_after", 600.0, 1.0, 1e6)?,
+            id: NodeId(fleet.required_in_range("id", 0.0, f64::from(u16::MAX - 1))? as u16),
+            listen: fleet.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
+            advertise: fleet.text("advertise").map(|_| fleet.required("advertise")).transpose()?,
+            forget_after: fleet.in_range("forget_after", 600.0, 1.0, 1e6)?,
             share: fleet.flag("share", false)?,
-            lease: fleet.within("lease", 3.0, 0.5, 60.0)?,
+            lease: fleet.in_range("lease", 3.0, 0.5, 60.0)?,
             clock: read_clock(&fleet)?,
-            process: fleet.text("process").map(|_| fleet.need("process")).transpose()?,
+            process: fleet.text("process").map(|_| fleet.required("process")).transpose()?,
             without: fleet.choice("without", "nothing", &SAFEGUARDS)?,
-            settings_digest: sheet.digest(is_own_key),
+            settings_digest: document.digest(is_own_key),
         };
-        fleet.done()?;
+        fleet.reject_unread_keys()?;
         Ok(Some(settings))
     }
 
@@ -85,33 +85,35 @@
     }
 }
 
-fn read_installation(fleet: &Section) -> Result<String, Complaint> {
-    let installation: String = fleet.need("installation")?;
+fn read_installation(fleet: &Section) -> Result<String, Diagnostic> {
+    let installation: String = fleet.required("installation")?;
     if installation.is_empty() || installation.len() > MAX_INSTALLATION_BYTES {
-        return Err(fleet.wrong("installation", format!("needs 1 to {MAX_INSTALLATION_BYTES} bytes")));
+        return Err(fleet.diagnostic("installation", format!("needs 1 to {MAX_INSTALLATION_BYTES} bytes")));
     }
     Ok(installation)
 }
 
-fn read_seeds(fleet: &Section) -> Result<Vec<SocketAddr>, Complaint> {
+fn read_seeds(fleet: &Section) -> Result<Vec<SocketAddr>, Diagnostic> {
     let mut seeds = Vec::new();
     for text in fleet.list("join") {
         let seed = text.parse();
         seeds.push(
-            seed.map_err(|_| fleet.wrong("join", format!("cannot be '{text}': addresses are needed")))?,
+            seed.map_err(|_| fleet.diagnostic("join", format!("cannot be '{text}': addresses are needed")))?,
         );
     }
     if seeds.len() > MAX_SEEDS {
-        return Err(fleet.wrong("join", format!("has {} addresses, {MAX_SEEDS} at the most", seeds.len())));
+        return Err(
+            fleet.diagnostic("join", format!("has {} addresses, {MAX_SEEDS} at the most", seeds.len()))
+        );
     }
     Ok(seeds)
 }
 
-fn read_clock(fleet: &Section) -> Result<LeaseClock, Complaint> {
+fn read_clock(fleet: &Section) -> Result<LeaseClock, Diagnostic> {
     Ok(LeaseClock {
-        speed: fleet.within("clock_speed", 1.0, 0.5, 2.0)?,
-        jumps_after: fleet.within("clock_jumps_after", 0.0, 0.0, 1e6)?,
-        jumps_by: fleet.within("clock_jumps_by", 0.0, -1e4, 1e4)?,
+        speed: fleet.in_range("clock_speed", 1.0, 0.5, 2.0)?,
+        jumps_after: fleet.in_range("clock_jumps_after", 0.0, 0.0, 1e6)?,
+        jumps_by: fleet.in_range("clock_jumps_by", 0.0, -1e4, 1e4)?,
         began: now(),
     })
 }
