--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -90,7 +90,7 @@
 }
 
 impl Environment for Asked {
-    fn probe(&mut self, host: HostId) {
+    fn check_health(&mut self, host: HostId) {
         self.probes.push(host);
     }
     fn store_table(&mut self, slice: SliceId, _: u64, entries: Vec<WeightedHost>) {
@@ -461,7 +461,7 @@
     }
 
     pub fn probed(&mut self, place: HostAt) {
-        let (now, within) = (self.agenda.now, self.installation.probe_timeout);
+        let (now, within) = (self.agenda.now, self.installation.health_check_timeout);
         let host = &self.hosts[place];
         let still = (host.ailments.still_until - now).max(0.0);
         let took = still + self.day.probe_work * host.ailments.slower / host.facts.speed;
--- a/crates/railhub-steward/src/core/controller_core.rs
+++ b/crates/railhub-steward/src/core/controller_core.rs
@@ -80,7 +80,7 @@
     pub fn on_endpoint_list(&mut self, list: EndpointList) {
         self.list_received = true;
         if let Some(shared) = &mut self.shared {
-            shared.lapsed.on_endpoint_list(&list);
+            shared.expired.on_endpoint_list(&list);
         }
         self.batch.endpoint_lists.push(list);
     }
--- a/crates/railhub-steward/src/core/environment.rs
+++ b/crates/railhub-steward/src/core/environment.rs
@@ -18,8 +18,8 @@
 
 /// Carries out what the core orders.
 pub trait Environment {
-    /// Probes a host; its result comes as an event.
-    fn probe(&mut self, host: HostId);
+    /// Checks the health of a host; its result comes as an event.
+    fn check_health(&mut self, host: HostId);
     /// Stores a slice's table. `epoch`: under which the slice is leased; 0 where this controller is alone.
     fn store_table(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>);
     /// Stores the table of a slice that is released, with the handoff for its next holder.
--- a/crates/railhub-steward/src/core/figures.rs
+++ b/crates/railhub-steward/src/core/figures.rs
@@ -33,8 +33,9 @@
     /// Load reports, and pairs and slices in them, that were dropped.
     #[serde(rename = "sums_dropped")]
     pub reports_dropped: u64,
-    /// Probes that were not sent.
-    pub probes_dropped: u64,
+    /// Health checks that were not made.
+    #[serde(rename = "probes_dropped")]
+    pub health_checks_dropped: u64,
     /// Reports that were not recorded in the traffic file.
     pub traffic_dropped: u64,
     /// Delay of timers: the median.
--- a/crates/railhub-steward/src/core/lease_changes.rs
+++ b/crates/railhub-steward/src/core/lease_changes.rs
@@ -6,7 +6,7 @@
 use railhub::{Seconds, SliceAssignment, SliceId};
 
 impl<C: ProxyChannel> ControllerCore<C> {
-    /// Takes leases that were gained and lost. Nothing more is published of a slice that is gone; proxies keep what
+    /// Takes leases that were acquired and lost. Nothing more is published of a slice that is gone; proxies keep what
     /// they hold of it until its next holder publishes.
     pub fn on_lease_changes(
         &mut self,
@@ -14,33 +14,33 @@
         changes: LeaseChanges,
         environment: &mut impl Environment,
     ) {
-        let LeaseChanges { gained, lost, lapsed } = changes;
-        for slice in &lapsed {
-            self.on_lease_lapsed(*slice);
+        let LeaseChanges { acquired, lost, expired } = changes;
+        for slice in &expired {
+            self.on_lease_expired(*slice);
         }
         for slice in &lost {
             self.hand_over(now, *slice, environment);
         }
         environment.allow_release(&lost);
-        for slice in lost.iter().chain(&lapsed) {
+        for slice in lost.iter().chain(&expired) {
             self.release(*slice);
         }
-        for acquired in gained {
-            self.acquire(now, acquired);
+        for slice in acquired {
+            self.acquire(now, slice);
         }
     }
 
     /// Nobody is known to hold the slice now: its table stands as it is.
-    fn on_lease_lapsed(&mut self, slice: SliceId) {
+    fn on_lease_expired(&mut self, slice: SliceId) {
         let hosts = self.tables.entries_of(slice).into_iter().map(|entry| entry.host).collect();
         if let Some(shared) = &mut self.shared {
-            shared.lapsed.add(slice, hosts);
+            shared.expired.add(slice, hosts);
         }
     }
 
     fn hand_over(&mut self, now: Seconds, slice: SliceId, environment: &mut impl Environment) {
         if let Some(shared) = &mut self.shared {
-            shared.lapsed.remove(slice);
+            shared.expired.remove(slice);
         }
         let Some(epoch) = self.tables.epoch(slice) else { return };
         if let Some(handoff) = self.engine.export_handoff(now, slice) {
@@ -60,7 +60,7 @@
         let SliceAcquired { slice, entries, epoch, handoff } = acquired;
         self.tables.acquire(slice, epoch, &entries);
         if let Some(shared) = &mut self.shared {
-            shared.lapsed.remove(slice);
+            shared.expired.remove(slice);
             shared.opening.insert(slice);
             if let Some((handoff, age)) = handoff {
                 shared.handoffs.insert(slice, ReceivedHandoff { handoff, written_at: now - age });
--- a/crates/railhub-steward/src/core/publishing.rs
+++ b/crates/railhub-steward/src/core/publishing.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions order: versions for proxies, tables for the store, probes and timers.
+//! Carries out what the decisions order: versions for proxies, tables for the store, health checks and timers.
 use super::controller_core::ControllerCore;
 use super::environment::Environment;
 use super::proxy_channel::ProxyChannel;
@@ -27,8 +27,8 @@
         for (after, timer) in &commands.timers {
             self.timers.set(decided_at + after, *timer);
         }
-        for host in &commands.probes {
-            environment.probe(*host);
+        for host in &commands.health_checks {
+            environment.check_health(*host);
         }
         if !commands.change.is_empty() || commands.barrier.is_some() {
             self.publish(Arc::new(commands.change), commands.barrier, decided_at, environment);
@@ -92,7 +92,7 @@
 }
 
 /// What is published where controllers share the slices: the tables that were acquired, then what was decided, of
-/// slices under lease alone; and exclusions of hosts that must be left in tables whose leases have lapsed.
+/// slices under lease alone; and exclusions of hosts that must be left in tables whose leases have expired.
 fn shared_change(
     shared: &mut SharedSlices,
     tables: &Tables,
@@ -109,8 +109,8 @@
             shared.excluded.remove(host);
         }
     }
-    let exclusions = shared.lapsed.update_exclusions(binding_removal, &shared.excluded);
-    change.exclusions.retain(|host, excluded| *excluded || !shared.lapsed.excludes(host));
+    let exclusions = shared.expired.update_exclusions(binding_removal, &shared.excluded);
+    change.exclusions.retain(|host, excluded| *excluded || !shared.expired.excludes(host));
     change.exclusions.extend(exclusions);
     change
 }
--- a/crates/railhub-steward/src/core/shared_slices.rs
+++ b/crates/railhub-steward/src/core/shared_slices.rs
@@ -1,9 +1,9 @@
 //! Slices that come and go, where controllers share them.
-use crate::lapsed_slices::LapsedSlices;
+use crate::expired_slices::ExpiredSlices;
 use railhub::{HostId, Seconds, SliceHandoff, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slice whose lease this controller has gained.
+/// A slice whose lease this controller has acquired.
 #[derive(Clone, Debug)]
 pub struct SliceAcquired {
     /// The slice.
@@ -16,21 +16,21 @@
     pub handoff: Option<(SliceHandoff, Seconds)>,
 }
 
-/// Leases that were gained and lost at one moment.
+/// Leases that were acquired and lost at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseChanges {
     /// Slices with the epochs that they came under.
-    pub gained: Vec<SliceAcquired>,
+    pub acquired: Vec<SliceAcquired>,
     /// Slices that were released, or are another controller's by the store's response.
     pub lost: Vec<SliceId>,
     /// Slices whose leases have ended while the store did not respond.
-    pub lapsed: Vec<SliceId>,
+    pub expired: Vec<SliceId>,
 }
 
 impl LeaseChanges {
     /// Whether nothing changes.
     pub fn is_empty(&self) -> bool {
-        self.gained.is_empty() && self.lost.is_empty() && self.lapsed.is_empty()
+        self.acquired.is_empty() && self.lost.is_empty() && self.expired.is_empty()
     }
 }
 
@@ -47,8 +47,8 @@
     pub(super) opening: BTreeSet<SliceId>,
     /// Handoffs of slices that were acquired and that the decisions have not been given.
     pub(super) handoffs: BTreeMap<SliceId, ReceivedHandoff>,
-    /// Slices whose leases have lapsed.
-    pub(super) lapsed: LapsedSlices,
+    /// Slices whose leases have expired.
+    pub(super) expired: ExpiredSlices,
     /// Hosts that the decisions have excluded.
     pub(super) excluded: BTreeSet<HostId>,
 }
--- a/crates/railhub-steward/src/delta_builder.rs
+++ b/crates/railhub-steward/src/delta_builder.rs
@@ -13,8 +13,8 @@
     pub barrier: Option<BarrierId>,
     /// Proxies that are assigned a table, where there are no slices.
     pub assigned_tables: Vec<(SliceId, ProxyId)>,
-    /// Hosts to be probed.
-    pub probes: Vec<HostId>,
+    /// Hosts whose health is to be checked.
+    pub health_checks: Vec<HostId>,
     /// Timers, each after so many seconds.
     pub timers: Vec<(Seconds, TimerId)>,
     /// The decisions with their causes, for the log.
@@ -41,7 +41,7 @@
         self.barrier = Some(barrier);
     }
     fn check_health(&mut self, host: HostId) {
-        self.probes.push(host);
+        self.health_checks.push(host);
     }
     fn set_timer(&mut self, after: Seconds, timer: TimerId) {
         self.timers.push((after, timer));
--- a/crates/railhub-steward/src/lapsed_slices.rs
+++ b/crates/railhub-steward/src/expired_slices.rs
@@ -1,15 +1,15 @@
-//! Exclusions for tables whose leases have lapsed: the store does not respond, so nobody may publish them and they
+//! Exclusions for tables whose leases have expired: the store does not respond, so nobody may publish them and they
 //! stand as they are; but a host that the endpoint list calls draining or gone must be left all the same, by each
 //! controller alone. It is excluded, which names no slice and no epoch: proxies apply that to the slices that they have
 //! from this controller and from no later holder. Free of I/O and of clocks.
 //!
-//! Owns the tables of the lapsed slices, the phases of hosts, and which hosts are excluded on this account.
+//! Owns the tables of the expired slices, the phases of hosts, and which hosts are excluded on this account.
 use railhub::{EndpointList, HostId, Phase, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Slices whose leases have lapsed, and what follows from that.
+/// Slices whose leases have expired, and what follows from that.
 #[derive(Clone, Debug, Default)]
-pub struct LapsedSlices {
+pub struct ExpiredSlices {
     /// The slices with the hosts of their tables.
     slices: BTreeMap<SliceId, Vec<HostId>>,
     phases: BTreeMap<HostId, Phase>,
@@ -17,7 +17,7 @@
     excluded: BTreeSet<HostId>,
 }
 
-impl LapsedSlices {
+impl ExpiredSlices {
     /// Applies an update of the endpoint list. Hosts missing from a complete list are gone.
     pub fn on_endpoint_list(&mut self, list: &EndpointList) {
         if list.complete {
@@ -28,7 +28,7 @@
         self.phases.extend(list.entries.iter().map(|entry| (entry.host, entry.phase)));
     }
 
-    /// The lease of a slice has lapsed, and its next holder is not known.
+    /// The lease of a slice has expired, and its next holder is not known.
     pub fn add(&mut self, slice: SliceId, hosts: Vec<HostId>) {
         self.slices.insert(slice, hosts);
     }
--- a/crates/railhub-steward/src/inbox.rs
+++ b/crates/railhub-steward/src/inbox.rs
@@ -18,9 +18,9 @@
     EndpointList(EndpointList),
     /// All slices with their tables, where this controller is alone.
     Assignments(Vec<SliceAssignment>),
-    /// Leases were gained and lost, where controllers share the slices.
+    /// Leases were acquired and lost, where controllers share the slices.
     LeaseChanges(LeaseChanges),
-    /// A probe ended.
+    /// A health check ended.
     HealthCheck(HealthCheckResult),
     /// A proxy has subscribed.
     Subscribed {
--- a/crates/railhub-steward/src/installation.rs
+++ b/crates/railhub-steward/src/installation.rs
@@ -27,10 +27,10 @@
     pub class_names: Vec<String>,
     /// Totals of load reports that the decisions are given in a second.
     pub max_reports_per_second: f64,
-    /// Seconds that a probe may take.
-    pub probe_timeout: Seconds,
-    /// Probes at once.
-    pub max_concurrent_probes: usize,
+    /// Seconds that a health check may take.
+    pub health_check_timeout: Seconds,
+    /// Health checks at once.
+    pub max_concurrent_health_checks: usize,
     /// Seconds that a proxy may leave a delta without a response.
     pub response_timeout: Seconds,
     /// Seconds until a stream's subscription must have come.
@@ -86,8 +86,8 @@
             config: controller_config(&steward, &limits, classes)?,
             class_names,
             max_reports_per_second: limits.in_range("reports_a_second", 800.0, 1.0, 1e6)?,
-            probe_timeout: limits.in_range("probe_within", 0.4, 0.001, 60.0)?,
-            max_concurrent_probes: limits.in_range("probes_at_once", 64.0, 1.0, 10_000.0)? as usize,
+            health_check_timeout: limits.in_range("probe_within", 0.4, 0.001, 60.0)?,
+            max_concurrent_health_checks: limits.in_range("probes_at_once", 64.0, 1.0, 10_000.0)? as usize,
             response_timeout: limits.in_range("stuck_after", 10.0, 0.1, 3600.0)?,
             subscribe_timeout: limits.in_range("first_within", 5.0, 0.01, 3600.0)?,
             idle_timeout: limits.in_range("silent_after", 10.0, 0.1, 3600.0)?,
--- a/crates/railhub-steward/src/lib.rs
+++ b/crates/railhub-steward/src/lib.rs
@@ -3,7 +3,7 @@
 //! Who owns what: the [`core`] holds the decisions' state, the published tables and the sessions of proxies, free of
 //! sockets and clocks. One thread, the owner, drives it, fed by the bounded queues of the [`inbox`]. Each proxy's stream
 //! has a reader and a writer coroutine; what waits for a proxy is in its [`delta_queue`]. The endpoint list, the store
-//! and the probes have a coroutine or a few each. Where controllers know of each other, [`membership`] is a thread and a
+//! and the health checks have a coroutine or a few each. Where controllers know of each other, [`membership`] is a thread and a
 //! socket of its own.
 //!
 //! The way of one delta:
@@ -26,10 +26,10 @@
 pub mod delta_builder;
 pub mod delta_queue;
 mod endpoint_list_poller;
+pub mod expired_slices;
 mod health_checker;
 pub mod inbox;
 pub mod installation;
-pub mod lapsed_slices;
 mod lease_clock;
 mod lease_table;
 pub mod membership;
--- a/crates/railhub-steward/src/membership/mod.rs
+++ b/crates/railhub-steward/src/membership/mod.rs
@@ -13,10 +13,10 @@
 //! The way of one lease:
 //! 1. The lease manager requests it; the store writer sends the request, after the tables that wait.
 //! 2. The store's response comes with the tables of what it granted.
-//! 3. The lease table is updated first, then the owner of the core learns what was gained, lost or has lapsed.
+//! 3. The lease table is updated first, then the owner of the core learns what was acquired, lost or has expired.
 //!
 //! The way of one failure: a datagram that cannot be sent is lost, a request to a store that does not respond is repeated, a lease
-//! that is not renewed lapses. Whatever goes wrong here, the controller serves on: nothing else waits for this thread.
+//! that is not renewed expires. Whatever goes wrong here, the controller serves on: nothing else waits for this thread.
 mod cpu_meter;
 mod figures;
 mod lease_coordinator;
--- a/crates/railhub-steward/src/membership/slice_sharing.rs
+++ b/crates/railhub-steward/src/membership/slice_sharing.rs
@@ -24,21 +24,21 @@
 }
 
 impl SliceSharing {
-    /// Passes on what was gained, with its tables, and lost. The lease table goes first: what is written from now on
+    /// Passes on what was acquired, with its tables, and lost. The lease table goes first: what is written from now on
     /// must not rest on a lease that is gone.
     pub(super) fn apply(&self, leases: &HeldLeases, effects: &Effects, tables: Vec<StoredTable>) {
         self.leases.update(leases);
         let mut changes = LeaseChanges::default();
         if !self.ignores_lease_expiry {
             changes.lost = effects.lost.iter().map(|slice| SliceId(*slice)).collect();
-            changes.lapsed = effects.expired.iter().map(|slice| SliceId(*slice)).collect();
+            changes.expired = effects.expired.iter().map(|slice| SliceId(*slice)).collect();
         }
         let mut tables: BTreeMap<u16, StoredTable> =
             tables.into_iter().map(|table| (table.slice, table)).collect();
         for (slice, epoch) in &effects.acquired {
             // The store gives each with its table; without one it is filled as a slice that has none.
             let table = tables.remove(slice).unwrap_or(StoredTable::empty(*slice));
-            changes.gained.push(table.acquired(epoch.0));
+            changes.acquired.push(table.acquired(epoch.0));
         }
         if !changes.is_empty() {
             self.inbox.send(OwnerEvent::LeaseChanges(changes));
--- a/crates/railhub-steward/src/owner.rs
+++ b/crates/railhub-steward/src/owner.rs
@@ -164,7 +164,7 @@
         let targets = &self.environment.targets;
         let mut figures = self.core.figures();
         figures.reports_dropped += self.inbox.reports_dropped.load(Ordering::Relaxed);
-        figures.probes_dropped = targets.health_checker.dropped();
+        figures.health_checks_dropped = targets.health_checker.dropped();
         figures.traffic_dropped = targets.traffic.as_ref().map_or(0, |traffic| traffic.dropped);
         figures
     }
@@ -187,11 +187,11 @@
 }
 
 fn log_lease_changes(changes: &LeaseChanges) {
-    let gained: Vec<SliceId> = changes.gained.iter().map(|acquired| acquired.slice).collect();
+    let acquired: Vec<SliceId> = changes.acquired.iter().map(|acquired| acquired.slice).collect();
     tracing::info!(
-        gained = slice_numbers(&gained),
+        acquired = slice_numbers(&acquired),
         lost = slice_numbers(&changes.lost),
-        lapsed = slice_numbers(&changes.lapsed),
+        expired = slice_numbers(&changes.expired),
         "leases changed"
     );
 }
--- a/crates/railhub-steward/src/process_environment.rs
+++ b/crates/railhub-steward/src/process_environment.rs
@@ -1,4 +1,4 @@
-//! Carries out in this process what the core orders: probes, tables for the store, log lines.
+//! Carries out in this process what the core orders: health checks, tables for the store, log lines.
 use crate::change::Change;
 use crate::core::{Environment, SessionEvent};
 use crate::health_checker::HealthChecker;
@@ -9,7 +9,7 @@
 
 /// Where the core's orders go besides the proxies.
 pub(crate) struct CommandTargets {
-    /// Probes hosts.
+    /// Checks the health of hosts.
     pub(crate) health_checker: HealthChecker,
     /// Writes tables; absent where there are no slices.
     pub(crate) store: Option<Arc<StoreWriter>>,
@@ -26,7 +26,7 @@
 }
 
 impl Environment for ProcessEnvironment {
-    fn probe(&mut self, host: HostId) {
+    fn check_health(&mut self, host: HostId) {
         self.targets.health_checker.submit(host);
     }
 
--- a/crates/railhub-steward/src/service.rs
+++ b/crates/railhub-steward/src/service.rs
@@ -65,8 +65,11 @@
             ignores_lease_expiry: ignores_lease_expiry(&installation),
         });
         let membership = start_membership(&installation, &figures, sharing)?;
-        let health_checker =
-            health_checker::start(installation.max_concurrent_probes, installation.probe_timeout, &inbox);
+        let health_checker = health_checker::start(
+            installation.max_concurrent_health_checks,
+            installation.health_check_timeout,
+            &inbox,
+        );
         let endpoint_list = endpoint_list_poller::start(installation.endpoint_list, inbox.clone());
         // Where controllers share the slices, versions and leases are of the same process.
         let shares = installation.shares();
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-steward/tests/handover.rs
@@ -48,7 +48,7 @@
 }
 
 impl Environment for RecordingEnvironment {
-    fn probe(&mut self, _: HostId) {}
+    fn check_health(&mut self, _: HostId) {}
     fn store_table(&mut self, _: SliceId, _: u64, _: Vec<WeightedHost>) {}
     fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, state: SliceHandoff) {
         assert!(!entries.is_empty(), "the table goes along");
@@ -85,10 +85,10 @@
     core
 }
 
-fn gained(epoch: u64, handoff: Option<(SliceHandoff, Seconds)>) -> LeaseChanges {
+fn acquired(epoch: u64, handoff: Option<(SliceHandoff, Seconds)>) -> LeaseChanges {
     let entries = vec![(host(1), 1.0).into()];
-    let gained = vec![SliceAcquired { slice: SLICE, entries, epoch, handoff }];
-    LeaseChanges { gained, ..LeaseChanges::default() }
+    let acquired = vec![SliceAcquired { slice: SLICE, entries, epoch, handoff }];
+    LeaseChanges { acquired, ..LeaseChanges::default() }
 }
 
 fn lost() -> LeaseChanges {
@@ -131,7 +131,7 @@
 fn an_heir_knows_what_a_slice_brought_and_forgets_it_when_that_is_old() {
     let (mut first, mut environment) = (core(1), RecordingEnvironment::default());
     let sent = join(&mut first, &mut environment);
-    first.on_lease_changes(0.0, gained(1, None), &mut environment);
+    first.on_lease_changes(0.0, acquired(1, None), &mut environment);
     (0..6).for_each(|n| second(&mut first, 0.1 + f64::from(n), 40, &mut environment));
     first.on_lease_changes(6.0, lost(), &mut environment);
     let (slice, epoch, state) = environment.handed_on.pop().expect("it tells of what it gives up");
@@ -145,7 +145,7 @@
     assert!(published[before..].iter().all(|publication| publication.change.slices().is_empty()));
     let rate_after = |age: Seconds| {
         let (mut next_holder, mut environment) = (core(2), RecordingEnvironment::default());
-        next_holder.on_lease_changes(10.0, gained(2, Some((state, age))), &mut environment);
+        next_holder.on_lease_changes(10.0, acquired(2, Some((state, age))), &mut environment);
         next_holder.process(10.0, || 10.0, &mut environment);
         next_holder.on_lease_changes(10.1, lost(), &mut environment);
         environment.handed_on.pop().expect("it tells on").2.rate
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-steward/tests/wire_fixtures.rs
@@ -243,7 +243,7 @@
     );
     assert_eq!(read.class_names, ["view", "pay", "near"]);
     assert_eq!(
-        (read.max_reports_per_second, read.probe_timeout, read.max_concurrent_probes),
+        (read.max_reports_per_second, read.health_check_timeout, read.max_concurrent_health_checks),
         (801.0, 0.3, 65)
     );
     assert_eq!((read.response_timeout, read.subscribe_timeout, read.idle_timeout), (11.0, 6.0, 12.0));
@@ -280,7 +280,7 @@
     let read = read("[steward]\nroster = 127.0.0.1:7001\n[class view]\ncontract_time = 0.8\n[fleet]\nid = 1\ninstallation = a\n");
     assert_eq!((read.listen.port(), read.store, read.traffic.is_none()), (0, None, true));
     assert_eq!(
-        (read.max_reports_per_second, read.probe_timeout, read.max_concurrent_probes),
+        (read.max_reports_per_second, read.health_check_timeout, read.max_concurrent_health_checks),
         (800.0, 0.4, 64)
     );
     assert_eq!((read.response_timeout, read.subscribe_timeout, read.idle_timeout), (10.0, 5.0, 10.0));
