--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -39,7 +39,7 @@
 
 /// An invalid entry of the known list does not end the start, which would leave nobody in control.
 fn log_invalid_entries(config: &NodeConfig) {
-    let invalid_entries = config.known.invalid.len();
+    let invalid_entries = config.known_endpoints.invalid.len();
     if invalid_entries > 0 {
         tracing::warn!(invalid_entries, "invalid entries in the known list, requesting the complete list");
     }
--- a/crates/railhub-platform/src/call.rs
+++ b/crates/railhub-platform/src/call.rs
@@ -21,6 +21,7 @@
 /// | `InFlightOutdated` | it ends, with or without a response | `OutcomeUnknown` |
 /// | `Idle` | a slice is assigned anew that the rest of an ended call is about | `OutcomeUnknown` |
 /// | `Idle` | too many commands were accepted before a snapshot was complete | `OutcomeUnknown` |
+/// | `InFlightOutdated`, `OutcomeUnknown` | a slice that it is about is assigned anew | the same, with a newer `latest` |
 /// | `OutcomeUnknown` | a snapshot that was requested later shows the outcome | `Idle` |
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum CallState {
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -111,7 +111,7 @@
     /// Megabytes of memory that the process may use.
     pub memory_mb: usize,
     /// The list of hosts as this controller last had it; it may be old.
-    pub known: EndpointPage,
+    pub known_endpoints: EndpointPage,
     /// The configuration of the decisions.
     pub controller: ControllerConfig,
     /// The names that messages use.
@@ -125,7 +125,7 @@
     pub fn first_list(&self) -> EndpointList {
         EndpointList {
             complete: true,
-            entries: self.known.entries.iter().map(|entry| entry.endpoint).collect(),
+            entries: self.known_endpoints.entries.iter().map(|entry| entry.endpoint).collect(),
         }
     }
 }
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -41,7 +41,7 @@
     batch: PendingBatch,
     timers: Timers,
     subscription: Subscription,
-    assignments: PendingAssignments,
+    pending_assignments: PendingAssignments,
     hosts: HostDirectory,
     proxies: BTreeSet<ProxyId>,
     commands: PendingCommands,
@@ -62,7 +62,7 @@
             batch: PendingBatch { changed: true, ..PendingBatch::default() },
             timers: Timers::default(),
             subscription: Subscription::default(),
-            assignments: PendingAssignments::default(),
+            pending_assignments: PendingAssignments::default(),
             hosts: HostDirectory::default(),
             proxies: BTreeSet::new(),
             commands: PendingCommands::new(&config.controller),
@@ -70,7 +70,7 @@
             call: CallTracker::default(),
             probes_outdated: 0,
         };
-        controller.on_endpoint_page(0.0, &config.known);
+        controller.on_endpoint_page(0.0, &config.known_endpoints);
         controller
     }
 
@@ -134,7 +134,7 @@
             RelayEvent::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
             RelayEvent::SliceAssigned { slice, assigned } => {
                 self.discard_commands(slice, assigned);
-                self.assignments.on_assigned(now, slice, assigned);
+                self.pending_assignments.on_assigned(now, slice, assigned);
             }
             RelayEvent::StoredEntry { slice, line } => {
                 let decisions = &self.decisions;
@@ -143,7 +143,14 @@
                     Some(lines.to_vec())
                 };
                 let batched = &mut self.batch.events.assignments;
-                self.assignments.on_stored_entry(now, slice, line, self.single_owner, batched, known_table);
+                self.pending_assignments.on_stored_entry(
+                    now,
+                    slice,
+                    line,
+                    self.single_owner,
+                    batched,
+                    known_table,
+                );
             }
             RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
         }
@@ -180,7 +187,7 @@
         let Some(snapshot) = self.subscription.complete_snapshot(self.single_owner) else { return };
         self.batch.changed = true;
         // Assignments of before are part of the snapshot; that a proxy left before it is not.
-        self.assignments.assignments.clear();
+        self.pending_assignments.clear();
         self.batch.events.assignments.clear();
         for event in stream_changes(&self.proxies, &snapshot.proxies) {
             self.add_stream_event(event);
@@ -228,7 +235,7 @@
     }
 
     fn batch_deadline(&self) -> Option<Seconds> {
-        let assignments = self.assignments.idle_deadline();
+        let assignments = self.pending_assignments.idle_deadline();
         let timer = self.timers.next_due();
         let tick = self.batch.changed.then_some(self.batch.handled_at + self.tick_interval);
         [assignments, timer, tick].into_iter().flatten().min_by(f64::total_cmp)
@@ -242,8 +249,8 @@
         if self.snapshot_covering_call().is_some_and(|snapshot| snapshot.shows_outcomes(now)) {
             self.settle_call();
         }
-        if self.assignments.are_complete(now) {
-            self.batch.events.assignments.append(&mut self.assignments.assignments);
+        if self.pending_assignments.are_complete(now) {
+            self.pending_assignments.move_into(&mut self.batch.events.assignments);
             self.batch.changed = true;
         }
         if self.subscription.is_synchronized() && self.is_batch_due(now) {
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -11,6 +11,13 @@
     )
 }
 
+/// The assignments whose lines may still come.
+fn pending_assignments(controller: &PlatformController) -> Vec<SliceAssignment> {
+    let mut assignments = Vec::new();
+    controller.pending_assignments.clone().move_into(&mut assignments);
+    assignments
+}
+
 #[test]
 fn reports_a_proxy_that_left_just_before_a_new_subscription() {
     let mut controller = controller();
@@ -66,7 +73,7 @@
     }
     let stored = WeightedHost { host: HostId::new("s-2").expect("a name"), weight: 1.0 };
     assert_eq!(
-        controller.assignments.assignments,
+        pending_assignments(&controller),
         [SliceAssignment::Assigned { slice, entries: vec![stored] }]
     );
     controller.commands.push(Command::SetWeight {
@@ -88,7 +95,7 @@
         NONE,
         RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
     );
-    assert_eq!(controller.assignments.assignments, [SliceAssignment::Revoked { slice }]);
+    assert_eq!(pending_assignments(&controller), [SliceAssignment::Revoked { slice }]);
     assert_eq!(
         controller.batch.events.assignments,
         [SliceAssignment::Assigned { slice, entries: Vec::new() }]
@@ -100,5 +107,5 @@
         RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
     );
     let entries = vec![WeightedHost { host, weight: 1.0 }];
-    assert_eq!(controller.assignments.assignments[1], SliceAssignment::Assigned { slice, entries });
+    assert_eq!(pending_assignments(&controller)[1], SliceAssignment::Assigned { slice, entries });
 }
--- a/crates/railhub-platform/src/slice_assignments.rs
+++ b/crates/railhub-platform/src/slice_assignments.rs
@@ -6,9 +6,9 @@
 const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
 
 /// Assignments whose lines may still come.
-#[derive(Debug, Default)]
+#[derive(Clone, Debug, Default)]
 pub(crate) struct PendingAssignments {
-    pub(crate) assignments: Vec<SliceAssignment>,
+    assignments: Vec<SliceAssignment>,
     last_event_at: Seconds,
 }
 
@@ -48,6 +48,16 @@
         }
     }
 
+    /// Discards all: a snapshot has them.
+    pub(crate) fn clear(&mut self) {
+        self.assignments.clear();
+    }
+
+    /// Moves all into the next batch.
+    pub(crate) fn move_into(&mut self, batched: &mut Vec<SliceAssignment>) {
+        batched.append(&mut self.assignments);
+    }
+
     /// When the assignments count as complete if no event comes before.
     pub(crate) fn idle_deadline(&self) -> Option<Seconds> {
         (!self.assignments.is_empty()).then_some(self.last_event_at + ASSIGNMENT_IDLE_TIMEOUT)
--- a/crates/railhub-platform/src/wire/configuration.rs
+++ b/crates/railhub-platform/src/wire/configuration.rs
@@ -102,7 +102,7 @@
             sockets: file.limits.sockets,
             memory_mb: amount(file.limits.memory_mb, "limits.memory_mb")? as usize,
             tick_interval: duration(file.settings.tick_us, "settings.tick_us")?,
-            known: file.known.convert(&names),
+            known_endpoints: file.known.convert(&names),
             controller,
             names,
         })
--- a/crates/railhub-platform/src/wire/mod.rs
+++ b/crates/railhub-platform/src/wire/mod.rs
@@ -3,8 +3,8 @@
 //! One file a peer: [`relay`] (events, calls and responses), [`collector`] (load reports, at the controller's own
 //! address), [`discovery`] (the list of hosts), [`hosts`] (health checks) and [`configuration`] (the file at the start).
 //! Each converts between bytes and the typed values of [`crate::RelayEvent`], [`crate::CollectorMessage`], [`crate::EndpointPage`] and
-//! [`crate::NodeConfig`], and checks what it decodes: whatever leaves this module has known names and finite numbers in
-//! their ranges.
+//! [`crate::NodeConfig`], and checks what it decodes: names that the configuration lists, finite numbers in their ranges.
+//! Numbers of proxies, and of slices that the relay names, are not bounded here.
 pub mod collector;
 pub mod configuration;
 pub mod discovery;
--- a/crates/railhub-platform/tests/controller/calls.rs
+++ b/crates/railhub-platform/tests/controller/calls.rs
@@ -164,7 +164,7 @@
         .replacen("draining", "ready", 1);
     let known = NodeConfig::parse(&drains.replace("\"generation\": 41", "\"generation\": 42"))
         .expect("a valid file")
-        .known;
+        .known_endpoints;
     assert!(controller.on_endpoint_page(START + 0.1, &known));
     controller.poll(START + 0.1);
     assert!(controller.next_call().is_none(), "the first update may wait for all that have joined since");
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -25,7 +25,7 @@
     );
     assert_eq!(read.controller.classes[1].idempotency, Idempotency::Never);
     let list = read.first_list();
-    assert!(list.complete && read.known.generation == 41);
+    assert!(list.complete && read.known_endpoints.generation == 41);
     assert_eq!(list.entries[0].host, HostId::new("s-1").expect("a name"));
     assert_eq!((list.entries[0].started_at, list.entries[1].started_at), (None, Some(1_700_000_000.25)));
 }
@@ -53,12 +53,19 @@
     {
         assert!(FILE.contains(from), "{from}");
         let read = NodeConfig::parse(&FILE.replace(from, to)).expect("a start");
-        assert_eq!((read.known.invalid.len(), read.known.entries.len(), read.known.complete), (1, 1, false));
+        assert_eq!(
+            (
+                read.known_endpoints.invalid.len(),
+                read.known_endpoints.entries.len(),
+                read.known_endpoints.complete
+            ),
+            (1, 1, false)
+        );
         // Generation 0: the complete list is requested, and counts under whatever generation it comes.
         assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
     let empty = FILE.replace("\"instances\": [", "\"instances\": [], \"old\": [");
-    assert_eq!(NodeConfig::parse(&empty).expect("a start").known.entries.len(), 0);
+    assert_eq!(NodeConfig::parse(&empty).expect("a start").known_endpoints.entries.len(), 0);
 }
 
 #[test]
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -268,7 +268,7 @@
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
     assert_eq!(
-        (read.sockets, read.memory_mb, read.tick_interval, read.known.generation),
+        (read.sockets, read.memory_mb, read.tick_interval, read.known_endpoints.generation),
         (256, 32, 0.001, 41)
     );
     assert_eq!(read.names.classes, ["view", "deposit"]);
