--- a/crates/railhub-platform/src/call.rs
+++ b/crates/railhub-platform/src/call.rs
@@ -145,3 +145,6 @@
         self.resubscribe.take()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/railhub-platform/src/call/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+
+const fn id(sequence: u64) -> SubscriptionId {
+    SubscriptionId { config_version: 0, sequence }
+}
+
+#[test]
+fn one_call_is_in_flight_at_a_time() {
+    let mut call = CallTracker::default();
+    assert_eq!(call.blocker(), None);
+    call.on_sent();
+    assert_eq!(call.blocker(), Some(CallBlocker::InFlight));
+    call.on_ended(id(1));
+    assert_eq!((call.blocker(), call.take_resubscribe_reason()), (None, None));
+}
+
+#[test]
+fn an_outdated_calls_outcome_is_unknown_even_after_a_response() {
+    let mut call = CallTracker::default();
+    call.on_sent();
+    call.require_snapshot(id(1), ResubscribeReason::SliceReassigned);
+    assert_eq!(call.blocker(), Some(CallBlocker::InFlight));
+    assert_eq!(call.outcome_unknown_at(), None, "a snapshot of before its end may not show it");
+    assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::SliceReassigned));
+    call.on_ended(id(2));
+    assert_eq!(call.blocker(), Some(CallBlocker::OutcomeUnknown));
+    assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::OutdatedCallEnded));
+    assert_eq!(call.outcome_unknown_at(), Some(id(2)));
+}
+
+#[test]
+fn a_subscription_that_was_requested_too_early_needs_another() {
+    let mut call = CallTracker::default();
+    call.require_snapshot(id(3), ResubscribeReason::OutcomeUnknown);
+    assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::OutcomeUnknown));
+    call.on_subscribed(id(3));
+    assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::SubscriptionTooEarly));
+    call.on_subscribed(id(4));
+    assert_eq!(call.take_resubscribe_reason(), None);
+    call.on_outcome_known();
+    assert_eq!(call.blocker(), None);
+}
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -293,3 +293,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
