--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -1,10 +1,10 @@
 //! `railhub controller` and `railhub conf check`.
 use crate::Ending;
 use clap::Args;
+use railhub_controller::{Installation, Running};
 use railhub_day::Day;
 use railhub_ini::Document;
 use railhub_platform_net::Signals;
-use railhub_steward::{Installation, Running};
 use serde::Serialize;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::io::{Read, Write};
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -3,12 +3,12 @@
 use crate::fleet_shares::{Drain, Slices};
 use crate::Ending;
 use clap::{Args, Subcommand};
+use railhub_controller::membership::MembershipSettings;
 use railhub_ini::Document;
 use railhub_membership::member::Status;
 use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
-use railhub_steward::membership::MembershipSettings;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -2,12 +2,12 @@
 use crate::fleet::{look_at_all, Told, ToldLine};
 use crate::Ending;
 use clap::Args;
+use railhub_controller::membership::MembershipSettings;
+use railhub_controller::Installation;
 use railhub_ini::Document;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
 use railhub_net::http::{Client, HttpError};
-use railhub_steward::membership::MembershipSettings;
-use railhub_steward::Installation;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -1,4 +1,4 @@
-//! What streams cost, as ratios within one run: `cargo bench -p railhub-steward`.
+//! What streams cost, as ratios within one run: `cargo bench -p railhub-controller`.
 //!
 //! The steward runs as a process of its own (this binary, started anew); peers are coroutines here, which read
 //! frames and acknowledge them without taking them in.
@@ -40,7 +40,7 @@
 fn be_steward(conf: &str) {
     let document = railhub_ini::Document::parse("bench", conf).expect("readable");
     let running =
-        railhub_steward::Running::start(railhub_steward::Installation::read(&document).expect("right"))
+        railhub_controller::Running::start(railhub_controller::Installation::read(&document).expect("right"))
             .expect("loopback");
     println!("{}", running.address);
     for line in std::io::stdin().lines() {
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! A small fleet around a controller, and peers that are driven step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
+use railhub_controller::{Installation, Running};
 use railhub_proto::{
     frame, from_controller, from_proxy, Ack, Deframer, Delta, FromController, FromProxy, LoadReport, Nack,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
@@ -11,7 +12,6 @@
 use railhub_standin::roster::{Roster, RosterEntry, READY};
 use railhub_standin::store::Store;
 use railhub_standin::ClassFacts;
-use railhub_steward::{Installation, Running};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Once};
--- a/crates/railhub-steward/tests/handover.rs
+++ b/crates/railhub-controller/tests/handover.rs
@@ -4,16 +4,16 @@
     WeightedHost,
 };
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
-use railhub_ini::Document;
-use railhub_proto::{LoadReport, SliceLoad, Subscribe};
-use railhub_steward::change::Change;
-use railhub_steward::core::{
+use railhub_controller::change::Change;
+use railhub_controller::core::{
     CloseReason, ControllerCore, Environment, LeaseChanges, ProxyChannel, SessionEvent, SliceAcquired,
     StreamId,
 };
-use railhub_steward::delta_queue::{DeltaResponse, ResponseEffect};
-use railhub_steward::publication::Publication;
-use railhub_steward::Installation;
+use railhub_controller::delta_queue::{DeltaResponse, ResponseEffect};
+use railhub_controller::publication::Publication;
+use railhub_controller::Installation;
+use railhub_ini::Document;
+use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use std::sync::{Arc, Mutex};
 
 /// A proxy that confirms nothing and keeps what it is sent.
--- a/crates/railhub-steward/tests/wire_fixtures.rs
+++ b/crates/railhub-controller/tests/wire_fixtures.rs
@@ -1,13 +1,13 @@
 //! What a controller reads and writes, byte for byte: its INI file, the bodies it exchanges with the endpoint list and
 //! the store, the deltas it publishes, the traffic it records and the figures it shows.
 use railhub::{ClassId, HostId, Idempotency, ProxyId, RetryPolicy, SliceId, ZoneId};
+use railhub_controller::change::{Change, ClassAdmission};
+use railhub_controller::membership::MembershipFigures;
+use railhub_controller::publication::Publication;
+use railhub_controller::traffic_writer::TrafficWriter;
+use railhub_controller::{Figures, Installation, Running};
 use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad};
-use railhub_steward::change::{Change, ClassAdmission};
-use railhub_steward::membership::MembershipFigures;
-use railhub_steward::publication::Publication;
-use railhub_steward::traffic_writer::TrafficWriter;
-use railhub_steward::{Figures, Installation, Running};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
--- a/crates/railhub-fleet/src/baseline.rs
+++ b/crates/railhub-fleet/src/baseline.rs
@@ -1,9 +1,9 @@
 //! What plain policies publish, for comparing: they go by the list, one of them by sums as well.
 use crate::list::Line;
 use railhub::{HostId, Phase, SliceAssignment, SliceId, WeightedHost};
+use railhub_controller::change::Change;
+use railhub_controller::tables::Tables;
 use railhub_proto::LoadReport;
-use railhub_steward::change::Change;
-use railhub_steward::tables::Tables;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/railhub-fleet/src/events.rs
+++ b/crates/railhub-fleet/src/events.rs
@@ -1,9 +1,9 @@
 //! What is due, in the order of its time; of what is due at once, the first said is the first done.
 use crate::operations::OpId;
+use railhub_controller::core::StreamId;
+use railhub_controller::publication::Publication;
 use railhub_proto::LoadReport;
 use railhub_standin::CallEnd;
-use railhub_steward::core::StreamId;
-use railhub_steward::publication::Publication;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-fleet/src/steward.rs
@@ -7,12 +7,16 @@
     HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId, WeightedHost,
     ZoneId,
 };
+use railhub_controller::change::Change;
+use railhub_controller::core::{
+    CloseReason, ControllerCore, Environment, ProxyChannel, SessionEvent, StreamId,
+};
+use railhub_controller::delta_queue::{
+    DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction,
+};
+use railhub_controller::publication::Publication;
 use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
-use railhub_steward::change::Change;
-use railhub_steward::core::{CloseReason, ControllerCore, Environment, ProxyChannel, SessionEvent, StreamId};
-use railhub_steward::delta_queue::{DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction};
-use railhub_steward::publication::Publication;
 use railhub_versions::Version;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
--- a/crates/railhub-versions/src/process.rs
+++ b/crates/railhub-versions/src/process.rs
@@ -1,8 +1,8 @@
 //! The program that decides. It is asked and waited for: a simulated run goes on when it has answered.
 use crate::wire;
 use railhub::{ControllerConfig, EventBatch};
-use railhub_steward::decision_engine::DecisionEngine;
-use railhub_steward::delta_builder::DeltaBuilder;
+use railhub_controller::decision_engine::DecisionEngine;
+use railhub_controller::delta_builder::DeltaBuilder;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/crates/railhub-versions/src/wire.rs
+++ b/crates/railhub-versions/src/wire.rs
@@ -3,7 +3,7 @@
     BarrierId, ClassId, CommandSink, ControllerConfig, EventBatch, HealthCheckOutcome, HostId, Idempotency,
     Phase, ProxyId, ProxyStreamEvent, RetryPolicy, Seconds, SliceAssignment, SliceId, TimerId, WeightedHost,
 };
-use railhub_steward::delta_builder::DeltaBuilder;
+use railhub_controller::delta_builder::DeltaBuilder;
 use std::fmt::{Display, Write};
 use std::str::FromStr;
 
