--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -5,10 +5,10 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use railhub_day::report::{rules_words, service, words, Report, Service};
 use railhub_day::{import, play, Day};
+use railhub_emulator::proxy::Sabotage;
 use railhub_record::{read, read_part, Event};
 use railhub_rules::{judge, limits};
 use railhub_series::{causes, over_time, told};
-use railhub_standin::proxy::Sabotage;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
--- a/crates/railhub-cli/tests/shares.rs
+++ b/crates/railhub-cli/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Stewards that share slices, as processes: days and drawn faults through the real binary, judged from what crossed the
 //! sockets; each sabotage is found. A failing case prints its seed, what broke and where its logs are.
 use railhub_chaos::bed::Process;
-use railhub_standin::store::Store;
+use railhub_emulator::store::Store;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -3,13 +3,13 @@
 //! The steward runs as a process of its own (this binary, started anew); peers are coroutines here, which read
 //! frames and acknowledge them without taking them in.
 use may::net::{TcpListener, TcpStream};
+use railhub_emulator::host::{HostFacts, OpenHost, Repeated};
+use railhub_emulator::roster::{Roster, RosterEntry, DRAINING, READY};
+use railhub_emulator::store::Store;
 use railhub_net::{connect, now, seconds, spawn, Task};
 use railhub_proto::{
     frame, from_proxy, Ack, FromController, FromProxy, HostLoad, LoadReport, SliceLoad, Subscribe,
 };
-use railhub_standin::host::{HostFacts, OpenHost, Repeated};
-use railhub_standin::roster::{Roster, RosterEntry, DRAINING, READY};
-use railhub_standin::store::Store;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::SocketAddr;
--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -2,16 +2,16 @@
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
 use railhub_controller::{Installation, Running};
+use railhub_emulator::held::Held;
+use railhub_emulator::host::{HostFacts, OpenHost, Repeated};
+use railhub_emulator::roster::{Roster, RosterEntry, READY};
+use railhub_emulator::store::Store;
+use railhub_emulator::ClassFacts;
 use railhub_proto::{
     frame, from_controller, from_proxy, Ack, Deframer, Delta, FromController, FromProxy, LoadReport, Nack,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
 use railhub_record::{Recorder, Repeats};
-use railhub_standin::held::Held;
-use railhub_standin::host::{HostFacts, OpenHost, Repeated};
-use railhub_standin::roster::{Roster, RosterEntry, READY};
-use railhub_standin::store::Store;
-use railhub_standin::ClassFacts;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Once};
--- a/crates/railhub-controller/tests/surroundings.rs
+++ b/crates/railhub-controller/tests/surroundings.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::{entry, eventually, fleet, names, tables, Peer, Received};
+use railhub_emulator::roster::{DRAINING, GONE, READY};
 use railhub_proto::{HostLoad, LoadReport, SliceLoad};
-use railhub_standin::roster::{DRAINING, GONE, READY};
 use std::time::Duration;
 
 const SHORT: Duration = Duration::from_millis(1500);
@@ -91,7 +91,7 @@
     peer.apply_until(|held| held.tables().len() == 20);
     let dead = fleet.address(2);
     fleet.hosts[2].host.die();
-    let standby_only = |held: &railhub_standin::held::Held| {
+    let standby_only = |held: &railhub_emulator::held::Held| {
         held.tables().values().all(|table| table.iter().all(|line| line.0 != dead || line.1 < 0.5))
     };
     peer.apply_until(standby_only);
@@ -124,7 +124,7 @@
     let fleet = fleet(4, 0);
     let controller = fleet.start();
     let mut peers: Vec<Peer> = (0..5).map(|n| Peer::connect(controller.address, n)).collect();
-    let lines = |held: &railhub_standin::held::Held| held.tables().values().map(Vec::len).sum::<usize>();
+    let lines = |held: &railhub_emulator::held::Held| held.tables().values().map(Vec::len).sum::<usize>();
     for peer in &mut peers {
         peer.apply_until(|held| held.on_table == Some(0) && lines(held) == 4);
     }
--- a/crates/railhub-day/src/draw.rs
+++ b/crates/railhub-day/src/draw.rs
@@ -3,8 +3,8 @@
 use crate::replay;
 use crate::script::Day;
 use crate::troubles::{Act, GiveUpHow, ShiftHow};
-use railhub_standin::client::Drawn;
-use railhub_standin::host::HostFacts;
+use railhub_emulator::client::Drawn;
+use railhub_emulator::host::HostFacts;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Zipf};
--- a/crates/railhub-day/src/replay.rs
+++ b/crates/railhub-day/src/replay.rs
@@ -5,9 +5,9 @@
 //! the day's shape and growth do not, what was recorded has its own.
 use crate::draw::{self, Arrival, Coming};
 use crate::script::{ClassScript, Day};
+use railhub_emulator::client::Drawn;
 use railhub_ini::{Diagnostic, Section};
 use railhub_record::{Event, Limits, What};
-use railhub_standin::client::Drawn;
 use railhub_traffic::scale::{scale, CopiesOf};
 use railhub_traffic::{file, Facts, Row, Traffic, OPERATIONS_MOST};
 use rand::RngExt;
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-day/src/script.rs
@@ -2,12 +2,12 @@
 use crate::replay;
 use crate::stewards::TestClock;
 use crate::troubles::{self, Trouble};
+use railhub_emulator::client::ClientFacts;
+use railhub_emulator::held::Pick;
+use railhub_emulator::ClassFacts;
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::{ClassLimits, Limits, Repeats};
-use railhub_standin::client::ClientFacts;
-use railhub_standin::held::Pick;
-use railhub_standin::ClassFacts;
 use railhub_traffic::Traffic;
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/railhub-day/src/troubles.rs
+++ b/crates/railhub-day/src/troubles.rs
@@ -2,10 +2,10 @@
 use crate::draw;
 use crate::script::Day;
 use crate::world::World;
+use railhub_emulator::host::Ailments;
+use railhub_emulator::links::SlowLink;
 use railhub_ini::{Diagnostic, Section};
 use railhub_net::{now, seconds};
-use railhub_standin::host::Ailments;
-use railhub_standin::links::SlowLink;
 use rand::seq::SliceRandom;
 use std::sync::Arc;
 
--- a/crates/railhub-fleet/src/events.rs
+++ b/crates/railhub-fleet/src/events.rs
@@ -2,8 +2,8 @@
 use crate::operations::OpId;
 use railhub_controller::core::StreamId;
 use railhub_controller::publication::Publication;
+use railhub_emulator::CallEnd;
 use railhub_proto::LoadReport;
-use railhub_standin::CallEnd;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
--- a/crates/railhub-fleet/src/hosts.rs
+++ b/crates/railhub-fleet/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts of the model: cores, a queue, a cold start, kept keys, and what ails them.
 use crate::events::{Agenda, Due, HostAt, Job};
-use railhub_standin::host::{Ailments, BusyMeter, HostFacts};
-use railhub_standin::CallEnd;
+use railhub_emulator::host::{Ailments, BusyMeter, HostFacts};
+use railhub_emulator::CallEnd;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/railhub-fleet/src/operations.rs
+++ b/crates/railhub-fleet/src/operations.rs
@@ -2,11 +2,11 @@
 use crate::events::{Due, HostAt, Job};
 use crate::hosts::Taken;
 use crate::world::World;
+use railhub_emulator::client::Drawn;
+use railhub_emulator::held::Pick;
+use railhub_emulator::CallEnd;
 use railhub_proto::RetryCondition;
 use railhub_record::{Effect, OperationEnd, Outcome, Repeats, Try, TryEnd, What};
-use railhub_standin::client::Drawn;
-use railhub_standin::held::Pick;
-use railhub_standin::CallEnd;
 use rand::RngExt;
 use std::net::SocketAddr;
 
--- a/crates/railhub-fleet/src/troubles.rs
+++ b/crates/railhub-fleet/src/troubles.rs
@@ -5,8 +5,8 @@
 use railhub::Phase;
 use railhub_day::draw;
 use railhub_day::troubles::{choose, Act, Ghost, Trouble};
+use railhub_emulator::host::Ailments;
 use railhub_record::{HostDown, HostUp, What};
-use railhub_standin::host::Ailments;
 use std::net::SocketAddr;
 
 /// Seconds by which a host's start is noticed after its end was: one word must not overtake the other.
