--- a/crates/railhub-chaos/src/bed/shared.rs
+++ b/crates/railhub-chaos/src/bed/shared.rs
@@ -3,10 +3,10 @@
 use crate::faults::{Chaos, Fault, What};
 use crate::world::FLAP;
 use crate::Sabotage;
-use railhub_day::stewards::TestClock;
-use railhub_day::troubles::{Act, CutWay, Trouble};
-use railhub_day::Day;
 use railhub_ini::{Diagnostic, Document};
+use railhub_scenario::stewards::TestClock;
+use railhub_scenario::troubles::{Act, CutWay, Trouble};
+use railhub_scenario::Day;
 
 /// The fleet, but for its sizes: hosts that die and a deploy go on beside the stewards' faults.
 const FLEET: &str = include_str!("shared.ini");
--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -6,10 +6,10 @@
 use railhub_chaos::bed::{scratch, shared};
 use railhub_chaos::judge::judge as judge_simulated;
 use railhub_chaos::{run as simulate, Chaos, Fault, Sabotage};
-use railhub_day::{play, report};
 use railhub_emulator::proxy::Sabotage as BrokenProxy;
 use railhub_record::save;
 use railhub_rules::{judge, limits, taken_up, Verdict};
+use railhub_scenario::{play, report};
 use serde::Serialize;
 use std::path::PathBuf;
 
--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -2,9 +2,9 @@
 use crate::Ending;
 use clap::Args;
 use railhub_controller::{Installation, Running};
-use railhub_day::Day;
 use railhub_ini::Document;
 use railhub_platform_net::Signals;
+use railhub_scenario::Day;
 use serde::Serialize;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::io::{Read, Write};
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -2,7 +2,7 @@
 use crate::logs::WHAT;
 use crate::LogForm;
 use railhub_chaos::bed::{Log, Process};
-use railhub_day::{Launch, Launched};
+use railhub_scenario::{Launch, Launched};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -2,8 +2,6 @@
 use crate::scenario::{finish, Run};
 use crate::Ending;
 use clap::{Args, Subcommand, ValueEnum};
-use railhub_day::report::service;
-use railhub_day::Day;
 use railhub_experiment::predict::predict;
 use railhub_experiment::stats::{estimate, Estimate};
 use railhub_fleet::fit::samples;
@@ -11,6 +9,8 @@
 use railhub_ini::{Diagnostic, Document};
 use railhub_record::{read, save};
 use railhub_rules::limits;
+use railhub_scenario::report::service;
+use railhub_scenario::Day;
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -2,7 +2,7 @@
 use crate::scenario::{finish, progress_bar, Run};
 use crate::Ending;
 use clap::Args;
-use railhub_day::{play, Day, Launch, Launched};
+use railhub_scenario::{play, Day, Launch, Launched};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -5,12 +5,12 @@
 use railhub_chaos::view::sim::How;
 use railhub_chaos::view::Seen;
 use railhub_chaos::{Chaos, Fault, Judged, LinkFaults, What};
-use railhub_day::{Launch, Launched};
 use railhub_links::tcp::TcpLink;
 use railhub_links::{Faults, LinkController};
 use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
 use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
+use railhub_scenario::{Launch, Launched};
 use serde_json::Value;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -320,11 +320,11 @@
         Ok(Launched { address, fleet: None, process: None, pause: None, kill })
     });
     let day = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
-    let day = railhub_day::Day::open(Path::new(&day)).expect("a good day");
-    let played = railhub_day::play(&day, Some(launch), None, None, &|_| {}).expect("it plays");
+    let day = railhub_scenario::Day::open(Path::new(&day)).expect("a good day");
+    let played = railhub_scenario::play(&day, Some(launch), None, None, &|_| {}).expect("it plays");
     let rules = railhub_rules::judge(&played.events).expect("a record");
     let limits = railhub_rules::limits(&played.events).expect("limits");
-    let served = railhub_day::report::service(&played.events, limits);
+    let served = railhub_scenario::report::service(&played.events, limits);
     assert!(
         rules.iter().all(|verdict| verdict.kept),
         "seed {}: {rules:#?}, logs: {}",
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -1,7 +1,7 @@
 //! What is kept of a run: its record is thrown away.
-use railhub_day::report::service;
 use railhub_record::Event;
 use railhub_rules::{judge, limits};
+use railhub_scenario::report::service;
 use railhub_series::causes::happenings;
 use railhub_series::tail::Tail;
 use railhub_series::{loads, over_time, tail};
--- a/crates/railhub-fleet/benches/speed.rs
+++ b/crates/railhub-fleet/benches/speed.rs
@@ -1,8 +1,8 @@
 //! How many simulated seconds a second of one core brings, by fleet size. Prints a table; asserts nothing: a
 //! timed test would fail on a busy machine.
-use railhub_day::Day;
 use railhub_fleet::{run, Physics, Policy};
 use railhub_ini::Document;
+use railhub_scenario::Day;
 use std::path::Path;
 use std::time::Instant;
 
@@ -48,7 +48,7 @@
     // Cores that fit the rate, at the same load.
     let rate = RATE_A_HOST * hosts as f64;
     let work: f64 = day.classes.iter().map(|class| class.share * class.work).sum();
-    let power = railhub_day::draw::capacity(&railhub_day::draw::hosts(&day, day.hosts, "hosts"));
+    let power = railhub_scenario::draw::capacity(&railhub_scenario::draw::hosts(&day, day.hosts, "hosts"));
     let scale = day.load * power / (rate * work);
     day.classes.iter_mut().for_each(|class| class.work *= scale);
     day.limits.backlog *= (hosts as f64 / 150.0).powi(2).max(1.0);
--- a/crates/railhub-fleet/src/fit/tests.rs
+++ b/crates/railhub-fleet/src/fit/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{run, Physics, Policy};
-use railhub_day::Day;
+use railhub_scenario::Day;
 
 #[test]
 fn what_went_into_a_record_is_read_out_of_it() {
--- a/crates/railhub-fleet/src/troubles.rs
+++ b/crates/railhub-fleet/src/troubles.rs
@@ -3,10 +3,10 @@
 use crate::list::Line;
 use crate::world::World;
 use railhub::Phase;
-use railhub_day::draw;
-use railhub_day::troubles::{choose, Act, Ghost, Trouble};
 use railhub_emulator::host::Ailments;
 use railhub_record::{HostDown, HostUp, What};
+use railhub_scenario::draw;
+use railhub_scenario::troubles::{choose, Act, Ghost, Trouble};
 use std::net::SocketAddr;
 
 /// Seconds by which a host's start is noticed after its end was: one word must not overtake the other.
--- a/crates/railhub-fleet/tests/days.rs
+++ b/crates/railhub-fleet/tests/days.rs
@@ -1,10 +1,10 @@
 //! The model plays the days that the stand-ins play, the same to the byte, and keeps the rules.
 use prost::Message;
-use railhub_day::report::service;
-use railhub_day::Day;
 use railhub_fleet::{run, Baseline, Physics, Policy};
 use railhub_record::{Event, What};
 use railhub_rules::{judge, limits};
+use railhub_scenario::report::service;
+use railhub_scenario::Day;
 use std::path::Path;
 
 fn day(name: &str) -> Day {
@@ -46,8 +46,8 @@
     for policy in [Policy::Steward, Policy::Fixed, Policy::Baseline(Baseline::Even)] {
         let events = play(&day, &policy);
         let ends = events.iter().filter(|event| matches!(event.what, Some(What::Operation(_)))).count();
-        let facts = railhub_day::draw::hosts(&day, day.hosts, "hosts");
-        let drawn = railhub_day::draw::arrivals(&day, railhub_day::draw::capacity(&facts)).len();
+        let facts = railhub_scenario::draw::hosts(&day, day.hosts, "hosts");
+        let drawn = railhub_scenario::draw::arrivals(&day, railhub_scenario::draw::capacity(&facts)).len();
         assert_eq!(ends, drawn, "{policy:?}");
     }
 }
--- a/crates/railhub-day/tests/late.rs
+++ b/crates/railhub-scenario/tests/late.rs
@@ -1,5 +1,5 @@
 //! A day that cannot begin in time is not played.
-use railhub_day::{play, Day, Launched};
+use railhub_scenario::{play, Day, Launched};
 use std::path::Path;
 use std::sync::Arc;
 
--- a/crates/railhub-series/tests/days.rs
+++ b/crates/railhub-series/tests/days.rs
@@ -1,8 +1,8 @@
 //! A model's record of a bad day, as figures over time.
-use railhub_day::{draw, Day};
 use railhub_fleet::{run, Physics, Policy};
 use railhub_record::{Event, Limits};
 use railhub_rules::limits;
+use railhub_scenario::{draw, Day};
 use railhub_series::{loads, over_time, tail, told};
 use std::path::Path;
 
