--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -1,9 +1,9 @@
 //! The adapter as a version that steers a fleet in the model, beside the module in the same process.
-use railhub_fleet::{run, Physics, Policy};
 use railhub_record::Event;
 use railhub_rules::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
+use railhub_simulator::{run, Physics, Policy};
 use std::path::{Path, PathBuf};
 
 fn played(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
--- a/crates/railhub-cli/src/compare.rs
+++ b/crates/railhub-cli/src/compare.rs
@@ -6,7 +6,7 @@
 use railhub_experiment::report::{runs_csv, words};
 use railhub_experiment::trial::Progress;
 use railhub_experiment::{compare, folder, page, Experiment};
-use railhub_fleet::Physics;
+use railhub_simulator::Physics;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -4,13 +4,13 @@
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_experiment::predict::predict;
 use railhub_experiment::stats::{estimate, Estimate};
-use railhub_fleet::fit::samples;
-use railhub_fleet::{run as run_model, Baseline, Physics, Policy};
 use railhub_ini::{Diagnostic, Document};
 use railhub_record::{read, save};
 use railhub_rules::limits;
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
+use railhub_simulator::fit::samples;
+use railhub_simulator::{run as run_model, Baseline, Physics, Policy};
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
--- a/crates/railhub-experiment/src/predict.rs
+++ b/crates/railhub-experiment/src/predict.rs
@@ -1,8 +1,8 @@
 //! What one more run of a day would come to.
-use railhub_fleet::{run_with_luck, Physics, Policy};
 use railhub_rules::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
+use railhub_simulator::{run_with_luck, Physics, Policy};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/railhub-experiment/src/trial.rs
+++ b/crates/railhub-experiment/src/trial.rs
@@ -2,8 +2,8 @@
 use crate::figures::{figures, RunFigures};
 use crate::outcome::{summed_up, Outcome};
 use crate::plan::Experiment;
-use railhub_fleet::{run_with_luck, Physics};
 use railhub_scenario::Day;
+use railhub_simulator::{run_with_luck, Physics};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
--- a/crates/railhub-experiment/tests/arms.rs
+++ b/crates/railhub-experiment/tests/arms.rs
@@ -3,7 +3,7 @@
 use railhub_experiment::report::{runs_csv, words};
 use railhub_experiment::stats::Verdict;
 use railhub_experiment::{compare, folder, Experiment, Outcome};
-use railhub_fleet::Physics;
+use railhub_simulator::Physics;
 use std::path::PathBuf;
 
 fn file(name: &str, text: &str) -> PathBuf {
--- a/crates/railhub-series/tests/days.rs
+++ b/crates/railhub-series/tests/days.rs
@@ -1,9 +1,9 @@
 //! A model's record of a bad day, as figures over time.
-use railhub_fleet::{run, Physics, Policy};
 use railhub_record::{Event, Limits};
 use railhub_rules::limits;
 use railhub_scenario::{draw, Day};
 use railhub_series::{loads, over_time, tail, told};
+use railhub_simulator::{run, Physics, Policy};
 use std::path::Path;
 
 fn played(text: &str, policy: &Policy) -> (Day, Vec<Event>, Limits) {
--- a/crates/railhub-fleet/benches/speed.rs
+++ b/crates/railhub-simulator/benches/speed.rs
@@ -1,8 +1,8 @@
 //! How many simulated seconds a second of one core brings, by fleet size. Prints a table; asserts nothing: a
 //! timed test would fail on a busy machine.
-use railhub_fleet::{run, Physics, Policy};
 use railhub_ini::Document;
 use railhub_scenario::Day;
+use railhub_simulator::{run, Physics, Policy};
 use std::path::Path;
 use std::time::Instant;
 
--- a/crates/railhub-fleet/tests/days.rs
+++ b/crates/railhub-simulator/tests/days.rs
@@ -1,10 +1,10 @@
 //! The model plays the days that the stand-ins play, the same to the byte, and keeps the rules.
 use prost::Message;
-use railhub_fleet::{run, Baseline, Physics, Policy};
 use railhub_record::{Event, What};
 use railhub_rules::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
+use railhub_simulator::{run, Baseline, Physics, Policy};
 use std::path::Path;
 
 fn day(name: &str) -> Day {
--- a/crates/railhub-watch/tests/record.rs
+++ b/crates/railhub-watch/tests/record.rs
@@ -1,7 +1,7 @@
 //! A record as it is shown: finished, at a moment of it, and while it grows.
-use railhub_fleet::{run, Physics, Policy};
 use railhub_record::{save, Event};
 use railhub_scenario::Day;
+use railhub_simulator::{run, Physics, Policy};
 use railhub_watch::once;
 use railhub_watch::source::Source;
 use std::fs;
