--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -1,6 +1,6 @@
 //! The adapter as a version that steers a fleet in the model, beside the module in the same process.
+use railhub_invariants::{judge, limits};
 use railhub_record::Event;
-use railhub_rules::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
 use railhub_simulator::{run, Physics, Policy};
--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -1,8 +1,8 @@
 //! `railhub traffic`: recorded operations.
 use crate::Ending;
 use clap::{Args, Subcommand, ValueEnum};
+use railhub_invariants::limits;
 use railhub_record::read_part;
-use railhub_rules::limits;
 use railhub_scenario::replay::of_record;
 use railhub_traffic::cut::{cut, Part};
 use railhub_traffic::file::{open, save};
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -322,8 +322,8 @@
     let day = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
     let day = railhub_scenario::Day::open(Path::new(&day)).expect("a good day");
     let played = railhub_scenario::play(&day, Some(launch), None, None, &|_| {}).expect("it plays");
-    let rules = railhub_rules::judge(&played.events).expect("a record");
-    let limits = railhub_rules::limits(&played.events).expect("limits");
+    let rules = railhub_invariants::judge(&played.events).expect("a record");
+    let limits = railhub_invariants::limits(&played.events).expect("limits");
     let served = railhub_scenario::report::service(&played.events, limits);
     assert!(
         rules.iter().all(|verdict| verdict.kept),
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -1,6 +1,6 @@
 //! What is kept of a run: its record is thrown away.
+use railhub_invariants::{judge, limits};
 use railhub_record::Event;
-use railhub_rules::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_series::causes::happenings;
 use railhub_series::tail::Tail;
--- a/crates/railhub-experiment/src/predict.rs
+++ b/crates/railhub-experiment/src/predict.rs
@@ -1,5 +1,5 @@
 //! What one more run of a day would come to.
-use railhub_rules::{judge, limits};
+use railhub_invariants::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
 use railhub_simulator::{run_with_luck, Physics, Policy};
--- a/crates/railhub-scenario/src/report.rs
+++ b/crates/railhub-scenario/src/report.rs
@@ -1,6 +1,6 @@
 //! Service and verdicts out of a record.
+use railhub_invariants::Verdict;
 use railhub_record::{Event, Limits, OperationEnd, Outcome, What};
-use railhub_rules::Verdict;
 use serde::Serialize;
 use std::fmt::Write;
 
--- a/crates/railhub-series/tests/days.rs
+++ b/crates/railhub-series/tests/days.rs
@@ -1,6 +1,6 @@
 //! A model's record of a bad day, as figures over time.
+use railhub_invariants::limits;
 use railhub_record::{Event, Limits};
-use railhub_rules::limits;
 use railhub_scenario::{draw, Day};
 use railhub_series::{loads, over_time, tail, told};
 use railhub_simulator::{run, Physics, Policy};
--- a/crates/railhub-simulator/tests/days.rs
+++ b/crates/railhub-simulator/tests/days.rs
@@ -1,7 +1,7 @@
 //! The model plays the days that the stand-ins play, the same to the byte, and keeps the rules.
 use prost::Message;
+use railhub_invariants::{judge, limits};
 use railhub_record::{Event, What};
-use railhub_rules::{judge, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Day;
 use railhub_simulator::{run, Baseline, Physics, Policy};
