--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -5,8 +5,8 @@
 use railhub_chaos::view::sim::How;
 use railhub_chaos::view::Seen;
 use railhub_chaos::{Chaos, Fault, Judged, LinkFaults, What};
-use railhub_links::tcp::TcpLink;
-use railhub_links::{Faults, LinkController};
+use railhub_fault_links::tcp::TcpLink;
+use railhub_fault_links::{Faults, LinkController};
 use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
 use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
--- a/crates/railhub-links/tests/record.rs
+++ b/crates/railhub-fault-links/tests/record.rs
@@ -1,6 +1,6 @@
 //! The lines of the record as literals: scripts read them, so they must not change while the names in the code do.
-use railhub_links::tcp::TcpLink;
-use railhub_links::{Delivery, Faults, LinkController};
+use railhub_fault_links::tcp::TcpLink;
+use railhub_fault_links::{Delivery, Faults, LinkController};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
--- a/crates/railhub-links/tests/relays.rs
+++ b/crates/railhub-fault-links/tests/relays.rs
@@ -1,7 +1,7 @@
 //! Real sockets through the relays.
-use railhub_links::tcp::TcpLink;
-use railhub_links::udp::UdpLinks;
-use railhub_links::{Faults, LinkController};
+use railhub_fault_links::tcp::TcpLink;
+use railhub_fault_links::udp::UdpLinks;
+use railhub_fault_links::{Faults, LinkController};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 fn a_datagram_comes_from_its_senders_public_address_and_an_answer_finds_back() {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let tapped = seen.clone();
-    let tap = Box::new(move |crossing: &railhub_links::Crossing| {
+    let tap = Box::new(move |crossing: &railhub_fault_links::Crossing| {
         tapped.lock().expect("no holder panics").push((crossing.from.to_owned(), crossing.to.to_owned()));
     });
     let link_controller = Arc::new(LinkController::new(1, None));
