--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -8,7 +8,7 @@
 use railhub_record::{read, read_part, Event};
 use railhub_scenario::report::{rules_words, service, words, Report, Service};
 use railhub_scenario::{import, play, Day};
-use railhub_series::{causes, over_time, told};
+use railhub_timeseries::{causes, over_time, told};
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -2,9 +2,9 @@
 use railhub_invariants::{judge, limits};
 use railhub_record::Event;
 use railhub_scenario::report::service;
-use railhub_series::causes::happenings;
-use railhub_series::tail::Tail;
-use railhub_series::{loads, over_time, tail};
+use railhub_timeseries::causes::happenings;
+use railhub_timeseries::tail::Tail;
+use railhub_timeseries::{loads, over_time, tail};
 use serde::Serialize;
 
 /// The first time that a run broke a rule.
--- a/crates/railhub-experiment/src/outcome.rs
+++ b/crates/railhub-experiment/src/outcome.rs
@@ -3,8 +3,8 @@
 use crate::plan::Experiment;
 use crate::stats::{estimate, verdict, Estimate, Verdict};
 use crate::trial::Ran;
-use railhub_series::causes::{changes, Told};
-use railhub_series::tail::{Tail, TailFigures};
+use railhub_timeseries::causes::{changes, Told};
+use railhub_timeseries::tail::{Tail, TailFigures};
 use serde::Serialize;
 
 /// Shares of the runs that lie below and above a band.
--- a/crates/railhub-experiment/src/page.rs
+++ b/crates/railhub-experiment/src/page.rs
@@ -2,7 +2,7 @@
 use crate::charts::{pictures, Fault};
 use crate::outcome::Outcome;
 use crate::report::{interval, verdict_words, words};
-use railhub_series::causes;
+use railhub_timeseries::causes;
 use std::fmt::Write;
 
 const STYLE: &str = "body{font:15px sans-serif;max-width:860px;margin:2em auto;padding:0 1em}\
--- a/crates/railhub-experiment/src/report.rs
+++ b/crates/railhub-experiment/src/report.rs
@@ -1,7 +1,7 @@
 //! What an experiment came to, in words and as tables.
 use crate::outcome::{ArmOutcome, Outcome};
 use crate::stats::{Estimate, Verdict};
-use railhub_series::tail::TailFigures;
+use railhub_timeseries::tail::TailFigures;
 use std::fmt::Write;
 
 /// Widest name of an arm in the words.
--- a/crates/railhub-series/tests/days.rs
+++ b/crates/railhub-timeseries/tests/days.rs
@@ -2,8 +2,8 @@
 use railhub_invariants::limits;
 use railhub_record::{Event, Limits};
 use railhub_scenario::{draw, Day};
-use railhub_series::{loads, over_time, tail, told};
 use railhub_simulator::{run, Physics, Policy};
+use railhub_timeseries::{loads, over_time, tail, told};
 use std::path::Path;
 
 fn played(text: &str, policy: &Policy) -> (Day, Vec<Event>, Limits) {
--- a/crates/railhub-watch/src/scene.rs
+++ b/crates/railhub-watch/src/scene.rs
@@ -1,8 +1,8 @@
 //! What stands at a moment of a run, out of the events up to it.
 use railhub_proto::RetryCondition;
 use railhub_record::{Event, Limits, Listed, Outcome, What};
-use railhub_series::owing::Owing;
-use railhub_series::tables::Tables;
+use railhub_timeseries::owing::Owing;
+use railhub_timeseries::tables::Tables;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Seconds after which a try counts for 1/e in a host's rate.
