--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -4,12 +4,12 @@
 use railhub_invariants::limits;
 use railhub_record::read_part;
 use railhub_scenario::replay::of_record;
-use railhub_traffic::cut::{cut, Part};
-use railhub_traffic::file::{open, save};
-use railhub_traffic::fit::{fit, Candidate, Fitted};
-use railhub_traffic::scale::{scale, CopiesOf};
-use railhub_traffic::show::{sight, Sight};
-use railhub_traffic::{Traffic, OPERATIONS_MOST};
+use railhub_trace::cut::{cut, Part};
+use railhub_trace::file::{open, save};
+use railhub_trace::fit::{fit, Candidate, Fitted};
+use railhub_trace::scale::{scale, CopiesOf};
+use railhub_trace::show::{sight, Sight};
+use railhub_trace::{Traffic, OPERATIONS_MOST};
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
--- a/crates/railhub-controller/src/service.rs
+++ b/crates/railhub-controller/src/service.rs
@@ -13,7 +13,7 @@
 use crate::stream_server::{StreamLimits, StreamServer};
 use crate::traffic_writer::TrafficWriter;
 use railhub_net::{now, Listener, Task};
-use railhub_traffic::file::TrafficFault;
+use railhub_trace::file::TrafficFault;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
--- a/crates/railhub-controller/src/traffic_writer.rs
+++ b/crates/railhub-controller/src/traffic_writer.rs
@@ -3,8 +3,8 @@
 use crate::installation::Installation;
 use railhub::{ProxyId, Seconds, ZoneId};
 use railhub_proto::{LoadReport, SliceLoad};
-use railhub_traffic::file::{TrafficFault, Writer};
-use railhub_traffic::{Facts, Row};
+use railhub_trace::file::{TrafficFault, Writer};
+use railhub_trace::{Facts, Row};
 use std::fs::File;
 use std::io::BufWriter;
 use std::path::{Path, PathBuf};
--- a/crates/railhub-controller/src/traffic_writer/tests.rs
+++ b/crates/railhub-controller/src/traffic_writer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use railhub_ini::Document;
 use railhub_proto::SliceLoad;
-use railhub_traffic::file;
+use railhub_trace::file;
 
 fn installation(path: &str) -> Installation {
     let text = format!(
--- a/crates/railhub-scenario/src/script.rs
+++ b/crates/railhub-scenario/src/script.rs
@@ -8,7 +8,7 @@
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::{ClassLimits, Limits, Repeats};
-use railhub_traffic::Traffic;
+use railhub_trace::Traffic;
 use std::path::Path;
 use std::sync::Arc;
 
