--- a/crates/railhub-experiment/src/plan.rs
+++ b/crates/railhub-experiment/src/plan.rs
@@ -1,9 +1,9 @@
 //! An experiment as its file tells it: days, and arms that change some of their keys, who steers, the module's
 //! constants or its version. A sweep makes an arm of each value.
+use railhub_external_engine::variant;
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_scenario::Day;
 use railhub_simulator::{Baseline, Policy};
-use railhub_versions::variant;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -15,9 +15,9 @@
     DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction,
 };
 use railhub_controller::publication::Publication;
+use railhub_external_engine::Version;
 use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{Answered, Received, StewardLife, Stream, What};
-use railhub_versions::Version;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
