--- a/crates/railhub-cli/src/watch.rs
+++ b/crates/railhub-cli/src/watch.rs
@@ -17,11 +17,11 @@
 }
 
 pub fn run(arguments: &WatchArguments) -> Result<(), Ending> {
-    let fault = |fault: railhub_watch::terminal::Fault| Ending::Input(fault.to_string());
+    let fault = |fault: railhub_dashboard::terminal::Fault| Ending::Input(fault.to_string());
     if arguments.once || !std::io::stdout().is_terminal() {
-        print!("{}", railhub_watch::once(&arguments.path, arguments.at).map_err(fault)?);
+        print!("{}", railhub_dashboard::once(&arguments.path, arguments.at).map_err(fault)?);
         Ok(())
     } else {
-        railhub_watch::watch(&arguments.path, arguments.at).map_err(fault)
+        railhub_dashboard::watch(&arguments.path, arguments.at).map_err(fault)
     }
 }
--- a/crates/railhub-watch/tests/record.rs
+++ b/crates/railhub-dashboard/tests/record.rs
@@ -1,9 +1,9 @@
 //! A record as it is shown: finished, at a moment of it, and while it grows.
+use railhub_dashboard::once;
+use railhub_dashboard::source::Source;
 use railhub_record::{save, Event};
 use railhub_scenario::Day;
 use railhub_simulator::{run, Physics, Policy};
-use railhub_watch::once;
-use railhub_watch::source::Source;
 use std::fs;
 use std::io::Write;
 use std::path::{Path, PathBuf};
