--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -6,10 +6,10 @@
 use railhub_chaos::bed::{scratch, shared};
 use railhub_chaos::judge::judge as judge_simulated;
 use railhub_chaos::{run as simulate, Chaos, Fault, Sabotage};
-use railhub_day::{play, report};
+use railhub_emulator::Sabotage as BrokenProxy;
+use railhub_invariants::{check, limits, takeover_times, Verdict};
 use railhub_record::save;
-use railhub_rules::{check, limits, takeover_times, Verdict};
-use railhub_standin::Sabotage as BrokenProxy;
+use railhub_scenario::{play, report};
 use serde::Serialize;
 use std::path::PathBuf;
 
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -3,12 +3,12 @@
 use crate::{Ending, LogForm};
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
-use railhub_day::report::{rules_words, service, words, Report, Service};
-use railhub_day::{import, play, Day};
+use railhub_emulator::Sabotage;
+use railhub_invariants::{check as check_recording, limits};
 use railhub_record::{read, read_partial, Event, PartialRecording};
-use railhub_rules::{check as check_recording, limits};
-use railhub_series::{causes, over_time, told};
-use railhub_standin::Sabotage;
+use railhub_scenario::report::{rules_words, service, words, Report, Service};
+use railhub_scenario::{import, play, Day};
+use railhub_timeseries::{causes, over_time, told};
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
--- a/crates/railhub-steward/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -1,15 +1,15 @@
-//! What streams cost, as ratios within one run: `cargo bench -p railhub-steward`.
+//! What streams cost, as ratios within one run: `cargo bench -p railhub-controller`.
 //!
 //! The steward runs as a process of its own (this binary, started anew); peers are coroutines here, which read
 //! frames and acknowledge them without taking them in.
 use may::net::{TcpListener, TcpStream};
+use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, READY};
+use railhub_emulator::host::{HostConfig, ListeningHost, SharedSeenOperations};
+use railhub_emulator::store::Store;
 use railhub_net::{connect, now, seconds, spawn, Task};
 use railhub_proto::{
     frame, from_proxy, Ack, FromController, FromProxy, HostLoad, LoadReport, SliceLoad, Subscribe,
 };
-use railhub_standin::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, READY};
-use railhub_standin::host::{HostConfig, ListeningHost, SharedSeenOperations};
-use railhub_standin::store::Store;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 fn be_steward(conf: &str) {
     let document = railhub_ini::Document::parse("bench", conf).expect("readable");
     let running =
-        railhub_steward::Running::start(railhub_steward::Installation::read(&document).expect("right"))
+        railhub_controller::Running::start(railhub_controller::Installation::read(&document).expect("right"))
             .expect("loopback");
     println!("{}", running.address);
     for line in std::io::stdin().lines() {
--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,17 +1,17 @@
 //! A small fleet around a controller, and peers that are driven step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
+use railhub_controller::{Installation, Running};
+use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, READY};
+use railhub_emulator::host::{HostConfig, ListeningHost, SharedSeenOperations};
+use railhub_emulator::routing::RoutingState;
+use railhub_emulator::store::Store;
+use railhub_emulator::OperationClass;
 use railhub_proto::{
     frame, from_controller, from_proxy, Ack, Deframer, Delta, FromController, FromProxy, LoadReport, Nack,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
 use railhub_record::{OperationIdempotency, Recorder};
-use railhub_standin::endpoint_list::{EndpointList, ListedEndpoint, READY};
-use railhub_standin::host::{HostConfig, ListeningHost, SharedSeenOperations};
-use railhub_standin::routing::RoutingState;
-use railhub_standin::store::Store;
-use railhub_standin::OperationClass;
-use railhub_steward::{Installation, Running};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Once};
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -1,10 +1,10 @@
 //! What is kept of a run: its record is thrown away.
-use railhub_day::report::service;
+use railhub_invariants::{check, limits};
 use railhub_record::Event;
-use railhub_rules::{check, limits};
-use railhub_series::causes::happenings;
-use railhub_series::tail::Tail;
-use railhub_series::{loads, over_time, tail};
+use railhub_scenario::report::service;
+use railhub_timeseries::causes::happenings;
+use railhub_timeseries::tail::Tail;
+use railhub_timeseries::{loads, over_time, tail};
 use serde::Serialize;
 
 /// The first time that a run broke a rule.
--- a/crates/railhub-day/src/draw.rs
+++ b/crates/railhub-scenario/src/draw.rs
@@ -3,8 +3,8 @@
 use crate::replay;
 use crate::script::Day;
 use crate::troubles::{Act, GiveUpHow, ShiftHow};
-use railhub_standin::host::HostConfig;
-use railhub_standin::PlannedOperation;
+use railhub_emulator::host::HostConfig;
+use railhub_emulator::PlannedOperation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Zipf};
--- a/crates/railhub-day/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -5,11 +5,11 @@
 //! the day's shape and growth do not, what was recorded has its own.
 use crate::draw::{self, Arrival, Coming};
 use crate::script::{ClassScript, Day};
+use railhub_emulator::PlannedOperation;
 use railhub_ini::{Diagnostic, Section};
 use railhub_record::{Event, EventKind, Limits};
-use railhub_standin::PlannedOperation;
-use railhub_traffic::scale::{scale, CopiesOf};
-use railhub_traffic::{file, Facts, Row, Traffic, OPERATIONS_MOST};
+use railhub_trace::scale::{scale, CopiesOf};
+use railhub_trace::{file, Facts, Row, Traffic, OPERATIONS_MOST};
 use rand::RngExt;
 use rand_distr::{Distribution, Zipf};
 use std::path::Path;
--- a/crates/railhub-day/src/script.rs
+++ b/crates/railhub-scenario/src/script.rs
@@ -2,13 +2,13 @@
 use crate::replay;
 use crate::stewards::TestClock;
 use crate::troubles::{self, Trouble};
+use railhub_emulator::client::ClientConfig;
+use railhub_emulator::routing::BalancingPolicy;
+use railhub_emulator::OperationClass;
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::{ClassLimits, Limits, OperationIdempotency};
-use railhub_standin::client::ClientConfig;
-use railhub_standin::routing::BalancingPolicy;
-use railhub_standin::OperationClass;
-use railhub_traffic::Traffic;
+use railhub_trace::Traffic;
 use std::path::Path;
 use std::sync::Arc;
 
--- a/crates/railhub-day/src/troubles.rs
+++ b/crates/railhub-scenario/src/troubles.rs
@@ -2,10 +2,10 @@
 use crate::draw;
 use crate::script::Day;
 use crate::world::World;
+use railhub_emulator::host::HostFaults;
+use railhub_emulator::zone_links::DegradedLink;
 use railhub_ini::{Diagnostic, Section};
 use railhub_net::{now, seconds};
-use railhub_standin::host::HostFaults;
-use railhub_standin::zone_links::DegradedLink;
 use rand::seq::SliceRandom;
 use std::sync::Arc;
 
--- a/crates/railhub-fleet/src/hosts.rs
+++ b/crates/railhub-simulator/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts of the model: cores, a queue, a cold start, kept keys, and what ails them.
 use crate::events::{Agenda, Due, HostAt, Job};
-use railhub_standin::host::{HostConfig, HostFaults, UtilizationMeter};
-use railhub_standin::AttemptResult;
+use railhub_emulator::host::{HostConfig, HostFaults, UtilizationMeter};
+use railhub_emulator::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/railhub-fleet/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -2,11 +2,11 @@
 use crate::events::{Due, HostAt, Job};
 use crate::hosts::Taken;
 use crate::world::World;
+use railhub_emulator::routing::{Admission, BalancingPolicy};
+use railhub_emulator::AttemptResult;
+use railhub_emulator::PlannedOperation;
 use railhub_proto::RetryCondition;
 use railhub_record::{Attempt, AttemptEnd, Effect, EventKind, OperationEnd, OperationIdempotency, Outcome};
-use railhub_standin::routing::{Admission, BalancingPolicy};
-use railhub_standin::AttemptResult;
-use railhub_standin::PlannedOperation;
 use rand::RngExt;
 use std::net::SocketAddr;
 
