--- a/crates/railhub-cli/tests/common/line.rs
+++ b/crates/railhub-cli/tests/common/line.rs
@@ -7,6 +7,7 @@
 
 /// Within this span a connection must join or is closed.
 const JOIN_WITHIN: Duration = Duration::from_secs(1);
+const MAX_JOIN_ATTEMPTS: usize = 20;
 const LOOK_INTERVAL: Duration = Duration::from_millis(1);
 const PONG: &str = r#"{"t":"pong"}"#;
 
@@ -19,9 +20,11 @@
 }
 
 /// Returns once the steward has accepted the connections and read the bytes that came before: its one worker takes
-/// events in their order, and this is a later one.
+/// events in their order, and this is a later one. On a busy machine a ping may come only after the time to join of its
+/// connection has run out, which is then closed: another one is sent.
 pub fn wait_until_read(steward: &Steward) {
-    assert!(steward.try_ping(), "a ping is answered");
+    let is_answered = (0..MAX_JOIN_ATTEMPTS).any(|_| steward.try_ping());
+    assert!(is_answered, "a ping is answered");
 }
 
 /// How a connection ended, with the bytes that came before.
@@ -61,13 +64,19 @@
         line
     }
 
-    /// An accepted connection that has joined as the collector of a zone.
+    /// An accepted connection that has joined as the collector of a zone. On a busy machine the time to join may run out
+    /// before the frame is read: then the connection is given up for another one.
     pub fn collector(steward: &Steward, zone: &str) -> Line {
-        let mut line = Line::visitor(steward);
-        line.is_collector = true;
-        line.stream.write_all(&collector_frame(zone)).expect("it reads");
-        wait_until_read(steward);
-        line
+        for _ in 0..MAX_JOIN_ATTEMPTS {
+            let mut line = Line::visitor(steward);
+            line.is_collector = true;
+            let is_written = line.write(&collector_frame(zone));
+            wait_until_read(steward);
+            if is_written && line.opened.elapsed() < JOIN_WITHIN {
+                return line;
+            }
+        }
+        panic!("no collector has joined in time in {MAX_JOIN_ATTEMPTS} attempts");
     }
 
     /// Writes a piece of a message; a connection that was closed meanwhile shows when it is read.
--- a/crates/railhub-cli/tests/platform.rs
+++ b/crates/railhub-cli/tests/platform.rs
@@ -151,6 +151,11 @@
     !timed_out && began.elapsed() <= within
 }
 
+/// Whether a call has a barrier and nothing else.
+fn is_barrier_alone(call: &str) -> bool {
+    call.matches("\"op\"").count() == 1 && call.contains(r#"{"op":"mark","ticket":"#)
+}
+
 #[test]
 fn calls_are_made_again_until_their_end_is_known_and_none_is_lost() {
     let (relay, (discovery, watches)) = (Relay::start(), discovery());
@@ -161,8 +166,10 @@
     let wanted = |call: &String| call.split_once("orders").expect("a commit").1.to_owned();
     let first = wanted(&relay.calls()[0]);
     assert!(first.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{first}");
+    let mut accepted = 0;
     for mood in [Mood::SaysNothing, Mood::Garbles, Mood::BreaksOff, Mood::Takes] {
         let before = relay.calls().len();
+        accepted = before;
         relay.set(mood);
         eventually("the call comes again", || {
             relay.calls().len() > before + usize::from(mood != Mood::Takes)
@@ -178,9 +185,11 @@
     eventually("the watch", || {
         watches.lock().expect("alive")[0].contains("/discovery/hosts?watch=1&after=41 ")
     });
-    let settled = relay.calls().len();
     std::thread::sleep(Duration::from_millis(1500));
-    assert!(relay.calls().len() <= settled + 1, "once taken it is not said again");
+    let after_accepted = &relay.calls()[accepted + 1..];
+    // One barrier is due when the outcome of the repeated call is known, one when the last snapshot is complete.
+    assert!(after_accepted.len() <= 2, "once taken it is not said again: {after_accepted:?}");
+    assert!(after_accepted.iter().all(|call| is_barrier_alone(call)), "{after_accepted:?}");
 }
 
 #[test]
