--- /dev/null
+++ b/crates/railhub-chaos/src/cluster_harness/interference.rs
@@ -0,0 +1,83 @@
+//! Faults that last or take time: a controller that is starved of processor time, replays and floods of datagrams.
+use super::harness::ClusterHarness;
+use super::link_tap::CapturedDatagram;
+use crate::fault::STARVATION_PERIOD;
+use railhub_net::seconds;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+
+/// Seconds between two datagrams of a replay.
+const REPLAY_INTERVAL: f64 = 0.000_05;
+/// Datagrams of a flood that are sent at once.
+const FLOOD_BATCH: u32 = 50;
+/// Seconds between two batches of a flood.
+const FLOOD_BATCH_INTERVAL: f64 = 0.001;
+/// Bytes of a flood's datagram if none was captured.
+const DEFAULT_FLOOD_BYTES: usize = 40;
+/// Bytes of a flood's datagram that is too long.
+const TOO_LONG_BYTES: usize = 2000;
+
+impl ClusterHarness<'_> {
+    /// Pauses and resumes a controller in short slots, so that it gets a fraction of its time.
+    pub(super) fn starve(&mut self, index: usize, controller: u16, running_fraction: f64) {
+        let Some(running) = self.current_process(controller) else { return };
+        let process = running.process.clone();
+        let ends = Arc::new(AtomicBool::new(false));
+        self.starvation_ends.insert(index, ends.clone());
+        std::thread::spawn(move || {
+            while !ends.load(Ordering::Acquire) {
+                process.pause();
+                std::thread::sleep(seconds(STARVATION_PERIOD * (1.0 - running_fraction)));
+                process.resume();
+                std::thread::sleep(seconds(STARVATION_PERIOD * running_fraction));
+            }
+            process.resume();
+        });
+    }
+
+    fn captured_datagrams(&self) -> Vec<CapturedDatagram> {
+        self.link_record.lock().expect("no holder panics").captured.clone()
+    }
+
+    /// Sends all captured datagrams once more.
+    pub(super) fn replay(&self) {
+        for CapturedDatagram { from, to, bytes } in self.captured_datagrams() {
+            self.links.inject(&from, &to, &bytes);
+            std::thread::sleep(seconds(REPLAY_INTERVAL));
+        }
+    }
+
+    /// Sends a controller corrupt, truncated, too long and random datagrams, in the name of another.
+    pub(super) fn flood(&self, controller: u16, count: u32) {
+        let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed);
+        let captured = self.captured_datagrams();
+        let to = &self.endpoints[&controller].name;
+        let Some(from) = self.endpoints.values().find(|endpoint| endpoint.name != *to) else { return };
+        for number in 0..count {
+            let bytes = flood_datagram(number, &captured, &mut rng);
+            self.links.inject(&from.name, to, &bytes);
+            if number % FLOOD_BATCH == 0 {
+                std::thread::sleep(seconds(FLOOD_BATCH_INTERVAL));
+            }
+        }
+    }
+}
+
+fn flood_datagram(number: u32, captured: &[CapturedDatagram], rng: &mut ChaCha8Rng) -> Vec<u8> {
+    let model = captured.get(rng.random_range(0..captured.len().max(1)));
+    let mut bytes = model.map_or_else(|| vec![0; DEFAULT_FLOOD_BYTES], |datagram| datagram.bytes.clone());
+    let position = rng.random_range(0..bytes.len());
+    match number % 4 {
+        0 => bytes[position] ^= 1 << rng.random_range(0..8u32),
+        1 => bytes.truncate(position),
+        2 => bytes.resize(TOO_LONG_BYTES, 7),
+        _ => {
+            for byte in &mut bytes {
+                *byte = rng.random();
+            }
+        }
+    }
+    bytes
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
@@ -0,0 +1,142 @@
+//! A run of leases on real processes: a small cluster of emulated hosts, proxies and clients under load, with the faults
+//! that are drawn in simulated time. It is played as a scenario, so that every connection passes a relay and what crossed
+//! is judged from a record.
+use crate::config::ChaosConfig;
+use crate::fault::{Fault, FaultKind, FLAP_HALF_PERIOD};
+use crate::lease::Sabotage;
+use railhub_ini::{Diagnostic, Document};
+use railhub_scenario::stewards::TestClock;
+use railhub_scenario::troubles::{Act, CutWay, Trouble};
+use railhub_scenario::Day;
+
+/// The cluster, but for its sizes: hosts that crash and a deployment go on beside the controllers' faults.
+const CLUSTER: &str = include_str!("lease_scenario.ini");
+/// Seconds before the end of a run by which its last fault ends.
+const CALM_TIME: f64 = 6.0;
+/// The kind that faults have in the scenario.
+const SCENARIO_FAULT_KIND: &str = "chaos";
+/// The most controllers of a partition's side.
+const SIDE_BITS: usize = 32;
+
+/// A scenario, and the faults that it cannot cause.
+pub struct LeaseScenario {
+    /// The scenario.
+    pub scenario: Day,
+    /// Faults that cannot be caused on processes.
+    pub left_out: Vec<FaultKind>,
+}
+
+/// Makes the scenario that plays these faults on processes.
+///
+/// # Errors
+/// The sizes of the chaos file do not make a scenario.
+pub fn lease_scenario(
+    config: &ChaosConfig,
+    seed: u64,
+    faults: &[Fault],
+    sabotage: Option<Sabotage>,
+) -> Result<LeaseScenario, Diagnostic> {
+    let mut scenario = Day::read(&Document::parse("the fleet of a chaos run", CLUSTER)?)?;
+    scenario.seed = seed;
+    scenario.name = format!("{}, seed {seed}", config.name);
+    apply_sizes(&mut scenario, config);
+    scenario.length = scenario_length(config, faults);
+    apply_sabotage(&mut scenario, sabotage);
+    let mut left_out = Vec::new();
+    for fault in faults {
+        if !add_fault(&mut scenario, fault) {
+            left_out.push(fault.kind.clone());
+        }
+    }
+    Ok(LeaseScenario { scenario, left_out })
+}
+
+fn apply_sizes(scenario: &mut Day, config: &ChaosConfig) {
+    scenario.stewards = usize::from(config.controllers);
+    scenario.lease = config.lease_duration;
+    scenario.slices = u32::from(config.slices);
+    scenario.limits.slices = u32::from(config.slices);
+    scenario.proxies = config.proxies as usize;
+    scenario.limits.proxies = u32::from(config.proxies);
+}
+
+fn scenario_length(config: &ChaosConfig, faults: &[Fault]) -> f64 {
+    let ends = faults.iter().map(|fault| fault.at + fault.duration.min(config.length));
+    config.length.max(ends.fold(0.0, f64::max) + CALM_TIME)
+}
+
+fn apply_sabotage(scenario: &mut Day, sabotage: Option<Sabotage>) {
+    scenario.broken_store.reuses_epochs = sabotage == Some(Sabotage::EpochReused);
+    scenario.broken_store.skips_write_check = sabotage == Some(Sabotage::UncheckedWrites);
+    scenario.stewards_without = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
+}
+
+/// Adds a fault; returns whether the scenario can cause it.
+fn add_fault(scenario: &mut Day, fault: &Fault) -> bool {
+    match fault.kind {
+        FaultKind::Drift { controller, by } => {
+            test_clock(scenario, controller).speed += by;
+            true
+        }
+        FaultKind::Jump { controller, by } => {
+            let clock = test_clock(scenario, controller);
+            clock.jumps_after = fault.at;
+            clock.jumps_by = by;
+            true
+        }
+        FaultKind::Flap { controller } => {
+            scenario.troubles.extend(flap_faults(fault, controller));
+            true
+        }
+        _ => {
+            let Some(act) = scenario_act(&fault.kind) else { return false };
+            scenario.troubles.push(scenario_fault(fault.at, fault.duration, act));
+            true
+        }
+    }
+}
+
+fn test_clock(scenario: &mut Day, controller: u16) -> &mut TestClock {
+    scenario.clocks.resize(scenario.stewards, TestClock::default());
+    &mut scenario.clocks[usize::from(controller)]
+}
+
+fn scenario_fault(at: f64, duration: f64, act: Act) -> Trouble {
+    Trouble { name: format!("{act:?}"), kind: SCENARIO_FAULT_KIND.into(), at, long: duration, act }
+}
+
+/// A flapping controller: killed in each of its turns.
+fn flap_faults(fault: &Fault, controller: u16) -> Vec<Trouble> {
+    let period = 2.0 * FLAP_HALF_PERIOD;
+    let turns = (fault.duration / period).ceil().max(1.0) as u32;
+    let mut faults = Vec::new();
+    for turn in 0..turns {
+        let at = fault.at + f64::from(turn) * 2.0 * FLAP_HALF_PERIOD;
+        let act = Act::StewardKilled { steward: usize::from(controller) };
+        faults.push(scenario_fault(at, FLAP_HALF_PERIOD, act));
+    }
+    faults
+}
+
+/// What causes a fault in a scenario, if anything does.
+fn scenario_act(kind: &FaultKind) -> Option<Act> {
+    Some(match *kind {
+        FaultKind::Kill { controller } => Act::StewardKilled { steward: usize::from(controller) },
+        FaultKind::Pause { controller } => Act::StewardPaused { steward: usize::from(controller) },
+        FaultKind::Cut { from, to } => Act::StewardWay { from: usize::from(from), to: usize::from(to) },
+        FaultKind::Split { side } => {
+            Act::StewardsSplit { side: (0..SIDE_BITS).filter(|bit| side >> bit & 1 == 1).collect() }
+        }
+        FaultKind::StoreAway => Act::StoreAway,
+        FaultKind::StoreLosesAnswers => Act::StoreLosesAnswers,
+        FaultKind::CutStore { controller } => {
+            let from = vec!["store".to_owned()];
+            Act::StewardCut { steward: usize::from(controller), from, way: CutWay::Both }
+        }
+        FaultKind::StoreSlow { by } => Act::StoreSlow { by },
+        FaultKind::StoreForgets { by } => Act::StoreForgets { by },
+        FaultKind::SlowOrders { controller, by } => Act::SlowOrders { steward: usize::from(controller), by },
+        FaultKind::Drain { controller } => Act::StewardDrained { steward: usize::from(controller) },
+        _ => return None,
+    })
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/cluster_harness/link_tap.rs
@@ -0,0 +1,60 @@
+//! Reads what crosses the links between controllers, and captures datagrams for replays.
+use super::observer::Observations;
+use crate::fault::MAX_CAPTURED_DATAGRAMS;
+use crate::view::gossip_tap::{GossipTap, TappedGossip};
+use railhub_fault_links::Crossing;
+use railhub_membership::packet::{decode, Packet};
+use std::sync::{Arc, Mutex};
+
+/// A datagram that can be sent again.
+#[derive(Clone)]
+pub(super) struct CapturedDatagram {
+    /// The link endpoint that sent it.
+    pub from: String,
+    /// The link endpoint that it was sent to.
+    pub to: String,
+    pub bytes: Vec<u8>,
+}
+
+/// What was read from the links.
+#[derive(Default)]
+pub(super) struct LinkRecord {
+    pub tap: GossipTap,
+    pub captured: Vec<CapturedDatagram>,
+}
+
+/// The function that the links call for each datagram.
+pub(super) fn link_tap(
+    installation: String,
+    started_at: f64,
+    record: Arc<Mutex<LinkRecord>>,
+    observations: Observations,
+) -> Box<dyn Fn(&Crossing) + Send + Sync> {
+    Box::new(move |crossing| {
+        let Ok(Packet::Message(message)) = decode(&installation, crossing.bytes) else { return };
+        let mut record = record.lock().expect("no holder panics");
+        record.tap.on_datagram(crossing.bytes.len());
+        if record.captured.len() < MAX_CAPTURED_DATAGRAMS {
+            record.captured.push(CapturedDatagram {
+                from: crossing.from.to_owned(),
+                to: crossing.to.to_owned(),
+                bytes: crossing.bytes.to_vec(),
+            });
+        }
+        let gossip = TappedGossip {
+            at: crossing.at - started_at,
+            sender: message.sender.id.0,
+            receiver: controller_of(crossing.to),
+            entries: &message.gossip,
+        };
+        let deaths = record.tap.on_gossip(&gossip);
+        if !deaths.is_empty() {
+            observations.lock().expect("no holder panics").extend(deaths);
+        }
+    })
+}
+
+/// The controller of a link endpoint: its name begins with the id.
+fn controller_of(endpoint: &str) -> Option<u16> {
+    endpoint.split(' ').next().and_then(|id| id.parse().ok())
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/cluster_harness/settings.rs
@@ -0,0 +1,54 @@
+//! The settings file of a controller that the harness starts.
+use railhub_membership::safeguard::Safeguard;
+use std::net::SocketAddr;
+
+/// What the harness decides about a controller.
+pub(super) struct ControllerSettings<'a> {
+    pub controller: u16,
+    pub installation: &'a str,
+    /// The address that other controllers send to.
+    pub public_address: SocketAddr,
+    /// Addresses to join by.
+    pub seeds: Vec<SocketAddr>,
+    /// The number of its process; none: by its clock.
+    pub process: Option<u64>,
+    /// Seconds after which a member that is gone is forgotten; 0: the program's default.
+    pub forget_after: f64,
+    /// The safeguard that is left out.
+    pub without: Option<Safeguard>,
+}
+
+impl ControllerSettings<'_> {
+    /// The settings as INI.
+    pub fn to_ini(&self) -> String {
+        let seeds: Vec<String> = self.seeds.iter().map(SocketAddr::to_string).collect();
+        let mut text = format!(
+            "[steward]\nlisten = 127.0.0.1:0\nroster = 127.0.0.1:1\n\n[class any]\ncontract_time = 1\n\n\
+             [fleet]\nid = {}\ninstallation = {}\nadvertise = {}\njoin = {}\n",
+            self.controller,
+            self.installation,
+            self.public_address,
+            seeds.join(", "),
+        );
+        if let Some(process) = self.process {
+            text += &format!("process = {process}\n");
+        }
+        if self.forget_after > 0.0 {
+            text += &format!("forget_after = {}\n", self.forget_after);
+        }
+        text + self.without.map_or("", without_line)
+    }
+}
+
+fn without_line(safeguard: Safeguard) -> &'static str {
+    match safeguard {
+        Safeguard::Refutation => "without = refutation\n",
+        Safeguard::DeadProbing => "without = asking the dead\n",
+        Safeguard::ProcessOrder => "without = process\n",
+        Safeguard::AntiEntropy => "without = anti-entropy\n",
+        Safeguard::GossipLimit => "without = rumour bound\n",
+        Safeguard::LocalHealth => "without = own trouble\n",
+        Safeguard::Extensions => "without = additions\n",
+        Safeguard::LeaseExpiry => "without = lease end\n",
+    }
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/explorer/lease.rs
@@ -0,0 +1,340 @@
+//! Explores leases: two controllers, one slice, a store and a proxy, and every order in which requests, responses and
+//! commands are sent, delivered, delayed and lost, controllers killed and started again, and the store restarted from an
+//! older copy; time advances by whole steps at any moment. It drives the code that controllers, store and proxies run:
+//! [`HeldLeases`], [`LeaseStore`], [`Fence`].
+//!
+//! A paused controller is one whose moves come late; a command decided before a pause and written after it is one in
+//! flight. Invariants of each state:
+//! - at most one controller may command the slice;
+//! - an epoch is commanded by one process;
+//! - the proxy never goes back to an earlier epoch, and obeys one process under an epoch.
+use super::search::{Explored, Paths};
+use railhub_membership::fence::Fence;
+use railhub_membership::lease::HeldLeases;
+use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
+use railhub_membership::lease_store::{LeaseStore, StoreFaults};
+use railhub_membership::Epoch;
+use std::collections::{BTreeMap, HashSet, VecDeque};
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Steps of time that a lease lasts.
+const LEASE_DURATION: f64 = 3.0;
+/// Steps of time of a run: a lease and its expiry, and another controller's lease and expiry fit in.
+const RUN_LENGTH: u8 = 8;
+/// The most commands in flight at once.
+const MAX_IN_FLIGHT: usize = 2;
+/// The most commands of a run.
+const MAX_COMMANDS: u8 = 3;
+/// The most crashes of a run.
+const MAX_CRASHES: u8 = 1;
+/// The most restarts of the store from a copy.
+const MAX_STORE_RESTARTS: u8 = 1;
+/// How many controllers there are.
+const CONTROLLERS: usize = 2;
+/// The one slice.
+const SLICE: u16 = 1;
+
+/// The safeguard that is left out, so that the search must find a violation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OmittedSafeguard {
+    /// Every safeguard is in force.
+    Nothing,
+    /// The proxy obeys commands of any epoch.
+    Fence,
+    /// The store grants under an epoch that it has used.
+    NewEpochs,
+    /// Controllers command after their leases have expired.
+    LeaseExpiry,
+    /// The store grants at once after it restarted from an older copy.
+    GracePeriod,
+}
+
+/// A controller's request, on its way to the store or back.
+#[derive(Clone, Debug)]
+enum Exchange {
+    Requested(LeaseRequest),
+    Responded(LeaseResponse),
+}
+
+#[derive(Clone, Debug)]
+struct Controller {
+    process: u64,
+    leases: HeldLeases,
+    /// The exchange in flight, and the step of time at which it began.
+    exchange: Option<(u8, Exchange)>,
+    /// The last epoch that it held: a controller that overruns its lease commands under it.
+    last_epoch: Option<Epoch>,
+}
+
+impl Controller {
+    fn new(process: u64) -> Controller {
+        Controller { process, leases: HeldLeases::new(LEASE_DURATION), exchange: None, last_epoch: None }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Command {
+    epoch: Epoch,
+    process: u64,
+}
+
+#[derive(Clone, Debug)]
+struct State {
+    now: u8,
+    store: LeaseStore,
+    store_copy: Option<LeaseStore>,
+    controllers: [Controller; CONTROLLERS],
+    in_flight: Vec<Command>,
+    fence: Fence,
+    /// The command that the proxy obeyed last.
+    obeyed: Option<Command>,
+    /// The process that commanded under an epoch.
+    issuers: BTreeMap<Epoch, u64>,
+    last_process: u64,
+    commands_left: u8,
+    crashes_left: u8,
+    store_restarts_left: u8,
+}
+
+/// What may happen in a state, and the state after it or the invariant that it breaks.
+struct Transition {
+    step: String,
+    outcome: Result<State, String>,
+}
+
+impl Transition {
+    fn to(step: String, next: State) -> Transition {
+        Transition { step, outcome: Ok(next) }
+    }
+}
+
+impl State {
+    fn first(omitted: OmittedSafeguard) -> State {
+        let store_faults = StoreFaults {
+            reuses_epochs: omitted == OmittedSafeguard::NewEpochs,
+            skips_grace_period: omitted == OmittedSafeguard::GracePeriod,
+            ..StoreFaults::default()
+        };
+        State {
+            now: 0,
+            store: LeaseStore::new(LEASE_DURATION, store_faults),
+            store_copy: None,
+            controllers: [Controller::new(1), Controller::new(2)],
+            in_flight: Vec::new(),
+            fence: Fence::default(),
+            obeyed: None,
+            issuers: BTreeMap::new(),
+            last_process: CONTROLLERS as u64,
+            commands_left: MAX_COMMANDS,
+            crashes_left: MAX_CRASHES,
+            store_restarts_left: MAX_STORE_RESTARTS,
+        }
+    }
+
+    fn key(&self) -> u64 {
+        xxh3_64(format!("{self:?}").as_bytes())
+    }
+
+    fn now_seconds(&self) -> f64 {
+        f64::from(self.now)
+    }
+
+    fn valid_epoch(&self, controller: usize) -> Option<Epoch> {
+        self.controllers[controller].leases.valid_epoch(self.now_seconds(), SLICE)
+    }
+
+    /// The invariant that this state breaks, if it breaks one.
+    fn violation(&self) -> Option<String> {
+        match (self.valid_epoch(0), self.valid_epoch(1)) {
+            (Some(a), Some(b)) => Some(format!("both may command, under epochs {} and {}", a.0, b.0)),
+            _ => None,
+        }
+    }
+
+    /// Everything that may happen next.
+    fn transitions(&self, omitted: OmittedSafeguard) -> Vec<Transition> {
+        let mut transitions = Vec::new();
+        if self.now < RUN_LENGTH {
+            let mut next = self.clone();
+            next.now += 1;
+            transitions.push(Transition::to("time advances".to_owned(), next));
+        }
+        for controller in 0..CONTROLLERS {
+            self.exchange_steps(controller, &mut transitions);
+            transitions.extend(self.command(controller, omitted));
+            transitions.extend(self.restart(controller));
+        }
+        transitions.extend(self.store_step());
+        for number in 0..self.in_flight.len() {
+            transitions.push(self.delivery(number, omitted));
+        }
+        transitions
+    }
+
+    fn exchange_steps(&self, place: usize, transitions: &mut Vec<Transition>) {
+        match &self.controllers[place].exchange {
+            None => transitions.push(self.send_request(place)),
+            Some((began, Exchange::Requested(request))) => {
+                transitions.push(self.handle_request(place, *began, request));
+                let step = format!("the request of {place} is lost");
+                transitions.push(Transition::to(step, self.without_exchange(place)));
+            }
+            Some((began, Exchange::Responded(response))) => {
+                transitions.push(self.handle_response(place, *began, response));
+                let step = format!("the response to {place} is lost");
+                transitions.push(Transition::to(step, self.without_exchange(place)));
+            }
+        }
+    }
+
+    fn without_exchange(&self, place: usize) -> State {
+        let mut next = self.clone();
+        next.controllers[place].exchange = None;
+        next
+    }
+
+    fn send_request(&self, place: usize) -> Transition {
+        let held = self.valid_epoch(place);
+        let action = if held.is_some() { "renewal" } else { "the slice" };
+        let request = LeaseRequest {
+            number: 1,
+            process: self.controllers[place].process,
+            duration: LEASE_DURATION,
+            acquire: if held.is_some() { Vec::new() } else { vec![SLICE] },
+            renew: held.map(|epoch| (SLICE, epoch)).into_iter().collect(),
+            release: Vec::new(),
+        };
+        let mut next = self.clone();
+        next.controllers[place].exchange = Some((self.now, Exchange::Requested(request)));
+        Transition::to(format!("{place} requests {action}"), next)
+    }
+
+    fn handle_request(&self, place: usize, began: u8, request: &LeaseRequest) -> Transition {
+        let mut next = self.clone();
+        let response = next.store.handle_request(self.now_seconds(), request).response;
+        let step = format!("the store handles the request of {place}: grants {:?}", response.granted);
+        next.controllers[place].exchange = Some((began, Exchange::Responded(response)));
+        Transition::to(step, next)
+    }
+
+    fn handle_response(&self, place: usize, began: u8, response: &LeaseResponse) -> Transition {
+        let mut next = self.without_exchange(place);
+        let leases = &mut next.controllers[place].leases;
+        leases.on_granted(self.now_seconds(), f64::from(began), &response.granted);
+        leases.on_refused(&response.refused);
+        let last_epoch = next.valid_epoch(place).or(self.controllers[place].last_epoch);
+        next.controllers[place].last_epoch = last_epoch;
+        Transition::to(format!("{place} receives the response"), next)
+    }
+
+    fn restart(&self, place: usize) -> Option<Transition> {
+        if self.crashes_left == 0 {
+            return None;
+        }
+        let mut next = self.clone();
+        next.crashes_left -= 1;
+        next.last_process += 1;
+        let process = next.last_process;
+        next.controllers[place] = Controller::new(process);
+        Some(Transition::to(format!("{place} starts again as process {process}"), next))
+    }
+
+    fn command(&self, place: usize, omitted: OmittedSafeguard) -> Option<Transition> {
+        if self.in_flight.len() >= MAX_IN_FLIGHT || self.commands_left == 0 {
+            return None;
+        }
+        let mut epoch = self.valid_epoch(place);
+        if omitted == OmittedSafeguard::LeaseExpiry {
+            epoch = epoch.or(self.controllers[place].last_epoch);
+        }
+        let epoch = epoch?;
+        let step = format!("{place} commands under epoch {}", epoch.0);
+        Some(Transition { step, outcome: self.issue_command(place, epoch) })
+    }
+
+    fn issue_command(&self, place: usize, epoch: Epoch) -> Result<State, String> {
+        let mut next = self.clone();
+        let process = self.controllers[place].process;
+        let issuer = *next.issuers.entry(epoch).or_insert(process);
+        if issuer != process {
+            return Err(format!("epoch {} is commanded by processes {issuer} and {process}", epoch.0));
+        }
+        let newer = self.valid_epoch(1 - place).filter(|newer| *newer > epoch);
+        if let Some(newer) = newer {
+            return Err(format!(
+                "epoch {} is commanded while another may command under {}",
+                epoch.0, newer.0
+            ));
+        }
+        next.in_flight.push(Command { epoch, process });
+        next.commands_left -= 1;
+        Ok(next)
+    }
+
+    fn delivery(&self, number: usize, omitted: OmittedSafeguard) -> Transition {
+        let mut next = self.clone();
+        let command = next.in_flight.remove(number);
+        let Command { epoch, process } = command;
+        let step = format!("the command of process {process} under epoch {} arrives", epoch.0);
+        let is_admitted = next.fence.admits(u32::from(SLICE), epoch) || omitted == OmittedSafeguard::Fence;
+        if !is_admitted {
+            return Transition::to(step, next);
+        }
+        if let Some(before) = self.obeyed {
+            let other_process = epoch == before.epoch && process != before.process;
+            if epoch < before.epoch || other_process {
+                let violation = format!(
+                    "the proxy obeys epoch {} of {process} after {} of {}",
+                    epoch.0, before.epoch.0, before.process
+                );
+                return Transition { step, outcome: Err(violation) };
+            }
+        }
+        next.obeyed = Some(command);
+        Transition::to(step, next)
+    }
+
+    fn store_step(&self) -> Option<Transition> {
+        if self.store_restarts_left == 0 {
+            return None;
+        }
+        let mut next = self.clone();
+        let step = match &self.store_copy {
+            None => {
+                next.store_copy = Some(self.store.clone());
+                "the store is copied"
+            }
+            Some(copy) => {
+                next.store = copy.restart(self.now_seconds(), u64::from(self.now) + 1);
+                next.store_restarts_left -= 1;
+                "the store restarts from the copy"
+            }
+        };
+        Some(Transition::to(step.to_owned(), next))
+    }
+}
+
+/// Searches the states without one safeguard, `max_states` at the most.
+pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> Explored {
+    let first = State::first(omitted);
+    let mut seen = HashSet::from([first.key()]);
+    let mut paths = Paths::new();
+    let mut queue = VecDeque::from([(0, first)]);
+    while let Some((number, state)) = queue.pop_front() {
+        for Transition { step, outcome } in state.transitions(omitted) {
+            let next = match outcome.and_then(|next| next.violation().map_or(Ok(next), Err)) {
+                Ok(next) => next,
+                Err(violation) => {
+                    return Explored::violated(seen.len(), violation, paths.steps_with(number, step));
+                }
+            };
+            if seen.len() >= max_states {
+                return Explored::limited(seen.len());
+            }
+            if seen.insert(next.key()) {
+                queue.push_back((paths.add(number, step), next));
+            }
+        }
+    }
+    Explored::complete(seen.len())
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/fault/draw.rs
@@ -0,0 +1,127 @@
+//! Draws the faults of a run from its seed. The order of the draws is part of the format: a seed is the same run in every
+//! version.
+use super::{Fault, FaultKind, LinkFaults};
+use crate::config::{ChaosConfig, JudgedProperty};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+/// Seconds without faults at the start, so that all slices are held once, and at the end.
+const CALM_TIME: f64 = 6.0;
+/// Seconds of a pause: shorter than a lease, longer, and far longer.
+const PAUSE_DURATIONS: [f64; 3] = [1.0, 5.0, 30.0];
+/// Seconds of a partition: too short for a member to be declared dead, and long enough for two.
+const PARTITION_DURATIONS: [f64; 3] = [2.0, 10.0, 25.0];
+/// The most by which a clock runs fast or slow, as a fraction.
+const MAX_DRIFT_FRACTION: f64 = 0.05;
+/// The most seconds that a clock jumps, either way.
+const MAX_CLOCK_JUMP: f64 = 20.0;
+/// The most seconds by which commands to proxies are delayed.
+const MAX_COMMAND_DELAY: f64 = 3.0;
+/// The most seconds for which the store loses its responses.
+const MAX_LOST_RESPONSES_DURATION: f64 = 3.0;
+/// The most seconds of the age of the copy from which the store restarts.
+const MAX_STORE_COPY_AGE: f64 = 10.0;
+/// Datagrams of a flood.
+const FLOOD_DATAGRAMS: u32 = 2000;
+
+impl ChaosConfig {
+    /// The faults of a seed, by time: those that the file lists, or else drawn ones.
+    pub fn faults(&self, seed: u64) -> Vec<Fault> {
+        if !self.listed_faults.is_empty() {
+            return self.listed_faults.clone();
+        }
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let count = rng.random_range(0..=self.max_faults);
+        let mut faults = Vec::with_capacity(count);
+        for _ in 0..count {
+            faults.push(match self.judged {
+                JudgedProperty::Leases => draw_lease_fault(self, &mut rng),
+                JudgedProperty::View => draw_view_fault(self, &mut rng),
+            });
+        }
+        faults.sort_by(|a, b| a.at.total_cmp(&b.at));
+        faults
+    }
+}
+
+fn draw_start(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> f64 {
+    CALM_TIME + rng.random::<f64>() * (config.length - 2.0 * CALM_TIME).max(0.0)
+}
+
+fn draw_duration(rng: &mut ChaCha8Rng) -> f64 {
+    1.0 + rng.random::<f64>() * 9.0
+}
+
+fn draw_from(durations: [f64; 3], rng: &mut ChaCha8Rng) -> f64 {
+    durations[rng.random_range(0..durations.len())]
+}
+
+/// A fault of a run that judges views. `magnitude` is between 0 and 1.
+fn draw_view_fault(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> Fault {
+    let at = draw_start(config, rng);
+    let usual = draw_duration(rng);
+    let controller = rng.random_range(0..config.controllers);
+    let other = (controller + rng.random_range(1..config.controllers.max(2))) % config.controllers;
+    let magnitude = rng.random::<f64>();
+    let faults = LinkFaults {
+        loss: 0.4 * magnitude,
+        duplication: 0.2 * rng.random::<f64>(),
+        reordering: 0.3 * rng.random::<f64>(),
+        delay: 0.02 * rng.random::<f64>(),
+        jitter: 0.03 * rng.random::<f64>(),
+    };
+    let (duration, kind) = match rng.random_range(0..22u32) {
+        0 | 1 => (usual, FaultKind::Kill { controller }),
+        2 => (draw_from(PAUSE_DURATIONS, rng), FaultKind::Pause { controller }),
+        3 => (usual, FaultKind::Cut { from: controller, to: other }),
+        4 | 17 => {
+            let side = rng.random_range(1..(1u32 << config.controllers).max(3) - 1);
+            (draw_from(PARTITION_DURATIONS, rng), FaultKind::Split { side })
+        }
+        5 | 18 => (draw_from(PARTITION_DURATIONS, rng), FaultKind::Split { side: 1 << controller }),
+        6 | 7 => (usual, FaultKind::Links { faults }),
+        8 => (usual, FaultKind::Starve { controller, share: 0.1 + 0.5 * magnitude }),
+        9 => (0.0, FaultKind::Move { controller }),
+        10 => (0.0, FaultKind::Replay),
+        11 => (usual, FaultKind::Flap { controller }),
+        12 => (usual, FaultKind::Leave { controller }),
+        13 => (0.3 + 0.4 * magnitude, FaultKind::Kill { controller }),
+        14 => (usual, FaultKind::Backward { controller }),
+        // Pairs do not overlap, so that every other controller reaches both.
+        15 | 16 | 19..=21 if controller ^ 1 < config.controllers => {
+            (0.0, FaultKind::Apart { a: controller, b: controller ^ 1 })
+        }
+        _ => (0.0, FaultKind::Flood { controller, count: FLOOD_DATAGRAMS }),
+    };
+    Fault { at, duration, kind }
+}
+
+/// A fault of a run that judges leases. `magnitude` is between -1 and 1.
+fn draw_lease_fault(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> Fault {
+    let at = draw_start(config, rng);
+    let usual = draw_duration(rng);
+    let controller = rng.random_range(0..config.controllers);
+    let other = rng.random_range(0..config.controllers);
+    let magnitude = rng.random::<f64>() * 2.0 - 1.0;
+    let size = magnitude.abs();
+    let (duration, kind) = match rng.random_range(0..15u32) {
+        0 | 1 => (usual, FaultKind::Kill { controller }),
+        2 | 3 => (draw_from(PAUSE_DURATIONS, rng), FaultKind::Pause { controller }),
+        4 => (usual, FaultKind::Cut { from: controller, to: other }),
+        5 => {
+            let side = rng.random_range(1..(1u32 << config.controllers).max(2));
+            (usual, FaultKind::Split { side })
+        }
+        6 => (usual, FaultKind::StoreAway),
+        7 => (usual, FaultKind::StoreSlow { by: 0.1 + 0.7 * size }),
+        13 => (usual, FaultKind::CutStore { controller }),
+        14 => (usual.min(MAX_LOST_RESPONSES_DURATION), FaultKind::StoreLosesAnswers),
+        12 => (0.0, FaultKind::StoreForgets { by: MAX_STORE_COPY_AGE * size }),
+        8 => (config.length, FaultKind::Drift { controller, by: MAX_DRIFT_FRACTION * magnitude }),
+        9 => (0.0, FaultKind::Jump { controller, by: MAX_CLOCK_JUMP * magnitude }),
+        10 => (usual, FaultKind::SlowOrders { controller, by: MAX_COMMAND_DELAY * size }),
+        _ if magnitude < 0.0 => (usual, FaultKind::Flap { controller }),
+        _ => (0.0, FaultKind::Drain { controller }),
+    };
+    Fault { at, duration, kind }
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/fault/section.rs
@@ -0,0 +1,104 @@
+//! One listed fault of a chaos file. The kinds and keys are the file's; they are mapped here and nowhere else.
+use super::{Fault, FaultKind, LinkFaults, MAX_DRAWN_CONTROLLERS};
+use railhub_ini::{Diagnostic, Section};
+
+/// The most seconds of a run at which a fault may begin, and of its duration.
+const MAX_FAULT_SECONDS: f64 = 3600.0;
+
+/// Reads the section of one fault in a run of so many controllers.
+///
+/// # Errors
+/// The first mistake of the section, with its place.
+pub fn read_fault(section: &Section, controllers: u16) -> Result<Fault, Diagnostic> {
+    let fields = FaultFields { section, controllers };
+    let word: String = section.required("kind")?;
+    let kind = fields.kind(&word)?;
+    let at = section.required_in_range("at", 0.0, MAX_FAULT_SECONDS)?;
+    let duration = section.in_range("for", 0.0, 0.0, MAX_FAULT_SECONDS)?;
+    Ok(Fault { at, duration, kind })
+}
+
+struct FaultFields<'a> {
+    section: &'a Section<'a>,
+    controllers: u16,
+}
+
+impl FaultFields<'_> {
+    fn kind(&self, word: &str) -> Result<FaultKind, Diagnostic> {
+        let section = self.section;
+        Ok(match word {
+            "kill" => FaultKind::Kill { controller: self.controller()? },
+            "pause" => FaultKind::Pause { controller: self.controller()? },
+            "join" => FaultKind::Join { controller: self.controller()? },
+            "leave" => FaultKind::Leave { controller: self.controller()? },
+            "move" => FaultKind::Move { controller: self.controller()? },
+            "twin" => FaultKind::Twin { controller: self.controller()? },
+            "backward" => FaultKind::Backward { controller: self.controller()? },
+            "flap" => FaultKind::Flap { controller: self.controller()? },
+            "drain" => FaultKind::Drain { controller: self.controller()? },
+            "cut_store" => FaultKind::CutStore { controller: self.controller()? },
+            "store_away" => FaultKind::StoreAway,
+            "store_loses_answers" => FaultKind::StoreLosesAnswers,
+            "store_slow" => FaultKind::StoreSlow { by: self.by(0.0, 60.0)? },
+            "store_forgets" => FaultKind::StoreForgets { by: section.in_range("by", 0.0, 0.0, 60.0)? },
+            "slow_orders" => {
+                FaultKind::SlowOrders { controller: self.controller()?, by: self.by(0.0, 10.0)? }
+            }
+            "drift" => FaultKind::Drift { controller: self.controller()?, by: self.by(-0.1, 0.1)? },
+            "jump" => FaultKind::Jump { controller: self.controller()?, by: self.by(-1000.0, 1000.0)? },
+            "replay" => FaultKind::Replay,
+            "cut" => FaultKind::Cut { from: self.id("from")?, to: self.id("to")? },
+            "apart" => FaultKind::Apart { a: self.id("a")?, b: self.id("b")? },
+            "starve" => {
+                let controller = self.controller()?;
+                FaultKind::Starve { controller, share: section.required_in_range("share", 0.01, 1.0)? }
+            }
+            "flood" => {
+                let count = section.in_range("count", 2000.0, 1.0, 1e6)? as u32;
+                FaultKind::Flood { controller: self.controller()?, count }
+            }
+            "split" => FaultKind::Split { side: self.side()? },
+            "links" => FaultKind::Links { faults: self.link_faults()? },
+            other => return Err(section.diagnostic("kind", format!("'{other}' is not known"))),
+        })
+    }
+
+    fn id(&self, key: &str) -> Result<u16, Diagnostic> {
+        let highest_id = f64::from(self.controllers.saturating_sub(1));
+        self.section.required_in_range(key, 0.0, highest_id).map(|id| id as u16)
+    }
+
+    fn controller(&self) -> Result<u16, Diagnostic> {
+        self.id("steward")
+    }
+
+    fn by(&self, least: f64, most: f64) -> Result<f64, Diagnostic> {
+        self.section.required_in_range("by", least, most)
+    }
+
+    /// The controllers on one side of a partition, one bit each.
+    fn side(&self) -> Result<u32, Diagnostic> {
+        let id_limit = self.controllers.min(MAX_DRAWN_CONTROLLERS + 1);
+        let mut side = 0;
+        for id in self.section.list("side") {
+            let id = id.parse::<u16>().ok().filter(|id| *id < id_limit);
+            let Some(id) = id else {
+                return Err(self.section.diagnostic("side", "names stewards, as in 0, 1"));
+            };
+            side |= 1 << id;
+        }
+        Ok(side)
+    }
+
+    fn link_faults(&self) -> Result<LinkFaults, Diagnostic> {
+        let probability = |key: &str| self.section.in_range(key, 0.0, 0.0, 1.0);
+        let seconds = |key: &str| self.section.in_range(key, 0.0, 0.0, 10.0);
+        Ok(LinkFaults {
+            loss: probability("lost")?,
+            duplication: probability("doubled")?,
+            reordering: probability("reordered")?,
+            delay: seconds("delay")?,
+            jitter: seconds("jitter")?,
+        })
+    }
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/lease/mod.rs
@@ -0,0 +1,8 @@
+//! Controllers that share slices by leases, in simulated time: what is observed of a run, the simulation, and the judge.
+pub mod judge;
+mod observation;
+pub mod recovery;
+pub mod shrink;
+pub mod simulation;
+
+pub use observation::{LeaseObservation, Sabotage};
--- /dev/null
+++ b/crates/railhub-chaos/src/lease/simulation/controller.rs
@@ -0,0 +1,80 @@
+//! A controller's process in simulated time.
+use railhub_membership::lease_manager::LeaseManager;
+use railhub_membership::Epoch;
+use std::collections::BTreeMap;
+
+/// A controller's clock.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SimulatedClock {
+    /// Seconds of this clock in a true second.
+    pub speed: f64,
+    /// Seconds by which it is ahead at the start of the run.
+    pub offset: f64,
+    /// Whether it keeps within the bound that leases allow for.
+    pub within_bound: bool,
+}
+
+impl SimulatedClock {
+    /// What the clock shows at a true time.
+    pub fn local(&self, now: f64) -> f64 {
+        now * self.speed + self.offset
+    }
+}
+
+/// A command for a slice.
+#[derive(Clone, Debug)]
+pub(super) struct Command {
+    pub slice: u16,
+    pub epoch: u64,
+    pub process: u64,
+    pub number: u64,
+}
+
+/// A command that a proxy has not acknowledged.
+pub(super) struct PendingCommand {
+    /// Seconds of the run at which it was sent last.
+    pub sent_at: f64,
+    pub command: Command,
+}
+
+pub(super) struct SimulatedController {
+    pub lease_manager: LeaseManager,
+    pub process: u64,
+    pub clock: SimulatedClock,
+    pub paused_until: f64,
+    /// The most seconds by which its commands are delayed.
+    pub command_delay: f64,
+    /// Slices that it acquired and did not lose; with [`Sabotage::LeaseOverrun`](crate::Sabotage) it commands them
+    /// whether its leases are valid or not.
+    pub acquired: BTreeMap<u16, Epoch>,
+    /// Commands without an acknowledgement, by proxy and number.
+    pub pending_commands: BTreeMap<(u16, u64), PendingCommand>,
+}
+
+impl SimulatedController {
+    pub fn new(lease_manager: LeaseManager, process: u64, clock: SimulatedClock) -> SimulatedController {
+        SimulatedController {
+            lease_manager,
+            process,
+            clock,
+            paused_until: 0.0,
+            command_delay: 0.0,
+            acquired: BTreeMap::new(),
+            pending_commands: BTreeMap::new(),
+        }
+    }
+
+    /// The slices that it commands, each with the epoch that its commands bear.
+    pub fn commanded_slices(&self, now: f64, overruns_leases: bool) -> Vec<(u16, Epoch)> {
+        let local = self.clock.local(now);
+        let mut commanded = Vec::new();
+        for (slice, acquired_epoch) in &self.acquired {
+            let epoch = match overruns_leases {
+                true => Some(*acquired_epoch),
+                false => self.lease_manager.valid_epoch(local, *slice),
+            };
+            commanded.extend(epoch.map(|epoch| (*slice, epoch)));
+        }
+        commanded
+    }
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/lease/simulation/exchange.rs
@@ -0,0 +1,110 @@
+//! Messages between controllers, and lease requests with their responses.
+use super::{LeaseSimulation, ScheduledEvent};
+use crate::fault::FaultKind;
+use crate::lease::observation::{LeaseObservation, Sabotage};
+use railhub_membership::lease_manager::{Effects, LeaseManager};
+use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
+use railhub_membership::messages::{Destination, Message, OutgoingMessage};
+use rand::RngExt;
+
+/// The least seconds between two ticks of a controller.
+const MIN_TICK_INTERVAL: f64 = 0.002;
+
+impl LeaseSimulation<'_> {
+    pub(super) fn tick(&mut self, id: u16) {
+        self.with_lease_manager(id, LeaseManager::tick);
+        let controller = &self.controllers[&id];
+        let process = controller.process;
+        let local = controller.clock.local(self.now);
+        let next = (controller.lease_manager.next_tick_at(local) - local) / controller.clock.speed;
+        let next_tick_at = self.now + next.max(MIN_TICK_INTERVAL);
+        self.schedule(next_tick_at, ScheduledEvent::Tick { controller: id, process });
+    }
+
+    pub(super) fn on_message(&mut self, to: u16, message: &Message) {
+        self.with_lease_manager(to, |lease_manager, now| lease_manager.on_message(now, message));
+    }
+
+    pub(super) fn on_lease_response(&mut self, id: u16, response: &LeaseResponse) {
+        self.with_lease_manager(id, |lease_manager, now| lease_manager.on_response(now, response));
+    }
+
+    /// Hands a controller's lease manager its local time, and carries out the effects.
+    fn with_lease_manager(&mut self, id: u16, step: impl FnOnce(&mut LeaseManager, f64) -> Effects) {
+        let Some(controller) = self.controllers.get_mut(&id) else { return };
+        let effects = step(&mut controller.lease_manager, controller.clock.local(self.now));
+        self.apply_effects(id, effects);
+    }
+
+    fn apply_effects(&mut self, id: u16, effects: Effects) {
+        for message in effects.messages {
+            self.send_message(id, message);
+        }
+        if let Some(request) = effects.lease_request {
+            let delay = self.draw_message_delay();
+            self.schedule(self.now + delay, ScheduledEvent::LeaseRequest { controller: id, request });
+        }
+        let overruns_leases = self.sabotage == Some(Sabotage::LeaseOverrun);
+        let Some(controller) = self.controllers.get_mut(&id) else { return };
+        controller.acquired.extend(effects.acquired);
+        if overruns_leases {
+            return;
+        }
+        for slice in effects.lost.iter().chain(&effects.expired) {
+            controller.acquired.remove(slice);
+        }
+    }
+
+    fn send_message(&mut self, from: u16, outgoing: OutgoingMessage) {
+        let Destination::Node(to) = outgoing.to else { return };
+        let is_lost = self.rng.random::<f64>() < self.config.base_loss;
+        let delay = self.draw_message_delay();
+        if is_lost || self.is_blocked(from, to.0) {
+            return;
+        }
+        self.schedule(self.now + delay, ScheduledEvent::Message { to: to.0, message: outgoing.message });
+    }
+
+    /// Whether a cut or a partition keeps one controller from reaching another. Bits of a partition's side repeat from
+    /// controller 32 on.
+    fn is_blocked(&self, from: u16, to: u16) -> bool {
+        self.active_faults.kinds(self.faults).any(|kind| match *kind {
+            FaultKind::Cut { from: cut_from, to: cut_to } => (from, to) == (cut_from, cut_to),
+            FaultKind::Split { side } => {
+                let bit = |controller: u16| side.wrapping_shr(controller.into()) & 1;
+                bit(from) != bit(to)
+            }
+            _ => false,
+        })
+    }
+
+    pub(super) fn on_lease_request(&mut self, id: u16, request: &LeaseRequest) {
+        let is_active = |kind: FaultKind| self.active_faults.includes(self.faults, &kind);
+        if is_active(FaultKind::StoreAway) || is_active(FaultKind::CutStore { controller: id }) {
+            return;
+        }
+        let loses_responses = is_active(FaultKind::StoreLosesAnswers);
+        let store_delay = self.store_delay();
+        let process = request.process;
+        let handled = self.store.handle_request(self.now, request);
+        for (slice, epoch) in handled.acquired {
+            let (at, epoch) = (self.now, epoch.0);
+            self.observations.push(LeaseObservation::Granted { at, slice, epoch, process });
+        }
+        if loses_responses {
+            return;
+        }
+        let arrives_at = self.now + self.draw_message_delay() + store_delay;
+        let response = handled.response;
+        self.schedule(arrives_at, ScheduledEvent::LeaseResponse { controller: id, process, response });
+    }
+
+    /// Seconds by which the slowest fault in force delays the store's responses.
+    fn store_delay(&self) -> f64 {
+        let delays = self.active_faults.kinds(self.faults).map(|kind| match *kind {
+            FaultKind::StoreSlow { by } => by,
+            _ => 0.0,
+        });
+        delays.fold(0.0, f64::max)
+    }
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/view/figures.rs
@@ -0,0 +1,118 @@
+//! Measures a run of views: how fast it settled, how fast deaths were shown, and what it cost.
+use crate::view::judge::false_deaths::false_deaths;
+use crate::view::judge::history::{History, Lifetime};
+use crate::view::observation::{Node, ViewObservation};
+use serde::Serialize;
+
+/// Seconds after a death in which it must be shown, and in which no other process of the controller starts.
+const DEATH_TIME: f64 = 12.0;
+/// Seconds before a death by which an observer of it must be up.
+const OBSERVER_START_TIME: f64 = 2.0;
+/// Seconds before the end of a run by which views must be true for it to have settled.
+const SETTLED_TIME: f64 = 0.3;
+
+/// What a run was like. Times are seconds.
+#[derive(Clone, Debug, Default, Serialize, PartialEq)]
+pub struct ViewFigures {
+    /// From the last disturbance to the last view that was not true; none: it never settled.
+    #[serde(rename = "settled")]
+    pub settling_time: Option<f64>,
+    /// For each death and each process that lived on: until it showed the death.
+    #[serde(rename = "known")]
+    pub detection_times: Vec<f64>,
+    /// How often a live process was declared dead, whatever disturbed the run.
+    #[serde(rename = "slanders")]
+    pub false_deaths: u64,
+    /// Datagrams a second that a member sent.
+    pub datagrams: f64,
+    /// Bytes a second that a member sent.
+    pub bytes: f64,
+    /// The fraction of a core that a member used, if processes were real.
+    #[serde(rename = "processor")]
+    pub processor_fraction: Option<f64>,
+    /// How many views were shown.
+    pub polls: usize,
+}
+
+/// Measures a run.
+pub fn view_figures(observations: &[ViewObservation]) -> ViewFigures {
+    let history = History::new(observations);
+    let (datagrams, bytes, end) = match history.sent() {
+        Some(sent) => (sent.datagrams as f64, sent.bytes as f64, sent.at),
+        None => (0.0, 0.0, 1.0),
+    };
+    let lifetimes = history.lifetimes.values();
+    let lived: f64 = lifetimes.map(|lifetime| lifetime.until.min(end) - lifetime.since).sum();
+    let member_seconds = lived.max(1.0);
+    ViewFigures {
+        settling_time: settling_time(&history),
+        detection_times: detection_times(&history),
+        false_deaths: false_deaths(&history).count() as u64,
+        datagrams: datagrams / member_seconds,
+        bytes: bytes / member_seconds,
+        processor_fraction: processor_seconds(observations).map(|seconds| seconds / member_seconds),
+        polls: history.polls.len(),
+    }
+}
+
+fn settling_time(history: &History) -> Option<f64> {
+    let truth = history.truth();
+    let last_disturbance = history.last_disturbance();
+    let mut last_untrue = last_disturbance;
+    for poll in &history.polls {
+        let counts = poll.at >= last_disturbance && !poll.superseded && history.is_up(poll.node);
+        if counts && poll.alive != truth {
+            last_untrue = last_untrue.max(poll.at);
+        }
+    }
+    (last_untrue < history.end - SETTLED_TIME).then_some(last_untrue - last_disturbance)
+}
+
+/// Processor time of all processes, if any was measured.
+fn processor_seconds(observations: &[ViewObservation]) -> Option<f64> {
+    let times: Vec<f64> = observations.iter().filter_map(processor_time).collect();
+    (!times.is_empty()).then(|| times.iter().sum())
+}
+
+fn processor_time(observation: &ViewObservation) -> Option<f64> {
+    match observation {
+        ViewObservation::ProcessorTime { processor_seconds, .. } => Some(*processor_seconds),
+        _ => None,
+    }
+}
+
+/// For each death after which no process of the controller started, and each process that was up all the time.
+fn detection_times(history: &History) -> Vec<f64> {
+    let mut times = Vec::new();
+    for dead in history.lifetimes.values().filter(|lifetime| lifetime.until.is_finite()) {
+        if is_followed(history, dead) || history.end < dead.until + DEATH_TIME {
+            continue;
+        }
+        for (observer, lifetime) in &history.lifetimes {
+            let was_up_before = lifetime.since < dead.until - OBSERVER_START_TIME;
+            if was_up_before && lifetime.until > dead.until + DEATH_TIME {
+                times.push(detection_time(history, *observer, dead));
+            }
+        }
+    }
+    times
+}
+
+/// Whether another process of the controller started soon after one's death.
+fn is_followed(history: &History, dead: &Lifetime) -> bool {
+    let window = dead.until..dead.until + DEATH_TIME;
+    let mut lifetimes = history.lifetimes.values();
+    lifetimes.any(|other| other.controller == dead.controller && window.contains(&other.since))
+}
+
+/// Seconds from a death to the last view in which a process showed the dead controller alive.
+fn detection_time(history: &History, observer: Node, dead: &Lifetime) -> f64 {
+    let window = dead.until..dead.until + DEATH_TIME;
+    let mut last_shown = dead.until;
+    for poll in history.polls.iter().filter(|poll| poll.node == observer && window.contains(&poll.at)) {
+        if poll.alive.iter().any(|(id, _)| *id == dead.controller) {
+            last_shown = last_shown.max(poll.at);
+        }
+    }
+    last_shown - dead.until
+}
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -1,95 +1,115 @@
-//! The plain baseline: each steward sends a word to all whose addresses it knows, and holds for gone whoever was silent
-//! for one fixed time. It is played in the same runs as the view, so that both are weighed by the same faults.
+//! The baseline: each member sends a heartbeat to every address that it knows, and holds a member to be dead that was
+//! silent for one fixed timeout. It is played with the same faults as SWIM, so that the two can be compared.
 use railhub_membership::member::{Load, Member, Status};
 use railhub_membership::messages::{Destination, Message, OutgoingMessage, Payload};
 use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Seconds between two words, and of silence until one is gone.
-const BEAT: f64 = 0.5;
-const SILENT_FOR: f64 = 2.0;
+/// Seconds between two heartbeats.
+const HEARTBEAT_INTERVAL: f64 = 0.5;
+/// Seconds of silence after which a member is held to be dead.
+const SILENCE_TIMEOUT: f64 = 2.0;
 
+/// Another member, as its last heartbeat showed it.
+struct Peer {
+    member: Member,
+    last_seen_at: f64,
+}
+
+/// A member that sends heartbeats.
 pub struct Heartbeat {
-    me: Member,
+    local: Member,
     seeds: Vec<SocketAddr>,
-    heard: BTreeMap<NodeId, (Member, f64)>,
-    beat_at: f64,
-    turn: u64,
+    peers: BTreeMap<NodeId, Peer>,
+    next_heartbeat_at: f64,
+    last_sequence: u64,
 }
 
 impl Heartbeat {
-    pub fn new(me: Member, seeds: Vec<SocketAddr>, now: f64) -> Heartbeat {
-        Heartbeat { me, seeds, heard: BTreeMap::new(), beat_at: now, turn: 0 }
+    /// A member that knows the addresses of some others.
+    pub fn new(local: Member, seeds: Vec<SocketAddr>, now: f64) -> Heartbeat {
+        Heartbeat { local, seeds, peers: BTreeMap::new(), next_heartbeat_at: now, last_sequence: 0 }
     }
 
-    pub fn next_at(&self) -> f64 {
-        self.beat_at
+    /// When [`Heartbeat::tick`] has something to do.
+    pub fn next_tick_at(&self) -> f64 {
+        self.next_heartbeat_at
     }
 
+    /// The number of its process.
     pub fn process(&self) -> u64 {
-        self.me.incarnation.process
+        self.local.incarnation.process
     }
 
+    /// The address of another member, if it is known.
     pub fn address(&self, id: NodeId) -> Option<SocketAddr> {
-        self.heard.get(&id).and_then(|(entry, _)| entry.metadata.address)
+        self.peers.get(&id).and_then(|peer| peer.member.metadata.address)
     }
 
-    fn mail(&mut self, payload: Payload) -> Vec<OutgoingMessage> {
-        self.turn += 1;
+    fn heartbeats(&mut self) -> Vec<OutgoingMessage> {
+        self.last_sequence += 1;
         let message = Message {
-            sender: self.me.clone(),
-            sequence: self.turn,
+            sender: self.local.clone(),
+            sequence: self.last_sequence,
             load: Load::default(),
             probe_number: 0,
-            payload,
-            // Newcomers learn of the others from whoever hears them.
+            payload: Payload::Gossip,
+            // A new member learns of the others from their heartbeats.
             gossip: Vec::new(),
             outlier: None,
             view_digest: 0,
         };
-        let known = self.heard.values().filter_map(|(entry, _)| entry.metadata.address);
-        let to: std::collections::BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
-        to.into_iter()
-            .map(|address| OutgoingMessage { to: Destination::Address(address), message: message.clone() })
-            .collect()
+        let known = self.peers.values().filter_map(|peer| peer.member.metadata.address);
+        let receivers: BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
+        let to_message =
+            |address| OutgoingMessage { to: Destination::Address(address), message: message.clone() };
+        receivers.into_iter().map(to_message).collect()
     }
 
+    /// Sends heartbeats if they are due.
     pub fn tick(&mut self, now: f64) -> Vec<OutgoingMessage> {
-        if now < self.beat_at {
+        if now < self.next_heartbeat_at {
             return Vec::new();
         }
-        self.beat_at = now + BEAT;
-        self.mail(Payload::Gossip)
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
+        self.heartbeats()
     }
 
-    pub fn hear(&mut self, now: f64, message: &Message) {
-        let from = &message.sender;
-        if from.id == self.me.id {
+    /// Receives a heartbeat.
+    pub fn on_message(&mut self, now: f64, message: &Message) {
+        let sender = &message.sender;
+        if sender.id == self.local.id {
             return;
         }
-        let known = self.heard.get(&from.id);
-        if known.is_none_or(|(entry, _)| entry.incarnation.process <= from.incarnation.process) {
-            self.heard.insert(from.id, (from.clone(), now));
+        let is_older = self
+            .peers
+            .get(&sender.id)
+            .is_some_and(|known| known.member.incarnation.process > sender.incarnation.process);
+        if !is_older {
+            self.peers.insert(sender.id, Peer { member: sender.clone(), last_seen_at: now });
         }
     }
 
+    /// Announces that it leaves.
     pub fn leave(&mut self) -> Vec<OutgoingMessage> {
-        self.me.status = Status::Left;
-        self.mail(Payload::Gossip)
+        self.local.status = Status::Left;
+        self.heartbeats()
     }
 
-    pub fn shown(&self, now: f64) -> Vec<ViewEntry> {
-        let show = |entry: &Member, last_seen_ago: f64| {
-            let is_live = last_seen_ago <= SILENT_FOR && entry.status != Status::Left;
-            let status = if is_live { Status::Alive } else { Status::Dead };
-            let member = Member { status, ..entry.clone() };
-            ViewEntry { member, load: Load::default(), status_age: 0.0, last_seen_ago, ejected: false }
-        };
-        let others = self.heard.values().map(|(entry, at)| show(entry, now - at));
-        let mut all: Vec<ViewEntry> = others.chain([show(&self.me, 0.0)]).collect();
-        all.sort_by_key(|shown| shown.member.id);
-        all
+    /// Its view of all members, itself included, by id.
+    pub fn view(&self, now: f64) -> Vec<ViewEntry> {
+        let peers = self.peers.values().map(|peer| view_entry(&peer.member, now - peer.last_seen_at));
+        let mut entries: Vec<ViewEntry> = peers.chain([view_entry(&self.local, 0.0)]).collect();
+        entries.sort_by_key(|entry| entry.member.id);
+        entries
     }
 }
+
+fn view_entry(member: &Member, last_seen_ago: f64) -> ViewEntry {
+    let is_live = last_seen_ago <= SILENCE_TIMEOUT && member.status != Status::Left;
+    let status = if is_live { Status::Alive } else { Status::Dead };
+    let member = Member { status, ..member.clone() };
+    ViewEntry { member, load: Load::default(), status_age: 0.0, last_seen_ago, ejected: false }
+}
--- /dev/null
+++ b/crates/railhub-chaos/src/view/judge/resurrection.rs
@@ -0,0 +1,61 @@
+//! The rule that a process which has shown a member's process never shows an older one, nor one that it had forgotten.
+use super::NO_LIFE_AFTER_DEATH;
+use crate::breach::Breach;
+use crate::view::observation::{MemberProcess, Node, ViewObservation};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What each process has shown of each controller: the number of the controller's process.
+type ShownProcesses = BTreeMap<(Node, u16), u64>;
+
+#[derive(Default)]
+struct Shown {
+    /// The newest process that was shown alive.
+    newest_alive: ShownProcesses,
+    /// The last process that was shown to be gone.
+    gone: ShownProcesses,
+    /// The process that was gone when it was shown no more.
+    forgotten: ShownProcesses,
+}
+
+pub(super) fn life_after_death(observations: &[ViewObservation]) -> Option<Breach> {
+    let mut shown = Shown::default();
+    for observation in observations {
+        let ViewObservation::View { at, node, alive, gone, .. } = observation else { continue };
+        for member in alive {
+            if let Some(description) = shown.apply_alive(*node, *member) {
+                return Some(Breach { rule: NO_LIFE_AFTER_DEATH, at: *at, description });
+            }
+        }
+        shown.forget(*node, alive, gone);
+        for (controller, process) in gone {
+            shown.gone.insert((*node, *controller), *process);
+        }
+    }
+    None
+}
+
+impl Shown {
+    /// Takes up a member that is shown alive; returns what is wrong with it.
+    fn apply_alive(&mut self, node: Node, (controller, process): MemberProcess) -> Option<String> {
+        let newest = self.newest_alive.entry((node, controller)).or_default();
+        if process < *newest {
+            return Some(format!(
+                "{node:?} holds process {process} of steward {controller} to live after {newest}"
+            ));
+        }
+        *newest = process;
+        let forgotten = self.forgotten.get(&(node, controller));
+        let is_forgotten = forgotten.is_some_and(|forgotten| process <= *forgotten);
+        is_forgotten.then(|| format!("{node:?} had forgotten process {process} of steward {controller}"))
+    }
+
+    /// Marks those forgotten that were gone and are shown no more.
+    fn forget(&mut self, node: Node, alive: &[MemberProcess], gone: &[MemberProcess]) {
+        let shown: BTreeSet<u16> = alive.iter().chain(gone).map(|(controller, _)| *controller).collect();
+        for ((viewer, controller), process) in &self.gone {
+            if *viewer == node && !shown.contains(controller) {
+                self.forgotten.insert((*viewer, *controller), *process);
+            }
+        }
+    }
+}
--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -2,9 +2,12 @@
 use crate::runs::{cores, each, quantile};
 use crate::Ending;
 use clap::{Args, ValueEnum};
-use railhub_chaos::judge::{figures, judge, Breach};
-use railhub_chaos::shrink::shrink;
-use railhub_chaos::{run as play, Chaos, Fault, Judged, Sabotage};
+use railhub_chaos::breach::Breach;
+use railhub_chaos::lease::judge::judge;
+use railhub_chaos::lease::recovery::recovery_figures;
+use railhub_chaos::lease::shrink::shrink;
+use railhub_chaos::lease::simulation::run as play;
+use railhub_chaos::{ChaosConfig, Fault, JudgedProperty, Sabotage};
 use railhub_membership::safeguard::Safeguard;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -118,8 +121,8 @@
 }
 
 pub fn run(arguments: &ChaosArguments) -> Result<(), Ending> {
-    let chaos = Chaos::open(&arguments.file)?;
-    if chaos.judged == Judged::View {
+    let chaos = ChaosConfig::open(&arguments.file)?;
+    if chaos.judged == JudgedProperty::View {
         return crate::chaos_view::run(&chaos, arguments);
     }
     let sabotage = arguments.sabotage.map(Broken::how);
@@ -132,7 +135,7 @@
     }
     let runs = each(arguments.seed, arguments.runs, cores(), |seed| {
         let events = play(&chaos, seed, &chaos.faults(seed), sabotage);
-        (figures(&events).taken_up, !judge(&events).is_empty())
+        (recovery_figures(&events).recovery_times, !judge(&events).is_empty())
     });
     let failed: Vec<u64> = runs.iter().filter(|(_, ran)| ran.1).map(|(seed, _)| *seed).collect();
     let mut taken_up: Vec<f64> = runs.into_iter().flat_map(|(_, ran)| ran.0).collect();
@@ -148,7 +151,7 @@
         taken_up: taken_up.len() as u64,
         taken_up_half: at(0.5),
         taken_up_99: at(0.99),
-        span: chaos.span,
+        span: chaos.lease_duration,
     };
     if arguments.json {
         println!("{}", serde_json::to_string(&told)?);
@@ -162,7 +165,7 @@
     }
 }
 
-fn small(chaos: &Chaos, seed: u64, sabotage: Option<Sabotage>) -> Failed {
+fn small(chaos: &ChaosConfig, seed: u64, sabotage: Option<Sabotage>) -> Failed {
     let faults = chaos.faults(seed);
     let breaches = judge(&play(chaos, seed, &faults, sabotage));
     let rule = breaches.first().map_or("", |breach| breach.rule);
@@ -183,11 +186,11 @@
     if let Some(first) = &told.first {
         out += &format!("seed {}:\n", first.seed);
         for breach in &first.breaches {
-            out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.what);
+            out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.description);
         }
         out += &format!("with no more than {} faults:\n", first.faults.len());
         for fault in &first.faults {
-            out += &format!("  {:.2} s, for {:.2} s: {:?}\n", fault.at, fault.long, fault.what);
+            out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
         }
     }
     out
--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -3,9 +3,11 @@
 use crate::launch::into_folder;
 use crate::runs::{each, quantile};
 use crate::Ending;
-use railhub_chaos::bed::{scratch, shared};
-use railhub_chaos::judge::judge as judge_simulated;
-use railhub_chaos::{run as simulate, Chaos, Fault, Sabotage};
+use railhub_chaos::cluster_harness::lease_scenario::lease_scenario;
+use railhub_chaos::cluster_harness::temporary_folder;
+use railhub_chaos::lease::judge::judge as judge_simulated;
+use railhub_chaos::lease::simulation::run as simulate;
+use railhub_chaos::{ChaosConfig, Fault, Sabotage};
 use railhub_emulator::proxy::Sabotage as BrokenProxy;
 use railhub_invariants::{judge, limits, taken_up, Verdict};
 use railhub_record::save;
@@ -51,8 +53,12 @@
     failed: Option<Failed>,
 }
 
-pub fn run(chaos: &Chaos, arguments: &ChaosArguments, sabotage: Option<Sabotage>) -> Result<(), Ending> {
-    if chaos.stewards < 2 {
+pub fn run(
+    chaos: &ChaosConfig,
+    arguments: &ChaosArguments,
+    sabotage: Option<Sabotage>,
+) -> Result<(), Ending> {
+    if chaos.controllers < 2 {
         return Err(Ending::Input("--loopback needs two stewards at least".into()));
     }
     railhub_net::start_runtime();
@@ -79,16 +85,16 @@
 }
 
 fn one(
-    chaos: &Chaos,
+    chaos: &ChaosConfig,
     seed: u64,
     arguments: &ChaosArguments,
     sabotage: Option<Sabotage>,
 ) -> Result<Ran, String> {
     let faults = chaos.faults(seed);
     let folder = arguments.keep.as_ref().map(|keep| keep.join(format!("seed-{seed}")));
-    let folder = folder.unwrap_or_else(|| scratch(seed));
+    let folder = folder.unwrap_or_else(|| temporary_folder(seed));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let (day, _) = shared::day(chaos, seed, &faults, sabotage).map_err(|e| e.to_string())?;
+    let day = lease_scenario(chaos, seed, &faults, sabotage).map_err(|e| e.to_string())?.scenario;
     let broken = (sabotage == Some(Sabotage::NoFence)).then_some(BrokenProxy::ObeysOldEpochs);
     let played = play(&day, Some(into_folder(&folder)), broken, None, &|_| {})?;
     let rules = judge(&played.events)?;
@@ -112,7 +118,12 @@
     Ok(Ran { service, taken_up: taken_up(&played.events), failed })
 }
 
-fn sum_up(chaos: &Chaos, arguments: &ChaosArguments, runs: &[Ran], not_played: Vec<(u64, String)>) -> Told {
+fn sum_up(
+    chaos: &ChaosConfig,
+    arguments: &ChaosArguments,
+    runs: &[Ran],
+    not_played: Vec<(u64, String)>,
+) -> Told {
     let mut taken_up: Vec<f64> = runs.iter().flat_map(|run| run.taken_up.clone()).collect();
     taken_up.sort_by(f64::total_cmp);
     let failed: Vec<&Failed> = runs.iter().filter_map(|run| run.failed.as_ref()).collect();
@@ -131,7 +142,7 @@
         taken_up_99: quantile(&taken_up, 0.99),
         service: service.clone().sum::<f64>() / runs.len().max(1) as f64,
         service_least: service.fold(1.0, f64::min),
-        span: chaos.span,
+        span: chaos.lease_duration,
     }
 }
 
@@ -159,7 +170,7 @@
         }
     }
     for fault in &first.faults {
-        out += &format!("  {:.2} s, for {:.2} s: {:?}\n", fault.at, fault.long, fault.what);
+        out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
     }
     out += if first.simulated {
         "in simulated time they break a rule too\n"
--- a/crates/railhub-cli/src/chaos_view.rs
+++ b/crates/railhub-cli/src/chaos_view.rs
@@ -2,13 +2,16 @@
 use crate::chaos::ChaosArguments;
 use crate::runs::{cores, each, quantile};
 use crate::Ending;
-use railhub_chaos::bed::{play, scratch, Plan};
-use railhub_chaos::judge::Breach;
-use railhub_chaos::shrink::fewest;
-use railhub_chaos::view::judge::{figures, judge, ViewFigures};
-use railhub_chaos::view::sim::{run as simulate, How, JOIN_BY};
-use railhub_chaos::view::{measured, Seen};
-use railhub_chaos::{Chaos, Fault};
+use railhub_chaos::breach::Breach;
+use railhub_chaos::cluster_harness::{play, temporary_folder, HarnessPlan};
+use railhub_chaos::shrink::minimal_faults;
+use railhub_chaos::view::figures::{view_figures, ViewFigures};
+use railhub_chaos::view::judge::judge;
+use railhub_chaos::view::options::SEED_MEMBERS;
+use railhub_chaos::view::simulation::run as simulate;
+use railhub_chaos::view::timeline::observed_faults;
+use railhub_chaos::view::{RunOptions, ViewObservation};
+use railhub_chaos::{ChaosConfig, Fault};
 use serde::Serialize;
 use std::path::PathBuf;
 
@@ -51,7 +54,7 @@
     processor: Option<f64>,
 }
 
-pub fn run(chaos: &Chaos, arguments: &ChaosArguments) -> Result<(), Ending> {
+pub fn run(chaos: &ChaosConfig, arguments: &ChaosArguments) -> Result<(), Ending> {
     let without = arguments.sabotage.map(|broken| broken.without());
     if without == Some(None) {
         return Err(Ending::Input("that sabotage is of leases; this file judges views".into()));
@@ -60,9 +63,9 @@
     if heartbeats && arguments.loopback {
         return Err(Ending::Input("--baseline is played in simulated time".into()));
     }
-    let how = How { without: without.flatten(), forget_after: 0.0, heartbeats };
+    let how = RunOptions { without: without.flatten(), forget_after: 0.0, uses_heartbeats: heartbeats };
     let at_once = if arguments.loopback { arguments.at_once as usize } else { cores() };
-    let show = arguments.runs == 1 && !chaos.named.is_empty() && !arguments.json;
+    let show = arguments.runs == 1 && !chaos.listed_faults.is_empty() && !arguments.json;
     let all = each(arguments.seed, arguments.runs, at_once, |seed| one(chaos, seed, how, arguments, show));
     let mut runs = Vec::new();
     for (seed, run) in all {
@@ -87,13 +90,19 @@
     failed: Option<Failed>,
 }
 
-fn one(chaos: &Chaos, seed: u64, how: How, arguments: &ChaosArguments, show: bool) -> Result<Ran, String> {
+fn one(
+    chaos: &ChaosConfig,
+    seed: u64,
+    how: RunOptions,
+    arguments: &ChaosArguments,
+    show: bool,
+) -> Result<Ran, String> {
     let faults = chaos.faults(seed);
     let (events, folder) = match arguments.loopback {
         false => (simulate(chaos, seed, &faults, how), None),
         true => {
             let folder = arguments.keep.as_ref().map(|keep| keep.join(format!("seed-{seed}")));
-            let folder = folder.unwrap_or_else(|| scratch(seed));
+            let folder = folder.unwrap_or_else(|| temporary_folder(seed));
             (on_loopback(chaos, seed, &faults, how, &folder)?, Some(folder))
         }
     };
@@ -101,8 +110,8 @@
         print!("{}", story(&events));
     }
     let breaches = judge(&events);
-    let length = events.iter().map(Seen::at).fold(0.0, f64::max);
-    let figures = figures(&events);
+    let length = events.iter().map(ViewObservation::at).fold(0.0, f64::max);
+    let figures = view_figures(&events);
     if let Some(folder) = folder.as_ref().filter(|_| arguments.keep.is_some()) {
         let verdict = serde_json::json!({ "seed": seed, "breaches": breaches, "figures": figures });
         std::fs::write(folder.join("verdict.json"), verdict.to_string()).map_err(|e| e.to_string())?;
@@ -110,7 +119,7 @@
     let failed = (!breaches.is_empty()).then(|| {
         let rule = breaches[0].rule;
         // What was played on real processes is played again at the times at which it came.
-        let played = if arguments.loopback { measured(&events, &faults) } else { faults.clone() };
+        let played = if arguments.loopback { observed_faults(&events, &faults) } else { faults.clone() };
         let simulated = shrink(chaos, seed, &played, how, rule);
         Failed { seed, breaches, faults, folder: folder.clone(), simulated }
     });
@@ -121,35 +130,48 @@
 }
 
 fn on_loopback(
-    chaos: &Chaos,
+    chaos: &ChaosConfig,
     seed: u64,
     faults: &[Fault],
-    how: How,
+    how: RunOptions,
     folder: &std::path::Path,
-) -> Result<Vec<Seen>, String> {
+) -> Result<Vec<ViewObservation>, String> {
     let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
-    let (binary, join) = (binary.as_path(), (0..JOIN_BY).collect());
-    let plan = Plan { chaos, seed, faults, how, binary, folder, join };
-    play(&plan).map(|played| played.events)
+    let plan = HarnessPlan {
+        config: chaos,
+        seed,
+        faults,
+        options: how,
+        binary: &binary,
+        folder,
+        seed_controllers: (0..SEED_MEMBERS).collect(),
+    };
+    play(&plan).map_err(|error| error.to_string())
 }
 
 /// The fewest of the faults that break the same rule in simulated time; `None`: they do not break it there.
-fn shrink(chaos: &Chaos, seed: u64, faults: &[Fault], how: How, rule: &str) -> Option<Vec<Fault>> {
+fn shrink(
+    chaos: &ChaosConfig,
+    seed: u64,
+    faults: &[Fault],
+    how: RunOptions,
+    rule: &str,
+) -> Option<Vec<Fault>> {
     let breaks = |faults: &[Fault]| {
         let breaches = judge(&simulate(chaos, seed, faults, how));
         breaches.iter().any(|breach| breach.rule == rule).then_some(())
     };
-    fewest(faults, breaks).map(|(faults, ())| faults)
+    minimal_faults(faults, breaks).map(|(faults, ())| faults)
 }
 
-fn sum_up(chaos: &Chaos, arguments: &ChaosArguments, runs: &[Ran]) -> Told {
-    let mut settled: Vec<f64> = runs.iter().filter_map(|run| run.figures.settled).collect();
-    let mut known: Vec<f64> = runs.iter().flat_map(|run| run.figures.known.clone()).collect();
+fn sum_up(chaos: &ChaosConfig, arguments: &ChaosArguments, runs: &[Ran]) -> Told {
+    let mut settled: Vec<f64> = runs.iter().filter_map(|run| run.figures.settling_time).collect();
+    let mut known: Vec<f64> = runs.iter().flat_map(|run| run.figures.detection_times.clone()).collect();
     settled.sort_by(f64::total_cmp);
     known.sort_by(f64::total_cmp);
     let count = runs.len().max(1) as f64;
     let hours = runs.iter().map(|run| run.length).sum::<f64>() / 3600.0;
-    let slanders: u64 = runs.iter().map(|run| run.figures.slanders).sum();
+    let slanders: u64 = runs.iter().map(|run| run.figures.false_deaths).sum();
     let failed: Vec<&Failed> = runs.iter().filter_map(|run| run.failed.as_ref()).collect();
     Told {
         chaos: chaos.name.clone(),
@@ -169,7 +191,7 @@
         bytes: runs.iter().map(|run| run.figures.bytes).sum::<f64>() / count,
         processor: arguments
             .loopback
-            .then(|| runs.iter().filter_map(|run| run.figures.processor).sum::<f64>() / count),
+            .then(|| runs.iter().filter_map(|run| run.figures.processor_fraction).sum::<f64>() / count),
     }
 }
 
@@ -197,7 +219,7 @@
     let Some(first) = &told.first else { return out };
     out += &format!("seed {}:\n", first.seed);
     for breach in &first.breaches {
-        out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.what);
+        out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.description);
     }
     let faults = first.simulated.as_ref().unwrap_or(&first.faults);
     out += match (&first.folder, &first.simulated) {
@@ -206,7 +228,7 @@
         _ => "with no more than:\n",
     };
     for fault in faults {
-        out += &format!("  {:.2} s, for {:.2} s: {:?}\n", fault.at, fault.long, fault.what);
+        out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
     }
     if let Some(folder) = &first.folder {
         out += &format!("logs and records: {}\n", folder.display());
@@ -215,27 +237,28 @@
 }
 
 /// What happened and what each steward's view became, line by line.
-fn story(events: &[Seen]) -> String {
+fn story(events: &[ViewObservation]) -> String {
     let mut out = String::new();
     let mut shown = std::collections::BTreeMap::new();
     for event in events {
         let at = event.at();
         match event {
-            Seen::Up { node, steward, .. } => {
-                out += &format!("{at:>7.2} s  steward {steward} starts, process {}\n", node.0);
+            ViewObservation::Started { node, controller, .. } => {
+                out += &format!("{at:>7.2} s  steward {controller} starts, process {}\n", node.0);
             }
-            Seen::Down { node, steward, .. } => {
-                out += &format!("{at:>7.2} s  steward {steward} ends, process {}\n", node.0);
+            ViewObservation::Ended { node, controller, .. } => {
+                out += &format!("{at:>7.2} s  steward {controller} ends, process {}\n", node.0);
             }
-            Seen::Fault { on, fault, .. } => {
-                out += &format!("{at:>7.2} s  {} {fault:?}\n", if *on { "begins:" } else { "is over:" });
+            ViewObservation::Fault { begins, fault, .. } => {
+                out += &format!("{at:>7.2} s  {} {fault}\n", if *begins { "begins:" } else { "is over:" });
             }
-            Seen::View { node, steward, living, yielded, .. } => {
-                let ids: Vec<u16> = living.iter().map(|(id, _)| *id).collect();
-                let view = (ids, *yielded);
+            ViewObservation::View { node, controller, alive, superseded, .. } => {
+                let ids: Vec<u16> = alive.iter().map(|(id, _)| *id).collect();
+                let view = (ids, *superseded);
                 if shown.get(node) != Some(&view) {
-                    let part = if *yielded { ", and takes no part" } else { "" };
-                    out += &format!("{at:>7.2} s      steward {steward} holds {:?} to live{part}\n", view.0);
+                    let part = if *superseded { ", and takes no part" } else { "" };
+                    out +=
+                        &format!("{at:>7.2} s      steward {controller} holds {:?} to live{part}\n", view.0);
                     shown.insert(*node, view);
                 }
             }
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -1,7 +1,7 @@
 //! Stewards as processes of their own, so that they can be stopped and killed outright.
 use crate::logs::WHAT;
 use crate::LogForm;
-use railhub_chaos::bed::{Log, Process};
+use railhub_chaos::cluster_harness::{ControllerProcess, ProcessLog};
 use railhub_scenario::{Launch, Launched};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -17,7 +17,7 @@
     };
     starting(None, move |_| {
         let level = std::env::var(WHAT).unwrap_or_else(|_| "warn".into());
-        Ok(Log { to: Stdio::inherit(), form, level })
+        Ok(ProcessLog { to: Stdio::inherit(), format: form, level })
     })
 }
 
@@ -26,13 +26,13 @@
     starting(Some(folder.to_owned()), |conf| {
         let log = conf.with_extension("log");
         let file = std::fs::File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
-        Ok(Log { to: file.into(), form: "text", level: "info".into() })
+        Ok(ProcessLog { to: file.into(), format: "text", level: "info".into() })
     })
 }
 
 fn starting(
     folder: Option<PathBuf>,
-    log: impl Fn(&Path) -> Result<Log, String> + Send + Sync + 'static,
+    log: impl Fn(&Path) -> Result<ProcessLog, String> + Send + Sync + 'static,
 ) -> Launch {
     let count = AtomicUsize::new(0);
     Arc::new(move |settings| {
@@ -42,23 +42,23 @@
             folder.as_ref().map_or_else(passing, |folder| folder.join(format!("steward-{number}.ini")));
         std::fs::write(&file, settings).map_err(|e| format!("{}: {e}", file.display()))?;
         let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
-        let started = Process::start_with(&binary, &file, log(&file)?);
+        let started = ControllerProcess::start_with_log(&binary, &file, log(&file)?);
         if folder.is_none() {
             let _ = std::fs::remove_file(&file);
         }
-        started.map(launched)
+        started.map(launched).map_err(|error| error.to_string())
     })
 }
 
 /// What a day does with a process.
-pub fn launched(process: Process) -> Launched {
+pub fn launched(process: ControllerProcess) -> Launched {
     let process = Arc::new(process);
     let (stopping, ending) = (process.clone(), process.clone());
     Launched {
-        address: process.listening,
-        fleet: Some(process.fleet).filter(|address| address.port() != 0),
+        address: process.proxy_address,
+        fleet: Some(process.cluster_address).filter(|address| address.port() != 0),
         process: process.number,
-        pause: Some(Arc::new(move |stops| if stops { stopping.stop() } else { stopping.go_on() })),
+        pause: Some(Arc::new(move |stops| if stops { stopping.pause() } else { stopping.resume() })),
         kill: Box::new(move || ending.kill()),
     }
 }
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -1,10 +1,9 @@
 //! Several stewards as processes, with faults between them: short cases through the real binary. A failing case prints its
 //! seed, what broke and where the logs are.
-use railhub_chaos::bed::{play, scratch, Plan, Process};
-use railhub_chaos::view::judge::{judge, NO_LIFE_AFTER_DEATH, NO_SPLIT, RUMOURS_END, SETTLES};
-use railhub_chaos::view::sim::How;
-use railhub_chaos::view::Seen;
-use railhub_chaos::{Chaos, Fault, Judged, LinkFaults, What};
+use railhub_chaos::cluster_harness::{play, temporary_folder, ControllerProcess, HarnessPlan};
+use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES};
+use railhub_chaos::view::{RunOptions, ViewObservation};
+use railhub_chaos::{ChaosConfig, Fault, FaultKind, JudgedProperty, LinkFaults};
 use railhub_fault_links::tcp::TcpLink;
 use railhub_fault_links::{Faults, LinkController};
 use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
@@ -21,37 +20,43 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_railhub");
 
-fn chaos(stewards: u16) -> Chaos {
-    Chaos {
+fn chaos(stewards: u16) -> ChaosConfig {
+    ChaosConfig {
         name: "test".into(),
-        stewards,
+        controllers: stewards,
         slices: 1,
         proxies: 1,
         length: 5.0,
-        span: 3.0,
-        faults_most: 0,
-        lost: 0.01,
-        judged: Judged::View,
-        named: Vec::new(),
-        later: Vec::new(),
+        lease_duration: 3.0,
+        max_faults: 0,
+        base_loss: 0.01,
+        judged: JudgedProperty::View,
+        listed_faults: Vec::new(),
+        late_joiners: Vec::new(),
     }
 }
 
-fn fault(at: f64, long: f64, what: What) -> Fault {
-    Fault { at, long, what }
+fn fault(at: f64, duration: f64, kind: FaultKind) -> Fault {
+    Fault { at, duration, kind }
 }
 
 /// Plays faults on real processes; what was seen, and where its logs are.
-fn seen(seed: u64, chaos: &Chaos, faults: &[Fault], how: How) -> (Vec<Seen>, std::path::PathBuf) {
-    let folder = scratch(seed);
-    let (binary, join) = (Path::new(BINARY), vec![0, 1]);
-    let plan = Plan { chaos, seed, faults, how, binary, folder: &folder, join };
-    let played = play(&plan).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
-    (played.events, folder)
+fn seen(
+    seed: u64,
+    chaos: &ChaosConfig,
+    faults: &[Fault],
+    how: RunOptions,
+) -> (Vec<ViewObservation>, std::path::PathBuf) {
+    let folder = temporary_folder(seed);
+    let (binary, seed_controllers) = (Path::new(BINARY), vec![0, 1]);
+    let plan =
+        HarnessPlan { config: chaos, seed, faults, options: how, binary, folder: &folder, seed_controllers };
+    let events = play(&plan).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
+    (events, folder)
 }
 
-fn keeps_all_rules(seed: u64, chaos: &Chaos, faults: &[Fault]) -> Vec<Seen> {
-    let (events, folder) = seen(seed, chaos, faults, How::default());
+fn keeps_all_rules(seed: u64, chaos: &ChaosConfig, faults: &[Fault]) -> Vec<ViewObservation> {
+    let (events, folder) = seen(seed, chaos, faults, RunOptions::default());
     let breaches = judge(&events);
     assert!(breaches.is_empty(), "seed {seed}: {breaches:#?}\nlogs: {}", folder.display());
     let _ = std::fs::remove_dir_all(folder);
@@ -59,9 +64,9 @@
 }
 
 /// Whether a view showed this steward as gone.
-fn held_gone(events: &[Seen], steward: u16) -> bool {
+fn held_gone(events: &[ViewObservation], steward: u16) -> bool {
     events.iter().any(|event| match event {
-        Seen::View { gone, .. } => gone.iter().any(|(id, _)| *id == steward),
+        ViewObservation::View { gone, .. } => gone.iter().any(|(id, _)| *id == steward),
         _ => false,
     })
 }
@@ -69,11 +74,11 @@
 #[test]
 fn a_join_during_a_split_and_a_crash_settle() {
     let mut chaos = chaos(4);
-    chaos.later = vec![3];
+    chaos.late_joiners = vec![3];
     let faults = [
-        fault(2.0, 14.0, What::Split { side: 0b0011 }),
-        fault(3.0, 0.0, What::Join { steward: 3 }),
-        fault(4.0, 8.0, What::Kill { steward: 1 }),
+        fault(2.0, 14.0, FaultKind::Split { side: 0b0011 }),
+        fault(3.0, 0.0, FaultKind::Join { controller: 3 }),
+        fault(4.0, 8.0, FaultKind::Kill { controller: 1 }),
     ];
     let events = keeps_all_rules(1, &chaos, &faults);
     assert!(held_gone(&events, 0), "the split was long enough to bury");
@@ -81,7 +86,10 @@
 
 #[test]
 fn links_cut_one_way_and_two_that_are_apart_bury_nobody_while_a_third_reaches_both() {
-    let faults = [fault(2.0, 0.0, What::Apart { a: 0, b: 1 }), fault(3.0, 5.0, What::Cut { from: 2, to: 3 })];
+    let faults = [
+        fault(2.0, 0.0, FaultKind::Apart { a: 0, b: 1 }),
+        fault(3.0, 5.0, FaultKind::Cut { from: 2, to: 3 }),
+    ];
     let events = keeps_all_rules(2, &chaos(4), &faults);
     assert!((0..4).all(|steward| !held_gone(&events, steward)));
 }
@@ -89,29 +97,31 @@
 #[test]
 fn stopped_for_a_second_and_for_five_moved_and_set_back_all_settle() {
     let faults = [
-        fault(2.0, 1.0, What::Pause { steward: 0 }),
-        fault(4.0, 5.0, What::Pause { steward: 1 }),
-        fault(5.0, 0.3, What::Kill { steward: 2 }),
-        fault(7.0, 0.0, What::Move { steward: 2 }),
-        fault(8.0, 0.5, What::Backward { steward: 3 }),
+        fault(2.0, 1.0, FaultKind::Pause { controller: 0 }),
+        fault(4.0, 5.0, FaultKind::Pause { controller: 1 }),
+        fault(5.0, 0.3, FaultKind::Kill { controller: 2 }),
+        fault(7.0, 0.0, FaultKind::Move { controller: 2 }),
+        fault(8.0, 0.5, FaultKind::Backward { controller: 3 }),
     ];
     keeps_all_rules(3, &chaos(4), &faults);
 }
 
 #[test]
 fn of_two_processes_with_one_name_the_older_stands_back() {
-    let events = keeps_all_rules(4, &chaos(3), &[fault(3.0, 0.0, What::Twin { steward: 1 })]);
-    assert!(events.iter().any(|event| matches!(event, Seen::View { steward: 1, yielded: true, .. })));
+    let events = keeps_all_rules(4, &chaos(3), &[fault(3.0, 0.0, FaultKind::Twin { controller: 1 })]);
+    assert!(events
+        .iter()
+        .any(|event| matches!(event, ViewObservation::View { controller: 1, superseded: true, .. })));
 }
 
 #[test]
 fn lossy_links_restarts_old_datagrams_again_and_spoilt_ones_settle() {
-    let bad = LinkFaults { lost: 0.2, doubled: 0.1, reordered: 0.2, delay: 0.005, jitter: 0.01 };
+    let bad = LinkFaults { loss: 0.2, duplication: 0.1, reordering: 0.2, delay: 0.005, jitter: 0.01 };
     let faults = [
-        fault(1.0, 9.0, What::Links { faults: bad }),
-        fault(2.0, 8.0, What::Flap { steward: 0 }),
-        fault(8.0, 0.0, What::Flood { steward: 1, count: 20_000 }),
-        fault(11.0, 0.0, What::Replay),
+        fault(1.0, 9.0, FaultKind::Links { faults: bad }),
+        fault(2.0, 8.0, FaultKind::Flap { controller: 0 }),
+        fault(8.0, 0.0, FaultKind::Flood { controller: 1, count: 20_000 }),
+        fault(11.0, 0.0, FaultKind::Replay),
     ];
     keeps_all_rules(5, &chaos(3), &faults);
 }
@@ -120,12 +130,12 @@
 fn all_that_start_at_once_with_a_dead_address_first_find_each_other() {
     let mut chaos = chaos(4);
     // Nobody ever starts under the first name: its address is that of a dead one.
-    chaos.later = vec![0];
+    chaos.late_joiners = vec![0];
     keeps_all_rules(6, &chaos, &[]);
 }
 
 fn breaks(seed: u64, without: Safeguard, faults: &[Fault], rules: &[&str]) {
-    let how = How { without: Some(without), ..How::default() };
+    let how = RunOptions { without: Some(without), ..RunOptions::default() };
     let (events, folder) = seen(seed, &chaos(3), faults, how);
     let breaches = judge(&events);
     let found = breaches.iter().any(|breach| rules.contains(&breach.rule));
@@ -135,18 +145,18 @@
 
 #[test]
 fn a_fleet_that_ignores_process_numbers_is_found() {
-    let faults = [fault(2.0, 7.0, What::Kill { steward: 1 })];
+    let faults = [fault(2.0, 7.0, FaultKind::Kill { controller: 1 })];
     breaks(7, Safeguard::ProcessOrder, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
 }
 
 #[test]
 fn a_fleet_without_refutation_is_found() {
-    breaks(8, Safeguard::Refutation, &[fault(2.0, 9.0, What::Split { side: 1 })], &[NO_SPLIT, SETTLES]);
+    breaks(8, Safeguard::Refutation, &[fault(2.0, 9.0, FaultKind::Split { side: 1 })], &[NO_SPLIT, SETTLES]);
 }
 
 #[test]
 fn a_fleet_with_endless_rumours_is_found() {
-    breaks(9, Safeguard::GossipLimit, &[], &[RUMOURS_END]);
+    breaks(9, Safeguard::GossipLimit, &[], &[GOSSIP_ENDS]);
 }
 
 /// A folder of its own for each test; gone when the test has passed.
@@ -157,7 +167,7 @@
 }
 
 /// A steward that ends with its test, also when that fails; and its file of settings.
-fn steward(folder: &Path, id: u16, join: Option<SocketAddr>) -> (Process, String) {
+fn steward(folder: &Path, id: u16, join: Option<SocketAddr>) -> (ControllerProcess, String) {
     let join = join.map_or(String::new(), |address| format!("join = {address}\n"));
     let text = format!(
         "[steward]\nlisten = 127.0.0.1:0\nroster = 127.0.0.1:1\n\n[class any]\ncontract_time = 1\n\n\
@@ -165,7 +175,7 @@
     );
     let conf = folder.join(format!("{id}.ini"));
     std::fs::write(&conf, text).expect("writable");
-    let process = Process::start(Path::new(BINARY), &conf, &conf.with_extension("log"));
+    let process = ControllerProcess::start(Path::new(BINARY), &conf, &conf.with_extension("log"));
     (process.unwrap_or_else(|what| panic!("{what}")), conf.to_str().expect("plain").to_owned())
 }
 
@@ -210,15 +220,15 @@
 fn an_observer_sees_a_join_and_a_leave_in_order_and_is_never_counted() {
     let folder = folder("observer");
     let (one, conf) = steward(&folder, 1, None);
-    let (two, _) = steward(&folder, 2, Some(one.fleet));
+    let (two, _) = steward(&folder, 2, Some(one.cluster_address));
     let lines = |told: &Value| told["views"][0]["lines"].as_array().map_or(0, Vec::len);
     let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    let told = look_until(&conf, one.fleet, "two that know each other", both);
+    let told = look_until(&conf, one.cluster_address, "two that know each other", both);
     assert_eq!(lines(&told), 2, "{told}");
     assert_eq!(told["views"][0]["lines"][0]["settings"], told["views"][0]["lines"][1]["settings"]);
     two.leave();
     let left = |told: &Value| told["views"][0]["lines"][1]["standing"] == "left";
-    look_until(&conf, one.fleet, "one that left", left);
+    look_until(&conf, one.cluster_address, "one that left", left);
     let _ = std::fs::remove_dir_all(folder);
 }
 
@@ -227,10 +237,10 @@
 fn a_steward_that_is_flooded_still_finds_a_death() {
     let folder = folder("flooded");
     let (one, conf) = steward(&folder, 1, None);
-    let (two, _) = steward(&folder, 2, Some(one.fleet));
+    let (two, _) = steward(&folder, 2, Some(one.cluster_address));
     let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    look_until(&conf, one.fleet, "two that know each other", both);
-    let (ended, to) = (Arc::new(AtomicBool::new(false)), one.fleet);
+    look_until(&conf, one.cluster_address, "two that know each other", both);
+    let (ended, to) = (Arc::new(AtomicBool::new(false)), one.cluster_address);
     let stop = ended.clone();
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -241,7 +251,7 @@
     });
     drop(two);
     let dead = |told: &Value| told["views"][0]["lines"][1]["standing"] == "dead";
-    look_until(&conf, one.fleet, "one that died", dead);
+    look_until(&conf, one.cluster_address, "one that died", dead);
     ended.store(true, Ordering::Release);
     flood.join().expect("it ends");
     let _ = std::fs::remove_dir_all(folder);
@@ -252,11 +262,11 @@
 fn a_hundred_thousand_damaged_datagrams_are_dropped_and_counted_and_answers_go_on() {
     let folder = folder("damaged");
     let (one, conf) = steward(&folder, 1, None);
-    let (_two, _) = steward(&folder, 2, Some(one.fleet));
+    let (_two, _) = steward(&folder, 2, Some(one.cluster_address));
     let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    look_until(&conf, one.fleet, "two that know each other", both);
-    damage(one.fleet, "hand", 100_000);
-    let told = look_until(&conf, one.fleet, "two that know each other after the noise", both);
+    look_until(&conf, one.cluster_address, "two that know each other", both);
+    damage(one.cluster_address, "hand", 100_000);
+    let told = look_until(&conf, one.cluster_address, "two that know each other after the noise", both);
     // What the socket's own queue could not hold never came to the steward.
     assert!(told["views"][0]["dropped"].as_u64() > Some(10_000), "{told}");
     let lines = told["views"][0]["lines"].as_array().expect("lines");
@@ -272,10 +282,10 @@
     railhub_net::start_runtime();
     let folder = folder("service");
     let (peer, conf) = steward(&folder, 2, None);
-    let (_other, _) = steward(&folder, 3, Some(peer.fleet));
+    let (_other, _) = steward(&folder, 3, Some(peer.cluster_address));
     let link_controller = Arc::new(LinkController::new(10, None));
     let bed = Arc::new(Mutex::new(Vec::<Arc<TcpLink>>::new()));
-    let (links, at, home) = (bed.clone(), peer.fleet, folder.clone());
+    let (links, at, home) = (bed.clone(), peer.cluster_address, folder.clone());
     let count = AtomicUsize::new(0);
     let launch: Launch = Arc::new(move |settings| {
         let number = count.fetch_add(1, Ordering::Relaxed);
@@ -290,10 +300,11 @@
         text += &format!("\n[fleet]\nid = 1\ninstallation = hand\njoin = {at}\n");
         let conf = home.join(format!("day-{number}.ini"));
         std::fs::write(&conf, text).map_err(|e| e.to_string())?;
-        let process = Process::start(Path::new(BINARY), &conf, &conf.with_extension("log"))?;
-        let door = TcpLink::open(link_controller.clone(), "proxies", "1", Some(process.listening));
+        let process = ControllerProcess::start(Path::new(BINARY), &conf, &conf.with_extension("log"))
+            .map_err(|e| e.to_string())?;
+        let door = TcpLink::open(link_controller.clone(), "proxies", "1", Some(process.proxy_address));
         let door = Arc::new(door.map_err(|e| e.to_string())?);
-        let (address, fleet) = (door.address, process.fleet);
+        let (address, fleet) = (door.address, process.cluster_address);
         links.lock().expect("whole").push(door.clone());
         let link_controller = link_controller.clone();
         // The first process alone is troubled; the day itself kills it.
@@ -334,6 +345,6 @@
     assert!(served.whole > 0.8, "seed {}: {served:?}, logs: {}", day.seed, folder.display());
     // The steward of the day was ended outright: the two that are left know.
     let dead = |told: &Value| told["agree"] == true && told["views"][0]["lines"][0]["standing"] == "dead";
-    look_until(&conf, peer.fleet, "the day's steward is gone", dead);
+    look_until(&conf, peer.cluster_address, "the day's steward is gone", dead);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/railhub-cli/tests/shares.rs
+++ b/crates/railhub-cli/tests/shares.rs
@@ -1,6 +1,6 @@
 //! Stewards that share slices, as processes: days and drawn faults through the real binary, judged from what crossed the
 //! sockets; each sabotage is found. A failing case prints its seed, what broke and where its logs are.
-use railhub_chaos::bed::Process;
+use railhub_chaos::cluster_harness::ControllerProcess;
 use railhub_emulator::store::Store;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -110,7 +110,7 @@
 }
 
 /// A steward that shares forty slices, and its settings.
-fn steward(folder: &Path, id: u16, store: &Store, join: &str) -> (Process, String) {
+fn steward(folder: &Path, id: u16, store: &Store, join: &str) -> (ControllerProcess, String) {
     let text = format!(
         "[steward]\nlisten = 127.0.0.1:0\nroster = 127.0.0.1:1\nstore = {}\nslices = 40\n\n[class any]\n\
          contract_time = 1\n\n[fleet]\nid = {id}\ninstallation = shares\nshare = yes\nlease = 2\n{join}",
@@ -118,7 +118,7 @@
     );
     let conf = folder.join(format!("{id}.ini"));
     std::fs::write(&conf, text).expect("writable");
-    let process = Process::start(Path::new(BINARY), &conf, &conf.with_extension("log"));
+    let process = ControllerProcess::start(Path::new(BINARY), &conf, &conf.with_extension("log"));
     (process.unwrap_or_else(|what| panic!("{what}")), conf.to_str().expect("plain").to_owned())
 }
 
@@ -145,15 +145,15 @@
     let tables = (0..40).map(|slice| (slice, vec![("127.0.0.1:9".parse().expect("an address"), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
     let (one, conf) = steward(&folder, 1, &store, "");
-    let (two, _) = steward(&folder, 2, &store, &format!("join = {}\n", one.fleet));
+    let (two, _) = steward(&folder, 2, &store, &format!("join = {}\n", one.cluster_address));
     let (first, second) = (one.number.expect("in a fleet"), two.number.expect("in a fleet"));
     holders(&conf, "both have some of the forty", |by, held| by.len() == 2 && held == 40);
-    let at = one.fleet.to_string();
+    let at = one.cluster_address.to_string();
     let out = railhub(&["fleet", "drain", "2", "--conf", &conf, "--at", &at, "--log", "off"]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let by = holders(&conf, "the first has all", |by, held| by.len() == 1 && held == 40);
     assert_eq!(by, BTreeSet::from([first]));
-    let (three, _) = steward(&folder, 3, &store, &format!("join = {}\n", one.fleet));
+    let (three, _) = steward(&folder, 3, &store, &format!("join = {}\n", one.cluster_address));
     let third = three.number.expect("in a fleet");
     holders(&conf, "the third has some", |by, held| by.contains(&third) && held == 40);
     // It is told to go, and leaves nothing behind that has to run out.
