--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -2,13 +2,13 @@
 use railhub_invariants::{judge, limits};
 use railhub_record::Event;
 use railhub_scenario::report::service;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{run, Physics, Policy};
 use std::path::{Path, PathBuf};
 
 fn played(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
-    let day = Day { seed, ..Day::open(&path).expect("a good script") };
+    let day = Scenario { seed, ..Scenario::open(&path).expect("a good script") };
     run(&day, policy, Physics::default()).expect("it runs")
 }
 
@@ -28,7 +28,7 @@
                     judge(&events).expect("a record").iter().all(|verdict| verdict.kept),
                     "{name} {seed}"
                 );
-                service(&events, limits(&events).expect("limits come first")).whole
+                service(&events, limits(&events).expect("limits come first")).overall
             };
             apart += served(&adapter()) - served(&Policy::Steward);
         }
@@ -48,7 +48,7 @@
 #[test]
 fn a_version_that_is_no_such_program_fails_the_run_and_is_named() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
-    let day = Day::open(&path).expect("a good script");
+    let day = Scenario::open(&path).expect("a good script");
     let fault = run(&day, &Policy::Version("/bin/false".into()), Physics::default()).expect_err("a fault");
     assert!(fault.starts_with("the version /bin/false: "), "{fault}");
 }
--- a/crates/railhub-chaos/src/bed/shared.rs
+++ b/crates/railhub-chaos/src/bed/shared.rs
@@ -4,9 +4,9 @@
 use crate::world::FLAP;
 use crate::Sabotage;
 use railhub_ini::{Diagnostic, Document};
-use railhub_scenario::stewards::TestClock;
-use railhub_scenario::troubles::{Act, CutWay, Trouble};
-use railhub_scenario::Day;
+use railhub_scenario::fault::{CutDirection, FaultKind, ScheduledFault};
+use railhub_scenario::scenario::TestClock;
+use railhub_scenario::Scenario;
 
 /// The fleet, but for its sizes: hosts that die and a deploy go on beside the stewards' faults.
 const FLEET: &str = include_str!("shared.ini");
@@ -22,18 +22,18 @@
     seed: u64,
     faults: &[Fault],
     sabotage: Option<Sabotage>,
-) -> Result<(Day, Vec<What>), Diagnostic> {
-    let mut day = Day::read(&Document::parse("the fleet of a chaos run", FLEET)?)?;
+) -> Result<(Scenario, Vec<What>), Diagnostic> {
+    let mut day = Scenario::read(&Document::parse("the fleet of a chaos run", FLEET)?)?;
     (day.seed, day.name) = (seed, format!("{}, seed {seed}", chaos.name));
-    (day.stewards, day.lease) = (usize::from(chaos.stewards), chaos.span);
+    (day.controllers, day.lease_duration) = (usize::from(chaos.stewards), chaos.span);
     (day.slices, day.limits.slices) = (u32::from(chaos.slices), u32::from(chaos.slices));
     day.proxies = chaos.proxies as usize;
     day.limits.proxies = u32::from(chaos.proxies);
     let ends = faults.iter().map(|fault| fault.at + fault.long.min(chaos.length)).fold(0.0, f64::max);
     day.length = chaos.length.max(ends + CALM);
-    day.broken_store.reuses_epochs = sabotage == Some(Sabotage::EpochReused);
-    day.broken_store.skips_write_check = sabotage == Some(Sabotage::UncheckedWrites);
-    day.stewards_without = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
+    day.store_faults.reuses_epochs = sabotage == Some(Sabotage::EpochReused);
+    day.store_faults.skips_write_check = sabotage == Some(Sabotage::UncheckedWrites);
+    day.disabled_safeguard = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
     let mut left_out = Vec::new();
     for fault in faults {
         if let What::Drift { steward, by } = fault.what {
@@ -46,43 +46,51 @@
             if troubles.is_empty() {
                 left_out.push(fault.what.clone());
             }
-            day.troubles.extend(troubles);
+            day.faults.extend(troubles);
         }
     }
     Ok((day, left_out))
 }
 
-fn clock(day: &mut Day, steward: u16) -> &mut TestClock {
-    let stewards = day.stewards;
-    day.clocks.resize(stewards, TestClock::default());
+fn clock(day: &mut Scenario, steward: u16) -> &mut TestClock {
+    let controllers = day.controllers;
+    day.clocks.resize(controllers, TestClock::default());
     &mut day.clocks[usize::from(steward)]
 }
 
-fn trouble(at: f64, long: f64, act: Act) -> Trouble {
-    Trouble { name: format!("{act:?}"), kind: "chaos".into(), at, long, act }
+fn trouble(at: f64, duration: f64, kind: FaultKind) -> ScheduledFault {
+    ScheduledFault { name: kind.recorded_note(), kind_name: "chaos".into(), at, duration, kind }
 }
 
-fn troubles(fault: &Fault) -> Vec<Trouble> {
+fn troubles(fault: &Fault) -> Vec<ScheduledFault> {
     let Fault { at, long, what } = fault;
     let act = match what {
-        What::Kill { steward } => Act::StewardKilled { steward: usize::from(*steward) },
-        What::Pause { steward } => Act::StewardPaused { steward: usize::from(*steward) },
-        What::Cut { from, to } => Act::StewardWay { from: usize::from(*from), to: usize::from(*to) },
-        What::Split { side } => {
-            Act::StewardsSplit { side: (0..32).filter(|steward| side >> steward & 1 == 1).collect() }
+        What::Kill { steward } => FaultKind::ControllerKilled { controller: usize::from(*steward) },
+        What::Pause { steward } => FaultKind::ControllerPaused { controller: usize::from(*steward) },
+        What::Cut { from, to } => {
+            FaultKind::ControllerOneWayCut { from: usize::from(*from), to: usize::from(*to) }
         }
-        What::StoreAway => Act::StoreAway,
-        What::StoreLosesAnswers => Act::StoreLosesAnswers,
+        What::Split { side } => FaultKind::ControllerPartition {
+            side: (0..32).filter(|steward| side >> steward & 1 == 1).collect(),
+        },
+        What::StoreAway => FaultKind::StoreUnavailable,
+        What::StoreLosesAnswers => FaultKind::StoreResponsesLost,
         What::CutStore { steward } => {
-            let from = vec!["store".to_owned()];
-            Act::StewardCut { steward: usize::from(*steward), from, way: CutWay::Both }
+            let peers = vec!["store".to_owned()];
+            FaultKind::ControllerIsolated {
+                controller: usize::from(*steward),
+                peers,
+                direction: CutDirection::Both,
+            }
+        }
+        What::StoreSlow { by } => FaultKind::StoreSlow { delay: *by },
+        What::StoreForgets { by } => FaultKind::StoreRolledBack { age: *by },
+        What::SlowOrders { steward, by } => {
+            FaultKind::SlowUpdates { controller: usize::from(*steward), delay: *by }
         }
-        What::StoreSlow { by } => Act::StoreSlow { by: *by },
-        What::StoreForgets { by } => Act::StoreForgets { by: *by },
-        What::SlowOrders { steward, by } => Act::SlowOrders { steward: usize::from(*steward), by: *by },
-        What::Drain { steward } => Act::StewardDrained { steward: usize::from(*steward) },
+        What::Drain { steward } => FaultKind::ControllerDrained { controller: usize::from(*steward) },
         What::Flap { steward } => {
-            let act = Act::StewardKilled { steward: usize::from(*steward) };
+            let act = FaultKind::ControllerKilled { controller: usize::from(*steward) };
             let turns = (long / (2.0 * FLAP)).ceil().max(1.0) as u32;
             let one = |turn| trouble(at + f64::from(turn) * 2.0 * FLAP, FLAP, act.clone());
             return (0..turns).map(one).collect();
--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -90,10 +90,11 @@
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let (day, _) = shared::day(chaos, seed, &faults, sabotage).map_err(|e| e.to_string())?;
     let broken = (sabotage == Some(Sabotage::NoFence)).then_some(BrokenProxy::ObeysOldEpochs);
-    let played = play(&day, Some(into_folder(&folder)), broken, None, &|_| {})?;
+    let played = play(&day, Some(into_folder(&folder)), broken, None, &|_| {});
+    let played = played.map_err(|e| e.to_string())?;
     let rules = judge(&played.events)?;
     let limits = limits(&played.events).ok_or("the record has no limits")?;
-    let service = report::service(&played.events, limits).whole;
+    let service = report::service(&played.events, limits).overall;
     let is_broken = rules.iter().any(|verdict| !verdict.kept);
     let keeps = arguments.keep.is_some() || is_broken;
     if keeps {
--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -4,7 +4,7 @@
 use railhub_controller::{Installation, Running};
 use railhub_ini::Document;
 use railhub_platform_net::Signals;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use serde::Serialize;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::io::{Read, Write};
@@ -123,7 +123,7 @@
 pub fn check(file: &Path) -> Result<(), Ending> {
     let document = Document::open(file)?;
     if document.section("day").exists() {
-        Day::read(&document)?;
+        Scenario::read(&document)?;
     } else {
         Installation::read(&document)?;
     }
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -2,7 +2,7 @@
 use crate::logs::WHAT;
 use crate::LogForm;
 use railhub_chaos::bed::{Log, Process};
-use railhub_scenario::{Launch, Launched};
+use railhub_scenario::{Launch, LaunchError, Launched};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -40,13 +40,13 @@
         let passing = || std::env::temp_dir().join(format!("railhub-{}-{number}.ini", std::process::id()));
         let file =
             folder.as_ref().map_or_else(passing, |folder| folder.join(format!("steward-{number}.ini")));
-        std::fs::write(&file, settings).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(&file, settings).map_err(|source| LaunchError::File { path: file.clone(), source })?;
         let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
         let started = Process::start_with(&binary, &file, log(&file)?);
         if folder.is_none() {
             let _ = std::fs::remove_file(&file);
         }
-        started.map(launched)
+        Ok(launched(started?))
     })
 }
 
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -8,7 +8,7 @@
 use railhub_invariants::limits;
 use railhub_record::{read, save};
 use railhub_scenario::report::service;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::fit::samples;
 use railhub_simulator::{run as run_model, Baseline, Physics, Policy};
 use std::path::{Path, PathBuf};
@@ -78,7 +78,7 @@
     }
     let file = arguments.file.as_ref().ok_or(Ending::Input("a day file is needed".into()))?;
     let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
-    let mut day = Day::open(file)?;
+    let mut day = Scenario::open(file)?;
     day.seed = arguments.seed.unwrap_or(day.seed);
     if let Some(runs) = arguments.runs {
         return foresee(&day, &arguments.policy.policy(), physics, runs, arguments.json);
@@ -94,7 +94,7 @@
     finish(&run, &events, fixed, arguments.json)
 }
 
-fn foresee(day: &Day, policy: &Policy, physics: Physics, runs: u64, json: bool) -> Result<(), Ending> {
+fn foresee(day: &Scenario, policy: &Policy, physics: Physics, runs: u64, json: bool) -> Result<(), Ending> {
     let told = predict(day, policy, physics, runs).map_err(Ending::Input)?;
     if json {
         println!("{}", serde_json::to_string(&told)?);
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -6,8 +6,9 @@
 use railhub_emulator::proxy::Sabotage;
 use railhub_invariants::{judge, limits};
 use railhub_record::{read, read_part, Event};
-use railhub_scenario::report::{rules_words, service, words, Report, Service};
-use railhub_scenario::{import, play, Day};
+use railhub_scenario::report::text::{report_text, verdicts_text};
+use railhub_scenario::report::{service, Report, Service};
+use railhub_scenario::{import, play, Played, Scenario};
 use railhub_timeseries::{causes, over_time, told};
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -92,21 +93,21 @@
         return Ok(());
     }
     let file = arguments.file.as_ref().ok_or(Ending::Input("a day file is needed".into()))?;
-    let mut day = Day::open(file)?;
+    let mut day = Scenario::open(file)?;
     day.seed = arguments.seed.unwrap_or(day.seed);
     let sabotage = arguments.sabotage.map(BrokenRule::how);
     let bar = progress_bar(&day);
     let show = |at: f64| bar.set_position(at.max(0.0) as u64);
     let record = arguments.record.as_deref();
     let (steered, fixed) = std::thread::scope(|scope| {
-        let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play(&day, None, None, None, &|_| {})));
+        let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play_fixed(&day)));
         let steered = play(&day, Some(as_process(log)), sabotage, record, &show);
         let fixed =
             fixed.map(|thread| thread.join().unwrap_or_else(|_| Err("the fixed day ended early".into())));
         (steered, fixed)
     });
     bar.finish_and_clear();
-    let steered = steered.map_err(Ending::Input)?;
+    let steered = steered?;
     let fixed = fixed.transpose().map_err(Ending::Input)?;
     let fixed = fixed.and_then(|played| Some(service(&played.events, limits(&played.events)?)));
     let events = match record {
@@ -116,7 +117,12 @@
     finish(&Run { day: &day.name, seed: day.seed, how: "loopback" }, &events, fixed, arguments.json)
 }
 
-pub fn progress_bar(day: &Day) -> ProgressBar {
+/// The same scenario with the tables that it begins with.
+fn play_fixed(day: &Scenario) -> Result<Played, String> {
+    play(day, None, None, None, &|_| {}).map_err(|error| error.to_string())
+}
+
+pub fn progress_bar(day: &Scenario) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
@@ -148,8 +154,8 @@
     let rules = judge(events).map_err(Ending::Input)?;
     let limits = limits(events).ok_or(Ending::Input("the record has no limits".into()))?;
     let report = Report {
-        day: run.day.to_owned(),
-        how: run.how,
+        scenario: run.day.to_owned(),
+        source: run.how,
         seed: run.seed,
         service: service(events, limits),
         fixed,
@@ -164,7 +170,7 @@
         all["over_time"] = serde_json::to_value(&lines)?;
         println!("{all}");
     } else {
-        print!("{}", words(&report));
+        print!("{}", report_text(&report));
         print!("{}", causes::words(&changes));
     }
     if report.rules_kept {
@@ -179,7 +185,7 @@
     if arguments.json {
         println!("{}", serde_json::to_string(&rules)?);
     } else {
-        print!("{}", rules_words(&rules));
+        print!("{}", verdicts_text(&rules));
     }
     if rules.iter().all(|verdict| verdict.kept) {
         Ok(())
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -2,7 +2,7 @@
 use crate::scenario::{finish, progress_bar, Run};
 use crate::Ending;
 use clap::Args;
-use railhub_scenario::{play, Day, Launch, Launched};
+use railhub_scenario::{play, Launch, LaunchError, Launched, Scenario};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -30,16 +30,16 @@
     if !arguments.steward.ip().is_loopback() {
         return Err(Ending::Input(format!("--steward {}: not a loopback address", arguments.steward)));
     }
-    let day = Day::open(&arguments.file)?;
+    let day = Scenario::open(&arguments.file)?;
     let (address, out) = (arguments.steward, arguments.conf_out.clone());
     let launch: Launch = Arc::new(move |settings| {
         let settings = settings.replace("listen = 127.0.0.1:0", &format!("listen = {address}"));
-        std::fs::write(&out, settings).map_err(|e| format!("{}: {e}", out.display()))?;
+        std::fs::write(&out, settings).map_err(|source| LaunchError::File { path: out.clone(), source })?;
         tracing::info!(conf = %out.display(), "start the steward now");
         let until = Instant::now() + PATIENCE;
         while TcpStream::connect(address).is_err() {
             if Instant::now() > until {
-                return Err(format!("no steward listens on {address}"));
+                return Err(LaunchError::NotListening(address));
             }
             std::thread::sleep(Duration::from_millis(100));
         }
@@ -48,6 +48,6 @@
     let bar = progress_bar(&day);
     let played = play(&day, Some(launch), None, None, &|at| bar.set_position(at.max(0.0) as u64));
     bar.finish_and_clear();
-    let played = played.map_err(Ending::Input)?;
+    let played = played?;
     finish(&Run { day: &day.name, seed: day.seed, how: "loopback" }, &played.events, None, arguments.json)
 }
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -281,7 +281,11 @@
         let number = count.fetch_add(1, Ordering::Relaxed);
         let mut text = settings.to_owned();
         for key in ["roster", "store"] {
-            let line = text.lines().find(|line| line.starts_with(key)).ok_or("no such key")?.to_owned();
+            let line = text
+                .lines()
+                .find(|line| line.starts_with(key))
+                .ok_or_else(|| "no such key".to_owned())?
+                .to_owned();
             let real = line.split('=').nth(1).and_then(|text| text.trim().parse().ok());
             let link = TcpLink::open(link_controller.clone(), "1", key, real).map_err(|e| e.to_string())?;
             text = text.replace(&line, &format!("{key} = {}", link.address));
@@ -320,7 +324,7 @@
         Ok(Launched { address, fleet: None, process: None, pause: None, kill })
     });
     let day = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
-    let day = railhub_scenario::Day::open(Path::new(&day)).expect("a good day");
+    let day = railhub_scenario::Scenario::open(Path::new(&day)).expect("a good day");
     let played = railhub_scenario::play(&day, Some(launch), None, None, &|_| {}).expect("it plays");
     let rules = railhub_invariants::judge(&played.events).expect("a record");
     let limits = railhub_invariants::limits(&played.events).expect("limits");
@@ -331,7 +335,7 @@
         day.seed,
         folder.display()
     );
-    assert!(served.whole > 0.8, "seed {}: {served:?}, logs: {}", day.seed, folder.display());
+    assert!(served.overall > 0.8, "seed {}: {served:?}, logs: {}", day.seed, folder.display());
     // The steward of the day was ended outright: the two that are left know.
     let dead = |told: &Value| told["agree"] == true && told["views"][0]["lines"][0]["standing"] == "dead";
     look_until(&conf, peer.fleet, "the day's steward is gone", dead);
--- a/crates/railhub-dashboard/tests/record.rs
+++ b/crates/railhub-dashboard/tests/record.rs
@@ -2,7 +2,7 @@
 use railhub_dashboard::once;
 use railhub_dashboard::source::Source;
 use railhub_record::{save, Event};
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{run, Physics, Policy};
 use std::fs;
 use std::io::Write;
@@ -10,7 +10,8 @@
 
 fn events() -> Vec<Event> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/first-bad-day.ini");
-    run(&Day::open(&path).expect("a good script"), &Policy::Steward, Physics::default()).expect("it runs")
+    run(&Scenario::open(&path).expect("a good script"), &Policy::Steward, Physics::default())
+        .expect("it runs")
 }
 
 fn scratch(name: &str) -> PathBuf {
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -60,7 +60,7 @@
     Ok(RunFigures {
         day,
         seed,
-        service: service.whole,
+        service: service.overall,
         worst_10_s: service.worst_10_s,
         first_breach: breaches.min_by(|a, b| a.at.total_cmp(&b.at)),
         rules_broken: broken.map(|verdict| verdict.rule).collect(),
--- a/crates/railhub-experiment/src/plan.rs
+++ b/crates/railhub-experiment/src/plan.rs
@@ -2,7 +2,7 @@
 //! constants or its version. A sweep makes an arm of each value.
 use railhub_external_engine::variant;
 use railhub_ini::{Diagnostic, Document, Section};
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{Baseline, Policy};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
     pub name: String,
     pub policy: Policy,
     /// The experiment's days with the arm's keys in place of their own.
-    pub days: Vec<Day>,
+    pub days: Vec<Scenario>,
     /// Other picks of the proxies, all else the same: to see what chance alone does.
     pub luck: u64,
     /// Its values in a sweep.
@@ -200,7 +200,8 @@
         let days = self.days.iter().zip(&texts).map(|((path, _), text)| {
             let name = path.display().to_string();
             let folder = path.parent().unwrap_or(Path::new("."));
-            let day = Document::parse(&name, text).and_then(|document| Day::read_beside(&document, folder));
+            let day =
+                Document::parse(&name, text).and_then(|document| Scenario::read_beside(&document, folder));
             day.map_err(|e| section.diagnostic("", format!("makes no good day: {e}")))
         });
         let days = days.collect::<Result<_, _>>()?;
--- a/crates/railhub-experiment/src/predict.rs
+++ b/crates/railhub-experiment/src/predict.rs
@@ -1,7 +1,7 @@
 //! What one more run of a day would come to.
 use railhub_invariants::{judge, limits};
 use railhub_scenario::report::service;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{run_with_luck, Physics, Policy};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -35,7 +35,7 @@
 }
 
 /// Plays the day with other luck each time, on all cores.
-pub fn predict(day: &Day, policy: &Policy, physics: Physics, runs: u64) -> Result<Prediction, String> {
+pub fn predict(day: &Scenario, policy: &Policy, physics: Physics, runs: u64) -> Result<Prediction, String> {
     let (next, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     std::thread::scope(|scope| {
@@ -64,11 +64,11 @@
 }
 
 /// Service, its worst 10 s, and whether the rules were kept.
-fn one(day: &Day, policy: &Policy, physics: Physics, luck: u64) -> Result<(f64, f64, bool), String> {
+fn one(day: &Scenario, policy: &Policy, physics: Physics, luck: u64) -> Result<(f64, f64, bool), String> {
     let events = run_with_luck(day, policy, physics, luck)?;
     let service = service(&events, limits(&events).ok_or("a run without limits")?);
     let kept = judge(&events)?.iter().all(|verdict| verdict.kept);
-    Ok((service.whole, service.worst_10_s, kept))
+    Ok((service.overall, service.worst_10_s, kept))
 }
 
 #[cfg(test)]
--- a/crates/railhub-experiment/src/predict/tests.rs
+++ b/crates/railhub-experiment/src/predict/tests.rs
@@ -5,10 +5,10 @@
 #[test]
 fn one_more_run_lies_within_as_often_as_said() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
-    let day = Day::open(&path).expect("a good script");
+    let day = Scenario::open(&path).expect("a good script");
     let mut held = 0;
     for seed in 1..=60 {
-        let day = Day { seed, ..day.clone() };
+        let day = Scenario { seed, ..day.clone() };
         let within = predict(&day, &Policy::Steward, Physics::default(), RUNS).expect("it runs").service;
         let other = one(&day, &Policy::Steward, Physics::default(), 1000).expect("it runs").0;
         held += usize::from((within.low..=within.high).contains(&other));
--- a/crates/railhub-experiment/src/trial.rs
+++ b/crates/railhub-experiment/src/trial.rs
@@ -2,7 +2,7 @@
 use crate::figures::{figures, RunFigures};
 use crate::outcome::{summed_up, Outcome};
 use crate::plan::Experiment;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{run_with_luck, Physics};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -25,7 +25,7 @@
 fn run_one(experiment: &Experiment, arm: usize, block: usize, physics: Physics) -> Ran {
     let (place, seed) = block_of(experiment, block);
     let arm = &experiment.arms[arm];
-    let day = Day { seed, ..arm.days[place].clone() };
+    let day = Scenario { seed, ..arm.days[place].clone() };
     let events = run_with_luck(&day, &arm.policy, physics, arm.luck)?;
     figures(&events, place, seed)
 }
--- /dev/null
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -0,0 +1,237 @@
+//! The running cluster of a scenario: hosts, endpoint list, store, proxies and controllers, and what faults do to them.
+use crate::cluster_hosts::{ClusterHosts, InitialHosts};
+use crate::controllers::Controllers;
+use crate::draw;
+use crate::fault::{FaultKind, ScheduledFault};
+use crate::initial_state::{first_tables, proxy_facts, Tables};
+use crate::launch::{Launch, LaunchError};
+use crate::scenario::Scenario;
+use may::sync::Mutex;
+use railhub_emulator::channel::Channel;
+use railhub_emulator::links::Links;
+use railhub_emulator::proxy::{Proxy, Sabotage, Surroundings};
+use railhub_emulator::roster::Roster;
+use railhub_emulator::store::Store;
+use railhub_net::{now, Task};
+use railhub_record::{Limits, Recorder, StewardLife, What};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+/// Seconds between the start of the cluster and the first operation, in which its members find each other.
+const JOIN_DURATION: f64 = 2.0;
+/// Distance between the indexes of sabotaged proxies, where a few suffice to break an invariant.
+const SABOTAGED_PROXY_STEP: usize = 6;
+
+/// A running cluster.
+pub(crate) struct Cluster {
+    pub scenario: Arc<Scenario>,
+    /// When the scenario's time is 0, on the clock of this process, in seconds.
+    pub started_at: f64,
+    pub surroundings: Surroundings,
+    pub list: Arc<Roster>,
+    pub store: Store,
+    pub proxies: Vec<Arc<Proxy>>,
+    pub hosts: ClusterHosts,
+    launch: Option<Launch>,
+    controllers: Controllers,
+    /// Held while a controller is started again: two faults may want to at once.
+    restart: std::sync::Mutex<()>,
+    tasks: Mutex<Vec<Task>>,
+}
+
+impl Cluster {
+    /// Starts hosts, list, store and proxies; [`Cluster::launch_controller`] starts the controllers. Without `launch`
+    /// proxies keep their first tables.
+    ///
+    /// # Errors
+    /// One of them has no port.
+    pub fn open(
+        scenario: &Scenario,
+        recorder: &Recorder,
+        launch: Option<Launch>,
+        sabotage: Option<Sabotage>,
+    ) -> io::Result<Arc<Cluster>> {
+        let scenario = Arc::new(scenario.clone());
+        let classes = Arc::new(scenario.class_facts());
+        let facts = draw::hosts(&scenario, scenario.hosts, "hosts");
+        let hosts = InitialHosts::open(&facts, &classes, recorder)?;
+        let tables = first_tables(&scenario, &facts, &hosts.addresses());
+        let list = Arc::new(Roster::open(recorder.clone())?);
+        list.tell(hosts.entries());
+        let surroundings = Surroundings {
+            classes,
+            stewards: Arc::new(Mutex::new(vec![None; scenario.controllers])),
+            zones: Arc::new(Mutex::new(hosts.zones())),
+            links: Links::default(),
+            channel: Channel::new(scenario.update_lines_per_second, scenario.limits.message_cost),
+            recorder: recorder.clone(),
+            later: Arc::default(),
+            newest: Arc::default(),
+        };
+        let proxies = open_proxies(&scenario, &surroundings, &tables, sabotage);
+        let store = open_store(&scenario, tables, recorder)?;
+        let controllers = Controllers::open(&scenario, &list, store.address)?;
+        Ok(Arc::new(Cluster {
+            started_at: now() + JOIN_DURATION,
+            hosts: ClusterHosts::new(scenario.clone(), surroundings.clone(), list.clone(), hosts),
+            scenario,
+            surroundings,
+            list,
+            store,
+            proxies,
+            launch,
+            controllers,
+            restart: std::sync::Mutex::default(),
+            tasks: Mutex::default(),
+        }))
+    }
+
+    fn record(&self, at: f64, what: What) {
+        self.surroundings.recorder.note(at, what);
+    }
+
+    /// Records the limits of the invariants, as the first event.
+    pub fn record_limits(&self) {
+        let (from, until) = (self.started_at, self.started_at + self.scenario.length);
+        self.record(0.0, What::Limits(Limits { from, until, ..self.scenario.limits.clone() }));
+    }
+
+    /// Records that a fault begins or ends. `channel_slowdown` is the factor by which updates are slower from now on,
+    /// 0 where the fault does not change it.
+    pub fn record_fault(&self, fault: &ScheduledFault, on: bool, channel_slowdown: f64) {
+        let event = railhub_record::Trouble {
+            name: fault.recorded_name(),
+            on,
+            note: fault.kind.recorded_note(),
+            channel_slower: channel_slowdown,
+        };
+        self.record(now(), What::Trouble(event));
+    }
+
+    /// Calls `act` with a fraction of the proxies, at least one, chosen for a fault.
+    pub fn with_some_proxies(&self, fraction: f64, fault: usize, act: impl Fn(&Proxy)) {
+        let all: Vec<usize> = (0..self.proxies.len()).collect();
+        let count = (fraction * all.len() as f64).round() as usize;
+        for proxy in draw::choose_targets(&self.scenario, fault, &all, count.max(1)) {
+            act(&self.proxies[proxy]);
+        }
+    }
+
+    /// Adds to the delay of load reports, in seconds; a negative number takes off again.
+    pub fn add_report_delay(&self, delay: f64) {
+        let milliseconds = (delay * 1000.0).round() as i64;
+        self.surroundings.later.fetch_add(milliseconds, Ordering::Relaxed);
+    }
+
+    /// Launches a controller and connects the proxies to it. Blocks until it listens: not for coroutines.
+    ///
+    /// # Errors
+    /// It does not start.
+    pub fn launch_controller(&self, controller: usize) -> Result<(), LaunchError> {
+        let Some(launch) = &self.launch else { return Ok(()) };
+        let (list, store) = (self.list.address, self.store.address);
+        let address = self.controllers.launch(&self.scenario, launch, controller, list, store)?;
+        self.record_process(controller, true);
+        self.set_controller_address(controller, Some(address));
+        Ok(())
+    }
+
+    fn set_controller_address(&self, controller: usize, address: Option<SocketAddr>) {
+        self.surroundings.stewards.lock().expect("no holder panics")[controller] = address;
+    }
+
+    fn record_controller(&self, event: StewardLife) {
+        self.record(now(), What::StewardLife(event));
+    }
+
+    fn record_process(&self, controller: usize, up: bool) {
+        let set_back = self.scenario.clocks.get(controller).is_some_and(|clock| clock.jumps_by < 0.0);
+        self.record_controller(StewardLife { up, steward: controller as u32, still: false, set_back });
+    }
+
+    /// Starts a controller again, on a thread of its own as that blocks.
+    pub fn restart_controller(self: &Arc<Cluster>, controller: usize) {
+        let cluster = self.clone();
+        std::thread::spawn(move || {
+            // Another fault may have started it meanwhile.
+            let _one_at_a_time = cluster.restart.lock().expect("no holder panics");
+            if cluster.controllers.is_running(controller) {
+                return;
+            }
+            if let Err(error) = cluster.launch_controller(controller) {
+                tracing::error!(%error, controller, "controller restart failed");
+            }
+        });
+    }
+
+    /// Kills a controller's process.
+    pub fn kill_controller(&self, controller: usize) {
+        self.set_controller_address(controller, None);
+        if self.controllers.kill(controller) {
+            self.record_process(controller, false);
+        }
+    }
+
+    /// Stops a controller's process, or lets it continue.
+    pub fn pause_controller(&self, controller: usize, stopped: bool) {
+        self.controllers.pause(controller, stopped);
+        let (up, steward) = (true, controller as u32);
+        self.record_controller(StewardLife { up, steward, still: stopped, set_back: false });
+    }
+
+    /// Asks a controller to hand over its slices.
+    pub fn drain_controller(&self, controller: usize) {
+        self.controllers.drain(&self.scenario, controller);
+    }
+
+    /// A fault of the links between controllers, list, store and proxies begins (`kind`) or ends.
+    pub fn set_link_fault(&self, number: usize, kind: Option<&FaultKind>) {
+        self.controllers.set_link_fault(number, kind);
+    }
+
+    /// Connects the proxies to the controllers, if there are any.
+    pub fn connect_proxies(&self) {
+        if self.launch.is_some() {
+            let mut tasks = self.tasks.lock().expect("no holder panics");
+            tasks.extend(self.proxies.iter().flat_map(|proxy| proxy.follow_stewards()));
+        }
+    }
+
+    /// Ends everything.
+    pub fn close(&self) {
+        self.tasks.lock().expect("no holder panics").clear();
+        for controller in 0..self.controllers.count() {
+            self.kill_controller(controller);
+        }
+        for proxy in &self.proxies {
+            proxy.break_stream();
+            proxy.close();
+        }
+        self.hosts.close();
+    }
+}
+
+fn open_proxies(
+    scenario: &Scenario,
+    surroundings: &Surroundings,
+    tables: &Tables,
+    sabotage: Option<Sabotage>,
+) -> Vec<Arc<Proxy>> {
+    let mut proxies = Vec::new();
+    for index in 0..scenario.proxies {
+        // Only many proxies can overload a cold host; a few can break everything else.
+        let sabotage =
+            sabotage.filter(|how| index % SABOTAGED_PROXY_STEP == 0 || *how == Sabotage::FloodsColdHosts);
+        let facts = proxy_facts(scenario, index);
+        proxies.push(Proxy::new(facts, surroundings.clone(), tables.clone(), sabotage));
+    }
+    proxies
+}
+
+/// Opens the store; it records the writes of several controllers alone.
+fn open_store(scenario: &Scenario, tables: Tables, recorder: &Recorder) -> io::Result<Store> {
+    let recorder = (scenario.controllers > 1).then(|| recorder.clone());
+    Store::open_as(tables, scenario.lease_duration, recorder, scenario.store_faults)
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/cluster_hosts.rs
@@ -0,0 +1,250 @@
+//! The emulated hosts of a running scenario, and their entries in the endpoint list.
+//!
+//! A host is listed as ready from its start, as draining while it is replaced, and as gone after its end. Fault
+//! injection addresses hosts by index; an index stays with its host.
+use crate::draw;
+use crate::fault::PhantomBehavior;
+use crate::scenario::Scenario;
+use may::sync::Mutex;
+use railhub_emulator::host::{Host, HostFacts, OpenHost, Repeated};
+use railhub_emulator::proxy::Surroundings;
+use railhub_emulator::roster::{Roster, RosterEntry, DRAINING, GONE, READY};
+use railhub_emulator::ClassFacts;
+use railhub_record::Recorder;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Seconds by which the list entry of a restart comes after that of the crash before it.
+const RESTART_ENTRY_DELAY: f64 = 0.05;
+
+struct HostSlot {
+    open: OpenHost,
+    /// When its process last started cold.
+    started: Option<f64>,
+    weight: f64,
+    is_phantom: bool,
+    /// It is being replaced, or has been.
+    is_leaving: bool,
+}
+
+impl HostSlot {
+    fn new(open: OpenHost, is_phantom: bool) -> HostSlot {
+        let weight = open.host.facts.cores as f64;
+        HostSlot { open, started: None, weight, is_phantom, is_leaving: false }
+    }
+
+    fn entry(&self, phase: &'static str) -> RosterEntry {
+        let (host, kind) = (self.open.host.address, self.open.host.facts.kind);
+        RosterEntry { host, phase, started: self.started, weight: self.weight, kind }
+    }
+
+    /// Whether faults may strike it.
+    fn is_regular(&self) -> bool {
+        !self.is_phantom && !self.is_leaving
+    }
+}
+
+/// Hosts that run before anything else does.
+pub(crate) struct InitialHosts {
+    slots: Vec<HostSlot>,
+    seen_keys: Repeated,
+}
+
+impl InitialHosts {
+    /// Opens and starts hosts, warm.
+    ///
+    /// # Errors
+    /// A host has no port.
+    pub fn open(
+        facts: &[HostFacts],
+        classes: &Arc<Vec<ClassFacts>>,
+        recorder: &Recorder,
+    ) -> io::Result<InitialHosts> {
+        let seen_keys = Repeated::default();
+        let mut slots = Vec::new();
+        for facts in facts {
+            let open = OpenHost::open(facts.clone(), classes.clone(), seen_keys.clone(), recorder.clone())?;
+            open.host.start(false);
+            slots.push(HostSlot::new(open, false));
+        }
+        Ok(InitialHosts { slots, seen_keys })
+    }
+
+    /// Their addresses, by index.
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.slots.iter().map(|slot| slot.open.host.address).collect()
+    }
+
+    /// Their entries in the endpoint list.
+    pub fn entries(&self) -> Vec<RosterEntry> {
+        self.slots.iter().map(|slot| slot.entry(READY)).collect()
+    }
+
+    /// The zone of each address.
+    pub fn zones(&self) -> BTreeMap<SocketAddr, u32> {
+        let hosts = self.slots.iter().map(|slot| &slot.open.host);
+        hosts.map(|host| (host.address, host.facts.zone)).collect()
+    }
+}
+
+/// All hosts of a running scenario.
+pub(crate) struct ClusterHosts {
+    scenario: Arc<Scenario>,
+    surroundings: Surroundings,
+    list: Arc<Roster>,
+    slots: Mutex<Vec<HostSlot>>,
+    /// Hosts that a fault holds already.
+    reserved: Mutex<BTreeSet<usize>>,
+    seen_keys: Repeated,
+}
+
+impl ClusterHosts {
+    pub fn new(
+        scenario: Arc<Scenario>,
+        surroundings: Surroundings,
+        list: Arc<Roster>,
+        initial: InitialHosts,
+    ) -> ClusterHosts {
+        ClusterHosts {
+            scenario,
+            surroundings,
+            list,
+            slots: Mutex::new(initial.slots),
+            reserved: Mutex::default(),
+            seen_keys: initial.seen_keys,
+        }
+    }
+
+    fn with_slots<T>(&self, act: impl FnOnce(&mut Vec<HostSlot>) -> T) -> T {
+        act(&mut self.slots.lock().expect("no holder panics"))
+    }
+
+    fn matching(&self, matches: impl Fn(usize, &HostSlot) -> bool) -> Vec<usize> {
+        self.with_slots(|slots| {
+            let indexed = slots.iter().enumerate();
+            indexed.filter(|(index, slot)| matches(*index, slot)).map(|(index, _)| index).collect()
+        })
+    }
+
+    /// A host by its index.
+    pub fn host(&self, index: usize) -> Arc<Host> {
+        self.with_slots(|slots| slots[index].open.host.clone())
+    }
+
+    /// The list entry of a host in a phase.
+    pub fn entry(&self, index: usize, phase: &'static str) -> RosterEntry {
+        self.with_slots(|slots| slots[index].entry(phase))
+    }
+
+    /// Chooses live hosts for a fault and reserves them; fewer than `count` if there are no more.
+    pub fn reserve(&self, count: usize, fault: usize) -> Vec<usize> {
+        let mut reserved = self.reserved.lock().expect("no holder panics");
+        let free = self.matching(|index, slot| slot.is_regular() && !reserved.contains(&index));
+        let chosen = draw::choose_targets(&self.scenario, fault, &free, count);
+        reserved.extend(&chosen);
+        chosen
+    }
+
+    /// Lets other faults strike these hosts.
+    pub fn release(&self, hosts: &[usize]) {
+        let mut reserved = self.reserved.lock().expect("no holder panics");
+        for host in hosts {
+            reserved.remove(host);
+        }
+    }
+
+    /// The live hosts of a zone.
+    pub fn in_zone(&self, zone: u32) -> Vec<usize> {
+        self.matching(|_, slot| slot.open.host.facts.zone == zone && slot.is_regular())
+    }
+
+    /// Kills a host's process; the list notices later.
+    pub fn crash(&self, index: usize) {
+        self.host(index).die();
+        self.list.tell_after(self.scenario.list_removal_delay, vec![self.entry(index, GONE)]);
+    }
+
+    /// Starts a host's process again, cold, unless the host was replaced meanwhile.
+    pub fn restart(&self, index: usize) {
+        if self.with_slots(|slots| slots[index].is_leaving) || self.host(index).is_alive() {
+            return;
+        }
+        let after_removal = self.scenario.list_removal_delay + RESTART_ENTRY_DELAY;
+        self.start_cold(index, self.scenario.list_add_delay.max(after_removal));
+    }
+
+    /// Drains a host that is being replaced.
+    pub fn drain(&self, index: usize) {
+        self.with_slots(|slots| slots[index].is_leaving = true);
+        self.host(index).ail(|ailments| ailments.drains = true);
+        self.list.tell_after(self.scenario.list_add_delay, vec![self.entry(index, DRAINING)]);
+    }
+
+    /// Ends a drained host.
+    pub fn stop_drained(&self, index: usize) {
+        self.host(index).die();
+        self.list.tell_after(self.scenario.list_add_delay, vec![self.entry(index, GONE)]);
+    }
+
+    /// Adds a new host, cold.
+    pub fn add(&self) {
+        let scenario = &self.scenario;
+        let count = self.with_slots(|slots| slots.len());
+        let drawn = draw::hosts(scenario, scenario.hosts, &format!("host {count}"));
+        let mut facts = drawn[count % scenario.hosts].clone();
+        facts.zone = (count % scenario.zones.len()) as u32;
+        if let Some(index) = self.open_host(facts, false) {
+            self.start_cold(index, scenario.list_add_delay);
+        }
+    }
+
+    /// Adds a phantom host: it will be listed and is none of the cluster's. None if it has no port.
+    pub fn add_phantom(&self, behavior: &PhantomBehavior) -> Option<usize> {
+        let facts = draw::hosts(&self.scenario, 1, "ghost").swap_remove(0);
+        let index = self.open_host(facts, true)?;
+        let host = self.host(index);
+        match behavior {
+            PhantomBehavior::Refuse => {}
+            PhantomBehavior::Error => {
+                host.start(false);
+                host.ail(|ailments| ailments.fails = true);
+            }
+            PhantomBehavior::Silent => {
+                host.start(false);
+                host.ail(|ailments| ailments.hangs = true);
+            }
+        }
+        Some(index)
+    }
+
+    /// Ends all hosts.
+    pub fn close(&self) {
+        let hosts: Vec<Arc<Host>> =
+            self.with_slots(|slots| slots.iter().map(|slot| slot.open.host.clone()).collect());
+        for host in hosts {
+            host.die();
+        }
+    }
+
+    fn start_cold(&self, index: usize, list_delay: f64) {
+        let host = self.host(index);
+        let started = host.start(true);
+        self.with_slots(|slots| slots[index].started = Some(started));
+        self.list.tell_after(list_delay, vec![self.entry(index, READY)]);
+        *self.surroundings.newest.lock().expect("no holder panics") = Some(host.address);
+    }
+
+    fn open_host(&self, facts: HostFacts, is_phantom: bool) -> Option<usize> {
+        let zone = facts.zone;
+        let (classes, recorder) = (self.surroundings.classes.clone(), self.surroundings.recorder.clone());
+        let opened = OpenHost::open(facts, classes, self.seen_keys.clone(), recorder);
+        let open = opened.inspect_err(|error| tracing::error!(%error, "a host cannot listen")).ok()?;
+        self.surroundings.zones.lock().expect("no holder panics").insert(open.host.address, zone);
+        Some(self.with_slots(|slots| {
+            slots.push(HostSlot::new(open, is_phantom));
+            slots.len() - 1
+        }))
+    }
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/controller_links.rs
@@ -0,0 +1,113 @@
+//! The relays between several controllers, their endpoint list, store and proxies. A controller is given the relays'
+//! addresses and does not know of them.
+use crate::fault::FaultKind;
+use crate::launch::Launched;
+use crate::link_faults::{LinkEnds, LIST, PROXIES, STORE};
+use crate::scenario::Scenario;
+use railhub_emulator::roster::Roster;
+use railhub_fault_links::tcp::TcpLink;
+use railhub_fault_links::udp::UdpLinks;
+use railhub_fault_links::LinkController;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+
+/// The relays of one controller.
+struct ControllerRelays {
+    /// From the proxies to it.
+    proxies: TcpLink,
+    /// From it to the endpoint list.
+    list: TcpLink,
+    /// From it to the store.
+    store: TcpLink,
+    /// Where the other controllers reach it.
+    advertised: SocketAddr,
+}
+
+/// The relays of all controllers.
+pub(crate) struct ControllerLinks {
+    link_controller: Arc<LinkController>,
+    udp: UdpLinks,
+    relays: Vec<ControllerRelays>,
+    /// Active faults of links, by their number in the scenario.
+    active: Mutex<BTreeMap<usize, FaultKind>>,
+}
+
+impl ControllerLinks {
+    /// Opens the relays.
+    ///
+    /// # Errors
+    /// A relay has no port.
+    pub fn open(scenario: &Scenario, list: &Roster, store: SocketAddr) -> io::Result<ControllerLinks> {
+        let link_controller = Arc::new(LinkController::new(scenario.seed, None));
+        let udp = UdpLinks::open(link_controller.clone(), Box::new(|_| {}));
+        let mut relays = Vec::new();
+        for controller in 0..scenario.controllers {
+            let name = LinkEnds::controller_name(controller);
+            let list_address = list.door(controller as u32)?;
+            relays.push(ControllerRelays {
+                proxies: TcpLink::open(link_controller.clone(), PROXIES, &name, None)?,
+                list: TcpLink::open(link_controller.clone(), &name, LIST, Some(list_address))?,
+                store: TcpLink::open(link_controller.clone(), &name, STORE, Some(store))?,
+                advertised: udp.add(&name)?,
+            });
+        }
+        Ok(ControllerLinks { link_controller, udp, relays, active: Mutex::default() })
+    }
+
+    /// Where proxies reach a controller.
+    pub fn proxy_address(&self, controller: usize) -> SocketAddr {
+        self.relays[controller].proxies.address
+    }
+
+    /// Where a controller reaches the endpoint list.
+    pub fn list_address(&self, controller: usize) -> SocketAddr {
+        self.relays[controller].list.address
+    }
+
+    /// Where a controller reaches the store.
+    pub fn store_address(&self, controller: usize) -> SocketAddr {
+        self.relays[controller].store.address
+    }
+
+    /// Where each controller is reached by the others.
+    pub fn advertised(&self) -> Vec<SocketAddr> {
+        self.relays.iter().map(|relays| relays.advertised).collect()
+    }
+
+    /// Connects the relays to a controller's process, or to none.
+    pub fn connect(&self, controller: usize, launched: Option<&Launched>) {
+        let address = launched.map(|launched| launched.address);
+        let fleet = launched.and_then(|launched| launched.fleet);
+        self.relays[controller].proxies.set_target(address);
+        self.udp.set_real_address(&LinkEnds::controller_name(controller), fleet);
+    }
+
+    /// A fault of the links begins (`kind`) or ends.
+    pub fn set_fault(&self, number: usize, kind: Option<&FaultKind>) {
+        let mut active = self.active.lock().expect("no holder panics");
+        match kind {
+            Some(kind) => _ = active.insert(number, kind.clone()),
+            None => _ = active.remove(&number),
+        }
+        self.apply(&active);
+    }
+
+    /// Sets each direction of each link to what the active faults together make of it.
+    fn apply(&self, active: &BTreeMap<usize, FaultKind>) {
+        let ends = LinkEnds::new(self.relays.len());
+        let names = ends.names();
+        for (from, from_name) in names.iter().enumerate() {
+            for (to, to_name) in names.iter().enumerate() {
+                if !ends.are_linked(from, to) {
+                    continue;
+                }
+                let faults = ends.faults(active, from, to);
+                if self.link_controller.faults(from_name, to_name) != faults {
+                    self.link_controller.set(from_name, to_name, faults);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/controller_settings.rs
@@ -0,0 +1,91 @@
+//! The settings file (INI) of a scenario's controller.
+use crate::scenario::{Scenario, TestClock};
+use railhub_record::{ClassLimits, Repeats};
+use std::fmt::Write;
+use std::net::SocketAddr;
+
+/// How one of several controllers reaches the others.
+pub(crate) struct FleetAddresses {
+    /// Index of the controller.
+    pub controller: usize,
+    /// Where the others reach it.
+    pub advertise: SocketAddr,
+    /// Where all of them are reached.
+    pub join: Vec<SocketAddr>,
+}
+
+/// The name under which a scenario's controllers recognise each other.
+pub(crate) fn installation(scenario: &Scenario) -> String {
+    format!("day-{}", scenario.seed)
+}
+
+/// The settings of a scenario's only controller, and what those of several have in common.
+pub fn controller_settings(scenario: &Scenario, list: SocketAddr, store: SocketAddr) -> String {
+    let mut text =
+        format!("[steward]\nlisten = 127.0.0.1:0\nroster = {list}\nslices = {}\n", scenario.slices);
+    if scenario.slices > 0 {
+        let _ = writeln!(text, "store = {store}");
+    }
+    let binds = if scenario.limits.only_draining_binds { "no" } else { "yes" };
+    let _ = write!(text, "removal_binds = {binds}\n\n");
+    text.push_str(&limits_section(scenario));
+    for class in &scenario.limits.classes {
+        text.push_str(&class_section(class));
+    }
+    text
+}
+
+fn limits_section(scenario: &Scenario) -> String {
+    let limits = &scenario.limits;
+    format!(
+        "[limits]\nfirst_wait = {}\ncold_from = {}\nwarm_within = {}\n\
+         fall_multiple = {}\nbacklog = {}\nmessage_cost = {}\nmessage_cap = {}\nmessages_span = {}\n\
+         reports_a_second = {}\n",
+        scenario.first_attempt_wait,
+        limits.cold_from,
+        limits.warm_within,
+        limits.fall_multiple,
+        limits.backlog,
+        limits.message_cost,
+        limits.message_cap,
+        limits.messages_span,
+        scenario.reports_per_second,
+    )
+}
+
+fn class_section(class: &ClassLimits) -> String {
+    let repeats = match class.repeats() {
+        Repeats::Safe => "safe".to_owned(),
+        Repeats::IdempotencyKeyGlobal => format!("keyed\nkey_window = {}", class.key_window),
+        Repeats::IdempotencyKeyLocal => "keyed nearby".to_owned(),
+        Repeats::Never => "never".to_owned(),
+    };
+    format!(
+        "\n[class {}]\ncontract_time = {}\ngain = {}\nrepeats = {repeats}\n",
+        class.name, class.contract_time, class.gain
+    )
+}
+
+/// The section that makes a controller one of several.
+pub(crate) fn fleet_section(scenario: &Scenario, addresses: &FleetAddresses) -> String {
+    let join: Vec<String> = addresses.join.iter().map(SocketAddr::to_string).collect();
+    let without =
+        scenario.disabled_safeguard.map_or(String::new(), |safeguard| format!("without = {safeguard}\n"));
+    let clock = scenario.clocks.get(addresses.controller).map_or(String::new(), clock_keys);
+    format!(
+        "\n[fleet]\nid = {}\ninstallation = {}\nadvertise = {}\njoin = {}\nshare = yes\n\
+         lease = {}\n{without}{clock}",
+        addresses.controller,
+        installation(scenario),
+        addresses.advertise,
+        join.join(", "),
+        scenario.lease_duration,
+    )
+}
+
+fn clock_keys(clock: &TestClock) -> String {
+    format!(
+        "clock_speed = {}\nclock_jumps_after = {}\nclock_jumps_by = {}\n",
+        clock.speed, clock.jumps_after, clock.jumps_by
+    )
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/controllers.rs
@@ -0,0 +1,122 @@
+//! The controllers of a scenario as processes. A single one is connected directly, several through relays that faults
+//! can break.
+use crate::controller_links::ControllerLinks;
+use crate::controller_settings::{controller_settings, fleet_section, installation, FleetAddresses};
+use crate::fault::FaultKind;
+use crate::launch::{Launch, LaunchError, Launched};
+use crate::scenario::Scenario;
+use railhub_emulator::roster::Roster;
+use railhub_membership::packet::{encode, Packet};
+use railhub_membership::NodeId;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
+use std::sync::{Mutex, MutexGuard};
+
+/// All controllers of a scenario, by index.
+pub(crate) struct Controllers {
+    /// None for a single controller.
+    links: Option<ControllerLinks>,
+    /// The processes that run.
+    running: Mutex<Vec<Option<Launched>>>,
+}
+
+impl Controllers {
+    /// Opens the relays; launches none.
+    ///
+    /// # Errors
+    /// A relay has no port.
+    pub fn open(scenario: &Scenario, list: &Roster, store: SocketAddr) -> io::Result<Controllers> {
+        let has_links = scenario.controllers > 1;
+        let links = has_links.then(|| ControllerLinks::open(scenario, list, store)).transpose()?;
+        let running = (0..scenario.controllers).map(|_| None).collect();
+        Ok(Controllers { links, running: Mutex::new(running) })
+    }
+
+    fn running(&self) -> MutexGuard<'_, Vec<Option<Launched>>> {
+        self.running.lock().expect("no holder panics")
+    }
+
+    /// How many there are, running or not.
+    pub fn count(&self) -> usize {
+        self.running().len()
+    }
+
+    /// Launches a controller, waits for it, and returns where proxies reach it.
+    ///
+    /// # Errors
+    /// It does not start.
+    pub fn launch(
+        &self,
+        scenario: &Scenario,
+        launch: &Launch,
+        controller: usize,
+        list: SocketAddr,
+        store: SocketAddr,
+    ) -> Result<SocketAddr, LaunchError> {
+        let Some(links) = &self.links else {
+            let launched = launch(&controller_settings(scenario, list, store))?;
+            let address = launched.address;
+            self.running()[controller] = Some(launched);
+            return Ok(address);
+        };
+        let launched = launch(&shared_settings(scenario, links, controller))?;
+        links.connect(controller, Some(&launched));
+        self.running()[controller] = Some(launched);
+        Ok(links.proxy_address(controller))
+    }
+
+    /// Kills a controller's process; returns whether there was one.
+    pub fn kill(&self, controller: usize) -> bool {
+        let launched = self.running()[controller].take();
+        if let Some(links) = &self.links {
+            links.connect(controller, None);
+        }
+        let Some(launched) = launched else { return false };
+        (launched.kill)();
+        true
+    }
+
+    /// Asks a controller to hand over its slices.
+    pub fn drain(&self, scenario: &Scenario, controller: usize) {
+        let Some((address, process)) = self.fleet_process(controller) else { return };
+        let request = Packet::Drain { node: NodeId(controller as u16), process };
+        let bytes = encode(&installation(scenario), &request);
+        // A request that is lost is a drain that does not happen: the recording shows it.
+        let _ = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|socket| socket.send_to(&bytes, address));
+    }
+
+    fn fleet_process(&self, controller: usize) -> Option<(SocketAddr, u64)> {
+        let running = self.running();
+        let launched = running[controller].as_ref()?;
+        Some((launched.fleet?, launched.process?))
+    }
+
+    /// Whether a process of a controller runs.
+    pub fn is_running(&self, controller: usize) -> bool {
+        self.running()[controller].is_some()
+    }
+
+    /// Stops a controller's process, or lets it continue.
+    pub fn pause(&self, controller: usize, stopped: bool) {
+        let pause = self.running()[controller].as_ref().and_then(|launched| launched.pause.clone());
+        if let Some(pause) = pause {
+            pause(stopped);
+        }
+    }
+
+    /// A fault of the links begins (`kind`) or ends.
+    pub fn set_link_fault(&self, number: usize, kind: Option<&FaultKind>) {
+        if let Some(links) = &self.links {
+            links.set_fault(number, kind);
+        }
+    }
+}
+
+/// The settings of one of several controllers.
+fn shared_settings(scenario: &Scenario, links: &ControllerLinks, controller: usize) -> String {
+    let join = links.advertised();
+    let addresses = FleetAddresses { controller, advertise: join[controller], join };
+    let common =
+        controller_settings(scenario, links.list_address(controller), links.store_address(controller));
+    common + &fleet_section(scenario, &addresses)
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/draw/fleet.rs
@@ -0,0 +1,80 @@
+//! Draws hosts, slice sizes and the first owner of each slice.
+use super::random::{log_normal, random_stream};
+use crate::replay;
+use crate::scenario::{HostKind, Scenario};
+use railhub_emulator::host::HostFacts;
+use rand::RngExt;
+
+/// Hosts as they are at the start, and as later ones will be.
+pub fn hosts(scenario: &Scenario, count: usize, purpose: &str) -> Vec<HostFacts> {
+    let mut random = random_stream(scenario.seed, purpose);
+    let mut hosts = Vec::with_capacity(count);
+    for index in 0..count {
+        let kind = kind_index(&scenario.host_kinds, index, count);
+        let (lowest, highest) = scenario.host_kinds[kind].speed;
+        let speed = lowest + (highest - lowest) * random.random::<f64>();
+        hosts.push(host_facts(scenario, index, kind, speed));
+    }
+    hosts
+}
+
+/// The kind of one of `count` hosts: kinds follow each other in proportion to their shares.
+fn kind_index(kinds: &[HostKind], index: usize, count: usize) -> usize {
+    let total: f64 = kinds.iter().map(|kind| kind.share).sum();
+    let mut left = (index as f64 + 0.5) / count as f64 * total;
+    for (kind_index, kind) in kinds.iter().enumerate() {
+        left -= kind.share;
+        if left < 0.0 {
+            return kind_index;
+        }
+    }
+    kinds.len() - 1
+}
+
+fn host_facts(scenario: &Scenario, index: usize, kind_index: usize, speed: f64) -> HostFacts {
+    let kind = &scenario.host_kinds[kind_index];
+    HostFacts {
+        zone: (index % scenario.zones.len()) as u32,
+        kind: kind_index as u16,
+        cores: kind.cores,
+        speed,
+        queue: kind.queue,
+        cold_from: kind.cold_from,
+        warm_after: kind.warm_after,
+        connections: scenario.connections,
+        probe_work: scenario.probe_work,
+        busy_every: scenario.utilization_interval,
+        kept_gain: scenario.affinity_gain,
+        kept_for: scenario.affinity_duration,
+    }
+}
+
+/// Core seconds of work that hosts do in a second.
+pub fn capacity(hosts: &[HostFacts]) -> f64 {
+    hosts.iter().map(|host| host.cores as f64 * host.speed).sum()
+}
+
+/// The fraction of the traffic that is for each slice.
+pub fn slice_sizes(scenario: &Scenario) -> Vec<f64> {
+    if let Some(traffic) = &scenario.replay {
+        return replay::slice_sizes(traffic, scenario.slices);
+    }
+    let mut random = random_stream(scenario.seed, "slices");
+    let count = scenario.slices.max(1);
+    let sizes: Vec<f64> = (0..count).map(|_| log_normal(&mut random, 1.0, scenario.slice_size_cv)).collect();
+    let total: f64 = sizes.iter().sum();
+    sizes.into_iter().map(|size| size / total).collect()
+}
+
+/// The index of each slice's first owner: the host with the lowest load a core after it has the slice.
+pub fn first_owners(scenario: &Scenario, hosts: &[HostFacts]) -> Vec<usize> {
+    let mut loads = vec![0.0; hosts.len()];
+    let mut owners = Vec::new();
+    for size in slice_sizes(scenario) {
+        let load_after = |host: &usize| (loads[*host] + size) / (hosts[*host].cores as f64);
+        let owner = (0..hosts.len()).min_by(|a, b| load_after(a).total_cmp(&load_after(b))).unwrap_or(0);
+        loads[owner] += size;
+        owners.push(owner);
+    }
+    owners
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/draw/load_curve.rs
@@ -0,0 +1,66 @@
+//! The rate of operations over time.
+use super::random::KEY_EXPONENT;
+use crate::fault::{FaultKind, ScheduledFault};
+use crate::scenario::Scenario;
+
+/// Iterations that bring the rate and the fraction of remembered keys into agreement; both change little after the
+/// first.
+const RATE_ITERATIONS: usize = 4;
+/// Points a second at which the peak of the load is looked for.
+const PEAK_SAMPLES_PER_SECOND: f64 = 4.0;
+/// Room above the highest sample.
+const PEAK_MARGIN: f64 = 1.05;
+/// The lowest peak, in multiples of the rate.
+const MIN_PEAK: f64 = 0.01;
+
+/// Operations a second that offer the scenario's load to the hosts, when slices stay where they are and hosts remember
+/// the keys that such a rate repeats. `work` is the mean work of an operation, in core seconds.
+pub(crate) fn offered_rate(scenario: &Scenario, capacity: f64, work: f64, slice_sizes: &[f64]) -> f64 {
+    let keys = 1..=scenario.keys_per_slice;
+    let weights: Vec<f64> = keys.map(|key| (key as f64).powf(-KEY_EXPONENT)).collect();
+    let total: f64 = weights.iter().sum();
+    let mut rate = scenario.load * capacity / work;
+    for _ in 0..RATE_ITERATIONS {
+        let remembered_in_slice = |size: &f64| -> f64 {
+            let repeated =
+                |weight: &f64| 1.0 - (-rate * size * weight / total * scenario.affinity_duration).exp();
+            size * weights.iter().map(|weight| weight / total * repeated(weight)).sum::<f64>()
+        };
+        let remembered: f64 = slice_sizes.iter().map(remembered_in_slice).sum();
+        rate = scenario.load * capacity / (work * (1.0 - scenario.affinity_gain * remembered));
+    }
+    rate
+}
+
+/// The multiple of the offered rate at a time: the scenario's shape, and growth that the traffic follows.
+pub(crate) fn rate_multiple(scenario: &Scenario, at: f64) -> f64 {
+    let growth = scenario.faults.iter().filter_map(|fault| traffic_growth(fault, at));
+    shape_at(&scenario.load_shape, at) * growth.product::<f64>()
+}
+
+/// A bound above every multiple of the scenario.
+pub(crate) fn peak_rate_multiple(scenario: &Scenario) -> f64 {
+    let samples = (scenario.length * PEAK_SAMPLES_PER_SECOND) as usize + 1;
+    let multiples = (0..=samples).map(|n| rate_multiple(scenario, n as f64 / PEAK_SAMPLES_PER_SECOND));
+    multiples.fold(MIN_PEAK, f64::max) * PEAK_MARGIN
+}
+
+fn shape_at(shape: &[(f64, f64)], at: f64) -> f64 {
+    let next = shape.iter().position(|point| point.0 > at).unwrap_or(shape.len());
+    let previous_point = next.checked_sub(1).map(|previous| shape[previous]);
+    match (previous_point, shape.get(next)) {
+        (None, None) => 1.0,
+        (Some((_, multiple)), None) => multiple,
+        (None, Some((_, multiple))) => *multiple,
+        (Some((start, from)), Some((end, to))) => from + (to - from) * (at - start) / (end - start),
+    }
+}
+
+fn traffic_growth(fault: &ScheduledFault, at: f64) -> Option<f64> {
+    match fault.kind {
+        FaultKind::Growth { factor, traffic_ratio } => {
+            Some(1.0 + (factor - 1.0) * traffic_ratio * fault.progress(at))
+        }
+        _ => None,
+    }
+}
--- a/crates/railhub-scenario/src/import.rs
+++ b/crates/railhub-scenario/src/import.rs
@@ -165,7 +165,7 @@
     let (script, lost) = translate(&text, hosts).map_err(|e| format!("{name}:{e}"))?;
     let document =
         railhub_ini::Document::parse(&to.display().to_string(), &script).map_err(|e| e.to_string())?;
-    crate::Day::read(&document).map_err(|e| format!("the script made of {name} is wrong: {e}"))?;
+    crate::Scenario::read(&document).map_err(|e| format!("the script made of {name} is wrong: {e}"))?;
     std::fs::write(to, script).map_err(|e| format!("{}: cannot be written: {e}", to.display()))?;
     Ok(lost)
 }
--- /dev/null
+++ b/crates/railhub-scenario/src/initial_state.rs
@@ -0,0 +1,42 @@
+//! What a scenario begins with: its proxies and their first tables. The simulator begins with the same.
+use crate::draw;
+use crate::scenario::Scenario;
+use railhub_emulator::host::HostFacts;
+use railhub_emulator::proxy::ProxyFacts;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Hosts and their weights, by slice.
+pub type Tables = BTreeMap<u32, Vec<(SocketAddr, f64)>>;
+
+/// Bits by which a proxy's index is shifted before it is mixed into the seed.
+const PROXY_SEED_SHIFT: u32 = 20;
+
+/// What the proxy with an index is.
+pub fn proxy_facts(scenario: &Scenario, index: usize) -> ProxyFacts {
+    ProxyFacts {
+        number: index as u32,
+        zone: (index % scenario.zones.len()) as u32,
+        pick: scenario.pick,
+        hold: scenario.hold_timeout,
+        first_wait: scenario.first_attempt_wait,
+        connect_within: scenario.connect_timeout,
+        report_every: scenario.report_interval,
+        report_late: scenario.report_delay,
+        redial: scenario.reconnect_delay,
+        seed: scenario.seed ^ ((index as u64) << PROXY_SEED_SHIFT),
+    }
+}
+
+/// The tables at the start; `facts` and `addresses` are of the same hosts in the same order.
+pub fn first_tables(scenario: &Scenario, facts: &[HostFacts], addresses: &[SocketAddr]) -> Tables {
+    if scenario.slices == 0 {
+        let lines = addresses.iter().zip(facts).map(|(address, facts)| (*address, facts.cores as f64));
+        return Tables::from([(0, lines.collect())]);
+    }
+    let mut tables = Tables::new();
+    for (slice, owner) in draw::first_owners(scenario, facts).into_iter().enumerate() {
+        tables.insert(slice as u32, vec![(addresses[owner], 1.0)]);
+    }
+    tables
+}
--- /dev/null
+++ b/crates/railhub-scenario/src/inject.rs
@@ -0,0 +1,307 @@
+//! Injects a scenario's faults into the running cluster: each in a coroutine of its own, from its start to its end.
+//!
+//! A fault that strikes hosts reserves them, so that no other fault strikes them meanwhile.
+use crate::cluster::Cluster;
+use crate::fault::{FaultKind, PhantomBehavior, ScheduledFault};
+use railhub_emulator::host::Ailments;
+use railhub_emulator::links::SlowLink;
+use railhub_emulator::roster::{RosterEntry, GONE, READY};
+use railhub_net::{now, seconds};
+use std::sync::Arc;
+
+/// Shortest phase of a noisy neighbor, in seconds.
+const MIN_NOISE_PHASE: f64 = 0.02;
+
+/// Plays one fault to its end. Waits: for a coroutine of its own.
+pub(crate) fn inject(fault: &ScheduledFault, number: usize, cluster: &Arc<Cluster>) {
+    let injection = Injection { fault, number, cluster };
+    may::coroutine::sleep(seconds(cluster.started_at + fault.at - now()));
+    let slowdown = injection.channel_slowdown();
+    cluster.record_fault(fault, true, slowdown);
+    injection.run();
+    injection.wait_for_end();
+    cluster.record_fault(fault, false, if slowdown > 0.0 { 1.0 } else { 0.0 });
+}
+
+struct Injection<'a> {
+    fault: &'a ScheduledFault,
+    number: usize,
+    cluster: &'a Arc<Cluster>,
+}
+
+impl Injection<'_> {
+    /// The factor by which updates are slower while the fault is active; 0 where it does not change them.
+    fn channel_slowdown(&self) -> f64 {
+        match self.fault.kind {
+            FaultKind::SlowUpdateChannel { factor } => factor,
+            // No proxy can be updated sooner: the shortest of the invariants' times grows by the delay, the others more.
+            FaultKind::SlowUpdates { delay, .. } => {
+                let limits = &self.cluster.scenario.limits;
+                1.0 + delay / limits.grace.min(limits.lost_for)
+            }
+            _ => 0.0,
+        }
+    }
+
+    fn end(&self) -> f64 {
+        self.cluster.started_at + self.fault.at + self.fault.duration
+    }
+
+    fn wait_for_end(&self) {
+        may::coroutine::sleep(seconds(self.end() - now()));
+    }
+
+    fn run(&self) {
+        match &self.fault.kind {
+            FaultKind::Crash { .. }
+            | FaultKind::Deploy { .. }
+            | FaultKind::Hang { .. }
+            | FaultKind::Slow { .. }
+            | FaultKind::ResponsesLost { .. }
+            | FaultKind::Pauses { .. }
+            | FaultKind::NoisyNeighbor { .. }
+            | FaultKind::Growth { .. }
+            | FaultKind::ZoneOutage { .. } => self.run_host_fault(),
+            // The operations were drawn with these.
+            FaultKind::HotKey { .. }
+            | FaultKind::HeavyOperations { .. }
+            | FaultKind::ClientsGiveUp { .. }
+            | FaultKind::TrafficShift { .. } => {}
+            FaultKind::LateReports { .. }
+            | FaultKind::ListTruncated { .. }
+            | FaultKind::PhantomHosts { .. }
+            | FaultKind::ListUnavailable
+            | FaultKind::StoreUnavailable
+            | FaultKind::StoreSlow { .. }
+            | FaultKind::StoreResponsesLost
+            | FaultKind::StoreRolledBack { .. } => self.run_dependency_fault(),
+            FaultKind::StreamsReset { .. }
+            | FaultKind::UpdateRejected { .. }
+            | FaultKind::SlowUpdateChannel { .. }
+            | FaultKind::SlowZoneLink { .. } => self.run_proxy_fault(),
+            FaultKind::ControllerKilled { .. }
+            | FaultKind::ControllerPaused { .. }
+            | FaultKind::ControllerDrained { .. }
+            | FaultKind::ControllerIsolated { .. }
+            | FaultKind::ControllerOneWayCut { .. }
+            | FaultKind::SlowUpdates { .. }
+            | FaultKind::ControllerPartition { .. }
+            | FaultKind::ControllerLinksImpaired { .. } => self.run_controller_fault(),
+        }
+    }
+
+    fn run_host_fault(&self) {
+        match &self.fault.kind {
+            FaultKind::Crash { hosts } => {
+                let hosts = self.reserve(*hosts);
+                self.crash_until_end(&hosts);
+                self.cluster.hosts.release(&hosts);
+            }
+            FaultKind::Deploy { hosts, batch, drain } => self.deploy(*hosts, *batch, *drain),
+            FaultKind::Hang { hosts } => self.impair(*hosts, &|a| a.hangs = true, &|a| a.hangs = false),
+            FaultKind::Slow { hosts, factor } => {
+                self.impair(*hosts, &|a| a.slower *= factor, &|a| a.slower /= factor);
+            }
+            FaultKind::ResponsesLost { hosts, fraction } => {
+                self.impair(*hosts, &|a| a.answers_lost = *fraction, &|a| a.answers_lost = 0.0);
+            }
+            FaultKind::Pauses { hosts, pause, interval } => self.pause_hosts(*hosts, *pause, *interval),
+            FaultKind::NoisyNeighbor { hosts, cpu_fraction, interval } => {
+                self.add_noise(*hosts, *cpu_fraction, *interval);
+            }
+            FaultKind::Growth { factor, .. } => self.grow(*factor),
+            FaultKind::ZoneOutage { zone, silent } => self.fail_zone(*zone, *silent),
+            _ => {}
+        }
+    }
+
+    fn run_dependency_fault(&self) {
+        let (list, store) = (&self.cluster.list, &self.cluster.store);
+        match &self.fault.kind {
+            FaultKind::LateReports { delay } => {
+                self.cluster.add_report_delay(*delay);
+                self.wait_for_end();
+                self.cluster.add_report_delay(-delay);
+            }
+            FaultKind::ListTruncated { hosts } => {
+                let hosts = self.reserve(*hosts);
+                self.falsify_list(hosts.iter().map(|host| self.cluster.hosts.entry(*host, GONE)).collect());
+            }
+            FaultKind::PhantomHosts { hosts, behaviors } => self.list_phantoms(*hosts, behaviors),
+            FaultKind::ListUnavailable => {
+                list.break_down(true);
+                self.wait_for_end();
+                list.break_down(false);
+            }
+            FaultKind::StoreUnavailable => {
+                store.set_away(true);
+                self.wait_for_end();
+                store.set_away(false);
+            }
+            FaultKind::StoreSlow { delay } => {
+                store.set_slow(*delay);
+                self.wait_for_end();
+                store.set_slow(0.0);
+            }
+            FaultKind::StoreResponsesLost => {
+                store.lose_answers(true);
+                self.wait_for_end();
+                store.lose_answers(false);
+            }
+            FaultKind::StoreRolledBack { age } => store.start_again(*age),
+            _ => {}
+        }
+    }
+
+    fn run_proxy_fault(&self) {
+        let (cluster, number) = (self.cluster, self.number);
+        match &self.fault.kind {
+            FaultKind::StreamsReset { fraction } => {
+                cluster.with_some_proxies(*fraction, number, |proxy| proxy.break_stream());
+            }
+            FaultKind::UpdateRejected { fraction } => {
+                cluster.with_some_proxies(*fraction, number, |proxy| proxy.refuse_next());
+            }
+            FaultKind::SlowUpdateChannel { factor } => {
+                let channel = &cluster.surroundings.channel;
+                channel.slow_down(*factor);
+                self.wait_for_end();
+                channel.slow_down(1.0 / factor);
+            }
+            FaultKind::SlowZoneLink { zone, other, delay, loss_fraction } => {
+                let link = SlowLink { zone: *zone, other: *other, delay: *delay, lost: *loss_fraction };
+                cluster.surroundings.links.slow_down(number, link);
+                self.wait_for_end();
+                cluster.surroundings.links.mend(number);
+            }
+            _ => {}
+        }
+    }
+
+    fn run_controller_fault(&self) {
+        match &self.fault.kind {
+            FaultKind::ControllerKilled { controller } => {
+                self.cluster.kill_controller(*controller);
+                self.wait_for_end();
+                self.cluster.restart_controller(*controller);
+            }
+            FaultKind::ControllerPaused { controller } => {
+                self.cluster.pause_controller(*controller, true);
+                self.wait_for_end();
+                self.cluster.pause_controller(*controller, false);
+            }
+            FaultKind::ControllerDrained { controller } => self.cluster.drain_controller(*controller),
+            link_fault => {
+                self.cluster.set_link_fault(self.number, Some(link_fault));
+                self.wait_for_end();
+                self.cluster.set_link_fault(self.number, None);
+            }
+        }
+    }
+
+    fn reserve(&self, count: usize) -> Vec<usize> {
+        self.cluster.hosts.reserve(count, self.number)
+    }
+
+    fn change_each(&self, hosts: &[usize], change: &dyn Fn(&mut Ailments)) {
+        for host in hosts {
+            self.cluster.hosts.host(*host).ail(change);
+        }
+    }
+
+    /// Impairs hosts until the fault ends.
+    fn impair(&self, count: usize, begin: &dyn Fn(&mut Ailments), end: &dyn Fn(&mut Ailments)) {
+        let hosts = self.reserve(count);
+        self.change_each(&hosts, begin);
+        self.wait_for_end();
+        self.change_each(&hosts, end);
+        self.cluster.hosts.release(&hosts);
+    }
+
+    fn crash_until_end(&self, hosts: &[usize]) {
+        for host in hosts {
+            self.cluster.hosts.crash(*host);
+        }
+        self.wait_for_end();
+        for host in hosts {
+            self.cluster.hosts.restart(*host);
+        }
+    }
+
+    fn fail_zone(&self, zone: u32, silent: bool) {
+        let hosts = self.cluster.hosts.in_zone(zone);
+        if !silent {
+            return self.crash_until_end(&hosts);
+        }
+        self.change_each(&hosts, &|a| a.hangs = true);
+        self.wait_for_end();
+        self.change_each(&hosts, &|a| a.hangs = false);
+    }
+
+    fn pause_hosts(&self, count: usize, pause: f64, interval: f64) {
+        let hosts = self.reserve(count);
+        while now() < self.end() {
+            self.change_each(&hosts, &|a| a.still_until = now() + pause);
+            may::coroutine::sleep(seconds(pause + interval));
+        }
+    }
+
+    fn add_noise(&self, count: usize, cpu_fraction: f64, interval: f64) {
+        let hosts = self.reserve(count);
+        let slowdown = 1.0 / (1.0 - cpu_fraction);
+        while now() < self.end() {
+            self.change_each(&hosts, &|a| a.slower *= slowdown);
+            let phase = interval.min(self.end() - now()).max(MIN_NOISE_PHASE);
+            may::coroutine::sleep(seconds(phase));
+            self.change_each(&hosts, &|a| a.slower /= slowdown);
+            may::coroutine::sleep(seconds(interval));
+        }
+    }
+
+    fn grow(&self, factor: f64) {
+        let added = ((factor - 1.0) * self.cluster.scenario.hosts as f64).round() as usize;
+        for _ in 0..added {
+            self.cluster.hosts.add();
+            may::coroutine::sleep(seconds(self.fault.duration / added as f64));
+        }
+    }
+
+    /// Batch after batch drains while its successors start cold.
+    fn deploy(&self, count: usize, batch: usize, drain: f64) {
+        let replaced = self.reserve(count);
+        let batches = replaced.len().div_ceil(batch).max(1);
+        for hosts in replaced.chunks(batch) {
+            for host in hosts {
+                self.cluster.hosts.drain(*host);
+                self.cluster.hosts.add();
+            }
+            self.stop_after(drain, hosts.to_vec());
+            may::coroutine::sleep(seconds(self.fault.duration / batches as f64));
+        }
+    }
+
+    fn stop_after(&self, drain: f64, hosts: Vec<usize>) {
+        let cluster = self.cluster.clone();
+        railhub_net::spawn(move || {
+            may::coroutine::sleep(seconds(drain));
+            for host in hosts {
+                cluster.hosts.stop_drained(host);
+            }
+        });
+    }
+
+    fn list_phantoms(&self, count: usize, behaviors: &[PhantomBehavior]) {
+        let mut phantoms = Vec::new();
+        for index in 0..count {
+            phantoms.extend(self.cluster.hosts.add_phantom(&behaviors[index % behaviors.len()]));
+        }
+        self.falsify_list(phantoms.iter().map(|host| self.cluster.hosts.entry(*host, READY)).collect());
+    }
+
+    /// Replaces entries of the endpoint list until the fault ends.
+    fn falsify_list(&self, entries: Vec<RosterEntry>) {
+        self.cluster.list.lie(self.number as u64, Some(entries));
+        self.wait_for_end();
+        self.cluster.list.lie(self.number as u64, None);
+    }
+}
--- a/crates/railhub-scenario/src/play.rs
+++ b/crates/railhub-scenario/src/play.rs
@@ -1,102 +1,139 @@
-//! Plays a day: operations come as they were drawn, troubles happen, and the end is waited for.
+//! Plays a scenario on loopback: starts the cluster, lets operations begin and faults happen, and waits for the end.
+use crate::cluster::Cluster;
 use crate::draw::{self, Arrival};
-use crate::script::Day;
-use crate::troubles;
-use crate::world::World;
+use crate::inject::inject;
+use crate::launch::{Launch, LaunchError};
+use crate::scenario::Scenario;
 use may::sync::WaitGroup;
 use railhub_emulator::client;
 use railhub_emulator::proxy::Sabotage;
 use railhub_net::{now, seconds, spawn};
-use railhub_record::{Event, Recorder};
-use std::net::SocketAddr;
+use railhub_record::{Event, RecordFault, Recorder};
+use std::io;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Seconds the fleet runs on after the last operation has ended.
-const RUN_ON: f64 = 1.0;
-/// Seconds a day may begin late: less than any operation of a script waits.
-const LATEST_START: f64 = 0.05;
-
-/// A steward that was launched from its settings.
-pub struct Launched {
-    pub address: SocketAddr,
-    /// Where other stewards reach it, if it is one of several.
-    pub fleet: Option<SocketAddr>,
-    /// The number of its process in the fleet.
-    pub process: Option<u64>,
-    /// Stops its process, or lets it go on; where that can be done.
-    pub pause: Option<Arc<dyn Fn(bool) + Send + Sync>>,
-    /// Ends it outright.
-    pub kill: Box<dyn FnOnce() + Send>,
-}
-
-/// Starts a steward from the text of its settings and says where it listens.
-pub type Launch = Arc<dyn Fn(&str) -> Result<Launched, String> + Send + Sync>;
+/// Seconds that the cluster runs after the last operation has ended.
+const RUN_ON_DURATION: f64 = 1.0;
+/// Seconds that a scenario may begin late: less than any operation waits.
+const MAX_START_DELAY: f64 = 0.05;
+/// Seconds between reports of progress.
+const PROGRESS_INTERVAL: f64 = 0.1;
 
+/// The result of a run.
 pub struct Played {
     /// In the order of their times; empty if they went into a file.
     pub events: Vec<Event>,
 }
 
-/// Plays a day in a world of its own; waits for its end. Without `launch` the tables stay as they were at the
-/// start. `progress` is told the seconds played.
+/// Why a scenario was not played to its end.
+#[derive(Debug, thiserror::Error)]
+pub enum PlayError {
+    /// The recording cannot be written.
+    #[error(transparent)]
+    Record(#[from] RecordFault),
+    /// A member of the cluster has no port.
+    #[error("the fleet: {0}")]
+    Cluster(#[source] io::Error),
+    /// A controller does not start.
+    #[error(transparent)]
+    Launch(#[from] LaunchError),
+    /// The cluster took too long to start.
+    #[error("the day would begin {delay:.2} s late, and its first operations all at once")]
+    StartedLate {
+        /// Seconds.
+        delay: f64,
+    },
+}
+
+/// Plays a scenario in a cluster of its own and waits for its end. Without `launch` no controller runs and proxies keep
+/// their first tables. `record` is the file that events go into; `progress` is called with the seconds played.
+///
+/// # Errors
+/// The cluster or a controller does not start in time, or the recording fails.
 pub fn play(
-    day: &Day,
+    scenario: &Scenario,
     launch: Option<Launch>,
     sabotage: Option<Sabotage>,
     record: Option<&Path>,
     progress: &(dyn Fn(f64) + Sync),
-) -> Result<Played, String> {
-    // Drawn before the day's clock is set: drawing takes long, and what it holds up would come all at once.
-    let arrivals = draw::arrivals(day, draw::capacity(&draw::hosts(day, day.hosts, "hosts")));
-    let recorder = Recorder::start(record).map_err(|e| e.to_string())?;
-    let world = World::open(day, &recorder, launch, sabotage).map_err(|e| format!("the fleet: {e}"))?;
-    for steward in 0..day.stewards {
-        world.launch_steward(steward)?;
+) -> Result<Played, PlayError> {
+    // Drawn before the clock starts: drawing takes long, and operations that it delays would begin all at once.
+    let capacity = draw::capacity(&draw::hosts(scenario, scenario.hosts, "hosts"));
+    let arrivals = draw::arrivals(scenario, capacity);
+    let recorder = Recorder::start(record)?;
+    let cluster = start_cluster(scenario, &recorder, launch, sabotage)?;
+    let ended = spawn_run(&cluster, arrivals);
+    while !ended.load(Ordering::Acquire) {
+        progress(now() - cluster.started_at);
+        std::thread::sleep(seconds(PROGRESS_INTERVAL));
     }
-    world.follow_stewards();
-    std::thread::sleep(seconds(world.began - now()));
-    world.note_limits();
-    let late = now() - world.began;
-    if late > LATEST_START {
-        world.close();
-        return Err(format!("the day would begin {late:.2} s late, and its first operations all at once"));
+    cluster.close();
+    Ok(Played { events: recorder.finish()? })
+}
+
+/// Starts the cluster and waits for the scenario's start.
+fn start_cluster(
+    scenario: &Scenario,
+    recorder: &Recorder,
+    launch: Option<Launch>,
+    sabotage: Option<Sabotage>,
+) -> Result<Arc<Cluster>, PlayError> {
+    let cluster = Cluster::open(scenario, recorder, launch, sabotage).map_err(PlayError::Cluster)?;
+    for controller in 0..scenario.controllers {
+        cluster.launch_controller(controller)?;
     }
+    cluster.connect_proxies();
+    std::thread::sleep(seconds(cluster.started_at - now()));
+    cluster.record_limits();
+    let delay = now() - cluster.started_at;
+    if delay > MAX_START_DELAY {
+        cluster.close();
+        return Err(PlayError::StartedLate { delay });
+    }
+    Ok(cluster)
+}
+
+/// Runs all faults and operations in coroutines; the flag is set after the last has ended.
+fn spawn_run(cluster: &Arc<Cluster>, arrivals: Vec<Arrival>) -> Arc<AtomicBool> {
     let ended = Arc::new(AtomicBool::new(false));
-    let (coming, done) = (world.clone(), ended.clone());
+    let (cluster, run_ended) = (cluster.clone(), ended.clone());
     spawn(move || {
-        let waited = WaitGroup::new();
-        for (number, trouble) in coming.day.troubles.clone().into_iter().enumerate() {
-            let (world, waits) = (coming.clone(), waited.clone());
-            spawn(move || {
-                troubles::happen(&trouble, number, &world);
-                drop(waits);
-            });
-        }
-        for arrival in arrivals {
-            let (world, waits) = (coming.clone(), waited.clone());
-            may::coroutine::sleep(seconds(world.began + arrival.at - now()));
-            spawn(move || {
-                come(&world, &arrival);
-                drop(waits);
-            });
-        }
-        waited.wait();
-        may::coroutine::sleep(seconds(RUN_ON));
-        done.store(true, Ordering::Release);
+        let running = WaitGroup::new();
+        spawn_faults(&cluster, &running);
+        spawn_operations(&cluster, arrivals, &running);
+        running.wait();
+        may::coroutine::sleep(seconds(RUN_ON_DURATION));
+        run_ended.store(true, Ordering::Release);
     });
-    while !ended.load(Ordering::Acquire) {
-        progress(now() - world.began);
-        std::thread::sleep(seconds(0.1));
+    ended
+}
+
+fn spawn_faults(cluster: &Arc<Cluster>, running: &WaitGroup) {
+    for (number, fault) in cluster.scenario.faults.iter().enumerate() {
+        let (cluster, fault, running) = (cluster.clone(), fault.clone(), running.clone());
+        spawn(move || {
+            inject(&fault, number, &cluster);
+            drop(running);
+        });
+    }
+}
+
+/// Spawns each operation at its time.
+fn spawn_operations(cluster: &Arc<Cluster>, arrivals: Vec<Arrival>, running: &WaitGroup) {
+    for arrival in arrivals {
+        let (cluster, running) = (cluster.clone(), running.clone());
+        may::coroutine::sleep(seconds(cluster.started_at + arrival.at - now()));
+        spawn(move || {
+            run_operation(&cluster, &arrival);
+            drop(running);
+        });
     }
-    world.close();
-    let events = recorder.finish().map_err(|e| e.to_string())?;
-    Ok(Played { events })
 }
 
-fn come(world: &World, arrival: &Arrival) {
-    let class = &world.around.classes[arrival.drawn.class as usize];
-    let proxy = &world.proxies[arrival.proxy];
-    client::run(arrival.drawn, world.day.clients, class, proxy, &world.around.recorder);
+fn run_operation(cluster: &Cluster, arrival: &Arrival) {
+    let class = &cluster.surroundings.classes[arrival.drawn.class as usize];
+    let proxy = &cluster.proxies[arrival.proxy];
+    client::run(arrival.drawn, cluster.scenario.clients, class, proxy, &cluster.surroundings.recorder);
 }
--- /dev/null
+++ b/crates/railhub-scenario/src/reader/cluster.rs
@@ -0,0 +1,91 @@
+//! `[class NAME]`, `[kind NAME]` and `[rules]`: operations, hosts and the limits of the invariants.
+use crate::scenario::{HostKind, OperationClass};
+use railhub_emulator::ClassFacts;
+use railhub_ini::{Diagnostic, Section};
+use railhub_record::{ClassLimits, Limits, Repeats};
+
+/// What headers of class sections begin with.
+pub(super) const CLASS_PREFIX: &str = "class ";
+/// What headers of host kind sections begin with.
+pub(super) const KIND_PREFIX: &str = "kind ";
+/// How the file names what may be repeated.
+const REPEATS: [(&str, Repeats); 4] = [
+    ("safe", Repeats::Safe),
+    ("keyed", Repeats::IdempotencyKeyGlobal),
+    ("keyed nearby", Repeats::IdempotencyKeyLocal),
+    ("never", Repeats::Never),
+];
+
+/// A class of operations.
+pub(super) fn operation_class(section: &Section) -> Result<OperationClass, Diagnostic> {
+    let repeats = section.choice("repeats", "never", &REPEATS)?;
+    let keyed = matches!(repeats, Repeats::IdempotencyKeyGlobal | Repeats::IdempotencyKeyLocal);
+    let class = OperationClass {
+        facts: ClassFacts {
+            name: section.name[CLASS_PREFIX.len()..].trim().to_owned(),
+            contract_time: section.required_in_range("contract_time", 0.001, 3600.0)?,
+            hard_stop: section.required_in_range("hard_stop", 0.001, 3600.0)?,
+            gain: section.in_range("gain", 1.0, 0.0, 1e9)?,
+            repeats,
+            key_window: if keyed { section.required_in_range("key_window", 0.0, 1e6)? } else { 0.0 },
+            writes: section.flag("writes", false)?,
+        },
+        share: section.in_range("share", 1.0, 0.0, 1e6)?,
+        work: section.required_in_range("work", 1e-6, 100.0)?,
+        work_cv: section.in_range("spread", 0.5, 0.0, 10.0)?,
+    };
+    section.reject_unread_keys()?;
+    Ok(class)
+}
+
+/// A kind of host.
+pub(super) fn host_kind(section: &Section) -> Result<HostKind, Diagnostic> {
+    let lowest_speed = section.in_range("speed_least", 1.0, 0.01, 100.0)?;
+    let kind = HostKind {
+        name: section.name[KIND_PREFIX.len()..].trim().to_owned(),
+        share: section.in_range("share", 1.0, 0.0, 1e6)?,
+        cores: section.in_range("cores", 4.0, 1.0, 1024.0)? as usize,
+        speed: (lowest_speed, section.in_range("speed_most", lowest_speed, lowest_speed, 100.0)?),
+        queue: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
+        cold_from: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
+        warm_after: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
+    };
+    section.reject_unread_keys()?;
+    Ok(kind)
+}
+
+/// The limits of the invariants; times and counts of the cluster are filled in by the caller.
+pub(super) fn limits(rules: &Section, classes: &[OperationClass], slices: u32) -> Result<Limits, Diagnostic> {
+    Ok(Limits {
+        classes: classes.iter().map(class_limits).collect(),
+        slices,
+        single_owner: false,
+        lost_for: rules.in_range("lost_for", 6.0, 0.01, 3600.0)?,
+        grace: rules.in_range("grace", 3.0, 0.01, 3600.0)?,
+        only_draining_binds: !rules.flag("removal_binds", true)?,
+        fall_multiple: rules.in_range("fall_multiple", 2.5, 0.1, 1000.0)?,
+        fall_for: rules.in_range("fall_for", 2.0, 0.01, 600.0)?,
+        cold_from: rules.in_range("cold_from", 0.2, 0.0, 1.0)?,
+        warm_within: rules.in_range("warm_within", 15.0, 0.0, 3600.0)?,
+        backlog: rules.in_range("backlog", 20_000.0, 1.0, 1e9)?,
+        message_cost: rules.in_range("message_cost", 8.0, 0.0, 1e6)?,
+        message_cap: rules.in_range("message_cap", 20.0, 0.0, 1e6)? as u32,
+        messages_span: rules.in_range("messages_span", 10.0, 0.1, 3600.0)?,
+        from: 0.0,
+        until: 0.0,
+        zones: Vec::new(),
+        proxies: 0,
+    })
+}
+
+fn class_limits(class: &OperationClass) -> ClassLimits {
+    ClassLimits {
+        name: class.facts.name.clone(),
+        contract_time: class.facts.contract_time,
+        hard_stop: class.facts.hard_stop,
+        gain: class.facts.gain,
+        repeats: class.facts.repeats.into(),
+        key_window: class.facts.key_window,
+        writes: class.facts.writes,
+    }
+}
--- a/crates/railhub-scenario/src/script/tests.rs
+++ b/crates/railhub-scenario/src/reader/tests.rs
@@ -4,14 +4,14 @@
     [kind a]\ncores = 2\n[class view]\nwork = 0.05\ncontract_time = 0.5\nhard_stop = 1\n\
     [trouble one]\nkind = crash\nat = 2\nfor = 1\nhosts = 1\n";
 
-fn read(text: &str) -> Result<Day, String> {
-    Document::parse("d.ini", text).and_then(|document| Day::read(&document)).map_err(|e| e.to_string())
+fn read(text: &str) -> Result<Scenario, String> {
+    Document::parse("d.ini", text).and_then(|document| Scenario::read(&document)).map_err(|e| e.to_string())
 }
 
 #[test]
 fn a_short_script_is_a_whole_day() {
-    let day = read(TEXT).expect("right");
-    assert_eq!((day.hosts, day.slices, day.troubles.len()), (3, 6, 1));
+    let scenario = read(TEXT).expect("right");
+    assert_eq!((scenario.hosts, scenario.slices, scenario.faults.len()), (3, 6, 1));
 }
 
 #[test]
--- /dev/null
+++ b/crates/railhub-scenario/src/reader/traffic.rs
@@ -0,0 +1,101 @@
+//! `[load] traffic`: recorded operations that replace drawn ones, mapped to the scenario's classes and zones.
+use crate::scenario::OperationClass;
+use railhub_ini::{Diagnostic, Section};
+use railhub_trace::scale::{scale, CopiesOf};
+use railhub_trace::{file, Traffic, OPERATIONS_MOST};
+use std::path::Path;
+use std::sync::Arc;
+
+/// Seed of what scaling draws: a recording scaled alike is the same traffic for all seeds of a scenario.
+const SCALE_SEED: u64 = 1;
+
+/// The traffic that the section names, if it names any.
+pub(super) fn recorded_traffic(
+    load: &Section,
+    folder: &Path,
+    zones: &[String],
+    classes: &[OperationClass],
+) -> Result<Option<Arc<Traffic>>, Diagnostic> {
+    let Some(name) = load.text("traffic") else { return Ok(None) };
+    if load.text("share").is_some() || load.text("shape").is_some() {
+        let message = "says what comes: share and shape may not stand beside it";
+        return Err(load.diagnostic("traffic", message));
+    }
+    let opened = file::open(&folder.join(name)).map_err(|error| load.diagnostic("traffic", error))?;
+    let scaling = Scaling::read(load)?;
+    let mut traffic = opened.traffic;
+    if (traffic.operations() as f64 * scaling.multiple) as u64 > OPERATIONS_MOST {
+        let message = format!("has more than {OPERATIONS_MOST} operations: cut it, or scale it down");
+        return Err(load.diagnostic("traffic", message));
+    }
+    let class_names = classes.iter().map(|class| class.facts.name.clone()).collect();
+    map_names(&mut traffic, class_names, zones.to_vec())
+        .map_err(|message| load.diagnostic("traffic", message))?;
+    Ok(Some(Arc::new(scaling.apply(traffic))))
+}
+
+/// How recorded traffic is scaled.
+struct Scaling {
+    /// Operations for each recorded one.
+    multiple: f64,
+    /// Factor on the times.
+    stretch: f64,
+    /// Which keys copies have.
+    copies: CopiesOf,
+}
+
+impl Scaling {
+    fn read(load: &Section) -> Result<Scaling, Diagnostic> {
+        let copies = [("same keys", CopiesOf::SameKeys), ("other keys", CopiesOf::OtherKeys)];
+        Ok(Scaling {
+            multiple: load.in_range("traffic_times", 1.0, 0.001, 1000.0)?,
+            stretch: load.in_range("traffic_stretch", 1.0, 0.01, 100.0)?,
+            copies: load.choice("traffic_copies", "same keys", &copies)?,
+        })
+    }
+
+    fn apply(self, traffic: Traffic) -> Traffic {
+        if self.multiple == 1.0 && self.stretch == 1.0 {
+            return traffic;
+        }
+        scale(&traffic, self.multiple, self.stretch, self.copies, SCALE_SEED)
+    }
+}
+
+/// A class or zone of recorded traffic that the scenario does not have.
+#[derive(Debug, thiserror::Error)]
+#[error("has the {what} '{name}', this day has not")]
+struct UnknownName {
+    what: &'static str,
+    name: String,
+}
+
+/// Replaces the recording's class and zone indexes by the scenario's.
+fn map_names(traffic: &mut Traffic, classes: Vec<String>, zones: Vec<String>) -> Result<(), UnknownName> {
+    let class_indexes = indexes(&traffic.facts.classes, &classes, "class-");
+    let zone_indexes = indexes(&traffic.facts.zones, &zones, "zone-");
+    for row in &mut traffic.rows {
+        let (class, zone) = (row.class as usize, row.zone as usize);
+        let unknown = |what, names: &[String], index: usize| UnknownName { what, name: names[index].clone() };
+        row.class = class_indexes[class].ok_or_else(|| unknown("class", &traffic.facts.classes, class))?;
+        row.zone = zone_indexes[zone].ok_or_else(|| unknown("zone", &traffic.facts.zones, zone))?;
+    }
+    traffic.facts.classes = classes;
+    traffic.facts.zones = zones;
+    Ok(())
+}
+
+/// The index of each recorded name in the scenario. A controller does not know zones by name: it records `zone-3` for
+/// the fourth.
+fn indexes(recorded: &[String], ours: &[String], numbered_prefix: &str) -> Vec<Option<u32>> {
+    let index_of = |name: &String| {
+        let index = ours.iter().position(|our| our == name);
+        index.or_else(|| numbered_index(name, numbered_prefix, ours.len())).map(|index| index as u32)
+    };
+    recorded.iter().map(index_of).collect()
+}
+
+fn numbered_index(name: &str, prefix: &str, count: usize) -> Option<usize> {
+    let index = name.strip_prefix(prefix)?.parse().ok()?;
+    (index < count).then_some(index)
+}
--- a/crates/railhub-scenario/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -1,190 +1,161 @@
-//! Days of recorded operations: when they came, for which key, from which zone, and how much work they were.
+//! Operations of a recording: as the traffic of a scenario, and out of the record of a run.
 //!
-//! What a recording lacks is drawn: sums have neither keys nor work nor moments, another number of proxies has
-//! no place for the recorded one. Troubles that lie in operations strike recorded ones as they strike drawn ones;
-//! the day's shape and growth do not, what was recorded has its own.
-use crate::draw::{self, Arrival, Coming};
-use crate::script::{ClassScript, Day};
-use railhub_emulator::client::Drawn;
-use railhub_ini::{Diagnostic, Section};
-use railhub_record::{Event, Limits, What};
-use railhub_trace::scale::{scale, CopiesOf};
-use railhub_trace::{file, Facts, Row, Traffic, OPERATIONS_MOST};
+//! What recorded traffic lacks is drawn: sums have neither keys nor work nor times, and where the number of proxies
+//! differs the recorded proxy has no counterpart. Faults that lie in operations apply to recorded ones as to drawn
+//! ones; the scenario's load shape and growth do not, as recorded traffic has its own.
+use crate::draw::operation::{Arrival, PendingOperation};
+use crate::draw::random::{key_distribution, proxy_weights_by_zone, random_stream, weighted_index};
+use crate::scenario::Scenario;
+use railhub_record::{Event, Limits, OperationEnd, What};
+use railhub_trace::{Facts, Row, Traffic};
 use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
-use std::path::Path;
-use std::sync::Arc;
 
-/// Seed of what scaling draws: the same recording scaled alike is the same traffic on all seeds of a day.
-const SCALE_SEED: u64 = 1;
-/// Seconds before a recording's end that its last operation stands at the latest.
-const LAST: f64 = 1e-3;
+/// Seconds before the end of a recording at which its last operation begins at the latest.
+const LAST_START_MARGIN: f64 = 1e-3;
+/// Multiplier of the Fibonacci hash by which keys are spread over another number of slices.
+const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The traffic that `[load] traffic` names, in the day's own classes and zones.
-pub fn read(
-    load: &Section,
-    folder: &Path,
-    zones: &[String],
-    classes: &[ClassScript],
-) -> Result<Option<Arc<Traffic>>, Diagnostic> {
-    let Some(name) = load.text("traffic") else { return Ok(None) };
-    let wrong = |what: String| load.diagnostic("traffic", what);
-    if load.text("share").is_some() || load.text("shape").is_some() {
-        return Err(wrong("says what comes: share and shape may not stand beside it".into()));
+/// The slice of a row in a scenario with `slices` slices: as recorded, or by a hash of the key where the number differs.
+fn slice_of(row: &Row, recorded_slices: u32, slices: u32) -> u32 {
+    if slices == 0 {
+        return 0;
     }
-    let opened = file::open(&folder.join(name)).map_err(|e| wrong(e.to_string()))?;
-    let times = load.in_range("traffic_times", 1.0, 0.001, 1000.0)?;
-    let stretch = load.in_range("traffic_stretch", 1.0, 0.01, 100.0)?;
-    let copies = [("same keys", CopiesOf::SameKeys), ("other keys", CopiesOf::OtherKeys)];
-    let copies = load.choice("traffic_copies", "same keys", &copies)?;
-    let mut traffic = opened.traffic;
-    if (traffic.operations() as f64 * times) as u64 > OPERATIONS_MOST {
-        return Err(wrong(format!("has more than {OPERATIONS_MOST} operations: cut it, or scale it down")));
-    }
-    let class_names: Vec<&str> = classes.iter().map(|class| class.facts.name.as_str()).collect();
-    let class_of = places(&traffic.facts.classes, &class_names, "class-");
-    let zone_names: Vec<&str> = zones.iter().map(String::as_str).collect();
-    let zone_of = places(&traffic.facts.zones, &zone_names, "zone-");
-    for row in &mut traffic.rows {
-        let unknown = |what: &str, name: &str| wrong(format!("has the {what} '{name}', this day has not"));
-        let (class, zone) = (row.class as usize, row.zone as usize);
-        row.class = class_of[class].ok_or_else(|| unknown("class", &traffic.facts.classes[class]))?;
-        row.zone = zone_of[zone].ok_or_else(|| unknown("zone", &traffic.facts.zones[zone]))?;
-    }
-    let (classes, zones) = (class_names.iter().map(|n| (*n).to_owned()).collect(), zones.to_vec());
-    traffic.facts = Facts { classes, zones, ..traffic.facts };
-    if times != 1.0 || stretch != 1.0 {
-        traffic = scale(&traffic, times, stretch, copies, SCALE_SEED);
-    }
-    Ok(Some(Arc::new(traffic)))
-}
-
-/// Where each name stands among ours. A steward does not know names of zones: it writes `zone-3` for the fourth.
-fn places(names: &[String], ours: &[&str], numbered: &str) -> Vec<Option<u32>> {
-    let by_number = |name: &str| -> Option<usize> {
-        let number = name.strip_prefix(numbered)?.parse().ok()?;
-        (number < ours.len()).then_some(number)
-    };
-    let place = |name: &String| ours.iter().position(|our| our == name).or_else(|| by_number(name));
-    names.iter().map(|name| place(name).map(|place| place as u32)).collect()
-}
-
-/// The slice of a row in a day of so many: as recorded, or spread anew by key where their number differs.
-fn slice_of(row: &Row, recorded: u32, slices: u32) -> u32 {
-    if recorded == slices || slices == 0 {
-        return if slices == 0 { 0 } else { row.slice };
+    if recorded_slices == slices {
+        return row.slice;
     }
     match row.key {
-        Some(key) => (key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32 % slices,
+        Some(key) => (key.wrapping_mul(KEY_HASH_MULTIPLIER) >> 32) as u32 % slices,
         None => row.slice % slices,
     }
 }
 
-/// Shares of the recorded operations by slice; a slice without any gets the share of one operation.
-pub fn slice_sizes(traffic: &Traffic, slices: u32) -> Vec<f64> {
+/// The fraction of recorded operations for each slice; each slice counts one operation more than it has.
+pub(crate) fn slice_sizes(traffic: &Traffic, slices: u32) -> Vec<f64> {
     let mut counts = vec![1.0; slices.max(1) as usize];
     for row in &traffic.rows {
         counts[slice_of(row, traffic.facts.slices, slices) as usize] += f64::from(row.count);
     }
-    let all: f64 = counts.iter().sum();
-    counts.into_iter().map(|count| count / all).collect()
+    let total: f64 = counts.iter().sum();
+    counts.into_iter().map(|count| count / total).collect()
 }
 
-/// The recorded operations as this day's, those that come before its end.
-pub fn arrivals(day: &Day, traffic: &Traffic) -> Vec<Arrival> {
-    let mut chance = draw::chance(day.seed, "operations");
-    let proxies: Vec<f64> = (0..day.proxies).map(|_| draw::spread(&mut chance, 1.0, 0.7)).collect();
-    let by_zone: Vec<Vec<f64>> =
-        (0..day.zones.len()).map(|zone| draw::proxies_of(day, &proxies, zone)).collect();
-    let keys = Zipf::new(day.keys as f64, draw::KEY_EXPONENT).expect("at least one key");
-    let slices = day.slices.max(1) as usize;
-    let same_proxies = traffic.facts.proxies as usize == day.proxies;
-    let mut all = Vec::new();
+/// The recorded operations that begin before the scenario's end, in the order of their times.
+pub(crate) fn arrivals(scenario: &Scenario, traffic: &Traffic) -> Vec<Arrival> {
+    let mut replay = Replay::new(scenario, traffic);
+    let mut arrivals = Vec::new();
     for row in &traffic.rows {
-        let slice = slice_of(row, traffic.facts.slices, day.slices) as usize;
         for _ in 0..row.count {
-            let at = row.at - chance.random::<f64>() * row.span;
-            if at >= day.length {
-                continue;
-            }
-            let drawn_key = || keys.sample(&mut chance) as u64 + slice as u64 * day.keys as u64;
-            let key = row.key.unwrap_or_else(drawn_key);
-            let mut zones = vec![0.0; day.zones.len()];
-            zones[row.zone as usize] = 1.0;
-            let mut coming = Coming {
-                class: row.class as usize,
-                slice,
-                key,
-                times: 1.0,
-                patience: 1.0,
-                comes_back: false,
-                zones,
-            };
-            coming.trouble(day, at, slices, &mut chance);
-            let zone = draw::place(&mut chance, &coming.zones);
-            let is_there = same_proxies && zone == row.zone as usize && (row.proxy as usize) < day.proxies;
-            let proxy = if is_there { row.proxy as usize } else { draw::place(&mut chance, &by_zone[zone]) };
-            let script = &day.classes[coming.class];
-            let moved = coming.class != row.class as usize;
-            let work = row.work.filter(|_| !moved);
-            let work = work.unwrap_or_else(|| draw::spread(&mut chance, script.work, script.spread));
-            let drawn = Drawn {
-                operation: 0,
-                class: coming.class as u32,
-                key: coming.key,
-                slice: coming.slice as u32,
-                work: coming.times * work,
-                patience: coming.patience,
-                comes_back: coming.comes_back,
-            };
-            all.push(Arrival { at, proxy, drawn });
+            arrivals.extend(replay.draw(row));
+        }
+    }
+    arrivals.sort_by(|a, b| a.at.total_cmp(&b.at));
+    for (index, arrival) in arrivals.iter_mut().enumerate() {
+        arrival.drawn.operation = index as u64 + 1;
+    }
+    arrivals
+}
+
+struct Replay<'a> {
+    scenario: &'a Scenario,
+    facts: &'a Facts,
+    random: ChaCha8Rng,
+    /// Weights of the proxies, by zone.
+    proxy_weights: Vec<Vec<f64>>,
+    keys: Zipf<f64>,
+}
+
+impl<'a> Replay<'a> {
+    fn new(scenario: &'a Scenario, traffic: &'a Traffic) -> Replay<'a> {
+        let mut random = random_stream(scenario.seed, "operations");
+        let proxy_weights = proxy_weights_by_zone(scenario, &mut random);
+        Replay { scenario, facts: &traffic.facts, random, proxy_weights, keys: key_distribution(scenario) }
+    }
+
+    /// One operation of a row; none if it begins after the scenario's end. Its number is set later.
+    fn draw(&mut self, row: &Row) -> Option<Arrival> {
+        let scenario = self.scenario;
+        let at = row.at - self.random.random::<f64>() * row.span;
+        if at >= scenario.length {
+            return None;
+        }
+        let slice = slice_of(row, self.facts.slices, scenario.slices) as usize;
+        let key = row.key.unwrap_or_else(|| self.draw_key(slice));
+        let mut zone_weights = vec![0.0; scenario.zones.len()];
+        zone_weights[row.zone as usize] = 1.0;
+        let mut operation = PendingOperation::new(row.class as usize, slice, key, zone_weights);
+        let slices = scenario.slices.max(1) as usize;
+        operation.apply_faults(scenario, at, slices, &mut self.random);
+        let zone = operation.draw_zone(&mut self.random);
+        let proxy = self.proxy(row, zone);
+        let class_kept = operation.class == row.class as usize;
+        let recorded_work = row.work.filter(|_| class_kept);
+        let work = recorded_work.unwrap_or_else(|| operation.draw_work(scenario, &mut self.random));
+        Some(Arrival { at, proxy, drawn: operation.finish(0, work) })
+    }
+
+    fn draw_key(&mut self, slice: usize) -> u64 {
+        self.keys.sample(&mut self.random) as u64 + slice as u64 * self.scenario.keys_per_slice as u64
+    }
+
+    /// The recorded proxy if the scenario has it, else one of the zone's.
+    fn proxy(&mut self, row: &Row, zone: usize) -> usize {
+        let same_proxies = self.facts.proxies as usize == self.scenario.proxies;
+        let zone_kept = zone == row.zone as usize;
+        let recorded = row.proxy as usize;
+        if same_proxies && zone_kept && recorded < self.scenario.proxies {
+            return recorded;
         }
+        weighted_index(&mut self.random, &self.proxy_weights[zone])
     }
-    all.sort_by(|a, b| a.at.total_cmp(&b.at));
-    all.iter_mut().enumerate().for_each(|(n, arrival)| arrival.drawn.operation = n as u64 + 1);
-    all
 }
 
 /// The operations of a run, out of its record.
 pub fn of_record(events: &[Event], limits: &Limits) -> Traffic {
-    let zones = match limits.zones.is_empty() {
-        true => (0..=highest_zone(events)).map(|zone| format!("zone-{zone}")).collect(),
-        false => limits.zones.clone(),
-    };
     let facts = Facts {
         classes: limits.classes.iter().map(|class| class.name.clone()).collect(),
-        zones,
+        zones: zone_names(events, limits),
         slices: limits.slices,
         proxies: limits.proxies,
         length: limits.until - limits.from,
     };
-    let length = facts.length;
-    let rows = events.iter().filter_map(|event| match &event.what {
-        Some(What::Operation(end)) => Some(Row {
-            // A client may begin some hundredths late: the last of them are still of this day.
-            at: (end.began - limits.from).clamp(0.0, (length - LAST).max(0.0)),
-            class: end.class,
-            slice: end.slice,
-            zone: end.zone,
-            proxy: end.proxy,
-            key: Some(end.key),
-            work: (end.work > 0.0).then_some(end.work),
-            count: 1,
-            span: 0.0,
-        }),
-        _ => None,
-    });
-    let mut traffic = Traffic { facts, rows: rows.collect() };
+    let rows = operations(events).map(|end| recorded_row(end, limits.from, facts.length)).collect();
+    let mut traffic = Traffic { facts, rows };
     traffic.sort();
     traffic
 }
 
-fn highest_zone(events: &[Event]) -> u32 {
-    let zones = events.iter().filter_map(|event| match &event.what {
-        Some(What::Operation(end)) => Some(end.zone),
+fn operations(events: &[Event]) -> impl Iterator<Item = &OperationEnd> {
+    events.iter().filter_map(|event| match &event.what {
+        Some(What::Operation(end)) => Some(end),
         _ => None,
-    });
-    zones.max().unwrap_or(0)
+    })
+}
+
+fn recorded_row(end: &OperationEnd, start: f64, length: f64) -> Row {
+    // A client may begin some hundredths of a second late: the last of them are still of this run.
+    let latest = (length - LAST_START_MARGIN).max(0.0);
+    Row {
+        at: (end.began - start).clamp(0.0, latest),
+        class: end.class,
+        slice: end.slice,
+        zone: end.zone,
+        proxy: end.proxy,
+        key: Some(end.key),
+        work: (end.work > 0.0).then_some(end.work),
+        count: 1,
+        span: 0.0,
+    }
+}
+
+/// The names that the record carries; `zone-0`, `zone-1`, ... if it carries none.
+fn zone_names(events: &[Event], limits: &Limits) -> Vec<String> {
+    if !limits.zones.is_empty() {
+        return limits.zones.clone();
+    }
+    let highest = operations(events).map(|end| end.zone).max().unwrap_or(0);
+    (0..=highest).map(|zone| format!("zone-{zone}")).collect()
 }
 
 #[cfg(test)]
--- a/crates/railhub-scenario/src/replay/tests.rs
+++ b/crates/railhub-scenario/src/replay/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
+use crate::draw;
 use railhub_ini::Document;
+use railhub_trace::file;
+use std::sync::Arc;
 
 const TEXT: &str = "[day]\nlength = 5\n[fleet]\nhosts = 3\nproxies = 4\nslices = 6\nzones = a, b\n\
     [load]\ntraffic = FILE\n[kind k]\ncores = 2\n[class view]\nwork = 0.05\ncontract_time = 0.5\nhard_stop = 1\n";
@@ -14,12 +17,12 @@
     Traffic { facts: Facts { classes, zones, slices: 6, proxies: 4, length: 9.0 }, rows }
 }
 
-fn day(name: &str, traffic: &Traffic, change: (&str, &str)) -> Result<Day, String> {
+fn day(name: &str, traffic: &Traffic, change: (&str, &str)) -> Result<Scenario, String> {
     let file = std::env::temp_dir().join(format!("railhub-replay-{}-{name}", std::process::id()));
     file::save(&file, traffic).expect("writable");
     let text = TEXT.replace("FILE", file.file_name().and_then(|n| n.to_str()).expect("a name"));
     let document = Document::parse("d.ini", &text.replace(change.0, change.1)).expect("readable");
-    let day = Day::read_beside(&document, &std::env::temp_dir());
+    let day = Scenario::read_beside(&document, &std::env::temp_dir());
     std::fs::remove_file(&file).expect("there");
     day.map_err(|e| e.to_string())
 }
@@ -41,7 +44,7 @@
     let arrivals = draw::arrivals(&day, 1.0);
     assert_eq!(arrivals.len(), 40);
     assert!(arrivals.iter().all(|a| (2.0..=4.0).contains(&a.at) && a.proxy % 2 == 1 && a.drawn.slice == 5));
-    assert!(arrivals.iter().all(|a| a.drawn.key / day.keys as u64 == 5 && a.drawn.work > 0.0));
+    assert!(arrivals.iter().all(|a| a.drawn.key / day.keys_per_slice as u64 == 5 && a.drawn.work > 0.0));
 }
 
 #[test]
@@ -85,7 +88,7 @@
     let events = [end(1, 2.25), end(2, 4.5), end(3, 7.0008)];
     let recorded = of_record(&events, &limits);
     assert_eq!(recorded.facts.zones, ["a", "b"]);
-    let again = Day { replay: Some(Arc::new(recorded)), ..day };
+    let again = Scenario { replay: Some(Arc::new(recorded)), ..day };
     let arrivals = draw::arrivals(&again, 1.0);
     let seen: Vec<_> = arrivals.iter().map(|a| (a.at, a.drawn.key, a.proxy, a.drawn.work)).collect();
     assert_eq!(seen, [(0.25, 1, 3, 0.02), (2.5, 2, 3, 0.02), (4.999, 3, 3, 0.02)]);
--- a/crates/railhub-scenario/src/report.rs
+++ b/crates/railhub-scenario/src/report.rs
@@ -1,163 +1,156 @@
-//! Service and verdicts out of a record.
+//! Service and verdicts of a run, out of its recording.
+pub mod text;
+
 use railhub_invariants::Verdict;
-use railhub_record::{Event, Limits, OperationEnd, Outcome, What};
+use railhub_record::{ClassLimits, Event, Limits, OperationEnd, Outcome, What};
 use serde::Serialize;
-use std::fmt::Write;
 
-/// Seconds of a window, and of the worst one.
-const WINDOW: f64 = 5.0;
-const WORST: f64 = 10.0;
+/// Seconds of a window.
+const WINDOW_DURATION: f64 = 5.0;
+/// Seconds of the span of which the worst is reported.
+const WORST_SPAN_DURATION: f64 = 10.0;
 
-/// Gain answered within the contract time over gain asked for.
+/// Gain of the operations that completed within their contract time over the gain of all operations.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Service {
-    pub whole: f64,
+    /// Of the complete run.
+    #[serde(rename = "whole")]
+    pub overall: f64,
+    /// Of the worst span of 10 s.
     pub worst_10_s: f64,
+    /// Where that span begins, in seconds from the start.
     pub worst_from: f64,
+    /// Operations of the run.
     pub operations: u64,
+    /// Outcomes by class.
     pub classes: Vec<ClassService>,
+    /// Of each window of 5 s.
     pub windows: Vec<f64>,
 }
 
+/// How the operations of a class ended.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassService {
+    /// The class.
     pub name: String,
+    /// All its operations.
     pub operations: u64,
+    /// Completed within the contract time.
     pub completed: u64,
+    /// Completed later.
     pub late: u64,
+    /// Refused by admission control.
     pub refused: u64,
+    /// Failed.
     pub failed: u64,
+    /// Abandoned by the client.
     pub gave_up: u64,
 }
 
+/// The report of a run.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    pub day: String,
-    /// loopback or simulated.
-    pub how: &'static str,
+    /// Name of the scenario.
+    #[serde(rename = "day")]
+    pub scenario: String,
+    /// Where the recording is from, as "loopback" or "simulated".
+    #[serde(rename = "how")]
+    pub source: &'static str,
+    /// Seed of the run.
     pub seed: u64,
+    /// Its service.
     pub service: Service,
-    /// The same day with tables fixed at the start.
+    /// Service of the same scenario with its first tables throughout.
     pub fixed: Option<Service>,
+    /// Verdicts of the invariants.
     pub rules: Vec<Verdict>,
+    /// Whether all invariants held.
     pub rules_kept: bool,
 }
 
+/// Computes the service of a run.
 pub fn service(events: &[Event], limits: &Limits) -> Service {
-    let ends: Vec<&OperationEnd> = (events.iter())
-        .filter_map(|event| match &event.what {
-            Some(What::Operation(end)) => Some(end),
-            _ => None,
-        })
-        .collect();
-    let gain = |end: &OperationEnd| limits.classes.get(end.class as usize).map_or(0.0, |class| class.gain);
-    let between = |from: f64, until: f64| {
-        let inside = ends.iter().filter(|end| (from..until).contains(&(end.began - limits.from)));
-        let (mut asked, mut answered) = (0.0, 0.0);
-        for end in inside {
-            asked += gain(end);
-            answered += if end.outcome() == Outcome::Completed { gain(end) } else { 0.0 };
-        }
-        if asked > 0.0 {
-            answered / asked
-        } else {
-            1.0
-        }
-    };
+    let operations = Operations::of(events, limits);
     let length = limits.until - limits.from;
-    let starts = (0..).map(f64::from).take_while(|from| from + WORST <= length.max(WORST));
-    let worst = starts.map(|from| (between(from, from + WORST), from)).min_by(|a, b| a.0.total_cmp(&b.0));
-    let (worst_10_s, worst_from) = worst.unwrap_or((1.0, 0.0));
-    let windows = (0..(length / WINDOW).ceil() as u32).map(f64::from);
+    let (worst_10_s, worst_from) = operations.worst_span(length);
+    let windows = (0..(length / WINDOW_DURATION).ceil() as u32).map(f64::from);
     Service {
-        whole: between(0.0, f64::INFINITY),
+        overall: operations.service_between(0.0, f64::INFINITY),
         worst_10_s,
         worst_from,
-        operations: ends.len() as u64,
-        classes: limits
-            .classes
-            .iter()
-            .enumerate()
-            .map(|(n, class)| of_class(&ends, n, &class.name))
-            .collect(),
-        windows: windows.map(|n| between(n * WINDOW, (n + 1.0) * WINDOW)).collect(),
+        operations: operations.ends.len() as u64,
+        classes: operations.by_class(),
+        windows: windows.map(|window| operations.window_service(window)).collect(),
     }
 }
 
-fn of_class(ends: &[&OperationEnd], number: usize, name: &str) -> ClassService {
-    let mut sum = ClassService { name: name.to_owned(), ..ClassService::default() };
-    for end in ends.iter().filter(|end| end.class as usize == number) {
-        sum.operations += 1;
-        *match end.outcome() {
-            Outcome::Completed => &mut sum.completed,
-            Outcome::Late => &mut sum.late,
-            Outcome::Refused => &mut sum.refused,
-            Outcome::Failed => &mut sum.failed,
-            Outcome::GaveUp => &mut sum.gave_up,
-        } += 1;
-    }
-    sum
+struct Operations<'a> {
+    ends: Vec<&'a OperationEnd>,
+    limits: &'a Limits,
 }
 
-/// The report for a person.
-pub fn words(report: &Report) -> String {
-    let mut out = String::new();
-    let service = &report.service;
-    let _ = writeln!(
-        out,
-        "{} (seed {}), {}, {} operations",
-        report.day, report.seed, report.how, service.operations
-    );
-    let _ = write!(out, "service {:.3}", service.whole);
-    if let Some(fixed) = &report.fixed {
-        let _ = write!(out, "   with tables fixed at the start {:.3}", fixed.whole);
+impl Operations<'_> {
+    fn of<'a>(events: &'a [Event], limits: &'a Limits) -> Operations<'a> {
+        let ends = events.iter().filter_map(|event| match &event.what {
+            Some(What::Operation(end)) => Some(end),
+            _ => None,
+        });
+        Operations { ends: ends.collect(), limits }
     }
-    let _ = write!(out, "\nworst 10 s {:.3} (from {:.0} s)", service.worst_10_s, service.worst_from);
-    if let Some(fixed) = &report.fixed {
-        let _ = write!(out, "   fixed {:.3} (from {:.0} s)", fixed.worst_10_s, fixed.worst_from);
+
+    fn gain(&self, end: &OperationEnd) -> f64 {
+        self.limits.classes.get(end.class as usize).map_or(0.0, |class| class.gain)
     }
-    out.push('\n');
-    for class in &service.classes {
-        let _ = writeln!(
-            out,
-            "  {:<16} {:>6} operations: {} completed, {} late, {} refused, {} failed, {} given up",
-            class.name,
-            class.operations,
-            class.completed,
-            class.late,
-            class.refused,
-            class.failed,
-            class.gave_up
-        );
+
+    /// Service of the operations that began in a span; 1 if there are none. In seconds from the start.
+    fn service_between(&self, from: f64, until: f64) -> f64 {
+        let (mut offered, mut completed) = (0.0, 0.0);
+        for end in &self.ends {
+            if !(from..until).contains(&(end.began - self.limits.from)) {
+                continue;
+            }
+            offered += self.gain(end);
+            if end.outcome() == Outcome::Completed {
+                completed += self.gain(end);
+            }
+        }
+        if offered > 0.0 {
+            completed / offered
+        } else {
+            1.0
+        }
     }
-    let figures = |windows: &[f64]| windows.iter().map(|w| format!("{w:.2}")).collect::<Vec<_>>().join(" ");
-    let _ = writeln!(out, "by 5 s  {}", figures(&service.windows));
-    if let Some(fixed) = &report.fixed {
-        let _ = writeln!(out, "fixed   {}", figures(&fixed.windows));
+
+    fn window_service(&self, window: f64) -> f64 {
+        self.service_between(window * WINDOW_DURATION, (window + 1.0) * WINDOW_DURATION)
     }
-    out.push_str(&rules_words(&report.rules));
-    out
-}
 
-pub fn rules_words(rules: &[Verdict]) -> String {
-    let mut out = String::new();
-    for verdict in rules {
-        let kept = if verdict.kept { "kept" } else { "BROKEN" };
-        let _ = writeln!(
-            out,
-            "rule {} {:<30} {:<6} {:>5.0} % of the limit, {} looks",
-            verdict.rule,
-            verdict.name,
-            kept,
-            verdict.worst * 100.0,
-            verdict.checked
-        );
-        for breach in &verdict.breaches {
-            let _ = writeln!(out, "    at {:.3}: {}", breach.at, breach.what);
-        }
-        if verdict.broken > verdict.breaches.len() as u64 {
-            let _ = writeln!(out, "    and {} more", verdict.broken - verdict.breaches.len() as u64);
+    /// The lowest service of a span that begins at a full second, and where it begins.
+    fn worst_span(&self, length: f64) -> (f64, f64) {
+        let last_end = length.max(WORST_SPAN_DURATION);
+        let starts = (0..).map(f64::from).take_while(|from| from + WORST_SPAN_DURATION <= last_end);
+        let spans = starts.map(|from| (self.service_between(from, from + WORST_SPAN_DURATION), from));
+        spans.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((1.0, 0.0))
+    }
+
+    fn by_class(&self) -> Vec<ClassService> {
+        let classes = self.limits.classes.iter().enumerate();
+        classes.map(|(index, class)| self.of_class(index, class)).collect()
+    }
+
+    fn of_class(&self, index: usize, class: &ClassLimits) -> ClassService {
+        let mut service = ClassService { name: class.name.clone(), ..ClassService::default() };
+        for end in self.ends.iter().filter(|end| end.class as usize == index) {
+            service.operations += 1;
+            let count = match end.outcome() {
+                Outcome::Completed => &mut service.completed,
+                Outcome::Late => &mut service.late,
+                Outcome::Refused => &mut service.refused,
+                Outcome::Failed => &mut service.failed,
+                Outcome::GaveUp => &mut service.gave_up,
+            };
+            *count += 1;
         }
+        service
     }
-    out
 }
--- /dev/null
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -0,0 +1,148 @@
+//! A scenario: the cluster, its load, and the faults, as [`crate::reader`] reads them from a file.
+use crate::fault::ScheduledFault;
+use railhub_emulator::client::ClientFacts;
+use railhub_emulator::held::Pick;
+use railhub_emulator::ClassFacts;
+use railhub_membership::lease_store::StoreFaults;
+use railhub_record::Limits;
+use railhub_trace::Traffic;
+use std::sync::Arc;
+
+/// A class of operations.
+#[derive(Clone, Debug)]
+pub struct OperationClass {
+    /// What clients and hosts know of the class.
+    pub facts: ClassFacts,
+    /// Weight of the class among all operations.
+    pub share: f64,
+    /// Mean work of an operation, in core seconds.
+    pub work: f64,
+    /// Coefficient of variation of the work.
+    pub work_cv: f64,
+}
+
+/// A kind of host.
+#[derive(Clone, Debug)]
+pub struct HostKind {
+    /// The name in the section's header.
+    pub name: String,
+    /// Weight of the kind among all hosts.
+    pub share: f64,
+    /// Cores of a host.
+    pub cores: usize,
+    /// Lowest and highest speed of a core; 1 is the reference.
+    pub speed: (f64, f64),
+    /// Operations that a host queues.
+    pub queue: usize,
+    /// Fraction of its speed with which a cold host starts.
+    pub cold_from: f64,
+    /// Seconds until a cold host is warm.
+    pub warm_after: f64,
+}
+
+/// What is wrong with a controller's lease clock, for tests: an ordinary user cannot set a real one.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TestClock {
+    /// Seconds that the clock advances in a real second.
+    pub speed: f64,
+    /// Seconds between the controller's first start and the jump.
+    pub jumps_after: f64,
+    /// Seconds by which the clock jumps, negative: backwards.
+    pub jumps_by: f64,
+}
+
+impl Default for TestClock {
+    fn default() -> TestClock {
+        TestClock { speed: 1.0, jumps_after: 0.0, jumps_by: 0.0 }
+    }
+}
+
+/// Everything a scenario file defines. Times are in seconds.
+#[derive(Clone, Debug)]
+pub struct Scenario {
+    /// The name in reports.
+    pub name: String,
+    /// The seed of everything that is drawn.
+    pub seed: u64,
+    /// Seconds in which operations begin.
+    pub length: f64,
+    /// Names of the zones.
+    pub zones: Vec<String>,
+    /// Weights of the zones in the traffic, one a zone.
+    pub zone_shares: Vec<f64>,
+    /// Hosts at the start.
+    pub hosts: usize,
+    /// Kinds of hosts, in the order of the file.
+    pub host_kinds: Vec<HostKind>,
+    /// Connections that a host accepts.
+    pub connections: usize,
+    /// Work of a health check, in core seconds.
+    pub probe_work: f64,
+    /// Seconds between updates of the utilization that a host reports in responses; 0: it reports none.
+    pub utilization_interval: f64,
+    /// Fraction of an operation's work that is saved when its host has seen the key recently.
+    pub affinity_gain: f64,
+    /// Seconds for which a host remembers a key.
+    pub affinity_duration: f64,
+    /// Proxies.
+    pub proxies: usize,
+    /// How a proxy picks a host from its table.
+    pub pick: Pick,
+    /// Slices of the key space; 0: one table for all keys.
+    pub slices: u32,
+    /// Coefficient of variation of the slices' sizes.
+    pub slice_size_cv: f64,
+    /// Offered work over the hosts' capacity at the start.
+    pub load: f64,
+    /// Multiples of the load at points in time, linear between them.
+    pub load_shape: Vec<(f64, f64)>,
+    /// Keys of a slice.
+    pub keys_per_slice: usize,
+    /// Recorded operations that replace drawn ones.
+    pub replay: Option<Arc<Traffic>>,
+    /// Classes of operations, in the order of the file.
+    pub classes: Vec<OperationClass>,
+    /// How clients retry.
+    pub clients: ClientFacts,
+    /// Seconds until the endpoint list contains a change that was announced.
+    pub list_add_delay: f64,
+    /// Seconds until the endpoint list notices a crash.
+    pub list_removal_delay: f64,
+    /// Seconds between a proxy's load reports.
+    pub report_interval: f64,
+    /// Seconds that a load report takes.
+    pub report_delay: f64,
+    /// Load reports that a controller accepts in a second.
+    pub reports_per_second: f64,
+    /// Lines of updates that the channel to the proxies carries in a second.
+    pub update_lines_per_second: f64,
+    /// Longest wait of a proxy before it connects to a controller again.
+    pub reconnect_delay: f64,
+    /// Seconds after which a proxy abandons an attempt to connect to a host.
+    pub connect_timeout: f64,
+    /// Longest wait of an operation that finds no host.
+    pub hold_timeout: f64,
+    /// Wait of an attempt that may be followed by another, in multiples of the contract time.
+    pub first_attempt_wait: f64,
+    /// The limits of the invariants.
+    pub limits: Limits,
+    /// Faults, in the order of the file.
+    pub faults: Vec<ScheduledFault>,
+    /// Controller processes that share the slices; 1: one owns them all.
+    pub controllers: usize,
+    /// Duration of a slice lease.
+    pub lease_duration: f64,
+    /// Clocks of the controllers, for tests; empty: as they are.
+    pub clocks: Vec<TestClock>,
+    /// Guarantees that the store breaks, for tests of the invariants.
+    pub store_faults: StoreFaults,
+    /// A safeguard that the controllers disable, for the same tests.
+    pub disabled_safeguard: Option<&'static str>,
+}
+
+impl Scenario {
+    /// What clients and hosts know of the classes, in the order of the file.
+    pub fn class_facts(&self) -> Vec<ClassFacts> {
+        self.classes.iter().map(|class| class.facts.clone()).collect()
+    }
+}
--- a/crates/railhub-simulator/benches/speed.rs
+++ b/crates/railhub-simulator/benches/speed.rs
@@ -1,7 +1,7 @@
 //! How many simulated seconds a second of one core brings, by fleet size. Prints a table; asserts nothing: a
 //! timed test would fail on a busy machine.
 use railhub_ini::Document;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{run, Physics, Policy};
 use std::path::Path;
 use std::time::Instant;
@@ -30,7 +30,7 @@
     }
 }
 
-fn sized(text: &str, hosts: usize) -> Day {
+fn sized(text: &str, hosts: usize) -> Scenario {
     let plain = text.split("[trouble").next().unwrap_or(text);
     let change = |text: String, key: &str, value: String| {
         let line = |line: &str| match line.starts_with(&format!("{key} = ")) {
@@ -44,7 +44,7 @@
     let text = change(text, "slices", (hosts * 6).to_string());
     let text = change(text, "length", LENGTH.to_string());
     let document = Document::parse("sized.ini", &text).expect("readable");
-    let mut day = Day::read(&document).expect("a good day");
+    let mut day = Scenario::read(&document).expect("a good day");
     // Cores that fit the rate, at the same load.
     let rate = RATE_A_HOST * hosts as f64;
     let work: f64 = day.classes.iter().map(|class| class.share * class.work).sum();
--- a/crates/railhub-simulator/src/fit/tests.rs
+++ b/crates/railhub-simulator/src/fit/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::{run, Physics, Policy};
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 
 #[test]
 fn what_went_into_a_record_is_read_out_of_it() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
-    let day = Day::open(&path).expect("a good script");
+    let day = Scenario::open(&path).expect("a good script");
     let physics = Physics { way: 0.000_4, work_late: 0.001_5 };
     let samples = samples(&run(&day, &Policy::Steward, physics).expect("it runs"));
     let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len() as f64;
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -72,7 +72,7 @@
     }
 
     pub fn comes_again(&mut self, id: OpId) {
-        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.hold);
+        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.hold_timeout);
         let op = self.ops[id.0].as_mut().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
         let more = op.comings <= clients.retries || op.drawn.comes_back && op.comings <= clients.retries + 1;
@@ -123,7 +123,7 @@
         let may_follow = op.tried.len() < 2 && op.again == RetryCondition::AfterFailure && {
             proxy.held.pick(op.drawn.slice, &op.tried, Pick::Weighted, &mut chance, |_| 0).is_some()
         };
-        op.wait = if may_follow { left.min(self.day.first_wait * class.contract_time) } else { left };
+        op.wait = if may_follow { left.min(self.day.first_attempt_wait * class.contract_time) } else { left };
         *proxy.out.entry(host).or_default() += 1;
         self.last_attempt += 1;
         op.attempt = self.last_attempt;
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -337,7 +337,7 @@
                 WriterAction::WaitUntil(until) => return self.agenda.at(until, Due::Mail(proxy)),
                 WriterAction::Write(publication) => {
                     let lines = publication.change.cost() as f64 + self.day.limits.message_cost;
-                    let took = lines * self.channel_slower / self.day.lines_a_second;
+                    let took = lines * self.channel_slower / self.day.update_lines_per_second;
                     self.channel_free = self.channel_free.max(now) + took;
                     let arrives = self.channel_free + self.physics.way;
                     self.agenda.at(arrives, Due::Delta(proxy, stream, publication));
@@ -405,7 +405,7 @@
             return;
         }
         self.note(What::Stream(Stream { proxy: proxy as u32, up: false, steward: 0 }));
-        let pause = self.proxies[proxy].random() * self.day.redial;
+        let pause = self.proxies[proxy].random() * self.day.reconnect_delay;
         self.agenda.after(pause, Due::Dials(proxy));
     }
 
@@ -452,9 +452,9 @@
     pub fn reports(&mut self, proxy: ProxyAt) {
         let now = self.agenda.now;
         let sums = self.proxies[proxy].totals.take(now);
-        let late = self.day.report_late + self.sums_later;
+        let late = self.day.report_delay + self.sums_later;
         self.agenda.after(late, Due::SumsArrive(proxy, Box::new(sums)));
-        self.agenda.after(self.day.report_every, Due::Reports(proxy));
+        self.agenda.after(self.day.report_interval, Due::Reports(proxy));
     }
 
     pub fn sums_arrive(&mut self, proxy: ProxyAt, sums: Box<LoadReport>) {
--- a/crates/railhub-simulator/src/troubles.rs
+++ b/crates/railhub-simulator/src/troubles.rs
@@ -6,7 +6,7 @@
 use railhub_emulator::host::Ailments;
 use railhub_record::{HostDown, HostUp, What};
 use railhub_scenario::draw;
-use railhub_scenario::troubles::{choose, Act, Ghost, Trouble};
+use railhub_scenario::fault::{FaultKind, PhantomBehavior, ScheduledFault};
 use std::net::SocketAddr;
 
 /// Seconds by which a host's start is noticed after its end was: one word must not overtake the other.
@@ -19,7 +19,7 @@
             !host.is_ghost && !host.leaves && !self.taken.contains(n)
         };
         let free: Vec<usize> = (0..self.hosts.len()).filter(open).collect();
-        let chosen = choose(self.day, trouble, &free, count);
+        let chosen = draw::choose_targets(self.day, trouble, &free, count);
         self.taken.extend(&chosen);
         self.struck[trouble].clone_from(&chosen);
         chosen
@@ -72,7 +72,7 @@
 
     fn crash(&mut self, place: HostAt) {
         self.host_dies(place);
-        self.tell(self.day.roster_notice, place, "gone");
+        self.tell(self.day.list_removal_delay, place, "gone");
     }
 
     fn start_again(&mut self, place: HostAt) {
@@ -80,19 +80,19 @@
             return;
         }
         self.host_starts(place, true);
-        let late = self.day.roster_add.max(self.day.roster_notice + NOTICE_ORDER);
+        let late = self.day.list_add_delay.max(self.day.list_removal_delay + NOTICE_ORDER);
         self.tell(late, place, "ready");
     }
 
     fn drain(&mut self, place: HostAt) {
         self.hosts[place].leaves = true;
         self.hosts[place].ailments.drains = true;
-        self.tell(self.day.roster_add, place, "draining");
+        self.tell(self.day.list_add_delay, place, "draining");
     }
 
     pub fn drain_ends(&mut self, place: HostAt) {
         self.host_dies(place);
-        self.tell(self.day.roster_add, place, "gone");
+        self.tell(self.day.list_add_delay, place, "gone");
     }
 
     fn add_host(&mut self) {
@@ -102,21 +102,21 @@
         facts.zone = (count % self.day.zones.len()) as u32;
         let place = self.place_host(facts);
         self.host_starts(place, true);
-        self.tell(self.day.roster_add, place, "ready");
+        self.tell(self.day.list_add_delay, place, "ready");
     }
 
-    fn add_ghost(&mut self, kind: &Ghost) -> HostAt {
+    fn add_ghost(&mut self, kind: &PhantomBehavior) -> HostAt {
         let facts = draw::hosts(self.day, 1, "ghost").swap_remove(0);
         let place = self.place_host(facts);
-        if *kind != Ghost::Refuse {
+        if *kind != PhantomBehavior::Refuse {
             self.host_starts(place, false);
         }
         let host = &mut self.hosts[place];
         host.is_ghost = true;
         match kind {
-            Ghost::Refuse => {}
-            Ghost::Error => host.ailments.fails = true,
-            Ghost::Silent => host.ailments.hangs = true,
+            PhantomBehavior::Refuse => {}
+            PhantomBehavior::Error => host.ailments.fails = true,
+            PhantomBehavior::Silent => host.ailments.hangs = true,
         }
         place
     }
@@ -136,64 +136,68 @@
     fn some_proxies(&self, share: f64, trouble: usize) -> Vec<usize> {
         let all: Vec<usize> = (0..self.proxies.len()).collect();
         let count = (share * all.len() as f64).round() as usize;
-        choose(self.day, trouble, &all, count.max(1))
+        draw::choose_targets(self.day, trouble, &all, count.max(1))
     }
 
-    fn note_trouble(&mut self, trouble: &Trouble, on: bool) {
-        let channel_slower = match (&trouble.act, on) {
-            (Act::SlowChannel { times }, true) => *times,
-            (Act::SlowChannel { .. }, false) => 1.0,
+    fn note_trouble(&mut self, trouble: &ScheduledFault, on: bool) {
+        let channel_slower = match (&trouble.kind, on) {
+            (FaultKind::SlowUpdateChannel { factor }, true) => *factor,
+            (FaultKind::SlowUpdateChannel { .. }, false) => 1.0,
             _ => 0.0,
         };
-        let (name, note) = (format!("{} ({})", trouble.name, trouble.kind), format!("{:?}", trouble.act));
+        let (name, note) = (trouble.recorded_name(), trouble.kind.recorded_note());
         self.note(What::Trouble(railhub_record::Trouble { name, on, note, channel_slower }));
     }
 
     pub fn trouble_on(&mut self, number: usize) {
-        let trouble = self.day.troubles[number].clone();
+        let trouble = self.day.faults[number].clone();
         self.note_trouble(&trouble, true);
-        match &trouble.act {
-            Act::Crash { hosts } => {
+        match &trouble.kind {
+            FaultKind::Crash { hosts } => {
                 self.choose(*hosts, number).into_iter().for_each(|place| self.crash(place));
             }
-            Act::Deploy { hosts, .. } => {
+            FaultKind::Deploy { hosts, .. } => {
                 self.choose(*hosts, number);
                 self.pulse(number, 0);
             }
-            Act::Hang { hosts } => {
+            FaultKind::Hang { hosts } => {
                 let struck = self.choose(*hosts, number);
                 self.ail(&struck, |a| a.hangs = true);
             }
-            Act::Slow { hosts, times } => {
+            FaultKind::Slow { hosts, factor } => {
                 let struck = self.choose(*hosts, number);
-                self.ail(&struck, |a| a.slower *= times);
+                self.ail(&struck, |a| a.slower *= factor);
             }
-            Act::AnswersLost { hosts, share } => {
+            FaultKind::ResponsesLost { hosts, fraction } => {
                 let struck = self.choose(*hosts, number);
-                self.ail(&struck, |a| a.answers_lost = *share);
+                self.ail(&struck, |a| a.answers_lost = *fraction);
             }
-            Act::Pauses { hosts, .. } | Act::Neighbour { hosts, .. } => {
+            FaultKind::Pauses { hosts, .. } | FaultKind::NoisyNeighbor { hosts, .. } => {
                 self.choose(*hosts, number);
                 self.pulse(number, 0);
             }
-            Act::Growth { .. } => self.pulse(number, 0),
-            Act::HotKey { .. } | Act::Heavy { .. } | Act::GiveUp { .. } | Act::Shift { .. } => {}
-            Act::LateSums { by } => self.sums_later += by,
-            Act::ListShrinks { hosts } => {
+            FaultKind::Growth { .. } => self.pulse(number, 0),
+            FaultKind::HotKey { .. }
+            | FaultKind::HeavyOperations { .. }
+            | FaultKind::ClientsGiveUp { .. }
+            | FaultKind::TrafficShift { .. } => {}
+            FaultKind::LateReports { delay } => self.sums_later += delay,
+            FaultKind::ListTruncated { hosts } => {
                 let struck = self.choose(*hosts, number);
                 let lies = struck.into_iter().map(|place| self.line(place, Phase::Gone)).collect();
                 self.list.lie(number, Some(lies));
                 self.list_changed();
             }
-            Act::Ghosts { hosts, kinds } => {
-                let places: Vec<_> = (0..*hosts).map(|n| self.add_ghost(&kinds[n % kinds.len()])).collect();
+            FaultKind::PhantomHosts { hosts, behaviors } => {
+                let places: Vec<_> =
+                    (0..*hosts).map(|n| self.add_ghost(&behaviors[n % behaviors.len()])).collect();
                 let lies = places.into_iter().map(|place| self.line(place, Phase::Ready)).collect();
                 self.list.lie(number, Some(lies));
                 self.list_changed();
             }
-            Act::ListBreaks => self.list.broken = true,
-            Act::StoreAway => self.store_away = true,
-            Act::LostZone { zone, silent } => {
+            FaultKind::ListUnavailable => self.list.broken = true,
+            FaultKind::StoreUnavailable => self.store_away = true,
+            FaultKind::ZoneOutage { zone, silent } => {
                 let struck = self.in_zone(*zone);
                 if *silent {
                     self.ail(&struck, |a| a.hangs = true);
@@ -202,58 +206,58 @@
                 }
                 self.struck[number] = struck;
             }
-            Act::BrokenStreams { share } => {
-                let proxies = self.some_proxies(*share, number);
+            FaultKind::StreamsReset { fraction } => {
+                let proxies = self.some_proxies(*fraction, number);
                 proxies.into_iter().for_each(|proxy| self.stream_breaks(proxy));
             }
-            Act::RefusedVersion { share } => {
-                let proxies = self.some_proxies(*share, number);
+            FaultKind::UpdateRejected { fraction } => {
+                let proxies = self.some_proxies(*fraction, number);
                 proxies.into_iter().for_each(|proxy| self.proxies[proxy].refuses_next = true);
             }
-            Act::SlowChannel { times } => self.channel_slower *= times,
-            Act::StewardKilled { .. } => self.kill_steward(),
+            FaultKind::SlowUpdateChannel { factor } => self.channel_slower *= factor,
+            FaultKind::ControllerKilled { .. } => self.kill_steward(),
             // The model has one steward, and a day with several is refused: these are of days with several.
-            Act::StewardPaused { .. }
-            | Act::StewardCut { .. }
-            | Act::StewardWay { .. }
-            | Act::StewardDrained { .. }
-            | Act::SlowOrders { .. }
-            | Act::StewardsSplit { .. }
-            | Act::StewardLinks { .. }
-            | Act::StoreSlow { .. }
-            | Act::StoreLosesAnswers
-            | Act::StoreForgets { .. } => {}
-            Act::SlowLink { .. } => _ = self.slow_links.insert(number),
+            FaultKind::ControllerPaused { .. }
+            | FaultKind::ControllerIsolated { .. }
+            | FaultKind::ControllerOneWayCut { .. }
+            | FaultKind::ControllerDrained { .. }
+            | FaultKind::SlowUpdates { .. }
+            | FaultKind::ControllerPartition { .. }
+            | FaultKind::ControllerLinksImpaired { .. }
+            | FaultKind::StoreSlow { .. }
+            | FaultKind::StoreResponsesLost
+            | FaultKind::StoreRolledBack { .. } => {}
+            FaultKind::SlowZoneLink { .. } => _ = self.slow_links.insert(number),
         }
-        self.agenda.after(trouble.long, Due::TroubleOff(number));
+        self.agenda.after(trouble.duration, Due::TroubleOff(number));
     }
 
     pub fn trouble_off(&mut self, number: usize) {
-        let trouble = self.day.troubles[number].clone();
+        let trouble = self.day.faults[number].clone();
         let struck = std::mem::take(&mut self.struck[number]);
-        match &trouble.act {
-            Act::Crash { .. } => struck.iter().for_each(|place| self.start_again(*place)),
-            Act::Hang { .. } => self.ail(&struck, |a| a.hangs = false),
-            Act::Slow { times, .. } => self.ail(&struck, |a| a.slower /= times),
-            Act::AnswersLost { .. } => self.ail(&struck, |a| a.answers_lost = 0.0),
-            Act::LateSums { by } => self.sums_later -= by,
-            Act::ListShrinks { .. } | Act::Ghosts { .. } => {
+        match &trouble.kind {
+            FaultKind::Crash { .. } => struck.iter().for_each(|place| self.start_again(*place)),
+            FaultKind::Hang { .. } => self.ail(&struck, |a| a.hangs = false),
+            FaultKind::Slow { factor, .. } => self.ail(&struck, |a| a.slower /= factor),
+            FaultKind::ResponsesLost { .. } => self.ail(&struck, |a| a.answers_lost = 0.0),
+            FaultKind::LateReports { delay } => self.sums_later -= delay,
+            FaultKind::ListTruncated { .. } | FaultKind::PhantomHosts { .. } => {
                 self.list.lie(number, None);
                 self.list_changed();
             }
-            Act::ListBreaks => {
+            FaultKind::ListUnavailable => {
                 self.list.broken = false;
                 self.list_changed();
             }
-            Act::StoreAway => self.store_is_back(),
-            Act::LostZone { silent: true, .. } => self.ail(&struck, |a| a.hangs = false),
-            Act::LostZone { .. } => struck.iter().for_each(|place| self.start_again(*place)),
-            Act::SlowChannel { times } => self.channel_slower /= times,
-            Act::StewardKilled { .. } => self.start_steward_soon(),
-            Act::SlowLink { .. } => _ = self.slow_links.remove(&number),
+            FaultKind::StoreUnavailable => self.store_is_back(),
+            FaultKind::ZoneOutage { silent: true, .. } => self.ail(&struck, |a| a.hangs = false),
+            FaultKind::ZoneOutage { .. } => struck.iter().for_each(|place| self.start_again(*place)),
+            FaultKind::SlowUpdateChannel { factor } => self.channel_slower /= factor,
+            FaultKind::ControllerKilled { .. } => self.start_steward_soon(),
+            FaultKind::SlowZoneLink { .. } => _ = self.slow_links.remove(&number),
             _ => {}
         }
-        let stays = matches!(trouble.act, Act::Deploy { .. } | Act::ListShrinks { .. });
+        let stays = matches!(trouble.kind, FaultKind::Deploy { .. } | FaultKind::ListTruncated { .. });
         if !stays {
             struck.iter().for_each(|place| _ = self.taken.remove(place));
         }
@@ -263,37 +267,37 @@
     /// A trouble that comes in steps takes its next.
     pub fn pulse(&mut self, number: usize, step: usize) {
         let now = self.agenda.now;
-        let trouble = self.day.troubles[number].clone();
-        let until = self.began + trouble.at + trouble.long;
+        let trouble = self.day.faults[number].clone();
+        let until = self.began + trouble.at + trouble.duration;
         let again = |world: &mut World, span: f64| world.agenda.after(span, Due::Pulse(number, step + 1));
-        match &trouble.act {
-            Act::Pauses { pause, every, .. } if now < until => {
+        match &trouble.kind {
+            FaultKind::Pauses { pause, interval, .. } if now < until => {
                 let struck = self.struck[number].clone();
                 self.ail(&struck, |a| a.still_until = now + pause);
-                again(self, pause + every);
+                again(self, pause + interval);
             }
-            Act::Neighbour { takes, every, .. } => {
-                let times = 1.0 / (1.0 - takes);
+            FaultKind::NoisyNeighbor { cpu_fraction, interval, .. } => {
+                let times = 1.0 / (1.0 - cpu_fraction);
                 let struck =
                     if self.struck[number].is_empty() { Vec::new() } else { self.struck[number].clone() };
                 if step.is_multiple_of(2) && now < until {
                     self.ail(&struck, |a| a.slower *= times);
                     // The way back is due before the trouble forgets whom it struck.
-                    let span = every.min((until - now - 1e-6).max(0.0));
+                    let span = interval.min((until - now - 1e-6).max(0.0));
                     again(self, span);
                 } else if !step.is_multiple_of(2) {
                     self.ail(&struck, |a| a.slower /= times);
-                    again(self, *every);
+                    again(self, *interval);
                 }
             }
-            Act::Growth { times, .. } => {
-                let more = ((times - 1.0) * self.day.hosts as f64).round() as usize;
+            FaultKind::Growth { factor, .. } => {
+                let more = ((factor - 1.0) * self.day.hosts as f64).round() as usize;
                 if step < more {
                     self.add_host();
-                    again(self, trouble.long / more as f64);
+                    again(self, trouble.duration / more as f64);
                 }
             }
-            Act::Deploy { hosts, batch, drain } => {
+            FaultKind::Deploy { hosts, batch, drain } => {
                 let leaving = self.struck[number].clone();
                 let batches = leaving.len().min(*hosts).div_ceil(*batch).max(1);
                 if let Some(part) = leaving.chunks(*batch).nth(step) {
@@ -303,7 +307,7 @@
                         self.agenda.after(*drain, Due::DrainEnds(*place));
                     }
                     if step + 1 < batches {
-                        again(self, trouble.long / batches as f64);
+                        again(self, trouble.duration / batches as f64);
                     }
                 }
             }
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -15,10 +15,11 @@
 use railhub_external_engine::process::FaultPlace;
 use railhub_ini::Document;
 use railhub_record::{Event, Limits, What};
+use railhub_scenario::controller_settings::controller_settings;
 use railhub_scenario::draw::{self, Arrival};
-use railhub_scenario::script::Day;
-use railhub_scenario::troubles::Act;
-use railhub_scenario::world::{first_tables, proxy_facts, steward_file, Tables};
+use railhub_scenario::fault::FaultKind;
+use railhub_scenario::initial_state::{first_tables, proxy_facts, Tables};
+use railhub_scenario::Scenario;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,7 +80,7 @@
 }
 
 pub struct World<'a> {
-    pub day: &'a Day,
+    pub day: &'a Scenario,
     pub policy: Policy,
     pub physics: Physics,
     pub installation: Installation,
@@ -117,18 +118,23 @@
 }
 
 /// Runs a day to its end; the record of it.
-pub fn run(day: &Day, policy: &Policy, physics: Physics) -> Result<Vec<Event>, String> {
+pub fn run(day: &Scenario, policy: &Policy, physics: Physics) -> Result<Vec<Event>, String> {
     run_with_luck(day, policy, physics, 0)
 }
 
 /// The same day with other luck: the same hosts, operations and troubles, other picks of the proxies and other
 /// moments of their reports. What differs between two lucks is what two loopback runs of a day differ by.
-pub fn run_with_luck(day: &Day, policy: &Policy, physics: Physics, luck: u64) -> Result<Vec<Event>, String> {
-    if day.stewards > 1 {
+pub fn run_with_luck(
+    day: &Scenario,
+    policy: &Policy,
+    physics: Physics,
+    luck: u64,
+) -> Result<Vec<Event>, String> {
+    if day.controllers > 1 {
         return Err("days with several stewards are played on loopback".into());
     }
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let document = Document::parse("the steward's settings", &steward_file(day, nowhere, nowhere));
+    let document = Document::parse("the steward's settings", &controller_settings(day, nowhere, nowhere));
     let installation =
         document.and_then(|document| Installation::read(&document)).map_err(|e| e.to_string())?;
     let mut world = World::new(day, policy.clone(), physics, installation, luck);
@@ -145,7 +151,13 @@
 }
 
 impl World<'_> {
-    fn new(day: &Day, policy: Policy, physics: Physics, installation: Installation, luck: u64) -> World<'_> {
+    fn new(
+        day: &Scenario,
+        policy: Policy,
+        physics: Physics,
+        installation: Installation,
+        luck: u64,
+    ) -> World<'_> {
         let facts = draw::hosts(day, day.hosts, "hosts");
         let proxies = (0..day.proxies).map(|n| {
             let facts = proxy_facts(day, n);
@@ -189,7 +201,7 @@
             sums_later: 0.0,
             slow_links: BTreeSet::new(),
             taken: BTreeSet::new(),
-            struck: vec![Vec::new(); day.troubles.len()],
+            struck: vec![Vec::new(); day.faults.len()],
             faults: Vec::new(),
             events: Vec::new(),
         };
@@ -225,7 +237,9 @@
     pub fn between(&self, a: u32, b: u32) -> (f64, f64) {
         let mut all = (0.0, 0.0f64);
         for number in &self.slow_links {
-            if let Act::SlowLink { zone, other, delay, lost } = self.day.troubles[*number].act {
+            if let FaultKind::SlowZoneLink { zone, other, delay, loss_fraction: lost } =
+                self.day.faults[*number].kind
+            {
                 let joins = |end: u32| other.is_none_or(|other| other == end);
                 if a != b && (zone == a && joins(b) || zone == b && joins(a)) {
                     all = (all.0 + delay, all.1.max(lost));
@@ -249,10 +263,10 @@
         for proxy in 0..self.proxies.len() {
             let dials = 0.05 + self.proxies[proxy].random() * 0.02;
             self.agenda.at(dials, Due::Dials(proxy));
-            let reports = self.day.report_every * (1.0 + self.proxies[proxy].random());
+            let reports = self.day.report_interval * (1.0 + self.proxies[proxy].random());
             self.agenda.at(reports, Due::Reports(proxy));
         }
-        for (number, trouble) in self.day.troubles.iter().enumerate() {
+        for (number, trouble) in self.day.faults.iter().enumerate() {
             self.agenda.at(self.began + trouble.at, Due::TroubleOn(number));
         }
         for number in 0..self.arrivals.len() {
@@ -261,7 +275,7 @@
     }
 
     fn play(&mut self) {
-        let troubles = self.day.troubles.iter().map(|trouble| trouble.at + trouble.long);
+        let troubles = self.day.faults.iter().map(|trouble| trouble.end());
         let last = self.began + troubles.fold(self.day.length, f64::max);
         let mut ends_at = f64::INFINITY;
         while let Some(due) = self.agenda.next() {
--- a/crates/railhub-simulator/tests/days.rs
+++ b/crates/railhub-simulator/tests/days.rs
@@ -3,21 +3,21 @@
 use railhub_invariants::{judge, limits};
 use railhub_record::{Event, What};
 use railhub_scenario::report::service;
-use railhub_scenario::Day;
+use railhub_scenario::Scenario;
 use railhub_simulator::{run, Baseline, Physics, Policy};
 use std::path::Path;
 
-fn day(name: &str) -> Day {
+fn day(name: &str) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
-    Day::open(&path).expect("a good script")
+    Scenario::open(&path).expect("a good script")
 }
 
-fn play(day: &Day, policy: &Policy) -> Vec<Event> {
+fn play(day: &Scenario, policy: &Policy) -> Vec<Event> {
     run(day, policy, Physics::default()).expect("it runs")
 }
 
 fn served(events: &[Event]) -> f64 {
-    service(events, limits(events).expect("limits come first")).whole
+    service(events, limits(events).expect("limits come first")).overall
 }
 
 #[test]
@@ -32,7 +32,7 @@
 fn both_kinds_of_publishing_keep_all_rules_on_many_seeds() {
     for name in ["short.ini", "short-weights.ini", "first-bad-day.ini"] {
         for seed in 1..=10 {
-            let day = Day { seed, ..day(name) };
+            let day = Scenario { seed, ..day(name) };
             let events = play(&day, &Policy::Steward);
             let broken: Vec<_> = judge(&events).expect("a record").into_iter().filter(|v| !v.kept).collect();
             assert!(broken.is_empty(), "{name}, seed {seed}: {broken:?}");
--- a/crates/railhub-timeseries/tests/days.rs
+++ b/crates/railhub-timeseries/tests/days.rs
@@ -1,14 +1,14 @@
 //! A model's record of a bad day, as figures over time.
 use railhub_invariants::limits;
 use railhub_record::{Event, Limits};
-use railhub_scenario::{draw, Day};
+use railhub_scenario::{draw, Scenario};
 use railhub_simulator::{run, Physics, Policy};
 use railhub_timeseries::{loads, over_time, tail, told};
 use std::path::Path;
 
-fn played(text: &str, policy: &Policy) -> (Day, Vec<Event>, Limits) {
+fn played(text: &str, policy: &Policy) -> (Scenario, Vec<Event>, Limits) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(text);
-    let day = Day::open(&path).expect("a good script");
+    let day = Scenario::open(&path).expect("a good script");
     let events = run(&day, policy, Physics::default()).expect("it runs");
     let limits = limits(&events).expect("limits come first").clone();
     (day, events, limits)
