--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -88,7 +88,7 @@
 
 pub fn run(arguments: &ScenarioArguments, log: LogForm) -> Result<(), Ending> {
     if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.other {
-        let lost = import::import(file, output, *hosts).map_err(Ending::Input)?;
+        let lost = import::import(file, output, *hosts)?;
         lost.iter().for_each(|what| eprintln!("not carried over: {what}"));
         return Ok(());
     }
--- a/crates/railhub-scenario/src/fault.rs
+++ b/crates/railhub-scenario/src/fault.rs
@@ -1,6 +1,6 @@
 //! The faults that a scenario injects: what each one is and when it is active.
 //!
-//! Owns the description alone. [`crate::reader`] reads it from a `[trouble NAME]` section, [`crate::inject`] causes it
+//! Owns the description alone. [`crate::reader`] reads it from a `[trouble NAME]` section, `inject` causes it
 //! in a running cluster, and [`crate::draw`] applies the kinds that lie in the operations themselves.
 mod recorded;
 #[cfg(test)]
--- a/crates/railhub-scenario/src/lib.rs
+++ b/crates/railhub-scenario/src/lib.rs
@@ -10,7 +10,7 @@
 //!    such a file from one of another format.
 //! 2. [`draw`] draws hosts, slice sizes and every operation in advance; [`replay`] takes operations from recorded traffic
 //!    instead. Faults that lie in operations (hot keys, shifts, clients that give up) are applied here.
-//! 3. [`play`] opens the cluster ([`initial_state`], `cluster`, `cluster_hosts`) and launches the controllers
+//! 3. [`play()`] opens the cluster ([`initial_state`], `cluster`, `cluster_hosts`) and launches the controllers
 //!    ([`launch`], [`controller_settings`], `controllers`), several of them behind relays (`controller_links`).
 //! 4. Two seconds after its start the cluster's time is 0. Each operation begins at its time in a coroutine of its own;
 //!    each fault is injected (`inject`) at its time and taken back at its end, links by `link_faults`.
