--- a/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
+++ b/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
@@ -5,9 +5,9 @@
 use crate::fault::{Fault, FaultKind, FLAP_HALF_PERIOD};
 use crate::lease::Sabotage;
 use railhub_ini::{Diagnostic, Document};
-use railhub_scenario::stewards::TestClock;
-use railhub_scenario::troubles::{Act, CutWay, Trouble};
-use railhub_scenario::Day;
+use railhub_scenario::fault::{CutDirection, FaultKind as ScenarioFaultKind, ScheduledFault};
+use railhub_scenario::scenario::TestClock;
+use railhub_scenario::Scenario;
 
 /// The cluster, but for its sizes: hosts that crash and a deployment go on beside the controllers' faults.
 const CLUSTER: &str = include_str!("lease_scenario.ini");
@@ -21,7 +21,7 @@
 /// A scenario, and the faults that it cannot cause.
 pub struct LeaseScenario {
     /// The scenario.
-    pub scenario: Day,
+    pub scenario: Scenario,
     /// Faults that cannot be caused on processes.
     pub left_out: Vec<FaultKind>,
 }
@@ -36,7 +36,7 @@
     faults: &[Fault],
     sabotage: Option<Sabotage>,
 ) -> Result<LeaseScenario, Diagnostic> {
-    let mut scenario = Day::read(&Document::parse("the fleet of a chaos run", CLUSTER)?)?;
+    let mut scenario = Scenario::read(&Document::parse("the fleet of a chaos run", CLUSTER)?)?;
     scenario.seed = seed;
     scenario.name = format!("{}, seed {seed}", config.name);
     apply_sizes(&mut scenario, config);
@@ -51,9 +51,9 @@
     Ok(LeaseScenario { scenario, left_out })
 }
 
-fn apply_sizes(scenario: &mut Day, config: &ChaosConfig) {
-    scenario.stewards = usize::from(config.controllers);
-    scenario.lease = config.lease_duration;
+fn apply_sizes(scenario: &mut Scenario, config: &ChaosConfig) {
+    scenario.controllers = usize::from(config.controllers);
+    scenario.lease_duration = config.lease_duration;
     scenario.slices = u32::from(config.slices);
     scenario.limits.slices = u32::from(config.slices);
     scenario.proxies = config.proxies as usize;
@@ -65,14 +65,14 @@
     config.length.max(ends.fold(0.0, f64::max) + CALM_TIME)
 }
 
-fn apply_sabotage(scenario: &mut Day, sabotage: Option<Sabotage>) {
-    scenario.broken_store.reuses_epochs = sabotage == Some(Sabotage::EpochReused);
-    scenario.broken_store.skips_write_check = sabotage == Some(Sabotage::UncheckedWrites);
-    scenario.stewards_without = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
+fn apply_sabotage(scenario: &mut Scenario, sabotage: Option<Sabotage>) {
+    scenario.store_faults.reuses_epochs = sabotage == Some(Sabotage::EpochReused);
+    scenario.store_faults.skips_write_check = sabotage == Some(Sabotage::UncheckedWrites);
+    scenario.disabled_safeguard = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
 }
 
 /// Adds a fault; returns whether the scenario can cause it.
-fn add_fault(scenario: &mut Day, fault: &Fault) -> bool {
+fn add_fault(scenario: &mut Scenario, fault: &Fault) -> bool {
     match fault.kind {
         FaultKind::Drift { controller, by } => {
             test_clock(scenario, controller).speed += by;
@@ -85,58 +85,69 @@
             true
         }
         FaultKind::Flap { controller } => {
-            scenario.troubles.extend(flap_faults(fault, controller));
+            scenario.faults.extend(flap_faults(fault, controller));
             true
         }
         _ => {
-            let Some(act) = scenario_act(&fault.kind) else { return false };
-            scenario.troubles.push(scenario_fault(fault.at, fault.duration, act));
+            let Some(kind) = scenario_fault_kind(&fault.kind) else { return false };
+            scenario.faults.push(scenario_fault(fault.at, fault.duration, kind));
             true
         }
     }
 }
 
-fn test_clock(scenario: &mut Day, controller: u16) -> &mut TestClock {
-    scenario.clocks.resize(scenario.stewards, TestClock::default());
+fn test_clock(scenario: &mut Scenario, controller: u16) -> &mut TestClock {
+    scenario.clocks.resize(scenario.controllers, TestClock::default());
     &mut scenario.clocks[usize::from(controller)]
 }
 
-fn scenario_fault(at: f64, duration: f64, act: Act) -> Trouble {
-    Trouble { name: format!("{act:?}"), kind: SCENARIO_FAULT_KIND.into(), at, long: duration, act }
+fn scenario_fault(at: f64, duration: f64, kind: ScenarioFaultKind) -> ScheduledFault {
+    ScheduledFault { name: kind.recorded_note(), kind_name: SCENARIO_FAULT_KIND.into(), at, duration, kind }
 }
 
 /// A flapping controller: killed in each of its turns.
-fn flap_faults(fault: &Fault, controller: u16) -> Vec<Trouble> {
+fn flap_faults(fault: &Fault, controller: u16) -> Vec<ScheduledFault> {
     let period = 2.0 * FLAP_HALF_PERIOD;
     let turns = (fault.duration / period).ceil().max(1.0) as u32;
     let mut faults = Vec::new();
     for turn in 0..turns {
         let at = fault.at + f64::from(turn) * 2.0 * FLAP_HALF_PERIOD;
-        let act = Act::StewardKilled { steward: usize::from(controller) };
-        faults.push(scenario_fault(at, FLAP_HALF_PERIOD, act));
+        let kind = ScenarioFaultKind::ControllerKilled { controller: usize::from(controller) };
+        faults.push(scenario_fault(at, FLAP_HALF_PERIOD, kind));
     }
     faults
 }
 
 /// What causes a fault in a scenario, if anything does.
-fn scenario_act(kind: &FaultKind) -> Option<Act> {
+fn scenario_fault_kind(kind: &FaultKind) -> Option<ScenarioFaultKind> {
     Some(match *kind {
-        FaultKind::Kill { controller } => Act::StewardKilled { steward: usize::from(controller) },
-        FaultKind::Pause { controller } => Act::StewardPaused { steward: usize::from(controller) },
-        FaultKind::Cut { from, to } => Act::StewardWay { from: usize::from(from), to: usize::from(to) },
-        FaultKind::Split { side } => {
-            Act::StewardsSplit { side: (0..SIDE_BITS).filter(|bit| side >> bit & 1 == 1).collect() }
+        FaultKind::Kill { controller } => {
+            ScenarioFaultKind::ControllerKilled { controller: usize::from(controller) }
         }
-        FaultKind::StoreAway => Act::StoreAway,
-        FaultKind::StoreLosesAnswers => Act::StoreLosesAnswers,
+        FaultKind::Pause { controller } => {
+            ScenarioFaultKind::ControllerPaused { controller: usize::from(controller) }
+        }
+        FaultKind::Cut { from, to } => {
+            ScenarioFaultKind::ControllerOneWayCut { from: usize::from(from), to: usize::from(to) }
+        }
+        FaultKind::Split { side } => ScenarioFaultKind::ControllerPartition {
+            side: (0..SIDE_BITS).filter(|bit| side >> bit & 1 == 1).collect(),
+        },
+        FaultKind::StoreAway => ScenarioFaultKind::StoreUnavailable,
+        FaultKind::StoreLosesAnswers => ScenarioFaultKind::StoreResponsesLost,
         FaultKind::CutStore { controller } => {
-            let from = vec!["store".to_owned()];
-            Act::StewardCut { steward: usize::from(controller), from, way: CutWay::Both }
+            let peers = vec!["store".to_owned()];
+            let direction = CutDirection::Both;
+            ScenarioFaultKind::ControllerIsolated { controller: usize::from(controller), peers, direction }
+        }
+        FaultKind::StoreSlow { by } => ScenarioFaultKind::StoreSlow { delay: by },
+        FaultKind::StoreForgets { by } => ScenarioFaultKind::StoreRolledBack { age: by },
+        FaultKind::SlowOrders { controller, by } => {
+            ScenarioFaultKind::SlowUpdates { controller: usize::from(controller), delay: by }
+        }
+        FaultKind::Drain { controller } => {
+            ScenarioFaultKind::ControllerDrained { controller: usize::from(controller) }
         }
-        FaultKind::StoreSlow { by } => Act::StoreSlow { by },
-        FaultKind::StoreForgets { by } => Act::StoreForgets { by },
-        FaultKind::SlowOrders { controller, by } => Act::SlowOrders { steward: usize::from(controller), by },
-        FaultKind::Drain { controller } => Act::StewardDrained { steward: usize::from(controller) },
         _ => return None,
     })
 }
