--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -1,8 +1,8 @@
 //! What streams cost, as ratios within one run: `cargo bench -p railhub-controller`.
 //!
-//! The steward runs as a process of its own (this binary, started anew); peers are coroutines here, which read
-//! frames and acknowledge them without taking them in.
-use may::net::{TcpListener, TcpStream};
+//! The controller runs as a process of its own (this binary, started anew); peers are coroutines here, which read
+//! frames and acknowledge them without applying them.
+use may::net::TcpStream;
 use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, READY};
 use railhub_emulator::host::{HostConfig, ListeningHost, SharedSeenOperations};
 use railhub_emulator::store::Store;
@@ -17,6 +17,11 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
+#[path = "streams/bare_sockets.rs"]
+mod bare_sockets;
+
+use bare_sockets::{run_bare_sockets, BareSockets};
+
 const CHILD: &str = "RAILHUB_BENCH_STEWARD";
 const BARE: &str = "RAILHUB_BENCH_BARE";
 const SLICES: u32 = 975;
@@ -24,10 +29,10 @@
 fn main() {
     railhub_net::start_runtime();
     if let Ok(conf) = std::env::var(CHILD) {
-        return be_steward(&conf);
+        return run_controller(&conf);
     }
     if let Ok(sockets) = std::env::var(BARE) {
-        return be_bare(sockets.parse().expect("a number"));
+        return run_bare_sockets(sockets.parse().expect("a number"));
     }
     let cores = std::thread::available_parallelism().map_or(0, |n| n.get());
     println!("loopback, {cores} cores, both ends on one machine");
@@ -36,8 +41,8 @@
     lateness();
 }
 
-/// The steward's side: says where it listens, then its figures for each line it is sent.
-fn be_steward(conf: &str) {
+/// The controller's process: prints its address, then its figures for each line that it reads.
+fn run_controller(conf: &str) {
     let document = railhub_ini::Document::parse("bench", conf).expect("readable");
     let running =
         railhub_controller::Running::start(railhub_controller::Installation::read(&document).expect("right"))
@@ -233,7 +238,7 @@
 /// with one more proxy that never reads.
 fn fan_out() {
     let mut ratios = Vec::new();
-    let mut plain = Bare::start(300);
+    let mut plain = BareSockets::start(300);
     let (mut free, mut lines) = (Vec::new(), 0);
     let mut round = |stuck: bool, bare: bool| {
         let mut bench = Bench::start(110, SLICES, 60.0);
@@ -291,86 +296,7 @@
     (child, asks, answers, address)
 }
 
-/// A bare program on `may`, a process like the steward's: writes a frame to each of its sockets and reads one
-/// acknowledgement back, as often as it is asked; half of its runs.
-struct Bare {
-    child: Child,
-    asks: ChildStdin,
-    answers: BufReader<ChildStdout>,
-    _peers: Vec<Task>,
-}
-
-impl Bare {
-    fn start(sockets: u32) -> Bare {
-        let (child, asks, answers, address) = other_process(BARE, &sockets.to_string());
-        let peers = Peers::default().join(address, 0, sockets, None);
-        Bare { child, asks, answers, _peers: peers }
-    }
-
-    fn spread(&mut self, body: usize) -> f64 {
-        let mut run = || -> f64 {
-            writeln!(self.asks, "{body}").expect("it lives");
-            let mut line = String::new();
-            self.answers.read_line(&mut line).expect("it lives");
-            line.trim().parse().expect("a number")
-        };
-        median((0..7).map(|_| run()).collect())
-    }
-}
-
-impl Drop for Bare {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-fn be_bare(sockets: usize) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    println!("{}", listener.local_addr().expect("bound"));
-    let (left, last) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicU64::new(0)));
-    let frame = Arc::new(Mutex::new(Arc::new(Vec::new())));
-    let starts: Vec<Arc<may::sync::Semphore>> = (0..sockets)
-        .map(|_| {
-            let mut stream = listener.accept().expect("a client").0;
-            stream.set_nodelay(true).expect("open");
-            let start = Arc::new(may::sync::Semphore::new(0));
-            let (wait, frame, left, last) = (start.clone(), frame.clone(), left.clone(), last.clone());
-            spawn(move || {
-                let mut answer = [0; 64];
-                // What the client says first.
-                let _ = stream.read(&mut answer);
-                loop {
-                    wait.wait();
-                    let bytes: Arc<Vec<u8>> = Arc::clone(&*frame.lock().expect("no holder panics"));
-                    if stream.write_all(&bytes).is_err() || stream.read(&mut answer).is_err() {
-                        return;
-                    }
-                    last.fetch_max(now().to_bits(), Ordering::Relaxed);
-                    left.fetch_sub(1, Ordering::Release);
-                }
-            });
-            start
-        })
-        .collect();
-    for line in std::io::stdin().lines() {
-        let Some(length) = line.ok().and_then(|line| line.parse::<usize>().ok()) else { return };
-        let mut bytes = (length as u32).to_be_bytes().to_vec();
-        // A message whose nonce is 7, and zeros.
-        bytes.extend([0x0a, 0x02, 0x08, 0x07]);
-        bytes.resize(4 + length, 0);
-        *frame.lock().expect("no holder panics") = Arc::new(bytes);
-        left.store(sockets, Ordering::Release);
-        let began = now();
-        starts.iter().for_each(|start| start.post());
-        while left.load(Ordering::Acquire) > 0 {
-            std::thread::sleep(seconds(0.0005));
-        }
-        println!("{}", f64::from_bits(last.load(Ordering::Relaxed)) - began);
-    }
-}
-
-/// Resident memory of the steward's process for each joined idle proxy.
+/// Resident memory of the controller's process for each joined idle proxy.
 fn memory() {
     let count = 3000;
     let mut bench = Bench::start(10, 100, 60.0);
@@ -385,10 +311,12 @@
     let joined = now() - began;
     std::thread::sleep(seconds(2.0));
     let each = (bench.memory() - before) / f64::from(count);
-    println!("{count} proxies joined at once in {joined:.2} s; {each:.1} KiB of the steward's memory each");
+    println!(
+        "{count} proxies joined at once in {joined:.2} s; {each:.1} KiB of the controller's memory each"
+    );
 }
 
-/// How late turns are with 150 hosts, 975 slices and 300 proxies that report each second while hosts drain.
+/// How late ticks are with 150 hosts, 975 slices and 300 proxies that report each second while hosts drain.
 fn lateness() {
     let mut bench = Bench::start(150, SLICES, 60.0);
     let hosts = bench.hosts.iter().step_by(5).map(|host| HostLoad {
@@ -411,7 +339,7 @@
     let figures = bench.figures();
     let ms = |what: &str| figures[what].as_f64().unwrap_or(f64::NAN) * 1000.0;
     println!(
-        "150 hosts, {SLICES} slices, 300 proxies, {} turns: late by {:.2} ms (half), {:.2} ms (99 of 100), {:.2} ms \
+        "150 hosts, {SLICES} slices, 300 proxies, {} ticks: late by {:.2} ms (half), {:.2} ms (99 of 100), {:.2} ms \
          (most); longest round {:.1} ms",
         figures["turns"],
         ms("late_half"),
--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -44,11 +44,8 @@
     }
 }
 
-pub fn fleet(hosts: usize, slices: u16) -> Fleet {
-    static START: Once = Once::new();
-    START.call_once(railhub_net::start_runtime);
-    let recorder = Recorder::start(None).expect("in memory");
-    let class = OperationClass {
+fn operation_class() -> OperationClass {
+    OperationClass {
         name: "view".into(),
         contract_time: 1.0,
         hard_stop: 2.0,
@@ -56,26 +53,11 @@
         idempotency: OperationIdempotency::Safe,
         key_window: 0.0,
         writes: false,
-    };
-    let classes = Arc::new(vec![class]);
-    let open = |n| {
-        let host = ListeningHost::open(
-            facts(n % 2),
-            classes.clone(),
-            SharedSeenOperations::default(),
-            recorder.clone(),
-        );
-        let host = host.expect("loopback");
-        host.host.start(false);
-        host
-    };
-    let hosts: Vec<ListeningHost> = (0..hosts as u32).map(open).collect();
-    let roster = EndpointList::open(recorder.clone()).expect("loopback");
-    roster.update((0..hosts.len()).map(|n| entry(&hosts, n, READY)).collect());
-    let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
-    let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
-    let store = Store::open(tables.collect()).expect("loopback");
-    let terms = ControllerConfig {
+    }
+}
+
+fn controller_config(slices: u16) -> ControllerConfig {
+    ControllerConfig {
         classes: vec![ClassConfig {
             contract_time: 1.0,
             priority_weight: 1.0,
@@ -94,12 +76,36 @@
         message_quota_window: 10.0,
         first_attempt_timeout_multiple: 1.0,
         ..ControllerConfig::default()
+    }
+}
+
+pub fn fleet(hosts: usize, slices: u16) -> Fleet {
+    static START: Once = Once::new();
+    START.call_once(railhub_net::start_runtime);
+    let recorder = Recorder::start(None).expect("in memory");
+    let classes = Arc::new(vec![operation_class()]);
+    let open = |n| {
+        let host = ListeningHost::open(
+            facts(n % 2),
+            classes.clone(),
+            SharedSeenOperations::default(),
+            recorder.clone(),
+        );
+        let host = host.expect("loopback");
+        host.host.start(false);
+        host
     };
+    let hosts: Vec<ListeningHost> = (0..hosts as u32).map(open).collect();
+    let roster = EndpointList::open(recorder.clone()).expect("loopback");
+    roster.update((0..hosts.len()).map(|n| entry(&hosts, n, READY)).collect());
+    let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
+    let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
+    let store = Store::open(tables.collect()).expect("loopback");
     let installation = Installation {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         endpoint_list: roster.address,
         store: (slices > 0).then_some(store.address),
-        config: terms,
+        config: controller_config(slices),
         class_names: vec!["view".into()],
         max_reports_per_second: 1000.0,
         health_check_timeout: 0.4,
