--- a/crates/railhub-chaos/src/cluster_harness/error.rs
+++ b/crates/railhub-chaos/src/cluster_harness/error.rs
@@ -11,7 +11,7 @@
     Log {
         /// The log's path.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The program cannot be run.
@@ -19,7 +19,7 @@
     Spawn {
         /// The program's path.
         binary: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The process has no standard output.
@@ -39,7 +39,7 @@
         /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// The process did not start; its log says more.
+    /// The process did not start; its log has the details.
     #[error("{error}; its log: {}", log.display())]
     Logged {
         /// Why.
@@ -57,7 +57,7 @@
     File {
         /// Its path.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// An observation cannot be recorded.
--- a/crates/railhub-chaos/src/cluster_harness/faults.rs
+++ b/crates/railhub-chaos/src/cluster_harness/faults.rs
@@ -16,7 +16,7 @@
         self.active_faults.begin(index);
         self.queue.schedule(ends_at, ScheduledEvent::FaultEnds(index));
         match fault.kind {
-            FaultKind::Kill { controller } | FaultKind::Backward { controller } => {
+            FaultKind::Kill { controller } | FaultKind::RestartWithLowerNumber { controller } => {
                 self.end(controller, ControllerProcess::kill);
             }
             FaultKind::Leave { controller } => self.end(controller, ControllerProcess::leave),
@@ -25,7 +25,9 @@
                     running.process.pause();
                 }
             }
-            FaultKind::Starve { controller, share } => self.starve(index, controller, share),
+            FaultKind::Starve { controller, running_fraction } => {
+                self.starve(index, controller, running_fraction)
+            }
             FaultKind::Flap { .. } => self.flap(index, ends_at)?,
             FaultKind::Move { controller } => {
                 self.end(controller, ControllerProcess::kill);
@@ -33,11 +35,11 @@
                 self.start(controller, None)?;
             }
             FaultKind::Join { controller } => self.start_if_down(controller, None)?,
-            FaultKind::Twin { controller } => {
+            FaultKind::DuplicateId { controller } => {
                 self.add_endpoint(controller, format!("{controller} twin {index}"))?;
                 self.start(controller, None)?;
             }
-            FaultKind::Apart { a, b } => self.active_faults.separate(a, b),
+            FaultKind::SeparatePair { a, b } => self.active_faults.separate(a, b),
             FaultKind::Replay => self.replay(),
             FaultKind::Flood { controller, count } => self.flood(controller, count),
             _ => {}
@@ -52,7 +54,7 @@
             FaultKind::Kill { controller }
             | FaultKind::Flap { controller }
             | FaultKind::Leave { controller } => self.start_if_down(controller, None)?,
-            FaultKind::Backward { controller } => {
+            FaultKind::RestartWithLowerNumber { controller } => {
                 let process = microseconds_since_epoch() - CLOCK_SETBACK_MICROSECONDS;
                 self.start_if_down(controller, Some(process))?;
             }
@@ -100,8 +102,8 @@
         } else {
             self.start(controller, None)?;
         }
-        let next_turn_at = self.elapsed() + FLAP_HALF_PERIOD;
-        self.queue.schedule(next_turn_at, ScheduledEvent::FlapTurn { index, until });
+        let next_toggle_at = self.elapsed() + FLAP_HALF_PERIOD;
+        self.queue.schedule(next_toggle_at, ScheduledEvent::FlapToggle { index, until });
         Ok(())
     }
 }
--- a/crates/railhub-chaos/src/cluster_harness/harness.rs
+++ b/crates/railhub-chaos/src/cluster_harness/harness.rs
@@ -45,7 +45,7 @@
 pub(super) enum ScheduledEvent {
     FaultBegins(usize),
     FaultEnds(usize),
-    FlapTurn { index: usize, until: f64 },
+    FlapToggle { index: usize, until: f64 },
 }
 
 /// A controller's place on the links.
@@ -266,7 +266,7 @@
             match event {
                 ScheduledEvent::FaultBegins(index) => self.begin_fault(index)?,
                 ScheduledEvent::FaultEnds(index) => self.end_fault(index)?,
-                ScheduledEvent::FlapTurn { index, until } => self.flap(index, until)?,
+                ScheduledEvent::FlapToggle { index, until } => self.flap(index, until)?,
             }
             self.update_links();
         }
--- a/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
+++ b/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
@@ -74,14 +74,14 @@
 /// Adds a fault; returns whether the scenario can cause it.
 fn add_fault(scenario: &mut Day, fault: &Fault) -> bool {
     match fault.kind {
-        FaultKind::Drift { controller, by } => {
-            test_clock(scenario, controller).speed += by;
+        FaultKind::ClockDrift { controller, fraction } => {
+            test_clock(scenario, controller).speed += fraction;
             true
         }
-        FaultKind::Jump { controller, by } => {
+        FaultKind::ClockJump { controller, seconds } => {
             let clock = test_clock(scenario, controller);
             clock.jumps_after = fault.at;
-            clock.jumps_by = by;
+            clock.jumps_by = seconds;
             true
         }
         FaultKind::Flap { controller } => {
@@ -105,13 +105,13 @@
     Trouble { name: format!("{act:?}"), kind: SCENARIO_FAULT_KIND.into(), at, long: duration, act }
 }
 
-/// A flapping controller: killed in each of its turns.
+/// A flapping controller: killed once in each cycle.
 fn flap_faults(fault: &Fault, controller: u16) -> Vec<Trouble> {
     let period = 2.0 * FLAP_HALF_PERIOD;
-    let turns = (fault.duration / period).ceil().max(1.0) as u32;
+    let cycles = (fault.duration / period).ceil().max(1.0) as u32;
     let mut faults = Vec::new();
-    for turn in 0..turns {
-        let at = fault.at + f64::from(turn) * 2.0 * FLAP_HALF_PERIOD;
+    for cycle in 0..cycles {
+        let at = fault.at + f64::from(cycle) * 2.0 * FLAP_HALF_PERIOD;
         let act = Act::StewardKilled { steward: usize::from(controller) };
         faults.push(scenario_fault(at, FLAP_HALF_PERIOD, act));
     }
@@ -124,18 +124,20 @@
         FaultKind::Kill { controller } => Act::StewardKilled { steward: usize::from(controller) },
         FaultKind::Pause { controller } => Act::StewardPaused { steward: usize::from(controller) },
         FaultKind::Cut { from, to } => Act::StewardWay { from: usize::from(from), to: usize::from(to) },
-        FaultKind::Split { side } => {
+        FaultKind::Partition { side } => {
             Act::StewardsSplit { side: (0..SIDE_BITS).filter(|bit| side >> bit & 1 == 1).collect() }
         }
-        FaultKind::StoreAway => Act::StoreAway,
-        FaultKind::StoreLosesAnswers => Act::StoreLosesAnswers,
+        FaultKind::StoreUnavailable => Act::StoreAway,
+        FaultKind::StoreLosesResponses => Act::StoreLosesAnswers,
         FaultKind::CutStore { controller } => {
             let from = vec!["store".to_owned()];
             Act::StewardCut { steward: usize::from(controller), from, way: CutWay::Both }
         }
-        FaultKind::StoreSlow { by } => Act::StoreSlow { by },
-        FaultKind::StoreForgets { by } => Act::StoreForgets { by },
-        FaultKind::SlowOrders { controller, by } => Act::SlowOrders { steward: usize::from(controller), by },
+        FaultKind::StoreSlow { delay } => Act::StoreSlow { by: delay },
+        FaultKind::StoreRollback { age } => Act::StoreForgets { by: age },
+        FaultKind::SlowCommands { controller, max_delay } => {
+            Act::SlowOrders { steward: usize::from(controller), by: max_delay }
+        }
         FaultKind::Drain { controller } => Act::StewardDrained { steward: usize::from(controller) },
         _ => return None,
     })
--- a/crates/railhub-chaos/src/cluster_harness/process.rs
+++ b/crates/railhub-chaos/src/cluster_harness/process.rs
@@ -44,7 +44,7 @@
 pub struct ProcessLog {
     /// Where it goes.
     pub to: Stdio,
-    /// The log format, a word of the command line.
+    /// The log format, a value of the command line's `--log`.
     pub format: &'static str,
     /// The lowest level that is logged.
     pub level: String,
--- a/crates/railhub-chaos/src/fault/display.rs
+++ b/crates/railhub-chaos/src/fault/display.rs
@@ -1,5 +1,5 @@
 //! Faults as reports print them. The printed names are those of earlier reports.
-use super::{FaultKind, LinkFaults};
+use super::kind::{FaultKind, LinkFaults};
 use std::fmt::{Display, Formatter, Result};
 
 impl Display for FaultKind {
@@ -11,28 +11,30 @@
             FaultKind::Drain { controller } => one(f, "Drain", *controller),
             FaultKind::Flap { controller } => one(f, "Flap", *controller),
             FaultKind::Move { controller } => one(f, "Move", *controller),
-            FaultKind::Twin { controller } => one(f, "Twin", *controller),
+            FaultKind::DuplicateId { controller } => one(f, "Twin", *controller),
             FaultKind::Leave { controller } => one(f, "Leave", *controller),
             FaultKind::Join { controller } => one(f, "Join", *controller),
-            FaultKind::Backward { controller } => one(f, "Backward", *controller),
-            FaultKind::Drift { controller, by } => one_by(f, "Drift", *controller, *by),
-            FaultKind::Jump { controller, by } => one_by(f, "Jump", *controller, *by),
-            FaultKind::SlowOrders { controller, by } => one_by(f, "SlowOrders", *controller, *by),
-            FaultKind::Starve { controller, share } => {
-                write!(f, "Starve {{ steward: {controller}, share: {share:?} }}")
+            FaultKind::RestartWithLowerNumber { controller } => one(f, "Backward", *controller),
+            FaultKind::ClockDrift { controller, fraction } => one_by(f, "Drift", *controller, *fraction),
+            FaultKind::ClockJump { controller, seconds } => one_by(f, "Jump", *controller, *seconds),
+            FaultKind::SlowCommands { controller, max_delay } => {
+                one_by(f, "SlowOrders", *controller, *max_delay)
+            }
+            FaultKind::Starve { controller, running_fraction } => {
+                write!(f, "Starve {{ steward: {controller}, share: {running_fraction:?} }}")
             }
             FaultKind::Flood { controller, count } => {
                 write!(f, "Flood {{ steward: {controller}, count: {count} }}")
             }
             FaultKind::Links { faults } => write!(f, "Links {{ faults: {faults} }}"),
-            FaultKind::Cut { .. }
-            | FaultKind::Split { .. }
-            | FaultKind::Apart { .. }
-            | FaultKind::StoreAway
-            | FaultKind::StoreLosesAnswers
-            | FaultKind::StoreSlow { .. }
-            | FaultKind::StoreForgets { .. }
-            | FaultKind::Replay => write!(f, "{self:?}"),
+            FaultKind::Partition { side } => write!(f, "Split {{ side: {side} }}"),
+            FaultKind::SeparatePair { a, b } => write!(f, "Apart {{ a: {a}, b: {b} }}"),
+            FaultKind::StoreUnavailable => f.write_str("StoreAway"),
+            FaultKind::StoreLosesResponses => f.write_str("StoreLosesAnswers"),
+            FaultKind::StoreSlow { delay } => write!(f, "StoreSlow {{ by: {delay:?} }}"),
+            FaultKind::StoreRollback { age } => write!(f, "StoreForgets {{ by: {age:?} }}"),
+            FaultKind::Cut { from, to } => write!(f, "Cut {{ from: {from}, to: {to} }}"),
+            FaultKind::Replay => f.write_str("Replay"),
         }
     }
 }
--- a/crates/railhub-chaos/src/fault/draw.rs
+++ b/crates/railhub-chaos/src/fault/draw.rs
@@ -1,6 +1,6 @@
 //! Draws the faults of a run from its seed. The order of the draws is part of the format: a seed is the same run in every
 //! version.
-use super::{Fault, FaultKind, LinkFaults};
+use super::kind::{Fault, FaultKind, LinkFaults};
 use crate::config::{ChaosConfig, JudgedProperty};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -76,20 +76,20 @@
         3 => (usual, FaultKind::Cut { from: controller, to: other }),
         4 | 17 => {
             let side = rng.random_range(1..(1u32 << config.controllers).max(3) - 1);
-            (draw_from(PARTITION_DURATIONS, rng), FaultKind::Split { side })
+            (draw_from(PARTITION_DURATIONS, rng), FaultKind::Partition { side })
         }
-        5 | 18 => (draw_from(PARTITION_DURATIONS, rng), FaultKind::Split { side: 1 << controller }),
+        5 | 18 => (draw_from(PARTITION_DURATIONS, rng), FaultKind::Partition { side: 1 << controller }),
         6 | 7 => (usual, FaultKind::Links { faults }),
-        8 => (usual, FaultKind::Starve { controller, share: 0.1 + 0.5 * magnitude }),
+        8 => (usual, FaultKind::Starve { controller, running_fraction: 0.1 + 0.5 * magnitude }),
         9 => (0.0, FaultKind::Move { controller }),
         10 => (0.0, FaultKind::Replay),
         11 => (usual, FaultKind::Flap { controller }),
         12 => (usual, FaultKind::Leave { controller }),
         13 => (0.3 + 0.4 * magnitude, FaultKind::Kill { controller }),
-        14 => (usual, FaultKind::Backward { controller }),
+        14 => (usual, FaultKind::RestartWithLowerNumber { controller }),
         // Pairs do not overlap, so that every other controller reaches both.
         15 | 16 | 19..=21 if controller ^ 1 < config.controllers => {
-            (0.0, FaultKind::Apart { a: controller, b: controller ^ 1 })
+            (0.0, FaultKind::SeparatePair { a: controller, b: controller ^ 1 })
         }
         _ => (0.0, FaultKind::Flood { controller, count: FLOOD_DATAGRAMS }),
     };
@@ -110,16 +110,16 @@
         4 => (usual, FaultKind::Cut { from: controller, to: other }),
         5 => {
             let side = rng.random_range(1..(1u32 << config.controllers).max(2));
-            (usual, FaultKind::Split { side })
+            (usual, FaultKind::Partition { side })
         }
-        6 => (usual, FaultKind::StoreAway),
-        7 => (usual, FaultKind::StoreSlow { by: 0.1 + 0.7 * size }),
+        6 => (usual, FaultKind::StoreUnavailable),
+        7 => (usual, FaultKind::StoreSlow { delay: 0.1 + 0.7 * size }),
         13 => (usual, FaultKind::CutStore { controller }),
-        14 => (usual.min(MAX_LOST_RESPONSES_DURATION), FaultKind::StoreLosesAnswers),
-        12 => (0.0, FaultKind::StoreForgets { by: MAX_STORE_COPY_AGE * size }),
-        8 => (config.length, FaultKind::Drift { controller, by: MAX_DRIFT_FRACTION * magnitude }),
-        9 => (0.0, FaultKind::Jump { controller, by: MAX_CLOCK_JUMP * magnitude }),
-        10 => (usual, FaultKind::SlowOrders { controller, by: MAX_COMMAND_DELAY * size }),
+        14 => (usual.min(MAX_LOST_RESPONSES_DURATION), FaultKind::StoreLosesResponses),
+        12 => (0.0, FaultKind::StoreRollback { age: MAX_STORE_COPY_AGE * size }),
+        8 => (config.length, FaultKind::ClockDrift { controller, fraction: MAX_DRIFT_FRACTION * magnitude }),
+        9 => (0.0, FaultKind::ClockJump { controller, seconds: MAX_CLOCK_JUMP * magnitude }),
+        10 => (usual, FaultKind::SlowCommands { controller, max_delay: MAX_COMMAND_DELAY * size }),
         _ if magnitude < 0.0 => (usual, FaultKind::Flap { controller }),
         _ => (0.0, FaultKind::Drain { controller }),
     };
--- a/crates/railhub-chaos/src/fault/section.rs
+++ b/crates/railhub-chaos/src/fault/section.rs
@@ -1,5 +1,5 @@
 //! One listed fault of a chaos file. The kinds and keys are the file's; they are mapped here and nowhere else.
-use super::{Fault, FaultKind, LinkFaults, MAX_DRAWN_CONTROLLERS};
+use super::kind::{Fault, FaultKind, LinkFaults, MAX_DRAWN_CONTROLLERS};
 use railhub_ini::{Diagnostic, Section};
 
 /// The most seconds of a run at which a fault may begin, and of its duration.
@@ -11,8 +11,8 @@
 /// The first mistake of the section, with its place.
 pub fn read_fault(section: &Section, controllers: u16) -> Result<Fault, Diagnostic> {
     let fields = FaultFields { section, controllers };
-    let word: String = section.required("kind")?;
-    let kind = fields.kind(&word)?;
+    let kind_name: String = section.required("kind")?;
+    let kind = fields.kind(&kind_name)?;
     let at = section.required_in_range("at", 0.0, MAX_FAULT_SECONDS)?;
     let duration = section.in_range("for", 0.0, 0.0, MAX_FAULT_SECONDS)?;
     Ok(Fault { at, duration, kind })
@@ -24,40 +24,47 @@
 }
 
 impl FaultFields<'_> {
-    fn kind(&self, word: &str) -> Result<FaultKind, Diagnostic> {
+    fn kind(&self, name: &str) -> Result<FaultKind, Diagnostic> {
         let section = self.section;
-        Ok(match word {
+        Ok(match name {
             "kill" => FaultKind::Kill { controller: self.controller()? },
             "pause" => FaultKind::Pause { controller: self.controller()? },
             "join" => FaultKind::Join { controller: self.controller()? },
             "leave" => FaultKind::Leave { controller: self.controller()? },
             "move" => FaultKind::Move { controller: self.controller()? },
-            "twin" => FaultKind::Twin { controller: self.controller()? },
-            "backward" => FaultKind::Backward { controller: self.controller()? },
+            "twin" => FaultKind::DuplicateId { controller: self.controller()? },
+            "backward" => FaultKind::RestartWithLowerNumber { controller: self.controller()? },
             "flap" => FaultKind::Flap { controller: self.controller()? },
             "drain" => FaultKind::Drain { controller: self.controller()? },
             "cut_store" => FaultKind::CutStore { controller: self.controller()? },
-            "store_away" => FaultKind::StoreAway,
-            "store_loses_answers" => FaultKind::StoreLosesAnswers,
-            "store_slow" => FaultKind::StoreSlow { by: self.by(0.0, 60.0)? },
-            "store_forgets" => FaultKind::StoreForgets { by: section.in_range("by", 0.0, 0.0, 60.0)? },
+            "store_away" => FaultKind::StoreUnavailable,
+            "store_loses_answers" => FaultKind::StoreLosesResponses,
+            "store_slow" => FaultKind::StoreSlow { delay: self.by(0.0, 60.0)? },
+            "store_forgets" => FaultKind::StoreRollback { age: section.in_range("by", 0.0, 0.0, 60.0)? },
             "slow_orders" => {
-                FaultKind::SlowOrders { controller: self.controller()?, by: self.by(0.0, 10.0)? }
+                FaultKind::SlowCommands { controller: self.controller()?, max_delay: self.by(0.0, 10.0)? }
+            }
+            "drift" => {
+                FaultKind::ClockDrift { controller: self.controller()?, fraction: self.by(-0.1, 0.1)? }
+            }
+            "jump" => {
+                FaultKind::ClockJump { controller: self.controller()?, seconds: self.by(-1000.0, 1000.0)? }
             }
-            "drift" => FaultKind::Drift { controller: self.controller()?, by: self.by(-0.1, 0.1)? },
-            "jump" => FaultKind::Jump { controller: self.controller()?, by: self.by(-1000.0, 1000.0)? },
             "replay" => FaultKind::Replay,
             "cut" => FaultKind::Cut { from: self.id("from")?, to: self.id("to")? },
-            "apart" => FaultKind::Apart { a: self.id("a")?, b: self.id("b")? },
+            "apart" => FaultKind::SeparatePair { a: self.id("a")?, b: self.id("b")? },
             "starve" => {
                 let controller = self.controller()?;
-                FaultKind::Starve { controller, share: section.required_in_range("share", 0.01, 1.0)? }
+                FaultKind::Starve {
+                    controller,
+                    running_fraction: section.required_in_range("share", 0.01, 1.0)?,
+                }
             }
             "flood" => {
                 let count = section.in_range("count", 2000.0, 1.0, 1e6)? as u32;
                 FaultKind::Flood { controller: self.controller()?, count }
             }
-            "split" => FaultKind::Split { side: self.side()? },
+            "split" => FaultKind::Partition { side: self.side()? },
             "links" => FaultKind::Links { faults: self.link_faults()? },
             other => return Err(section.diagnostic("kind", format!("'{other}' is not known"))),
         })
--- a/crates/railhub-chaos/src/lease/simulation/exchange.rs
+++ b/crates/railhub-chaos/src/lease/simulation/exchange.rs
@@ -70,7 +70,7 @@
     fn is_blocked(&self, from: u16, to: u16) -> bool {
         self.active_faults.kinds(self.faults).any(|kind| match *kind {
             FaultKind::Cut { from: cut_from, to: cut_to } => (from, to) == (cut_from, cut_to),
-            FaultKind::Split { side } => {
+            FaultKind::Partition { side } => {
                 let bit = |controller: u16| side.wrapping_shr(controller.into()) & 1;
                 bit(from) != bit(to)
             }
@@ -80,10 +80,10 @@
 
     pub(super) fn on_lease_request(&mut self, id: u16, request: &LeaseRequest) {
         let is_active = |kind: FaultKind| self.active_faults.includes(self.faults, &kind);
-        if is_active(FaultKind::StoreAway) || is_active(FaultKind::CutStore { controller: id }) {
+        if is_active(FaultKind::StoreUnavailable) || is_active(FaultKind::CutStore { controller: id }) {
             return;
         }
-        let loses_responses = is_active(FaultKind::StoreLosesAnswers);
+        let loses_responses = is_active(FaultKind::StoreLosesResponses);
         let store_delay = self.store_delay();
         let process = request.process;
         let handled = self.store.handle_request(self.now, request);
@@ -102,7 +102,7 @@
     /// Seconds by which the slowest fault in force delays the store's responses.
     fn store_delay(&self) -> f64 {
         let delays = self.active_faults.kinds(self.faults).map(|kind| match *kind {
-            FaultKind::StoreSlow { by } => by,
+            FaultKind::StoreSlow { delay } => delay,
             _ => 0.0,
         });
         delays.fold(0.0, f64::max)
--- a/crates/railhub-chaos/src/lease/simulation/faults.rs
+++ b/crates/railhub-chaos/src/lease/simulation/faults.rs
@@ -12,11 +12,11 @@
         match fault.kind {
             FaultKind::Kill { controller } => self.kill(controller),
             FaultKind::Pause { controller } => self.pause(controller, ends_at),
-            FaultKind::Jump { controller, by } => self.jump_clock(controller, by),
-            FaultKind::SlowOrders { controller, by } => self.delay_commands(controller, by),
+            FaultKind::ClockJump { controller, seconds } => self.jump_clock(controller, seconds),
+            FaultKind::SlowCommands { controller, max_delay } => self.delay_commands(controller, max_delay),
             FaultKind::Drain { controller } => self.drain(controller),
             FaultKind::Flap { .. } => self.flap(index, ends_at),
-            FaultKind::StoreForgets { by } => self.store.restart_from_copy(self.now, by),
+            FaultKind::StoreRollback { age } => self.store.restart_from_copy(self.now, age),
             _ => {}
         }
         self.schedule(ends_at, ScheduledEvent::FaultEnds(index));
@@ -28,7 +28,7 @@
             FaultKind::Kill { controller } | FaultKind::Flap { controller } => {
                 self.start_if_down(controller);
             }
-            FaultKind::SlowOrders { controller, .. } => self.delay_commands(controller, 0.0),
+            FaultKind::SlowCommands { controller, .. } => self.delay_commands(controller, 0.0),
             _ => {}
         }
     }
@@ -46,9 +46,9 @@
         }
     }
 
-    fn jump_clock(&mut self, id: u16, by: f64) {
+    fn jump_clock(&mut self, id: u16, seconds: f64) {
         if let Some(controller) = self.controllers.get_mut(&id) {
-            controller.clock.offset += by;
+            controller.clock.offset += seconds;
             controller.clock.within_bound = false;
         }
     }
@@ -76,6 +76,6 @@
         } else {
             self.start(controller);
         }
-        self.schedule(self.now + FLAP_HALF_PERIOD, ScheduledEvent::FlapTurn { index, until });
+        self.schedule(self.now + FLAP_HALF_PERIOD, ScheduledEvent::FlapToggle { index, until });
     }
 }
--- a/crates/railhub-chaos/src/lease/simulation/mod.rs
+++ b/crates/railhub-chaos/src/lease/simulation/mod.rs
@@ -52,7 +52,7 @@
     Acknowledgement { controller: u16, process: u64, proxy: u16, number: u64 },
     FaultBegins(usize),
     FaultEnds(usize),
-    FlapTurn { index: usize, until: f64 },
+    FlapToggle { index: usize, until: f64 },
 }
 
 struct LeaseSimulation<'a> {
@@ -113,8 +113,8 @@
     fn schedule_faults(&mut self) {
         for (index, fault) in self.faults.iter().enumerate() {
             // A clock drifts from the start: its beginning could not be observed.
-            if let FaultKind::Drift { controller, by } = fault.kind {
-                self.clock_speeds.insert(controller, 1.0 + by);
+            if let FaultKind::ClockDrift { controller, fraction } = fault.kind {
+                self.clock_speeds.insert(controller, 1.0 + fraction);
             } else {
                 self.schedule(fault.at, ScheduledEvent::FaultBegins(index));
             }
@@ -167,7 +167,7 @@
             }
             ScheduledEvent::FaultBegins(index) => self.begin_fault(index),
             ScheduledEvent::FaultEnds(index) => self.end_fault(index),
-            ScheduledEvent::FlapTurn { index, until } => self.flap(index, until),
+            ScheduledEvent::FlapToggle { index, until } => self.flap(index, until),
         }
     }
 
--- a/crates/railhub-chaos/src/view/simulation/faults.rs
+++ b/crates/railhub-chaos/src/view/simulation/faults.rs
@@ -16,13 +16,15 @@
         self.observe_fault(&fault.kind, true);
         self.active_faults.begin(index);
         match fault.kind {
-            FaultKind::Kill { controller } | FaultKind::Backward { controller } => self.kill(controller),
+            FaultKind::Kill { controller } | FaultKind::RestartWithLowerNumber { controller } => {
+                self.kill(controller)
+            }
             FaultKind::Pause { controller } => self.pause(controller, ends_at),
-            FaultKind::Jump { controller, by } => {
-                self.with_process(controller, |process| process.clock_offset += by);
+            FaultKind::ClockJump { controller, seconds } => {
+                self.with_process(controller, |process| process.clock_offset += seconds);
             }
-            FaultKind::Starve { controller, share } => {
-                self.with_process(controller, |process| process.running_fraction = share);
+            FaultKind::Starve { controller, running_fraction } => {
+                self.with_process(controller, |process| process.running_fraction = running_fraction);
             }
             FaultKind::Flap { .. } => self.flap(index, ends_at),
             FaultKind::Move { controller } => {
@@ -33,9 +35,9 @@
                 let process = self.next_process_number();
                 self.start_if_down(controller, process);
             }
-            FaultKind::Twin { controller } => self.start_at_new_address(controller),
+            FaultKind::DuplicateId { controller } => self.start_at_new_address(controller),
             FaultKind::Leave { controller } => self.leave(controller),
-            FaultKind::Apart { a, b } => self.active_faults.separate(a, b),
+            FaultKind::SeparatePair { a, b } => self.active_faults.separate(a, b),
             FaultKind::Replay => self.replay(),
             _ => {}
         }
@@ -51,7 +53,7 @@
             | FaultKind::Leave { controller } => {
                 self.schedule_restart(controller, self.next_process_number());
             }
-            FaultKind::Backward { controller } => {
+            FaultKind::RestartWithLowerNumber { controller } => {
                 let process = self.next_process_number() - CLOCK_SETBACK_MICROSECONDS;
                 self.schedule_restart(controller, process);
             }
@@ -112,6 +114,6 @@
             let process = self.next_process_number();
             self.schedule(self.now, ScheduledEvent::Start { controller, process });
         }
-        self.schedule(self.now + FLAP_HALF_PERIOD, ScheduledEvent::FlapTurn { index, until });
+        self.schedule(self.now + FLAP_HALF_PERIOD, ScheduledEvent::FlapToggle { index, until });
     }
 }
--- a/crates/railhub-chaos/src/view/simulation/mod.rs
+++ b/crates/railhub-chaos/src/view/simulation/mod.rs
@@ -48,7 +48,7 @@
     Datagram { to: SocketAddr, bytes: Vec<u8> },
     FaultBegins(usize),
     FaultEnds(usize),
-    FlapTurn { index: usize, until: f64 },
+    FlapToggle { index: usize, until: f64 },
     Start { controller: u16, process: u64 },
 }
 
@@ -140,7 +140,7 @@
             ScheduledEvent::Datagram { to, bytes } => self.on_datagram(to, bytes),
             ScheduledEvent::FaultBegins(index) => self.begin_fault(index),
             ScheduledEvent::FaultEnds(index) => self.end_fault(index),
-            ScheduledEvent::FlapTurn { index, until } => self.flap(index, until),
+            ScheduledEvent::FlapToggle { index, until } => self.flap(index, until),
             ScheduledEvent::Start { controller, process } => self.start_if_down(controller, process),
         }
     }
--- a/crates/railhub-chaos/src/view/timeline.rs
+++ b/crates/railhub-chaos/src/view/timeline.rs
@@ -7,7 +7,7 @@
 pub const SETTLING_TIMEOUT: f64 = 15.0;
 /// Seconds after that in which the views are observed to stay true.
 pub const OBSERVED_TIME: f64 = 4.0;
-/// Seconds for processes to start again, for the last of a replay, and for a flap's last turn.
+/// Seconds for processes to start again, for the last of a replay, and for the last half period of a flap.
 const RESTART_TIME: f64 = 2.0;
 
 /// The probability of loss from which live members may be declared dead.
@@ -50,7 +50,7 @@
         FaultKind::Links { faults } => {
             faults.loss >= DISTURBING_LOSS || faults.delay + faults.jitter > DISTURBING_DELAY
         }
-        FaultKind::Flood { .. } | FaultKind::Replay | FaultKind::Apart { .. } => false,
+        FaultKind::Flood { .. } | FaultKind::Replay | FaultKind::SeparatePair { .. } => false,
         _ => true,
     }
 }
--- a/crates/railhub-chaos/tests/runs.rs
+++ b/crates/railhub-chaos/tests/runs.rs
@@ -103,7 +103,7 @@
 
 #[test]
 fn without_the_store_nothing_new_is_ordered_and_all_goes_on_when_it_is_back() {
-    let events = with(vec![Fault { at: 20.0, duration: 10.0, kind: FaultKind::StoreAway }]);
+    let events = with(vec![Fault { at: 20.0, duration: 10.0, kind: FaultKind::StoreUnavailable }]);
     let ordered = |from: f64, until: f64| {
         events
             .iter()
@@ -116,7 +116,7 @@
 
 #[test]
 fn both_sides_of_a_split_keep_what_they_hold() {
-    let events = with(vec![Fault { at: 15.0, duration: 20.0, kind: FaultKind::Split { side: 1 } }]);
+    let events = with(vec![Fault { at: 15.0, duration: 20.0, kind: FaultKind::Partition { side: 1 } }]);
     assert_eq!(recovery_figures(&events).handovers, 0, "each renews its leases at the store");
 }
 
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -86,7 +86,7 @@
 #[test]
 fn two_that_cannot_reach_each_other_do_not_bury_each_other() {
     let events = with(
-        &[Fault { at: 5.0, duration: 0.0, kind: FaultKind::Apart { a: 0, b: 1 } }],
+        &[Fault { at: 5.0, duration: 0.0, kind: FaultKind::SeparatePair { a: 0, b: 1 } }],
         RunOptions::default(),
     );
     assert!((0..5).all(|steward| !held_gone(&events, steward, 3.0, 100.0)));
@@ -112,7 +112,7 @@
 #[test]
 fn two_that_have_forgotten_each_other_do_not_tell_each_other_so_without_end() {
     let how = RunOptions { forget_after: 4.0, ..RunOptions::default() };
-    let faults = [Fault { at: 5.0, duration: 25.0, kind: FaultKind::Split { side: 0b11 } }];
+    let faults = [Fault { at: 5.0, duration: 25.0, kind: FaultKind::Partition { side: 0b11 } }];
     let chaos = ChaosConfig { length: 120.0, ..chaos() };
     let events = run(&chaos, 3, &faults, how);
     assert!(view_figures(&events).datagrams < 60.0, "{:?}", view_figures(&events));
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -76,7 +76,7 @@
     let mut chaos = chaos(4);
     chaos.late_joiners = vec![3];
     let faults = [
-        fault(2.0, 14.0, FaultKind::Split { side: 0b0011 }),
+        fault(2.0, 14.0, FaultKind::Partition { side: 0b0011 }),
         fault(3.0, 0.0, FaultKind::Join { controller: 3 }),
         fault(4.0, 8.0, FaultKind::Kill { controller: 1 }),
     ];
@@ -87,7 +87,7 @@
 #[test]
 fn links_cut_one_way_and_two_that_are_apart_bury_nobody_while_a_third_reaches_both() {
     let faults = [
-        fault(2.0, 0.0, FaultKind::Apart { a: 0, b: 1 }),
+        fault(2.0, 0.0, FaultKind::SeparatePair { a: 0, b: 1 }),
         fault(3.0, 5.0, FaultKind::Cut { from: 2, to: 3 }),
     ];
     let events = keeps_all_rules(2, &chaos(4), &faults);
@@ -101,14 +101,14 @@
         fault(4.0, 5.0, FaultKind::Pause { controller: 1 }),
         fault(5.0, 0.3, FaultKind::Kill { controller: 2 }),
         fault(7.0, 0.0, FaultKind::Move { controller: 2 }),
-        fault(8.0, 0.5, FaultKind::Backward { controller: 3 }),
+        fault(8.0, 0.5, FaultKind::RestartWithLowerNumber { controller: 3 }),
     ];
     keeps_all_rules(3, &chaos(4), &faults);
 }
 
 #[test]
 fn of_two_processes_with_one_name_the_older_stands_back() {
-    let events = keeps_all_rules(4, &chaos(3), &[fault(3.0, 0.0, FaultKind::Twin { controller: 1 })]);
+    let events = keeps_all_rules(4, &chaos(3), &[fault(3.0, 0.0, FaultKind::DuplicateId { controller: 1 })]);
     assert!(events
         .iter()
         .any(|event| matches!(event, ViewObservation::View { controller: 1, superseded: true, .. })));
@@ -151,7 +151,12 @@
 
 #[test]
 fn a_fleet_without_refutation_is_found() {
-    breaks(8, Safeguard::Refutation, &[fault(2.0, 9.0, FaultKind::Split { side: 1 })], &[NO_SPLIT, SETTLES]);
+    breaks(
+        8,
+        Safeguard::Refutation,
+        &[fault(2.0, 9.0, FaultKind::Partition { side: 1 })],
+        &[NO_SPLIT, SETTLES],
+    );
 }
 
 #[test]
