--- a/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
+++ b/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
@@ -74,14 +74,14 @@
 /// Adds a fault; returns whether the scenario can cause it.
 fn add_fault(scenario: &mut Scenario, fault: &Fault) -> bool {
     match fault.kind {
-        FaultKind::Drift { controller, by } => {
-            test_clock(scenario, controller).speed += by;
+        FaultKind::ClockDrift { controller, fraction } => {
+            test_clock(scenario, controller).speed += fraction;
             true
         }
-        FaultKind::Jump { controller, by } => {
+        FaultKind::ClockJump { controller, seconds } => {
             let clock = test_clock(scenario, controller);
             clock.jumps_after = fault.at;
-            clock.jumps_by = by;
+            clock.jumps_by = seconds;
             true
         }
         FaultKind::Flap { controller } => {
@@ -105,13 +105,13 @@
     ScheduledFault { name: kind.recorded_note(), kind_name: SCENARIO_FAULT_KIND.into(), at, duration, kind }
 }
 
-/// A flapping controller: killed in each of its turns.
+/// A flapping controller: killed once in each cycle.
 fn flap_faults(fault: &Fault, controller: u16) -> Vec<ScheduledFault> {
     let period = 2.0 * FLAP_HALF_PERIOD;
-    let turns = (fault.duration / period).ceil().max(1.0) as u32;
+    let cycles = (fault.duration / period).ceil().max(1.0) as u32;
     let mut faults = Vec::new();
-    for turn in 0..turns {
-        let at = fault.at + f64::from(turn) * 2.0 * FLAP_HALF_PERIOD;
+    for cycle in 0..cycles {
+        let at = fault.at + f64::from(cycle) * 2.0 * FLAP_HALF_PERIOD;
         let kind = ScenarioFaultKind::ControllerKilled { controller: usize::from(controller) };
         faults.push(scenario_fault(at, FLAP_HALF_PERIOD, kind));
     }
@@ -130,20 +130,20 @@
         FaultKind::Cut { from, to } => {
             ScenarioFaultKind::ControllerOneWayCut { from: usize::from(from), to: usize::from(to) }
         }
-        FaultKind::Split { side } => ScenarioFaultKind::ControllerPartition {
+        FaultKind::Partition { side } => ScenarioFaultKind::ControllerPartition {
             side: (0..SIDE_BITS).filter(|bit| side >> bit & 1 == 1).collect(),
         },
-        FaultKind::StoreAway => ScenarioFaultKind::StoreUnavailable,
-        FaultKind::StoreLosesAnswers => ScenarioFaultKind::StoreResponsesLost,
+        FaultKind::StoreUnavailable => ScenarioFaultKind::StoreUnavailable,
+        FaultKind::StoreLosesResponses => ScenarioFaultKind::StoreResponsesLost,
         FaultKind::CutStore { controller } => {
             let peers = vec!["store".to_owned()];
             let direction = CutDirection::Both;
             ScenarioFaultKind::ControllerIsolated { controller: usize::from(controller), peers, direction }
         }
-        FaultKind::StoreSlow { by } => ScenarioFaultKind::StoreSlow { delay: by },
-        FaultKind::StoreForgets { by } => ScenarioFaultKind::StoreRolledBack { age: by },
-        FaultKind::SlowOrders { controller, by } => {
-            ScenarioFaultKind::SlowUpdates { controller: usize::from(controller), delay: by }
+        FaultKind::StoreSlow { delay } => ScenarioFaultKind::StoreSlow { delay },
+        FaultKind::StoreRollback { age } => ScenarioFaultKind::StoreRolledBack { age },
+        FaultKind::SlowCommands { controller, max_delay } => {
+            ScenarioFaultKind::SlowUpdates { controller: usize::from(controller), delay: max_delay }
         }
         FaultKind::Drain { controller } => {
             ScenarioFaultKind::ControllerDrained { controller: usize::from(controller) }
