--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -42,83 +42,96 @@
     process: Option<u64>,
 }
 
-/// The variable that names the platform's file; the others say nothing that it does not.
+/// The variable that names the platform's file.
 const PLATFORM_FILE: &str = "NODE_CONFIG";
 
-/// Whether the platform's signals must be taken before anything else.
+/// Whether the platform's signals must be handled before anything else starts.
 pub fn is_for_platform() -> bool {
     std::env::args_os().any(|argument| argument == "--platform")
 }
 
+/// Runs a controller until a signal ends it.
+///
+/// # Errors
+/// The settings or the platform's file cannot be read or are invalid, or an address cannot be opened.
 pub fn run(arguments: &ControllerArguments, signals: Option<Signals>) -> Result<(), Ending> {
     if let Some(signals) = signals {
-        let file = std::env::var_os(PLATFORM_FILE).map(PathBuf::from);
-        let file = file.ok_or_else(|| Ending::Input(format!("{PLATFORM_FILE} names no file")))?;
-        return Ok(railhub_platform_net::run(&file, signals)?);
+        return run_on_platform(signals);
     }
     let Some(conf) = &arguments.conf else { return Err(Ending::Input("--conf names no file".into())) };
     let mut running = Running::start(Installation::open(conf)?)?;
     let (fleet, process) = (running.membership_address(), running.membership_process());
-    let listening = Listening { listening: running.address, fleet, process };
-    let told = Arc::new(AtomicBool::new(false));
+    let stop_requested = Arc::new(AtomicBool::new(false));
     if fleet.is_some() {
-        // The others are told: they need not find out by waiting.
+        // The other members are told that this one leaves: they need not wait for a probe timeout.
         for signal in [SIGTERM, SIGINT] {
-            signal_hook::flag::register(signal, told.clone())?;
+            signal_hook::flag::register(signal, stop_requested.clone())?;
         }
     }
-    println!("{}", serde_json::to_string(&listening)?);
+    println!("{}", serde_json::to_string(&Listening { listening: running.address, fleet, process })?);
     std::io::stdout().flush()?;
     if arguments.until_stdin_ends {
-        std::thread::spawn(|| {
-            let _ = std::io::stdin().lock().read_to_end(&mut Vec::new());
-            std::process::exit(0);
-        });
+        std::thread::spawn(exit_when_stdin_ends);
     }
     let mut figures_at = Instant::now() + FIGURES_INTERVAL;
     loop {
         std::thread::sleep(SIGNAL_POLL_INTERVAL);
-        if told.load(Ordering::Acquire) {
+        if stop_requested.load(Ordering::Acquire) {
             running.leave();
             return Ok(());
         }
-        if Instant::now() < figures_at {
-            continue;
+        if Instant::now() >= figures_at {
+            figures_at = Instant::now() + FIGURES_INTERVAL;
+            log_membership_figures(&running)?;
+            log_figures(&running);
         }
-        figures_at = Instant::now() + FIGURES_INTERVAL;
-        if let Some(fleet) = running.membership_figures() {
-            let (dropped, looks_dropped) = (fleet.dropped.total(), fleet.view_requests_dropped);
-            let causes = serde_json::to_string(&fleet.dropped)?;
-            let (alive, sent, heard) = (fleet.alive, fleet.sent, fleet.received);
-            let (charges, tables_refused) = (fleet.leases, fleet.tables_rejected);
-            tracing::info!(
-                alive,
-                sent,
-                heard,
-                dropped,
-                causes,
-                looks_dropped,
-                charges,
-                tables_refused,
-                "figures of the fleet"
-            );
-        }
-        let figures = running.figures();
-        tracing::info!(
-            joined = figures.joined,
-            versions = figures.versions,
-            turns = figures.timers_fired,
-            late_99 = figures.timer_delay_p99,
-            longest_round = figures.longest_batch,
-            refused = figures.nacks,
-            cut_off = figures.response_timeouts,
-            sums_dropped = figures.reports_dropped,
-            failed_connections = running.failed_connections(),
-            "figures"
-        );
     }
 }
 
+fn run_on_platform(signals: Signals) -> Result<(), Ending> {
+    let file = std::env::var_os(PLATFORM_FILE).map(PathBuf::from);
+    let file = file.ok_or_else(|| Ending::Input(format!("{PLATFORM_FILE} names no file")))?;
+    Ok(railhub_platform_net::run(&file, signals)?)
+}
+
+fn exit_when_stdin_ends() {
+    let _ = std::io::stdin().lock().read_to_end(&mut Vec::new());
+    std::process::exit(0);
+}
+
+/// Logs the figures of the membership, if the controller is in one.
+fn log_membership_figures(running: &Running) -> Result<(), Ending> {
+    let Some(figures) = running.membership_figures() else { return Ok(()) };
+    tracing::info!(
+        alive = figures.alive,
+        sent = figures.sent,
+        heard = figures.received,
+        dropped = figures.dropped.total(),
+        causes = serde_json::to_string(&figures.dropped)?,
+        looks_dropped = figures.view_requests_dropped,
+        charges = figures.leases,
+        tables_refused = figures.tables_rejected,
+        "figures of the fleet"
+    );
+    Ok(())
+}
+
+fn log_figures(running: &Running) {
+    let figures = running.figures();
+    tracing::info!(
+        joined = figures.joined,
+        versions = figures.versions,
+        turns = figures.timers_fired,
+        late_99 = figures.timer_delay_p99,
+        longest_round = figures.longest_batch,
+        refused = figures.nacks,
+        cut_off = figures.response_timeouts,
+        sums_dropped = figures.reports_dropped,
+        failed_connections = running.failed_connections(),
+        "figures"
+    );
+}
+
 /// A file with a [day] section is a scenario, any other a controller's settings.
 pub fn check(file: &Path) -> Result<(), Ending> {
     let document = Document::open(file)?;
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -1,4 +1,4 @@
-//! Stewards as processes of their own, so that they can be stopped and killed outright.
+//! Controllers as processes of their own, so that they can be paused and killed.
 use crate::logs::WHAT;
 use crate::LogForm;
 use railhub_chaos::cluster_harness::{ControllerProcess, ProcessLog};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Each call starts this binary anew as a steward with the settings given.
+/// Each call starts this binary as a controller with the settings given.
 pub fn as_process(log: LogForm) -> Launch {
     let form = match log {
         LogForm::Text => "text",
@@ -50,7 +50,7 @@
     })
 }
 
-/// What a day does with a process.
+/// What a scenario does with a process.
 pub fn launched(process: ControllerProcess) -> Launched {
     let process = Arc::new(process);
     let (stopping, ending) = (process.clone(), process.clone());
