--- a/crates/railhub-membership/src/lease.rs
+++ b/crates/railhub-membership/src/lease.rs
@@ -3,7 +3,7 @@
 //! # Who owns what
 //!
 //! The *store's side* ([`crate::lease_store`]) owns who holds each slice, under which epoch, until when on the store's
-//! clock. It grants a slice to one process at a time, and raises the slice's epoch with each grant to another process.
+//! clock. It grants a slice to one process at a time, and raises the slice's epoch with each grant but a renewal.
 //!
 //! The *holder's side* (this module) owns what this process may write at this moment, by this process's clock alone.
 //! Nobody else ends its leases in time: the store's response may be lost, and a process that stood still answers nobody.
@@ -71,8 +71,8 @@
 pub struct HeldLeases {
     duration: Seconds,
     leases: BTreeMap<u16, Lease>,
-    /// When the latest request was sent that the store has granted.
-    last_granted_request_at: Seconds,
+    /// When the latest request was sent that the store has answered, also one that granted nothing.
+    last_answered_request_at: Seconds,
 }
 
 impl HeldLeases {
@@ -95,7 +95,7 @@
     /// the leases have expired acquires nothing; one that comes out of order does not bring an older epoch back.
     pub fn on_granted(&mut self, now: Seconds, requested_at: Seconds, slices: &[(u16, Epoch)]) {
         let expires_at = requested_at + self.holder_duration();
-        self.last_granted_request_at = self.last_granted_request_at.max(requested_at);
+        self.last_answered_request_at = self.last_answered_request_at.max(requested_at);
         if expires_at <= now {
             return;
         }
@@ -163,7 +163,7 @@
 
     /// When the leases are to be renewed next, on the holder's clock.
     pub fn renewal_due_at(&self) -> Seconds {
-        self.last_granted_request_at + self.holder_duration() * (1.0 - RENEWAL_REMAINING_FRACTION)
+        self.last_answered_request_at + self.holder_duration() * (1.0 - RENEWAL_REMAINING_FRACTION)
     }
 
     /// When the first lease expires, if any is held.
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -259,7 +259,9 @@
             None => false,
         };
         (0..self.slices)
-            .filter(|slice| !held.contains(slice) && self.is_owner(*slice, eligible) && !was_refused(slice))
+            .filter(|slice| {
+                !held.contains(slice) && self.belongs_here(*slice, eligible) && !was_refused(slice)
+            })
             .take(ACQUIRE_BATCH_LIMIT)
             .collect()
     }
@@ -275,7 +277,7 @@
             return Vec::new();
         }
         let held = self.leases.held().map(|(slice, _)| slice);
-        let foreign: Vec<u16> = held.filter(|slice| !self.is_owner(*slice, eligible)).collect();
+        let foreign: Vec<u16> = held.filter(|slice| !self.belongs_here(*slice, eligible)).collect();
         let mut released = Vec::new();
         for slice in foreign {
             if !self.placement.take_handover_permit(now) {
@@ -286,7 +288,8 @@
         released
     }
 
-    fn is_owner(&self, slice: u16, eligible: &BTreeMap<NodeId, f64>) -> bool {
+    /// Whether placement gives the slice to this node, whoever holds its lease.
+    fn belongs_here(&self, slice: u16, eligible: &BTreeMap<NodeId, f64>) -> bool {
         rendezvous_owner(slice, eligible) == Some(self.id)
     }
 
--- a/crates/railhub-membership/src/lease_store.rs
+++ b/crates/railhub-membership/src/lease_store.rs
@@ -4,14 +4,14 @@
 //! # Restarts
 //!
 //! Epochs must never go back, also when the store restarts from an older copy of its state:
-//! - Each start has a base above the epochs of all earlier starts, and new grants are above the base.
+//! - Each start has a base above the epochs of all earlier starts, and new grants are at the base or above.
 //! - A renewal names the epoch that the holder has, so a store that does not know that epoch knows that it is behind.
 //! - After a start there is a grace period of the longest lease that the store ever grants, in which it grants nothing
 //!   new and accepts renewals. Whoever holds what the copy does not know of has renewed it by then, or has stopped. The
 //!   period is fixed: the longest lease that the copy knows of may be shorter than one that was granted since.
 //!
 //! A slice, in the store's view: Free -> Held (granted: epoch + 1) -> Held (renewed: same epoch) -> Free (released, or
-//! expired) -> Held (granted again: epoch + 1, unless to the same process).
+//! expired) -> Held (granted again: epoch + 1; the same epoch only for the process whose lease expired).
 use crate::lease_messages::{LeaseRequest, LeaseResponse};
 use crate::lease_record::LeaseRecord;
 use crate::{Epoch, Seconds};
--- a/crates/railhub-membership/src/lib.rs
+++ b/crates/railhub-membership/src/lib.rs
@@ -51,6 +51,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u16);
 
-/// The fencing token of a slice: the store raises it with each grant to another process.
+/// The fencing token of a slice: the store raises it with each grant but a renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
--- a/crates/railhub-platform/src/call.rs
+++ b/crates/railhub-platform/src/call.rs
@@ -1,6 +1,6 @@
 //! Whether a call may leave: at most one is in flight, and none leaves while the outcome of an earlier one is not known.
 //!
-//! A command that was decided and has not left waits for one of these:
+//! What is not decided yet waits in `src/decision/publish.rs`. A command that was decided and has not left waits for:
 //! 1. No snapshot is complete yet, so that nothing is decided ([`crate::subscription`]).
 //! 2. A call is in flight: [`CallBlocker::InFlight`].
 //! 3. The outcome of a call is not known: [`CallBlocker::OutcomeUnknown`]. Repeated, a call that was carried out would
@@ -93,7 +93,8 @@
         self.state = CallState::InFlight;
     }
 
-    /// The call in flight ended, in whatever way. `latest`: the newest subscription requested.
+    /// The call in flight ended, in whatever way. `latest`: the newest subscription requested. Without a response the
+    /// caller then calls [`CallTracker::require_snapshot`].
     pub(crate) fn on_ended(&mut self, latest: SubscriptionId) {
         match self.state {
             CallState::Idle | CallState::InFlight => self.state = CallState::Idle,
@@ -104,7 +105,8 @@
         }
     }
 
-    /// What the relay holds is not known any more, be it by this call. `latest`: the newest subscription requested.
+    /// What the relay holds is not known until a later snapshot: because of this call, or of commands that were dropped.
+    /// `latest`: the newest subscription requested.
     pub(crate) fn require_snapshot(&mut self, latest: SubscriptionId, reason: ResubscribeReason) {
         self.state = match self.state {
             CallState::InFlight | CallState::InFlightOutdated { .. } => {
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -23,7 +23,7 @@
 use crate::sink::BatchSink;
 use crate::slice_assignments::PendingAssignments;
 use crate::snapshot_changes::{assignment_changes, stream_changes, stream_up};
-use crate::subscription::{Snapshot, Subscription, Update};
+use crate::subscription::{EventOutcome, Snapshot, Subscription};
 use crate::table::Table;
 use railhub::{
     Controller, EventBatch, HealthCheckOutcome, HealthCheckResult, HostLoadReport, ProxyId, ProxyStreamEvent,
@@ -35,8 +35,8 @@
 pub struct PlatformController {
     decisions: Controller,
     class_names: Vec<String>,
-    /// Least time between two batches without an expired timer, in seconds.
-    tick_interval: Seconds,
+    /// Least time between two batches without an expired timer, in seconds. No tick of the decisions: that is a timer.
+    min_batch_interval: Seconds,
     single_owner: bool,
     batch: PendingBatch,
     timers: Timers,
@@ -45,7 +45,7 @@
     hosts: HostDirectory,
     proxies: BTreeSet<ProxyId>,
     commands: PendingCommands,
-    /// When the oldest commands were issued that the relay has not accepted.
+    /// Since when there have been commands, at each batch, that the relay had not accepted; the oldest may be newer.
     oldest_pending_at: Option<Seconds>,
     call: CallTracker,
     probes_outdated: u64,
@@ -57,7 +57,7 @@
         let mut controller = PlatformController {
             decisions: Controller::new(config.controller.clone()),
             class_names: config.names.classes.clone(),
-            tick_interval: config.tick_interval,
+            min_batch_interval: config.tick_interval,
             single_owner: config.controller.single_owner,
             batch: PendingBatch { changed: true, ..PendingBatch::default() },
             timers: Timers::default(),
@@ -117,12 +117,12 @@
     /// An event of a subscription; those of an older one than the newest confirmed one are ignored.
     pub fn on_relay_event(&mut self, now: Seconds, id: SubscriptionId, event: RelayEvent) {
         match self.subscription.on_event(now, id, event) {
-            Update::None => {}
-            Update::Subscribed => self.call.on_subscribed(id),
-            Update::SnapshotEnded => self.complete_snapshot(),
-            Update::SliceReassigned { slice, assigned } => self.discard_commands(slice, assigned),
-            Update::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
-            Update::Live(event) => self.on_live_event(now, event),
+            EventOutcome::None => {}
+            EventOutcome::Subscribed => self.call.on_subscribed(id),
+            EventOutcome::SnapshotEnded => self.complete_snapshot(),
+            EventOutcome::SliceReassigned { slice, assigned } => self.discard_commands(slice, assigned),
+            EventOutcome::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
+            EventOutcome::Live(event) => self.on_live_event(now, event),
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     fn require_snapshot(&mut self, reason: ResubscribeReason) {
-        self.call.require_snapshot(self.subscription.latest(), reason);
+        self.call.require_snapshot(self.subscription.newest_requested(), reason);
     }
 
     /// The snapshot is complete: it replaces what was known of proxies and slices.
@@ -230,15 +230,15 @@
     pub fn next_deadline(&self) -> Option<Seconds> {
         let snapshot = self.subscription.idle_deadline();
         let call = self.snapshot_covering_call().map(Snapshot::outcome_deadline);
-        let batch = if self.subscription.is_synchronized() { self.batch_deadline() } else { None };
+        let batch = if self.subscription.may_decide() { self.batch_deadline() } else { None };
         [snapshot, call, batch].into_iter().flatten().min_by(f64::total_cmp)
     }
 
     fn batch_deadline(&self) -> Option<Seconds> {
         let assignments = self.pending_assignments.idle_deadline();
         let timer = self.timers.next_due();
-        let tick = self.batch.changed.then_some(self.batch.handled_at + self.tick_interval);
-        [assignments, timer, tick].into_iter().flatten().min_by(f64::total_cmp)
+        let changes = self.batch.changed.then_some(self.batch.handled_at + self.min_batch_interval);
+        [assignments, timer, changes].into_iter().flatten().min_by(f64::total_cmp)
     }
 
     /// Does what is due: ends a snapshot that has paused for long, and handles a batch.
@@ -253,7 +253,7 @@
             self.pending_assignments.move_into(&mut self.batch.events.assignments);
             self.batch.changed = true;
         }
-        if self.subscription.is_synchronized() && self.is_batch_due(now) {
+        if self.subscription.may_decide() && self.is_batch_due(now) {
             self.handle_batch(now)
         } else {
             Effects::default()
@@ -261,8 +261,8 @@
     }
 
     fn is_batch_due(&self, now: Seconds) -> bool {
-        let is_tick_due = self.batch.changed && now - self.batch.handled_at >= self.tick_interval;
-        is_tick_due || self.timers.is_due(now)
+        let are_changes_due = self.batch.changed && now - self.batch.handled_at >= self.min_batch_interval;
+        are_changes_due || self.timers.is_due(now)
     }
 
     /// Runs the decisions on the pending events.
@@ -296,8 +296,8 @@
         events
     }
 
-    /// The next call to the relay, if one may leave: none is in flight, and the outcome of the last one is known. Its end must come back by
-    /// [`PlatformController::on_call_ended`].
+    /// The next call to the relay, if one may leave: none is in flight, and the outcome of the last one is known. Its
+    /// end must come back by [`PlatformController::on_call_ended`].
     pub fn next_call(&mut self) -> Option<Call> {
         if self.call.blocker().is_some() {
             return None;
@@ -309,7 +309,7 @@
 
     /// The call in flight ended; without a response its outcome is not known. Returns what was dropped, for the log.
     pub fn on_call_ended(&mut self, response: Option<CallResponse>) -> Option<DroppedCommands> {
-        self.call.on_ended(self.subscription.latest());
+        self.call.on_ended(self.subscription.newest_requested());
         match response {
             None => {
                 self.require_snapshot(ResubscribeReason::OutcomeUnknown);
@@ -343,7 +343,7 @@
 
     /// Whether a first snapshot is complete, so that decisions are made.
     pub fn is_synchronized(&self) -> bool {
-        self.subscription.is_synchronized()
+        self.subscription.may_decide()
     }
 
     /// Proxies whose stream is up.
--- a/crates/railhub-platform/src/error.rs
+++ b/crates/railhub-platform/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a message of a peer, or one entry of it, is not used.
 use thiserror::Error;
 
-/// Why a message, or one entry of a message, is not used. The text is part of the answer to a visitor
+/// Why a message, or one entry of a message, is not used. The text is part of the answer to a client
 /// ([`crate::wire::collector::encode_refusal`]) and so does not change.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum InvalidEntry {
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -69,7 +69,7 @@
 
 /// What an event means for the rest of the controller.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Update {
+pub(crate) enum EventOutcome {
     /// Nothing: it is of an old subscription, or part of the snapshot.
     None,
     /// A newer subscription counts from here on.
@@ -91,7 +91,7 @@
     /// The newest subscription that was confirmed: only its events count.
     current: SubscriptionId,
     /// The newest subscription that was requested.
-    latest: SubscriptionId,
+    newest_requested: SubscriptionId,
     /// Requested subscriptions whose connection has not ended and whose snapshot is not complete.
     snapshots_pending: BTreeSet<SubscriptionId>,
     /// Commands accepted while a snapshot was due, which may have been taken before them.
@@ -100,18 +100,18 @@
 
 impl Subscription {
     /// Whether a first snapshot is complete, so that decisions may be made.
-    pub(crate) fn is_synchronized(&self) -> bool {
+    pub(crate) fn may_decide(&self) -> bool {
         matches!(self.state, State::Synchronized | State::ReceivingSnapshot(_))
     }
 
     /// The newest subscription that was requested.
-    pub(crate) fn latest(&self) -> SubscriptionId {
-        self.latest
+    pub(crate) fn newest_requested(&self) -> SubscriptionId {
+        self.newest_requested
     }
 
     /// A subscription is about to be requested; must come before the relay can know of it.
     pub(crate) fn on_requested(&mut self, id: SubscriptionId) {
-        self.latest = self.latest.max(id);
+        self.newest_requested = self.newest_requested.max(id);
         self.snapshots_pending.insert(id);
     }
 
@@ -125,38 +125,38 @@
     }
 
     /// An event of a subscription.
-    pub(crate) fn on_event(&mut self, now: Seconds, id: SubscriptionId, event: RelayEvent) -> Update {
+    pub(crate) fn on_event(&mut self, now: Seconds, id: SubscriptionId, event: RelayEvent) -> EventOutcome {
         if event == RelayEvent::Subscribed {
             return self.on_confirmed(now, id);
         }
         if id != self.current {
-            return Update::None;
+            return EventOutcome::None;
         }
-        let Some(snapshot) = self.snapshot_mut() else { return Update::Live(event) };
+        let Some(snapshot) = self.snapshot_mut() else { return EventOutcome::Live(event) };
         if event == RelayEvent::Heartbeat {
-            return Update::SnapshotEnded;
+            return EventOutcome::SnapshotEnded;
         }
         snapshot.last_event_at = now;
         let update = snapshot.add(event);
-        if let Update::SliceReassigned { slice, .. } = update {
+        if let EventOutcome::SliceReassigned { slice, .. } = update {
             self.accepted_since_snapshot.retain(|accepted| !accepted.command.changes_table(slice));
         }
         update
     }
 
     /// The relay confirmed a subscription; an older one than the current one is ignored.
-    fn on_confirmed(&mut self, now: Seconds, id: SubscriptionId) -> Update {
+    fn on_confirmed(&mut self, now: Seconds, id: SubscriptionId) -> EventOutcome {
         if id <= self.current {
-            return Update::None;
+            return EventOutcome::None;
         }
         self.current = id;
         let snapshot = Snapshot { last_event_at: now, subscription: id, ..Snapshot::default() };
-        self.state = if self.is_synchronized() {
+        self.state = if self.may_decide() {
             State::ReceivingSnapshot(snapshot)
         } else {
             State::ReceivingFirstSnapshot(snapshot)
         };
-        Update::Subscribed
+        EventOutcome::Subscribed
     }
 
     /// The relay accepted these commands.
@@ -165,7 +165,7 @@
     /// Too many are kept for the snapshot that is due. All of them are discarded.
     pub(crate) fn on_accepted(&mut self, commands: Vec<Command>) -> Result<(), TooManyAccepted> {
         if !self.snapshots_pending.is_empty() {
-            let latest = self.latest;
+            let latest = self.newest_requested;
             let accepted = commands.into_iter().map(|command| AcceptedCommand { latest, command });
             self.accepted_since_snapshot.extend(accepted);
         }
@@ -208,7 +208,7 @@
     }
 
     fn idle_timeout(&self) -> Seconds {
-        if self.is_synchronized() {
+        if self.may_decide() {
             SNAPSHOT_IDLE_TIMEOUT
         } else {
             FIRST_SNAPSHOT_IDLE_TIMEOUT
@@ -250,7 +250,7 @@
 
 impl Snapshot {
     /// Adds an event. A slice that is in the snapshot already changed hands while it was sent.
-    fn add(&mut self, event: RelayEvent) -> Update {
+    fn add(&mut self, event: RelayEvent) -> EventOutcome {
         match event {
             RelayEvent::ProxyJoined { proxy, first } => {
                 self.proxies.insert(proxy, first);
@@ -264,16 +264,16 @@
                     self.tables.insert(slice, Table::new());
                 }
                 if was_assigned {
-                    return Update::SliceReassigned { slice, assigned };
+                    return EventOutcome::SliceReassigned { slice, assigned };
                 }
             }
             RelayEvent::StoredEntry { slice, line } => {
                 self.tables.entry(slice).or_default().push(line);
             }
-            RelayEvent::BarrierAcked(ack) => return Update::BarrierAcked(ack),
+            RelayEvent::BarrierAcked(ack) => return EventOutcome::BarrierAcked(ack),
             RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
         }
-        Update::None
+        EventOutcome::None
     }
 
     /// When the tables so far show the outcome of a call about them, if no event comes before.
--- a/crates/railhub-platform/src/subscription/tests.rs
+++ b/crates/railhub-platform/src/subscription/tests.rs
@@ -9,7 +9,7 @@
 fn receiving_first_snapshot() -> Subscription {
     let mut subscription = Subscription::default();
     subscription.on_requested(id(1));
-    assert_eq!(subscription.on_event(1.0, id(1), RelayEvent::Subscribed), Update::Subscribed);
+    assert_eq!(subscription.on_event(1.0, id(1), RelayEvent::Subscribed), EventOutcome::Subscribed);
     subscription
 }
 
@@ -17,7 +17,7 @@
 fn a_later_snapshot_waits_longer_for_events_than_the_first() {
     let mut subscription = receiving_first_snapshot();
     assert!(!subscription.is_idle(1.09) && subscription.is_idle(1.11));
-    assert!(subscription.complete_snapshot(false).is_some() && subscription.is_synchronized());
+    assert!(subscription.complete_snapshot(false).is_some() && subscription.may_decide());
     subscription.on_event(2.0, id(2), RelayEvent::Subscribed);
     assert!(!subscription.is_idle(3.4) && subscription.is_idle(3.6));
     assert_eq!(subscription.idle_deadline(), Some(3.5));
@@ -29,7 +29,7 @@
     subscription.on_ended(id(0));
     assert!(subscription.snapshot().is_some());
     subscription.on_ended(id(1));
-    assert!(subscription.snapshot().is_none() && !subscription.is_synchronized());
+    assert!(subscription.snapshot().is_none() && !subscription.may_decide());
 }
 
 #[test]
--- a/src/decaying.rs
+++ b/src/decaying.rs
@@ -38,7 +38,7 @@
         self.span.add(now, span, averaging_time);
     }
 
-    /// The amount a second; 0 before the first report.
+    /// The amount a second; 0 before the first report. Without new reports it stays: both sums decay alike.
     pub fn per_second(&self) -> f64 {
         if self.span.value > 0.0 {
             self.amount.value / self.span.value
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -77,6 +77,7 @@
 /// The rate that follows in this tick on the way to the wanted one.
 fn next_rate(rate: f64, wanted: f64) -> f64 {
     let next = wanted.clamp(rate - MAX_ADMISSION_DECREASE, rate + MAX_ADMISSION_INCREASE).clamp(0.0, 1.0);
+    // 1 is always reached, however small the step: else shedding would never end.
     if (next - rate).abs() > MIN_ADMISSION_CHANGE || next == 1.0 {
         next
     } else {
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -1,9 +1,9 @@
 //! Exclusion: hosts that proxies must not send to, whatever their tables name.
 //!
 //! A host that is not usable and owns no slice, but that some published table still names, is excluded by one line to
-//! each proxy, in place of a line for each table: a great loss or a drain is answered before the channel could
-//! carry the tables, and standbys serve until it has. It is readmitted once no table names it or it is back.
-//! Hosts are not excluded where a slice has a single owner.
+//! each proxy, in place of a line for each table: a great loss or a drain is answered before the channel could carry the
+//! tables, and standbys serve until it has. It is readmitted once it is usable, owns a slice, or has been gone for long
+//! enough to be forgotten and no table names it. Hosts are not excluded where a slice has a single owner.
 //!
 //! A proxy that connects may have missed lines, so every state is unconfirmed then and is published again.
 use super::host::Host;
@@ -35,12 +35,12 @@
 
 impl Exclusions {
     /// A proxy connected: it may have missed what was published.
-    pub fn mark_unconfirmed(&mut self) {
+    pub fn on_proxy_connected(&mut self) {
         self.published.values_mut().for_each(|state| *state = Published::Unconfirmed);
     }
 
     /// This controller has restarted and does not know whom it had excluded.
-    pub fn mark_all_unconfirmed(&mut self, hosts: impl Iterator<Item = HostId>) {
+    pub fn on_controller_restarted(&mut self, hosts: impl Iterator<Item = HostId>) {
         self.published.extend(hosts.map(|host| (host, Published::Unconfirmed)));
     }
 
@@ -73,8 +73,8 @@
         let must_exclude = |id: &HostId| {
             let host = hosts.get(id);
             let is_usable = host.is_some_and(Host::is_usable);
-            let is_forgotten = host.is_none_or(|host| host.is_expired(now)) && !named.contains(id);
-            !single_owner && !is_usable && !owners.contains(id) && !is_forgotten
+            let may_be_forgotten = host.is_none_or(|host| host.is_expired(now)) && !named.contains(id);
+            !single_owner && !is_usable && !owners.contains(id) && !may_be_forgotten
         };
         let mut concerned: BTreeSet<HostId> = named.iter().copied().filter(&must_exclude).collect();
         concerned.extend(self.published.keys().copied().filter(|host| !must_exclude(host)));
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -1,8 +1,9 @@
 //! Health checks: when failed checks and load reports prove that a host is down, and when it is back.
 //!
-//! A host is down after `UNREACHABLE_THRESHOLD` checks that reached no process, or after `UNHEALTHY_THRESHOLD` that
-//! failed while load reports show failures alone: checks of a host that is merely full time out as well. A missing
-//! report proves nothing. Where most hosts would be down the fault is likely elsewhere, and no further one is.
+//! A host is down after `UNREACHABLE_THRESHOLD` failed checks, the last of which reached no process, or after
+//! `UNHEALTHY_THRESHOLD` that failed while load reports show failures alone: checks of a host that is merely full time
+//! out as well. A missing report proves nothing. Where most hosts would be down the fault is likely elsewhere, and no
+//! further one is.
 use super::host::Host;
 use crate::interface::{CommandSink, DecisionEvent, HealthCheckOutcome, HealthCheckResult, HostId};
 use crate::interface::{Phase, Seconds};
@@ -24,7 +25,7 @@
     hosts: &mut BTreeMap<HostId, Host>,
     commands: &mut impl CommandSink,
 ) -> bool {
-    let panic_threshold_reached = panic_threshold_reached(hosts);
+    let is_down_limit_reached = is_down_limit_reached(hosts);
     let Some(host) = hosts.get_mut(&result.host) else { return false };
     match result.outcome {
         HealthCheckOutcome::Rejected => return false,
@@ -38,8 +39,10 @@
     }
     host.failed_checks += 1;
     host.is_unreachable = result.outcome == HealthCheckOutcome::Unreachable;
-    let may_go_down = host.is_delisted || !panic_threshold_reached;
-    if host.is_down || !is_proven_down(now, host) || !may_go_down {
+    let may_go_down = host.is_delisted || !is_down_limit_reached;
+    let goes_down = !host.is_down && is_proven_down(now, host) && may_go_down;
+    if !goes_down {
+        // Checked again at once, not at the next tick: a second failure is the proof.
         if host.is_unreachable && host.failed_checks < UNREACHABLE_THRESHOLD {
             commands.check_health(result.host);
         }
@@ -54,7 +57,7 @@
 }
 
 /// One more host down would be more than may be.
-fn panic_threshold_reached(hosts: &BTreeMap<HostId, Host>) -> bool {
+fn is_down_limit_reached(hosts: &BTreeMap<HostId, Host>) -> bool {
     let has_served = |host: &&Host| host.phase == Phase::Ready && host.last_success_at > 0.0;
     let serving = hosts.values().filter(has_served).count();
     let down = hosts.values().filter(has_served).filter(|host| host.is_down).count();
@@ -62,9 +65,9 @@
 }
 
 fn is_proven_down(now: Seconds, host: &Host) -> bool {
-    let fails_alone =
+    let only_failures_reported =
         host.last_failure_at > host.last_success_at && now - host.last_success_at > FAILING_REPORTS_TIMEOUT;
-    host.failed_checks >= UNHEALTHY_THRESHOLD && fails_alone
+    host.failed_checks >= UNHEALTHY_THRESHOLD && only_failures_reported
         || host.is_unreachable && host.failed_checks >= UNREACHABLE_THRESHOLD
 }
 
--- a/src/decision/health_score.rs
+++ b/src/decision/health_score.rs
@@ -20,7 +20,7 @@
 /// Fraction of the scores in the window that lie below the representative one.
 pub const SCORE_PERCENTILE: f64 = 0.3;
 /// The score of a host without failures, and the highest score.
-const MIN_SCORE: f64 = 1.0;
+pub const MIN_SCORE: f64 = 1.0;
 const MAX_SCORE: f64 = 100.0;
 
 pub struct ScoreSample {
--- a/src/decision/host.rs
+++ b/src/decision/host.rs
@@ -3,6 +3,13 @@
 //! Its phase follows the endpoint list: ready, draining, gone. A ready host is usable unless it is down, which the
 //! health checks decide. One that the list drops while it is usable stays ready (`is_delisted`) and is gone when
 //! its health checks fail. Only usable hosts own slices.
+//!
+//! Why a host gets no operations, and where that is decided:
+//! - *draining* or *gone*: the endpoint list says so (`endpoint_list`);
+//! - *down*: its health checks failed, or it has not passed its first (`health_check`, `endpoint_list`);
+//! - *ejected*: its health score is the outlier; it stays usable and owns no slice (`outlier_ejection`);
+//! - *excluded*: it is not usable, and tables still name it: proxies skip it at once (`exclusion`);
+//! - none of these: no slice was placed on it (`placement`).
 use super::health_score::ZoneHealthScore;
 use super::service_time::ServiceTime;
 use crate::interface::{EndpointEntry, KindId, Phase, Seconds, ZoneId};
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -141,6 +141,7 @@
     /// Whether the batch is a tick: the first one is, and each with a timer that is due.
     fn start_batch(&mut self, batch: &EventBatch) -> bool {
         let is_first = !self.is_started;
+        // Proxies of before a restart may still write by the tables that they had.
         if is_first {
             self.last_disconnect_at = batch.now;
         }
@@ -276,11 +277,11 @@
             self.publisher.backlog.remove_proxy(proxy);
             return;
         }
-        // The first proxy to connect had a stream before: this controller has restarted.
+        // The first proxy to connect had a stream before: this controller has likely restarted.
         if matches!(event, ProxyStreamEvent::Reconnected(_)) && self.proxies.is_empty() {
-            self.exclusions.mark_all_unconfirmed(self.hosts.keys().copied());
+            self.exclusions.on_controller_restarted(self.hosts.keys().copied());
         }
-        self.exclusions.mark_unconfirmed();
+        self.exclusions.on_proxy_connected();
         let was_connected = !self.proxies.insert(proxy);
         self.publisher.on_connected(proxy, was_connected, oldest_pending_at);
     }
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,10 +1,11 @@
 //! Outlier ejection: which host loses its slices though it is in service, and until when.
 //!
-//! Each tick compares the health scores of all usable hosts. The one host whose score stands `EJECTION_SCORE_GAP`
-//! above all others is ejected; one host at a time is (IASO, see `health_score`, section 2.3). While it is
-//! ejected its score falls with time, and the ejection ends once the score is low or the host is not usable.
-//! No host is ejected while load is shed: a poor host is better than an overload of the others.
-use super::health_score::{representative_score, worst_score};
+//! Each tick compares the hosts' representative scores (a low quantile over all zones and the last seconds). The one
+//! usable host whose score stands `EJECTION_SCORE_GAP` above all others is ejected; one host at a time is (IASO, see
+//! `health_score`, section 2.3). While it is ejected its scores fall with time, and the ejection ends once its worst
+//! zone's present score is `EJECTION_END_SCORE` or less, or it is not usable. No further host is ejected while load is
+//! shed, as a poor host is better than an overload of the others; an ejection that has begun goes on.
+use super::health_score::{representative_score, worst_score, MIN_SCORE};
 use super::host::Host;
 use crate::interface::{CommandSink, DecisionEvent, HostId, Seconds};
 use std::collections::BTreeMap;
@@ -24,7 +25,7 @@
 pub fn find_outlier(scores: &[HostScore]) -> Option<HostId> {
     let highest = scores.iter().max_by(|a, b| a.score.total_cmp(&b.score))?;
     let others = scores.iter().filter(|other| other.host != highest.host);
-    let next = others.map(|other| other.score).fold(1.0, f64::max);
+    let next = others.map(|other| other.score).fold(MIN_SCORE, f64::max);
     (scores.len() > 1 && highest.score - next >= EJECTION_SCORE_GAP).then_some(highest.host)
 }
 
--- a/src/decision/placement/failover.rs
+++ b/src/decision/placement/failover.rs
@@ -1,18 +1,18 @@
 //! Failover: new owners for slices whose host must be left, at once.
 //!
-//! A host must be left when it is not usable or ejected. A cold host past its shed limit gives up slices with
+//! A host must be left when it is not usable or ejected. A cold host past its offload limit gives up slices with
 //! the highest rates until it fits its limit. The target is the slice's standby, else the next on the rendezvous hash
 //! that has capacity; where none has, the warm host with the least expected latency. Where only cold hosts are left and
 //! all are full, the slice has no owner: what they cannot bear is refused, or the last of them would fail, too.
 use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
 use crate::decision::rendezvous;
-use crate::decision::slow_start::is_warm;
+use crate::decision::slow_start::started_long_ago;
 use crate::interface::{HostId, Phase, SliceId};
 
 /// Moves the slices that must be moved; how many were.
 pub fn fail_over(moves: &mut SliceMoves) -> usize {
     let mut leaving = slices_without_usable_owner(moves);
-    leaving.extend(slices_shed_by_cold_hosts(moves));
+    leaving.extend(slices_offloaded_by_cold_hosts(moves));
     let mut moved = 0;
     for id in leaving {
         let slice = &moves.slices[&id];
@@ -33,10 +33,10 @@
     leaving.map(|(id, _)| *id).collect()
 }
 
-fn slices_shed_by_cold_hosts(moves: &SliceMoves) -> Vec<SliceId> {
-    let mut shed = Vec::new();
+fn slices_offloaded_by_cold_hosts(moves: &SliceMoves) -> Vec<SliceId> {
+    let mut offloaded = Vec::new();
     for (host, load) in moves.loads.iter() {
-        if load.utilization(0.0) <= load.limits.shed_utilization {
+        if load.utilization(0.0) <= load.limits.offload_utilization {
             continue;
         }
         let mut remaining = *load;
@@ -45,10 +45,10 @@
                 break;
             }
             remaining.demand -= moves.rate(id);
-            shed.push(id);
+            offloaded.push(id);
         }
     }
-    shed
+    offloaded
 }
 
 /// The host that takes a slice over, if one can bear it or is warm.
@@ -71,7 +71,7 @@
     let is_listed_and_warm = |id: &HostId| {
         let host = moves.hosts.get(id);
         host.is_some_and(|host| {
-            host.phase == Phase::Ready && is_warm(moves.now, host.started_at, moves.config)
+            host.phase == Phase::Ready && started_long_ago(moves.now, host.started_at, moves.config)
         })
     };
     owner.filter(is_listed_and_warm).or_else(|| moves.hosts.keys().copied().find(is_listed_and_warm))
--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -9,6 +9,10 @@
 //!   `MAX_BACKLOG_FRACTION` of the limit; for a table that names a usable host already, within
 //!   `MAX_ORDINARY_BACKLOG_FRACTION`; behind a table that does not fit, less urgent ones wait, too;
 //! - a single owner's former writes, which must have ended (`single_owner`).
+//!
+//! Before all that, the rules must have run: on a tick, and at once only for an endpoint list, an assignment or a host
+//! that went down (`Controller::handle_batch`). What has left here is given as commands; where these wait, the program
+//! around the controller tells (on the platform `call.rs` of `railhub-platform`).
 use super::admission::AdmissionControl;
 use super::exclusion::{ExclusionChange, Exclusions};
 use super::host::Host;
@@ -195,7 +199,8 @@
         if state.config.single_owner {
             cleared_slices = single_owner::unconfirmed_clears(state.slices, &self.backlog.cleared_slices());
         }
-        self.barrier_due = !cleared_slices.is_empty() || self.barrier_due && !self.backlog.is_empty();
+        let is_ack_missed = self.barrier_due && !self.backlog.is_empty();
+        self.barrier_due = is_ack_missed || !cleared_slices.is_empty();
         let sends_barrier_alone = self.barrier_due && draft.fits(0.0, 1.0);
         if !has_content && !sends_barrier_alone {
             return;
--- a/src/decision/slice.rs
+++ b/src/decision/slice.rs
@@ -24,7 +24,7 @@
     pub writes_end_at: Option<Seconds>,
     /// Operations a second that it is taken to have until it is reported.
     pub estimated_rate: f64,
-    /// It does not move before.
+    /// Neither fail-back nor rebalancing moves it before; failover does.
     pub pinned_until: Seconds,
 }
 
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -10,7 +10,7 @@
 /// Utilization, as a fraction of the one that overloads a cold host, up to which it is given slices.
 pub const COLD_MAX_UTILIZATION_FRACTION: f64 = 0.3;
 /// The same fraction, past which a cold host gives slices up. Between the two slices neither come nor go.
-pub const COLD_SHED_UTILIZATION_FRACTION: f64 = 0.4;
+pub const COLD_OFFLOAD_UTILIZATION_FRACTION: f64 = 0.4;
 /// Least time, in seconds, that a warm-up is taken to last.
 const MIN_WARM_UP_TIME: Seconds = 1.0;
 
@@ -20,7 +20,7 @@
     /// Up to it the host is given slices.
     pub max_utilization: f64,
     /// Past it slices leave the host.
-    pub shed_utilization: f64,
+    pub offload_utilization: f64,
 }
 
 /// The fraction of its warm capacity that a host surely has.
@@ -42,17 +42,17 @@
 /// The limits of a host that surely has this fraction of its capacity.
 pub fn utilization_limits(least: f64, config: &ControllerConfig) -> UtilizationLimits {
     if least >= 1.0 {
-        return UtilizationLimits { max_utilization: MAX_UTILIZATION, shed_utilization: f64::MAX };
+        return UtilizationLimits { max_utilization: MAX_UTILIZATION, offload_utilization: f64::MAX };
     }
-    // Utilization is taken of the likely capacity, the overload limit of the least.
+    // `overload_multiple` is of the least capacity, utilization of the likely one: least / sqrt(least) = sqrt(least).
     let overload_limit = config.overload_multiple * least.sqrt();
     UtilizationLimits {
         max_utilization: MAX_UTILIZATION.min(COLD_MAX_UTILIZATION_FRACTION * overload_limit),
-        shed_utilization: COLD_SHED_UTILIZATION_FRACTION * overload_limit,
+        offload_utilization: COLD_OFFLOAD_UTILIZATION_FRACTION * overload_limit,
     }
 }
 
-/// Whether a host is warm by the time of its start.
-pub fn is_warm(now: Seconds, started_at: Option<Seconds>, config: &ControllerConfig) -> bool {
+/// Whether a host is warm by its listed start alone, whatever `warming_since` says.
+pub fn started_long_ago(now: Seconds, started_at: Option<Seconds>, config: &ControllerConfig) -> bool {
     started_at.is_none_or(|at| now - at >= config.warm_up_time)
 }
--- a/src/decision/tests/slow_start.rs
+++ b/src/decision/tests/slow_start.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::decision::slow_start::{least_capacity_fraction, COLD_MAX_UTILIZATION_FRACTION};
-use crate::decision::slow_start::{COLD_SHED_UTILIZATION_FRACTION, MAX_UTILIZATION};
+use crate::decision::slow_start::{COLD_OFFLOAD_UTILIZATION_FRACTION, MAX_UTILIZATION};
 
 #[test]
 fn a_cold_host_owns_no_more_than_its_limit_and_sheds_past_the_next() {
@@ -12,7 +12,7 @@
     );
     let load = controller.loads(101.0)[&host(1)];
     assert!(
-        load.is_cold && load.utilization(0.0) <= COLD_SHED_UTILIZATION_FRACTION * 2.5,
+        load.is_cold && load.utilization(0.0) <= COLD_OFFLOAD_UTILIZATION_FRACTION * 2.5,
         "{}",
         load.utilization(0.0)
     );
@@ -46,5 +46,5 @@
     let lost = (2..=4).map(|n| entry(n, Phase::Gone, None)).chain([entry(1, Phase::Ready, Some(100.9))]);
     controller.handle_batch(&endpoint_update(101.0, lost.collect()), &mut RecordedCommands::default());
     assert!(controller.slices.values().any(|slice| slice.owner.is_none()));
-    assert!(controller.loads(101.0)[&host(1)].utilization(0.0) <= COLD_SHED_UTILIZATION_FRACTION * 2.5);
+    assert!(controller.loads(101.0)[&host(1)].utilization(0.0) <= COLD_OFFLOAD_UTILIZATION_FRACTION * 2.5);
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -96,7 +96,7 @@
 pub struct SliceHandoff {
     /// Operations a second.
     pub rate: f64,
-    /// Seconds until the slice may move again.
+    /// Seconds until fail-back or rebalancing may move the slice again.
     pub pinned_for: Seconds,
     /// The host it was taken from and fails back to.
     pub preferred_host: Option<HostId>,
--- a/src/update_backlog.rs
+++ b/src/update_backlog.rs
@@ -95,7 +95,7 @@
         self.updates.iter().flat_map(|update| update.cleared_slices.iter().copied()).collect()
     }
 
-    /// Takes out the updates that nobody has yet to acknowledge.
+    /// Takes out the updates that no proxy still has to acknowledge.
     pub fn take_acknowledged(&mut self) -> Vec<Update> {
         self.updates.extract_if(.., |update| update.awaited.is_empty()).collect()
     }
@@ -108,8 +108,8 @@
     /// Lines that may still wait in the channel.
     ///
     /// Behind an update that some have not acknowledged, the next ones count for all their recipients. Where no proxy
-    /// has acknowledged it for `stalled_after` seconds while it was the first, it has left the channel, and those that
-    /// are missing are slow or their acknowledgements lost: it does not hold the next ones up.
+    /// has acknowledged one for `stalled_after` seconds since it was sent or last acknowledged, wherever it stands, it
+    /// does not hold the next ones up: those that are missing are slow or their acknowledgements lost.
     pub fn waiting_lines(&self, now: Seconds, stalled_after: Seconds) -> f64 {
         let mut is_blocked = false;
         let mut lines = 0.0;
