--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -9,7 +9,8 @@
 use railhub_scenario::report::text::{report_text, verdicts_text};
 use railhub_scenario::report::{service, Report, Service};
 use railhub_scenario::{import, play, Played, Scenario};
-use railhub_timeseries::{causes, over_time, told};
+use railhub_timeseries::service_changes::format_changes;
+use railhub_timeseries::{service_changes, time_series};
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
@@ -162,16 +163,16 @@
         rules_kept: rules.iter().all(|verdict| verdict.kept),
         rules,
     };
-    let lines = over_time(events, limits);
-    let changes = told(events, limits, &lines);
+    let series = time_series(events, limits);
+    let changes = service_changes(events, limits, &series);
     if json {
         let mut all = serde_json::to_value(&report)?;
         all["changes"] = serde_json::to_value(&changes)?;
-        all["over_time"] = serde_json::to_value(&lines)?;
+        all["over_time"] = serde_json::to_value(&series)?;
         println!("{all}");
     } else {
         print!("{}", report_text(&report));
-        print!("{}", causes::words(&changes));
+        print!("{}", format_changes(&changes));
     }
     if report.rules_kept {
         Ok(())
--- a/crates/railhub-dashboard/src/scene.rs
+++ b/crates/railhub-dashboard/src/scene.rs
@@ -1,8 +1,8 @@
 //! What stands at a moment of a run, out of the events up to it.
 use railhub_proto::RetryCondition;
 use railhub_record::{EndpointPhase, Event, EventKind, Limits, Outcome};
-use railhub_timeseries::owing::Owing;
 use railhub_timeseries::tables::Tables;
+use railhub_timeseries::unacknowledged::UnacknowledgedDeltas;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Seconds after which a try counts for 1/e in a host's rate.
@@ -62,7 +62,7 @@
     pub hosts: BTreeMap<String, HostSight>,
     pub levels: BTreeMap<u32, LevelSight>,
     pub joined: BTreeSet<u32>,
-    owing: Owing,
+    unacknowledged: UnacknowledgedDeltas,
     pub steward_up: bool,
     pub version: u64,
     pub withdrawals: u64,
@@ -100,10 +100,10 @@
             EventKind::ProxyStream(stream) if stream.open => _ = self.joined.insert(stream.proxy),
             EventKind::ProxyStream(stream) => {
                 self.joined.remove(&stream.proxy);
-                self.owing.gone(stream.proxy);
+                self.unacknowledged.on_stream_closed(stream.proxy);
             }
             EventKind::DeltaReceived(received) => self.take_delta(received.proxy, &received.delta),
-            EventKind::DeltaAcknowledged(word) => self.owing.word(word.proxy, word.nonce),
+            EventKind::DeltaAcknowledged(ack) => self.unacknowledged.on_acknowledged(ack.proxy, ack.nonce),
             EventKind::Attempt(tried) => {
                 let host = self.hosts.entry(tried.host.clone()).or_default();
                 host.work = host.work_by(at) + tried.work / MEMORY;
@@ -150,11 +150,11 @@
 
     fn take_delta(&mut self, proxy: u32, delta: &railhub_proto::Delta) {
         self.messages += 1;
-        self.owing.got(proxy, delta.version, delta.cost());
-        let Some((moves, withdrawals)) = self.tables.take(delta) else { return };
+        self.unacknowledged.on_received(proxy, delta.version, delta.cost());
+        let Some(changes) = self.tables.apply(delta) else { return };
         self.version = self.tables.version();
-        self.moves += u64::from(moves);
-        self.withdrawals += u64::from(withdrawals);
+        self.moves += u64::from(changes.moves);
+        self.withdrawals += u64::from(changes.cleared_lines);
         for level in &delta.admission_rates {
             let class = self.limits.as_ref().and_then(|limits| limits.classes.get(level.class as usize));
             let class = class.map_or_else(|| level.class.to_string(), |class| class.name.clone());
@@ -176,7 +176,7 @@
 
     /// Deltas under way, and their lines.
     pub fn backlog(&self) -> (usize, usize) {
-        (self.owing.deltas(), self.owing.total_lines())
+        (self.unacknowledged.delta_count(), self.unacknowledged.line_count())
     }
 
     /// Service of the seconds that are kept, the newest last; operations that came in the newest whole one.
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -2,9 +2,9 @@
 use railhub_invariants::{check, limits};
 use railhub_record::Event;
 use railhub_scenario::report::service;
-use railhub_timeseries::causes::happenings;
-use railhub_timeseries::tail::Tail;
-use railhub_timeseries::{loads, over_time, tail};
+use railhub_timeseries::latency::LatencyHistogram;
+use railhub_timeseries::service_changes::{operator_events, OperatorEvent};
+use railhub_timeseries::{host_load, latency, time_series};
 use serde::Serialize;
 
 /// The first time that a run broke a rule.
@@ -38,10 +38,10 @@
     #[serde(skip)]
     pub loads: Vec<f64>,
     #[serde(skip)]
-    pub tails: Vec<Tail>,
+    pub tails: Vec<LatencyHistogram>,
     /// What happened, seconds of the day.
     #[serde(skip)]
-    pub happened: Vec<(f64, String)>,
+    pub happened: Vec<OperatorEvent>,
 }
 
 pub fn figures(events: &[Event], day: usize, seed: u64) -> Result<RunFigures, String> {
@@ -56,7 +56,7 @@
             what: violation.description.clone(),
         })
     });
-    let lines = over_time(events, limits);
+    let series = time_series(events, limits);
     Ok(RunFigures {
         day,
         seed,
@@ -64,13 +64,13 @@
         worst_10_s: service.worst_10_s,
         first_breach: breaches.min_by(|a, b| a.at.total_cmp(&b.at)),
         rules_broken: broken.map(|verdict| verdict.rule).collect(),
-        messages: lines.messages.iter().map(|messages| u64::from(*messages)).sum(),
-        moves: lines.total_moves(),
+        messages: series.messages.iter().map(|messages| u64::from(*messages)).sum(),
+        moves: series.total_moves(),
         operations: service.operations,
-        line: lines.service,
-        moves_line: lines.moves,
-        loads: loads::by_host(events, limits).into_iter().map(|host| host.load).collect(),
-        tails: tail::by_class(events, limits),
-        happened: happenings(events, limits),
+        line: series.service,
+        moves_line: series.moves,
+        loads: host_load::by_host(events, limits).into_iter().map(|host| host.load).collect(),
+        tails: latency::by_class(events, limits),
+        happened: operator_events(events, limits),
     })
 }
--- a/crates/railhub-experiment/src/outcome.rs
+++ b/crates/railhub-experiment/src/outcome.rs
@@ -3,8 +3,8 @@
 use crate::plan::Experiment;
 use crate::stats::{estimate, verdict, Estimate, Verdict};
 use crate::trial::Ran;
-use railhub_timeseries::causes::{changes, Told};
-use railhub_timeseries::tail::{Tail, TailFigures};
+use railhub_timeseries::latency::{LatencyHistogram, LatencyPercentiles};
+use railhub_timeseries::service_changes::{detect_changes, ServiceChange};
 use serde::Serialize;
 
 /// Shares of the runs that lie below and above a band.
@@ -20,7 +20,7 @@
     /// Moves by second, mean.
     pub moves: Vec<f64>,
     /// When the mean changed its level, and what came just before on the first seed.
-    pub changes: Vec<Told>,
+    pub changes: Vec<ServiceChange>,
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -42,7 +42,7 @@
     pub difference_by_day: Vec<Estimate>,
     pub verdict: Option<Verdict>,
     pub worst_10_s_verdict: Option<Verdict>,
-    pub tails: Vec<TailFigures>,
+    pub tails: Vec<LatencyPercentiles>,
     /// By day.
     pub bands: Vec<Band>,
     /// Load of the most loaded host, the second, and so on, mean over runs.
@@ -146,8 +146,8 @@
     }
 }
 
-fn tails(runs: &[RunFigures]) -> Vec<TailFigures> {
-    let mut all: Vec<Tail> = Vec::new();
+fn tails(runs: &[RunFigures]) -> Vec<LatencyPercentiles> {
+    let mut all: Vec<LatencyHistogram> = Vec::new();
     for run in runs {
         for (n, tail) in run.tails.iter().enumerate() {
             match all.get_mut(n) {
@@ -156,7 +156,7 @@
             }
         }
     }
-    all.iter().map(Tail::figures).collect()
+    all.iter().map(LatencyHistogram::percentiles).collect()
 }
 
 fn mean_by_place(lines: impl Iterator<Item = Vec<f64>>) -> Vec<f64> {
@@ -183,6 +183,6 @@
         band.moves.push(f64::from(moves) / runs.len() as f64);
     }
     let happened = runs.first().map(|run| run.happened.as_slice()).unwrap_or_default();
-    band.changes = changes(&band.mean, happened);
+    band.changes = detect_changes(&band.mean, happened);
     band
 }
--- a/crates/railhub-experiment/src/page.rs
+++ b/crates/railhub-experiment/src/page.rs
@@ -2,7 +2,7 @@
 use crate::charts::{pictures, Fault};
 use crate::outcome::Outcome;
 use crate::report::{interval, verdict_words, words};
-use railhub_timeseries::causes;
+use railhub_timeseries::service_changes::format_changes;
 use std::fmt::Write;
 
 const STYLE: &str = "body{font:15px sans-serif;max-width:860px;margin:2em auto;padding:0 1em}\
@@ -98,7 +98,7 @@
         for (day, band) in outcome.days.iter().zip(&arm.bands) {
             let words = match band.changes.is_empty() {
                 true => "one level all day\n".to_owned(),
-                false => causes::words(&band.changes),
+                false => format_changes(&band.changes),
             };
             let _ = writeln!(
                 out,
--- a/crates/railhub-experiment/src/report.rs
+++ b/crates/railhub-experiment/src/report.rs
@@ -1,7 +1,7 @@
 //! What an experiment came to, in words and as tables.
 use crate::outcome::{ArmOutcome, Outcome};
 use crate::stats::{Estimate, Verdict};
-use railhub_timeseries::tail::TailFigures;
+use railhub_timeseries::latency::LatencyPercentiles;
 use std::fmt::Write;
 
 /// Widest name of an arm in the words.
@@ -76,9 +76,9 @@
     }
 }
 
-fn tail_words(tail: &TailFigures) -> String {
+fn tail_words(tail: &LatencyPercentiles) -> String {
     let time = |time: Option<f64>| time.map_or("never".to_owned(), |time| format!("{time:.3} s"));
-    let (half, of_99, of_999) = (time(tail.half), time(tail.of_99), time(tail.of_999));
+    let (half, of_99, of_999) = (time(tail.p50), time(tail.p99), time(tail.p999));
     format!("{}: half answered within {half}, 99 % {of_99}, 99.9 % {of_999}", tail.class)
 }
 
--- a/crates/railhub-timeseries/src/lib.rs
+++ b/crates/railhub-timeseries/src/lib.rs
@@ -1,13 +1,17 @@
-//! A record as figures over time. [`lines`] adds events up by seconds, [`loads`] by host, [`tail`] operations by
-//! class; [`changes`] finds when service changed, [`causes`] names the event that came just before. Plain
-//! functions over events: no I/O, no clock.
-pub mod causes;
-pub mod changes;
-pub mod lines;
-pub mod loads;
-pub mod owing;
+//! Owns the time series of a recording: events aggregated per second, per host and per class.
+//!
+//! [`per_second`] aggregates events by second, [`host_load`] by host, [`latency`] operations by class.
+//! [`change_points`] segments a series; [`service_changes`] lists the changes of service and the event that precedes
+//! each. [`tables`] and [`unacknowledged`] track what proxies have received. Plain functions over events: no I/O, no
+//! clock.
+#![warn(missing_docs)]
+pub mod change_points;
+pub mod host_load;
+pub mod latency;
+pub mod per_second;
+pub mod service_changes;
 pub mod tables;
-pub mod tail;
+pub mod unacknowledged;
 
-pub use causes::{told, Told};
-pub use lines::{over_time, Lines};
+pub use per_second::{time_series, TimeSeries};
+pub use service_changes::{service_changes, ServiceChange};
--- a/crates/railhub-timeseries/tests/days.rs
+++ b/crates/railhub-timeseries/tests/days.rs
@@ -1,9 +1,9 @@
-//! A model's record of a bad day, as figures over time.
+//! Time series of simulated recordings.
 use railhub_invariants::limits;
 use railhub_record::{Event, Limits};
 use railhub_scenario::{draw, Scenario};
 use railhub_simulator::{run, Physics, Policy};
-use railhub_timeseries::{loads, over_time, tail, told};
+use railhub_timeseries::{host_load, latency, service_changes, time_series};
 use std::path::Path;
 
 fn played(text: &str, policy: &Policy) -> (Scenario, Vec<Event>, Limits) {
@@ -17,36 +17,36 @@
 #[test]
 fn a_key_that_gets_hot_is_named_as_what_came_just_before() {
     let (_, events, limits) = played("one-hot-key.ini", &Policy::Fixed);
-    let lines = over_time(&events, &limits);
-    let changes = told(&events, &limits, &lines);
+    let series = time_series(&events, &limits);
+    let changes = service_changes(&events, &limits, &series);
     let first = changes.first().expect("service falls");
     assert!((9.0..=11.0).contains(&first.at), "{first:?}");
     assert!(first.service < first.service_before - 0.1, "{first:?}");
-    let (when, what) = first.just_before.as_ref().expect("a cause");
-    assert!((when - 10.0).abs() < 0.01);
-    assert_eq!(what, "one key (hot_key) begins");
+    let preceding = first.preceding_event.as_ref().expect("a cause");
+    assert!((preceding.at - 10.0).abs() < 0.01);
+    assert_eq!(preceding.description, "one key (hot_key) begins");
 }
 
 #[test]
 fn a_day_adds_up() {
     let (day, events, limits) = played("first-bad-day.ini", &Policy::Steward);
-    let lines = over_time(&events, &limits);
+    let series = time_series(&events, &limits);
     let drawn = draw::arrivals(&day, draw::capacity(&draw::hosts(&day, day.hosts, "hosts"))).len();
-    assert_eq!(lines.operations.iter().sum::<u32>() as usize, drawn);
-    let tails = tail::by_class(&events, &limits);
-    let counted: u64 = tails.iter().map(|tail| tail.figures().operations).sum();
+    assert_eq!(series.operations.iter().sum::<u32>() as usize, drawn);
+    let histograms = latency::by_class(&events, &limits);
+    let counted: u64 = histograms.iter().map(|histogram| histogram.percentiles().operations).sum();
     assert_eq!(counted as usize, drawn);
-    assert!(lines.total_moves() > 10 && lines.withdrawals.iter().sum::<u32>() > 10);
-    assert_eq!((lines.joined[20], lines.hosts[0], lines.hosts[8]), (24, 18, 16));
-    assert!(lines.joined[30] < 24, "the steward is away: no stream stands");
-    let loads = loads::by_host(&events, &limits);
+    assert!(series.total_moves() > 10 && series.cleared_lines.iter().sum::<u32>() > 10);
+    assert_eq!((series.connected_proxies[20], series.hosts[0], series.hosts[8]), (24, 18, 16));
+    assert!(series.connected_proxies[30] < 24, "the controller is down: no stream stands");
+    let loads = host_load::by_host(&events, &limits);
     assert_eq!(loads.len(), 18 + 6);
     assert!(loads.windows(2).all(|two| two[0].load >= two[1].load) && loads[0].load < 1.5);
 }
 
 #[test]
-fn without_a_steward_nothing_moves() {
+fn nothing_moves_without_a_controller() {
     let (_, events, limits) = played("first-bad-day.ini", &Policy::Fixed);
-    let lines = over_time(&events, &limits);
-    assert_eq!((lines.total_moves(), lines.messages.iter().sum::<u32>()), (0, 0));
+    let series = time_series(&events, &limits);
+    assert_eq!((series.total_moves(), series.messages.iter().sum::<u32>()), (0, 0));
 }
