--- a/crates/railhub-cli/src/watch.rs
+++ b/crates/railhub-cli/src/watch.rs
@@ -17,11 +17,11 @@
 }
 
 pub fn run(arguments: &WatchArguments) -> Result<(), Ending> {
-    let fault = |fault: railhub_dashboard::terminal::Fault| Ending::Input(fault.to_string());
+    let input_error = |error: railhub_dashboard::DashboardError| Ending::Input(error.to_string());
     if arguments.once || !std::io::stdout().is_terminal() {
-        print!("{}", railhub_dashboard::once(&arguments.path, arguments.at).map_err(fault)?);
+        print!("{}", railhub_dashboard::render_once(&arguments.path, arguments.at).map_err(input_error)?);
         Ok(())
     } else {
-        railhub_dashboard::watch(&arguments.path, arguments.at).map_err(fault)
+        railhub_dashboard::run_interactive(&arguments.path, arguments.at).map_err(input_error)
     }
 }
--- a/crates/railhub-dashboard/src/terminal.rs
+++ b/crates/railhub-dashboard/src/terminal.rs
@@ -1,184 +1,132 @@
-//! The loop over keys and time.
-use crate::arms;
-use crate::scene::Scene;
-use crate::source::Source;
-use crate::view;
+//! Owns the terminal: the loop over keys and time, and a single frame as text.
+use crate::error::DashboardError;
+use crate::player::Player;
+use crate::{experiment_view, run_view};
 use ratatui::backend::TestBackend;
-use ratatui::crossterm::event::{self, Event as Happening, KeyCode, KeyEventKind};
-use ratatui::{Frame, Terminal};
+use ratatui::buffer::Buffer;
+use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
+use ratatui::{DefaultTerminal, Frame, Terminal};
 use serde_json::Value;
-use std::error::Error;
+use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Between two pictures.
-const PICTURE: Duration = Duration::from_millis(200);
-/// Seconds that an arrow key goes.
-const STEP: f64 = 5.0;
-/// Cells of a picture that goes to a file or a pipe.
-const PAPER: (u16, u16) = (120, 36);
-/// What an experiment's folder holds.
-const OUTCOME: &str = "outcome.json";
-
-pub type Fault = Box<dyn Error + Send + Sync>;
-
-/// What is looked at.
-enum Sight {
-    Record(Box<Player>),
-    Experiment(PathBuf, Value),
-}
-
-/// A record, at a moment.
-struct Player {
-    source: Source,
-    title: String,
-    scene: Scene,
-    /// Events that the scene has taken.
-    taken: usize,
-    /// On the record's clock.
-    at: f64,
-    halted: bool,
-    /// At the end of what has come, and waiting for more.
-    follows: bool,
-}
-
-impl Player {
-    fn open(path: &Path, at: Option<f64>) -> Result<Player, Fault> {
-        let source = Source::open(path)?;
-        let title = path.file_name().map_or(String::new(), |name| name.to_string_lossy().into_owned());
-        let (end, scene) = (source.end(), Scene::default());
-        let mut player =
-            Player { source, title, scene, taken: 0, at: end, halted: false, follows: at.is_none() };
-        player.show(f64::INFINITY);
-        if let (Some(at), Some(limits)) = (at, &player.scene.limits) {
-            let moment = limits.from + at;
-            player.show(moment);
-        }
-        Ok(player)
-    }
-
-    /// The scene at a moment of the record's clock.
-    fn show(&mut self, at: f64) {
-        if at < self.at {
-            (self.scene, self.taken) = (Scene::default(), 0);
-        }
-        let until = |event: &&railhub_record::Event| event.at <= at;
-        let news: Vec<_> = self.source.events[self.taken..].iter().take_while(until).collect();
-        news.iter().for_each(|event| self.scene.take(event));
-        self.taken += news.len();
-        self.at = at.min(self.source.end());
-        self.scene.now = self.at - self.scene.limits.as_ref().map_or(0.0, |limits| limits.from);
-    }
-
-    fn tick(&mut self, passed: f64) -> Result<(), Fault> {
-        self.source.look()?;
-        if self.follows {
-            self.show(f64::INFINITY);
-        } else if !self.halted {
-            self.show(self.at + passed);
-        }
-        Ok(())
-    }
-
-    fn key(&mut self, key: KeyCode) {
-        match key {
-            KeyCode::Char(' ') => {
-                self.halted = !self.halted;
-                self.follows = false;
-            }
-            KeyCode::Left => self.go(self.at - STEP),
-            KeyCode::Right => self.go(self.at + STEP),
-            KeyCode::Home => self.go(0.0),
-            KeyCode::End => {
-                self.follows = true;
-                self.show(f64::INFINITY);
-            }
-            _ => {}
-        }
-    }
-
-    fn go(&mut self, at: f64) {
-        self.follows = false;
-        self.show(at.max(0.0));
-    }
+/// Time between two frames.
+const FRAME_INTERVAL: Duration = Duration::from_millis(200);
+/// Columns of a frame that is rendered as text.
+const TEXT_COLUMNS: u16 = 120;
+/// Rows of a frame that is rendered as text.
+const TEXT_ROWS: u16 = 36;
+/// The file of an experiment's folder that is shown.
+const OUTCOME_FILE: &str = "outcome.json";
+
+/// What the dashboard shows.
+enum Subject {
+    Recording(Box<Player>),
+    Experiment { folder: PathBuf, outcome: Value },
 }
 
-impl Sight {
-    fn open(path: &Path, at: Option<f64>) -> Result<Sight, Fault> {
+impl Subject {
+    fn open(path: &Path, at: Option<f64>) -> Result<Subject, DashboardError> {
         if path.is_dir() {
-            Ok(Sight::Experiment(path.to_owned(), outcome(path)?))
+            Ok(Subject::Experiment { folder: path.to_owned(), outcome: read_outcome(path)? })
         } else {
-            Ok(Sight::Record(Box::new(Player::open(path, at)?)))
+            Ok(Subject::Recording(Box::new(Player::open(path, at)?)))
         }
     }
 
     fn draw(&self, frame: &mut Frame) {
         match self {
-            Sight::Record(player) => view::draw(frame, &player.scene, &player.title),
-            Sight::Experiment(_, outcome) => arms::draw(frame, outcome),
+            Subject::Recording(player) => run_view::draw(frame, player.state(), player.title()),
+            Subject::Experiment { outcome, .. } => experiment_view::draw(frame, outcome),
         }
     }
 
-    fn tick(&mut self, passed: f64) -> Result<(), Fault> {
+    fn tick(&mut self, elapsed: f64) -> Result<(), DashboardError> {
         match self {
-            Sight::Record(player) => player.tick(passed),
-            Sight::Experiment(folder, shown) => {
-                *shown = outcome(folder)?;
+            Subject::Recording(player) => player.tick(elapsed),
+            Subject::Experiment { folder, outcome } => {
+                *outcome = read_outcome(folder)?;
                 Ok(())
             }
         }
     }
+
+    fn on_key(&mut self, key: KeyCode) {
+        if let Subject::Recording(player) = self {
+            player.on_key(key);
+        }
+    }
 }
 
-fn outcome(folder: &Path) -> Result<Value, Fault> {
-    let path = folder.join(OUTCOME);
-    let text = match std::fs::read(&path) {
-        // The first stage of an experiment takes its time.
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Value::Null),
-        text => text.map_err(|e| format!("{}: {e}", path.display()))?,
+/// Reads the outcome of an experiment; null until its first stage has ended.
+fn read_outcome(folder: &Path) -> Result<Value, DashboardError> {
+    let path = folder.join(OUTCOME_FILE);
+    let file = path.display().to_string();
+    let json = match std::fs::read(&path) {
+        Ok(json) => json,
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Value::Null),
+        Err(source) => return Err(DashboardError::ReadOutcome { file, source }),
     };
-    Ok(serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", path.display()))?)
+    serde_json::from_slice(&json).map_err(|source| DashboardError::ParseOutcome { file, source })
 }
 
-/// Shows a record or an experiment's folder until a key ends it.
-pub fn watch(path: &Path, at: Option<f64>) -> Result<(), Fault> {
-    let mut sight = Sight::open(path, at)?;
+/// Shows a recording or an experiment's folder until a key ends it; a recording from second `at` of the scenario, or
+/// at its end.
+///
+/// # Errors
+/// If the file cannot be read or the terminal fails.
+pub fn run_interactive(path: &Path, at: Option<f64>) -> Result<(), DashboardError> {
+    let mut subject = Subject::open(path, at)?;
     let mut terminal = ratatui::try_init()?;
-    let ended = run(&mut terminal, &mut sight);
+    let result = run_loop(&mut terminal, &mut subject);
     ratatui::restore();
-    ended
+    result
 }
 
-fn run(terminal: &mut ratatui::DefaultTerminal, sight: &mut Sight) -> Result<(), Fault> {
-    let mut last = Instant::now();
+fn run_loop(terminal: &mut DefaultTerminal, subject: &mut Subject) -> Result<(), DashboardError> {
+    let mut last_tick = Instant::now();
     loop {
-        terminal.draw(|frame| sight.draw(frame))?;
-        if event::poll(PICTURE)? {
-            if let Happening::Key(key) = event::read()? {
-                match key.code {
-                    _ if key.kind != KeyEventKind::Press => {}
-                    KeyCode::Char('q') | KeyCode::Esc => return Ok(()),
-                    code => {
-                        if let Sight::Record(player) = sight {
-                            player.key(code);
-                        }
-                    }
-                }
-            }
+        terminal.draw(|frame| subject.draw(frame))?;
+        match next_key()? {
+            Some(KeyCode::Char('q') | KeyCode::Esc) => return Ok(()),
+            Some(key) => subject.on_key(key),
+            None => {}
         }
-        let passed = last.elapsed().as_secs_f64();
-        last = Instant::now();
-        sight.tick(passed)?;
+        let elapsed = last_tick.elapsed().as_secs_f64();
+        last_tick = Instant::now();
+        subject.tick(elapsed)?;
+    }
+}
+
+/// The key pressed before the next frame is due, if any.
+fn next_key() -> Result<Option<KeyCode>, DashboardError> {
+    if !event::poll(FRAME_INTERVAL)? {
+        return Ok(None);
     }
+    match event::read()? {
+        Event::Key(key) if key.kind == KeyEventKind::Press => Ok(Some(key.code)),
+        _ => Ok(None),
+    }
+}
+
+/// Renders one frame as text, for a pipe or a file.
+///
+/// # Errors
+/// If the file cannot be read.
+pub fn render_once(path: &Path, at: Option<f64>) -> Result<String, DashboardError> {
+    let subject = Subject::open(path, at)?;
+    let Ok(mut terminal) = Terminal::new(TestBackend::new(TEXT_COLUMNS, TEXT_ROWS));
+    let Ok(_) = terminal.draw(|frame| subject.draw(frame));
+    Ok(buffer_text(terminal.backend().buffer()))
 }
 
-/// One picture as text, for a pipe or a mail.
-pub fn once(path: &Path, at: Option<f64>) -> Result<String, Fault> {
-    let sight = Sight::open(path, at)?;
-    let mut terminal = Terminal::new(TestBackend::new(PAPER.0, PAPER.1))?;
-    terminal.draw(|frame| sight.draw(frame))?;
-    let buffer = terminal.backend().buffer().clone();
-    let line = |row: u16| (0..PAPER.0).map(|column| buffer[(column, row)].symbol()).collect::<String>();
-    let lines: Vec<String> = (0..PAPER.1).map(|row| line(row).trim_end().to_owned()).collect();
-    Ok(lines.join("\n") + "\n")
+fn buffer_text(buffer: &Buffer) -> String {
+    let mut text = String::new();
+    for row in 0..TEXT_ROWS {
+        let line: String = (0..TEXT_COLUMNS).map(|column| buffer[(column, row)].symbol()).collect();
+        text.push_str(line.trim_end());
+        text.push('\n');
+    }
+    text
 }
