--- a/crates/railhub-timeseries/src/latency.rs
+++ b/crates/railhub-timeseries/src/latency.rs
@@ -19,7 +19,7 @@
     pub unanswered: u64,
 }
 
-/// Percentiles of latency, in seconds; `None` if fewer operations than the percentile asks for were answered.
+/// Percentiles of latency, in seconds; `None` if the operation at the percentile has no answer.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct LatencyPercentiles {
     /// Name of the class.
--- a/crates/railhub-timeseries/src/lib.rs
+++ b/crates/railhub-timeseries/src/lib.rs
@@ -1,7 +1,7 @@
 //! Owns the time series of a recording: events aggregated per second, per host and per class.
 //!
 //! [`per_second`] aggregates events by second, [`host_load`] by host, [`latency`] operations by class.
-//! [`change_points`] segments a series; [`service_changes`] lists the changes of service and the event that precedes
+//! [`change_points`] segments a series; [`mod@service_changes`] lists the changes of service and the event that precedes
 //! each. [`tables`] and [`unacknowledged`] track what proxies have received. Plain functions over events: no I/O, no
 //! clock.
 #![warn(missing_docs)]
