--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -7,9 +7,9 @@
 use railhub_trace::cut::{cut, Part};
 use railhub_trace::file::{open, save};
 use railhub_trace::fit::{fit, Candidate, Fitted};
-use railhub_trace::scale::{scale, CopiesOf};
-use railhub_trace::show::{sight, Sight};
-use railhub_trace::{Traffic, OPERATIONS_MOST};
+use railhub_trace::scale::{scale, CopyKeys};
+use railhub_trace::show::{summarize, Summary};
+use railhub_trace::{Trace, MAX_OPERATIONS};
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
@@ -102,17 +102,17 @@
             save(output, &traffic)?;
         }
         What::Show { file, json } => {
-            let sight = sight(&load(file)?);
-            print(*json, &sight, words_of_sight)?;
+            let summary = summarize(&load(file)?);
+            print(*json, &summary, summary_text)?;
         }
         What::Fit { file, json } => {
             let fitted = fit(&load(file)?);
-            print(*json, &fitted, words_of_fit)?;
+            print(*json, &fitted, fit_text)?;
         }
         What::Cut { file, output, from, until, class, zone } => {
             let traffic = load(file)?;
-            let classes = numbers("class", class, &traffic.facts.classes)?;
-            let zones = numbers("zone", zone, &traffic.facts.zones)?;
+            let classes = numbers("class", class, &traffic.header.classes)?;
+            let zones = numbers("zone", zone, &traffic.header.zones)?;
             let in_order = until.is_none_or(|until| until > *from);
             if from.is_nan() || *from < 0.0 || !in_order {
                 return Err(Ending::Input("--from and --until must be in order, from 0".into()));
@@ -125,12 +125,12 @@
                 return Err(Ending::Input("--times and --stretch may be 0.0001 to 10000".into()));
             }
             let copies = match copies {
-                Copies::SameKeys => CopiesOf::SameKeys,
-                Copies::OtherKeys => CopiesOf::OtherKeys,
+                Copies::SameKeys => CopyKeys::SameKeys,
+                Copies::OtherKeys => CopyKeys::OtherKeys,
             };
             let traffic = load(file)?;
-            if traffic.operations() as f64 * times > OPERATIONS_MOST as f64 {
-                return Err(Ending::Input(format!("that would be more than {OPERATIONS_MOST} operations")));
+            if traffic.operations() as f64 * times > MAX_OPERATIONS as f64 {
+                return Err(Ending::Input(format!("that would be more than {MAX_OPERATIONS} operations")));
             }
             save(output, &scale(&traffic, *times, *stretch, copies, *seed))?;
         }
@@ -142,13 +142,13 @@
     limits.classes.iter().map(|class| class.hard_stop).fold(0.0, f64::max)
 }
 
-fn load(path: &Path) -> Result<Traffic, Ending> {
+fn load(path: &Path) -> Result<Trace, Ending> {
     let opened = open(path)?;
-    if opened.cut_off {
-        let (rows, length) = (opened.traffic.rows.len(), opened.traffic.facts.length);
+    if opened.truncated {
+        let (rows, length) = (opened.trace.rows.len(), opened.trace.header.length);
         eprintln!("{}: cut off; the {rows} rows before the cut, {length:.1} s, are used", path.display());
     }
-    Ok(opened.traffic)
+    Ok(opened.trace)
 }
 
 fn numbers(what: &str, names: &[String], all: &[String]) -> Result<Vec<u32>, Ending> {
@@ -169,27 +169,27 @@
     Ok(())
 }
 
-fn words_of_sight(sight: &Sight) -> String {
+fn summary_text(summary: &Summary) -> String {
     let mut out =
-        format!("{} operations in {:.1} s: {:.1} a second", sight.operations, sight.length, sight.rate);
-    out += &format!(", {:.0} in the busiest second\n", sight.rate_most);
-    if sight.from_sums > 0 {
-        out += &format!("{} of them from sums, without keys, work and moments\n", sight.from_sums);
+        format!("{} operations in {:.1} s: {:.1} a second", summary.operations, summary.length, summary.rate);
+    out += &format!(", {:.0} in the busiest second\n", summary.peak_rate);
+    if summary.from_sums > 0 {
+        out += &format!("{} of them from sums, without keys, work and moments\n", summary.from_sums);
     }
-    if let Some(work) = sight.work_rate {
+    if let Some(work) = summary.work_rate {
         out += &format!("{work:.2} cores busy at speed 1\n");
     }
-    let part = |count: &u64| *count as f64 / sight.operations.max(1) as f64 * 100.0;
-    for (what, all) in [("class", &sight.by_class), ("zone", &sight.by_zone)] {
+    let part = |count: &u64| *count as f64 / summary.operations.max(1) as f64 * 100.0;
+    for (what, all) in [("class", &summary.by_class), ("zone", &summary.by_zone)] {
         for (name, count) in all.iter().filter(|(_, count)| *count > 0) {
             out += &format!("  {what} {name:<20} {count:>9}  {:>5.1} %\n", part(count));
         }
     }
-    out += &format!("{} keys\n", sight.keys);
-    for (key, share) in &sight.hot_keys {
+    out += &format!("{} keys\n", summary.keys);
+    for (key, share) in &summary.hot_keys {
         out += &format!("  key {key:<22} {:>14.2} %\n", share * 100.0);
     }
-    for (slice, share) in &sight.hot_slices {
+    for (slice, share) in &summary.hot_slices {
         out += &format!("  slice {slice:<20} {:>14.2} %\n", share * 100.0);
     }
     out
@@ -203,7 +203,7 @@
     format!("  {:<12} {parameters:<36} distance {distance:.4} of {allowed:.4}: {fits}\n", candidate.name)
 }
 
-fn words_of_fit(fitted: &Fitted) -> String {
+fn fit_text(fitted: &Fitted) -> String {
     let mut out = String::new();
     match &fitted.arrivals {
         Some(arrivals) => {
--- a/crates/railhub-controller/src/service.rs
+++ b/crates/railhub-controller/src/service.rs
@@ -13,7 +13,7 @@
 use crate::stream_server::{StreamLimits, StreamServer};
 use crate::traffic_writer::TrafficWriter;
 use railhub_net::{now, Listener, Task};
-use railhub_trace::file::TrafficFault;
+use railhub_trace::file::TraceError;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
@@ -27,7 +27,7 @@
     Listen(SocketAddr, std::io::Error),
     /// The traffic file cannot be made.
     #[error("cannot write traffic: {0}")]
-    Traffic(#[from] TrafficFault),
+    Traffic(#[from] TraceError),
     /// The address for other controllers cannot be bound.
     #[error("cannot listen for other controllers on {0}: {1}")]
     Membership(SocketAddr, std::io::Error),
--- a/crates/railhub-controller/src/traffic_writer.rs
+++ b/crates/railhub-controller/src/traffic_writer.rs
@@ -3,8 +3,8 @@
 use crate::installation::Installation;
 use railhub::{ProxyId, Seconds, ZoneId};
 use railhub_proto::{LoadReport, SliceLoad};
-use railhub_trace::file::{TrafficFault, Writer};
-use railhub_trace::{Facts, Row};
+use railhub_trace::file::{TraceError, TraceWriter};
+use railhub_trace::{TraceHeader, TraceRow};
 use std::fs::File;
 use std::io::BufWriter;
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
 /// Earlier files that are kept beside the present one.
 const MAX_EARLIER_FILES: u32 = 1000;
 
-type Rows = Vec<Row>;
+type Rows = Vec<TraceRow>;
 
 /// Records traffic in a file; dropping it ends the file.
 pub struct TrafficWriter {
@@ -40,10 +40,10 @@
     ///
     /// # Errors
     /// The file cannot be made, or an earlier one cannot be moved.
-    pub fn start(installation: &Installation, now: Seconds) -> Result<Option<TrafficWriter>, TrafficFault> {
+    pub fn start(installation: &Installation, now: Seconds) -> Result<Option<TrafficWriter>, TraceError> {
         let Some(path) = &installation.traffic else { return Ok(None) };
         let slices = u32::from(installation.config.slice_count);
-        let facts = Facts {
+        let header = TraceHeader {
             classes: installation.class_names.clone(),
             zones: (0..MAX_ZONES).map(|zone| format!("zone-{zone}")).collect(),
             slices,
@@ -51,9 +51,9 @@
             proxies: 0,
             length: 0.0,
         };
-        let classes = facts.classes.len();
-        let file_error = |error| TrafficFault::File(path.display().to_string(), error);
-        let writer = open(path, &facts).map_err(file_error)?;
+        let classes = header.classes.len();
+        let file_error = |error| TraceError::Io { file: path.display().to_string(), error };
+        let writer = open(path, &header).map_err(file_error)?;
         let (sender, receiver) = sync_channel(MAX_PENDING_REPORTS);
         let thread = std::thread::spawn(move || {
             if let Err(error) = write(writer, &receiver) {
@@ -74,7 +74,7 @@
         let span = report.span.clamp(0.0, at);
         let mut rows = Rows::new();
         for load in report.slices.iter().filter(|load| self.is_recorded(load)) {
-            rows.push(Row {
+            rows.push(TraceRow {
                 at,
                 class: load.class,
                 slice: load.slice,
@@ -105,10 +105,10 @@
     }
 }
 
-fn open(path: &Path, facts: &Facts) -> std::io::Result<Writer<BufWriter<File>>> {
+fn open(path: &Path, header: &TraceHeader) -> std::io::Result<TraceWriter<BufWriter<File>>> {
     move_earlier_file(path)?;
     let file = File::create(path)?;
-    Writer::start(BufWriter::new(file), facts)
+    TraceWriter::start(BufWriter::new(file), header)
 }
 
 /// Moves the file of an earlier process to the first name with a free number.
@@ -128,14 +128,14 @@
 }
 
 /// Writes rows until their sender is dropped, then ends the file.
-fn write(mut writer: Writer<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
+fn write(mut writer: TraceWriter<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
     let began = Instant::now();
     let mut flushed_at = began;
     loop {
         match rows.recv_timeout(FLUSH_INTERVAL) {
             Ok(rows) => {
                 for row in &rows {
-                    writer.put(row)?;
+                    writer.write_row(row)?;
                 }
             }
             Err(RecvTimeoutError::Timeout) => {}
--- a/crates/railhub-controller/src/traffic_writer/tests.rs
+++ b/crates/railhub-controller/src/traffic_writer/tests.rs
@@ -31,8 +31,8 @@
     drop(writer);
     let opened = file::open(&path).expect("a good file");
     std::fs::remove_file(&path).expect("there");
-    assert!(!opened.cut_off);
-    let seen: Vec<_> = opened.traffic.rows.iter().map(|r| (r.at, r.slice, r.zone, r.count, r.span)).collect();
+    assert!(!opened.truncated);
+    let seen: Vec<_> = opened.trace.rows.iter().map(|r| (r.at, r.slice, r.zone, r.count, r.span)).collect();
     assert_eq!(seen, [(1.0, 0, 1, 30, 1.0), (5.0, 2, 1, 30, 2.0)]);
 }
 
@@ -47,7 +47,7 @@
         writer.record(12.0 + f64::from(n), ProxyId(3), ZoneId(1), &report(n, 0));
         drop(writer);
     }
-    let slice = |name: &str| file::open(&folder.join(name)).expect("a good file").traffic.rows[0].slice;
+    let slice = |name: &str| file::open(&folder.join(name)).expect("a good file").trace.rows[0].slice;
     assert_eq!(["ops.1", "ops.2", "ops"].map(slice), [0, 1, 2]);
     std::fs::remove_dir_all(folder).expect("ours");
 }
--- a/crates/railhub-scenario/src/reader/traffic.rs
+++ b/crates/railhub-scenario/src/reader/traffic.rs
@@ -1,8 +1,8 @@
 //! `[load] traffic`: recorded operations that replace drawn ones, mapped to the scenario's classes and zones.
 use crate::scenario::OperationClass;
 use railhub_ini::{Diagnostic, Section};
-use railhub_trace::scale::{scale, CopiesOf};
-use railhub_trace::{file, Traffic, OPERATIONS_MOST};
+use railhub_trace::scale::{scale, CopyKeys};
+use railhub_trace::{file, Trace, MAX_OPERATIONS};
 use std::path::Path;
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     folder: &Path,
     zones: &[String],
     classes: &[OperationClass],
-) -> Result<Option<Arc<Traffic>>, Diagnostic> {
+) -> Result<Option<Arc<Trace>>, Diagnostic> {
     let Some(name) = load.text("traffic") else { return Ok(None) };
     if load.text("share").is_some() || load.text("shape").is_some() {
         let message = "says what comes: share and shape may not stand beside it";
@@ -23,9 +23,9 @@
     }
     let opened = file::open(&folder.join(name)).map_err(|error| load.diagnostic("traffic", error))?;
     let scaling = Scaling::read(load)?;
-    let mut traffic = opened.traffic;
-    if (traffic.operations() as f64 * scaling.multiple) as u64 > OPERATIONS_MOST {
-        let message = format!("has more than {OPERATIONS_MOST} operations: cut it, or scale it down");
+    let mut traffic = opened.trace;
+    if (traffic.operations() as f64 * scaling.multiple) as u64 > MAX_OPERATIONS {
+        let message = format!("has more than {MAX_OPERATIONS} operations: cut it, or scale it down");
         return Err(load.diagnostic("traffic", message));
     }
     let class_names = classes.iter().map(|class| class.facts.name.clone()).collect();
@@ -41,12 +41,12 @@
     /// Factor on the times.
     stretch: f64,
     /// Which keys copies have.
-    copies: CopiesOf,
+    copies: CopyKeys,
 }
 
 impl Scaling {
     fn read(load: &Section) -> Result<Scaling, Diagnostic> {
-        let copies = [("same keys", CopiesOf::SameKeys), ("other keys", CopiesOf::OtherKeys)];
+        let copies = [("same keys", CopyKeys::SameKeys), ("other keys", CopyKeys::OtherKeys)];
         Ok(Scaling {
             multiple: load.in_range("traffic_times", 1.0, 0.001, 1000.0)?,
             stretch: load.in_range("traffic_stretch", 1.0, 0.01, 100.0)?,
@@ -54,7 +54,7 @@
         })
     }
 
-    fn apply(self, traffic: Traffic) -> Traffic {
+    fn apply(self, traffic: Trace) -> Trace {
         if self.multiple == 1.0 && self.stretch == 1.0 {
             return traffic;
         }
@@ -71,17 +71,17 @@
 }
 
 /// Replaces the recording's class and zone indexes by the scenario's.
-fn map_names(traffic: &mut Traffic, classes: Vec<String>, zones: Vec<String>) -> Result<(), UnknownName> {
-    let class_indexes = indexes(&traffic.facts.classes, &classes, "class-");
-    let zone_indexes = indexes(&traffic.facts.zones, &zones, "zone-");
+fn map_names(traffic: &mut Trace, classes: Vec<String>, zones: Vec<String>) -> Result<(), UnknownName> {
+    let class_indexes = indexes(&traffic.header.classes, &classes, "class-");
+    let zone_indexes = indexes(&traffic.header.zones, &zones, "zone-");
     for row in &mut traffic.rows {
         let (class, zone) = (row.class as usize, row.zone as usize);
         let unknown = |what, names: &[String], index: usize| UnknownName { what, name: names[index].clone() };
-        row.class = class_indexes[class].ok_or_else(|| unknown("class", &traffic.facts.classes, class))?;
-        row.zone = zone_indexes[zone].ok_or_else(|| unknown("zone", &traffic.facts.zones, zone))?;
+        row.class = class_indexes[class].ok_or_else(|| unknown("class", &traffic.header.classes, class))?;
+        row.zone = zone_indexes[zone].ok_or_else(|| unknown("zone", &traffic.header.zones, zone))?;
     }
-    traffic.facts.classes = classes;
-    traffic.facts.zones = zones;
+    traffic.header.classes = classes;
+    traffic.header.zones = zones;
     Ok(())
 }
 
--- a/crates/railhub-scenario/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -7,7 +7,7 @@
 use crate::draw::random::{key_distribution, proxy_weights_by_zone, random_stream, weighted_index};
 use crate::scenario::Scenario;
 use railhub_record::{Event, EventKind, Limits, OperationEnd};
-use railhub_trace::{Facts, Row, Traffic};
+use railhub_trace::{Trace, TraceHeader, TraceRow};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
@@ -18,7 +18,7 @@
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The slice of a row in a scenario with `slices` slices: as recorded, or by a hash of the key where the number differs.
-fn slice_of(row: &Row, recorded_slices: u32, slices: u32) -> u32 {
+fn slice_of(row: &TraceRow, recorded_slices: u32, slices: u32) -> u32 {
     if slices == 0 {
         return 0;
     }
@@ -32,17 +32,17 @@
 }
 
 /// The fraction of recorded operations for each slice; each slice counts one operation more than it has.
-pub(crate) fn slice_sizes(traffic: &Traffic, slices: u32) -> Vec<f64> {
+pub(crate) fn slice_sizes(traffic: &Trace, slices: u32) -> Vec<f64> {
     let mut counts = vec![1.0; slices.max(1) as usize];
     for row in &traffic.rows {
-        counts[slice_of(row, traffic.facts.slices, slices) as usize] += f64::from(row.count);
+        counts[slice_of(row, traffic.header.slices, slices) as usize] += f64::from(row.count);
     }
     let total: f64 = counts.iter().sum();
     counts.into_iter().map(|count| count / total).collect()
 }
 
 /// The recorded operations that begin before the scenario's end, in the order of their times.
-pub(crate) fn arrivals(scenario: &Scenario, traffic: &Traffic) -> Vec<Arrival> {
+pub(crate) fn arrivals(scenario: &Scenario, traffic: &Trace) -> Vec<Arrival> {
     let mut replay = Replay::new(scenario, traffic);
     let mut arrivals = Vec::new();
     for row in &traffic.rows {
@@ -59,7 +59,7 @@
 
 struct Replay<'a> {
     scenario: &'a Scenario,
-    facts: &'a Facts,
+    header: &'a TraceHeader,
     random: ChaCha8Rng,
     /// Weights of the proxies, by zone.
     proxy_weights: Vec<Vec<f64>>,
@@ -67,20 +67,20 @@
 }
 
 impl<'a> Replay<'a> {
-    fn new(scenario: &'a Scenario, traffic: &'a Traffic) -> Replay<'a> {
+    fn new(scenario: &'a Scenario, traffic: &'a Trace) -> Replay<'a> {
         let mut random = random_stream(scenario.seed, "operations");
         let proxy_weights = proxy_weights_by_zone(scenario, &mut random);
-        Replay { scenario, facts: &traffic.facts, random, proxy_weights, keys: key_distribution(scenario) }
+        Replay { scenario, header: &traffic.header, random, proxy_weights, keys: key_distribution(scenario) }
     }
 
     /// One operation of a row; none if it begins after the scenario's end. Its number is set later.
-    fn draw(&mut self, row: &Row) -> Option<Arrival> {
+    fn draw(&mut self, row: &TraceRow) -> Option<Arrival> {
         let scenario = self.scenario;
         let at = row.at - self.random.random::<f64>() * row.span;
         if at >= scenario.length {
             return None;
         }
-        let slice = slice_of(row, self.facts.slices, scenario.slices) as usize;
+        let slice = slice_of(row, self.header.slices, scenario.slices) as usize;
         let key = row.key.unwrap_or_else(|| self.draw_key(slice));
         let mut zone_weights = vec![0.0; scenario.zones.len()];
         zone_weights[row.zone as usize] = 1.0;
@@ -100,8 +100,8 @@
     }
 
     /// The recorded proxy if the scenario has it, else one of the zone's.
-    fn proxy(&mut self, row: &Row, zone: usize) -> usize {
-        let same_proxies = self.facts.proxies as usize == self.scenario.proxies;
+    fn proxy(&mut self, row: &TraceRow, zone: usize) -> usize {
+        let same_proxies = self.header.proxies as usize == self.scenario.proxies;
         let zone_kept = zone == row.zone as usize;
         let recorded = row.proxy as usize;
         if same_proxies && zone_kept && recorded < self.scenario.proxies {
@@ -112,16 +112,16 @@
 }
 
 /// The operations of a run, out of its record.
-pub fn of_record(events: &[Event], limits: &Limits) -> Traffic {
-    let facts = Facts {
+pub fn of_record(events: &[Event], limits: &Limits) -> Trace {
+    let header = TraceHeader {
         classes: limits.classes.iter().map(|class| class.name.clone()).collect(),
         zones: zone_names(events, limits),
         slices: limits.slices,
         proxies: limits.proxies,
         length: limits.until - limits.from,
     };
-    let rows = operations(events).map(|end| recorded_row(end, limits.from, facts.length)).collect();
-    let mut traffic = Traffic { facts, rows };
+    let rows = operations(events).map(|end| recorded_row(end, limits.from, header.length)).collect();
+    let mut traffic = Trace { header, rows };
     traffic.sort();
     traffic
 }
@@ -133,10 +133,10 @@
     })
 }
 
-fn recorded_row(end: &OperationEnd, start: f64, length: f64) -> Row {
+fn recorded_row(end: &OperationEnd, start: f64, length: f64) -> TraceRow {
     // A client may begin some hundredths of a second late: the last of them are still of this run.
     let latest = (length - LAST_START_MARGIN).max(0.0);
-    Row {
+    TraceRow {
         at: (end.began - start).clamp(0.0, latest),
         class: end.class,
         slice: end.slice,
--- a/crates/railhub-scenario/src/replay/tests.rs
+++ b/crates/railhub-scenario/src/replay/tests.rs
@@ -7,17 +7,17 @@
 const TEXT: &str = "[day]\nlength = 5\n[fleet]\nhosts = 3\nproxies = 4\nslices = 6\nzones = a, b\n\
     [load]\ntraffic = FILE\n[kind k]\ncores = 2\n[class view]\nwork = 0.05\ncontract_time = 0.5\nhard_stop = 1\n";
 
-fn row(at: f64, key: u64) -> Row {
+fn row(at: f64, key: u64) -> TraceRow {
     let (slice, work) = ((key % 6) as u32, Some(0.02));
-    Row { at, class: 0, slice, zone: 1, proxy: 3, key: Some(key), work, count: 1, span: 0.0 }
+    TraceRow { at, class: 0, slice, zone: 1, proxy: 3, key: Some(key), work, count: 1, span: 0.0 }
 }
 
-fn traffic(rows: Vec<Row>) -> Traffic {
+fn traffic(rows: Vec<TraceRow>) -> Trace {
     let (classes, zones) = (vec!["view".into()], vec!["a".into(), "b".into()]);
-    Traffic { facts: Facts { classes, zones, slices: 6, proxies: 4, length: 9.0 }, rows }
+    Trace { header: TraceHeader { classes, zones, slices: 6, proxies: 4, length: 9.0 }, rows }
 }
 
-fn scenario(name: &str, traffic: &Traffic, change: (&str, &str)) -> Result<Scenario, String> {
+fn scenario(name: &str, traffic: &Trace, change: (&str, &str)) -> Result<Scenario, String> {
     let file = std::env::temp_dir().join(format!("railhub-replay-{}-{name}", std::process::id()));
     file::save(&file, traffic).expect("writable");
     let text = TEXT.replace("FILE", file.file_name().and_then(|n| n.to_str()).expect("a name"));
@@ -39,7 +39,7 @@
 
 #[test]
 fn what_sums_lack_is_drawn_within_their_span() {
-    let sums = Row { span: 2.0, count: 40, key: None, work: None, ..row(4.0, 5) };
+    let sums = TraceRow { span: 2.0, count: 40, key: None, work: None, ..row(4.0, 5) };
     let scenario =
         scenario("sums", &traffic(vec![sums]), ("proxies = 4", "proxies = 8")).expect("a good day");
     let arrivals = draw::arrivals(&scenario, 1.0);
@@ -88,7 +88,7 @@
     let limits = Limits { from: 2.0, until: 7.0, ..scenario.limits.clone() };
     let events = [end(1, 2.25), end(2, 4.5), end(3, 7.0008)];
     let recorded = of_record(&events, &limits);
-    assert_eq!(recorded.facts.zones, ["a", "b"]);
+    assert_eq!(recorded.header.zones, ["a", "b"]);
     let again = Scenario { replay: Some(Arc::new(recorded)), ..scenario };
     let arrivals = draw::arrivals(&again, 1.0);
     let seen: Vec<_> = arrivals.iter().map(|a| (a.at, a.drawn.key, a.proxy, a.drawn.work)).collect();
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -5,7 +5,7 @@
 use railhub_emulator::OperationClass as EmulatedClass;
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::Limits;
-use railhub_trace::Traffic;
+use railhub_trace::Trace;
 use std::sync::Arc;
 
 /// A class of operations.
@@ -99,7 +99,7 @@
     /// Keys of a slice.
     pub keys_per_slice: usize,
     /// Recorded operations that replace drawn ones.
-    pub replay: Option<Arc<Traffic>>,
+    pub replay: Option<Arc<Trace>>,
     /// Classes of operations, in the order of the file.
     pub classes: Vec<OperationClass>,
     /// How clients retry.
--- a/crates/railhub-trace/src/cut.rs
+++ b/crates/railhub-trace/src/cut.rs
@@ -1,38 +1,50 @@
-//! Takes a part of recorded traffic.
-use crate::{Row, Traffic};
+//! Owns selecting a part of a trace.
+use crate::{Trace, TraceRow};
 
-/// What stays. Times are seconds of the recording.
+/// Which rows are kept. Times are seconds of the recording.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
+    /// Start of the part, inclusive.
     pub from: f64,
+    /// End of the part, exclusive; `None`: the end of the recording.
     pub until: Option<f64>,
-    /// Empty: all.
+    /// Indexes of the classes that are kept; empty: all.
     pub classes: Vec<u32>,
+    /// Indexes of the zones that are kept; empty: all.
     pub zones: Vec<u32>,
 }
 
-/// The part, with times that begin at its start. Sums whose span reaches over an edge stay with the share of
-/// their operations that lies inside.
-pub fn cut(traffic: &Traffic, part: &Part) -> Traffic {
-    let until = part.until.unwrap_or(traffic.facts.length).min(traffic.facts.length);
-    let length = (until - part.from).max(0.0);
-    let named = |names: &[u32], name: u32| names.is_empty() || names.contains(&name);
-    let rows =
-        traffic.rows.iter().filter(|row| named(&part.classes, row.class) && named(&part.zones, row.zone));
-    let mut cut = Traffic { facts: traffic.facts.clone(), rows: Vec::new() };
-    cut.rows.extend(rows.filter_map(|row| inside(row, part.from, until)));
-    cut.facts.length = length;
-    cut
+impl Part {
+    fn selects(&self, row: &TraceRow) -> bool {
+        contains_or_empty(&self.classes, row.class) && contains_or_empty(&self.zones, row.zone)
+    }
+}
+
+fn contains_or_empty(indexes: &[u32], index: u32) -> bool {
+    indexes.is_empty() || indexes.contains(&index)
+}
+
+/// Returns the part, with times from its start. Of an aggregate whose span crosses an edge, the operations inside are
+/// kept in proportion.
+pub fn cut(trace: &Trace, part: &Part) -> Trace {
+    let until = part.until.unwrap_or(trace.header.length).min(trace.header.length);
+    let mut header = trace.header.clone();
+    header.length = (until - part.from).max(0.0);
+    let selected = trace.rows.iter().filter(|row| part.selects(row));
+    let rows = selected.filter_map(|row| clip(row, part.from, until)).collect();
+    Trace { header, rows }
 }
 
-fn inside(row: &Row, from: f64, until: f64) -> Option<Row> {
+/// The part of a row inside the interval, if any.
+fn clip(row: &TraceRow, from: f64, until: f64) -> Option<TraceRow> {
     if row.span == 0.0 {
-        return (from..until).contains(&row.at).then_some(Row { at: row.at - from, ..*row });
+        return (from..until).contains(&row.at).then_some(TraceRow { at: row.at - from, ..*row });
     }
-    let (begin, end) = ((row.at - row.span).max(from), row.at.min(until));
+    let begin = (row.at - row.span).max(from);
+    let end = row.at.min(until);
     let span = end - begin;
     let count = (f64::from(row.count) * span / row.span).round() as u32;
-    (span > 0.0 && count > 0).then_some(Row { at: end - from, span, count, ..*row })
+    (span > 0.0 && count > 0).then_some(TraceRow { at: end - from, span, count, ..*row })
 }
 
 #[cfg(test)]
--- a/crates/railhub-trace/src/file/tests.rs
+++ b/crates/railhub-trace/src/file/tests.rs
@@ -1,8 +1,10 @@
+use super::blocks::{MAX_BLOCK_ROWS, TICKS_PER_SECOND};
 use super::*;
 use crate::samples::{row, traffic};
+use crate::TraceRow;
 use proptest::prelude::*;
 
-fn rows(count: usize) -> Vec<Row> {
+fn rows(count: usize) -> Vec<TraceRow> {
     (0..count).map(|n| row(n as f64 / 1000.0, (n % 2) as u32, (n * n % 91) as u64)).collect()
 }
 
@@ -11,7 +13,7 @@
     let traffic = traffic(rows(10_000));
     let bytes = write(Vec::new(), &traffic).expect("memory");
     let opened = read("t", &bytes).expect("whole");
-    assert!(opened == Opened { traffic, cut_off: false });
+    assert!(opened == LoadedTrace { trace: traffic, truncated: false });
     assert!(bytes.len() < 10_000 * 14, "{} bytes", bytes.len());
 }
 
@@ -21,17 +23,19 @@
     let bytes = write(Vec::new(), &traffic).expect("memory");
     for end in (200..bytes.len()).step_by(997) {
         let opened = read("t", &bytes[..end]).expect("the part before the cut is good");
-        assert!(opened.cut_off);
-        assert_eq!(opened.traffic.rows.len() % BLOCK_ROWS, if end > bytes.len() - 60 { 904 } else { 0 });
-        assert!(traffic.rows.starts_with(&opened.traffic.rows));
+        assert!(opened.truncated);
+        assert_eq!(opened.trace.rows.len() % MAX_BLOCK_ROWS, if end > bytes.len() - 60 { 904 } else { 0 });
+        assert!(traffic.rows.starts_with(&opened.trace.rows));
     }
-    assert!(matches!(read("t", &bytes[..30]), Err(TrafficFault::Damaged(_, 1, _))));
+    assert!(matches!(read("t", &bytes[..30]), Err(TraceError::Corrupt { block: 1, .. })));
 }
 
 #[test]
 fn another_version_and_another_file_are_told_apart() {
-    assert!(matches!(read("t", b"railhub traffic 9\nxyz"), Err(TrafficFault::Version(_, v)) if v == "9"));
-    assert!(matches!(read("t", b"railhub record 1"), Err(TrafficFault::Foreign(_))));
+    assert!(
+        matches!(read("t", b"railhub traffic 9\nxyz"), Err(TraceError::UnsupportedVersion { version, .. }) if version == "9")
+    );
+    assert!(matches!(read("t", b"railhub record 1"), Err(TraceError::NotATrace(_))));
 }
 
 proptest! {
@@ -39,15 +43,15 @@
     fn rows_of_sums_and_of_operations_come_back(
         all in prop::collection::vec((0..1_000_000u32, 0..2u32, prop::option::of(0..u64::MAX - 1), prop::option::of(0..9_000_000u32), 1..50u32), 0..60)
     ) {
-        let one = |(at, class, key, work, count): (u32, u32, Option<u64>, Option<u32>, u32)| Row {
-            at: f64::from(at) / STEPS, class, slice: 1, zone: 0, proxy: 5, key,
-            work: work.map(|work| f64::from(work) / STEPS), count, span: f64::from(at / 2) / STEPS,
+        let one = |(at, class, key, work, count): (u32, u32, Option<u64>, Option<u32>, u32)| TraceRow {
+            at: f64::from(at) / TICKS_PER_SECOND, class, slice: 1, zone: 0, proxy: 5, key,
+            work: work.map(|work| f64::from(work) / TICKS_PER_SECOND), count, span: f64::from(at / 2) / TICKS_PER_SECOND,
         };
         let mut traffic = traffic(all.into_iter().map(one).collect());
         traffic.sort();
-        traffic.facts.length = 2.0;
+        traffic.header.length = 2.0;
         let bytes = write(Vec::new(), &traffic).expect("memory");
-        prop_assert_eq!(read("t", &bytes).expect("whole").traffic, traffic);
+        prop_assert_eq!(read("t", &bytes).expect("whole").trace, traffic);
     }
 
     #[test]
--- a/crates/railhub-trace/src/fit/tests.rs
+++ b/crates/railhub-trace/src/fit/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::samples::{row, traffic};
-use crate::Row;
+use crate::TraceRow;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Gamma as DrawGamma, LogNormal as DrawLogNormal, Zipf};
@@ -13,13 +13,13 @@
     count: usize,
     gap: impl Fn(&mut ChaCha8Rng) -> f64,
     key: impl Fn(&mut ChaCha8Rng) -> u64,
-) -> Vec<Row> {
+) -> Vec<TraceRow> {
     let (mut chance, mut at) = (chance(), 0.0);
     let work = DrawLogNormal::new(-2.0, 0.5).expect("right");
     let one = |_| {
         at += gap(&mut chance);
         let key = key(&mut chance);
-        Row { work: Some(work.sample(&mut chance)), ..row(at, 0, key) }
+        TraceRow { work: Some(work.sample(&mut chance)), ..row(at, 0, key) }
     };
     (0..count).map(one).collect()
 }
@@ -46,11 +46,11 @@
 
 #[test]
 fn a_sliver_at_the_end_has_no_rate_of_its_own() {
-    let mut rows: Vec<Row> =
+    let mut rows: Vec<TraceRow> =
         (0..1000).map(|n| row(f64::from(n) / 100.0, 0, u64::from(n as u32 % 9))).collect();
     rows.push(row(10.0008, 0, 1));
     let mut all = traffic(rows);
-    all.facts.length = 10.001;
+    all.header.length = 10.001;
     let rates = fit(&all).arrivals.expect("single operations").rates;
     assert_eq!(rates.len(), 2);
     assert!(rates.iter().all(|rate| (rate - 100.0).abs() < 1.0), "{rates:?}");
@@ -87,7 +87,7 @@
 
 #[test]
 fn sums_and_too_few_values_are_fitted_to_nothing() {
-    let sums = Row { span: 1.0, count: 50, key: None, work: None, ..row(1.0, 0, 0) };
+    let sums = TraceRow { span: 1.0, count: 50, key: None, work: None, ..row(1.0, 0, 0) };
     let fitted = fit(&traffic(vec![sums; 100]));
     assert!(fitted.arrivals.is_none() && fitted.keys.is_none() && fitted.work.is_empty());
 }
--- a/crates/railhub-trace/src/lib.rs
+++ b/crates/railhub-trace/src/lib.rs
@@ -1,60 +1,77 @@
-//! Recorded traffic: what came, when, for which key, and how much work it was, where that is known.
+//! Owns workload traces: which operations arrived, when, for which key, and how much work each was, where known.
 //!
-//! Two makers write it. Clients know each operation. A steward only has sums: so many operations of a class for
-//! a slice, at a proxy, within a span; such a row stands for all of them, and has neither key nor work.
-//! [`file`] keeps rows, [`cut`] takes parts, [`scale`] makes more or less of them, [`fit`] says what they look
-//! like, [`show`] sums them up. All but [`file`] are free of I/O.
+//! A trace has one of two sources. Clients record each operation. A controller records aggregates from load reports:
+//! a number of operations of a class for a slice, at a proxy, within a span. Such a row has neither key nor work.
+//!
+//! [`file`] stores rows, [`cut`] selects some, [`scale`] changes their rate, [`fit`] fits distributions and [`show`]
+//! summarizes. Only [`file`] does I/O.
+#![warn(missing_docs)]
+
 pub mod cut;
 pub mod file;
 pub mod fit;
 pub mod scale;
 pub mod show;
 
-/// Operations that are made of one recording: past it they do not fit a machine's memory.
-pub const OPERATIONS_MOST: u64 = 50_000_000;
+/// Maximum operations of a trace that is scaled or replayed; bounds memory.
+pub const MAX_OPERATIONS: u64 = 50_000_000;
 
-/// Rows of one recording, in the order of their times. Times are seconds from its start.
+/// Rows of one recording, in order of time. Times are seconds from its start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Traffic {
-    pub facts: Facts,
-    pub rows: Vec<Row>,
+pub struct Trace {
+    /// Names and dimensions that the rows refer to.
+    pub header: TraceHeader,
+    /// Operations and aggregates of operations.
+    pub rows: Vec<TraceRow>,
 }
 
 /// What holds for all rows.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct TraceHeader {
+    /// Class names; a row holds an index into them.
     pub classes: Vec<String>,
+    /// Zone names; a row holds an index into them.
     pub zones: Vec<String>,
-    /// 0: operations were not cut into slices.
+    /// Number of slices of the key space; 0 if it was not partitioned.
     pub slices: u32,
+    /// Number of proxies; 0 if unknown.
     pub proxies: u32,
-    /// Seconds that were recorded.
+    /// Length of the recording in seconds.
     pub length: f64,
 }
 
+/// One operation, or an aggregate of operations that differ only in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Row {
-    /// Of sums: when their span ended.
+pub struct TraceRow {
+    /// Seconds from the start of the recording; of an aggregate, when its span ended.
     pub at: f64,
+    /// Index of the class.
     pub class: u32,
+    /// Index of the slice.
     pub slice: u32,
+    /// Index of the zone.
     pub zone: u32,
+    /// Index of the proxy.
     pub proxy: u32,
+    /// The key, if known.
     pub key: Option<u64>,
-    /// Core seconds at speed 1.
+    /// Core seconds at speed 1, if known.
     pub work: Option<f64>,
-    /// Operations that the row stands for, over the span before its time; a single one has no span.
+    /// Number of operations in the row.
     pub count: u32,
+    /// Seconds before `at` over which an aggregate's operations arrived; 0 for a single operation.
     pub span: f64,
 }
 
-impl Traffic {
+impl Trace {
+    /// Number of operations over all rows.
     pub fn operations(&self) -> u64 {
         self.rows.iter().map(|row| u64::from(row.count)).sum()
     }
 
+    /// Sorts the rows by time; rows of the same time keep their order.
     pub fn sort(&mut self) {
-        self.rows.sort_by(|a, b| a.at.total_cmp(&b.at));
+        self.rows.sort_by(|left, right| left.at.total_cmp(&right.at));
     }
 }
 
--- a/crates/railhub-trace/src/show.rs
+++ b/crates/railhub-trace/src/show.rs
@@ -1,77 +1,127 @@
-//! Sums recorded traffic up.
-use crate::Traffic;
+//! Owns the summary of a trace: counts, rates, and the hottest keys and slices.
+use crate::{Trace, TraceRow};
 use serde::Serialize;
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Keys and slices that are named, the hottest first.
-const NAMED: usize = 5;
+/// Maximum keys, and slices, that a summary lists.
+const MAX_HOTTEST_LISTED: usize = 5;
+/// Shortest time, in seconds, that counts are divided by.
+const MIN_SECONDS: f64 = 1e-9;
 
+/// Summary of a trace. The names of its fields are those of the JSON output.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Sight {
-    /// Seconds.
+pub struct Summary {
+    /// Length in seconds.
     pub length: f64,
+    /// Number of operations.
     pub operations: u64,
-    /// Operations that came as sums: neither key nor work is known of them.
+    /// Operations in aggregates, of which neither key nor work is known.
     pub from_sums: u64,
+    /// Operations by class name.
     pub by_class: Vec<(String, u64)>,
+    /// Operations by zone name.
     pub by_zone: Vec<(String, u64)>,
+    /// Number of distinct keys.
     pub keys: usize,
-    /// The hottest keys and slices with their shares of all operations.
+    /// The hottest keys with their fractions of all operations.
     pub hot_keys: Vec<(u64, f64)>,
+    /// The hottest slices with their fractions of all operations.
     pub hot_slices: Vec<(u32, f64)>,
-    /// Operations a second: mean, and the most of any second.
+    /// Mean operations a second.
     pub rate: f64,
-    pub rate_most: f64,
+    /// Operations in the busiest second.
+    #[serde(rename = "rate_most")]
+    pub peak_rate: f64,
     /// Core seconds a second, where work is known.
     pub work_rate: Option<f64>,
 }
 
-pub fn sight(traffic: &Traffic) -> Sight {
-    let (mut keys, mut slices, mut seconds) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-    let (mut classes, mut zones) = (vec![0; traffic.facts.classes.len()], vec![0; traffic.facts.zones.len()]);
-    let (mut from_sums, mut work) = (0, None::<f64>);
-    for row in &traffic.rows {
+/// Summarizes a trace.
+pub fn summarize(trace: &Trace) -> Summary {
+    let mut counts = Counts::new(trace);
+    for row in &trace.rows {
+        counts.add(row);
+    }
+    let operations = trace.operations();
+    let length = trace.header.length.max(MIN_SECONDS);
+    Summary {
+        length: trace.header.length,
+        operations,
+        from_sums: counts.aggregated,
+        by_class: trace.header.classes.iter().cloned().zip(counts.classes).collect(),
+        by_zone: trace.header.zones.iter().cloned().zip(counts.zones).collect(),
+        keys: counts.keys.len(),
+        hot_keys: hottest(counts.keys, operations),
+        hot_slices: hottest(counts.slices, operations),
+        rate: operations as f64 / length,
+        peak_rate: counts.seconds.into_values().fold(0.0, f64::max),
+        work_rate: counts.work.map(|work| work / length),
+    }
+}
+
+/// Counts of operations as rows are added.
+struct Counts {
+    keys: BTreeMap<u64, u64>,
+    slices: BTreeMap<u32, u64>,
+    seconds: BTreeMap<u64, f64>,
+    classes: Vec<u64>,
+    zones: Vec<u64>,
+    aggregated: u64,
+    /// Core seconds.
+    work: Option<f64>,
+}
+
+impl Counts {
+    fn new(trace: &Trace) -> Counts {
+        Counts {
+            keys: BTreeMap::new(),
+            slices: BTreeMap::new(),
+            seconds: BTreeMap::new(),
+            classes: vec![0; trace.header.classes.len()],
+            zones: vec![0; trace.header.zones.len()],
+            aggregated: 0,
+            work: None,
+        }
+    }
+
+    fn add(&mut self, row: &TraceRow) {
         let count = u64::from(row.count);
-        classes[row.class as usize] += count;
-        zones[row.zone as usize] += count;
-        *slices.entry(row.slice).or_insert(0) += count;
+        self.classes[row.class as usize] += count;
+        self.zones[row.zone as usize] += count;
+        *self.slices.entry(row.slice).or_insert(0) += count;
         if let Some(key) = row.key {
-            *keys.entry(key).or_insert(0) += count;
+            *self.keys.entry(key).or_insert(0) += count;
         }
         if row.span > 0.0 {
-            from_sums += count;
+            self.aggregated += count;
         }
-        let (begin, span) = (row.at - row.span, row.span.max(1e-9));
-        for second in begin as u64..=row.at as u64 {
-            let inside = ((second + 1) as f64).min(row.at.max(begin + span)) - (second as f64).max(begin);
-            *seconds.entry(second).or_insert(0.0) += f64::from(row.count) * (inside / span).clamp(0.0, 1.0);
-        }
-        if let Some(one) = row.work {
-            *work.get_or_insert(0.0) += one * f64::from(row.count);
+        self.add_to_seconds(row);
+        if let Some(work) = row.work {
+            *self.work.get_or_insert(0.0) += work * f64::from(row.count);
         }
     }
-    let operations = traffic.operations();
-    let length = traffic.facts.length.max(1e-9);
-    Sight {
-        length: traffic.facts.length,
-        operations,
-        from_sums,
-        by_class: traffic.facts.classes.iter().cloned().zip(classes).collect(),
-        by_zone: traffic.facts.zones.iter().cloned().zip(zones).collect(),
-        keys: keys.len(),
-        hot_keys: hottest(keys, operations),
-        hot_slices: hottest(slices, operations),
-        rate: operations as f64 / length,
-        rate_most: seconds.into_values().fold(0.0, f64::max),
-        work_rate: work.map(|work| work / length),
+
+    /// Spreads a row's operations evenly over the seconds of its span.
+    fn add_to_seconds(&mut self, row: &TraceRow) {
+        let begin = row.at - row.span;
+        let span = row.span.max(MIN_SECONDS);
+        let end = row.at.max(begin + span);
+        for second in begin as u64..=row.at as u64 {
+            let overlap = ((second + 1) as f64).min(end) - (second as f64).max(begin);
+            let fraction = (overlap / span).clamp(0.0, 1.0);
+            *self.seconds.entry(second).or_insert(0.0) += f64::from(row.count) * fraction;
+        }
     }
 }
 
-fn hottest<K: Copy>(counts: BTreeMap<K, u64>, all: u64) -> Vec<(K, f64)> {
-    let mut order: Vec<(K, u64)> = counts.into_iter().collect();
-    order.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    order.truncate(NAMED);
-    order.into_iter().map(|(key, count)| (key, count as f64 / all.max(1) as f64)).collect()
+/// The largest counts as fractions of all operations; of equal counts, the smaller index first.
+fn hottest<K: Copy>(counts: BTreeMap<K, u64>, operations: u64) -> Vec<(K, f64)> {
+    let mut ranked: Vec<(K, u64)> = counts.into_iter().collect();
+    ranked.sort_by_key(|(_, count)| Reverse(*count));
+    ranked.truncate(MAX_HOTTEST_LISTED);
+    let fraction = |count: u64| count as f64 / operations.max(1) as f64;
+    ranked.into_iter().map(|(index, count)| (index, fraction(count))).collect()
 }
 
 #[cfg(test)]
