--- a/crates/railhub-steward/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,17 +1,17 @@
 //! A small fleet around a controller, and peers that are driven step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
+use railhub_controller::{Installation, Running};
+use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, READY};
+use railhub_emulator::host::{HostConfig, ListeningHost, SharedSeenOperations};
+use railhub_emulator::routing::RoutingState;
+use railhub_emulator::store::Store;
+use railhub_emulator::ClassProfile;
 use railhub_proto::{
     frame, from_controller, from_proxy, Ack, Deframer, Delta, FromController, FromProxy, LoadReport, Nack,
     Subscribe, MAX_FROM_CONTROLLER_BYTES,
 };
 use railhub_record::{OperationIdempotency, Recorder};
-use railhub_standin::endpoint_list::{EndpointList, ListedEndpoint, READY};
-use railhub_standin::host::{HostConfig, ListeningHost, SharedSeenOperations};
-use railhub_standin::routing::RoutingState;
-use railhub_standin::store::Store;
-use railhub_standin::OperationClass;
-use railhub_steward::{Installation, Running};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Once};
@@ -48,7 +48,7 @@
     static START: Once = Once::new();
     START.call_once(railhub_net::start_runtime);
     let recorder = Recorder::start(None).expect("in memory");
-    let class = OperationClass {
+    let class = ClassProfile {
         name: "view".into(),
         contract_time: 1.0,
         hard_stop: 2.0,
@@ -102,8 +102,8 @@
         config: terms,
         class_names: vec!["view".into()],
         max_reports_per_second: 1000.0,
-        probe_timeout: 0.4,
-        max_concurrent_probes: 16,
+        health_check_timeout: 0.4,
+        max_concurrent_health_checks: 16,
         response_timeout: 3.0,
         subscribe_timeout: 2.0,
         idle_timeout: 30.0,
--- a/crates/railhub-standin/src/host/execution.rs
+++ b/crates/railhub-emulator/src/host/execution.rs
@@ -1,7 +1,7 @@
 //! A host's queue and cores: an operation waits for a core, is worked on, and gets its response.
 use super::connections::send;
 use super::{Host, HostState, Job};
-use crate::operation::OperationClass;
+use crate::operation::ClassProfile;
 use railhub_net::{now, seconds, spawn};
 use railhub_proto::{from_host, AttemptOutcome, Response};
 use railhub_record::{Effect, EventKind};
@@ -93,7 +93,7 @@
     }
 
     /// Takes the time of a job's work, none for a duplicate. Returns whether it was a duplicate; none if it failed.
-    fn work(&self, class: &OperationClass, job: &Job) -> Option<bool> {
+    fn work(&self, class: &ClassProfile, job: &Job) -> Option<bool> {
         let began = now();
         let (operation, zone) = (&job.operation, self.config.zone);
         let duplicate = self.seen_operations.is_duplicate(class, zone, operation.operation_id, began);
--- a/crates/railhub-standin/src/lib.rs
+++ b/crates/railhub-emulator/src/lib.rs
@@ -34,5 +34,5 @@
 pub mod zone_links;
 
 pub use host_connection::AttemptResult;
-pub use operation::{OperationClass, PlannedOperation};
+pub use operation::{ClassProfile, PlannedOperation};
 pub use sabotage::Sabotage;
--- a/crates/railhub-standin/src/operation.rs
+++ b/crates/railhub-emulator/src/operation.rs
@@ -3,7 +3,7 @@
 
 /// A class of operations. Times in seconds.
 #[derive(Clone, Debug)]
-pub struct OperationClass {
+pub struct ClassProfile {
     /// Its name.
     pub name: String,
     /// Seconds within which an operation is in time.
--- a/crates/railhub-standin/src/proxy.rs
+++ b/crates/railhub-emulator/src/proxy.rs
@@ -7,7 +7,7 @@
 use crate::fenced_routing::FencedRouting;
 use crate::host_connection::HostConnection;
 use crate::load_totals::LoadTotals;
-use crate::operation::{OperationClass, PlannedOperation};
+use crate::operation::{ClassProfile, PlannedOperation};
 use crate::routing::{BalancingPolicy, Table};
 use crate::sabotage::Sabotage;
 use crate::update_channel::UpdateChannel;
@@ -51,7 +51,7 @@
 #[derive(Clone)]
 pub struct Environment {
     /// The classes of operations, in the order of their numbers.
-    pub classes: Arc<Vec<OperationClass>>,
+    pub classes: Arc<Vec<ClassProfile>>,
     /// Each controller's address, while it is there.
     pub controllers: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     /// The hosts' zones.
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -1,10 +1,10 @@
 //! What is kept of a run: its record is thrown away.
-use railhub_day::report::service;
+use railhub_invariants::{check, limits};
 use railhub_record::Event;
-use railhub_rules::{check, limits};
-use railhub_series::causes::happenings;
-use railhub_series::tail::Tail;
-use railhub_series::{loads, over_time, tail};
+use railhub_scenario::report::service;
+use railhub_timeseries::causes::happenings;
+use railhub_timeseries::tail::Tail;
+use railhub_timeseries::{loads, over_time, tail};
 use serde::Serialize;
 
 /// The first time that a run broke a rule.
@@ -60,7 +60,7 @@
     Ok(RunFigures {
         day,
         seed,
-        service: service.whole,
+        service: service.overall,
         worst_10_s: service.worst_10_s,
         first_breach: breaches.min_by(|a, b| a.at.total_cmp(&b.at)),
         rules_broken: broken.map(|verdict| verdict.rule).collect(),
--- /dev/null
+++ b/crates/railhub-scenario/src/import.rs
@@ -0,0 +1,133 @@
+//! Writes a scenario file from a scenario that was drawn for the users' bench (JSON): fewer hosts, the same kinds of
+//! faults in the same order at the same times. What cannot be carried over is returned.
+mod cluster;
+mod faults;
+mod load;
+mod scale;
+mod source;
+
+use crate::scenario::Scenario;
+use railhub_ini::{Diagnostic, Document};
+use scale::Scale;
+use source::{seconds, SourceScenario, Tier};
+use std::fmt::Write;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// Hosts at the start unless the caller says otherwise: what one machine plays with ease.
+const DEFAULT_MAX_HOSTS: usize = 24;
+
+/// Why a scenario was not imported.
+#[derive(Debug, thiserror::Error)]
+pub enum ImportError {
+    /// The source cannot be read.
+    #[error("{}: cannot be read: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The source is not a scenario of the bench.
+    #[error("{}:{}: {source}", path.display(), source.line())]
+    Json {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong in it.
+        source: serde_json::Error,
+    },
+    /// The source has no hosts or no zones.
+    #[error("{}:1: no tier of hosts, or no zones", path.display())]
+    NoHosts {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The file that would be written cannot be parsed.
+    #[error(transparent)]
+    Syntax(Diagnostic),
+    /// The file that would be written is not a valid scenario.
+    #[error("the script made of {} is wrong: {diagnostic}", path.display())]
+    Invalid {
+        /// The source file.
+        path: PathBuf,
+        /// What is wrong in the result.
+        diagnostic: Diagnostic,
+    },
+    /// The result cannot be written.
+    #[error("{}: cannot be written: {source}", path.display())]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+}
+
+/// Reads one file, writes the other, and returns what was not carried over, one line each. `hosts` is the number of hosts
+/// at the start; by default that of the source, up to 24.
+///
+/// # Errors
+/// The source cannot be read or makes no valid scenario, or the result cannot be written.
+pub fn import(from: &Path, to: &Path, hosts: Option<usize>) -> Result<Vec<String>, ImportError> {
+    let path = from.to_owned();
+    let text =
+        std::fs::read_to_string(from).map_err(|source| ImportError::Read { path: path.clone(), source })?;
+    let source: SourceScenario =
+        serde_json::from_str(&text).map_err(|source| ImportError::Json { path: path.clone(), source })?;
+    let (Some(tier), true) = (source.tiers.first(), !source.zones.is_empty()) else {
+        return Err(ImportError::NoHosts { path });
+    };
+    let (script, left_out) = translate(&source, tier, hosts);
+    let document = Document::parse(&to.display().to_string(), &script).map_err(ImportError::Syntax)?;
+    Scenario::read(&document).map_err(|diagnostic| ImportError::Invalid { path, diagnostic })?;
+    std::fs::write(to, script).map_err(|source| ImportError::Write { path: to.to_owned(), source })?;
+    Ok(left_out)
+}
+
+/// The text of the scenario file, and what is missing in it.
+fn translate(source: &SourceScenario, tier: &Tier, hosts: Option<usize>) -> (String, Vec<String>) {
+    let hosts_up = source.servers.iter().filter(|server| server.up).count().max(1);
+    let wanted = hosts.unwrap_or(hosts_up.min(DEFAULT_MAX_HOSTS)).max(1);
+    let scale = Scale { ratio: wanted as f64 / hosts_up as f64, hosts: wanted };
+    let mut left_out = features_left_out(source, tier, hosts_up);
+    let mut out = String::new();
+    cluster::write_header(&mut out, source);
+    cluster::write_fleet(&mut out, source, tier, &scale);
+    cluster::write_host_kinds(&mut out, source, tier);
+    load::write_load(&mut out, source);
+    load::write_classes(&mut out, source);
+    load::write_clients(&mut out, source);
+    cluster::write_control(&mut out, source, &scale);
+    cluster::write_rules(&mut out, source, tier, &scale);
+    for (index, fault) in source.faults.iter().enumerate() {
+        let number = index + 1;
+        let Some(keys) = faults::fault_keys(fault, source, &scale, &mut left_out) else {
+            left_out.push(format!("trouble {number} '{}' {}: no such kind here", fault.kind, fault.how));
+            continue;
+        };
+        let (at, duration) = (seconds(fault.at), seconds(fault.duration));
+        let _ = write!(out, "\n[trouble {number}]\nat = {at:.3}\nfor = {duration:.3}\n{keys}");
+    }
+    (out, left_out)
+}
+
+/// Features of the source that scenarios here do not have.
+fn features_left_out(source: &SourceScenario, tier: &Tier, hosts_up: usize) -> Vec<String> {
+    let control = &source.control;
+    let reports_utilization = tier.reports_utilization();
+    let features = [
+        (control.controllers.len() > 1, "a second steward: one has all slices"),
+        (control.exclusive, "single ownership of slices"),
+        (control.tide > 0.0, "slices in demand for a while and then others"),
+        (source.discovery.polled, "a list that must be asked"),
+        (source.traffic.burst_cv > 0.0, "bursts"),
+        (source.clients.impatient > 0.0, "clients that give up at any time"),
+        (!reports_utilization, "load reports other than the busy share"),
+        (tier.kinds.iter().any(|kind| kind.thrash > 0.0), "hosts that slow down when they hold too much"),
+        (tier.kinds.iter().any(|kind| kind.error_rate > 0.0), "errors at random"),
+        (true, "times on the way between zones, prices, handshakes' work, noise in sums"),
+    ];
+    let mut left_out = vec![format!("{hosts_up} hosts at the start; sizes scaled down, see the script")];
+    left_out.extend(features.iter().filter(|(present, _)| *present).map(|(_, name)| (*name).to_owned()));
+    left_out
+}
--- a/crates/railhub-fleet/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -7,13 +7,17 @@
     HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId, WeightedHost,
     ZoneId,
 };
+use railhub_controller::change::Change;
+use railhub_controller::core::{
+    CloseReason, ControllerCore, Environment, ProxyChannel, SessionEvent, StreamId,
+};
+use railhub_controller::delta_queue::{
+    DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction,
+};
+use railhub_controller::publication::Publication;
+use railhub_external_engine::Version;
 use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{ControllerLifecycle, DeltaAcknowledged, DeltaReceived, EventKind, ProxyStream};
-use railhub_steward::change::Change;
-use railhub_steward::core::{CloseReason, ControllerCore, Environment, ProxyChannel, SessionEvent, StreamId};
-use railhub_steward::delta_queue::{DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction};
-use railhub_steward::publication::Publication;
-use railhub_versions::Version;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -90,7 +94,7 @@
 }
 
 impl Environment for Asked {
-    fn probe(&mut self, host: HostId) {
+    fn check_health(&mut self, host: HostId) {
         self.probes.push(host);
     }
     fn store_table(&mut self, slice: SliceId, _: u64, entries: Vec<WeightedHost>) {
@@ -339,7 +343,7 @@
                 WriterAction::WaitUntil(until) => return self.agenda.at(until, Due::Mail(proxy)),
                 WriterAction::Write(publication) => {
                     let lines = publication.change.cost() as f64 + self.day.limits.message_cost;
-                    let took = lines * self.channel_slower / self.day.lines_a_second;
+                    let took = lines * self.channel_slower / self.day.update_lines_per_second;
                     self.channel_free = self.channel_free.max(now) + took;
                     let arrives = self.channel_free + self.physics.way;
                     self.agenda.at(arrives, Due::Delta(proxy, stream, publication));
@@ -407,7 +411,7 @@
             return;
         }
         self.note(EventKind::ProxyStream(ProxyStream { proxy: proxy as u32, open: false, controller: 0 }));
-        let pause = self.proxies[proxy].random() * self.day.redial;
+        let pause = self.proxies[proxy].random() * self.day.reconnect_delay;
         self.agenda.after(pause, Due::Dials(proxy));
     }
 
@@ -458,9 +462,9 @@
     pub fn reports(&mut self, proxy: ProxyAt) {
         let now = self.agenda.now;
         let sums = self.proxies[proxy].totals.take_report(now);
-        let late = self.day.report_late + self.sums_later;
+        let late = self.day.report_delay + self.sums_later;
         self.agenda.after(late, Due::SumsArrive(proxy, Box::new(sums)));
-        self.agenda.after(self.day.report_every, Due::Reports(proxy));
+        self.agenda.after(self.day.report_interval, Due::Reports(proxy));
     }
 
     pub fn sums_arrive(&mut self, proxy: ProxyAt, sums: Box<LoadReport>) {
@@ -471,7 +475,7 @@
     }
 
     pub fn probed(&mut self, place: HostAt) {
-        let (now, within) = (self.agenda.now, self.installation.probe_timeout);
+        let (now, within) = (self.agenda.now, self.installation.health_check_timeout);
         let host = &self.hosts[place];
         let still = (host.ailments.paused_until - now).max(0.0);
         let took = still + self.day.probe_work * host.ailments.slowdown / host.facts.speed;
