--- a/crates/railhub-emulator/src/store.rs
+++ b/crates/railhub-emulator/src/store.rs
@@ -3,6 +3,7 @@
 mod contents;
 mod messages;
 mod server;
+mod shared;
 
 use crate::routing::Table;
 use contents::StoreContents;
@@ -10,10 +11,11 @@
 use railhub_membership::lease_store::{LeaseStore, StoreFaults};
 use railhub_net::{now, spawn, Listener};
 use railhub_record::Recorder;
-use std::collections::{BTreeMap, VecDeque};
+use shared::SharedStore;
+use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -28,21 +30,6 @@
     _listener: Listener,
 }
 
-/// What the store's connections share.
-#[derive(Default)]
-struct SharedStore {
-    contents: Mutex<StoreContents>,
-    /// Earlier contents, and when they were copied, in seconds.
-    copies: Mutex<VecDeque<(f64, StoreContents)>>,
-    unavailable: AtomicBool,
-    response_delay_ms: AtomicU64,
-    loses_responses: AtomicBool,
-    /// Restarts so far; connections from before the last one are closed.
-    restarts: AtomicU64,
-    writes: AtomicU64,
-    recorder: Option<Recorder>,
-}
-
 impl Store {
     /// Opens a store with tables in place, which records nothing.
     ///
@@ -117,12 +104,3 @@
         self.shared.writes.load(Ordering::Relaxed)
     }
 }
-
-impl SharedStore {
-    /// The latest copy from before a time in seconds, else the oldest.
-    fn copy_before(&self, before: f64) -> Option<StoreContents> {
-        let copies = self.copies.lock().expect("no holder panics");
-        let latest = copies.iter().rev().find(|(at, _)| *at <= before);
-        latest.or(copies.front()).map(|(_, copy)| copy.clone())
-    }
-}
