--- a/crates/railhub-emulator/src/client.rs
+++ b/crates/railhub-emulator/src/client.rs
@@ -1,5 +1,5 @@
 //! A client: sends an operation to its proxy, retries as the operation's class allows, and gives up at the hard stop.
-use crate::operation::{ClassProfile, PlannedOperation};
+use crate::operation::{OperationClass, PlannedOperation};
 use crate::proxy::{Proxy, ProxyOutcome, ProxyRequest};
 use railhub_net::{now, seconds};
 use railhub_record::{EventKind, OperationEnd, OperationIdempotency, Outcome, Recorder};
@@ -20,7 +20,7 @@
 pub fn run(
     operation: PlannedOperation,
     config: ClientConfig,
-    class: &ClassProfile,
+    class: &OperationClass,
     proxy: &Arc<Proxy>,
     recorder: &Recorder,
 ) {
@@ -58,7 +58,7 @@
     recorder.record(now(), EventKind::OperationEnd(end));
 }
 
-fn client_outcome(end: ProxyOutcome, elapsed: f64, class: &ClassProfile) -> Outcome {
+fn client_outcome(end: ProxyOutcome, elapsed: f64, class: &OperationClass) -> Outcome {
     match end {
         ProxyOutcome::Completed if elapsed <= class.contract_time => Outcome::Completed,
         ProxyOutcome::Completed => Outcome::Late,
@@ -67,7 +67,7 @@
     }
 }
 
-fn may_retry_failure(class: &ClassProfile, elapsed: f64) -> bool {
+fn may_retry_failure(class: &OperationClass, elapsed: f64) -> bool {
     match class.idempotency {
         OperationIdempotency::Safe => true,
         OperationIdempotency::IdempotencyKeyGlobal => elapsed <= class.key_window,
--- a/crates/railhub-emulator/src/host.rs
+++ b/crates/railhub-emulator/src/host.rs
@@ -12,7 +12,7 @@
 pub use faults::HostFaults;
 pub use utilization::UtilizationMeter;
 
-use crate::operation::ClassProfile;
+use crate::operation::OperationClass;
 use may::sync::Mutex;
 use railhub_net::{now, FrameWriter, Listener};
 use railhub_proto::Operation;
@@ -57,7 +57,7 @@
     pub address: SocketAddr,
     /// What it is.
     pub config: HostConfig,
-    classes: Arc<Vec<ClassProfile>>,
+    classes: Arc<Vec<OperationClass>>,
     seen_operations: SharedSeenOperations,
     recorder: Recorder,
     state: Mutex<HostState>,
@@ -116,7 +116,7 @@
     /// If it cannot listen.
     pub fn open(
         config: HostConfig,
-        classes: Arc<Vec<ClassProfile>>,
+        classes: Arc<Vec<OperationClass>>,
         seen_operations: SharedSeenOperations,
         recorder: Recorder,
     ) -> io::Result<ListeningHost> {
--- a/crates/railhub-emulator/src/host/duplicates.rs
+++ b/crates/railhub-emulator/src/host/duplicates.rs
@@ -1,5 +1,5 @@
 //! Recognises duplicates of an operation by its idempotency key.
-use crate::operation::ClassProfile;
+use crate::operation::OperationClass;
 use may::sync::Mutex;
 use railhub_record::OperationIdempotency;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 
 impl SeenOperations {
     /// Whether this is a duplicate, to be dropped; else it is remembered.
-    pub fn is_duplicate(&mut self, class: &ClassProfile, zone: u32, operation: u64, now: f64) -> bool {
+    pub fn is_duplicate(&mut self, class: &OperationClass, zone: u32, operation: u64, now: f64) -> bool {
         let scope = match class.idempotency {
             OperationIdempotency::IdempotencyKeyGlobal => None,
             OperationIdempotency::IdempotencyKeyLocal => Some(zone),
@@ -36,7 +36,7 @@
 pub struct SharedSeenOperations(Arc<Mutex<SeenOperations>>);
 
 impl SharedSeenOperations {
-    pub(super) fn is_duplicate(&self, class: &ClassProfile, zone: u32, operation: u64, now: f64) -> bool {
+    pub(super) fn is_duplicate(&self, class: &OperationClass, zone: u32, operation: u64, now: f64) -> bool {
         self.0.lock().expect("no holder panics").is_duplicate(class, zone, operation, now)
     }
 }
--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -147,13 +147,13 @@
         self.record(now(), EventKind::ControllerLifecycle(event));
     }
 
-    fn record_process(&self, controller: usize, up: bool) {
-        let set_back = self.scenario.clocks.get(controller).is_some_and(|clock| clock.jumps_by < 0.0);
+    fn record_process(&self, controller: usize, running: bool) {
+        let clock_set_back = self.scenario.clocks.get(controller).is_some_and(|clock| clock.jumps_by < 0.0);
         self.record_controller(ControllerLifecycle {
-            running: up,
+            running,
             controller: controller as u32,
             paused: false,
-            clock_set_back: set_back,
+            clock_set_back,
         });
     }
 
@@ -183,10 +183,9 @@
     /// Stops a controller's process, or lets it continue.
     pub fn pause_controller(&self, controller: usize, stopped: bool) {
         self.controllers.pause(controller, stopped);
-        let (up, steward) = (true, controller as u32);
         self.record_controller(ControllerLifecycle {
-            running: up,
-            controller: steward,
+            running: true,
+            controller: controller as u32,
             paused: stopped,
             clock_set_back: false,
         });
--- a/crates/railhub-scenario/src/cluster_hosts.rs
+++ b/crates/railhub-scenario/src/cluster_hosts.rs
@@ -9,7 +9,7 @@
 use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, GONE, READY};
 use railhub_emulator::host::{Host, HostConfig, ListeningHost, SharedSeenOperations};
 use railhub_emulator::proxy::Environment;
-use railhub_emulator::ClassProfile;
+use railhub_emulator::OperationClass as EmulatedClass;
 use railhub_record::Recorder;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -59,7 +59,7 @@
     /// A host has no port.
     pub fn open(
         facts: &[HostConfig],
-        classes: &Arc<Vec<ClassProfile>>,
+        classes: &Arc<Vec<EmulatedClass>>,
         recorder: &Recorder,
     ) -> io::Result<InitialHosts> {
         let seen_keys = SharedSeenOperations::default();
--- a/crates/railhub-scenario/src/fault/recorded.rs
+++ b/crates/railhub-scenario/src/fault/recorded.rs
@@ -53,7 +53,7 @@
                 format!("Growth {{ times: {factor:?}, follows: {traffic_ratio:?} }}")
             }
             FaultKind::SlowZoneLink { zone, other, delay, loss_fraction } => format!(
-                "SlowLink {{ zone: {zone}, other: {other:?}, delay: {delay:?}, lost: {loss_fraction:?} }}"
+                "DegradedLink {{ zone: {zone}, other: {other:?}, delay: {delay:?}, lost: {loss_fraction:?} }}"
             ),
             _ => return None,
         })
--- a/crates/railhub-scenario/src/fault/tests.rs
+++ b/crates/railhub-scenario/src/fault/tests.rs
@@ -81,9 +81,12 @@
     ("kind = store_forgets\nby = 3", "StoreForgets { by: 3.0 }"),
     (
         "kind = slow_link\nzone = a\nother = b\ndelay = 0.2\nlost = 0.1",
-        "SlowLink { zone: 0, other: Some(1), delay: 0.2, lost: 0.1 }",
+        "DegradedLink { zone: 0, other: Some(1), delay: 0.2, lost: 0.1 }",
+    ),
+    (
+        "kind = slow_link\nzone = a\ndelay = 0.1",
+        "DegradedLink { zone: 0, other: None, delay: 0.1, lost: 0.0 }",
     ),
-    ("kind = slow_link\nzone = a\ndelay = 0.1", "SlowLink { zone: 0, other: None, delay: 0.1, lost: 0.0 }"),
     ("kind = refused_version\nshare = 0.4", "RefusedVersion { share: 0.4 }"),
 ];
 
--- a/crates/railhub-scenario/src/import/cluster.rs
+++ b/crates/railhub-scenario/src/import/cluster.rs
@@ -95,7 +95,7 @@
     let control = &source.control;
     let (lost_for, grace) = (seconds(control.lost_for), seconds(source.drain_grace));
     let _ = writeln!(out, "[rules]\nlost_for = {lost_for:.3}\ngrace = {grace:.3}");
-    let _ = writeln!(out, "removal_binds = {}", if source.only_draining_binds { "no" } else { "yes" });
+    let _ = writeln!(out, "removal_binds = {}", if source.removed_hosts_exempt { "no" } else { "yes" });
     let (multiple, duration) = (source.overload_multiple, seconds(source.overload_duration));
     let _ = writeln!(out, "fall_multiple = {multiple}\nfall_for = {duration:.3}");
     let warm_within = seconds(tier.stated_warm_after);
--- a/crates/railhub-scenario/src/import/source.rs
+++ b/crates/railhub-scenario/src/import/source.rs
@@ -26,7 +26,7 @@
     #[serde(rename = "fall_for")]
     pub overload_duration: f64,
     #[serde(default)]
-    pub only_draining_binds: bool,
+    pub removed_hosts_exempt: bool,
     pub classes: Vec<Class>,
     pub tiers: Vec<Tier>,
     pub servers: Vec<Server>,
--- a/crates/railhub-scenario/src/reader/cluster.rs
+++ b/crates/railhub-scenario/src/reader/cluster.rs
@@ -1,6 +1,6 @@
 //! `[class NAME]`, `[kind NAME]` and `[rules]`: operations, hosts and the limits of the invariants.
 use crate::scenario::{HostKind, OperationClass};
-use railhub_emulator::ClassProfile;
+use railhub_emulator::OperationClass as EmulatedClass;
 use railhub_ini::{Diagnostic, Section};
 use railhub_record::{ClassLimits, Limits, OperationIdempotency};
 
@@ -18,18 +18,18 @@
 
 /// A class of operations.
 pub(super) fn operation_class(section: &Section) -> Result<OperationClass, Diagnostic> {
-    let repeats = section.choice("repeats", "never", &REPEATS)?;
+    let idempotency = section.choice("repeats", "never", &REPEATS)?;
     let keyed = matches!(
-        repeats,
+        idempotency,
         OperationIdempotency::IdempotencyKeyGlobal | OperationIdempotency::IdempotencyKeyLocal
     );
     let class = OperationClass {
-        facts: ClassProfile {
+        facts: EmulatedClass {
             name: section.name[CLASS_PREFIX.len()..].trim().to_owned(),
             contract_time: section.required_in_range("contract_time", 0.001, 3600.0)?,
             hard_stop: section.required_in_range("hard_stop", 0.001, 3600.0)?,
             priority_weight: section.in_range("gain", 1.0, 0.0, 1e9)?,
-            idempotency: repeats,
+            idempotency,
             key_window: if keyed { section.required_in_range("key_window", 0.0, 1e6)? } else { 0.0 },
             writes: section.flag("writes", false)?,
         },
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -2,7 +2,7 @@
 use crate::fault::ScheduledFault;
 use railhub_emulator::client::ClientConfig;
 use railhub_emulator::routing::BalancingPolicy;
-use railhub_emulator::ClassProfile;
+use railhub_emulator::OperationClass as EmulatedClass;
 use railhub_membership::lease_store::StoreFaults;
 use railhub_record::Limits;
 use railhub_trace::Traffic;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct OperationClass {
     /// What clients and hosts know of the class.
-    pub facts: ClassProfile,
+    pub facts: EmulatedClass,
     /// Weight of the class among all operations.
     pub share: f64,
     /// Mean work of an operation, in core seconds.
@@ -142,7 +142,7 @@
 
 impl Scenario {
     /// What clients and hosts know of the classes, in the order of the file.
-    pub fn class_facts(&self) -> Vec<ClassProfile> {
+    pub fn class_facts(&self) -> Vec<EmulatedClass> {
         self.classes.iter().map(|class| class.facts.clone()).collect()
     }
 }
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -11,7 +11,7 @@
 use railhub_emulator::host::{HostConfig, SeenOperations};
 use railhub_emulator::load_totals::LoadTotals;
 use railhub_emulator::routing::RoutingState;
-use railhub_emulator::ClassProfile;
+use railhub_emulator::OperationClass;
 use railhub_external_engine::process::FaultPlace;
 use railhub_ini::Document;
 use railhub_record::{Event, EventKind, Limits};
@@ -86,7 +86,7 @@
     pub installation: Installation,
     pub began: f64,
     pub agenda: Agenda,
-    pub classes: Vec<ClassProfile>,
+    pub classes: Vec<OperationClass>,
     pub arrivals: Vec<Arrival>,
     pub ops: Vec<Option<Op>>,
     pub under_way: usize,
