--- a/crates/railhub-external-engine/src/process.rs
+++ b/crates/railhub-external-engine/src/process.rs
@@ -1,148 +1,141 @@
-//! The program that decides. It is asked and waited for: a simulated run goes on when it has answered.
-use crate::wire;
+//! Owns an external engine: a process that decides. Its caller waits for each reply; simulated time stands still
+//! meanwhile.
+//!
+//! States: running, then failed from the first error. A failed engine leaves every delta empty, and the results of its
+//! run are invalid.
+mod error;
+mod pipes;
+
+pub use error::{EngineError, EngineErrorCause, EngineErrorSlot};
+
+use crate::wire::{self, Progress};
+use pipes::{spawn_reader, spawn_writer};
 use railhub::{ControllerConfig, EventBatch};
 use railhub_controller::decision_engine::DecisionEngine;
 use railhub_controller::delta_builder::DeltaBuilder;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
-use std::sync::{Arc, Mutex};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Duration, Instant};
-use thiserror::Error;
-
-/// Seconds for one answer: a round of the module takes milliseconds, a version that takes this long hangs.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Lines of an answer that may wait to be taken in; past it the version waits.
-const LINES_WAITING: usize = 4096;
-/// Bytes one line may have: nothing in the protocol is longer than a note.
-const LONGEST_LINE: u64 = 1 << 16;
-
-#[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("the version {program}: {what}")]
-pub struct Fault {
-    pub program: String,
-    pub what: String,
-}
 
-/// Where a run looks for what went wrong with its version.
-pub type FaultPlace = Arc<Mutex<Option<Fault>>>;
+/// Time for one reply. Decisions take milliseconds; an engine that takes this long hangs.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A version at work. After its first fault it decides nothing more; the run is not to be believed then.
-pub struct Version {
+/// A running engine; dropping it ends the process.
+pub struct ExternalEngine {
     program: PathBuf,
     child: Child,
-    /// Batches on their way to it: written by a thread, since one that does not read must not hold us up.
-    to: Option<SyncSender<String>>,
-    patience: Duration,
-    lines: Receiver<std::io::Result<String>>,
-    start: Option<String>,
+    /// `None` after the first error.
+    batches: Option<SyncSender<String>>,
+    reply_timeout: Duration,
+    lines: Receiver<io::Result<String>>,
+    /// The line that creates the instance, until it is sent.
+    create: Option<String>,
     classes: usize,
-    fault: FaultPlace,
+    error: EngineErrorSlot,
 }
 
-impl Version {
+impl ExternalEngine {
+    /// Starts the program. Later errors are put into the slot.
+    ///
+    /// # Errors
+    /// The process cannot be started.
     pub fn start(
         program: &Path,
-        terms: &ControllerConfig,
+        config: &ControllerConfig,
         zones: usize,
-    ) -> Result<(Version, FaultPlace), Fault> {
-        Version::start_with(program, terms, zones, PATIENCE)
+    ) -> Result<(ExternalEngine, EngineErrorSlot), EngineError> {
+        ExternalEngine::start_with_timeout(program, config, zones, REPLY_TIMEOUT)
     }
 
-    fn start_with(
+    fn start_with_timeout(
         program: &Path,
-        terms: &ControllerConfig,
+        config: &ControllerConfig,
         zones: usize,
-        patience: Duration,
-    ) -> Result<(Version, FaultPlace), Fault> {
-        let wrong = |what: String| Fault { program: program.display().to_string(), what };
-        let mut command = Command::new(program);
-        command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
-        let mut child = command.spawn().map_err(|e| wrong(format!("cannot be started: {e}")))?;
-        let mut input = child.stdin.take().ok_or_else(|| wrong("has no input".into()))?;
-        let (to, batches) = sync_channel::<String>(1);
-        std::thread::spawn(move || {
-            // It ends with its pipe, or when nothing more is to come.
-            while let Ok(batch) = batches.recv() {
-                if input.write_all(batch.as_bytes()).and_then(|()| input.flush()).is_err() {
-                    return;
-                }
-            }
-        });
-        let from = child.stdout.take().ok_or_else(|| wrong("has no output".into()))?;
-        let (sender, lines) = sync_channel(LINES_WAITING);
-        std::thread::spawn(move || {
-            let mut from = BufReader::new(from);
-            loop {
-                let mut line = Vec::new();
-                let read = (&mut from).take(LONGEST_LINE).read_until(b'\n', &mut line);
-                let line = match read {
-                    Ok(0) => return,
-                    Ok(_) => Ok(String::from_utf8_lossy(&line).into_owned()),
-                    Err(error) => Err(error),
-                };
-                if sender.send(line).is_err() {
-                    return;
-                }
-            }
-        });
-        let fault = FaultPlace::default();
-        let version = Version {
+        reply_timeout: Duration,
+    ) -> Result<(ExternalEngine, EngineErrorSlot), EngineError> {
+        let engine_error = |cause| EngineError::new(program, cause);
+        let mut child = spawn(program).map_err(engine_error)?;
+        let input = child.stdin.take().ok_or_else(|| engine_error(EngineErrorCause::NoInput))?;
+        let batches = spawn_writer(input);
+        let output = child.stdout.take().ok_or_else(|| engine_error(EngineErrorCause::NoOutput))?;
+        let lines = spawn_reader(output);
+        let error = EngineErrorSlot::default();
+        let engine = ExternalEngine {
             program: program.to_owned(),
             child,
-            to: Some(to),
-            patience,
+            batches: Some(batches),
+            reply_timeout,
             lines,
-            start: Some(wire::create(terms, zones)),
-            classes: terms.classes.len(),
-            fault: fault.clone(),
+            create: Some(wire::create(config, zones)),
+            classes: config.classes.len(),
+            error: error.clone(),
         };
-        Ok((version, fault))
+        Ok((engine, error))
     }
 
-    fn ask(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) -> Result<(), String> {
-        let batch = wire::batch(round, self.start.take().as_deref());
-        let to = self.to.as_ref().ok_or("has no input")?;
-        if to.try_send(batch).is_err() {
-            // What it said last tells more than the broken pipe.
-            let last = self.lines.try_iter().filter_map(Result::ok).last();
-            return Err(last.map_or("does not read".to_owned(), |line| line.trim_end().to_owned()));
+    /// Sends a batch and applies the reply.
+    fn exchange(&mut self, events: &EventBatch, delta: &mut DeltaBuilder) -> Result<(), EngineErrorCause> {
+        let batch = wire::batch(events, self.create.take().as_deref());
+        let batches = self.batches.as_ref().ok_or(EngineErrorCause::NoInput)?;
+        if batches.try_send(batch).is_err() {
+            return Err(self.input_blocked());
         }
-        let until = Instant::now() + self.patience;
+        let deadline = Instant::now() + self.reply_timeout;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let line = self.lines.recv_timeout(left).map_err(|error| match error {
-                RecvTimeoutError::Timeout => {
-                    format!("gave no answer for {:.1} s", self.patience.as_secs_f64())
-                }
-                RecvTimeoutError::Disconnected => "ended".to_owned(),
-            })?;
-            let line = line.map_err(|error| error.to_string())?;
-            if wire::take_in(&line, self.classes, draft)? {
+            let line = self.next_line(deadline)?;
+            if wire::apply_line(&line, self.classes, delta)? == Progress::Complete {
                 return Ok(());
             }
         }
     }
+
+    /// The cause when a batch cannot be sent: the last line received explains more than the broken pipe.
+    fn input_blocked(&self) -> EngineErrorCause {
+        let last_line = self.lines.try_iter().filter_map(Result::ok).last();
+        match last_line {
+            Some(line) => EngineErrorCause::LastLine(line.trim_end().to_owned()),
+            None => EngineErrorCause::DoesNotRead,
+        }
+    }
+
+    fn next_line(&self, deadline: Instant) -> Result<String, EngineErrorCause> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match self.lines.recv_timeout(remaining) {
+            Ok(line) => line.map_err(|error| EngineErrorCause::Read(error.to_string())),
+            Err(RecvTimeoutError::Disconnected) => Err(EngineErrorCause::Ended),
+            Err(RecvTimeoutError::Timeout) => {
+                let seconds = self.reply_timeout.as_secs_f64();
+                Err(EngineErrorCause::Timeout(format!("{seconds:.1}")))
+            }
+        }
+    }
+}
+
+fn spawn(program: &Path) -> Result<Child, EngineErrorCause> {
+    let mut command = Command::new(program);
+    command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
+    command.spawn().map_err(|error| EngineErrorCause::Start(error.to_string()))
 }
 
-impl DecisionEngine for Version {
-    fn handle_batch(&mut self, round: &EventBatch, draft: &mut DeltaBuilder) {
-        if self.to.is_none() {
+impl DecisionEngine for ExternalEngine {
+    fn handle_batch(&mut self, events: &EventBatch, delta: &mut DeltaBuilder) {
+        if self.batches.is_none() {
             return;
         }
-        if let Err(what) = self.ask(round, draft) {
-            *draft = DeltaBuilder::default();
-            self.to = None;
-            let program = self.program.display().to_string();
-            *self.fault.lock().expect("no holder panics") = Some(Fault { program, what });
+        if let Err(cause) = self.exchange(events, delta) {
+            *delta = DeltaBuilder::default();
+            self.batches = None;
+            let error = EngineError::new(&self.program, cause);
+            *self.error.lock().expect("no holder panics") = Some(error);
         }
     }
 }
 
-impl Drop for Version {
+impl Drop for ExternalEngine {
     fn drop(&mut self) {
-        self.to = None;
+        self.batches = None;
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/railhub-external-engine/src/process/tests.rs
+++ b/crates/railhub-external-engine/src/process/tests.rs
@@ -13,14 +13,15 @@
     assert!(child.wait().expect("ours").success());
 }
 
-/// What becomes of a version that is such a program.
-fn fault_of(name: &str, script: &str) -> Option<Fault> {
+/// The error of an engine that is such a program.
+fn error_of(name: &str, script: &str) -> Option<EngineError> {
     let path = std::env::temp_dir().join(format!("railhub-version-{}-{name}", std::process::id()));
     write_program(&path, &format!("#!/bin/sh\n{script}\n"));
-    let (mut version, fault) = Version::start(&path, &ControllerConfig::default(), 1).expect("it starts");
+    let (mut engine, fault) =
+        ExternalEngine::start(&path, &ControllerConfig::default(), 1).expect("it starts");
     let mut draft = DeltaBuilder::default();
-    version.handle_batch(&EventBatch::default(), &mut draft);
-    version.handle_batch(&EventBatch::default(), &mut draft);
+    engine.handle_batch(&EventBatch::default(), &mut draft);
+    engine.handle_batch(&EventBatch::default(), &mut draft);
     std::fs::remove_file(&path).expect("there");
     assert!(draft.timers.is_empty() || fault.lock().expect("held by none").is_none());
     let fault = fault.lock().expect("held by none").clone();
@@ -30,8 +31,8 @@
 #[test]
 fn a_version_that_ends_talks_nonsense_or_gives_up_is_a_fault_and_decides_nothing() {
     let answers = "while read line; do case $line in OVER*) echo DONE;; esac; done";
-    assert_eq!(fault_of("good", answers), None);
-    let what = |name, script| fault_of(name, script).expect("a fault").what;
+    assert_eq!(error_of("good", answers), None);
+    let what = |name, script| error_of(name, script).expect("an error").cause.to_string();
     assert!(["ended"].contains(&what("ends", "read line; read line; read line; read line; exit 0").as_str()));
     assert!(
         what("nonsense", "echo AFTER in_us=1 ref=2; echo hello there; cat > /dev/null").contains("'hello'")
@@ -44,26 +45,35 @@
 /// More than a pipe holds, to one that never reads.
 #[test]
 fn a_version_that_does_not_read_is_given_up_and_holds_nobody_up() {
-    let patience = Duration::from_millis(300);
-    let (mut version, fault) =
-        Version::start_with(Path::new("/usr/bin/yes"), &ControllerConfig::default(), 1, patience)
-            .expect("it starts");
-    let round = EventBatch { timers: vec![railhub::TimerId(u64::MAX); 100_000], ..EventBatch::default() };
+    let reply_timeout = Duration::from_millis(300);
+    let (mut engine, fault) = ExternalEngine::start_with_timeout(
+        Path::new("/usr/bin/yes"),
+        &ControllerConfig::default(),
+        1,
+        reply_timeout,
+    )
+    .expect("it starts");
+    let events = EventBatch { timers: vec![railhub::TimerId(u64::MAX); 100_000], ..EventBatch::default() };
     let began = Instant::now();
-    version.handle_batch(&round, &mut DeltaBuilder::default());
-    drop(version);
+    engine.handle_batch(&events, &mut DeltaBuilder::default());
+    drop(engine);
     assert!(began.elapsed() < Duration::from_secs(10));
     assert!(fault.lock().expect("held by none").is_some());
-    let (mut version, fault) =
-        Version::start_with(Path::new("/bin/sleep"), &ControllerConfig::default(), 1, patience)
-            .expect("it starts");
-    version.handle_batch(&round, &mut DeltaBuilder::default());
+    let (mut engine, fault) = ExternalEngine::start_with_timeout(
+        Path::new("/bin/sleep"),
+        &ControllerConfig::default(),
+        1,
+        reply_timeout,
+    )
+    .expect("it starts");
+    engine.handle_batch(&events, &mut DeltaBuilder::default());
     assert!(fault.lock().expect("held by none").is_some(), "it ends at once: no time is named");
 }
 
 #[test]
 fn a_program_that_is_not_there_is_named() {
-    let fault =
-        Version::start(Path::new("/nowhere/at-all"), &ControllerConfig::default(), 1).err().expect("a fault");
+    let fault = ExternalEngine::start(Path::new("/nowhere/at-all"), &ControllerConfig::default(), 1)
+        .err()
+        .expect("a fault");
     assert!(fault.to_string().starts_with("the version /nowhere/at-all: cannot be started"), "{fault}");
 }
--- /dev/null
+++ b/crates/railhub-external-engine/src/variant/sources.rs
@@ -0,0 +1,83 @@
+//! Owns the source files of a variant: those that are copied, and the manifests that are written.
+use super::error::VariantError;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The sources of the decisions, from the root of the repository.
+const DECISIONS_FOLDER: &str = "src";
+/// The sources of the adapter, from the root of the repository.
+const ADAPTER_FOLDER: &str = "crates/railhub-adapter/src";
+
+/// A source file: its path in the copy, and its text.
+#[derive(Clone, Debug, Hash, PartialEq)]
+pub struct SourceFile {
+    /// From the root of the copy.
+    pub path: String,
+    /// The complete text.
+    pub text: String,
+}
+
+/// Reads the sources of the decisions, without their tests. `source`: the root of the repository.
+///
+/// # Errors
+/// A source cannot be read.
+pub fn decisions(source: &Path) -> Result<Vec<SourceFile>, VariantError> {
+    let mut files = Vec::new();
+    collect(&source.join(DECISIONS_FOLDER), "src", &mut files)?;
+    Ok(files)
+}
+
+/// Adds the sources of the adapter.
+pub(super) fn collect_adapter(source: &Path, files: &mut Vec<SourceFile>) -> Result<(), VariantError> {
+    collect(&source.join(ADAPTER_FOLDER), "adapter/src", files)
+}
+
+/// Adds the Rust sources under a folder as `prefix/...`, in the order of their names, without tests.
+fn collect(folder: &Path, prefix: &str, files: &mut Vec<SourceFile>) -> Result<(), VariantError> {
+    for path in sorted_entries(folder)? {
+        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        if name == "tests" || name == "tests.rs" {
+            continue;
+        }
+        let copied_path = format!("{prefix}/{name}");
+        if path.is_dir() {
+            collect(&path, &copied_path, files)?;
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            let text = fs::read_to_string(&path).map_err(|error| VariantError::io(&path, error))?;
+            files.push(SourceFile { path: copied_path, text });
+        }
+    }
+    Ok(())
+}
+
+fn sorted_entries(folder: &Path) -> Result<Vec<PathBuf>, VariantError> {
+    let entries = fs::read_dir(folder).map_err(|error| VariantError::io(folder, error))?;
+    let mut paths: Vec<PathBuf> = entries.filter_map(Result::ok).map(|entry| entry.path()).collect();
+    paths.sort();
+    Ok(paths)
+}
+
+/// The manifests of the copy, which is a workspace of its own without external dependencies.
+pub(super) fn manifests() -> [SourceFile; 2] {
+    let package = "version = \"0.0.0\"\nedition = \"2021\"\n";
+    let root =
+        format!("[workspace]\nmembers = [\".\", \"adapter\"]\n[package]\nname = \"railhub\"\n{package}");
+    let adapter = format!(
+        "[package]\nname = \"railhub-adapter\"\n{package}[dependencies]\nrailhub = {{ path = \"..\" }}\n"
+    );
+    [
+        SourceFile { path: "Cargo.toml".to_owned(), text: root },
+        SourceFile { path: "adapter/Cargo.toml".to_owned(), text: adapter },
+    ]
+}
+
+/// Writes the files under a folder.
+pub(super) fn write_files(folder: &Path, files: &[SourceFile]) -> Result<(), VariantError> {
+    for SourceFile { path, text } in files {
+        let path = folder.join(path);
+        let parent = path.parent().unwrap_or(folder);
+        fs::create_dir_all(parent).map_err(|error| VariantError::io(parent, error))?;
+        fs::write(&path, text).map_err(|error| VariantError::io(&path, error))?;
+    }
+    Ok(())
+}
--- a/crates/railhub-external-engine/src/variant/tests.rs
+++ b/crates/railhub-external-engine/src/variant/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_value_that_is_no_number_is_not_compiled() {
     let code = constants(&[("A", "{ panic!() }")]);
-    assert!(matches!(change(&mut files(), &code), Err(VariantFault::NoNumber(..))));
+    assert!(matches!(change(&mut files(), &code), Err(VariantError::NotANumber(..))));
 }
 
 #[test]
@@ -69,5 +69,5 @@
 #[test]
 fn a_name_and_its_alias_together_are_refused() {
     let both = constants(&[("GAP", "9.0"), ("EJECTION_SCORE_GAP", "10.0")]);
-    assert!(matches!(change(&mut package(), &both), Err(VariantFault::Twice(_))));
+    assert!(matches!(change(&mut package(), &both), Err(VariantError::DuplicateConstant(_))));
 }
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -1,6 +1,10 @@
+use super::request::TICK_US;
 use super::*;
 use proptest::prelude::*;
-use railhub::{EndpointEntry, EndpointList, HostLoadReport, KindId, ZoneId};
+use railhub::{
+    EndpointEntry, EndpointList, EventBatch, HostId, HostLoadReport, KindId, Phase, TimerId, ZoneId,
+};
+use railhub_controller::delta_builder::DeltaBuilder;
 
 #[test]
 fn a_round_is_written_line_by_line() {
@@ -38,13 +42,13 @@
 #[test]
 fn orders_are_read_and_those_unknown_here_are_refused() {
     let mut draft = DeltaBuilder::default();
-    let mut read = |line: &str| take_in(line, 2, &mut draft);
-    assert_eq!(read("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(false));
-    assert_eq!(read("THROTTLE sheet=65535 only=2 amount=0.75 second_try=2"), Ok(false));
-    assert_eq!(read("AFTER in_us=500000 ref=9\r"), Ok(false));
-    assert_eq!(read("AFTER in_us=0 ref=9"), Ok(false));
-    assert_eq!(read("TRACE words=two hosts known"), Ok(false));
-    assert_eq!(read("DONE"), Ok(true));
+    let mut read = |line: &str| apply_line(line, 2, &mut draft);
+    assert_eq!(read("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(Progress::Incomplete));
+    assert_eq!(read("THROTTLE sheet=65535 only=2 amount=0.75 second_try=2"), Ok(Progress::Incomplete));
+    assert_eq!(read("AFTER in_us=500000 ref=9\r"), Ok(Progress::Incomplete));
+    assert_eq!(read("AFTER in_us=0 ref=9"), Ok(Progress::Incomplete));
+    assert_eq!(read("TRACE words=two hosts known"), Ok(Progress::Incomplete));
+    assert_eq!(read("DONE"), Ok(Progress::Complete));
     for bad in [
         "SET_LINE sheet=1 host=10.0.0.1:80 w=NaN",
         "SET_LINE sheet=70000 host=10.0.0.1:80 w=1",
@@ -67,6 +71,6 @@
     /// What a broken version writes is an error or an order, never a panic.
     #[test]
     fn no_line_of_a_reply_can_bring_us_down(line in "(SET_LINE|THROTTLE|AFTER|BENCH|BARRIER|HAND_TABLE)?( [a-z_]{1,9}=[-0-9a-zA-Z.:]{0,24}){0,5}") {
-        let _ = take_in(&line, 64, &mut DeltaBuilder::default());
+        let _ = apply_line(&line, 64, &mut DeltaBuilder::default());
     }
 }
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -15,7 +15,7 @@
     DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction,
 };
 use railhub_controller::publication::Publication;
-use railhub_external_engine::Version;
+use railhub_external_engine::ExternalEngine;
 use railhub_proto::{LoadReport, Subscribe};
 use railhub_record::{ControllerLifecycle, DeltaAcknowledged, DeltaReceived, EventKind, ProxyStream};
 use std::cell::RefCell;
@@ -133,12 +133,12 @@
         let mind = match &self.policy {
             Policy::Baseline(policy) => Mind::Plain(Box::new(Plain::new(*policy, self.day.slices))),
             Policy::Version(program) => {
-                match Version::start(program, &installation.config, self.day.zones.len()) {
-                    Ok((version, fault)) => {
+                match ExternalEngine::start(program, &installation.config, self.day.zones.len()) {
+                    Ok((engine, fault)) => {
                         self.faults.push(fault);
-                        let version = Box::new(version);
+                        let engine = Box::new(engine);
                         Mind::ControllerCore(Box::new(ControllerCore::with_engine(
-                            version,
+                            engine,
                             installation,
                             incarnation,
                             now,
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -12,7 +12,7 @@
 use railhub_emulator::load_totals::LoadTotals;
 use railhub_emulator::routing::RoutingState;
 use railhub_emulator::OperationClass;
-use railhub_external_engine::process::FaultPlace;
+use railhub_external_engine::process::EngineErrorSlot;
 use railhub_ini::Document;
 use railhub_record::{Event, EventKind, Limits};
 use railhub_scenario::controller_settings::controller_settings;
@@ -113,7 +113,7 @@
     /// Whom each trouble struck.
     pub struck: Vec<Vec<HostAt>>,
     /// What went wrong with a version, if one steers.
-    pub faults: Vec<FaultPlace>,
+    pub faults: Vec<EngineErrorSlot>,
     events: Vec<Event>,
 }
 
