--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -112,11 +112,11 @@
         let nodes: Vec<NodeId> = options.weights.keys().copied().collect();
         let mut placement = Placement::new(options.weights.clone());
         for id in &nodes {
-            placement.on_liveness(now, *id, true);
+            placement.update_liveness(now, *id, true);
         }
         let local = Member::alive(options.id, options.process, options.metadata.clone());
         let mut membership = Membership::new(local, options.config.clone(), now, options.seed);
-        membership.add_expected(&nodes, now);
+        membership.add_expected_nodes(&nodes, now);
         LeaseManager {
             id: options.id,
             process: options.process,
@@ -190,14 +190,14 @@
     fn update_placement(&mut self, now: Seconds, changes: &[MemberChange]) {
         for change in changes {
             self.placement.add_node(change.id);
-            self.placement.on_liveness(now, change.id, self.membership.may_hold_slices(change.id));
+            self.placement.update_liveness(now, change.id, self.membership.may_hold_slices(change.id));
             self.placement.set_draining(change.id, self.membership.is_draining(change.id));
         }
         self.update_own_liveness(now);
     }
 
     fn update_own_liveness(&mut self, now: Seconds) {
-        self.placement.on_liveness(now, self.id, self.membership.may_hold_slices(self.id));
+        self.placement.update_liveness(now, self.id, self.membership.may_hold_slices(self.id));
     }
 
     /// Does what is due: drops expired leases, lets membership do its part, and requests what is to change.
@@ -206,7 +206,7 @@
         let expired = self.leases.take_expired(now);
         let output = self.membership.tick(now);
         self.update_placement(now, &output.changes);
-        self.end_unanswered_request(now);
+        self.expire_unanswered_request(now);
         self.publish_store_reachability(now);
         let mut effects = Effects { expired, ..output.into() };
         if self.request_state == RequestState::Idle && now >= self.next_request_at {
@@ -215,7 +215,7 @@
         effects
     }
 
-    fn end_unanswered_request(&mut self, now: Seconds) {
+    fn expire_unanswered_request(&mut self, now: Seconds) {
         if let RequestState::InFlight { sent_at, .. } = self.request_state {
             if now - sent_at > RESPONSE_TIMEOUT {
                 self.request_state = RequestState::Idle;
--- a/crates/railhub-membership/src/lease_store.rs
+++ b/crates/railhub-membership/src/lease_store.rs
@@ -133,8 +133,8 @@
             return record.grant(now, process, duration).is_some();
         }
         // In the grace period nothing is granted anew: the process with the highest epoch held the slice last.
-        let is_last_known = epoch > record.epoch || (epoch == record.epoch && record.holder.is_none());
-        if in_grace_period && is_last_known {
+        let held_it_last = epoch > record.epoch || (epoch == record.epoch && record.holder.is_none());
+        if in_grace_period && held_it_last {
             *record = LeaseRecord { epoch, holder: Some(process), expires_at: now + duration };
             return true;
         }
--- a/crates/railhub-membership/src/local_health.rs
+++ b/crates/railhub-membership/src/local_health.rs
@@ -6,7 +6,7 @@
 /// Highest health score; at it timeouts are three times as long.
 const MAX_SCORE: u32 = 8;
 /// How much each point of the score lengthens timeouts.
-const TIMEOUT_FRACTION_PER_POINT: f64 = 0.25;
+const TIMEOUT_INCREASE_PER_POINT: f64 = 0.25;
 /// Seconds that a tick may come late without a penalty.
 const MAX_TICK_DELAY: Seconds = 0.15;
 /// Points for a late tick.
@@ -51,7 +51,7 @@
 
     /// The local health multiplier of timeouts, 1 to 3.
     pub fn multiplier(&self) -> f64 {
-        1.0 + TIMEOUT_FRACTION_PER_POINT * f64::from(self.score)
+        1.0 + TIMEOUT_INCREASE_PER_POINT * f64::from(self.score)
     }
 }
 
--- a/crates/railhub-membership/src/packet/decode.rs
+++ b/crates/railhub-membership/src/packet/decode.rs
@@ -21,7 +21,7 @@
 /// # Errors
 /// Why the datagram is to be dropped and counted.
 pub fn decode(installation: &str, datagram: &[u8]) -> Result<Packet, DecodeError> {
-    let body = checked_body(installation, datagram)?;
+    let body = verified_body(installation, datagram)?;
     let packet = WirePacket::decode(body).map_err(|_| DecodeError::Malformed)?;
     match packet.body.ok_or(DecodeError::Malformed)? {
         Body::Message(message) => Ok(Packet::Message(Box::new(read_message(message)?))),
@@ -34,7 +34,7 @@
 }
 
 /// The body, once the header and the checksum are found right.
-fn checked_body<'a>(installation: &str, datagram: &'a [u8]) -> Result<&'a [u8], DecodeError> {
+fn verified_body<'a>(installation: &str, datagram: &'a [u8]) -> Result<&'a [u8], DecodeError> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::Oversized);
     }
--- a/crates/railhub-membership/src/packet/encode.rs
+++ b/crates/railhub-membership/src/packet/encode.rs
@@ -15,14 +15,14 @@
 /// [`crate::member::NodeMetadata`] are longer than those that are read from a file or from other datagrams.
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let name = &installation.as_bytes()[..installation.len().min(MAX_INSTALLATION_BYTES)];
-    let mut checked = vec![name.len() as u8];
-    checked.extend_from_slice(name);
-    checked.extend(WirePacket { body: Some(body(packet)) }.encode_to_vec());
-    let mut datagram = Vec::with_capacity(HEADER_BYTES + checked.len());
+    let mut checksummed = vec![name.len() as u8];
+    checksummed.extend_from_slice(name);
+    checksummed.extend(WirePacket { body: Some(body(packet)) }.encode_to_vec());
+    let mut datagram = Vec::with_capacity(HEADER_BYTES + checksummed.len());
     datagram.extend_from_slice(MAGIC);
     datagram.push(VERSION);
-    datagram.extend_from_slice(&crc32fast::hash(&checked).to_be_bytes());
-    datagram.extend(checked);
+    datagram.extend_from_slice(&crc32fast::hash(&checksummed).to_be_bytes());
+    datagram.extend(checksummed);
     datagram
 }
 
--- a/crates/railhub-membership/src/placement.rs
+++ b/crates/railhub-membership/src/placement.rs
@@ -5,11 +5,11 @@
 
 /// Planned handovers of slices in a second. A planned change is in no hurry, and each handover costs the new holder a
 /// request to the store and the proxies an update.
-const HANDOVER_RATE: f64 = 40.0;
+const HANDOVERS_PER_SECOND: f64 = 40.0;
 /// Seconds of handovers that may be saved up for a burst.
-const HANDOVER_BURST: Seconds = 0.5;
+const HANDOVER_BURST_WINDOW: Seconds = 0.5;
 /// Seconds that a node must have lived before slices go back to it; doubled for each recent departure.
-const HOLD_DOWN: Seconds = 4.0;
+const BASE_HOLD_DOWN: Seconds = 4.0;
 /// Longest hold-down in seconds.
 const MAX_HOLD_DOWN: Seconds = 120.0;
 /// Seconds after which a departure counts for 1/e.
@@ -43,7 +43,7 @@
 }
 
 impl FlapHistory {
-    fn on_liveness(&mut self, now: Seconds, is_live: bool) {
+    fn update_liveness(&mut self, now: Seconds, is_live: bool) {
         match (self.live_since, is_live) {
             (None, true) => self.live_since = Some(now),
             (Some(_), false) => {
@@ -62,7 +62,7 @@
     /// Whether it lives and its hold-down is over. A node that was there from the start has none.
     fn is_stable(&self, now: Seconds) -> bool {
         let Some(live_since) = self.live_since else { return false };
-        let hold_down = (HOLD_DOWN * self.recent_departures(now).exp2()).min(MAX_HOLD_DOWN);
+        let hold_down = (BASE_HOLD_DOWN * self.recent_departures(now).exp2()).min(MAX_HOLD_DOWN);
         self.departures == 0.0 || now - live_since >= hold_down
     }
 }
@@ -90,8 +90,8 @@
     }
 
     /// Whether membership holds a node live and able to hold slices.
-    pub fn on_liveness(&mut self, now: Seconds, id: NodeId, is_live: bool) {
-        self.histories.entry(id).or_default().on_liveness(now, is_live);
+    pub fn update_liveness(&mut self, now: Seconds, id: NodeId, is_live: bool) {
+        self.histories.entry(id).or_default().update_liveness(now, is_live);
     }
 
     /// A draining node is not eligible: its slices are handed over.
@@ -110,12 +110,12 @@
         }
     }
 
-    /// The nodes that do not drain and whose history passes.
-    fn nodes_with(&self, passes: impl Fn(&FlapHistory) -> bool) -> BTreeMap<NodeId, f64> {
+    /// The nodes that do not drain and whose history satisfies the predicate.
+    fn nodes_with(&self, predicate: impl Fn(&FlapHistory) -> bool) -> BTreeMap<NodeId, f64> {
         let mut nodes = BTreeMap::new();
         for (id, weight) in &self.weights {
             let is_draining = self.draining.get(id).copied().unwrap_or(false);
-            if !is_draining && self.histories.get(id).is_some_and(&passes) {
+            if !is_draining && self.histories.get(id).is_some_and(&predicate) {
                 nodes.insert(*id, *weight);
             }
         }
@@ -124,9 +124,10 @@
 
     /// Whether one more slice may be handed over now; counts it if so.
     pub fn take_handover_permit(&mut self, now: Seconds) -> bool {
-        let refill = (now - self.refilled_at).max(0.0) * HANDOVER_RATE;
+        let refill = (now - self.refilled_at).max(0.0) * HANDOVERS_PER_SECOND;
         self.refilled_at = self.refilled_at.max(now);
-        self.handover_tokens = (self.handover_tokens + refill).min(HANDOVER_RATE * HANDOVER_BURST);
+        self.handover_tokens =
+            (self.handover_tokens + refill).min(HANDOVERS_PER_SECOND * HANDOVER_BURST_WINDOW);
         let permitted = self.handover_tokens >= 1.0;
         if permitted {
             self.handover_tokens -= 1.0;
--- a/crates/railhub-membership/src/placement/tests.rs
+++ b/crates/railhub-membership/src/placement/tests.rs
@@ -32,20 +32,20 @@
 #[test]
 fn one_that_flaps_gets_no_slices_until_it_has_stood_for_long() {
     let mut placement = Placement::new(nodes(&[1, 2]));
-    placement.on_liveness(0.0, NodeId(1), true);
-    placement.on_liveness(0.0, NodeId(2), true);
+    placement.update_liveness(0.0, NodeId(1), true);
+    placement.update_liveness(0.0, NodeId(2), true);
     assert_eq!(placement.eligible_nodes(0.0).len(), 2, "at the start nobody has a past");
     let mut changes = 0;
     let mut bore = true;
     for step in 0..40 {
         // Up and down every 3 s.
         let now = 10.0 + f64::from(step) * 1.5;
-        placement.on_liveness(now, NodeId(2), (step / 2) % 2 == 1);
+        placement.update_liveness(now, NodeId(2), (step / 2) % 2 == 1);
         let bears = placement.eligible_nodes(now).contains_key(&NodeId(2));
         changes += usize::from(bears != std::mem::replace(&mut bore, bears));
     }
     assert_eq!(changes, 1, "it lost its slices once and got none back");
-    placement.on_liveness(71.0, NodeId(2), true);
+    placement.update_liveness(71.0, NodeId(2), true);
     assert!(!placement.eligible_nodes(90.0).contains_key(&NodeId(2)));
     assert!(placement.eligible_nodes(71.0 + MAX_HOLD_DOWN).contains_key(&NodeId(2)));
 }
@@ -54,9 +54,9 @@
 fn when_nobody_has_earned_trust_all_that_live_have_to_do() {
     let mut placement = Placement::new(nodes(&[1, 2]));
     for id in [1, 2] {
-        placement.on_liveness(0.0, NodeId(id), true);
-        placement.on_liveness(1.0, NodeId(id), false);
-        placement.on_liveness(1.5, NodeId(id), true);
+        placement.update_liveness(0.0, NodeId(id), true);
+        placement.update_liveness(1.0, NodeId(id), false);
+        placement.update_liveness(1.5, NodeId(id), true);
     }
     assert_eq!(placement.eligible_nodes(2.0).len(), 2);
     placement.set_draining(NodeId(1), true);
@@ -69,7 +69,7 @@
     let counted = |placement: &mut Placement, now: f64| {
         (0..1000).filter(|_| placement.take_handover_permit(now)).count()
     };
-    assert_eq!(counted(&mut placement, 10.0), (HANDOVER_RATE * HANDOVER_BURST) as usize);
+    assert_eq!(counted(&mut placement, 10.0), (HANDOVERS_PER_SECOND * HANDOVER_BURST_WINDOW) as usize);
     assert_eq!(counted(&mut placement, 10.0), 0);
-    assert_eq!(counted(&mut placement, 10.25), (HANDOVER_RATE * 0.25) as usize);
+    assert_eq!(counted(&mut placement, 10.25), (HANDOVERS_PER_SECOND * 0.25) as usize);
 }
--- a/crates/railhub-membership/src/probe_score.rs
+++ b/crates/railhub-membership/src/probe_score.rs
@@ -11,7 +11,7 @@
 /// Score of a member that answers badly.
 const MAX_SCORE: f64 = 100.0;
 /// Points that the score falls in a second while the member answers well.
-const SCORE_RECOVERY_RATE: f64 = 8.0;
+const SCORE_RECOVERY_PER_SECOND: f64 = 8.0;
 /// How far a score must stand above the next one to make its member the outlier.
 pub const OUTLIER_SCORE_GAP: f64 = 30.0;
 /// Share of late or missing acknowledgements above which a member answers badly.
@@ -64,7 +64,7 @@
         self.score = if self.failure_fraction > MAX_FAILURE_FRACTION {
             MAX_SCORE
         } else {
-            (self.score - elapsed * SCORE_RECOVERY_RATE).max(0.0)
+            (self.score - elapsed * SCORE_RECOVERY_PER_SECOND).max(0.0)
         };
     }
 
--- a/crates/railhub-membership/src/swim/identity.rs
+++ b/crates/railhub-membership/src/swim/identity.rs
@@ -10,21 +10,26 @@
 use crate::Seconds;
 
 /// Seconds within which a message of a reported process must come, or it counts as ended.
-const CONFLICT_TIMEOUT: Seconds = 2.0;
+const IDENTITY_CONFLICT_TIMEOUT: Seconds = 2.0;
 
 impl Membership {
     /// A message under this node's own id. Its own come back by a seed address that is its own; an older process is
     /// sent this process's entry; a newer one takes over.
-    pub(super) fn on_own_id(&mut self, now: Seconds, message: &Message, output: &mut MembershipOutput) {
-        let theirs = message.sender.incarnation.process;
-        let ours = self.incarnation().process;
-        if theirs < ours {
+    pub(super) fn on_message_from_own_id(
+        &mut self,
+        now: Seconds,
+        message: &Message,
+        output: &mut MembershipOutput,
+    ) {
+        let their_process = message.sender.incarnation.process;
+        let own_process = self.incarnation().process;
+        if their_process < own_process {
             if let Some(address) = message.sender.metadata.address {
                 let to = Destination::Address(address);
                 self.send(to, message.probe_number, Payload::Ack, Vec::new(), output);
             }
         }
-        if theirs <= ours || self.table.is_disabled(Safeguard::ProcessOrder) {
+        if their_process <= own_process || self.table.is_disabled(Safeguard::ProcessOrder) {
             return;
         }
         self.superseded = true;
@@ -35,18 +40,18 @@
             incarnation: local.incarnation,
             status: Status::Left,
             ejected: true,
-            cause: format!("process {ours} was superseded by process {theirs} of the same id"),
+            cause: format!("process {own_process} was superseded by process {their_process} of the same id"),
         });
     }
 
     /// Another process under this node's id, with a higher number, was reported.
-    pub(super) fn note_identity_conflict(&mut self, now: Seconds, update: &Member) {
+    pub(super) fn record_identity_conflict(&mut self, now: Seconds, update: &Member) {
         let process = update.incarnation.process;
         if self.conflict.is_some_and(|conflict| conflict.process >= process) {
             return;
         }
-        let own = self.table.local().metadata.address;
-        let address = update.metadata.address.filter(|address| Some(*address) != own);
+        let own_address = self.table.local().metadata.address;
+        let address = update.metadata.address.filter(|address| Some(*address) != own_address);
         self.conflict = Some(IdentityConflict { process, address, reported_at: now });
     }
 
@@ -58,10 +63,10 @@
     }
 
     /// Takes a number above a reported process that stayed silent.
-    pub(super) fn end_identity_conflict(&mut self, now: Seconds, output: &mut MembershipOutput) {
+    pub(super) fn expire_identity_conflict(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let Some(IdentityConflict { process, reported_at, .. }) = self.conflict else { return };
         let silent_for = now - reported_at;
-        if silent_for < CONFLICT_TIMEOUT {
+        if silent_for < IDENTITY_CONFLICT_TIMEOUT {
             return;
         }
         self.conflict = None;
--- a/crates/railhub-membership/src/swim/join.rs
+++ b/crates/railhub-membership/src/swim/join.rs
@@ -8,22 +8,22 @@
 use std::net::SocketAddr;
 
 /// The factor on the time to the next try is drawn from this on, and over this width.
-const JOIN_JITTER_START: f64 = 0.7;
-const JOIN_JITTER_WIDTH: f64 = 0.6;
+const JOIN_JITTER_MIN: f64 = 0.7;
+const JOIN_JITTER_RANGE: f64 = 0.6;
 
 impl Membership {
     /// Probes all seeds while no live member is known, else one of them now and then.
-    pub(super) fn try_to_join(&mut self, now: Seconds, output: &mut MembershipOutput) {
-        let is_alone = self.live_count() == 1;
-        if is_alone {
-            self.join.on_alone(now);
+    pub(super) fn send_join_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let has_no_live_peers = self.live_count() == 1;
+        if has_no_live_peers {
+            self.join.on_no_live_peers(now);
         }
         if !self.join.is_due(now) || self.config.seeds.is_empty() {
             return;
         }
-        let jitter = JOIN_JITTER_START + JOIN_JITTER_WIDTH * self.rng.random::<f64>();
+        let jitter = JOIN_JITTER_MIN + JOIN_JITTER_RANGE * self.rng.random::<f64>();
         let mut seeds = self.unknown_seeds();
-        if is_alone {
+        if has_no_live_peers {
             self.join.on_join_attempt(now, jitter);
         } else {
             seeds = seeds.choose(&mut self.rng).copied().into_iter().collect();
@@ -37,8 +37,8 @@
     /// The seeds that are no live member's address, nor this node's own.
     fn unknown_seeds(&self) -> Vec<SocketAddr> {
         let known: BTreeSet<SocketAddr> = self.live_peers().filter_map(|id| self.address(id)).collect();
-        let own = self.table.local().metadata.address;
-        let is_unknown = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own;
+        let own_address = self.table.local().metadata.address;
+        let is_unknown = |seed: &SocketAddr| !known.contains(seed) && Some(*seed) != own_address;
         self.config.seeds.iter().copied().filter(is_unknown).collect()
     }
 }
--- a/crates/railhub-membership/src/swim/join_schedule.rs
+++ b/crates/railhub-membership/src/swim/join_schedule.rs
@@ -31,7 +31,7 @@
     }
 
     /// No live member is known: the next try does not wait for the long interval of one that has company.
-    pub(super) fn on_alone(&mut self, now: Seconds) {
+    pub(super) fn on_no_live_peers(&mut self, now: Seconds) {
         self.next_at = self.next_at.min(now + self.retry_interval);
     }
 
--- a/crates/railhub-membership/src/swim/membership.rs
+++ b/crates/railhub-membership/src/swim/membership.rs
@@ -56,7 +56,7 @@
     pub(super) join: JoinSchedule,
     pub(super) conflict: Option<IdentityConflict>,
     pub(super) superseded: bool,
-    pub(super) rejected: u64,
+    pub(super) rejected_entries: u64,
     pub(super) rng: ChaCha8Rng,
 }
 
@@ -86,14 +86,14 @@
             join: JoinSchedule::new(now),
             conflict: None,
             superseded: false,
-            rejected: 0,
+            rejected_entries: 0,
             rng,
         }
     }
 
     /// Counts nodes of the settings as alive until a probe of them fails: a node that starts must not take what they
     /// hold.
-    pub fn add_expected(&mut self, nodes: &[NodeId], now: Seconds) {
+    pub fn add_expected_nodes(&mut self, nodes: &[NodeId], now: Seconds) {
         let local = self.local_id();
         for id in nodes.iter().filter(|id| **id != local) {
             let member = Member::alive(*id, 0, Default::default());
@@ -144,8 +144,8 @@
     }
 
     /// Entries of members for which there was no room.
-    pub fn rejected(&self) -> u64 {
-        self.rejected
+    pub fn rejected_entries(&self) -> u64 {
+        self.rejected_entries
     }
 
     /// Whether a node may hold slices, as far as is known. A suspect may: its slices are free only when its leases
@@ -155,7 +155,7 @@
             return false;
         }
         if id == self.local_id() {
-            return !self.is_named_by_majority(id, self.last_tick_at);
+            return !self.has_majority_vote(id, self.last_tick_at);
         }
         self.status(id).is_live() && !self.peers.get(&id).is_some_and(|peer| peer.ejected)
     }
--- a/crates/railhub-membership/src/swim/merge.rs
+++ b/crates/railhub-membership/src/swim/merge.rs
@@ -8,7 +8,7 @@
 use crate::Seconds;
 
 /// Seconds after a member's own message in which reports of others that it is dead only make it suspect.
-const RECENTLY_SEEN: Seconds = 1.0;
+const RECENTLY_SEEN_WINDOW: Seconds = 1.0;
 
 impl Membership {
     /// Applies one entry. `cause` goes into the change that follows from it.
@@ -26,8 +26,8 @@
                 self.on_updated(now, update, *previous, *metadata_changed, cause, output);
             }
             MergeOutcome::Refuted => self.on_refuted(),
-            MergeOutcome::IdentityConflict => self.note_identity_conflict(now, update),
-            MergeOutcome::TableFull => self.rejected += 1,
+            MergeOutcome::IdentityConflict => self.record_identity_conflict(now, update),
+            MergeOutcome::TableFull => self.rejected_entries += 1,
             MergeOutcome::Unchanged => self.on_unchanged(update),
             MergeOutcome::Stale => {}
         }
@@ -38,7 +38,7 @@
         if self.table.is_disabled(Safeguard::LocalHealth) || update.reported_by == Some(self.local_id()) {
             return false;
         }
-        self.peers.get(&update.id).is_some_and(|peer| now - peer.last_seen_at < RECENTLY_SEEN)
+        self.peers.get(&update.id).is_some_and(|peer| now - peer.last_seen_at < RECENTLY_SEEN_WINDOW)
     }
 
     fn on_updated(
@@ -61,10 +61,10 @@
             peer.on_status_change(now);
         }
         if metadata_changed || member.status == Status::Alive {
-            peer.accusers.clear();
+            peer.suspected_by.clear();
         }
         if member.status == Status::Suspect {
-            peer.accusers.extend(update.reported_by);
+            peer.suspected_by.extend(update.reported_by);
         }
         if status_changed || metadata_changed {
             output.changes.push(MemberChange {
--- a/crates/railhub-membership/src/swim/outlier.rs
+++ b/crates/railhub-membership/src/swim/outlier.rs
@@ -2,7 +2,7 @@
 //! whose probe score stands out, and a member that a majority names is ejected: it stays alive and holds no slices.
 //! Since each node names one at most, at most one is ejected.
 use super::membership::{Membership, MembershipOutput};
-use super::peer::NamedOutlier;
+use super::peer::OutlierVote;
 use crate::member::Status;
 use crate::messages::MemberChange;
 use crate::probe_score::OUTLIER_SCORE_GAP;
@@ -26,14 +26,14 @@
     }
 
     /// Whether a majority of the live members names this one.
-    pub(super) fn is_named_by_majority(&self, id: NodeId, now: Seconds) -> bool {
+    pub(super) fn has_majority_vote(&self, id: NodeId, now: Seconds) -> bool {
         let live = self.live_count();
-        let names_it = |vote: NamedOutlier| vote.id == id && now - vote.at <= VOTE_LIFETIME;
-        let named_by_others = self.peers.iter().filter(|(voter, peer)| {
-            self.status(**voter) == Status::Alive && peer.named_outlier.is_some_and(names_it)
+        let counts = |vote: OutlierVote| vote.id == id && now - vote.at <= VOTE_LIFETIME;
+        let votes_of_others = self.peers.iter().filter(|(voter, peer)| {
+            self.status(**voter) == Status::Alive && peer.outlier_vote.is_some_and(counts)
         });
         let own_vote = usize::from(id != self.local_id() && self.outlier() == Some(id));
-        let votes = own_vote + named_by_others.count();
+        let votes = own_vote + votes_of_others.count();
         live >= MIN_VOTERS && votes * 2 > live
     }
 
@@ -41,7 +41,7 @@
     pub(super) fn update_ejections(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let ids: Vec<NodeId> = self.peers.keys().copied().collect();
         for id in ids {
-            let ejected = self.is_named_by_majority(id, now);
+            let ejected = self.has_majority_vote(id, now);
             let (Some(peer), Some(member)) = (self.peers.get_mut(&id), self.table.get(id)) else { continue };
             if peer.ejected == ejected {
                 continue;
--- a/crates/railhub-membership/src/swim/peer.rs
+++ b/crates/railhub-membership/src/swim/peer.rs
@@ -23,9 +23,9 @@
     pub(super) ejected: bool,
     pub(super) probe_score: ProbeScore,
     /// The member that it names as its outlier, and when it did so.
-    pub(super) named_outlier: Option<NamedOutlier>,
+    pub(super) outlier_vote: Option<OutlierVote>,
     /// The nodes that suspect it, each by a probe of its own.
-    pub(super) accusers: BTreeSet<NodeId>,
+    pub(super) suspected_by: BTreeSet<NodeId>,
     /// When it is probed next, once it is dead, and the time to the probe after that.
     pub(super) dead_probe_at: Seconds,
     pub(super) dead_probe_interval: Seconds,
@@ -33,7 +33,7 @@
 
 /// A vote for the member that stands out.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct NamedOutlier {
+pub(super) struct OutlierVote {
     pub(super) id: NodeId,
     pub(super) at: Seconds,
 }
@@ -48,8 +48,8 @@
             load: Load::default(),
             ejected: false,
             probe_score: ProbeScore::new(now),
-            named_outlier: None,
-            accusers: BTreeSet::new(),
+            outlier_vote: None,
+            suspected_by: BTreeSet::new(),
             dead_probe_at: now + DEAD_PROBE_INTERVAL,
             dead_probe_interval: DEAD_PROBE_INTERVAL,
         }
--- a/crates/railhub-membership/src/swim/pending_probe.rs
+++ b/crates/railhub-membership/src/swim/pending_probe.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether it has failed; `multiplier` is that of the node's local health.
-    pub(super) fn is_over(&self, now: Seconds, multiplier: f64) -> bool {
+    pub(super) fn has_timed_out(&self, now: Seconds, multiplier: f64) -> bool {
         let timeout = if self.on_behalf_of.is_some() { MAX_ACK_TIMEOUT } else { PROBE_TIMEOUT * multiplier };
         now - self.sent_at >= timeout
     }
--- a/crates/railhub-membership/src/swim/probe.rs
+++ b/crates/railhub-membership/src/swim/probe.rs
@@ -10,12 +10,12 @@
 use rand::RngExt;
 
 /// Helpers that make an indirect probe of one target (SWIM's k).
-const INDIRECT_PROBES: usize = 3;
+const INDIRECT_PROBE_HELPERS: usize = 3;
 /// Probes that are pending at once; past it none are made for other nodes.
 pub(super) const MAX_PENDING_PROBES: usize = 64;
 /// The factor on the time to the next probe of a dead member is drawn from this on, and over this width.
-const DEAD_PROBE_JITTER_START: f64 = 0.8;
-const DEAD_PROBE_JITTER_WIDTH: f64 = 0.4;
+const DEAD_PROBE_JITTER_MIN: f64 = 0.8;
+const DEAD_PROBE_JITTER_RANGE: f64 = 0.4;
 
 impl Membership {
     /// Probes a node, for this one or on behalf of another; `entries` go with the probe.
@@ -62,7 +62,7 @@
 
     /// Probes one suspect, and sends it the suspicion: where messages are lost its refutation needs more than one way
     /// back.
-    pub(super) fn probe_a_suspect(&mut self, now: Seconds, output: &mut MembershipOutput) {
+    pub(super) fn probe_random_suspect(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let suspects = self.table.others().filter(|member| member.status == Status::Suspect);
         let suspects: Vec<Member> = suspects.cloned().collect();
         if let Some(suspect) = suspects.choose(&mut self.rng).cloned() {
@@ -72,12 +72,12 @@
 
     /// Probes the dead member that is due, so that the halves of a partition meet again; ever less often, since most
     /// dead members stay dead.
-    pub(super) fn probe_a_dead_member(&mut self, now: Seconds, output: &mut MembershipOutput) {
+    pub(super) fn probe_due_dead_member(&mut self, now: Seconds, output: &mut MembershipOutput) {
         if self.table.is_disabled(Safeguard::DeadProbing) {
             return;
         }
         let Some(dead) = self.due_dead_member(now) else { return };
-        let jitter = DEAD_PROBE_JITTER_START + DEAD_PROBE_JITTER_WIDTH * self.rng.random::<f64>();
+        let jitter = DEAD_PROBE_JITTER_MIN + DEAD_PROBE_JITTER_RANGE * self.rng.random::<f64>();
         if let Some(peer) = self.peers.get_mut(&dead.id) {
             peer.schedule_dead_probe(now, jitter);
         }
@@ -92,11 +92,11 @@
     }
 
     /// Requests indirect probes where acknowledgements are late, and suspects the targets of failed probes.
-    pub(super) fn end_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
+    pub(super) fn process_pending_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
         self.escalate_late_probes(now, output);
         let multiplier = self.health_multiplier();
         let pending = std::mem::take(&mut self.pending);
-        let (failed, pending) = pending.into_iter().partition(|probe| probe.is_over(now, multiplier));
+        let (failed, pending) = pending.into_iter().partition(|probe| probe.has_timed_out(now, multiplier));
         self.pending = pending;
         for probe in failed {
             self.on_probe_failed(now, &probe, output);
@@ -135,7 +135,7 @@
         let mut helpers: Vec<NodeId> =
             self.live_peers().filter(|id| *id != target && self.status(*id) == Status::Alive).collect();
         helpers.shuffle(&mut self.rng);
-        helpers.truncate(INDIRECT_PROBES);
+        helpers.truncate(INDIRECT_PROBE_HELPERS);
         if let Some(pending) = self.pending.iter_mut().find(|pending| pending.number == number) {
             pending.escalate(helpers.len());
         }
@@ -154,11 +154,11 @@
     /// Acknowledges a probe. A sender that is held suspect or dead is sent that, so that it can refute it.
     pub(super) fn on_probe(&mut self, message: &Message, output: &mut MembershipOutput) {
         let sender = &message.sender;
-        let accusation = self
+        let adverse_entry = self
             .table
             .get(sender.id)
             .filter(|known| known.status != Status::Alive && known.incarnation == sender.incarnation);
-        let entries = accusation.cloned().into_iter().collect();
+        let entries = adverse_entry.cloned().into_iter().collect();
         self.send(Destination::Node(sender.id), message.probe_number, Payload::Ack, entries, output);
     }
 
@@ -233,7 +233,7 @@
     }
 
     fn take_pending(&mut self, number: u64, target: NodeId) -> Option<PendingProbe> {
-        let place = self.pending.iter().position(|probe| probe.number == number && probe.target == target)?;
-        Some(self.pending.remove(place))
+        let index = self.pending.iter().position(|probe| probe.number == number && probe.target == target)?;
+        Some(self.pending.remove(index))
     }
 }
--- a/crates/railhub-membership/src/swim/receive.rs
+++ b/crates/railhub-membership/src/swim/receive.rs
@@ -1,6 +1,6 @@
 //! Messages from other nodes.
 use super::membership::{Membership, MembershipOutput};
-use super::peer::NamedOutlier;
+use super::peer::OutlierVote;
 use crate::messages::{Destination, Message, Payload};
 use crate::table::MergeOutcome;
 use crate::Seconds;
@@ -14,7 +14,7 @@
             return output;
         }
         if sender == self.local_id() {
-            self.on_own_id(now, message, &mut output);
+            self.on_message_from_own_id(now, message, &mut output);
             return output;
         }
         self.resume_after_pause(now);
@@ -23,7 +23,7 @@
             self.on_stale_sender(now, message, &mut output);
             return output;
         }
-        let is_latest = self.note_sender(now, message);
+        let is_latest = self.record_sender(now, message);
         for update in &message.gossip {
             let cause = match update.reported_by {
                 Some(reporter) => format!("reported by node {}, gossip from node {}", reporter.0, sender.0),
@@ -56,7 +56,7 @@
 
     /// Notes what only the sender's latest message may tell. Returns whether this is the latest: one that comes late or
     /// again changes nothing.
-    fn note_sender(&mut self, now: Seconds, message: &Message) -> bool {
+    fn record_sender(&mut self, now: Seconds, message: &Message) -> bool {
         let (sender, process) = (message.sender.id, message.sender.incarnation.process);
         let is_known_process =
             self.table.get(sender).is_some_and(|member| member.incarnation.process == process);
@@ -71,7 +71,7 @@
             peer.sequence = message.sequence;
             peer.last_seen_at = now;
             peer.load = message.load;
-            peer.named_outlier = message.outlier.map(|id| NamedOutlier { id, at: now });
+            peer.outlier_vote = message.outlier.map(|id| OutlierVote { id, at: now });
         }
         is_latest
     }
--- a/crates/railhub-membership/src/swim/suspicion.rs
+++ b/crates/railhub-membership/src/swim/suspicion.rs
@@ -7,13 +7,13 @@
 
 /// Suspicion timeout of a confirmed suspicion in seconds, per natural logarithm of the number of live members: long
 /// enough for the suspicion to reach its target by gossip, and for the refutation to come back.
-const SUSPICION_TIMEOUT: Seconds = 1.0;
+const SUSPICION_TIMEOUT_PER_LN_MEMBERS: Seconds = 1.0;
 /// How many times longer the timeout is while nobody has confirmed the suspicion.
 const MAX_SUSPICION_TIMEOUT_MULTIPLIER: f64 = 3.0;
 /// Confirmations by further nodes that bring the timeout down to its shortest.
 const EXPECTED_CONFIRMATIONS: usize = 2;
 /// How far the timeout comes down in a cluster with nobody to confirm.
-const UNCONFIRMABLE_FRACTION: f64 = 0.5;
+const UNCONFIRMABLE_REDUCTION_FRACTION: f64 = 0.5;
 
 impl Membership {
     /// A probe of a member has failed, through `helpers` others too.
@@ -39,8 +39,8 @@
             && update.status == Status::Suspect
             && known.incarnation == update.incarnation;
         let Some(peer) = self.peers.get_mut(&update.id).filter(|_| confirms) else { return };
-        let Some(accuser) = update.reported_by else { return };
-        if peer.accusers.len() <= EXPECTED_CONFIRMATIONS && peer.accusers.insert(accuser) {
+        let Some(reporter) = update.reported_by else { return };
+        if peer.suspected_by.len() <= EXPECTED_CONFIRMATIONS && peer.suspected_by.insert(reporter) {
             self.gossip.enqueue(update.clone());
         }
     }
@@ -48,14 +48,14 @@
     /// Seconds that a suspicion stands: the more nodes confirm it the shorter, the worse the local health the longer.
     fn suspicion_timeout(&self, peer: &Peer) -> Seconds {
         let live = self.live_count();
-        let shortest = SUSPICION_TIMEOUT * (live as f64).ln().max(1.0);
+        let shortest = SUSPICION_TIMEOUT_PER_LN_MEMBERS * (live as f64).ln().max(1.0);
         if self.table.is_disabled(Safeguard::LocalHealth) {
             return shortest;
         }
         let expected = EXPECTED_CONFIRMATIONS.min(live.saturating_sub(2));
-        let confirmations = peer.accusers.len().saturating_sub(1).min(expected);
+        let confirmations = peer.suspected_by.len().saturating_sub(1).min(expected);
         let fraction = if expected == 0 {
-            UNCONFIRMABLE_FRACTION
+            UNCONFIRMABLE_REDUCTION_FRACTION
         } else {
             ((confirmations + 1) as f64).ln() / ((expected + 1) as f64).ln()
         };
@@ -64,23 +64,24 @@
     }
 
     /// Declares the suspects dead whose suspicion timeout has ended.
-    pub(super) fn end_suspicions(&mut self, now: Seconds, output: &mut MembershipOutput) {
-        let is_over = |member: &&Member| match self.peers.get(&member.id) {
+    pub(super) fn expire_suspicions(&mut self, now: Seconds, output: &mut MembershipOutput) {
+        let has_timed_out = |member: &&Member| match self.peers.get(&member.id) {
             Some(peer) => now - peer.status_since >= self.suspicion_timeout(peer),
             None => false,
         };
         let suspects = self.table.others().filter(|member| member.status == Status::Suspect);
-        let over: Vec<Member> = suspects.filter(is_over).cloned().collect();
-        for suspect in over {
-            let cause = format!("not refuted; suspected by {}", self.accuser_list(suspect.id));
+        let timed_out: Vec<Member> = suspects.filter(has_timed_out).cloned().collect();
+        for suspect in timed_out {
+            let cause = format!("not refuted; suspected by {}", self.suspected_by_list(suspect.id));
             let dead = Member { status: Status::Dead, reported_by: Some(self.local_id()), ..suspect };
             self.apply_update(now, &dead, &cause, output);
         }
     }
 
-    fn accuser_list(&self, id: NodeId) -> String {
+    fn suspected_by_list(&self, id: NodeId) -> String {
         let Some(peer) = self.peers.get(&id) else { return String::new() };
-        let accusers: Vec<String> = peer.accusers.iter().map(|accuser| accuser.0.to_string()).collect();
-        accusers.join(", ")
+        let suspected_by: Vec<String> =
+            peer.suspected_by.iter().map(|reporter| reporter.0.to_string()).collect();
+        suspected_by.join(", ")
     }
 }
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -12,7 +12,7 @@
         0.0,
         1,
     );
-    membership.add_expected(&ids, 0.0);
+    membership.add_expected_nodes(&ids, 0.0);
     let dead = Member { status: Status::Dead, ..Member::alive(ids[1], 0, NodeMetadata::default()) };
     let sender = Member::alive(ids[1], 0, NodeMetadata::default());
     for number in 0..10_000 {
--- a/crates/railhub-membership/src/swim/tick.rs
+++ b/crates/railhub-membership/src/swim/tick.rs
@@ -31,19 +31,19 @@
         self.resume_after_pause(now);
         self.health.on_tick(now - self.last_tick_at - PROBE_INTERVAL);
         self.last_tick_at = now;
-        self.end_probes(now, &mut output);
-        self.end_suspicions(now, &mut output);
+        self.process_pending_probes(now, &mut output);
+        self.expire_suspicions(now, &mut output);
         self.update_ejections(now, &mut output);
         self.forget_gone_members(now);
-        self.end_identity_conflict(now, &mut output);
+        self.expire_identity_conflict(now, &mut output);
         if now >= self.next_probe_at {
             self.next_probe_at = now + PROBE_INTERVAL;
             if let Some(target) = self.next_probe_target() {
                 self.send_probe(now, target, None, Vec::new(), &mut output);
             }
-            self.probe_a_suspect(now, &mut output);
-            self.probe_a_dead_member(now, &mut output);
-            self.try_to_join(now, &mut output);
+            self.probe_random_suspect(now, &mut output);
+            self.probe_due_dead_member(now, &mut output);
+            self.send_join_probes(now, &mut output);
             self.probe_conflicting_process(&mut output);
         }
         output
@@ -64,10 +64,10 @@
         for peer in self.peers.values_mut() {
             peer.resume(now);
         }
-        let soon = now + PROBE_INTERVAL;
+        let next_interval_at = now + PROBE_INTERVAL;
         self.last_tick_at = now;
-        self.next_probe_at = self.next_probe_at.min(soon);
-        self.next_sync_at = self.next_sync_at.min(soon);
+        self.next_probe_at = self.next_probe_at.min(next_interval_at);
+        self.next_sync_at = self.next_sync_at.min(next_interval_at);
         self.join.resume(now);
         if let Some(conflict) = &mut self.conflict {
             conflict.reported_at = conflict.reported_at.min(now);
@@ -75,12 +75,12 @@
     }
 
     fn forget_gone_members(&mut self, now: Seconds) {
-        let is_over = |id: &NodeId| match self.peers.get(id) {
+        let is_forgettable = |id: &NodeId| match self.peers.get(id) {
             Some(peer) => now - peer.status_since > self.config.forget_after,
             None => true,
         };
         let gone = self.table.others().filter(|member| !member.status.is_live()).map(|member| member.id);
-        let forgotten: Vec<NodeId> = gone.filter(is_over).collect();
+        let forgotten: Vec<NodeId> = gone.filter(is_forgettable).collect();
         for id in forgotten {
             self.table.forget(id);
             self.gossip.remove(id);
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -199,8 +199,8 @@
         if update.incarnation.process < local.process {
             return MergeOutcome::Stale;
         }
-        let accused = update.status != Status::Alive && self.local.status == Status::Alive;
-        if !accused || self.is_disabled(Safeguard::Refutation) {
+        let is_reported_not_alive = update.status != Status::Alive && self.local.status == Status::Alive;
+        if !is_reported_not_alive || self.is_disabled(Safeguard::Refutation) {
             return MergeOutcome::Unchanged;
         }
         if update.status == Status::Forgotten {
@@ -251,18 +251,18 @@
     pub fn diff(&self, from: NodeId, to: NodeId, entries: &[DigestEntry]) -> SyncDiff {
         let mut diff = SyncDiff::default();
         for entry in entries {
-            let theirs = (entry.incarnation, entry.status);
+            let listed = (entry.incarnation, entry.status);
             match self.get(entry.id) {
-                Some(ours) if (ours.incarnation, ours.status) > theirs => diff.newer.push(ours.clone()),
-                Some(ours) if (ours.incarnation, ours.status) < theirs => diff.wanted.push(entry.id),
+                Some(known) if (known.incarnation, known.status) > listed => diff.newer.push(known.clone()),
+                Some(known) if (known.incarnation, known.status) < listed => diff.wanted.push(entry.id),
                 Some(_) => {}
                 None if self.tombstones.covers(entry.id, entry.incarnation.process) => {}
                 None => diff.wanted.push(entry.id),
             }
         }
-        let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.id).collect();
+        let listed_ids: BTreeSet<NodeId> = entries.iter().map(|entry| entry.id).collect();
         let missing = self.others.values().chain([&self.local]).filter(|member| {
-            (from..=to).contains(&member.id) && !listed.contains(&member.id) && member.status.is_live()
+            (from..=to).contains(&member.id) && !listed_ids.contains(&member.id) && member.status.is_live()
         });
         diff.newer.extend(missing.cloned());
         diff.newer.truncate(MAX_GOSSIP_PER_MESSAGE);
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -20,7 +20,7 @@
         now,
         seed,
     );
-    membership.add_expected(ids, now);
+    membership.add_expected_nodes(ids, now);
     membership
 }
 
