--- a/crates/railhub-membership/src/lease.rs
+++ b/crates/railhub-membership/src/lease.rs
@@ -1,24 +1,26 @@
-//! Leases: who may write a slice's table, and when a lease is lost.
+//! The holder's side of leases: which slices this process may write, and when a lease is lost.
 //!
-//! # Who owns what
+//! # State of the store and of the holder
 //!
-//! The *store's side* ([`crate::lease_store`]) owns who holds each slice, under which epoch, until when on the store's
-//! clock. It grants a slice to one process at a time, and raises the slice's epoch with each grant but a renewal.
+//! The *store's side* ([`crate::lease_store`]) records which process holds each slice, under which epoch, and until
+//! when on the store's clock. It grants a slice to one process at a time, and raises the slice's epoch with each grant
+//! that is not a renewal.
 //!
-//! The *holder's side* (this module) owns what this process may write at this moment, by this process's clock alone.
-//! Nobody else ends its leases in time: the store's response may be lost, and a process that stood still answers nobody.
-//! So each write checks [`HeldLeases::valid_epoch`] at the moment of writing.
+//! The *holder's side* (this module) tracks what this process may write at this moment, by this process's clock alone.
+//! The holder cannot rely on being told that a lease has ended: the store's response may be lost, and a paused process
+//! receives nothing. So each write checks [`HeldLeases::valid_epoch`] at the moment of writing.
 //!
 //! The *epoch* is the fencing token (the sequencer of Chubby, Burrows 2006): each command and each write of a table
-//! carries it, and proxies, hosts ([`crate::fence::Fence`]) and the store drop what comes under an older one. A holder
-//! that is wrong about its lease can do no harm then.
+//! carries it, and proxies, hosts ([`crate::fence::Fence`]) and the store drop whatever carries an older one. So a
+//! holder that wrongly believes that its lease is valid can do no harm.
 //!
 //! # Clocks
 //!
-//! Clocks need not agree, only run at about the same rate. The store counts a lease's duration from when it decides the
-//! request. The holder counts from when it *sent* the request, which is earlier, and takes off the fraction by which
-//! clocks may run apart (`CLOCK_DRIFT_FRACTION`). So the holder has stopped before the store may grant the slice to
-//! another. If a clock jumps or drifts further, both may believe to hold the slice for a time; the epoch decides.
+//! Clocks need not show the same time, but must run at about the same rate. The store counts a lease's duration from
+//! when it decides the request. The holder counts from when it *sent* the request, which is earlier, and shortens the
+//! duration by the fraction by which clocks may drift apart (`CLOCK_DRIFT_FRACTION`). So the holder stops before the
+//! store may grant the slice to another process. If a clock jumps or drifts further, two processes may believe that
+//! they hold the slice for a time; the epoch decides between them.
 //!
 //! # When is a lease lost?
 //!
@@ -33,28 +35,30 @@
 //!     `--------------------------- take_expired, at the next tick ---'
 //! ```
 //!
-//! - *released*: this process gives the slice up ([`HeldLeases::release`]): placement assigns it to another node.
+//! - *released*: this process gives the slice up ([`HeldLeases::release`]) because placement assigns it to another
+//!   node.
 //! - *revoked*: the store refused to renew it ([`HeldLeases::on_refused`]): another process holds it, or the store
-//!   has restarted and does not know of the grant.
-//! - *expired*: no renewal came in time, because the store did not answer or this process stood still
-//!   ([`HeldLeases::take_expired`]). It may not write from the expiry on, whether or not a tick has come since.
+//!   has restarted from a copy that does not contain the grant.
+//! - *expired*: no renewal came in time, because the store did not answer or this process was paused
+//!   ([`HeldLeases::take_expired`]). It may not write from the expiry on, even if no tick has run since.
 //! - *superseded*: a grant under a higher epoch replaces an older one; the slice stays held under the new epoch.
 use crate::{Epoch, Seconds};
 use std::collections::BTreeMap;
 
-/// Fraction of a lease's duration by which clocks may run apart, with a margin for the way of a message.
+/// Fraction of a lease's duration by which clocks may drift apart, including a margin for the network delay.
 const CLOCK_DRIFT_FRACTION: f64 = 0.1;
-/// Fraction of a lease that is left when it is renewed: three tries fit in before it expires.
+/// Fraction of a lease that is left when it is renewed: enough for three renewal attempts before it expires.
 const RENEWAL_REMAINING_FRACTION: f64 = 0.6;
 
-/// The state of one slice's lease at a moment of the holder's clock; see the module's transitions.
+/// The state of one slice's lease at a given time on the holder's clock. The module documentation shows the
+/// transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Never acquired, or released, revoked or taken out after its expiry.
+    /// Never acquired; or released, revoked or removed after its expiry.
     NotHeld,
     /// The slice may be written under this epoch.
     Valid(Epoch),
-    /// The lease has run out, and nothing may be written under its epoch.
+    /// The lease has expired, and nothing may be written under its epoch.
     Expired(Epoch),
 }
 
@@ -71,28 +75,28 @@
 pub struct HeldLeases {
     duration: Seconds,
     leases: BTreeMap<u16, Lease>,
-    /// When the latest request was sent that the store has answered, also one that granted nothing.
+    /// When the latest request that the store has answered was sent, even if the store granted nothing.
     last_answered_request_at: Seconds,
 }
 
 impl HeldLeases {
-    /// `duration`: seconds that the store grants a slice for.
+    /// Holds no leases yet. `duration`: seconds for which the store grants a slice.
     pub fn new(duration: Seconds) -> HeldLeases {
         HeldLeases { duration, ..HeldLeases::default() }
     }
 
-    /// Seconds that the store grants a slice for.
+    /// Seconds for which the store grants a slice.
     pub fn duration(&self) -> Seconds {
         self.duration
     }
 
-    /// Seconds that this process holds a lease for, from when it sent the request.
+    /// Seconds for which this process holds a lease, counted from when it sent the request.
     fn holder_duration(&self) -> Seconds {
         self.duration * (1.0 - CLOCK_DRIFT_FRACTION)
     }
 
-    /// The store has granted these slices, by a request that was sent at `requested_at`. A response that comes after
-    /// the leases have expired acquires nothing; one that comes out of order does not bring an older epoch back.
+    /// The store granted these slices in response to a request that was sent at `requested_at`. A response that arrives
+    /// after the leases have expired acquires nothing; one that arrives out of order does not restore an older epoch.
     pub fn on_granted(&mut self, now: Seconds, requested_at: Seconds, slices: &[(u16, Epoch)]) {
         let expires_at = requested_at + self.holder_duration();
         self.last_answered_request_at = self.last_answered_request_at.max(requested_at);
@@ -112,19 +116,19 @@
         }
     }
 
-    /// The store refused these slices: their leases, if any are held, are revoked.
+    /// The store refused these slices, so any leases held on them are revoked.
     pub fn on_refused(&mut self, slices: &[u16]) {
         for slice in slices {
             self.leases.remove(slice);
         }
     }
 
-    /// Gives a slice up: from now on nothing may be written for it. Returns the epoch under which it was held.
+    /// Gives a slice up: nothing may be written for it from now on. Returns the epoch under which it was held.
     pub fn release(&mut self, slice: u16) -> Option<Epoch> {
         self.leases.remove(&slice).map(|lease| lease.epoch)
     }
 
-    /// Takes out the slices whose leases have expired.
+    /// Removes and returns the slices whose leases have expired.
     pub fn take_expired(&mut self, now: Seconds) -> Vec<u16> {
         let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
         let expired: Vec<u16> = expired.map(|(slice, _)| *slice).collect();
@@ -134,7 +138,7 @@
         expired
     }
 
-    /// The state of a slice's lease at this moment.
+    /// The state of a slice's lease at `now`.
     pub fn state(&self, now: Seconds, slice: u16) -> LeaseState {
         match self.leases.get(&slice) {
             None => LeaseState::NotHeld,
@@ -143,7 +147,7 @@
         }
     }
 
-    /// The epoch under which a slice may be written at this moment, if it may be.
+    /// The epoch under which a slice may be written at `now`, if it may be written.
     pub fn valid_epoch(&self, now: Seconds, slice: u16) -> Option<Epoch> {
         match self.state(now, slice) {
             LeaseState::Valid(epoch) => Some(epoch),
@@ -151,7 +155,8 @@
         }
     }
 
-    /// All slices with their epochs, in the order of slices, up to the last [`HeldLeases::take_expired`].
+    /// All slices with their epochs, in slice order. Includes leases that expired after the last
+    /// [`HeldLeases::take_expired`].
     pub fn held(&self) -> impl Iterator<Item = (u16, Epoch)> + '_ {
         self.leases.iter().map(|(slice, lease)| (*slice, lease.epoch))
     }
@@ -161,7 +166,7 @@
         self.leases.len()
     }
 
-    /// When the leases are to be renewed next, on the holder's clock.
+    /// When the leases are due for renewal, on the holder's clock.
     pub fn renewal_due_at(&self) -> Seconds {
         self.last_answered_request_at + self.holder_duration() * (1.0 - RENEWAL_REMAINING_FRACTION)
     }
--- a/crates/railhub-membership/src/lease/tests.rs
+++ b/crates/railhub-membership/src/lease/tests.rs
@@ -50,8 +50,8 @@
 }
 
 proptest! {
-    /// Two processes with clocks up to 5 % apart send requests at any moments; responses take any time. At no moment may
-    /// both write the slice, and the one that may has the newer epoch.
+    /// Two processes with clocks up to 5 % apart send requests at any moments; responses take any time. At no moment
+    /// may both write the slice, and the one that may has the newer epoch.
     #[test]
     fn no_two_may_order_a_slice_at_once(
         steps in prop::collection::vec((0.0..1.0f64, 0..2usize, 0.0..2.0f64), 1..120),
--- a/crates/railhub-membership/src/lease_manager.rs
+++ b/crates/railhub-membership/src/lease_manager.rs
@@ -1,16 +1,18 @@
-//! The lease manager of one node: it receives messages of other nodes and responses of the lease store, and tells the
-//! driver what to send, which slices the node has acquired and which it has lost.
+//! The lease manager of one node: it receives messages from other nodes and responses from the lease store, and returns
+//! what the driver has to send, which slices the node has acquired and which it has lost.
 //!
-//! It owns the node's [`Membership`], the [`Placement`] that follows from it, and the node's [`HeldLeases`]. Whoever
-//! writes for a slice checks [`LeaseManager::valid_epoch`] at the moment of writing.
+//! It owns the node's [`Membership`], the [`Placement`] that follows from it, and the node's [`HeldLeases`]. Each write
+//! for a slice must check [`LeaseManager::valid_epoch`] at the moment of writing.
 //!
-//! The numbered way of one slice from a dead node to this one:
+//! How a slice moves from a dead node to this one:
 //! 1. Membership declares the node dead ([`LeaseManager::on_message`], [`LeaseManager::tick`]).
-//! 2. Placement makes this node the slice's owner; the next request to the store wants to acquire it.
-//! 3. The store refuses as long as the dead node's lease lasts; the slice is wanted again after a pause.
-//! 4. The store grants it under a higher epoch ([`LeaseManager::on_response`]): the driver learns that it is acquired.
+//! 2. Placement makes this node the slice's owner; the next request to the store asks to acquire it.
+//! 3. The store refuses while the dead node's lease lasts; the slice is requested again after a backoff.
+//! 4. The store grants it under a higher epoch ([`LeaseManager::on_response`]) and the driver is told that the slice is
+//!    acquired.
 //!
-//! Requests to the store: Idle -> InFlight (sent) -> Idle (response, or the response timeout). One is in flight at most.
+//! State of requests to the store: Idle -> InFlight (sent) -> Idle (response or response timeout). At most one request
+//! is in flight.
 use crate::lease::HeldLeases;
 use crate::lease_messages::{LeaseRequest, LeaseResponse};
 use crate::member::{Load, Member, NodeMetadata};
@@ -20,35 +22,36 @@
 use crate::{Epoch, NodeId, Seconds};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds between two requests to the store while there is something to request.
+/// Seconds between two requests to the store while there are changes to request.
 const REQUEST_INTERVAL: Seconds = 0.2;
-/// Seconds after which a request without a response is given up.
+/// Seconds after which an unanswered request is abandoned.
 const RESPONSE_TIMEOUT: Seconds = 1.0;
-/// Requests without a response, one after another, after which a node that holds nothing publishes that the store is
-/// unreachable.
+/// Consecutive unanswered requests after which a node that holds no lease publishes that the store is unreachable.
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
-/// Slices that one request acquires: the response brings their tables, and a takeover must not come in one lump.
+/// The most slices that one request acquires. The response contains their tables, so a takeover is split into several
+/// responses.
 const ACQUIRE_BATCH_LIMIT: usize = 256;
-/// Seconds that a slice which the store refused is not requested again.
+/// Seconds for which a slice that the store refused is not requested again.
 const REFUSAL_BACKOFF: Seconds = 0.4;
-/// Shortest times in seconds from now to the next request, and to the next tick.
+/// Shortest time in seconds from now to the next request.
 const MIN_REQUEST_DELAY: Seconds = 0.01;
+/// Shortest time in seconds from now to the next tick.
 const MIN_TICK_DELAY: Seconds = 0.005;
 
-/// What the driver is to do after a call.
+/// The results of a call, for the driver to carry out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Messages to other nodes, in order.
+    /// Messages to send to other nodes, in order.
     pub messages: Vec<OutgoingMessage>,
-    /// A request to the lease store.
+    /// A request to send to the lease store.
     pub lease_request: Option<LeaseRequest>,
-    /// Slices that are held from now on, or under a new epoch.
+    /// Slices that were acquired, or whose epoch has changed.
     pub acquired: Vec<(u16, Epoch)>,
-    /// Slices that were released, or revoked by the store.
+    /// Slices that were released or revoked.
     pub lost: Vec<u16>,
-    /// Slices whose leases have expired; who holds them next is not known.
+    /// Slices whose leases have expired; their next holder is not known.
     pub expired: Vec<u16>,
-    /// Changes of the membership's view.
+    /// Changes of the node's view of the members.
     pub member_changes: Vec<MemberChange>,
 }
 
@@ -58,18 +61,18 @@
     }
 }
 
-/// Whether a request to the store waits for its response.
+/// Whether a request to the store is awaiting its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RequestState {
     Idle,
     InFlight { number: u64, sent_at: Seconds },
 }
 
-/// Decides for one node which slices to acquire, renew and release.
+/// Decides which slices one node acquires, renews and releases.
 pub struct LeaseManager {
     id: NodeId,
     process: u64,
-    /// Number of slices of the installation.
+    /// Number of slices in the installation.
     slices: u16,
     membership: Membership,
     placement: Placement,
@@ -80,34 +83,34 @@
     /// When the store last refused each slice.
     refused_at: BTreeMap<u16, Seconds>,
     draining: bool,
-    /// Requests without a response, one after another.
+    /// Consecutive requests that got no response.
     unanswered_requests: u32,
 }
 
-/// What a lease manager is given at its start.
+/// Settings with which a lease manager starts.
 pub struct LeaseManagerOptions<'a> {
     /// The node's id.
     pub id: NodeId,
-    /// Number of the process: differs from all others, and is higher than those of earlier processes of the same node.
+    /// Process number: unique, and higher than those of earlier processes of the same node.
     pub process: u64,
-    /// All nodes of the settings with what they can bear relative to each other.
+    /// All configured nodes with their weights, which are their capacities relative to each other.
     pub weights: &'a BTreeMap<NodeId, f64>,
-    /// What the node publishes of itself.
+    /// What the node publishes about itself.
     pub metadata: NodeMetadata,
     /// Settings of membership.
     pub config: MembershipConfig,
-    /// Number of slices of the installation.
+    /// Number of slices in the installation.
     pub slices: u16,
     /// Seconds that a lease lasts.
     pub lease_duration: Seconds,
-    /// Seconds before the first request to the store: time to learn who else is there.
+    /// Seconds to wait before the first request to the store, in which other members are discovered.
     pub settle_time: Seconds,
-    /// Seed of membership's random choices.
+    /// Seed of the random choices that membership makes.
     pub seed: u64,
 }
 
 impl LeaseManager {
-    /// Starts with all nodes of the settings counted as alive.
+    /// Creates the manager with all configured nodes considered alive.
     pub fn new(options: &LeaseManagerOptions, now: Seconds) -> LeaseManager {
         let nodes: Vec<NodeId> = options.weights.keys().copied().collect();
         let mut placement = Placement::new(options.weights.clone());
@@ -133,29 +136,29 @@
         }
     }
 
-    /// The epoch under which a slice may be written at this moment, if it may be.
+    /// The epoch under which a slice may be written at `now`, if it may be written.
     pub fn valid_epoch(&self, now: Seconds, slice: u16) -> Option<Epoch> {
         self.leases.valid_epoch(now, slice)
     }
 
-    /// Whether a request to the store waits for its response.
+    /// Whether a request to the store is awaiting its response.
     pub fn request_in_flight(&self) -> bool {
         matches!(self.request_state, RequestState::InFlight { .. })
     }
 
-    /// All leases, for those that write to check at the moment of writing.
+    /// All held leases. A writer checks the lease of its slice at the moment of writing.
     pub fn leases(&self) -> &HeldLeases {
         &self.leases
     }
 
-    /// Begins to hand all slices over; no more are acquired.
+    /// Starts handing over all slices; no more are acquired.
     pub fn start_draining(&mut self) {
         self.draining = true;
         self.membership.start_draining();
         self.placement.set_draining(self.id, true);
     }
 
-    /// Whether the node hands its slices over.
+    /// Whether the node is handing its slices over.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
@@ -165,22 +168,22 @@
         self.draining && self.leases.count() == 0
     }
 
-    /// The node's view of the others.
+    /// The node's membership state.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The load that goes with each message from now on.
+    /// Sets the load that is sent with each message from now on.
     pub fn set_load(&mut self, load: Load) {
         self.membership.set_load(load);
     }
 
-    /// Tells the other nodes that this one leaves.
+    /// Announces to the other nodes that this one leaves.
     pub fn leave(&mut self) -> Effects {
         self.membership.leave().into()
     }
 
-    /// Applies a message of another node.
+    /// Applies a message from another node.
     pub fn on_message(&mut self, now: Seconds, message: &Message) -> Effects {
         let output = self.membership.on_message(now, message);
         self.update_placement(now, &output.changes);
@@ -200,9 +203,9 @@
         self.placement.update_liveness(now, self.id, self.membership.may_hold_slices(self.id));
     }
 
-    /// Does what is due: drops expired leases, lets membership do its part, and requests what is to change.
+    /// Does all work that is due: drops expired leases, ticks membership, and sends the next request to the store.
     pub fn tick(&mut self, now: Seconds) -> Effects {
-        // First of all what a pause, or a store that did not answer, has cost.
+        // Expired leases come first: this process may have been paused, or the store may not have answered.
         let expired = self.leases.take_expired(now);
         let output = self.membership.tick(now);
         self.update_placement(now, &output.changes);
@@ -224,7 +227,8 @@
         }
     }
 
-    /// A node that lives and cannot hold a lease would keep its slices from everyone, so it publishes that.
+    /// Publishes whether the store is unreachable. Placement would otherwise go on assigning slices to a live node that
+    /// cannot acquire their leases, and no other node would take them.
     fn publish_store_reachability(&mut self, now: Seconds) {
         let unreachable = self.unanswered_requests >= MAX_UNANSWERED_REQUESTS && self.leases.count() == 0;
         self.membership.set_store_unreachable(unreachable);
@@ -239,7 +243,7 @@
         let renewal_is_due = now >= self.leases.renewal_due_at();
         let renew = if renewal_is_due { self.leases.held().collect() } else { Vec::new() };
         self.next_request_at = now + REQUEST_INTERVAL;
-        // An unreachable store is sent requests on, empty ones if need be: else its return would go unnoticed.
+        // While the store is unreachable, requests go on even if they are empty, to notice when it answers again.
         let is_empty = acquire.is_empty() && renew.is_empty() && release.is_empty();
         if is_empty && self.unanswered_requests == 0 {
             return None;
@@ -251,7 +255,7 @@
         Some(LeaseRequest { number, process: self.process, duration, acquire, renew, release })
     }
 
-    /// The slices that belong to this node, are not held, and were not refused a moment ago.
+    /// The slices that placement gives to this node, that are not held, and that were not refused recently.
     fn slices_to_acquire(&self, now: Seconds, eligible: &BTreeMap<NodeId, f64>) -> Vec<u16> {
         let held: BTreeSet<u16> = self.leases.held().map(|(slice, _)| slice).collect();
         let was_refused = |slice: &u16| match self.refused_at.get(slice) {
@@ -260,14 +264,14 @@
         };
         (0..self.slices)
             .filter(|slice| {
-                !held.contains(slice) && self.belongs_here(*slice, eligible) && !was_refused(slice)
+                !held.contains(slice) && self.is_placed_here(*slice, eligible) && !was_refused(slice)
             })
             .take(ACQUIRE_BATCH_LIMIT)
             .collect()
     }
 
-    /// Gives up slices that belong to another node, as many as may be handed over now. Without an eligible node slices
-    /// are kept: a poor holder is better than none.
+    /// Releases slices that placement gives to other nodes, as far as the handover rate allows. If no node is eligible,
+    /// slices are kept, since an ineligible holder is better than none.
     fn release_foreign_slices(
         &mut self,
         now: Seconds,
@@ -277,7 +281,7 @@
             return Vec::new();
         }
         let held = self.leases.held().map(|(slice, _)| slice);
-        let foreign: Vec<u16> = held.filter(|slice| !self.belongs_here(*slice, eligible)).collect();
+        let foreign: Vec<u16> = held.filter(|slice| !self.is_placed_here(*slice, eligible)).collect();
         let mut released = Vec::new();
         for slice in foreign {
             if !self.placement.take_handover_permit(now) {
@@ -288,12 +292,12 @@
         released
     }
 
-    /// Whether placement gives the slice to this node, whoever holds its lease.
-    fn belongs_here(&self, slice: u16, eligible: &BTreeMap<NodeId, f64>) -> bool {
+    /// Whether placement gives the slice to this node, regardless of which node holds its lease.
+    fn is_placed_here(&self, slice: u16, eligible: &BTreeMap<NodeId, f64>) -> bool {
         rendezvous_owner(slice, eligible) == Some(self.id)
     }
 
-    /// Applies the store's response. One to a request that was given up is ignored: what it grants expires unused.
+    /// Applies the store's response. A response to an abandoned request is ignored: its grants expire unused.
     pub fn on_response(&mut self, now: Seconds, response: &LeaseResponse) -> Effects {
         let sent_at = match self.request_state {
             RequestState::InFlight { number, sent_at } if number == response.number => sent_at,
@@ -315,7 +319,7 @@
         }
     }
 
-    /// When [`LeaseManager::tick`] is to be called next.
+    /// When [`LeaseManager::tick`] has to be called next.
     pub fn next_tick_at(&self, now: Seconds) -> Seconds {
         let request_at = match self.request_state {
             RequestState::Idle => self.next_request_at.max(now + MIN_REQUEST_DELAY),
--- a/crates/railhub-membership/src/lease_messages.rs
+++ b/crates/railhub-membership/src/lease_messages.rs
@@ -1,23 +1,23 @@
-//! What a lease manager and the lease store say to each other.
+//! The messages between a lease manager and the lease store.
 use crate::{Epoch, Seconds};
 use serde::{Deserialize, Serialize};
 
-/// A request to the lease store. All of it is decided in one step, in the order release, renew, acquire.
+/// A request to the lease store. The store processes it in one step, in the order release, renew, acquire.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Returned in the response.
+    /// Request number, returned in the response.
     pub number: u64,
     /// The process that is to hold the leases.
     pub process: u64,
-    /// Seconds that the leases are to last.
+    /// Requested duration of the leases in seconds.
     #[serde(rename = "span")]
     pub duration: Seconds,
-    /// Slices that the process wants and does not hold.
+    /// Slices to acquire, which the process does not hold.
     #[serde(rename = "take")]
     pub acquire: Vec<u16>,
-    /// Slices that it holds, under these epochs, and wants to keep.
+    /// Slices to renew, with the epochs under which the process holds them.
     pub renew: Vec<(u16, Epoch)>,
-    /// Slices that it gives up, under these epochs.
+    /// Slices to release, with the epochs under which the process held them.
     pub release: Vec<(u16, Epoch)>,
 }
 
@@ -26,8 +26,8 @@
 pub struct LeaseResponse {
     /// The request's number.
     pub number: u64,
-    /// Slices that were acquired or renewed, with their epochs.
+    /// Slices that the request acquired or renewed, with their epochs.
     pub granted: Vec<(u16, Epoch)>,
-    /// Slices that the process does not hold: another holds them, or the store does not grant them now.
+    /// Slices that the process does not hold: another process holds them, or the store does not grant them now.
     pub refused: Vec<u16>,
 }
--- a/crates/railhub-membership/src/lease_record.rs
+++ b/crates/railhub-membership/src/lease_record.rs
@@ -1,31 +1,31 @@
-//! The store's record of one slice.
+//! The store's lease record of one slice.
 use crate::{Epoch, Seconds};
 
-/// Who holds a slice, under which epoch, and until when on the store's clock. Linearizable as long as one store changes
-/// it at a time.
+/// Which process holds a slice, under which epoch, and until when on the store's clock. Linearizable as long as only
+/// one store changes it at a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LeaseRecord {
     /// The epoch of the last grant.
     pub epoch: Epoch,
-    /// The process that holds it: a node that starts again is another process.
+    /// The process that holds the slice. A node that restarts is another process.
     pub holder: Option<u64>,
     /// When the lease expires, on the store's clock.
     pub expires_at: Seconds,
 }
 
 impl LeaseRecord {
-    /// Whether any process holds the slice.
+    /// Whether any process holds an unexpired lease on the slice.
     pub fn is_held(&self, now: Seconds) -> bool {
         self.holder.is_some() && now < self.expires_at
     }
 
-    /// Grants the slice to a process, or renews its lease. `None`: another process holds it.
+    /// Grants the slice to a process or renews its lease. Returns `None` if another process holds it.
     pub fn grant(&mut self, now: Seconds, process: u64, duration: Seconds) -> Option<Epoch> {
         let is_holder = self.holder == Some(process);
         if self.is_held(now) && !is_holder {
             return None;
         }
-        // An expired lease is renewed under its epoch as long as no other process was granted the slice.
+        // The last holder keeps its epoch even after the lease expired, as long as no other process got the slice.
         if !is_holder {
             self.epoch.0 += 1;
         }
@@ -34,7 +34,7 @@
         Some(self.epoch)
     }
 
-    /// Frees the slice, if this process holds it under this epoch.
+    /// Releases the slice if this process is its holder under this epoch. Returns whether it was.
     pub fn release(&mut self, process: u64, epoch: Epoch) -> bool {
         let is_holder = self.holder == Some(process) && self.epoch == epoch;
         if is_holder {
@@ -43,7 +43,7 @@
         is_holder
     }
 
-    /// Whether a table that comes under this epoch may be written.
+    /// Whether a table may be written under this epoch.
     pub fn may_write(&self, epoch: Epoch) -> bool {
         epoch == self.epoch
     }
--- a/crates/railhub-membership/src/lease_store.rs
+++ b/crates/railhub-membership/src/lease_store.rs
@@ -1,54 +1,56 @@
-//! The store's side of leases: who holds which slice under which epoch, and whose table may be written. Free of I/O and
-//! of clocks: the emulated store and the simulated one drive the same code, one request at a time.
+//! The store's side of leases: which process holds each slice under which epoch, and whose table may be written. It
+//! does no I/O and reads no clock; the emulated store and the simulated one both use it, one request at a time.
 //!
 //! # Restarts
 //!
-//! Epochs must never go back, also when the store restarts from an older copy of its state:
-//! - Each start has a base above the epochs of all earlier starts, and new grants are at the base or above.
-//! - A renewal names the epoch that the holder has, so a store that does not know that epoch knows that it is behind.
-//! - After a start there is a grace period of the longest lease that the store ever grants, in which it grants nothing
-//!   new and accepts renewals. Whoever holds what the copy does not know of has renewed it by then, or has stopped. The
-//!   period is fixed: the longest lease that the copy knows of may be shorter than one that was granted since.
+//! Epochs must never decrease, even when the store restarts from an older copy of its state:
+//! - Each start has an epoch base above the epochs of all earlier starts, and new grants use the base or a higher
+//!   epoch.
+//! - A renewal contains the holder's epoch, so a store that does not know that epoch detects that its copy is outdated.
+//! - A restart begins with a grace period in which the store accepts renewals and makes no new grants. The period is as
+//!   long as the longest lease that the store grants, so a holder that the copy does not know of has either renewed its
+//!   lease or stopped by the end. The period does not depend on the copy, because the longest lease in the copy may be
+//!   shorter than one that was granted later.
 //!
-//! A slice, in the store's view: Free -> Held (granted: epoch + 1) -> Held (renewed: same epoch) -> Free (released, or
-//! expired) -> Held (granted again: epoch + 1; the same epoch only for the process whose lease expired).
+//! State of a slice in the store: Free -> Held (granted: epoch + 1) -> Held (renewed: same epoch) -> Free (released or
+//! expired) -> Held (granted again: epoch + 1, or the same epoch if it is the process whose lease expired).
 use crate::lease_messages::{LeaseRequest, LeaseResponse};
 use crate::lease_record::LeaseRecord;
 use crate::{Epoch, Seconds};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Epochs of one start: a million grants of one slice. Starts are numbered by seconds since 1970.
+/// Epochs reserved for each start: about a million grants of one slice. Starts are numbered in seconds since 1970.
 const EPOCHS_PER_START: u64 = 1 << 20;
-/// Slices that the store answers for.
+/// The most slices that the store keeps records of.
 const MAX_SLICES: usize = 1 << 16;
 
-/// Faults of the store that a test injects, for its checks to find.
+/// Faults that a test injects into the store, to verify that its checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreFaults {
-    /// A slice is granted again under the epoch that it had.
+    /// A slice is granted to another process under the epoch that it had before.
     pub reuses_epochs: bool,
-    /// Tables are written under any epoch.
+    /// Tables are accepted under any epoch.
     #[serde(rename = "writes_unchecked")]
     pub skips_write_check: bool,
-    /// There is no grace period after a restart.
+    /// No grace period follows a restart.
     #[serde(rename = "not_quiet")]
     pub skips_grace_period: bool,
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseDecision {
     /// The response to the requester.
     pub response: LeaseResponse,
-    /// Slices granted to another process than before, with their epochs.
+    /// Slices granted to a process that was not their last recorded holder, with their epochs.
     pub acquired: Vec<(u16, Epoch)>,
 }
 
-/// A grant of a slice to a process that requested it.
+/// A slice granted to the process that requested it.
 struct Grant {
     epoch: Epoch,
-    /// The process did not hold it before.
+    /// Whether the process was not the slice's last recorded holder.
     is_new: bool,
 }
 
@@ -56,9 +58,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseStore {
     records: BTreeMap<u16, LeaseRecord>,
-    /// Epochs granted since this start are at least this.
+    /// Lowest epoch of a new grant since this start.
     epoch_base: u64,
-    /// Seconds of the longest lease that is granted; requests for longer ones are refused.
+    /// The longest lease that is granted, in seconds; requests for longer ones are refused.
     max_duration: Seconds,
     /// End of the grace period.
     grace_until: Seconds,
@@ -66,18 +68,18 @@
 }
 
 impl LeaseStore {
-    /// A store that starts for the first time. `max_duration`: seconds of the longest lease that it grants.
+    /// A store that starts for the first time. `max_duration`: the longest lease that it grants, in seconds.
     pub fn new(max_duration: Seconds, faults: StoreFaults) -> LeaseStore {
         LeaseStore { max_duration, faults, ..LeaseStore::default() }
     }
 
     /// The store after a restart from this copy of its state, which may be older than the last grant.
-    /// `start`: seconds since 1970, higher than at the start before.
+    /// `start`: seconds since 1970, higher than at the previous start.
     pub fn restart(&self, now: Seconds, start: u64) -> LeaseStore {
         let epoch_base = start.saturating_mul(EPOCHS_PER_START).max(self.epoch_base + 1);
         let grace = if self.faults.skips_grace_period { 0.0 } else { self.max_duration };
         let mut store = LeaseStore { epoch_base, grace_until: now + grace, ..self.clone() };
-        // A holder that the copy names may have lost the slice since. If it still holds the slice it renews it.
+        // A holder in the copy may have lost the slice since; if it still holds the slice, it renews the lease.
         for record in store.records.values_mut() {
             record.holder = None;
             record.expires_at = now;
@@ -89,12 +91,12 @@
         now < self.grace_until
     }
 
-    /// Decides a request in one step: first releases, then renewals, then acquisitions.
+    /// Processes a request in one step: first releases, then renewals, then acquisitions.
     pub fn handle_request(&mut self, now: Seconds, request: &LeaseRequest) -> LeaseDecision {
         let mut decision = LeaseDecision::default();
         let response = &mut decision.response;
         response.number = request.number;
-        // A lease that the store counts shorter than its holder does must not be granted.
+        // The store must not count a lease as shorter than its holder does, so longer ones are refused, not shortened.
         if !(0.0..=self.max_duration).contains(&request.duration) {
             let renewals = request.renew.iter().map(|(slice, _)| *slice);
             response.refused = request.acquire.iter().copied().chain(renewals).collect();
@@ -132,13 +134,14 @@
         if record.holder == Some(process) && record.epoch == epoch {
             return record.grant(now, process, duration).is_some();
         }
-        // In the grace period nothing is granted anew: the process with the highest epoch held the slice last.
+        // No new grants are made in the grace period, so the process with the highest epoch was the last holder.
         let held_it_last = epoch > record.epoch || (epoch == record.epoch && record.holder.is_none());
         if in_grace_period && held_it_last {
             *record = LeaseRecord { epoch, holder: Some(process), expires_at: now + duration };
             return true;
         }
-        // The store is behind, and this comes too late to be accepted: the next grant is above it.
+        // The store's copy is outdated, but the grace period is over: record the epoch so that the next grant exceeds
+        // it.
         if epoch > record.epoch {
             *record = LeaseRecord { epoch, holder: None, expires_at: now };
         }
@@ -164,14 +167,14 @@
         Some(Grant { epoch: record.epoch, is_new: true })
     }
 
-    /// `None`: there are more slices than the store answers for.
+    /// The record of a slice, created if there is none. `None` if the store already has records of `MAX_SLICES` slices.
     fn record_mut(&mut self, slice: u16) -> Option<&mut LeaseRecord> {
         let is_full = self.records.len() >= MAX_SLICES && !self.records.contains_key(&slice);
         (!is_full).then(|| self.records.entry(slice).or_default())
     }
 
-    /// Whether a table may be written: compare-and-set on the epoch. A released slice may still be written under its
-    /// last epoch until it is granted again.
+    /// Whether a table may be written under this epoch (compare-and-set: it must equal the slice's current epoch). A
+    /// released slice may still be written under its last epoch until it is granted again.
     pub fn may_write(&self, slice: u16, epoch: Epoch) -> bool {
         if self.faults.skips_write_check {
             return true;
@@ -182,7 +185,7 @@
         }
     }
 
-    /// The record of a slice, if one was ever requested.
+    /// The record of a slice, if any request has asked to acquire or renew it.
     pub fn record(&self, slice: u16) -> Option<&LeaseRecord> {
         self.records.get(&slice)
     }
