--- a/crates/railhub-membership/src/packet/decode.rs
+++ b/crates/railhub-membership/src/packet/decode.rs
@@ -1,4 +1,4 @@
-//! From datagrams to packets. All that a peer can send is bounded here.
+//! Decodes datagrams into packets and enforces the bounds on everything that a peer can send.
 use super::error::DecodeError;
 use super::limits::{
     HEADER_BYTES, MAGIC, MAX_ADDRESS_BYTES, MAX_DATAGRAM_BYTES, MAX_PROGRAM_VERSION_BYTES, MAX_VIEW_ENTRIES,
@@ -16,10 +16,10 @@
 use prost::Message as _;
 use std::net::SocketAddr;
 
-/// Reads a datagram of an installation.
+/// Decodes a datagram that was sent within the given installation.
 ///
 /// # Errors
-/// Why the datagram is to be dropped and counted.
+/// The reason for which the datagram must be dropped.
 pub fn decode(installation: &str, datagram: &[u8]) -> Result<Packet, DecodeError> {
     let body = verified_body(installation, datagram)?;
     let packet = WirePacket::decode(body).map_err(|_| DecodeError::Malformed)?;
@@ -33,7 +33,7 @@
     }
 }
 
-/// The body, once the header and the checksum are found right.
+/// The body of a datagram, after verifying its header and checksum.
 fn verified_body<'a>(installation: &str, datagram: &'a [u8]) -> Result<&'a [u8], DecodeError> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::Oversized);
@@ -57,16 +57,17 @@
 }
 
 fn read_message(message: WireMessage) -> Result<Message, DecodeError> {
-    // One more than this version sends.
+    // One entry more than this version sends is accepted.
     if message.gossip.len() > MAX_GOSSIP_PER_MESSAGE + 1 {
         return Err(DecodeError::Malformed);
     }
     let sender = read_member(message.sender)?;
-    // No node reports itself suspect or dead.
+    // A node never sends its own entry as suspect, dead or forgotten.
     if !matches!(sender.status, Status::Alive | Status::Left) {
         return Err(DecodeError::Malformed);
     }
-    // A payload that only a later version knows reads as plain gossip: the rest of the message still counts.
+    // A payload type of a later version decodes to `None` and is treated as gossip: the rest of the message is still
+    // used.
     let payload = message.payload.map_or(Ok(Payload::Gossip), read_payload)?;
     Ok(Message {
         sender,
@@ -116,7 +117,7 @@
 fn read_digest_entry(entry: &WireDigestEntry) -> Result<DigestEntry, DecodeError> {
     let statuses = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
     let status = statuses.get(entry.status as usize).copied().ok_or(DecodeError::Malformed)?;
-    // Nothing is above the highest incarnation, so it could not be refuted.
+    // The highest possible incarnation is rejected, because no higher one could refute it.
     if entry.count == u64::MAX || entry.process == u64::MAX {
         return Err(DecodeError::Malformed);
     }
--- a/crates/railhub-membership/src/packet/encode.rs
+++ b/crates/railhub-membership/src/packet/encode.rs
@@ -1,4 +1,4 @@
-//! From packets to datagrams.
+//! Encodes packets as datagrams.
 use super::limits::{HEADER_BYTES, MAGIC, MAX_INSTALLATION_BYTES, MAX_PROGRAM_VERSION_BYTES, VERSION};
 use super::types::{Packet, View};
 use super::wire::{
@@ -11,8 +11,8 @@
 use crate::NodeId;
 use prost::Message as _;
 
-/// Writes a packet as a datagram. It comes out longer than [`super::MAX_DATAGRAM_BYTES`] only if its
-/// [`crate::member::NodeMetadata`] are longer than those that are read from a file or from other datagrams.
+/// Encodes a packet as a datagram. The datagram exceeds [`super::MAX_DATAGRAM_BYTES`] only if its
+/// [`crate::member::NodeMetadata`] are longer than a configuration file or another datagram can make them.
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let name = &installation.as_bytes()[..installation.len().min(MAX_INSTALLATION_BYTES)];
     let mut checksummed = vec![name.len() as u8];
--- a/crates/railhub-membership/src/packet/error.rs
+++ b/crates/railhub-membership/src/packet/error.rs
@@ -1,5 +1,5 @@
-//! Why a datagram is dropped, and how many were.
-use super::limits::MAX_DATAGRAM_BYTES;
+//! Reasons for which datagrams are dropped, and a counter for each.
+use super::limits::{MAX_DATAGRAM_BYTES, VERSION};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -8,37 +8,37 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecodeError {
-    /// It is longer than any that is sent.
+    /// The datagram is longer than the longest that is sent.
     #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
     Oversized,
-    /// Its header or checksum is wrong.
-    #[error("datagram is corrupt or no membership datagram")]
+    /// The header or the checksum is invalid.
+    #[error("datagram is corrupt or not a membership datagram")]
     #[serde(rename = "spoilt")]
     Corrupt,
-    /// It is of another protocol version.
-    #[error("datagram is of an unsupported protocol version")]
+    /// The datagram has another protocol version.
+    #[error("datagram has a protocol version other than {VERSION}")]
     #[serde(rename = "version")]
     UnsupportedVersion,
-    /// It names another installation.
-    #[error("datagram is of another installation")]
+    /// The datagram belongs to another installation.
+    #[error("datagram belongs to another installation")]
     #[serde(rename = "foreign")]
     ForeignInstallation,
-    /// Its body is no packet, or a field is out of bounds.
-    #[error("datagram's body is malformed")]
+    /// The body is not a valid packet, or one of its fields is out of bounds.
+    #[error("datagram body is not a valid packet or has a field out of bounds")]
     Malformed,
 }
 
-/// Dropped datagrams by cause.
+/// Counts of dropped datagrams by cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DroppedDatagrams(pub BTreeMap<DecodeError, u64>);
 
 impl DroppedDatagrams {
-    /// Counts one more.
+    /// Counts one dropped datagram.
     pub fn count(&mut self, cause: DecodeError) {
         *self.0.entry(cause).or_default() += 1;
     }
 
-    /// All that were dropped.
+    /// Number of all dropped datagrams.
     pub fn total(&self) -> u64 {
         self.0.values().sum()
     }
--- a/crates/railhub-membership/src/packet/mod.rs
+++ b/crates/railhub-membership/src/packet/mod.rs
@@ -1,11 +1,11 @@
 //! The datagrams between controllers, and between a controller and an observer of its view.
 //!
 //! A datagram is a header and a protobuf body. The header is `RHF`, the protocol version (1 byte), the CRC-32 of all
-//! that follows it (4 bytes, big endian), the length of the installation's name (1 byte) and the name. So a datagram
-//! that is corrupt, of another version or of another installation is dropped before its body is read.
+//! bytes that follow it (4 bytes, big endian), the length of the installation name (1 byte) and the name. So a datagram
+//! that is corrupt, has another version or belongs to another installation is dropped before its body is decoded.
 //!
-//! [`types`] has the packets as values, [`limits`] the bounds of what is sent and read, `wire` the protobuf messages,
-//! [`encode`] and [`decode`] the way between the two, [`error`] why a datagram is dropped.
+//! [`types`] defines the packets, [`limits`] the bounds on their contents, `wire` the protobuf messages, [`encode`] and
+//! [`decode`] convert between packets and datagrams, and [`error`] lists the reasons for dropping a datagram.
 pub mod error;
 pub mod limits;
 pub mod types;
--- a/crates/railhub-membership/src/packet/types.rs
+++ b/crates/railhub-membership/src/packet/types.rs
@@ -1,14 +1,14 @@
-//! The packets as values.
+//! The packets that datagrams contain.
 use crate::messages::Message;
 use crate::view::ViewEntry;
 use crate::NodeId;
 
-/// What a datagram holds.
+/// The contents of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Packet {
     /// A message between members.
     Message(Box<Message>),
-    /// An observer requests a page of the receiver's view. Observers are no members.
+    /// An observer's request for a page of the receiver's view. Observers are not members.
     ViewRequest {
         /// Returned in the response.
         nonce: u64,
@@ -17,11 +17,11 @@
     },
     /// One page of a view.
     View(Box<View>),
-    /// An operator tells a controller to hand its slices over.
+    /// An operator's request that a controller hand its slices over.
     Drain {
-        /// The controller that is meant.
+        /// The controller to drain.
         node: NodeId,
-        /// Its process: a late or repeated datagram must not drain the next one.
+        /// Its process number, so that a late or repeated datagram does not drain a later process.
         process: u64,
     },
 }
@@ -31,18 +31,18 @@
 pub struct View {
     /// The request's nonce.
     pub nonce: u64,
-    /// The node whose view it is.
+    /// The node whose view this is.
     pub viewer: NodeId,
-    /// The viewer's process.
+    /// The viewer's process number.
     pub process: u64,
     /// Digest of the complete view.
     pub digest: u64,
-    /// Members in the order of ids, [`super::limits::MAX_VIEW_ENTRIES`] at most.
+    /// Members in the order of ids, at most [`super::limits::MAX_VIEW_ENTRIES`].
     pub entries: Vec<ViewEntry>,
     /// First id of the next page, if there is one.
     pub next: Option<NodeId>,
-    /// Datagrams that the viewer has dropped.
+    /// Number of datagrams that the viewer has dropped.
     pub dropped: u64,
-    /// The viewer takes no part any more: a newer process runs under its id.
+    /// Whether a newer process runs under the viewer's id, so that the viewer no longer takes part in membership.
     pub superseded: bool,
 }
--- a/crates/railhub-membership/src/packet/wire.rs
+++ b/crates/railhub-membership/src/packet/wire.rs
@@ -1,4 +1,4 @@
-//! The body of a datagram in protocol buffers. Tags are the wire format; fields that a reader does not know are skipped.
+//! The protobuf messages in the body of a datagram. Tags define the wire format; decoders skip unknown fields.
 use prost::{Message, Oneof};
 
 #[derive(Clone, PartialEq, Message)]
@@ -106,7 +106,7 @@
     pub(super) draining: bool,
     #[prost(uint32, optional, tag = "7")]
     pub(super) reported_by: Option<u32>,
-    /// Absent in builds before 0.2.0 shared slices.
+    /// Not sent by builds from before slices were shared (0.2.0).
     #[prost(bool, tag = "8")]
     pub(super) store_unreachable: bool,
 }
@@ -158,7 +158,7 @@
     /// Seconds.
     #[prost(double, tag = "3")]
     pub(super) status_age: f64,
-    /// Seconds; negative: no message has come.
+    /// Seconds; negative if no message has arrived.
     #[prost(double, tag = "4")]
     pub(super) last_seen_ago: f64,
     #[prost(bool, tag = "5")]
