--- a/crates/railhub-membership/src/swim/config.rs
+++ b/crates/railhub-membership/src/swim/config.rs
@@ -1,19 +1,19 @@
-//! Settings of membership.
+//! Membership settings.
 use crate::safeguard::Safeguard;
 use crate::Seconds;
 use std::net::SocketAddr;
 
-/// Seconds after which a member that is gone is forgotten, unless the settings say otherwise.
+/// Default of [`MembershipConfig::forget_after`], in seconds.
 const DEFAULT_FORGET_AFTER: Seconds = 600.0;
 
-/// Settings of membership.
+/// Membership settings.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Addresses to join by, tried while no live member is known and now and then afterwards.
+    /// Addresses of other nodes, probed to join the cluster: often while no live member is known, seldom afterwards.
     pub seeds: Vec<SocketAddr>,
     /// Seconds after which a member that left or died is forgotten.
     pub forget_after: Seconds,
-    /// A safeguard that a test leaves out.
+    /// A safeguard that a test disables.
     pub without: Option<Safeguard>,
 }
 
--- a/crates/railhub-membership/src/swim/identity.rs
+++ b/crates/railhub-membership/src/swim/identity.rs
@@ -1,20 +1,20 @@
-//! Two processes under one id. The one with the lower process number takes no part any more.
+//! Conflicts between two processes with the same node id. The process with the lower number stops taking part.
 //!
-//! A process with a higher number may be reported without a message of its own: after a clock was set back, the numbers
-//! of earlier processes of this node are above its own. If no message of it comes in time, this process takes a number
-//! above it.
+//! Another node may report a process with a higher number that no longer runs: after the clock was set back, earlier
+//! processes of this node have higher numbers than this one. If no message from the reported process arrives in time,
+//! this process adopts a number above it.
 use super::membership::{IdentityConflict, Membership, MembershipOutput};
 use crate::member::{Member, Status};
 use crate::messages::{Destination, MemberChange, Message, Payload};
 use crate::safeguard::Safeguard;
 use crate::Seconds;
 
-/// Seconds within which a message of a reported process must come, or it counts as ended.
+/// Seconds within which a message from a reported process must arrive; otherwise it is assumed to have ended.
 const IDENTITY_CONFLICT_TIMEOUT: Seconds = 2.0;
 
 impl Membership {
-    /// A message under this node's own id. Its own come back by a seed address that is its own; an older process is
-    /// sent this process's entry; a newer one takes over.
+    /// Handles a message whose sender has this node's id. Messages of this process come back if a seed address is the
+    /// node's own, and are ignored. An older process is sent this process's entry; a newer one supersedes this process.
     pub(super) fn on_message_from_own_id(
         &mut self,
         now: Seconds,
@@ -44,7 +44,7 @@
         });
     }
 
-    /// Another process under this node's id, with a higher number, was reported.
+    /// Records that another process under this node's id, with a higher number, was reported.
     pub(super) fn record_identity_conflict(&mut self, now: Seconds, update: &Member) {
         let process = update.incarnation.process;
         if self.conflict.is_some_and(|conflict| conflict.process >= process) {
@@ -55,14 +55,14 @@
         self.conflict = Some(IdentityConflict { process, address, reported_at: now });
     }
 
-    /// Probes the reported process: if it lives it answers, and takes over.
+    /// Probes the reported process: if it is alive, it answers and supersedes this one.
     pub(super) fn probe_conflicting_process(&mut self, output: &mut MembershipOutput) {
         if let Some(address) = self.conflict.and_then(|conflict| conflict.address) {
             self.send(Destination::Address(address), 0, Payload::Probe, Vec::new(), output);
         }
     }
 
-    /// Takes a number above a reported process that stayed silent.
+    /// Adopts a number above the reported process if no message from it arrived in time.
     pub(super) fn expire_identity_conflict(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let Some(IdentityConflict { process, reported_at, .. }) = self.conflict else { return };
         let silent_for = now - reported_at;
--- a/crates/railhub-membership/src/swim/join.rs
+++ b/crates/railhub-membership/src/swim/join.rs
@@ -1,4 +1,4 @@
-//! Joining by the seed addresses, and meeting again those that have forgotten this node.
+//! Joining the cluster through the seed addresses, and rejoining nodes that have forgotten this one.
 use super::membership::{Membership, MembershipOutput};
 use crate::messages::{Destination, Payload};
 use crate::Seconds;
@@ -7,12 +7,14 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The factor on the time to the next try is drawn from this on, and over this width.
+/// Smallest random factor on the time to the next attempt.
 const JOIN_JITTER_MIN: f64 = 0.7;
+/// Width of the range from which that factor is drawn.
 const JOIN_JITTER_RANGE: f64 = 0.6;
 
 impl Membership {
-    /// Probes all seeds while no live member is known, else one of them now and then.
+    /// If an attempt is due, probes the seeds that no live member has as its address: all of them while no other live
+    /// member is known, otherwise one at random.
     pub(super) fn send_join_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let has_no_live_peers = self.live_count() == 1;
         if has_no_live_peers {
@@ -34,7 +36,7 @@
         }
     }
 
-    /// The seeds that are no live member's address, nor this node's own.
+    /// The seeds that are neither the address of a live member nor this node's own.
     fn unknown_seeds(&self) -> Vec<SocketAddr> {
         let known: BTreeSet<SocketAddr> = self.live_peers().filter_map(|id| self.address(id)).collect();
         let own_address = self.table.local().metadata.address;
--- a/crates/railhub-membership/src/swim/membership.rs
+++ b/crates/railhub-membership/src/swim/membership.rs
@@ -1,4 +1,4 @@
-//! The state of membership and what others may read of it.
+//! The membership state of one node, and its public queries.
 use super::config::MembershipConfig;
 use super::join_schedule::JoinSchedule;
 use super::peer::Peer;
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the driver is to do after a call.
+/// The results of a call, for the driver to carry out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipOutput {
     /// Messages to send, in order.
@@ -25,7 +25,7 @@
     pub changes: Vec<MemberChange>,
 }
 
-/// Another process under this node's id, with a higher number, that was reported.
+/// A reported process that has this node's id and a higher process number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IdentityConflict {
     pub(super) process: u64,
@@ -39,7 +39,7 @@
     pub(super) table: MemberTable,
     pub(super) config: MembershipConfig,
     pub(super) peers: BTreeMap<NodeId, Peer>,
-    /// Members that are still to be probed in this round.
+    /// Members still to be probed in this round, the next one last.
     pub(super) probe_order: Vec<NodeId>,
     pub(super) pending: Vec<PendingProbe>,
     pub(super) gossip: GossipQueue,
@@ -51,7 +51,7 @@
     pub(super) next_probe_at: Seconds,
     pub(super) last_tick_at: Seconds,
     pub(super) next_sync_at: Seconds,
-    /// First id of the page that is compared next.
+    /// First id of the digest page that the next sync sends.
     pub(super) next_sync_from: NodeId,
     pub(super) join: JoinSchedule,
     pub(super) conflict: Option<IdentityConflict>,
@@ -61,8 +61,8 @@
 }
 
 impl Membership {
-    /// `local`: the node's own entry, under a process number that is higher than that of any earlier process of it, as
-    /// far as is known.
+    /// `local`: the node's own entry. Its process number should be higher than those of all earlier processes of the
+    /// node; if one turns out to be higher, see [`MergeOutcome::IdentityConflict`].
     pub fn new(local: Member, config: MembershipConfig, now: Seconds, seed: u64) -> Membership {
         let rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(local.id.0));
         let mut gossip = GossipQueue::default();
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Counts nodes of the settings as alive until a probe of them fails: a node that starts must not take what they
-    /// hold.
+    /// Considers the configured nodes alive until a probe of them fails, so that a starting node does not take over the
+    /// slices that they hold.
     pub fn add_expected_nodes(&mut self, nodes: &[NodeId], now: Seconds) {
         let local = self.local_id();
         for id in nodes.iter().filter(|id| **id != local) {
@@ -123,33 +123,33 @@
         self.table.get(id).map_or(Status::Forgotten, |member| member.status)
     }
 
-    /// Where a node is reached.
+    /// The address at which a node is reached, if it is known.
     pub fn address(&self, id: NodeId) -> Option<SocketAddr> {
         self.table.get(id).and_then(|member| member.metadata.address)
     }
 
-    /// Whether a node hands its slices over.
+    /// Whether a node is handing its slices over.
     pub fn is_draining(&self, id: NodeId) -> bool {
         self.table.get(id).is_some_and(|member| member.metadata.draining)
     }
 
-    /// Another process with this node's id and a higher number lives: this one takes no part any more.
+    /// Whether this process has stopped taking part because a process with this node's id and a higher number is alive.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Digest of the view: the same for all nodes that hold the same processes live.
+    /// Digest of the view: equal for all nodes whose views have the same live processes and metadata.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
 
-    /// Entries of members for which there was no room.
+    /// Number of entries of new members that were rejected because the table was full.
     pub fn rejected_entries(&self) -> u64 {
         self.rejected_entries
     }
 
-    /// Whether a node may hold slices, as far as is known. A suspect may: its slices are free only when its leases
-    /// expire, so nothing is gained by taking them before it is declared dead.
+    /// Whether a node may hold slices, as far as is known. A suspect may: its slices become free only when its leases
+    /// expire, so assigning them to other nodes before it is declared dead gains nothing.
     pub fn may_hold_slices(&self, id: NodeId) -> bool {
         if self.table.get(id).is_some_and(|member| member.metadata.store_unreachable) {
             return false;
@@ -160,7 +160,7 @@
         self.status(id).is_live() && !self.peers.get(&id).is_some_and(|peer| peer.ejected)
     }
 
-    /// Live members, this node included.
+    /// Number of live members, including this node.
     pub fn live_count(&self) -> usize {
         1 + self.live_peers().count()
     }
@@ -169,17 +169,17 @@
         self.table.others().filter(|member| member.status.is_live()).map(|member| member.id)
     }
 
-    /// Messages sent so far.
+    /// Number of messages sent so far.
     pub fn messages_sent(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Entries that wait to be gossiped.
+    /// Number of entries queued for gossip.
     pub fn queued_gossip(&self) -> usize {
         self.gossip.len()
     }
 
-    /// The complete view, this node included, in the order of ids.
+    /// The complete view, including this node, in the order of ids.
     pub fn view(&self, now: Seconds) -> Vec<ViewEntry> {
         let local = ViewEntry {
             member: self.table.local().clone(),
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Sends a message: `entries` first, then as much gossip as there is room for.
+    /// Sends a message that contains `entries`, followed by as much queued gossip as fits.
     pub(super) fn send(
         &mut self,
         to: Destination,
@@ -227,13 +227,13 @@
 
     fn message(&mut self, probe_number: u64, payload: Payload, entries: Vec<Member>) -> Message {
         let unlimited = self.table.is_disabled(Safeguard::GossipLimit);
-        let room = match payload {
-            // A page of a digest fills its datagram by itself.
+        let max_queued = match payload {
+            // A digest page with the most entries leaves no room for gossip in its datagram.
             Payload::SyncDigest { .. } => 0,
             _ => MAX_GOSSIP_PER_MESSAGE.saturating_sub(entries.len()),
         };
         let mut gossip = entries;
-        let queued = self.gossip.take(room, &gossip, self.peers.len() + 1, unlimited);
+        let queued = self.gossip.take(max_queued, &gossip, self.peers.len() + 1, unlimited);
         gossip.extend(queued);
         self.last_sequence += 1;
         Message {
--- a/crates/railhub-membership/src/swim/merge.rs
+++ b/crates/railhub-membership/src/swim/merge.rs
@@ -1,4 +1,4 @@
-//! Applying member entries, whoever brought them, and passing on what they changed.
+//! Applying member entries from any source, and gossiping those that changed the table.
 use super::membership::{Membership, MembershipOutput};
 use super::peer::Peer;
 use crate::member::{Member, Status};
@@ -7,11 +7,11 @@
 use crate::table::MergeOutcome;
 use crate::Seconds;
 
-/// Seconds after a member's own message in which reports of others that it is dead only make it suspect.
+/// Seconds after a member's own message during which other nodes' reports that it is dead only make it suspect.
 const RECENTLY_SEEN_WINDOW: Seconds = 1.0;
 
 impl Membership {
-    /// Applies one entry. `cause` goes into the change that follows from it.
+    /// Applies one entry. `cause` is reported in the resulting change, if there is one.
     pub(super) fn apply_update(
         &mut self,
         now: Seconds,
@@ -78,8 +78,8 @@
         self.gossip.enqueue(member);
     }
 
-    /// An entry that changed nothing. Its sender may not know that the member has refuted it: the refutation is gossiped
-    /// again. An entry that is not out of date may be one more confirmation of a suspicion.
+    /// Handles an entry that changed nothing. If the member has refuted it, its sender may not have received the
+    /// refutation, so that is gossiped again. Otherwise the entry may be a further confirmation of a suspicion.
     fn on_unchanged(&mut self, update: &Member) {
         let Some(known) = self.table.get(update.id) else { return };
         let is_refuted = known.incarnation > update.incarnation
--- a/crates/railhub-membership/src/swim/outlier.rs
+++ b/crates/railhub-membership/src/swim/outlier.rs
@@ -1,6 +1,6 @@
-//! Ejecting a slow member. It acknowledges probes, so no suspicion of it ends in its death: each node names the one
-//! whose probe score stands out, and a member that a majority names is ejected: it stays alive and holds no slices.
-//! Since each node names one at most, at most one is ejected.
+//! Ejection of slow members. A slow member acknowledges probes, so no suspicion of it ends in its death. Instead, each
+//! node votes for the one member whose probe score is an outlier. A member with the votes of a majority is ejected: it
+//! stays alive and holds no slices. Since each node has at most one vote, at most one member is ejected at a time.
 use super::membership::{Membership, MembershipOutput};
 use super::peer::OutlierVote;
 use crate::member::Status;
@@ -8,13 +8,13 @@
 use crate::probe_score::OUTLIER_SCORE_GAP;
 use crate::{NodeId, Seconds};
 
-/// Seconds that another node's vote counts.
+/// Seconds for which another node's vote counts.
 const VOTE_LIFETIME: Seconds = 5.0;
-/// Live members below which none is ejected: two cannot judge each other.
+/// Fewest live members with which one is ejected: of two, neither can tell which one is slow.
 const MIN_VOTERS: usize = 3;
 
 impl Membership {
-    /// The live member whose score stands out, if one does.
+    /// The alive member whose probe score is an outlier, if there is one.
     pub(super) fn outlier(&self) -> Option<NodeId> {
         let alive = self.table.others().filter(|member| member.status == Status::Alive);
         let score = |id: NodeId| self.peers.get(&id).map_or(0.0, |peer| peer.probe_score.score());
@@ -25,7 +25,7 @@
         (worst_score > next_score + OUTLIER_SCORE_GAP).then_some(worst)
     }
 
-    /// Whether a majority of the live members names this one.
+    /// Whether a majority of the live members votes for this one as the outlier.
     pub(super) fn has_majority_vote(&self, id: NodeId, now: Seconds) -> bool {
         let live = self.live_count();
         let counts = |vote: OutlierVote| vote.id == id && now - vote.at <= VOTE_LIFETIME;
@@ -37,7 +37,7 @@
         live >= MIN_VOTERS && votes * 2 > live
     }
 
-    /// Ejects the member that a majority names, and readmits the one that it no longer names.
+    /// Ejects the member with the votes of a majority, and readmits a member that no longer has them.
     pub(super) fn update_ejections(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let ids: Vec<NodeId> = self.peers.keys().copied().collect();
         for id in ids {
--- a/crates/railhub-membership/src/swim/peer.rs
+++ b/crates/railhub-membership/src/swim/peer.rs
@@ -1,40 +1,46 @@
-//! What a node keeps of each other one besides its entry: when it was last seen, how it answers, who suspects it.
+//! The state that a node keeps about each other node besides its entry: when it was last seen, how well it answers
+//! probes, and which nodes suspect it.
 use crate::member::Load;
 use crate::probe_score::ProbeScore;
 use crate::{NodeId, Seconds};
 use std::collections::BTreeSet;
 
-/// Seconds until a dead member is probed for the first time.
+/// Seconds after which a dead member is probed for the first time. The interval doubles with each probe.
 const DEAD_PROBE_INTERVAL: Seconds = 0.5;
-/// Longest time in seconds between two probes of a dead member; it doubles up to here.
+/// Longest interval in seconds between two probes of a dead member.
 const MAX_DEAD_PROBE_INTERVAL: Seconds = 8.0;
 
-/// How one other node is watched.
+/// The state kept about one other node.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     /// When its status changed.
     pub(super) status_since: Seconds,
-    /// When its own last message came, and the process and sequence number of that message.
+    /// When its latest message arrived.
     pub(super) last_seen_at: Seconds,
+    /// Process number of that message.
     pub(super) process: u64,
+    /// Sequence number of that message.
     pub(super) sequence: u64,
     pub(super) load: Load,
-    /// A majority names it as their outlier.
+    /// Whether a majority votes for it as the outlier.
     pub(super) ejected: bool,
     pub(super) probe_score: ProbeScore,
-    /// The member that it names as its outlier, and when it did so.
+    /// Its vote for a slow member.
     pub(super) outlier_vote: Option<OutlierVote>,
-    /// The nodes that suspect it, each by a probe of its own.
+    /// The nodes that suspect it because their own probes of it failed.
     pub(super) suspected_by: BTreeSet<NodeId>,
-    /// When it is probed next, once it is dead, and the time to the probe after that.
+    /// When it is probed next if it is dead.
     pub(super) dead_probe_at: Seconds,
+    /// Seconds between two probes of it if it is dead, without jitter.
     pub(super) dead_probe_interval: Seconds,
 }
 
-/// A vote for the member that stands out.
+/// A node's vote for the member whose probe score is an outlier.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutlierVote {
+    /// The member that is voted for.
     pub(super) id: NodeId,
+    /// When the vote arrived.
     pub(super) at: Seconds,
 }
 
@@ -55,20 +61,20 @@
         }
     }
 
-    /// Its status has changed.
+    /// Restarts the timers of the peer's status after a change.
     pub(super) fn on_status_change(&mut self, now: Seconds) {
         self.status_since = now;
         self.dead_probe_interval = DEAD_PROBE_INTERVAL;
         self.dead_probe_at = now + DEAD_PROBE_INTERVAL;
     }
 
-    /// It is probed as a dead member now; `jitter` is a factor on the time to the next probe.
+    /// Schedules the next probe of a dead member, which is being probed now. `jitter` is a factor on the interval.
     pub(super) fn schedule_dead_probe(&mut self, now: Seconds, jitter: f64) {
         self.dead_probe_interval = (self.dead_probe_interval * 2.0).min(MAX_DEAD_PROBE_INTERVAL);
         self.dead_probe_at = now + self.dead_probe_interval * jitter;
     }
 
-    /// This node stood still until now, or its clock was set: time before counts for nothing.
+    /// This node was paused until now, or its clock jumped: restarts timers so that the time before does not count.
     pub(super) fn resume(&mut self, now: Seconds) {
         self.status_since = now;
         self.last_seen_at = self.last_seen_at.min(now);
--- a/crates/railhub-membership/src/swim/probe.rs
+++ b/crates/railhub-membership/src/swim/probe.rs
@@ -1,5 +1,5 @@
-//! Probes: who is probed, indirect probes through helpers, acknowledgements and nacks (SWIM, section 4; Lifeguard's
-//! nack).
+//! Probes: the choice of targets, indirect probes through helpers, acknowledgements and nacks (SWIM, section 4;
+//! Lifeguard's nack).
 use super::membership::{Membership, MembershipOutput};
 use super::pending_probe::{PendingProbe, ProbeRequester, ProbeStage, MAX_ACK_TIMEOUT, PROBE_TIMEOUT};
 use crate::member::{Member, Status};
@@ -9,16 +9,17 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::RngExt;
 
-/// Helpers that make an indirect probe of one target (SWIM's k).
+/// Number of helpers that make an indirect probe of one target (SWIM's k).
 const INDIRECT_PROBE_HELPERS: usize = 3;
-/// Probes that are pending at once; past it none are made for other nodes.
+/// Number of pending probes at which no more are made on behalf of other nodes.
 pub(super) const MAX_PENDING_PROBES: usize = 64;
-/// The factor on the time to the next probe of a dead member is drawn from this on, and over this width.
+/// Smallest random factor on the time to the next probe of a dead member.
 const DEAD_PROBE_JITTER_MIN: f64 = 0.8;
+/// Width of the range from which that factor is drawn.
 const DEAD_PROBE_JITTER_RANGE: f64 = 0.4;
 
 impl Membership {
-    /// Probes a node, for this one or on behalf of another; `entries` go with the probe.
+    /// Probes a node, for this node or on behalf of another. `entries` are sent with the probe.
     pub(super) fn send_probe(
         &mut self,
         now: Seconds,
@@ -45,8 +46,8 @@
         });
     }
 
-    /// Each live member in turn, in an order that is shuffled for each round: a dead one is met within two rounds (SWIM,
-    /// section 4.3).
+    /// The next live member of a round-robin order that is shuffled for each round, so that each member is probed
+    /// within two rounds (SWIM, section 4.3).
     pub(super) fn next_probe_target(&mut self) -> Option<NodeId> {
         loop {
             if self.probe_order.is_empty() {
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Probes one suspect, and sends it the suspicion: where messages are lost its refutation needs more than one way
-    /// back.
+    /// Probes one suspect and sends it the suspicion, so that its refutation can return by several paths if messages
+    /// are lost.
     pub(super) fn probe_random_suspect(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let suspects = self.table.others().filter(|member| member.status == Status::Suspect);
         let suspects: Vec<Member> = suspects.cloned().collect();
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Probes the dead member that is due, so that the halves of a partition meet again; ever less often, since most
-    /// dead members stay dead.
+    /// Probes the dead member that is due, if there is one, so that the sides of a healed partition find each other.
+    /// The rate falls over time, since most dead members stay dead.
     pub(super) fn probe_due_dead_member(&mut self, now: Seconds, output: &mut MembershipOutput) {
         if self.table.is_disabled(Safeguard::DeadProbing) {
             return;
@@ -91,7 +92,8 @@
         first.filter(|(due_at, _)| *due_at <= now).map(|(_, member)| member.clone())
     }
 
-    /// Requests indirect probes where acknowledgements are late, and suspects the targets of failed probes.
+    /// Requests indirect probes of targets whose acknowledgements are late, and suspects the targets of failed probes.
+    /// For a probe that failed on behalf of another node, sends that node a nack.
     pub(super) fn process_pending_probes(&mut self, now: Seconds, output: &mut MembershipOutput) {
         self.escalate_late_probes(now, output);
         let multiplier = self.health_multiplier();
@@ -142,7 +144,8 @@
         let suspect = self.table.get(target).filter(|member| member.status == Status::Suspect);
         let entries: Vec<Member> = suspect.cloned().into_iter().collect();
         if stage != ProbeStage::Direct {
-            // This node may be the only one that reaches the target: one lost message must not make it suspect.
+            // This node may be the only one that reaches the target, and one lost message must not make the target
+            // suspect.
             self.send(Destination::Node(target), number, Payload::Probe, entries.clone(), output);
         }
         for helper in helpers {
@@ -151,7 +154,8 @@
         }
     }
 
-    /// Acknowledges a probe. A sender that is held suspect or dead is sent that, so that it can refute it.
+    /// Acknowledges a probe. A sender that is not alive in this node's view is sent its entry, so that it can refute
+    /// it.
     pub(super) fn on_probe(&mut self, message: &Message, output: &mut MembershipOutput) {
         let sender = &message.sender;
         let adverse_entry = self
@@ -162,7 +166,7 @@
         self.send(Destination::Node(sender.id), message.probe_number, Payload::Ack, entries, output);
     }
 
-    /// Probes a node on behalf of another. A suspect is sent the suspicion, since its refutation may have no other way
+    /// Probes a node on behalf of another. A suspect is sent the suspicion, since its refutation may have no other path
     /// back.
     pub(super) fn on_indirect_probe(
         &mut self,
@@ -184,7 +188,8 @@
         self.send_probe(now, target, Some(requester), entries, output);
     }
 
-    /// A target has acknowledged a probe; one that was made for another node is reported to that one.
+    /// Handles the acknowledgement of a probe. If the probe was made on behalf of another node, reports it to that
+    /// node.
     pub(super) fn on_ack(
         &mut self,
         now: Seconds,
@@ -194,7 +199,7 @@
     ) {
         let Some(probe) = self.take_pending(probe_number, sender) else { return };
         if let Some(requester) = probe.on_behalf_of {
-            // With the target's own entry: it may have refuted the requester's suspicion.
+            // The target may have refuted the requester's suspicion, so its entry is sent along.
             let target = self.table.get(sender).filter(|_| requester.suspects_target);
             let entries = target.cloned().into_iter().collect();
             let ack = Payload::IndirectAck(sender);
@@ -212,7 +217,7 @@
         self.update_ejections(now, output);
     }
 
-    /// A helper has reached the target: it lives, though it did not acknowledge the direct probe in time.
+    /// Handles an indirect acknowledgement: the target is alive, but it did not acknowledge the direct probe in time.
     pub(super) fn on_indirect_ack(&mut self, now: Seconds, target: NodeId, probe_number: u64) {
         if self.take_pending(probe_number, target).is_none() {
             return;
@@ -223,7 +228,7 @@
         }
     }
 
-    /// A helper has not reached the target either, but the helper is reachable.
+    /// Handles a nack: the helper is reachable, but has not reached the target either.
     pub(super) fn on_nack(&mut self, target: NodeId, probe_number: u64) {
         let probe =
             self.pending.iter_mut().find(|probe| probe.number == probe_number && probe.target == target);
--- a/crates/railhub-membership/src/swim/receive.rs
+++ b/crates/railhub-membership/src/swim/receive.rs
@@ -1,4 +1,4 @@
-//! Messages from other nodes.
+//! Handling of messages from other nodes.
 use super::membership::{Membership, MembershipOutput};
 use super::peer::OutlierVote;
 use crate::messages::{Destination, Message, Payload};
@@ -6,7 +6,7 @@
 use crate::Seconds;
 
 impl Membership {
-    /// Applies a message and answers it.
+    /// Applies a message and returns the responses to it.
     pub fn on_message(&mut self, now: Seconds, message: &Message) -> MembershipOutput {
         let mut output = MembershipOutput::default();
         let sender = message.sender.id;
@@ -38,9 +38,9 @@
         output
     }
 
-    /// The sender's process was superseded or tombstoned, or there is no room for it. It is sent a correction at the
-    /// address that it gives; of its gossip only what concerns this node counts. Plain gossip is not answered: two
-    /// nodes that have forgotten each other would correct each other without end.
+    /// Handles a message whose sender's process was superseded or tombstoned, or does not fit in the table. It is sent
+    /// a correction at the address in its entry; of its gossip only entries of this node are applied. Plain gossip is
+    /// not answered, because two nodes that have forgotten each other would correct each other endlessly.
     fn on_stale_sender(&mut self, now: Seconds, message: &Message, output: &mut MembershipOutput) {
         let local = self.local_id();
         for update in message.gossip.iter().filter(|update| update.id == local) {
@@ -54,15 +54,15 @@
         self.send(Destination::Address(address), 0, Payload::Gossip, vec![correction], output);
     }
 
-    /// Notes what only the sender's latest message may tell. Returns whether this is the latest: one that comes late or
-    /// again changes nothing.
+    /// Records the state that only the sender's latest message may change. Returns whether this message is the latest;
+    /// a late or repeated one changes nothing.
     fn record_sender(&mut self, now: Seconds, message: &Message) -> bool {
         let (sender, process) = (message.sender.id, message.sender.incarnation.process);
         let is_known_process =
             self.table.get(sender).is_some_and(|member| member.incarnation.process == process);
         let Some(peer) = self.peers.get_mut(&sender) else { return false };
         if is_known_process && peer.process != process {
-            // Each process counts its messages anew.
+            // Each process starts its sequence numbers anew.
             peer.process = process;
             peer.sequence = 0;
         }
--- a/crates/railhub-membership/src/swim/suspicion.rs
+++ b/crates/railhub-membership/src/swim/suspicion.rs
@@ -1,22 +1,23 @@
-//! Suspicions: how one begins, who confirms it, and when it ends in a death (Lifeguard's suspicion timeout).
+//! Suspicions: how a suspicion begins, is confirmed by other nodes, and ends with the member being declared dead
+//! (Lifeguard's suspicion timeout).
 use super::membership::{Membership, MembershipOutput};
 use super::peer::Peer;
 use crate::member::{Member, Status};
 use crate::safeguard::Safeguard;
 use crate::{NodeId, Seconds};
 
-/// Suspicion timeout of a confirmed suspicion in seconds, per natural logarithm of the number of live members: long
-/// enough for the suspicion to reach its target by gossip, and for the refutation to come back.
+/// Seconds of timeout for a confirmed suspicion, per unit of the natural logarithm of the number of live members. It is
+/// long enough for the suspicion to reach its target by gossip and for the refutation to return.
 const SUSPICION_TIMEOUT_PER_LN_MEMBERS: Seconds = 1.0;
-/// How many times longer the timeout is while nobody has confirmed the suspicion.
+/// Factor by which the timeout is longer while no other node has confirmed the suspicion.
 const MAX_SUSPICION_TIMEOUT_MULTIPLIER: f64 = 3.0;
-/// Confirmations by further nodes that bring the timeout down to its shortest.
+/// Confirmations by other nodes that reduce the timeout to its shortest value.
 const EXPECTED_CONFIRMATIONS: usize = 2;
-/// How far the timeout comes down in a cluster with nobody to confirm.
+/// Fraction of the way from the longest to the shortest timeout by which it is reduced if no other node can confirm.
 const UNCONFIRMABLE_REDUCTION_FRACTION: f64 = 0.5;
 
 impl Membership {
-    /// A probe of a member has failed, through `helpers` others too.
+    /// Suspects a member after a direct probe of it and indirect probes through `helpers` other nodes have failed.
     pub(super) fn suspect(
         &mut self,
         now: Seconds,
@@ -31,8 +32,8 @@
         self.apply_update(now, &suspect, &cause, output);
     }
 
-    /// A further node that suspects a suspect by a probe of its own shortens the suspicion timeout; its report is passed
-    /// on, so that a few confirmations reach everyone.
+    /// Counts a further node whose own probe of a suspect failed, which shortens the suspicion timeout. The first few
+    /// confirmations are gossiped so that they reach all nodes.
     pub(super) fn count_confirmation(&mut self, update: &Member) {
         let Some(known) = self.table.get(update.id) else { return };
         let confirms = known.status == Status::Suspect
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Seconds that a suspicion stands: the more nodes confirm it the shorter, the worse the local health the longer.
+    /// Seconds until a suspicion ends in a death. Confirmations by other nodes shorten it, and bad local health of this
+    /// node lengthens it.
     fn suspicion_timeout(&self, peer: &Peer) -> Seconds {
         let live = self.live_count();
         let shortest = SUSPICION_TIMEOUT_PER_LN_MEMBERS * (live as f64).ln().max(1.0);
@@ -63,7 +65,7 @@
         (longest - (longest - shortest) * fraction) * self.health_multiplier()
     }
 
-    /// Declares the suspects dead whose suspicion timeout has ended.
+    /// Declares dead the suspects whose suspicion timeout has ended.
     pub(super) fn expire_suspicions(&mut self, now: Seconds, output: &mut MembershipOutput) {
         let has_timed_out = |member: &&Member| match self.peers.get(&member.id) {
             Some(peer) => now - peer.status_since >= self.suspicion_timeout(peer),
--- a/crates/railhub-membership/src/swim/sync.rs
+++ b/crates/railhub-membership/src/swim/sync.rs
@@ -1,18 +1,18 @@
-//! Anti-entropy sync (push-pull): two nodes whose view digests differ compare a page of their tables and send each other
-//! what is newer. Gossip alone may miss a node; sync does not.
+//! Anti-entropy sync (push-pull): two nodes whose view digests differ compare a page of their tables and send each
+//! other their newer entries. Gossip alone may fail to reach a node; sync reaches it in the end.
 use super::membership::{Membership, MembershipOutput};
 use crate::member::Member;
 use crate::messages::{Destination, DigestEntry, Payload, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE};
 use crate::safeguard::Safeguard;
 use crate::{NodeId, Seconds};
 
-/// Seconds between two syncs that a node begins.
+/// Shortest time in seconds between two syncs that a node begins.
 const SYNC_INTERVAL: Seconds = 0.3;
-/// Messages that answer one sync request.
+/// The most messages in response to one sync request.
 const MAX_SYNC_RESPONSES: usize = MAX_DIGEST_ENTRIES / MAX_GOSSIP_PER_MESSAGE;
 
 impl Membership {
-    /// Sends the next page of the table's digest to a node whose view differs, if a sync is due.
+    /// If a sync is due, sends the next page of the table's digest to a node whose view differs.
     pub(super) fn begin_sync(&mut self, now: Seconds, with: NodeId, output: &mut MembershipOutput) {
         if now < self.next_sync_at || self.table.is_disabled(Safeguard::AntiEntropy) {
             return;
@@ -24,7 +24,8 @@
         self.send(Destination::Node(with), 0, digest, Vec::new(), output);
     }
 
-    /// Compares a page with the table: sends what is newer here and requests what is newer there.
+    /// Compares a digest page with the table: sends entries that are newer here and requests those that are newer at
+    /// the sender.
     pub(super) fn on_sync_digest(
         &mut self,
         sender: NodeId,
--- a/crates/railhub-membership/src/swim/tick.rs
+++ b/crates/railhub-membership/src/swim/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic part: what is due by time alone.
+//! The periodic work of membership, driven by time alone.
 use super::membership::{Membership, MembershipOutput};
 use super::pending_probe::{PendingProbe, PROBE_TIMEOUT};
 use crate::safeguard::Safeguard;
@@ -10,7 +10,7 @@
 const MIN_TICK_INTERVAL: Seconds = 0.01;
 
 impl Membership {
-    /// When [`Membership::tick`] is to be called next.
+    /// When [`Membership::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Seconds {
         let checks = self.pending.iter().map(PendingProbe::next_check_at);
         checks
@@ -19,8 +19,8 @@
             .max(self.last_tick_at + MIN_TICK_INTERVAL)
     }
 
-    /// Does what is due: ends probes and suspicions, forgets members that are long gone, and, in each probe interval,
-    /// probes a member, a suspect and a dead member and tries to join.
+    /// Does all work that is due: handles late and failed probes, expires suspicions and forgets members that are long
+    /// gone. Once per probe interval it also probes a member, a suspect and a dead member, and sends join probes.
     pub fn tick(&mut self, now: Seconds) -> MembershipOutput {
         let mut output = MembershipOutput::default();
         if self.superseded {
@@ -49,8 +49,8 @@
         output
     }
 
-    /// Draws no conclusions from a time in which this node stood still, or over which its clock jumped: probes of
-    /// before are dropped, and all times are counted from now on.
+    /// Detects that this node was paused or that its clock jumped. No conclusions may be drawn from such a time, so
+    /// pending probes are dropped and all timers restart from `now`.
     pub(super) fn resume_after_pause(&mut self, now: Seconds) {
         let elapsed = now - self.last_tick_at;
         if (0.0..=PROBE_TIMEOUT).contains(&elapsed) {
