--- a/crates/railhub-membership/src/gossip.rs
+++ b/crates/railhub-membership/src/gossip.rs
@@ -1,45 +1,46 @@
-//! The gossip queue: member entries that ride on other messages, each a limited number of times (SWIM, section 4.1).
-//! One entry waits for each member, the latest, so the queue is bounded by the number of members.
+//! The gossip queue: member entries that are piggybacked on other messages, each a limited number of times (SWIM,
+//! section 4.1). Only the latest entry of each member is queued, so the number of members bounds the queue.
 use crate::member::Member;
 use crate::NodeId;
 use std::collections::VecDeque;
 
-/// Transmissions of each entry, per natural logarithm of the cluster size.
+/// Transmissions of each entry per unit of the natural logarithm of the cluster size.
 const RETRANSMIT_MULTIPLIER: f64 = 3.0;
 
-/// An entry that waits, and how often it has been sent.
+/// A queued entry and the number of times it has been sent.
 #[derive(Clone, Debug)]
 struct Broadcast {
     member: Member,
     transmissions: u32,
 }
 
-/// Entries that wait to be gossiped.
+/// Member entries queued for gossip, in the order in which they are sent.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
     queue: VecDeque<Broadcast>,
 }
 
 impl GossipQueue {
-    /// Puts an entry first, in place of an older one of the same member.
+    /// Adds an entry at the front, replacing any queued entry of the same member.
     pub fn enqueue_front(&mut self, member: Member) {
         self.remove(member.id);
         self.queue.push_front(Broadcast { member, transmissions: 0 });
     }
 
-    /// Puts an entry last, in place of an older one of the same member.
+    /// Adds an entry at the back, replacing any queued entry of the same member.
     pub fn enqueue(&mut self, member: Member) {
         self.remove(member.id);
         self.queue.push_back(Broadcast { member, transmissions: 0 });
     }
 
-    /// Drops what waits of a member.
+    /// Removes the queued entry of a member, if there is one.
     pub fn remove(&mut self, id: NodeId) {
         self.queue.retain(|broadcast| broadcast.member.id != id);
     }
 
-    /// Takes at most `max` entries from the front, except those that the message includes anyway. Each goes back to
-    /// the end until it has been sent often enough for a cluster of `cluster_size`; with `unlimited`, without end.
+    /// Takes up to `max` entries from the front for one message, skipping members in `included`, whose entries the
+    /// message already has. A taken entry is queued again at the back until it reaches the transmission limit for
+    /// `cluster_size` nodes; with `unlimited`, it is always queued again.
     pub fn take(
         &mut self,
         max: usize,
@@ -51,7 +52,7 @@
         let mut taken = Vec::new();
         for _ in 0..self.queue.len().min(max) {
             let Some(mut broadcast) = self.queue.pop_front() else { break };
-            if included.iter().any(|known| known.id == broadcast.member.id) {
+            if included.iter().any(|entry| entry.id == broadcast.member.id) {
                 self.queue.push_back(broadcast);
                 continue;
             }
@@ -64,12 +65,12 @@
         taken
     }
 
-    /// Entries that wait.
+    /// Number of queued entries.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether none waits.
+    /// Whether no entry is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
--- a/crates/railhub-membership/src/local_health.rs
+++ b/crates/railhub-membership/src/local_health.rs
@@ -1,22 +1,22 @@
-//! A node's local health (Lifeguard: Dadgar, Phillips, Currey 2017). A node that was paused, starved or cut off misses
-//! acknowledgements from everybody; the worse it fares, the longer it waits for acknowledgements and before it declares
-//! a suspect dead.
+//! A node's local health (Lifeguard: Dadgar, Phillips, Currey 2017). A node that was paused, is starved of CPU or cut
+//! off from the network misses acknowledgements from all others. The worse its local health, the longer it waits for
+//! acknowledgements and before it declares a suspect dead.
 use crate::Seconds;
 
-/// Highest health score; at it timeouts are three times as long.
+/// Highest health score, at which timeouts are three times as long as at 0.
 const MAX_SCORE: u32 = 8;
-/// How much each point of the score lengthens timeouts.
+/// Fraction by which each point of the score lengthens timeouts.
 const TIMEOUT_INCREASE_PER_POINT: f64 = 0.25;
-/// Seconds that a tick may come late without a penalty.
+/// Seconds by which a tick may be late without a penalty.
 const MAX_TICK_DELAY: Seconds = 0.15;
-/// Points for a late tick.
+/// Points added for a late tick.
 const LATE_TICK_PENALTY: u32 = 2;
-/// Points for a probe that neither its target nor any helper answered.
+/// Points added for a probe that neither its target nor any helper answered.
 const MISSED_NACK_PENALTY: u32 = 1;
-/// Points for having to refute a suspicion.
+/// Points added for a refutation.
 const REFUTATION_PENALTY: u32 = 1;
 
-/// The score of a node's own health: 0 is healthy.
+/// The score of a node's own health; 0 is healthy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
     score: u32,
@@ -27,14 +27,14 @@
         self.score = (self.score + points).min(MAX_SCORE);
     }
 
-    /// A tick came `delay` seconds after it was due.
+    /// A tick ran `delay` seconds after it was due.
     pub fn on_tick(&mut self, delay: Seconds) {
         if delay > MAX_TICK_DELAY {
             self.penalize(LATE_TICK_PENALTY);
         }
     }
 
-    /// A probe ended without an acknowledgement, and no helper sent so much as a nack.
+    /// A probe failed, and no helper sent an acknowledgement or a nack.
     pub fn on_missed_nack(&mut self) {
         self.penalize(MISSED_NACK_PENALTY);
     }
--- a/crates/railhub-membership/src/member.rs
+++ b/crates/railhub-membership/src/member.rs
@@ -1,53 +1,54 @@
-//! What one node knows of another: the member entry, and the order in which entries of one node supersede each other.
+//! What one node knows about another: the member entry, and the order in which entries of one member supersede each
+//! other.
 //!
-//! Only its owner writes a member's metadata, under an incarnation that only the owner raises. Any other node can
-//! change nothing but the status, to a worse one under the incarnation it knows. So any two entries of one member are
-//! ordered by (incarnation, status), whoever brings them and however late they arrive.
+//! Only the member itself writes its metadata and raises its incarnation. Any other node can change only the status, to
+//! a worse one under the incarnation that it knows. So any two entries of one member are ordered by (incarnation,
+//! status), regardless of their sender and of when they arrive.
 use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Orders the entries of one member: the process that runs under its id, then how often that process has rewritten
-/// its entry. Only the member itself raises it.
+/// Orders the entries of one member: by the process that runs under its id, then by the revision of the entry. Only the
+/// member itself raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Number of the process: higher than that of any earlier process of the same node.
+    /// Process number, higher than that of any earlier process of the same node.
     pub process: u64,
-    /// How often the process has rewritten its entry.
+    /// Number of times that the process has changed its entry.
     pub count: u64,
 }
 
-/// A member's status under one incarnation, from good to bad: of two, the later one here holds.
+/// A member's status under one incarnation, from best to worst: the later variant supersedes the earlier one.
 ///
-/// Alive -> Suspect (a probe failed) -> Dead (the suspicion timeout ended) -> Forgotten (tombstoned); Alive -> Left (it
-/// said so). A higher incarnation, which only the member itself can give, leads back to Alive.
+/// Alive -> Suspect (a probe failed) -> Dead (the suspicion timeout ended) -> Forgotten (tombstoned); Alive -> Left
+/// (announced by the member). A higher incarnation, which only the member itself can set, leads back to Alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// It acknowledges probes, as far as is known.
+    /// As far as is known, it acknowledges probes.
     #[default]
     Alive,
     /// It failed a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It announced that it leaves.
+    /// It announced that it was leaving.
     Left,
     /// It did not refute a suspicion in time.
     Dead,
-    /// It was gone for so long that its entry was dropped: only a tombstone with its process number stays.
+    /// It was dead or gone for so long that its entry was dropped; only a tombstone with its process number remains.
     Forgotten,
 }
 
 impl Status {
-    /// Alive or suspect: still counted as a live member.
+    /// Whether the member counts as live: alive or suspect.
     pub fn is_live(self) -> bool {
         self <= Status::Suspect
     }
 }
 
-/// What a node publishes of itself and seldom changes; each change comes under a higher incarnation.
+/// What a node publishes about itself. It changes seldom, and each change raises the incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeMetadata {
-    /// Where its membership socket is reached.
+    /// Address at which other nodes reach its membership socket.
     pub address: Option<SocketAddr>,
     /// Version of the program.
     #[serde(rename = "program")]
@@ -58,10 +59,10 @@
     /// Digest of its settings.
     #[serde(rename = "settings")]
     pub settings_digest: u64,
-    /// It hands its slices over and acquires none.
+    /// Whether it is handing its slices over and acquires no more.
     #[serde(rename = "drains")]
     pub draining: bool,
-    /// The lease store does not answer it and it holds no lease: others take its slices.
+    /// Whether it gets no answer from the lease store and holds no lease, so that other nodes take its slices.
     #[serde(rename = "no_store")]
     pub store_unreachable: bool,
 }
@@ -69,28 +70,28 @@
 /// A node's own load, sent with each message and never gossiped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Slices that it holds.
+    /// Number of slices that it holds.
     pub slices: u32,
-    /// Proxies that are connected to it.
+    /// Number of proxies that are connected to it.
     pub proxies: u32,
-    /// Processor cores that the process uses; 1 is one full core.
+    /// CPU use of the process in cores; 1 is one full core.
     #[serde(rename = "busy")]
     pub cpu_cores: f32,
 }
 
-/// One node's entry, as its owner wrote it or as an accuser has changed its status.
+/// The entry of one member, as the member wrote it or with a worse status that another node reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     #[serde(rename = "about")]
     pub id: NodeId,
-    /// The incarnation that the entry belongs to.
+    /// The incarnation to which the entry belongs.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Its status under that incarnation.
+    /// The member's status under that incarnation.
     #[serde(rename = "standing")]
     pub status: Status,
-    /// What the node published of itself.
+    /// What the node published about itself.
     #[serde(rename = "card")]
     pub metadata: NodeMetadata,
     /// The node that suspected it or declared it dead.
@@ -115,7 +116,8 @@
         (self.incarnation, self.status) > (known.incarnation, known.status)
     }
 
-    /// Digest of process and metadata. Status and count stay out of it, since they differ between views all the time.
+    /// Digest of the process number and the metadata. Status and count are excluded because they often differ between
+    /// views for a short time.
     pub fn digest(&self) -> u64 {
         let metadata = &self.metadata;
         let mut digest = mix(u64::from(self.id.0) + 1);
@@ -132,7 +134,7 @@
     }
 }
 
-/// The SplitMix64 finalizer (Steele, Lea, Flood 2014): unseeded, the same on each machine.
+/// The SplitMix64 finalizer (Steele, Lea, Flood 2014). It has no seed, so all machines compute the same value.
 pub(crate) fn mix(bits: u64) -> u64 {
     let bits = bits.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/railhub-membership/src/messages.rs
+++ b/crates/railhub-membership/src/messages.rs
@@ -1,12 +1,13 @@
-//! The messages that nodes exchange, as values; [`crate::packet`] is their form on the wire.
+//! The messages that nodes exchange; [`crate::packet`] encodes them.
 use crate::member::{Incarnation, Load, Member, Status};
 use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Gossiped entries in one message, besides its sender's: with the longest metadata they fit in a datagram.
+/// The most gossiped entries in one message, not counting its sender's. They fit in a datagram even with metadata of
+/// the greatest length.
 pub const MAX_GOSSIP_PER_MESSAGE: usize = 8;
-/// Entries of one page of a sync digest; a larger view is compared page by page.
+/// The most entries in one page of a sync digest; a larger view is compared page by page.
 pub const MAX_DIGEST_ENTRIES: usize = 36;
 
 /// One member in a sync digest: its entry without the metadata.
@@ -15,46 +16,46 @@
     /// The member.
     #[serde(rename = "about")]
     pub id: NodeId,
-    /// The incarnation that the sender knows.
+    /// The incarnation of the sender's entry.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// The status that the sender holds.
+    /// The status of the sender's entry.
     #[serde(rename = "standing")]
     pub status: Status,
 }
 
-/// What a message is sent for.
+/// The purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     /// A direct probe (SWIM's `ping`).
     Probe,
-    /// Requests that the receiver probe another node for the sender (SWIM's `ping-req`).
+    /// Requests that the receiver probe another node on behalf of the sender (SWIM's `ping-req`).
     #[serde(rename = "ProbeFor")]
     IndirectProbe(NodeId),
     /// Answers a [`Payload::Probe`].
     #[serde(rename = "Answer")]
     Ack,
-    /// The target of an indirect probe acknowledged it.
+    /// Reports that the target of an indirect probe acknowledged it.
     #[serde(rename = "AnswerOf")]
     IndirectAck(NodeId),
-    /// The target of an indirect probe has not acknowledged it in time (Lifeguard's `nack`).
+    /// Reports that the target of an indirect probe has not acknowledged it in time (Lifeguard's `nack`).
     #[serde(rename = "NoAnswerOf")]
     Nack(NodeId),
-    /// One page of the sender's view, to be compared with the receiver's (anti-entropy push).
+    /// One page of the sender's view, for the receiver to compare with its own (anti-entropy push).
     #[serde(rename = "Compare")]
     SyncDigest {
         /// First id that the page covers.
         from: NodeId,
         /// Last id that the page covers.
         to: NodeId,
-        /// What the sender knows of each node in that range, in the order of ids.
+        /// The sender's entries of the members in that range, in the order of ids.
         #[serde(rename = "lines")]
         entries: Vec<DigestEntry>,
     },
     /// Requests the full entries of these nodes (anti-entropy pull).
     #[serde(rename = "Want")]
     SyncRequest(Vec<NodeId>),
-    /// Expects no answer: the gossip that the message carries is its purpose.
+    /// Only delivers the gossip that the message contains; no response is expected.
     #[serde(rename = "Tell")]
     Gossip,
 }
@@ -65,57 +66,58 @@
     /// The sender's own entry.
     #[serde(rename = "from")]
     pub sender: Member,
-    /// How many messages the sender's process has sent: a late or repeated one is recognized by it.
+    /// Sequence number: the messages that the sender's process has sent so far, used to recognize late and repeated
+    /// ones.
     #[serde(rename = "turn")]
     pub sequence: u64,
     /// The sender's load.
     pub load: Load,
-    /// The number of the probe that this message makes or answers; 0 where nothing is matched by it.
+    /// Number of the probe that this message makes or answers; 0 if no response is matched by it.
     #[serde(rename = "number")]
     pub probe_number: u64,
-    /// What the message is sent for.
+    /// The purpose of the message.
     #[serde(rename = "ask")]
     pub payload: Payload,
-    /// Member entries that are passed on, [`MAX_GOSSIP_PER_MESSAGE`] at most.
+    /// Gossiped member entries, at most [`MAX_GOSSIP_PER_MESSAGE`].
     #[serde(rename = "news")]
     pub gossip: Vec<Member>,
-    /// The member whose probe score stands out in the sender's view.
+    /// The member whose probe score is an outlier in the sender's view, if there is one.
     #[serde(rename = "names")]
     pub outlier: Option<NodeId>,
-    /// Digest of the sender's view: a receiver whose own differs starts a sync.
+    /// Digest of the sender's view. A receiver whose view has another digest starts a sync.
     #[serde(rename = "digest")]
     pub view_digest: u64,
 }
 
-/// Where a message goes.
+/// The receiver of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Destination {
     /// A member, at the address in its metadata.
     Node(NodeId),
-    /// An address of which no more is known.
+    /// An address whose node is not known.
     Address(SocketAddr),
 }
 
 /// A message that the driver is to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// Where it goes.
+    /// The receiver.
     pub to: Destination,
-    /// What is sent.
+    /// The message to send.
     pub message: Message,
 }
 
-/// A change of the view, for the log and for the placement of slices.
+/// A change of a member in the view, for the log and for the placement of slices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
     /// The member.
     pub id: NodeId,
-    /// Its incarnation as of now.
+    /// Its incarnation after the change.
     pub incarnation: Incarnation,
-    /// Its status as of now.
+    /// Its status after the change.
     pub status: Status,
-    /// Whether a majority finds it slow, so that it must hold no slices.
+    /// Whether a majority considers it slow, so that it must not hold slices.
     pub ejected: bool,
-    /// Why it changed: which nodes missed an acknowledgement, or who reported it.
+    /// Why it changed: for example the probes that got no acknowledgement, or the node that reported the change.
     pub cause: String,
 }
--- a/crates/railhub-membership/src/safeguard.rs
+++ b/crates/railhub-membership/src/safeguard.rs
@@ -1,29 +1,29 @@
-//! The safeguards of membership and leases, each of which tests can leave out to see its check fail.
+//! The safeguards of membership and leases. Tests disable one at a time to verify that a check detects its absence.
 
-/// A rule that protects membership or leases. None is left out in operation.
+/// A rule that protects membership or leases. All are enabled in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
     /// A suspected node refutes the suspicion under a higher incarnation.
     Refutation,
-    /// Dead members are probed now and then, so that the halves of a partition meet again.
+    /// Dead members are still probed at times, so that the sides of a healed partition find each other.
     DeadProbing,
-    /// Entries of older processes, and of tombstoned ones, are dropped.
+    /// Entries of older or tombstoned processes are dropped.
     ProcessOrder,
-    /// Views are compared, and what differs is sent.
+    /// Nodes compare their views and exchange entries that differ.
     AntiEntropy,
     /// An entry is gossiped a limited number of times.
     GossipLimit,
-    /// A node that fares badly itself suspects others later (Lifeguard's local health).
+    /// A node in bad local health waits longer before it suspects others (Lifeguard).
     LocalHealth,
-    /// All that goes beyond SWIM as first published: [`Safeguard::DeadProbing`], [`Safeguard::AntiEntropy`] and
+    /// All extensions of SWIM as first published: [`Safeguard::DeadProbing`], [`Safeguard::AntiEntropy`] and
     /// [`Safeguard::LocalHealth`].
     Extensions,
-    /// Slices are given up when their leases expire.
+    /// A node gives up slices when their leases expire.
     LeaseExpiry,
 }
 
 impl Safeguard {
-    /// Whether leaving out `disabled` leaves this one out.
+    /// Whether this safeguard is disabled when `disabled` is.
     pub fn is_disabled_by(self, disabled: Option<Safeguard>) -> bool {
         let is_extension =
             matches!(self, Safeguard::DeadProbing | Safeguard::AntiEntropy | Safeguard::LocalHealth);
--- a/crates/railhub-membership/src/table.rs
+++ b/crates/railhub-membership/src/table.rs
@@ -1,7 +1,9 @@
-//! The member table of one node: its own entry, those of all others, and how entries merge. Free of time.
+//! The member table of one node: its own entry, the entries of all others, and how entries merge. It does not depend on
+//! time.
 //!
-//! The merge is a join over (incarnation, status) (a state-based CRDT): any order and any repetition of the same
-//! entries ends in the same table, except for entries of the node itself, which it refutes under a higher incarnation.
+//! The merge is a join over (incarnation, status), as in a state-based CRDT: the same entries result in the same table
+//! in any order and with any repetition. The exception is entries of the node itself, which it refutes under a higher
+//! incarnation.
 use crate::member::{mix, Incarnation, Member, NodeMetadata, Status};
 use crate::messages::{DigestEntry, MAX_DIGEST_ENTRIES, MAX_GOSSIP_PER_MESSAGE};
 use crate::safeguard::Safeguard;
@@ -9,32 +11,32 @@
 use crate::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Other members in a table; further ones are rejected, those that are known stay.
+/// The most other members in a table. Further ones are rejected; known members stay.
 pub const MAX_MEMBERS: usize = 1024;
 
-/// What came of merging an entry.
+/// The outcome of merging an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Known already, or older than what is known.
+    /// The entry is not newer than the known one.
     Unchanged,
-    /// Of a process that was followed by a later one, or tombstoned.
+    /// The entry belongs to a process that was superseded or tombstoned.
     Stale,
-    /// There is no room for one more member.
+    /// The member is unknown and the table is full.
     TableFull,
-    /// It changed the table.
+    /// The entry changed the table.
     Updated {
         /// The member's status before; `None` for a new member.
         previous: Option<Status>,
-        /// The member's metadata differ from before.
+        /// Whether the member's metadata changed.
         metadata_changed: bool,
     },
-    /// It reported this node as not alive; the node's entry has a higher incarnation now.
+    /// The entry reported this node as not alive, and the node has refuted it under a higher incarnation.
     Refuted,
-    /// It is of another process under this node's id, with a higher number.
+    /// The entry belongs to another process under this node's id, with a higher process number.
     IdentityConflict,
 }
 
-/// One page of a table, as it is sent to be compared.
+/// One page of a table's digest, to be compared with another node's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DigestPage {
     /// First id that the page covers.
@@ -43,16 +45,16 @@
     pub to: NodeId,
     /// The members in that range.
     pub entries: Vec<DigestEntry>,
-    /// First id of the page that comes after it; 0 after the last.
+    /// First id of the next page; 0 after the last one.
     pub next: NodeId,
 }
 
-/// How a table differs from a page of another one.
+/// The differences between a table and a page of another one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SyncDiff {
-    /// Entries that are newer here, [`MAX_GOSSIP_PER_MESSAGE`] at most.
+    /// Entries that are newer in this table, at most [`MAX_GOSSIP_PER_MESSAGE`].
     pub newer: Vec<Member>,
-    /// Members of which the other has a newer entry, [`MAX_DIGEST_ENTRIES`] at most.
+    /// Members whose entry is newer in the other table, at most [`MAX_DIGEST_ENTRIES`].
     pub wanted: Vec<NodeId>,
 }
 
@@ -67,7 +69,7 @@
 }
 
 impl MemberTable {
-    /// A table that knows the node itself. `disabled`: a safeguard that a test leaves out.
+    /// A table that contains only the node itself. `disabled`: a safeguard that a test disables.
     pub fn new(local: Member, disabled: Option<Safeguard>) -> MemberTable {
         let mut table = MemberTable {
             local,
@@ -80,7 +82,7 @@
         table
     }
 
-    /// Whether a test leaves this safeguard out.
+    /// Whether a test has disabled this safeguard.
     pub fn is_disabled(&self, safeguard: Safeguard) -> bool {
         safeguard.is_disabled_by(self.disabled)
     }
@@ -90,7 +92,7 @@
         &self.local
     }
 
-    /// The entry of any member, the node itself included.
+    /// The entry of a member, which may be the node itself.
     pub fn get(&self, id: NodeId) -> Option<&Member> {
         if id == self.local.id {
             Some(&self.local)
@@ -104,7 +106,8 @@
         self.others.values()
     }
 
-    /// Digest of the live members: the same in all tables that hold the same processes live, whatever else differs.
+    /// Digest of the live members. It is equal for all tables with the same live processes and metadata, even if
+    /// incarnation counts or the statuses alive and suspect differ.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -133,15 +136,15 @@
         self.update_digest();
     }
 
-    /// Gives the node's own process a number above `process`: that one was used before, or was tombstoned.
+    /// Gives the node's own process a number above `process`, which was already used or tombstoned.
     pub fn adopt_process_above(&mut self, process: u64) {
         let process = process.max(self.local.incarnation.process).saturating_add(1);
         self.local.incarnation = Incarnation { process, count: 0 };
         self.update_digest();
     }
 
-    /// Merges an entry. `recently_seen`: the member's own message came a moment ago, so that a report of its death
-    /// only makes it suspect.
+    /// Merges an entry. `recently_seen`: a message from the member itself arrived recently, so that a report of its
+    /// death only makes it suspect.
     pub fn merge(&mut self, update: &Member, recently_seen: bool) -> MergeOutcome {
         if update.id == self.local.id {
             return self.merge_local(update);
@@ -189,8 +192,8 @@
         MergeOutcome::Updated { previous: None, metadata_changed: true }
     }
 
-    /// An entry of the node itself. A report that it is not alive is refuted each time, since an earlier refutation
-    /// may not have reached its sender.
+    /// Merges an entry of the node itself. A report that it is not alive is refuted each time, because an earlier
+    /// refutation may not have reached the reporting node.
     fn merge_local(&mut self, update: &Member) -> MergeOutcome {
         let local = self.local.incarnation;
         if update.incarnation.process > local.process {
@@ -212,14 +215,14 @@
         MergeOutcome::Refuted
     }
 
-    /// Drops a member that is long gone and leaves a tombstone: its process is refused from now on.
+    /// Drops a member and keeps a tombstone, so that entries of its process are rejected from now on.
     pub fn forget(&mut self, id: NodeId) {
         let Some(member) = self.others.remove(&id) else { return };
         self.tombstones.insert(id, member.incarnation.process);
         self.update_digest();
     }
 
-    /// The entry that tells a superseded or tombstoned process so.
+    /// The entry to send to a superseded or tombstoned process so that it learns its status.
     pub fn correction_for(&self, stale: &Member) -> Member {
         match self.others.get(&stale.id) {
             Some(known) if known.incarnation.process >= stale.incarnation.process => known.clone(),
@@ -227,7 +230,7 @@
         }
     }
 
-    /// The page of the table that begins with `from`.
+    /// The page of the table's digest that begins with `from`.
     pub fn digest_page(&self, from: NodeId) -> DigestPage {
         let mut members: Vec<&Member> = self.others.values().chain([&self.local]).collect();
         members.sort_by_key(|member| member.id);
@@ -247,7 +250,7 @@
         DigestPage { from, to, entries, next: next.unwrap_or(NodeId(0)) }
     }
 
-    /// Compares the table with a page of another node's.
+    /// Compares the table with a page of another node's digest, which covers the ids `from` to `to`.
     pub fn diff(&self, from: NodeId, to: NodeId, entries: &[DigestEntry]) -> SyncDiff {
         let mut diff = SyncDiff::default();
         for entry in entries {
--- a/crates/railhub-membership/src/tombstones.rs
+++ b/crates/railhub-membership/src/tombstones.rs
@@ -1,11 +1,11 @@
-//! Tombstones: the processes of members whose entries were dropped, so that late messages cannot bring them back.
+//! Tombstones: the process numbers of members whose entries were dropped, so that late messages cannot add them again.
 use crate::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tombstones that are kept; past it the oldest is dropped.
+/// The most tombstones that are kept; beyond that, the oldest is dropped.
 const MAX_TOMBSTONES: usize = 4096;
 
-/// The last process of each dropped member.
+/// The last process number of each dropped member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tombstones {
     processes: BTreeMap<NodeId, u64>,
@@ -13,7 +13,7 @@
 }
 
 impl Tombstones {
-    /// Whether this process of the node, or a later one, has been tombstoned.
+    /// Whether this process of the node or a later one has a tombstone.
     pub(crate) fn covers(&self, id: NodeId, process: u64) -> bool {
         self.processes.get(&id).is_some_and(|tombstoned| process <= *tombstoned)
     }
--- a/crates/railhub-membership/src/view.rs
+++ b/crates/railhub-membership/src/view.rs
@@ -1,18 +1,18 @@
-//! A node's view as observers read it.
+//! A node's view of the members, as observers read it.
 use crate::member::{Load, Member};
 use crate::Seconds;
 
 /// One member of a view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ViewEntry {
-    /// Its entry.
+    /// The member's entry.
     pub member: Member,
-    /// Its load as it last reported it.
+    /// The load that it last reported.
     pub load: Load,
     /// Seconds since its status changed.
     pub status_age: Seconds,
-    /// Seconds since its own last message; infinite where none has come.
+    /// Seconds since the last message from the member itself; infinite if none has arrived.
     pub last_seen_ago: Seconds,
-    /// Whether a majority finds it slow, so that it must hold no slices.
+    /// Whether a majority considers it slow, so that it must not hold slices.
     pub ejected: bool,
 }
