--- a/crates/railhub-membership/src/lease/tests.rs
+++ b/crates/railhub-membership/src/lease/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_grant_ends_before_the_stores_does_even_if_the_clock_runs_slow() {
+fn holder_lease_expires_before_the_store_lease() {
     let mut leases = HeldLeases::new(3.0);
     leases.on_granted(10.2, 10.0, &[(4, Epoch(2))]);
     assert_eq!(leases.valid_epoch(12.6, 4), Some(Epoch(2)));
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn an_answer_that_comes_too_late_holds_nothing() {
+fn late_response_acquires_nothing() {
     let mut leases = HeldLeases::new(3.0);
     leases.on_granted(13.0, 10.0, &[(4, Epoch(2))]);
     assert_eq!(leases.count(), 0);
 }
 
 #[test]
-fn answers_out_of_order_do_not_bring_an_old_epoch_back() {
+fn reordered_response_does_not_restore_an_older_epoch() {
     let mut leases = HeldLeases::new(3.0);
     leases.on_granted(1.0, 0.9, &[(4, Epoch(5))]);
     leases.on_granted(1.1, 0.5, &[(4, Epoch(3))]);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_store_grants_a_slice_to_one_at_a_time_and_counts_epochs() {
+fn record_grants_one_holder_at_a_time_under_rising_epochs() {
     let mut record = LeaseRecord::default();
     assert_eq!(record.grant(0.0, 1, 3.0), Some(Epoch(1)));
     assert_eq!(record.grant(1.0, 2, 3.0), None);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_fence_lets_through_the_newest_alone() {
+fn fence_admits_only_the_highest_epoch() {
     let mut fence = Fence::default();
     assert!(fence.admits(1, Epoch(1)) && fence.admits(1, Epoch(2)) && fence.admits(1, Epoch(2)));
     assert!(!fence.admits(1, Epoch(1)));
@@ -53,7 +53,7 @@
     /// Two processes with clocks up to 5 % apart send requests at any moments; responses take any time. At no moment
     /// may both write the slice, and the one that may has the newer epoch.
     #[test]
-    fn no_two_may_order_a_slice_at_once(
+    fn at_most_one_process_may_write_a_slice(
         steps in prop::collection::vec((0.0..1.0f64, 0..2usize, 0.0..2.0f64), 1..120),
         speeds in (0.95..1.05f64, 0.95..1.05f64),
     ) {
--- a/crates/railhub-membership/src/lease_store/tests.rs
+++ b/crates/railhub-membership/src/lease_store/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_store_that_forgot_a_grant_takes_its_holder_at_its_word_and_grants_above_it() {
+fn outdated_store_accepts_renewal_and_grants_above_its_epoch() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default());
     assert_eq!(lease_store.handle_request(0.0, &request(1, &[4], &[])).response.granted, [(4, Epoch(1))]);
     let copy = lease_store.clone();
@@ -26,7 +26,7 @@
 
 /// Found by drawn faults: a process that had stood still was given back, under its old epoch, what another had held.
 #[test]
-fn whom_an_older_copy_names_gets_nothing_by_it() {
+fn holder_in_an_older_copy_does_not_keep_its_epoch() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default());
     lease_store.handle_request(0.0, &request(1, &[4], &[]));
     let copy = lease_store.clone();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn epochs_never_go_back_where_the_clock_of_starts_was_set_back() {
+fn epochs_rise_although_the_start_clock_was_set_back() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default()).restart(0.0, 100);
     let first = lease_store.handle_request(3.1, &request(1, &[1], &[])).response.granted[0].1;
     assert!(first.0 >= 100 * EPOCHS_PER_START);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_table_is_written_under_the_epoch_that_was_granted_alone() {
+fn table_writes_require_the_granted_epoch() {
     let mut lease_store = LeaseStore::new(3.0, StoreFaults::default());
     lease_store.handle_request(0.0, &request(1, &[2], &[]));
     assert!(lease_store.may_write(2, Epoch(1)) && !lease_store.may_write(2, Epoch(0)));
--- a/crates/railhub-membership/src/member/tests.rs
+++ b/crates/railhub-membership/src/member/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_higher_process_beats_any_count_and_any_standing() {
+fn higher_process_supersedes_any_count_and_status() {
     let id = NodeId(3);
     let old = Member { status: Status::Dead, ..Member::alive(id, 5, NodeMetadata::default()) };
     let old = Member { incarnation: Incarnation { count: 900, ..old.incarnation }, ..old };
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn under_one_life_the_worse_holds_and_a_higher_count_refutes_it() {
+fn worse_status_supersedes_and_higher_count_refutes_it() {
     let alive = Member::alive(NodeId(3), 5, NodeMetadata::default());
     let dead = Member { status: Status::Dead, ..alive.clone() };
     let again = Member { incarnation: Incarnation { process: 5, count: 1 }, ..alive.clone() };
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_fullest_messages_fit_in_a_datagram_and_come_back_as_they_were() {
+fn largest_packets_fit_in_a_datagram_and_round_trip() {
     let ids = vec![NodeId(u16::MAX); MAX_DIGEST_ENTRIES];
     let entry = DigestEntry { id: ids[0], incarnation: longest().incarnation, status: Status::Dead };
     let entries = vec![entry; MAX_DIGEST_ENTRIES];
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_is_foreign_older_spoilt_or_oversized_is_told_apart() {
+fn decode_reports_the_cause_of_each_rejection() {
     let bytes = encode("here", &message(Payload::Probe, 1));
     assert_eq!(decode("there", &bytes), Err(DecodeError::ForeignInstallation));
     assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(DecodeError::Corrupt));
@@ -87,7 +87,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_make_the_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn decode_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut rest = vec![1, b'x'];
         rest.extend(&bytes);
         let mut framed = MAGIC.to_vec();
--- a/crates/railhub-membership/src/placement/tests.rs
+++ b/crates/railhub-membership/src/placement/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn slices_are_spread_by_weight() {
+fn slices_are_distributed_by_weight() {
     let mut all = nodes(&[1, 2, 3]);
     all.insert(NodeId(3), 2.0);
     let of = |id: u16| (0..4000).filter(|slice| rendezvous_owner(*slice, &all) == Some(NodeId(id))).count();
@@ -16,7 +16,7 @@
 
 proptest! {
     #[test]
-    fn a_steward_that_goes_moves_its_own_slices_and_no_others(ids in prop::collection::btree_set(0..50u16, 2..9), gone in 0..9usize) {
+    fn removing_a_node_moves_only_its_own_slices(ids in prop::collection::btree_set(0..50u16, 2..9), gone in 0..9usize) {
         let ids: Vec<u16> = ids.into_iter().collect();
         let gone = NodeId(ids[gone % ids.len()]);
         let all = nodes(&ids);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn one_that_flaps_gets_no_slices_until_it_has_stood_for_long() {
+fn flapping_node_is_not_eligible_until_hold_down_ends() {
     let mut placement = Placement::new(nodes(&[1, 2]));
     placement.update_liveness(0.0, NodeId(1), true);
     placement.update_liveness(0.0, NodeId(2), true);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn when_nobody_has_earned_trust_all_that_live_have_to_do() {
+fn held_down_nodes_are_eligible_if_all_are_held_down() {
     let mut placement = Placement::new(nodes(&[1, 2]));
     for id in [1, 2] {
         placement.update_liveness(0.0, NodeId(id), true);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn handovers_are_paced() {
+fn handovers_are_rate_limited() {
     let mut placement = Placement::new(nodes(&[1]));
     let counted = |placement: &mut Placement, now: f64| {
         (0..1000).filter(|_| placement.take_handover_permit(now)).count()
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_that_asks_without_end_makes_nothing_grow() {
+fn repeated_requests_do_not_grow_queues() {
     assert!(flooded(Payload::Probe).queued_gossip() <= 5);
     assert!(flooded(Payload::IndirectProbe(NodeId(2))).pending.len() <= MAX_PENDING_PROBES);
 }
@@ -57,7 +57,7 @@
 
 /// A process that becomes known only after it has rewritten its entry counts its messages anew all the same.
 #[test]
-fn a_new_process_is_heard_at_once_and_an_old_message_tells_nothing_of_now() {
+fn new_process_is_seen_at_once_and_old_message_is_ignored() {
     let mut membership = flooded(Payload::Gossip);
     let next = Member {
         incarnation: Incarnation { process: 7, count: 3 },
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn one_that_has_yielded_says_nothing_and_wants_few_turns() {
+fn superseded_process_sends_nothing_and_ticks_rarely() {
     let mut membership = flooded(Payload::Gossip);
     let newer = Member::alive(NodeId(0), 9, NodeMetadata::default());
     membership.on_message(0.2, &message_from(&newer, 1, Payload::Probe));
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -14,7 +14,7 @@
 
 proptest! {
     #[test]
-    fn any_order_and_any_repetition_of_the_same_words_ends_in_the_same_table(
+    fn merge_does_not_depend_on_order_or_repetition(
         entries in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
@@ -28,7 +28,7 @@
     }
 
     #[test]
-    fn comparing_both_ways_ends_in_the_same_views(
+    fn sync_makes_views_equal(
         ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
         theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
+fn tombstoned_process_is_rejected_and_a_newer_one_accepted() {
     let mut table = table();
     table.merge(&entry(1, 5, 0, 3), false);
     table.forget(NodeId(1));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn one_that_was_forgotten_takes_a_higher_process_number() {
+fn forgotten_node_adopts_a_higher_process_number() {
     let mut table = table();
     let forgotten = Member { status: Status::Forgotten, ..table.local().clone() };
     assert_eq!(table.merge(&forgotten, false), MergeOutcome::Refuted);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_crowd_of_stewards_fills_the_table_and_no_more() {
+fn full_table_rejects_new_members() {
     let mut table = table();
     (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.merge(&entry(id, 1, 0, 0), false));
     assert_eq!(table.merge(&entry(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
--- a/crates/railhub-membership/tests/net.rs
+++ b/crates/railhub-membership/tests/net.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_steward_that_dies_is_held_for_dead_by_all_and_one_that_comes_back_is_not() {
+fn all_detect_a_death_and_a_restart() {
     for seed in 0..20 {
         let mut net = Net::new(5, seed);
         net.run(5.0);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn three_that_die_within_a_second_are_all_found() {
+fn three_deaths_within_a_second_are_all_detected() {
     let mut net = Net::new(7, 3);
     net.run(4.0);
     for (n, id) in [1, 3, 5].into_iter().enumerate() {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn lost_messages_and_a_link_that_is_cut_one_way_kill_nobody() {
+fn message_loss_and_a_one_way_cut_cause_no_false_death() {
     for seed in 0..10 {
         let mut net = Net::new(6, seed);
         net.loss = 0.1;
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_short_pause_kills_nobody_and_a_long_one_is_undone_by_the_one_that_wakes() {
+fn short_pause_is_tolerated_and_long_pause_is_refuted() {
     let mut net = Net::new(5, 9);
     net.run(3.0);
     net.paused_until.insert(NodeId(1), 4.0);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn both_halves_of_a_split_find_each_other_again() {
+fn both_sides_of_a_healed_partition_find_each_other() {
     let mut net = Net::new(5, 4);
     net.run(3.0);
     for a in [0, 1] {
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_slow_steward_is_withdrawn_alone_and_comes_back() {
+fn slow_node_alone_is_ejected_and_later_readmitted() {
     for seed in 0..10 {
         let mut net = Net::new(5, seed);
         net.run(5.0);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_steward_that_leaves_is_known_to_have_left_at_once() {
+fn leaving_node_is_marked_left_at_once() {
     let mut net = Net::new(4, 2);
     net.run(3.0);
     let output = net.nodes.get_mut(&NodeId(1)).expect("known").leave();
@@ -251,7 +251,7 @@
 
 /// What a node sends does not grow with their number.
 #[test]
-fn cost_a_steward_is_flat() {
+fn message_rate_per_node_does_not_grow_with_cluster() {
     let rate = |count: u16| {
         let mut net = Net::new(count, 1);
         net.run(20.0);
--- a/crates/railhub-membership/tests/wire_compatibility.rs
+++ b/crates/railhub-membership/tests/wire_compatibility.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn sync_pull_bytes() {
+fn sync_request_bytes() {
     assert_packet(&message(Payload::SyncRequest(vec![NodeId(1), NodeId(200)])), "524846013529bc6004686572650add010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe8201050a0301c801");
 }
 
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn each_status_has_its_number_on_the_wire() {
+fn status_numbers_on_the_wire() {
     let all = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
     let lines = all.iter().enumerate().map(|(id, status)| digest_entry(id as u16, *status)).collect();
     let compare = Payload::SyncDigest { from: NodeId(0), to: NodeId(4), entries: lines };
