--- a/crates/railhub-membership/src/lease/tests.rs
+++ b/crates/railhub-membership/src/lease/tests.rs
@@ -9,7 +9,8 @@
     leases.on_granted(10.2, 10.0, &[(4, Epoch(2))]);
     assert_eq!(leases.valid_epoch(12.6, 4), Some(Epoch(2)));
     assert_eq!(leases.valid_epoch(12.7, 4), None);
-    // The store counted 3 s from after 10.0: on a clock 5 % faster than ours those are 2.857 of our seconds.
+    // The store counts 3 s from some time after 10.0. If its clock is 5 % faster than the holder's, those are 2.857 s
+    // on the holder's clock.
     assert_eq!(leases.take_expired(12.8), [4]);
     assert_eq!(leases.count(), 0);
 }
@@ -50,8 +51,8 @@
 }
 
 proptest! {
-    /// Two processes with clocks up to 5 % apart send requests at any moments; responses take any time. At no moment
-    /// may both write the slice, and the one that may has the newer epoch.
+    /// Two processes whose clocks run up to 5 % fast or slow send requests at random times, and responses take random
+    /// times. At no time may both processes write the slice, and one that may write it has the newest epoch.
     #[test]
     fn at_most_one_process_may_write_a_slice(
         steps in prop::collection::vec((0.0..1.0f64, 0..2usize, 0.0..2.0f64), 1..120),
@@ -62,22 +63,22 @@
         let mut leases = [HeldLeases::new(3.0), HeldLeases::new(3.0)];
         let mut in_flight: Vec<(f64, usize, f64, Epoch)> = Vec::new();
         let mut now = 0.0;
-        for (wait, who, delay) in steps {
+        for (wait, process, delay) in steps {
             now += wait;
-            let requested_at = now * speeds[who];
-            if let Some(epoch) = record.grant(now + delay / 2.0, who as u64, 3.0) {
-                in_flight.push((now + delay, who, requested_at, epoch));
+            let requested_at = now * speeds[process];
+            if let Some(epoch) = record.grant(now + delay / 2.0, process as u64, 3.0) {
+                in_flight.push((now + delay, process, requested_at, epoch));
             }
-            // The request arrived before any later one is sent: the store receives them in order.
+            // Advances to the arrival of the request, so that the store receives requests in order.
             now += delay / 2.0;
-            in_flight.retain(|(at, who, requested_at, epoch)| {
-                if *at <= now {
-                    leases[*who].on_granted(now * speeds[*who], *requested_at, &[(1, *epoch)]);
+            in_flight.retain(|(arrives_at, process, requested_at, epoch)| {
+                if *arrives_at <= now {
+                    leases[*process].on_granted(now * speeds[*process], *requested_at, &[(1, *epoch)]);
                 }
-                *at > now
+                *arrives_at > now
             });
             let valid: Vec<_> = (0..2).filter_map(|n| leases[n].valid_epoch(now * speeds[n], 1)).collect();
-            prop_assert!(valid.len() <= 1, "both at {now}: {valid:?}");
+            prop_assert!(valid.len() <= 1, "both processes may write at {now}: {valid:?}");
             prop_assert!(valid.iter().all(|epoch| *epoch == record.epoch));
         }
     }
--- a/crates/railhub-membership/src/member/tests.rs
+++ b/crates/railhub-membership/src/member/tests.rs
@@ -13,6 +13,6 @@
 fn worse_status_supersedes_and_higher_count_refutes_it() {
     let alive = Member::alive(NodeId(3), 5, NodeMetadata::default());
     let dead = Member { status: Status::Dead, ..alive.clone() };
-    let again = Member { incarnation: Incarnation { process: 5, count: 1 }, ..alive.clone() };
-    assert!(dead.supersedes(&alive) && again.supersedes(&dead) && !alive.supersedes(&alive));
+    let refutation = Member { incarnation: Incarnation { process: 5, count: 1 }, ..alive.clone() };
+    assert!(dead.supersedes(&alive) && refutation.supersedes(&dead) && !alive.supersedes(&alive));
 }
--- a/crates/railhub-membership/src/packet/tests.rs
+++ b/crates/railhub-membership/src/packet/tests.rs
@@ -6,9 +6,9 @@
 use crate::NodeId;
 use proptest::prelude::*;
 
-fn longest() -> Member {
+fn longest_member() -> Member {
     let metadata = NodeMetadata {
-        address: Some("[1111:2222:3333:4444:5555:6666:7777:8888]:65535".parse().expect("an address")),
+        address: Some("[1111:2222:3333:4444:5555:6666:7777:8888]:65535".parse().expect("a valid address")),
         program_version: "9".repeat(MAX_PROGRAM_VERSION_BYTES),
         protocol_version: u32::MAX,
         settings_digest: u64::MAX,
@@ -22,12 +22,12 @@
 
 fn message(payload: Payload, gossip: usize) -> Packet {
     Packet::Message(Box::new(Message {
-        sender: longest(),
+        sender: longest_member(),
         sequence: u64::MAX,
         load: Load { slices: u32::MAX, proxies: u32::MAX, cpu_cores: 1.0 },
         probe_number: u64::MAX,
         payload,
-        gossip: vec![longest(); gossip],
+        gossip: vec![longest_member(); gossip],
         outlier: Some(NodeId(u16::MAX)),
         view_digest: u64::MAX,
     }))
@@ -36,11 +36,11 @@
 #[test]
 fn largest_packets_fit_in_a_datagram_and_round_trip() {
     let ids = vec![NodeId(u16::MAX); MAX_DIGEST_ENTRIES];
-    let entry = DigestEntry { id: ids[0], incarnation: longest().incarnation, status: Status::Dead };
+    let entry = DigestEntry { id: ids[0], incarnation: longest_member().incarnation, status: Status::Dead };
     let entries = vec![entry; MAX_DIGEST_ENTRIES];
     let sync_digest = Payload::SyncDigest { from: NodeId(0), to: NodeId(u16::MAX), entries };
-    let view = ViewEntry {
-        member: longest(),
+    let view_entry = ViewEntry {
+        member: longest_member(),
         load: Load::default(),
         status_age: 1e9,
         last_seen_ago: 1.0,
@@ -51,19 +51,19 @@
         viewer: ids[0],
         process: u64::MAX,
         digest: u64::MAX,
-        entries: vec![view; MAX_VIEW_ENTRIES],
+        entries: vec![view_entry; MAX_VIEW_ENTRIES],
         next: Some(ids[0]),
         dropped: u64::MAX,
         superseded: true,
     };
-    let all = [
+    let packets = [
         message(Payload::SyncRequest(ids), MAX_GOSSIP_PER_MESSAGE),
         message(sync_digest, 0),
         Packet::ViewRequest { nonce: 7, from: NodeId(9) },
         Packet::Drain { node: NodeId(3), process: 12 },
         Packet::View(Box::new(view)),
     ];
-    for packet in all {
+    for packet in packets {
         let bytes = encode(&"n".repeat(MAX_INSTALLATION_BYTES), &packet);
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes: {packet:?}", bytes.len());
         assert_eq!(decode(&"n".repeat(MAX_INSTALLATION_BYTES), &bytes), Ok(packet));
@@ -76,9 +76,9 @@
     assert_eq!(decode("there", &bytes), Err(DecodeError::ForeignInstallation));
     assert_eq!(decode("here", &bytes[..bytes.len() - 1]), Err(DecodeError::Corrupt));
     assert_eq!(decode("here", &[0; MAX_DATAGRAM_BYTES + 1]), Err(DecodeError::Oversized));
-    let mut older = bytes.clone();
-    older[3] = 0;
-    assert_eq!(decode("here", &older), Err(DecodeError::UnsupportedVersion));
+    let mut other_version = bytes.clone();
+    other_version[3] = 0;
+    assert_eq!(decode("here", &other_version), Err(DecodeError::UnsupportedVersion));
     let mut corrupt = bytes;
     let last = corrupt.len() - 1;
     corrupt[last] ^= 1;
@@ -88,12 +88,12 @@
 proptest! {
     #[test]
     fn decode_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut rest = vec![1, b'x'];
-        rest.extend(&bytes);
-        let mut framed = MAGIC.to_vec();
-        framed.push(VERSION);
-        framed.extend(crc32fast::hash(&rest).to_be_bytes());
-        framed.extend(rest);
-        let _ = (decode("x", &bytes), decode("x", &framed));
+        let mut checksummed = vec![1, b'x'];
+        checksummed.extend(&bytes);
+        let mut datagram = MAGIC.to_vec();
+        datagram.push(VERSION);
+        datagram.extend(crc32fast::hash(&checksummed).to_be_bytes());
+        datagram.extend(checksummed);
+        let _ = (decode("x", &bytes), decode("x", &datagram));
     }
 }
--- a/crates/railhub-membership/src/placement/tests.rs
+++ b/crates/railhub-membership/src/placement/tests.rs
@@ -9,22 +9,27 @@
 fn slices_are_distributed_by_weight() {
     let mut all = nodes(&[1, 2, 3]);
     all.insert(NodeId(3), 2.0);
-    let of = |id: u16| (0..4000).filter(|slice| rendezvous_owner(*slice, &all) == Some(NodeId(id))).count();
-    assert!(of(1).abs_diff(1000) < 90 && of(2).abs_diff(1000) < 90, "{} {}", of(1), of(2));
-    assert!(of(3).abs_diff(2000) < 120, "{}", of(3));
+    let slices_of =
+        |id: u16| (0..4000).filter(|slice| rendezvous_owner(*slice, &all) == Some(NodeId(id))).count();
+    let (first, second) = (slices_of(1), slices_of(2));
+    assert!(first.abs_diff(1000) < 90 && second.abs_diff(1000) < 90, "{first} and {second} slices");
+    assert!(slices_of(3).abs_diff(2000) < 120, "{} slices", slices_of(3));
 }
 
 proptest! {
     #[test]
-    fn removing_a_node_moves_only_its_own_slices(ids in prop::collection::btree_set(0..50u16, 2..9), gone in 0..9usize) {
+    fn removing_a_node_moves_only_its_own_slices(
+        ids in prop::collection::btree_set(0..50u16, 2..9),
+        removed in 0..9usize,
+    ) {
         let ids: Vec<u16> = ids.into_iter().collect();
-        let gone = NodeId(ids[gone % ids.len()]);
+        let removed = NodeId(ids[removed % ids.len()]);
         let all = nodes(&ids);
-        let mut left = all.clone();
-        left.remove(&gone);
+        let mut remaining = all.clone();
+        remaining.remove(&removed);
         for slice in 0..300 {
-            let (before, after) = (rendezvous_owner(slice, &all), rendezvous_owner(slice, &left));
-            prop_assert!(before == Some(gone) || before == after);
+            let (before, after) = (rendezvous_owner(slice, &all), rendezvous_owner(slice, &remaining));
+            prop_assert!(before == Some(removed) || before == after);
         }
     }
 }
@@ -34,17 +39,17 @@
     let mut placement = Placement::new(nodes(&[1, 2]));
     placement.update_liveness(0.0, NodeId(1), true);
     placement.update_liveness(0.0, NodeId(2), true);
-    assert_eq!(placement.eligible_nodes(0.0).len(), 2, "at the start nobody has a past");
+    assert_eq!(placement.eligible_nodes(0.0).len(), 2, "no node has departed yet");
     let mut changes = 0;
-    let mut bore = true;
+    let mut was_eligible = true;
     for step in 0..40 {
-        // Up and down every 3 s.
+        // The node changes between live and down every 3 s.
         let now = 10.0 + f64::from(step) * 1.5;
         placement.update_liveness(now, NodeId(2), (step / 2) % 2 == 1);
-        let bears = placement.eligible_nodes(now).contains_key(&NodeId(2));
-        changes += usize::from(bears != std::mem::replace(&mut bore, bears));
+        let is_eligible = placement.eligible_nodes(now).contains_key(&NodeId(2));
+        changes += usize::from(is_eligible != std::mem::replace(&mut was_eligible, is_eligible));
     }
-    assert_eq!(changes, 1, "it lost its slices once and got none back");
+    assert_eq!(changes, 1, "the flapping node lost its slices once and got none back");
     placement.update_liveness(71.0, NodeId(2), true);
     assert!(!placement.eligible_nodes(90.0).contains_key(&NodeId(2)));
     assert!(placement.eligible_nodes(71.0 + MAX_HOLD_DOWN).contains_key(&NodeId(2)));
@@ -66,10 +71,10 @@
 #[test]
 fn handovers_are_rate_limited() {
     let mut placement = Placement::new(nodes(&[1]));
-    let counted = |placement: &mut Placement, now: f64| {
+    let permits_at = |placement: &mut Placement, now: f64| {
         (0..1000).filter(|_| placement.take_handover_permit(now)).count()
     };
-    assert_eq!(counted(&mut placement, 10.0), (HANDOVERS_PER_SECOND * HANDOVER_BURST_WINDOW) as usize);
-    assert_eq!(counted(&mut placement, 10.0), 0);
-    assert_eq!(counted(&mut placement, 10.25), (HANDOVERS_PER_SECOND * 0.25) as usize);
+    assert_eq!(permits_at(&mut placement, 10.0), (HANDOVERS_PER_SECOND * HANDOVER_BURST_WINDOW) as usize);
+    assert_eq!(permits_at(&mut placement, 10.0), 0);
+    assert_eq!(permits_at(&mut placement, 10.25), (HANDOVERS_PER_SECOND * 0.25) as usize);
 }
--- a/crates/railhub-membership/src/swim/tests.rs
+++ b/crates/railhub-membership/src/swim/tests.rs
@@ -4,7 +4,8 @@
 use crate::messages::{Message, Payload};
 use crate::NodeId;
 
-fn flooded(payload: Payload) -> Membership {
+/// A member of a cluster of five, after 10,000 messages with this payload from one other member.
+fn membership_after_flood(payload: Payload) -> Membership {
     let ids: Vec<NodeId> = (0..5).map(NodeId).collect();
     let mut membership = Membership::new(
         Member::alive(ids[0], 1, NodeMetadata::default()),
@@ -37,12 +38,12 @@
 
 #[test]
 fn repeated_requests_do_not_grow_queues() {
-    assert!(flooded(Payload::Probe).queued_gossip() <= 5);
-    assert!(flooded(Payload::IndirectProbe(NodeId(2))).pending.len() <= MAX_PENDING_PROBES);
+    assert!(membership_after_flood(Payload::Probe).queued_gossip() <= 5);
+    assert!(membership_after_flood(Payload::IndirectProbe(NodeId(2))).pending.len() <= MAX_PENDING_PROBES);
 }
 
-fn message_from(entry: &Member, sequence: u64, payload: Payload) -> Message {
-    let (sender, load) = (entry.clone(), Load { proxies: sequence as u32, ..Load::default() });
+fn message_from(sender: &Member, sequence: u64, payload: Payload) -> Message {
+    let (sender, load) = (sender.clone(), Load { proxies: sequence as u32, ..Load::default() });
     Message {
         sender,
         sequence,
@@ -55,26 +56,28 @@
     }
 }
 
-/// A process that becomes known only after it has rewritten its entry counts its messages anew all the same.
+/// A new process is first seen with an incarnation count above 0. Its sequence numbers must count anew even then, or
+/// its messages would be taken for late ones of the process before it.
 #[test]
 fn new_process_is_seen_at_once_and_old_message_is_ignored() {
-    let mut membership = flooded(Payload::Gossip);
-    let next = Member {
+    let mut membership = membership_after_flood(Payload::Gossip);
+    let new_process = Member {
         incarnation: Incarnation { process: 7, count: 3 },
         ..Member::alive(NodeId(1), 7, NodeMetadata::default())
     };
-    membership.on_message(0.2, &message_from(&next, 5, Payload::Gossip));
-    membership.on_message(0.3, &message_from(&next, 4, Payload::Gossip));
-    let view = membership.view(0.4).into_iter().find(|view| view.member.id == NodeId(1)).expect("known");
-    assert_eq!(view.load.proxies, 5);
-    assert!((view.last_seen_ago - 0.2).abs() < 1e-9);
+    membership.on_message(0.2, &message_from(&new_process, 5, Payload::Gossip));
+    membership.on_message(0.3, &message_from(&new_process, 4, Payload::Gossip));
+    let entry =
+        membership.view(0.4).into_iter().find(|entry| entry.member.id == NodeId(1)).expect("node 1 is known");
+    assert_eq!(entry.load.proxies, 5);
+    assert!((entry.last_seen_ago - 0.2).abs() < 1e-9);
 }
 
 #[test]
 fn superseded_process_sends_nothing_and_ticks_rarely() {
-    let mut membership = flooded(Payload::Gossip);
-    let newer = Member::alive(NodeId(0), 9, NodeMetadata::default());
-    membership.on_message(0.2, &message_from(&newer, 1, Payload::Probe));
+    let mut membership = membership_after_flood(Payload::Gossip);
+    let newer_process = Member::alive(NodeId(0), 9, NodeMetadata::default());
+    membership.on_message(0.2, &message_from(&newer_process, 1, Payload::Probe));
     assert!(membership.is_superseded());
     assert!(membership.tick(0.5).messages.is_empty() && membership.next_tick_at() >= 0.69);
 }
--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -18,30 +18,40 @@
         entries in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        let entries: Vec<Member> = entries.into_iter().map(|(a, p, c, s)| entry(a, p, c, s)).collect();
-        let (mut straight, mut mixed) = (table(), table());
-        entries.iter().for_each(|entry| _ = straight.merge(entry, false));
-        order.iter().for_each(|index| _ = mixed.merge(&entries[index.index(entries.len())], false));
-        entries.iter().rev().for_each(|entry| _ = mixed.merge(entry, false));
-        prop_assert!(straight.others().eq(mixed.others()));
-        prop_assert_eq!(straight.digest(), mixed.digest());
+        let entries: Vec<Member> = entries
+            .into_iter()
+            .map(|(id, process, count, status)| entry(id, process, count, status))
+            .collect();
+        let (mut in_order, mut shuffled) = (table(), table());
+        entries.iter().for_each(|entry| _ = in_order.merge(entry, false));
+        order.iter().for_each(|index| _ = shuffled.merge(&entries[index.index(entries.len())], false));
+        entries.iter().rev().for_each(|entry| _ = shuffled.merge(entry, false));
+        prop_assert!(in_order.others().eq(shuffled.others()));
+        prop_assert_eq!(in_order.digest(), shuffled.digest());
     }
 
     #[test]
     fn sync_makes_views_equal(
-        ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
-        theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
+        local_entries in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
+        remote_entries in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
-        let (mut a, mut b) = (table(), MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None));
-        ours.into_iter().for_each(|(id, p, c, s)| _ = a.merge(&entry(id, p, c, s), false));
-        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.merge(&entry(id, p, c, s), false));
+        let mut local = table();
+        let mut remote = MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None);
+        local_entries.into_iter().for_each(|(id, process, count, status)| {
+            _ = local.merge(&entry(id, process, count, status), false);
+        });
+        remote_entries.into_iter().for_each(|(id, process, count, status)| {
+            _ = remote.merge(&entry(id, process, count, status), false);
+        });
         for _ in 0..4 {
-            let page = a.digest_page(NodeId(0));
-            let diff = b.diff(page.from, page.to, &page.entries);
-            diff.newer.iter().for_each(|entry| _ = a.merge(entry, false));
-            diff.wanted.iter().for_each(|id| _ = b.merge(&a.get(*id).cloned().expect("listed"), false));
+            let page = local.digest_page(NodeId(0));
+            let diff = remote.diff(page.from, page.to, &page.entries);
+            diff.newer.iter().for_each(|entry| _ = local.merge(entry, false));
+            diff.wanted.iter().for_each(|id| {
+                _ = remote.merge(&local.get(*id).cloned().expect("the page lists the member"), false);
+            });
         }
-        prop_assert_eq!(a.digest(), b.digest());
+        prop_assert_eq!(local.digest(), remote.digest());
     }
 }
 
--- a/crates/railhub-membership/tests/wire_compatibility.rs
+++ b/crates/railhub-membership/tests/wire_compatibility.rs
@@ -1,5 +1,5 @@
-//! The bytes of each datagram between controllers, as literals: other builds read them, so they must not change while
-//! the names in the code do.
+//! The bytes of each kind of datagram between controllers, as literals. Other builds decode them, so they must not change
+//! when names in the code change.
 use railhub_membership::member::{Incarnation, Load, Member, NodeMetadata, Status};
 use railhub_membership::messages::{DigestEntry, Message, Payload};
 use railhub_membership::packet::{decode, encode, Packet, View};
@@ -10,7 +10,7 @@
 
 fn entry(id: u16, status: Status, reported_by: Option<u16>) -> Member {
     let metadata = NodeMetadata {
-        address: Some("[2001:db8::1]:7946".parse().expect("an address")),
+        address: Some("[2001:db8::1]:7946".parse().expect("a valid address")),
         program_version: "0.2.0".to_owned(),
         protocol_version: 1,
         settings_digest: 0x0123_4567_89ab_cdef,
@@ -25,15 +25,15 @@
     Load { slices: 700, proxies: 12, cpu_cores: 0.25 }
 }
 
-fn message(request: Payload) -> Packet {
+fn message(payload: Payload) -> Packet {
     let gossip = vec![entry(7, Status::Suspect, Some(2)), entry(8, Status::Forgotten, None)];
-    let from = entry(3, Status::Alive, None);
+    let sender = entry(3, Status::Alive, None);
     Packet::Message(Box::new(Message {
-        sender: from,
+        sender,
         sequence: 41,
         load: load(),
         probe_number: 99,
-        payload: request,
+        payload,
         gossip,
         outlier: Some(NodeId(5)),
         view_digest: 0xfeed_beef_0000_0001,
@@ -45,20 +45,20 @@
 }
 
 fn view() -> Packet {
-    let line = |id: u16, status: Status, last_seen_ago: f64| ViewEntry {
+    let view_entry = |id: u16, status: Status, last_seen_ago: f64| ViewEntry {
         member: entry(id, status, Some(1)),
         load: load(),
         status_age: 12.5,
         last_seen_ago,
         ejected: true,
     };
-    let lines = vec![line(1, Status::Dead, 0.5), line(2, Status::Left, f64::INFINITY)];
+    let entries = vec![view_entry(1, Status::Dead, 0.5), view_entry(2, Status::Left, f64::INFINITY)];
     Packet::View(Box::new(View {
         nonce: 77,
         viewer: NodeId(9),
         process: 1_000_000,
         digest: 0x0102_0304_0506_0708,
-        entries: lines,
+        entries,
         next: Some(NodeId(300)),
         dropped: 4,
         superseded: true,
@@ -68,8 +68,8 @@
 #[track_caller]
 fn assert_packet(packet: &Packet, hex: &str) {
     let bytes = encode(INSTALLATION, packet);
-    let written: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(written, hex);
+    let encoded: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(encoded, hex);
     assert_eq!(decode(INSTALLATION, &bytes).as_ref(), Ok(packet));
 }
 
@@ -100,9 +100,9 @@
 
 #[test]
 fn sync_digest_bytes() {
-    let lines = vec![digest_entry(1, Status::Alive), digest_entry(2, Status::Left)];
-    let compare = Payload::SyncDigest { from: NodeId(1), to: NodeId(65535), entries: lines };
-    assert_packet(&message(compare), "524846016568e2b904686572650aef010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe7a18080110ffff031a060801100518061a080802100518062002");
+    let entries = vec![digest_entry(1, Status::Alive), digest_entry(2, Status::Left)];
+    let sync_digest = Payload::SyncDigest { from: NodeId(1), to: NodeId(65535), entries };
+    assert_packet(&message(sync_digest), "524846016568e2b904686572650aef010a3a0a0e0803108080f9c0c1c4820318ac0212125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400110291a0a08bc05100c1d0000803e20632a3e0a100807108080f9c0c1c4820318ac02200112125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001380240012a3c0a100808108080f9c0c1c4820318ac02200412125b323030313a6462383a3a315d3a373934361a05302e322e30200129efcdab89674523013001400130053901000000efbeedfe7a18080110ffff031a060801100518061a080802100518062002");
 }
 
 #[test]
@@ -138,13 +138,13 @@
 
 #[test]
 fn status_numbers_on_the_wire() {
-    let all = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
-    let lines = all.iter().enumerate().map(|(id, status)| digest_entry(id as u16, *status)).collect();
-    let compare = Payload::SyncDigest { from: NodeId(0), to: NodeId(4), entries: lines };
-    let from = Member::alive(NodeId(1), 1, NodeMetadata::default());
-    let (payload, gossip, load) = (compare, Vec::new(), Load::default());
-    let bare = Message {
-        sender: from,
+    let statuses = [Status::Alive, Status::Suspect, Status::Left, Status::Dead, Status::Forgotten];
+    let entries = statuses.iter().enumerate().map(|(id, status)| digest_entry(id as u16, *status)).collect();
+    let payload = Payload::SyncDigest { from: NodeId(0), to: NodeId(4), entries };
+    let sender = Member::alive(NodeId(1), 1, NodeMetadata::default());
+    let (gossip, load) = (Vec::new(), Load::default());
+    let message = Message {
+        sender,
         sequence: 1,
         load,
         probe_number: 0,
@@ -153,5 +153,5 @@
         outlier: None,
         view_digest: 0,
     };
-    assert_packet(&Packet::Message(Box::new(bare)), "524846019db07b5004686572650a3e0a060a040801100110011a007a3010041a04100518061a0808011005180620011a0808021005180620021a0808031005180620031a080804100518062004");
+    assert_packet(&Packet::Message(Box::new(message)), "524846019db07b5004686572650a3e0a060a040801100110011a007a3010041a04100518061a0808011005180620011a0808021005180620021a0808031005180620031a080804100518062004");
 }
