--- a/crates/railhub-controller/src/core/figures.rs
+++ b/crates/railhub-controller/src/core/figures.rs
@@ -4,9 +4,9 @@
 use serde::Serialize;
 
 /// Significant digits of a recorded duration.
-const HISTOGRAM_DIGITS: u8 = 3;
+const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 3;
 /// Steps of a second that durations are recorded in.
-const STEPS_PER_SECOND: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 /// What the core has done so far; times are seconds.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -66,19 +66,19 @@
 
 impl DurationHistogram {
     pub(super) fn new() -> DurationHistogram {
-        DurationHistogram(Histogram::new(HISTOGRAM_DIGITS).expect("so many digits are allowed"))
+        DurationHistogram(Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS).expect("so many digits are allowed"))
     }
 
     pub(super) fn record(&mut self, duration: Seconds) {
         // One that is too long to be recorded is left out.
-        let _ = self.0.record((duration * STEPS_PER_SECOND) as u64);
+        let _ = self.0.record((duration * MICROSECONDS_PER_SECOND) as u64);
     }
 
     pub(super) fn quantile(&self, share: f64) -> Seconds {
-        self.0.value_at_quantile(share) as f64 / STEPS_PER_SECOND
+        self.0.value_at_quantile(share) as f64 / MICROSECONDS_PER_SECOND
     }
 
     pub(super) fn max(&self) -> Seconds {
-        self.0.max() as f64 / STEPS_PER_SECOND
+        self.0.max() as f64 / MICROSECONDS_PER_SECOND
     }
 }
--- a/crates/railhub-controller/src/core/lease_changes.rs
+++ b/crates/railhub-controller/src/core/lease_changes.rs
@@ -2,7 +2,7 @@
 use super::controller_core::ControllerCore;
 use super::environment::Environment;
 use super::proxy_channel::ProxyChannel;
-use super::shared_slices::{LeaseChanges, ReceivedHandoff, SliceAcquired};
+use super::shared_slices::{AcquiredSlice, LeaseChanges, ReceivedHandoff};
 use railhub::{Seconds, SliceAssignment, SliceId};
 
 impl<C: ProxyChannel> ControllerCore<C> {
@@ -56,12 +56,12 @@
         self.batch.assignments.push(SliceAssignment::Revoked { slice });
     }
 
-    fn acquire(&mut self, now: Seconds, acquired: SliceAcquired) {
-        let SliceAcquired { slice, entries, epoch, handoff } = acquired;
+    fn acquire(&mut self, now: Seconds, acquired: AcquiredSlice) {
+        let AcquiredSlice { slice, entries, epoch, handoff } = acquired;
         self.tables.acquire(slice, epoch, &entries);
         if let Some(shared) = &mut self.shared {
             shared.expired.remove(slice);
-            shared.opening.insert(slice);
+            shared.unpublished.insert(slice);
             if let Some((handoff, age)) = handoff {
                 shared.handoffs.insert(slice, ReceivedHandoff { handoff, written_at: now - age });
             }
--- a/crates/railhub-controller/src/core/mod.rs
+++ b/crates/railhub-controller/src/core/mod.rs
@@ -36,4 +36,4 @@
 pub use environment::{Environment, SessionEvent};
 pub use figures::Figures;
 pub use proxy_channel::{CloseReason, ProxyChannel, StreamId};
-pub use shared_slices::{LeaseChanges, SliceAcquired};
+pub use shared_slices::{AcquiredSlice, LeaseChanges};
--- a/crates/railhub-controller/src/core/publishing.rs
+++ b/crates/railhub-controller/src/core/publishing.rs
@@ -21,8 +21,8 @@
         environment: &mut impl Environment,
     ) {
         if let Some(shared) = &mut self.shared {
-            let binding_removal = !self.installation.config.delisted_may_serve;
-            commands.change = shared_change(shared, &self.tables, &commands.change, binding_removal);
+            let delisted_must_not_serve = !self.installation.config.delisted_may_serve;
+            commands.change = shared_change(shared, &self.tables, &commands.change, delisted_must_not_serve);
         }
         for (after, timer) in &commands.timers {
             self.timers.set(decided_at + after, *timer);
@@ -97,9 +97,9 @@
     shared: &mut SharedSlices,
     tables: &Tables,
     decided: &Change,
-    binding_removal: bool,
+    delisted_must_not_serve: bool,
 ) -> Change {
-    let mut change = tables.opening_change(&std::mem::take(&mut shared.opening));
+    let mut change = tables.opening_change(&std::mem::take(&mut shared.unpublished));
     change.merge(decided);
     tables.stamp_epochs(&mut change);
     for (host, excluded) in &change.exclusions {
@@ -109,7 +109,7 @@
             shared.excluded.remove(host);
         }
     }
-    let exclusions = shared.expired.update_exclusions(binding_removal, &shared.excluded);
+    let exclusions = shared.expired.update_exclusions(delisted_must_not_serve, &shared.excluded);
     change.exclusions.retain(|host, excluded| *excluded || !shared.expired.excludes(host));
     change.exclusions.extend(exclusions);
     change
--- a/crates/railhub-controller/src/core/sessions.rs
+++ b/crates/railhub-controller/src/core/sessions.rs
@@ -46,12 +46,12 @@
     /// Proxies that await their snapshot, in the order in which they subscribed.
     joining: VecDeque<(ProxyId, StreamId)>,
     /// Proxies that joined this process before.
-    seen: BTreeSet<ProxyId>,
+    joined_before: BTreeSet<ProxyId>,
 }
 
 impl<C: ProxyChannel> Sessions<C> {
     pub(super) fn new() -> Sessions<C> {
-        Sessions { by_proxy: BTreeMap::new(), joining: VecDeque::new(), seen: BTreeSet::new() }
+        Sessions { by_proxy: BTreeMap::new(), joining: VecDeque::new(), joined_before: BTreeSet::new() }
     }
 
     pub(super) fn get(&self, proxy: ProxyId) -> Option<&ProxySession<C>> {
@@ -103,7 +103,7 @@
         let (proxy, _) = self.joining.pop_front()?;
         let session = self.by_proxy.get_mut(&proxy)?;
         session.state = SessionState::Joined { table: None };
-        let is_new = self.seen.insert(proxy);
+        let is_new = self.joined_before.insert(proxy);
         let holds_nothing = session.subscribe.version == 0;
         Some((session, is_new && holds_nothing))
     }
--- a/crates/railhub-controller/src/core/shared_slices.rs
+++ b/crates/railhub-controller/src/core/shared_slices.rs
@@ -5,7 +5,7 @@
 
 /// A slice whose lease this controller has acquired.
 #[derive(Clone, Debug)]
-pub struct SliceAcquired {
+pub struct AcquiredSlice {
     /// The slice.
     pub slice: SliceId,
     /// Its table as the store has it.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LeaseChanges {
     /// Slices with the epochs that they came under.
-    pub acquired: Vec<SliceAcquired>,
+    pub acquired: Vec<AcquiredSlice>,
     /// Slices that were released, or are another controller's by the store's response.
     pub lost: Vec<SliceId>,
     /// Slices whose leases have ended while the store did not respond.
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub(super) struct SharedSlices {
     /// Slices that were acquired and whose tables proxies have not been sent.
-    pub(super) opening: BTreeSet<SliceId>,
+    pub(super) unpublished: BTreeSet<SliceId>,
     /// Handoffs of slices that were acquired and that the decisions have not been given.
     pub(super) handoffs: BTreeMap<SliceId, ReceivedHandoff>,
     /// Slices whose leases have expired.
@@ -56,7 +56,7 @@
 impl SharedSlices {
     /// A slice is not this controller's any more.
     pub(super) fn remove(&mut self, slice: SliceId) {
-        self.opening.remove(&slice);
+        self.unpublished.remove(&slice);
         self.handoffs.remove(&slice);
     }
 }
--- a/crates/railhub-controller/src/core/streams.rs
+++ b/crates/railhub-controller/src/core/streams.rs
@@ -90,25 +90,25 @@
         if !self.sessions.any_joining() {
             return;
         }
-        let terms = &self.installation.config;
-        let (backlog, message_cost) = (terms.backlog_limit, terms.message_overhead);
-        let mut waiting = self.sessions.backlog_lines(message_cost);
+        let config = &self.installation.config;
+        let (backlog_limit, message_cost) = (config.backlog_limit, config.message_overhead);
+        let mut backlog_lines = self.sessions.backlog_lines(message_cost);
         while let Some((proxy, subscribe)) = self.sessions.first_joining() {
             let (incarnation, version) = (subscribe.incarnation, subscribe.version);
-            let change = self.lacking_change(incarnation, version);
+            let change = self.catch_up_change(incarnation, version);
             let cost = change.cost() as f64 + message_cost;
-            if !snapshot_fits(waiting, cost, backlog) {
+            if !snapshot_fits(backlog_lines, cost, backlog_limit) {
                 return;
             }
-            waiting += cost;
+            backlog_lines += cost;
             self.admit(now, proxy, change);
         }
     }
 
     /// What a proxy lacks that holds this version of this controller process.
-    fn lacking_change(&self, incarnation: u64, version: u64) -> Change {
-        let is_ours = incarnation == self.incarnation;
-        let lacking = is_ours.then(|| self.tables.changes_since(version)).flatten();
+    fn catch_up_change(&self, incarnation: u64, version: u64) -> Change {
+        let is_same_incarnation = incarnation == self.incarnation;
+        let lacking = is_same_incarnation.then(|| self.tables.changes_since(version)).flatten();
         let change = lacking.unwrap_or_else(|| self.tables.snapshot());
         let has_no_slices = self.installation.config.slice_count == 0;
         let mut change = if has_no_slices { change.without_lines() } else { change };
--- a/crates/railhub-controller/src/membership/cpu_meter.rs
+++ b/crates/railhub-controller/src/membership/cpu_meter.rs
@@ -1,24 +1,25 @@
 //! How busy this process keeps its cores.
 
 /// Seconds that a reading covers at the least.
-const MIN_INTERVAL: f64 = 0.001;
+const MIN_INTERVAL_SECONDS: f64 = 0.001;
 
 /// Measures processor time between readings.
 pub(super) struct CpuMeter {
-    read_at: f64,
+    measured_at: f64,
     cpu_seconds: f64,
 }
 
 impl CpuMeter {
     pub(super) fn start(now: f64) -> CpuMeter {
-        CpuMeter { read_at: now, cpu_seconds: cpu_seconds() }
+        CpuMeter { measured_at: now, cpu_seconds: cpu_seconds() }
     }
 
     /// Cores that were busy since the last reading.
     pub(super) fn busy_cores(&mut self, now: f64) -> f32 {
         let reading = CpuMeter::start(now);
         let before = std::mem::replace(self, reading);
-        ((self.cpu_seconds - before.cpu_seconds) / (now - before.read_at).max(MIN_INTERVAL)) as f32
+        ((self.cpu_seconds - before.cpu_seconds) / (now - before.measured_at).max(MIN_INTERVAL_SECONDS))
+            as f32
     }
 }
 
--- a/crates/railhub-controller/src/membership/lease_coordinator.rs
+++ b/crates/railhub-controller/src/membership/lease_coordinator.rs
@@ -19,15 +19,15 @@
 use std::time::Duration;
 
 /// Seconds that the thread sleeps at the longest, so that it sees that it is to end.
-const MAX_SLEEP: f64 = 0.05;
+const MAX_SLEEP_SECONDS: f64 = 0.05;
 /// The shortest time-out of the socket.
 const MIN_SOCKET_TIMEOUT: Duration = Duration::from_micros(100);
 /// Seconds between measurements of this controller's load.
-const LOAD_INTERVAL: f64 = 1.0;
+const LOAD_INTERVAL_SECONDS: f64 = 1.0;
 /// Seconds within which a controller that leaves hands its slices over; the rest is taken when the leases end.
-const HAND_OVER_TIMEOUT: f64 = 2.0;
+const HAND_OVER_TIMEOUT_SECONDS: f64 = 2.0;
 /// Seconds between polls for the store's response while one is due.
-const STORE_POLL_INTERVAL: f64 = 0.004;
+const STORE_POLL_INTERVAL_SECONDS: f64 = 0.004;
 
 /// What the thread is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,11 +42,11 @@
 }
 
 /// A [`RunState`] that the thread reads and its starter sets.
-pub(super) struct RunSwitch(AtomicU8);
+pub(super) struct AtomicRunState(AtomicU8);
 
-impl RunSwitch {
-    pub(super) fn new() -> RunSwitch {
-        RunSwitch(AtomicU8::new(RunState::Running as u8))
+impl AtomicRunState {
+    pub(super) fn new() -> AtomicRunState {
+        AtomicRunState(AtomicU8::new(RunState::Running as u8))
     }
 
     /// Ends the thread; a state that was set before stays.
@@ -124,34 +124,34 @@
     }
 
     /// Runs until the switch ends it.
-    pub(super) fn run(mut self, switch: &RunSwitch) {
+    pub(super) fn run(mut self, run_state: &AtomicRunState) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         // When the next tick is due. A message may bring it forward and never puts it off: messages that come without
         // end must not hold up ticks.
-        let mut due = 0.0;
-        while switch.get() == RunState::Running {
+        let mut next_tick = 0.0;
+        while run_state.get() == RunState::Running {
             self.poll_store();
             let now = self.clock.now();
-            if now >= due {
+            if now >= next_tick {
                 self.tick(now);
-                due = self.lease_manager.next_tick_at(now);
+                next_tick = self.lease_manager.next_tick_at(now);
                 continue;
             }
-            if let Some((length, sender)) = self.receive(&mut bytes, due - now) {
+            if let Some((length, sender)) = self.receive(&mut bytes, next_tick - now) {
                 self.on_datagram(&bytes[..length], sender);
-                due = due.min(self.lease_manager.next_tick_at(self.clock.now()));
+                next_tick = next_tick.min(self.lease_manager.next_tick_at(self.clock.now()));
             }
         }
-        if switch.get() == RunState::Leaving {
+        if run_state.get() == RunState::Leaving {
             self.leave();
         }
     }
 
     /// Waits for a datagram until the next tick or poll is due.
-    fn receive(&self, bytes: &mut [u8], until_tick: f64) -> Option<(usize, SocketAddr)> {
+    fn receive(&self, bytes: &mut [u8], seconds_to_tick: f64) -> Option<(usize, SocketAddr)> {
         let request_in_flight = self.lease_manager.request_in_flight();
-        let longest = if request_in_flight { STORE_POLL_INTERVAL } else { MAX_SLEEP };
-        let timeout = seconds(until_tick.min(longest)).max(MIN_SOCKET_TIMEOUT);
+        let max_wait = if request_in_flight { STORE_POLL_INTERVAL_SECONDS } else { MAX_SLEEP_SECONDS };
+        let timeout = seconds(seconds_to_tick.min(max_wait)).max(MIN_SOCKET_TIMEOUT);
         if self.socket.set_read_timeout(Some(timeout)).is_err() {
             std::thread::sleep(timeout);
         }
@@ -169,11 +169,11 @@
     /// Releases all slices, as far as the time for it reaches.
     fn hand_over(&mut self) {
         self.lease_manager.start_draining();
-        let until = now() + HAND_OVER_TIMEOUT;
-        while now() < until && self.has_slices_to_release() {
+        let deadline = now() + HAND_OVER_TIMEOUT_SECONDS;
+        while now() < deadline && self.has_slices_to_release() {
             self.poll_store();
             self.tick(self.clock.now());
-            std::thread::sleep(seconds(STORE_POLL_INTERVAL));
+            std::thread::sleep(seconds(STORE_POLL_INTERVAL_SECONDS));
         }
     }
 
@@ -182,7 +182,7 @@
     }
 
     fn tick(&mut self, now: f64) {
-        if now - self.load_measured_at >= LOAD_INTERVAL {
+        if now - self.load_measured_at >= LOAD_INTERVAL_SECONDS {
             self.load_measured_at = now;
             self.measure_load(now);
         }
@@ -194,10 +194,10 @@
     fn measure_load(&mut self, now: f64) {
         let cpu_cores = self.cpu.busy_cores(now);
         let proxies = self.shared_figures.core.lock().expect("no holder panics").joined as u32;
-        let held = self.sharing.is_some().then(|| self.lease_manager.leases().count() as u32);
-        let slices = held.unwrap_or(self.slices.into());
+        let held_leases = self.sharing.is_some().then(|| self.lease_manager.leases().count() as u32);
+        let slices = held_leases.unwrap_or(self.slices.into());
         self.lease_manager.set_load(Load { slices, proxies, cpu_cores });
-        self.figures.leases = held.unwrap_or(0) as usize;
+        self.figures.leases = held_leases.unwrap_or(0) as usize;
         self.figures.tables_rejected =
             self.sharing.as_ref().map_or(0, |sharing| sharing.store.tables_rejected());
         self.figures.alive = self.membership().live_count();
@@ -228,7 +228,7 @@
                 let effects = self.lease_manager.on_message(self.clock.now(), &message);
                 self.carry_out(effects);
             }
-            Ok(Packet::ViewRequest { nonce, from: first }) => self.send_view(nonce, first, sender),
+            Ok(Packet::ViewRequest { nonce, from: first_id }) => self.send_view(nonce, first_id, sender),
             Ok(Packet::View(_)) => {}
             Ok(Packet::Drain { node, process }) => self.on_drain_request(node, process),
             Err(error) => self.figures.dropped.count(error),
@@ -267,13 +267,13 @@
         }
     }
 
-    fn send_view(&mut self, nonce: u64, first: NodeId, to: SocketAddr) {
+    fn send_view(&mut self, nonce: u64, first_id: NodeId, to: SocketAddr) {
         let now = self.clock.now();
         if !self.view_requests.allow(now) {
             self.figures.view_requests_dropped += 1;
             return;
         }
-        let view = view_page(self.membership(), now, nonce, first, self.figures.dropped.total());
+        let view = view_page(self.membership(), now, nonce, first_id, self.figures.dropped.total());
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
     }
--- a/crates/railhub-controller/src/membership/service.rs
+++ b/crates/railhub-controller/src/membership/service.rs
@@ -1,6 +1,6 @@
 //! Starts the membership thread and ends it.
 use super::figures::MembershipFigures;
-use super::lease_coordinator::{LeaseCoordinator, RunState, RunSwitch, SharedFigures};
+use super::lease_coordinator::{AtomicRunState, LeaseCoordinator, RunState, SharedFigures};
 use super::settings::MembershipSettings;
 use super::slice_sharing::SliceSharing;
 use crate::core::Figures;
@@ -16,11 +16,11 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Seconds after a start before leases are requested: who else is there is learnt first.
-const SETTLE_TIME: f64 = 1.0;
+const SETTLE_TIME_SECONDS: f64 = 1.0;
 /// The weight of this controller in the placement of slices.
-const WEIGHT: f64 = 1.0;
+const PLACEMENT_WEIGHT: f64 = 1.0;
 /// Version of the program, as the others see it.
-const PROGRAM: &str = env!("CARGO_PKG_VERSION");
+const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
 /// The membership thread. Dropping it ends the thread without a message to the others, as a crash would.
 pub struct MembershipService {
@@ -28,7 +28,7 @@
     pub address: SocketAddr,
     /// This process, as the others know it.
     pub process: u64,
-    switch: Arc<RunSwitch>,
+    run_state: Arc<AtomicRunState>,
     figures: Arc<Mutex<MembershipFigures>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -59,11 +59,11 @@
         );
         let process = coordinator.process();
         tracing::info!(controller = settings.id.0, process, %address, "membership started");
-        let switch = Arc::new(RunSwitch::new());
-        let thread_switch = switch.clone();
+        let run_state = Arc::new(AtomicRunState::new());
+        let thread_run_state = run_state.clone();
         let builder = std::thread::Builder::new().name("fleet".into());
-        let thread = builder.spawn(move || coordinator.run(&thread_switch))?;
-        Ok(MembershipService { address, process, switch, figures, thread: Some(thread) })
+        let thread = builder.spawn(move || coordinator.run(&thread_run_state))?;
+        Ok(MembershipService { address, process, run_state, figures, thread: Some(thread) })
     }
 
     /// What the thread has seen so far.
@@ -77,7 +77,7 @@
     }
 
     fn end(&mut self, state: RunState) {
-        self.switch.end(state);
+        self.run_state.end(state);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -94,7 +94,7 @@
     let process = settings.process.unwrap_or_else(process_number);
     let metadata = NodeMetadata {
         address: Some(settings.advertise.unwrap_or(address)),
-        program_version: PROGRAM.to_owned(),
+        program_version: PROGRAM_VERSION.to_owned(),
         protocol_version: u32::from(packet::VERSION),
         settings_digest: settings.settings_digest,
         draining: false,
@@ -108,12 +108,12 @@
     let options = LeaseManagerOptions {
         id: settings.id,
         process,
-        weights: &BTreeMap::from([(settings.id, WEIGHT)]),
+        weights: &BTreeMap::from([(settings.id, PLACEMENT_WEIGHT)]),
         metadata,
         config,
         slices: shared_slices,
         lease_duration: settings.lease,
-        settle_time: SETTLE_TIME,
+        settle_time: SETTLE_TIME_SECONDS,
         seed: process,
     };
     LeaseManager::new(&options, settings.clock.now())
--- a/crates/railhub-controller/src/membership/settings.rs
+++ b/crates/railhub-controller/src/membership/settings.rs
@@ -73,7 +73,7 @@
             clock: read_clock(&fleet)?,
             process: fleet.text("process").map(|_| fleet.required("process")).transpose()?,
             without: fleet.choice("without", "nothing", &SAFEGUARDS)?,
-            settings_digest: document.digest(is_own_key),
+            settings_digest: document.digest(may_differ_between_controllers),
         };
         fleet.reject_unread_keys()?;
         Ok(Some(settings))
@@ -119,7 +119,7 @@
 }
 
 /// Whether controllers of one installation may differ in a key.
-fn is_own_key(section: &str, key: &str) -> bool {
+fn may_differ_between_controllers(section: &str, key: &str) -> bool {
     section == "fleet" && !matches!(key, "installation" | "share" | "lease")
         || section == "steward" && matches!(key, "listen" | "traffic")
 }
--- a/crates/railhub-controller/src/membership/slice_sharing.rs
+++ b/crates/railhub-controller/src/membership/slice_sharing.rs
@@ -38,7 +38,7 @@
         for (slice, epoch) in &effects.acquired {
             // The store gives each with its table; without one it is filled as a slice that has none.
             let table = tables.remove(slice).unwrap_or(StoredTable::empty(*slice));
-            changes.acquired.push(table.acquired(epoch.0));
+            changes.acquired.push(table.into_acquired_slice(epoch.0));
         }
         if !changes.is_empty() {
             self.inbox.send(OwnerEvent::LeaseChanges(changes));
--- a/crates/railhub-controller/src/membership/view_responder.rs
+++ b/crates/railhub-controller/src/membership/view_responder.rs
@@ -7,30 +7,36 @@
 /// Requests for the view that are answered in a second. Further ones are dropped and counted.
 const MAX_VIEWS_PER_SECOND: u32 = 400;
 /// Seconds that requests are counted in.
-const COUNTING_INTERVAL: f64 = 1.0;
+const COUNTING_INTERVAL_SECONDS: f64 = 1.0;
 
 /// Counts requests for the view.
 #[derive(Default)]
 pub(super) struct ViewRateLimiter {
-    interval_began: f64,
+    interval_start: f64,
     requests: u32,
 }
 
 impl ViewRateLimiter {
     /// Counts a request and returns whether it is within the limit.
     pub(super) fn allow(&mut self, now: f64) -> bool {
-        if now - self.interval_began >= COUNTING_INTERVAL {
-            (self.interval_began, self.requests) = (now, 0);
+        if now - self.interval_start >= COUNTING_INTERVAL_SECONDS {
+            (self.interval_start, self.requests) = (now, 0);
         }
         self.requests += 1;
         self.requests <= MAX_VIEWS_PER_SECOND
     }
 }
 
-/// One page of the view, beginning with the entry of `first`. `dropped`: datagrams that were dropped so far.
-pub(super) fn view_page(membership: &Membership, now: f64, nonce: u64, first: NodeId, dropped: u64) -> View {
-    let wanted = membership.view(now).into_iter().filter(|shown| shown.member.id >= first);
-    let mut entries: Vec<ViewEntry> = wanted.take(MAX_VIEW_ENTRIES + 1).collect();
+/// One page of the view, beginning with the entry of `first_id`. `dropped`: datagrams that were dropped so far.
+pub(super) fn view_page(
+    membership: &Membership,
+    now: f64,
+    nonce: u64,
+    first_id: NodeId,
+    dropped: u64,
+) -> View {
+    let from_first = membership.view(now).into_iter().filter(|entry| entry.member.id >= first_id);
+    let mut entries: Vec<ViewEntry> = from_first.take(MAX_VIEW_ENTRIES + 1).collect();
     let next = (entries.len() > MAX_VIEW_ENTRIES).then(|| entries[MAX_VIEW_ENTRIES].member.id);
     entries.truncate(MAX_VIEW_ENTRIES);
     View {
--- a/crates/railhub-controller/src/store/bodies.rs
+++ b/crates/railhub-controller/src/store/bodies.rs
@@ -1,5 +1,5 @@
 //! The bodies that a controller and the store exchange. Their JSON names are the store's.
-use crate::core::SliceAcquired;
+use crate::core::AcquiredSlice;
 use railhub::{HostId, Seconds, SliceAssignment, SliceHandoff, SliceId, WeightedHost};
 use railhub_membership::lease_messages::LeaseResponse;
 use serde::{Deserialize, Serialize};
@@ -88,7 +88,7 @@
     }
 
     /// A table to be written. Hosts whose names are no addresses are left out.
-    pub(super) fn to_write(
+    pub(super) fn for_write(
         slice: SliceId,
         epoch: u64,
         entries: &[WeightedHost],
@@ -105,13 +105,13 @@
     }
 
     /// The slice as it is acquired under a lease. An invalid handoff is ignored.
-    pub fn acquired(self, epoch: u64) -> SliceAcquired {
+    pub fn into_acquired_slice(self, epoch: u64) -> AcquiredSlice {
         let handoff = self.valid_handoff();
         if self.handoff.is_some() && handoff.is_none() {
             tracing::warn!(slice = self.slice, "invalid slice handoff ignored");
         }
         let handoff = handoff.zip(Some(self.age)).filter(|(_, age)| *age >= 0.0);
-        SliceAcquired { slice: SliceId(self.slice), entries: self.into_entries(), epoch, handoff }
+        AcquiredSlice { slice: SliceId(self.slice), entries: self.into_entries(), epoch, handoff }
     }
 
     fn into_entries(self) -> Vec<WeightedHost> {
--- a/crates/railhub-controller/src/store/bodies/tests.rs
+++ b/crates/railhub-controller/src/store/bodies/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn handoff(state: serde_json::Value, age: f64) -> Option<(SliceHandoff, Seconds)> {
-    StoredTable { handoff: Some(state), age, ..StoredTable::empty(3) }.acquired(7).handoff
+    StoredTable { handoff: Some(state), age, ..StoredTable::empty(3) }.into_acquired_slice(7).handoff
 }
 
 #[test]
--- a/crates/railhub-controller/src/store/writer.rs
+++ b/crates/railhub-controller/src/store/writer.rs
@@ -43,11 +43,11 @@
 /// Takes tables to be written and requests for leases. A slice waits once, with its latest entries, so what waits is
 /// bounded by their number; of requests and responses the latest replaces an older one.
 pub struct StoreWriter {
-    shared: Arc<Shared>,
+    state: Arc<WriterState>,
     _tasks: Vec<Task>,
 }
 
-struct Shared {
+struct WriterState {
     writes: Mutex<PendingWrites>,
     request: Mutex<Option<PendingRequest>>,
     /// Slices whose last tables have been passed on: a request may release them.
@@ -60,7 +60,7 @@
 
 impl StoreWriter {
     fn start(store: SocketAddr, timeout: Seconds) -> StoreWriter {
-        let shared = Arc::new(Shared {
+        let state = Arc::new(WriterState {
             writes: Mutex::default(),
             request: Mutex::default(),
             releasable: Mutex::default(),
@@ -68,9 +68,9 @@
             tables_rejected: AtomicU64::new(0),
             wake: Semphore::new(0),
         });
-        let of_task = shared.clone();
-        let task = Task::spawn(move || run(StoreClient::new(store, timeout), &of_task));
-        StoreWriter { shared, _tasks: vec![task] }
+        let task_state = state.clone();
+        let task = Task::spawn(move || run_writer(StoreClient::new(store, timeout), &task_state));
+        StoreWriter { state, _tasks: vec![task] }
     }
 
     /// For a controller that is alone: it is given all slices.
@@ -88,39 +88,39 @@
     /// Writes a slice's table.
     pub fn write_table(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>) {
         let write = PendingWrite { epoch, entries, handoff: None };
-        self.shared.writes.lock().expect("no holder panics").insert(slice, write);
-        self.shared.wake.post();
+        self.state.writes.lock().expect("no holder panics").insert(slice, write);
+        self.state.wake.post();
     }
 
     /// Writes the table of a slice that is released, with the handoff for its next holder.
     pub fn hand_over(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: &SliceHandoff) {
         let write = PendingWrite { epoch, entries, handoff: Some(handoff.into()) };
-        self.shared.writes.lock().expect("no holder panics").insert(slice, write);
+        self.state.writes.lock().expect("no holder panics").insert(slice, write);
     }
 
     /// All that is to be written of these slices has been passed on.
     pub fn allow_release(&self, slices: &[SliceId]) {
-        let mut releasable = self.shared.releasable.lock().expect("no holder panics");
+        let mut releasable = self.state.releasable.lock().expect("no holder panics");
         releasable.extend(slices.iter().map(|slice| slice.0));
         drop(releasable);
-        self.shared.wake.post();
+        self.state.wake.post();
     }
 
     /// Sends a request for leases.
     pub fn request_leases(&self, request: LeaseRequest) {
         let pending = PendingRequest { requested_at: now(), request };
-        *self.shared.request.lock().expect("no holder panics") = Some(pending);
-        self.shared.wake.post();
+        *self.state.request.lock().expect("no holder panics") = Some(pending);
+        self.state.wake.post();
     }
 
     /// The latest response to a request for leases, once.
     pub fn take_lease_response(&self) -> Option<LeasedTables> {
-        self.shared.response.lock().expect("no holder panics").take()
+        self.state.response.lock().expect("no holder panics").take()
     }
 
     /// Tables that the store rejected so far.
     pub fn tables_rejected(&self) -> u64 {
-        self.shared.tables_rejected.load(Ordering::Relaxed)
+        self.state.tables_rejected.load(Ordering::Relaxed)
     }
 }
 
@@ -142,27 +142,27 @@
     }
 }
 
-fn run(mut client: StoreClient, shared: &Shared) {
+fn run_writer(mut client: StoreClient, state: &WriterState) {
     loop {
-        shared.wake.wait();
-        wait_for_released_tables(shared);
-        let done = write_pending(&mut client, shared).and_then(|()| send_request(&mut client, shared));
-        if let Err(error) = done {
+        state.wake.wait();
+        wait_for_released_tables(state);
+        let result = write_pending(&mut client, state).and_then(|()| send_request(&mut client, state));
+        if let Err(error) = result {
             tracing::warn!(%error, "store request failed, will retry");
             may::coroutine::sleep(seconds(RETRY_INTERVAL));
-            shared.wake.post();
+            state.wake.post();
         }
     }
 }
 
 /// Slices that a request releases are written first: the owner of the core learns of them at the same time.
-fn wait_for_released_tables(shared: &Shared) {
-    let released: Vec<u16> = match &*shared.request.lock().expect("no holder panics") {
+fn wait_for_released_tables(state: &WriterState) {
+    let released: Vec<u16> = match &*state.request.lock().expect("no holder panics") {
         Some(pending) => pending.request.release.iter().map(|(slice, _)| *slice).collect(),
         None => return,
     };
     for _ in 0..MAX_RELEASE_POLLS {
-        let mut releasable = shared.releasable.lock().expect("no holder panics");
+        let mut releasable = state.releasable.lock().expect("no holder panics");
         if released.iter().all(|slice| releasable.contains(slice)) {
             for slice in &released {
                 releasable.remove(slice);
@@ -175,22 +175,22 @@
 }
 
 /// Writes what waits. What could not be written waits on, unless there is a later table of its slice.
-fn write_pending(client: &mut StoreClient, shared: &Shared) -> Result<(), StoreError> {
-    let batch = std::mem::take(&mut *shared.writes.lock().expect("no holder panics"));
+fn write_pending(client: &mut StoreClient, state: &WriterState) -> Result<(), StoreError> {
+    let batch = std::mem::take(&mut *state.writes.lock().expect("no holder panics"));
     if batch.is_empty() {
         return Ok(());
     }
     let mut tables = Vec::with_capacity(batch.len());
     for (slice, write) in &batch {
-        tables.push(StoredTable::to_write(*slice, write.epoch, &write.entries, write.handoff.as_ref()));
+        tables.push(StoredTable::for_write(*slice, write.epoch, &write.entries, write.handoff.as_ref()));
     }
     match client.write_tables(&tables) {
         Ok(rejected) => {
-            count_rejected(shared, rejected.len());
+            count_rejected(state, rejected.len());
             Ok(())
         }
         Err(error) => {
-            let mut writes = shared.writes.lock().expect("no holder panics");
+            let mut writes = state.writes.lock().expect("no holder panics");
             for (slice, write) in batch {
                 writes.entry(slice).or_insert(write);
             }
@@ -199,20 +199,20 @@
     }
 }
 
-fn count_rejected(shared: &Shared, slices: usize) {
+fn count_rejected(state: &WriterState, slices: usize) {
     if slices > 0 {
-        shared.tables_rejected.fetch_add(slices as u64, Ordering::Relaxed);
+        state.tables_rejected.fetch_add(slices as u64, Ordering::Relaxed);
         tracing::info!(slices, "store rejected tables, others hold the leases");
     }
 }
 
-fn send_request(client: &mut StoreClient, shared: &Shared) -> Result<(), StoreError> {
-    let pending = shared.request.lock().expect("no holder panics").take();
+fn send_request(client: &mut StoreClient, state: &WriterState) -> Result<(), StoreError> {
+    let pending = state.request.lock().expect("no holder panics").take();
     let Some(pending) = pending else { return Ok(()) };
     if now() - pending.requested_at >= MAX_LEASE_REQUEST_AGE {
         return Ok(());
     }
     let leased = client.request_leases(&pending.request)?;
-    *shared.response.lock().expect("no holder panics") = Some(leased);
+    *state.response.lock().expect("no holder panics") = Some(leased);
     Ok(())
 }
--- a/crates/railhub-controller/tests/handover.rs
+++ b/crates/railhub-controller/tests/handover.rs
@@ -6,7 +6,7 @@
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
 use railhub_controller::change::Change;
 use railhub_controller::core::{
-    CloseReason, ControllerCore, Environment, LeaseChanges, ProxyChannel, SessionEvent, SliceAcquired,
+    AcquiredSlice, CloseReason, ControllerCore, Environment, LeaseChanges, ProxyChannel, SessionEvent,
     StreamId,
 };
 use railhub_controller::delta_queue::{DeltaResponse, ResponseEffect};
@@ -87,7 +87,7 @@
 
 fn acquired(epoch: u64, handoff: Option<(SliceHandoff, Seconds)>) -> LeaseChanges {
     let entries = vec![(host(1), 1.0).into()];
-    let acquired = vec![SliceAcquired { slice: SLICE, entries, epoch, handoff }];
+    let acquired = vec![AcquiredSlice { slice: SLICE, entries, epoch, handoff }];
     LeaseChanges { acquired, ..LeaseChanges::default() }
 }
 
