--- a/crates/railhub-controller/src/core/controller_core.rs
+++ b/crates/railhub-controller/src/core/controller_core.rs
@@ -1,4 +1,4 @@
-//! The core's state, and the events that it takes apart from those of streams and leases.
+//! The state of the controller core, and its handling of all events except those of streams and leases.
 use super::environment::Environment;
 use super::figures::{DurationHistogram, Figures};
 use super::propagation::PropagationTracker;
@@ -16,15 +16,15 @@
 };
 use railhub_proto::LoadReport;
 
-/// A controller without sockets, threads and clocks.
+/// The controller's logic, without sockets, threads and clocks.
 pub struct ControllerCore<C> {
     pub(super) installation: Installation,
     pub(super) engine: Box<dyn DecisionEngine + Send>,
     pub(super) tables: Tables,
-    /// This process; each version is of one process.
+    /// Identifies this controller process. Version numbers are comparable only within one incarnation.
     pub(super) incarnation: u64,
     pub(super) sessions: Sessions<C>,
-    /// Events since the last batch.
+    /// Events collected since the last batch was processed.
     pub(super) batch: EventBatch,
     reports: ReportAggregator,
     reports_flushed_at: Seconds,
@@ -32,22 +32,22 @@
     timer_delays: DurationHistogram,
     list_received: bool,
     slices_received: bool,
-    /// Present where controllers share the slices.
+    /// Present if several controllers share the slices.
     pub(super) shared: Option<SharedSlices>,
-    /// When sessions were last checked for responses that are overdue.
+    /// When sessions were last checked for overdue responses.
     pub(super) stalled_checked_at: Seconds,
     pub(super) propagation: PropagationTracker,
     pub(super) figures: Figures,
 }
 
 impl<C: ProxyChannel> ControllerCore<C> {
-    /// A core with the decisions of the package `railhub`. `incarnation` differs for each process.
+    /// Creates a core with the decision engine of the package `railhub`. `incarnation` must differ for each process.
     pub fn new(installation: Installation, incarnation: u64, now: Seconds) -> ControllerCore<C> {
         let engine = Box::new(Controller::new(installation.config.clone()));
         ControllerCore::with_engine(engine, installation, incarnation, now)
     }
 
-    /// A core with other decisions.
+    /// Creates a core with another decision engine.
     pub fn with_engine(
         engine: Box<dyn DecisionEngine + Send>,
         installation: Installation,
@@ -57,7 +57,7 @@
         let shares = installation.shares();
         ControllerCore {
             engine,
-            // Where controllers share the slices, one that has none yet serves its proxies all the same.
+            // A controller that shares slices serves its proxies even while it holds no slice.
             slices_received: installation.config.slice_count == 0 || shares,
             shared: shares.then(SharedSlices::default),
             tables: Tables::default(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes an update of the endpoint list.
+    /// Handles an update of the endpoint list.
     pub fn on_endpoint_list(&mut self, list: EndpointList) {
         self.list_received = true;
         if let Some(shared) = &mut self.shared {
@@ -85,7 +85,7 @@
         self.batch.endpoint_lists.push(list);
     }
 
-    /// Takes all slices with their tables, where this controller is alone.
+    /// Handles the store's list of all slices and their tables. Used only by a controller that does not share slices.
     pub fn on_assignments(&mut self, assignments: Vec<SliceAssignment>) {
         self.slices_received = true;
         for assignment in &assignments {
@@ -96,28 +96,28 @@
         self.batch.assignments.extend(assignments);
     }
 
-    /// Takes the result of a health check.
+    /// Handles the result of a health check.
     pub fn on_health_check(&mut self, result: HealthCheckResult) {
         self.batch.health_checks.push(result);
     }
 
-    /// Whether the endpoint list and the slices are known. Before, there is nothing to decide and nothing to publish.
+    /// Whether the endpoint list and the slices have been received. Until then there is nothing to decide or publish.
     pub fn is_ready(&self) -> bool {
         self.list_received && self.slices_received
     }
 
-    /// Whether some proxy owes a response to a change.
+    /// Whether any proxy has not yet responded to a change.
     pub fn awaits_responses(&self) -> bool {
         self.propagation.is_awaiting()
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due, if any is set.
     pub fn next_timer_due(&self) -> Option<Seconds> {
         self.timers.next_due()
     }
 
-    /// Takes the timers that are due. Returns whether load reports are to be flushed: with each timer, and before the
-    /// first batch.
+    /// Moves the timers that are due into the batch. Returns whether load reports are to be flushed, which is the case
+    /// whenever a timer is due and before the first batch.
     pub fn take_due_timers(&mut self, now: Seconds) -> bool {
         let due = self.timers.take_due(now);
         for pending in &due {
@@ -128,14 +128,14 @@
         !due.is_empty() || self.figures.batches == 0
     }
 
-    /// Adds a load report of a proxy that is joined on this stream.
+    /// Aggregates a proxy's load report. Ignored unless the proxy is joined on this stream.
     pub fn on_load_report(&mut self, stream: StreamId, proxy: ProxyId, zone: ZoneId, report: &LoadReport) {
         if self.sessions.on_stream(proxy, stream).is_some_and(|session| session.is_joined()) {
             self.reports.add(zone, report, self.sessions.joined_count());
         }
     }
 
-    /// Gives the decisions the load reports that the rate allows.
+    /// Moves aggregated load reports into the batch, as many as the rate limit allows.
     pub fn flush_load_reports(&mut self, now: Seconds) {
         let elapsed = now - self.reports_flushed_at;
         let (hosts, slices) = self.reports.flush(elapsed, self.installation.max_reports_per_second);
@@ -144,8 +144,8 @@
         self.batch.slice_loads.extend(slices);
     }
 
-    /// Gives the decisions the events since the last batch, if there are any, and carries out their commands. `clock`
-    /// gives the time at the end of the decisions.
+    /// Passes the events collected since the last batch, if any, to the decision engine and executes its commands.
+    /// `clock` is read once the engine has handled the batch.
     pub fn process(&mut self, now: Seconds, clock: impl Fn() -> Seconds, environment: &mut impl Environment) {
         if !has_events(&self.batch) {
             return;
@@ -166,7 +166,7 @@
         self.execute(commands, decided_at, environment);
     }
 
-    /// What the core has done so far.
+    /// The core's current counters and measurements.
     pub fn figures(&self) -> Figures {
         Figures {
             timer_delay_p50: self.timer_delays.quantile(0.5),
@@ -183,7 +183,7 @@
     }
 }
 
-/// Load reports alone make no batch: they come with the next timer.
+/// Whether the batch has to be processed. Load reports alone do not count: they are flushed with the next timer.
 fn has_events(batch: &EventBatch) -> bool {
     !batch.endpoint_lists.is_empty()
         || !batch.assignments.is_empty()
--- a/crates/railhub-controller/src/core/environment.rs
+++ b/crates/railhub-controller/src/core/environment.rs
@@ -1,28 +1,30 @@
-//! What the core orders of the process around it, besides its proxies.
+//! The interface through which the core acts on the process around it, apart from its proxies.
 use crate::change::Change;
 use railhub::{HostId, ProxyId, SliceHandoff, SliceId, WeightedHost};
 
-/// Something about a session that operators want to know.
+/// A change of a session that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// A second process claims the proxy's number: its stream is rejected.
+    /// Another process is registered under the proxy's number, so the new stream was rejected.
     DuplicateRejected,
-    /// A joined proxy's stream ended.
+    /// The stream of a joined proxy has ended.
     Disconnected {
-        /// Why, for the log.
+        /// Why the stream ended, for the log.
         reason: String,
     },
-    /// The proxy left a delta without a response for too long: its stream is ended.
+    /// The proxy did not respond to a delta in time, so its stream was closed.
     ResponseTimeout,
 }
 
-/// Carries out what the core orders.
+/// Executes the core's commands and records its decisions.
 pub trait Environment {
-    /// Checks the health of a host; its result comes as an event.
+    /// Starts a health check of a host. The result is passed to [`ControllerCore::on_health_check`].
+    ///
+    /// [`ControllerCore::on_health_check`]: super::ControllerCore::on_health_check
     fn check_health(&mut self, host: HostId);
-    /// Stores a slice's table. `epoch`: under which the slice is leased; 0 where this controller is alone.
+    /// Writes a slice's table to the store. `epoch` is the epoch of the slice's lease; 0 if slices are not shared.
     fn store_table(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>);
-    /// Stores the table of a slice that is released, with the handoff for its next holder.
+    /// Writes the table of a slice that is being released to the store, with the handoff for its next holder.
     fn hand_over(
         &mut self,
         _slice: SliceId,
@@ -31,12 +33,13 @@
         _handoff: SliceHandoff,
     ) {
     }
-    /// All that is to be stored of these slices has been passed on: their leases may be released.
+    /// Permits the release of these slices' leases. Called once all their tables and handoffs have been passed to the
+    /// environment.
     fn allow_release(&mut self, _slices: &[SliceId]) {}
-    /// A decision was made.
+    /// Records a decision with its cause.
     fn decided(&mut self, cause: &str);
-    /// A change was queued for the proxies.
+    /// Records that a change was queued for the proxies as this version.
     fn published(&mut self, change: &Change, version: u64);
-    /// Something happened to a session.
+    /// Records a change of a session.
     fn session_event(&mut self, proxy: ProxyId, event: SessionEvent);
 }
--- a/crates/railhub-controller/src/core/lease_changes.rs
+++ b/crates/railhub-controller/src/core/lease_changes.rs
@@ -1,4 +1,4 @@
-//! Slices that this controller acquires and releases, where controllers share them.
+//! Acquisition and release of slices, if several controllers share them.
 use super::controller_core::ControllerCore;
 use super::environment::Environment;
 use super::proxy_channel::ProxyChannel;
@@ -6,8 +6,8 @@
 use railhub::{Seconds, SliceAssignment, SliceId};
 
 impl<C: ProxyChannel> ControllerCore<C> {
-    /// Takes leases that were acquired and lost. Nothing more is published of a slice that is gone; proxies keep what
-    /// they hold of it until its next holder publishes.
+    /// Handles leases that were acquired, lost or have expired. After a slice is lost or its lease has expired, nothing
+    /// more is published for it; proxies keep its last table until the next holder publishes one.
     pub fn on_lease_changes(
         &mut self,
         now: Seconds,
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Nobody is known to hold the slice now: its table stands as it is.
+    /// Keeps the hosts of a slice whose lease has expired. The next holder is not known yet, so proxies go on using the
+    /// slice's table, and hosts in it may have to be excluded.
     fn on_lease_expired(&mut self, slice: SliceId) {
         let hosts = self.tables.entries_of(slice).into_iter().map(|entry| entry.host).collect();
         if let Some(shared) = &mut self.shared {
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Stores the handoff of a lost slice for its next holder.
     fn hand_over(&mut self, now: Seconds, slice: SliceId, environment: &mut impl Environment) {
         if let Some(shared) = &mut self.shared {
             shared.expired.remove(slice);
--- a/crates/railhub-controller/src/core/mod.rs
+++ b/crates/railhub-controller/src/core/mod.rs
@@ -1,25 +1,28 @@
-//! All that a controller is, but for its sockets, its threads and its clock. The running controller and the simulator
-//! drive the same core; each passes in the time, a [`ProxyChannel`] for each session and the [`Environment`].
+//! The controller's logic without its sockets, threads and clock. The running controller and the simulator drive the
+//! same core; each passes in the time, a [`ProxyChannel`] for each session and the [`Environment`].
 //!
-//! What the core owns: the decisions' state, the published tables, the sessions of proxies, the load reports that the
-//! decisions have not been given, timers, and the figures of all that.
+//! The core owns the decision engine, the published tables, the sessions of proxies, the load reports that have not
+//! been passed to the decision engine yet, the timers, and the counters and measurements of all these.
 //!
-//! The states of a session: a stream that subscribes is *awaiting its snapshot*; it is *joined* once a snapshot is
-//! queued for it, or what it lacks; it ends when its stream ends, when a newer stream of the same process replaces it,
-//! or when it leaves a delta without a response for too long.
+//! States of a session: a stream that has subscribed is *awaiting its snapshot*. It is *joined* once a snapshot, or the
+//! changes that the proxy lacks, have been queued for it. A session ends when its stream ends, when a newer stream of
+//! the same process replaces it, or when the proxy does not respond to a delta in time.
 //!
-//! The way of one delta:
-//! 1. Events are collected in a batch: list updates, sessions, health checks, acknowledgements, timers that are due.
-//! 2. [`ControllerCore::process`] gives the batch to the decisions, whose commands are collected.
-//! 3. The change among them is applied to the tables, which makes a version, and queued for each joined session.
-//! 4. Each table that it touches goes to the store.
-//! 5. [`ControllerCore::on_delta_response`] takes the proxies' responses. The last one ends the change's propagation.
+//! Life cycle of a delta:
+//! 1. Events are collected in a batch: endpoint list updates, sessions, health check results, acknowledgements and due
+//!    timers.
+//! 2. [`ControllerCore::process`] passes the batch to the decision engine and collects the commands it issues.
+//! 3. The change among these commands is applied to the tables as a new version and queued for each joined session.
+//! 4. Each table that the change touches is written to the store.
+//! 5. [`ControllerCore::on_delta_response`] handles the proxies' responses. The last one completes the change's
+//!    propagation.
 //!
-//! The way of one load report: [`ControllerCore::on_load_report`] adds it up,
-//! [`ControllerCore::flush_load_reports`] gives the decisions what the rate allows, the oldest first.
+//! Life cycle of a load report: [`ControllerCore::on_load_report`] adds it to the totals;
+//! [`ControllerCore::flush_load_reports`] passes totals to the decision engine, the oldest first, as many as the rate
+//! limit allows.
 //!
-//! The way of one failure: a stream that ends is reported by [`ControllerCore::on_disconnect`]; what waits for it is
-//! dropped, and the decisions learn of it with the next batch.
+//! Failure handling: [`ControllerCore::on_disconnect`] handles the end of a stream. Deltas queued for the stream are
+//! dropped, and the decision engine learns of the disconnection with the next batch.
 mod controller_core;
 mod environment;
 mod figures;
--- a/crates/railhub-controller/src/core/publishing.rs
+++ b/crates/railhub-controller/src/core/publishing.rs
@@ -1,4 +1,5 @@
-//! Carries out what the decisions order: versions for proxies, tables for the store, health checks and timers.
+//! Executes the commands of the decision engine: publishes versions to proxies, writes tables to the store, starts
+//! health checks and sets timers.
 use super::controller_core::ControllerCore;
 use super::environment::Environment;
 use super::proxy_channel::ProxyChannel;
@@ -13,7 +14,7 @@
 use std::sync::Arc;
 
 impl<C: ProxyChannel> ControllerCore<C> {
-    /// Carries out the commands of one batch.
+    /// Executes the commands of one batch.
     pub(super) fn execute(
         &mut self,
         mut commands: DeltaBuilder,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Makes a version of a change and queues it for each joined session that it concerns.
+    /// Publishes a change as a new version and queues it for each joined session that it concerns.
     fn publish(
         &mut self,
         change: Arc<Change>,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Sends a joined proxy the table that it is assigned, where there are no slices.
+    /// Sends a joined proxy the table that it is assigned, in an installation without slices.
     fn assign_table(&mut self, table: SliceId, proxy: ProxyId, decided_at: Seconds) {
         let Some(session) = self.sessions.joined_mut(proxy) else { return };
         session.state = SessionState::Joined { table: Some(table) };
@@ -91,8 +92,9 @@
     }
 }
 
-/// What is published where controllers share the slices: the tables that were acquired, then what was decided, of
-/// slices under lease alone; and exclusions of hosts that must be left in tables whose leases have expired.
+/// The change to publish if several controllers share the slices. It consists of the tables of newly acquired slices,
+/// then the decided change, both restricted to slices under lease, and the exclusions of hosts that proxies must stop
+/// using in tables whose leases have expired.
 fn shared_change(
     shared: &mut SharedSlices,
     tables: &Tables,
--- a/crates/railhub-controller/src/core/sessions.rs
+++ b/crates/railhub-controller/src/core/sessions.rs
@@ -1,22 +1,22 @@
-//! The sessions of proxies: at most one each.
+//! The sessions of proxies; each proxy has at most one.
 use super::proxy_channel::{ProxyChannel, StreamId};
 use railhub::{ProxyId, Seconds, SliceId};
 use railhub_proto::Subscribe;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Where a session stands.
+/// The state of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionState {
-    /// The proxy has subscribed and was sent nothing; the decisions do not know of it.
+    /// The proxy has subscribed but has not been sent anything, and the decision engine does not know it yet.
     AwaitingSnapshot,
-    /// The proxy has been sent what it lacked, and the decisions know of it.
+    /// A snapshot, or the changes that the proxy lacked, have been queued for it, and the decision engine knows it.
     Joined {
-        /// Where there are no slices: the table that it is assigned.
+        /// The table that the proxy is assigned, in an installation without slices.
         table: Option<SliceId>,
     },
 }
 
-/// A proxy with a stream.
+/// The session of a proxy on one stream.
 pub(super) struct ProxySession<C> {
     pub(super) stream: StreamId,
     pub(super) process: u64,
@@ -40,12 +40,13 @@
     }
 }
 
-/// All sessions, by proxy.
+/// All sessions, keyed by proxy.
 pub(super) struct Sessions<C> {
     by_proxy: BTreeMap<ProxyId, ProxySession<C>>,
-    /// Proxies that await their snapshot, in the order in which they subscribed.
+    /// Proxies awaiting their snapshot, in the order in which they subscribed. Entries of sessions that have ended are
+    /// removed later, by [`Sessions::first_joining`].
     joining: VecDeque<(ProxyId, StreamId)>,
-    /// Proxies that joined this process before.
+    /// Proxies that have joined this controller process at least once.
     joined_before: BTreeSet<ProxyId>,
 }
 
@@ -58,7 +59,7 @@
         self.by_proxy.get(&proxy)
     }
 
-    /// The session of a proxy, if it is on this stream.
+    /// The session of a proxy, if it runs on this stream.
     pub(super) fn on_stream(&self, proxy: ProxyId, stream: StreamId) -> Option<&ProxySession<C>> {
         self.by_proxy.get(&proxy).filter(|session| session.stream == stream)
     }
@@ -74,19 +75,19 @@
         self.by_proxy.insert(proxy, session);
     }
 
-    /// Removes the session of a proxy, if it is on this stream.
+    /// Removes and returns the session of a proxy, if it runs on this stream.
     pub(super) fn remove(&mut self, proxy: ProxyId, stream: StreamId) -> Option<ProxySession<C>> {
         self.on_stream(proxy, stream)?;
         self.by_proxy.remove(&proxy)
     }
 
-    /// Whether any proxy awaits its snapshot.
+    /// Whether any proxy may be awaiting its snapshot.
     pub(super) fn any_joining(&self) -> bool {
         !self.joining.is_empty()
     }
 
-    /// The proxy that awaits its snapshot for the longest time, with what it subscribed with. Those whose sessions
-    /// have ended are removed.
+    /// The proxy that has awaited its snapshot the longest, with its subscription. Drops the entries in front of it
+    /// whose sessions have ended.
     pub(super) fn first_joining(&mut self) -> Option<(ProxyId, &Subscribe)> {
         while let Some((proxy, stream)) = self.joining.front().copied() {
             if self.on_stream(proxy, stream).is_some() {
@@ -97,8 +98,9 @@
         None
     }
 
-    /// Marks the proxy that [`Sessions::first_joining`] gave as joined. Whether it is its first session and it holds
-    /// nothing: a stream to an earlier controller process counts too, as the proxy still holds what that one sent.
+    /// Marks the proxy returned by [`Sessions::first_joining`] as joined. Also returns whether the proxy is new: it has
+    /// not joined this controller process before and holds no version. A proxy that was connected to an earlier
+    /// controller process is not new, since it still holds the version it received there.
     pub(super) fn join_first(&mut self) -> Option<(&ProxySession<C>, bool)> {
         let (proxy, _) = self.joining.pop_front()?;
         let session = self.by_proxy.get_mut(&proxy)?;
@@ -117,12 +119,12 @@
         self.joined().count()
     }
 
-    /// Lines that are pending or in flight to all proxies.
+    /// Table lines that are pending or in flight to all proxies.
     pub(super) fn backlog_lines(&self, message_cost: f64) -> f64 {
         self.by_proxy.values().map(|session| session.channel.backlog_lines(message_cost)).sum()
     }
 
-    /// Sessions that have left a delta without a response for longer than `timeout`.
+    /// Sessions whose proxies have left a delta unanswered for longer than `timeout`.
     pub(super) fn stalled(&self, now: Seconds, timeout: Seconds) -> Vec<(ProxyId, StreamId)> {
         let mut stalled = Vec::new();
         for (proxy, session) in &self.by_proxy {
--- a/crates/railhub-controller/src/core/streams.rs
+++ b/crates/railhub-controller/src/core/streams.rs
@@ -1,4 +1,4 @@
-//! The core's part in a proxy's stream, from its subscription to its end.
+//! Handles the events of a proxy's stream, from its subscription to its end.
 use super::controller_core::ControllerCore;
 use super::environment::{Environment, SessionEvent};
 use super::proxy_channel::{CloseReason, ProxyChannel, StreamId};
@@ -12,11 +12,12 @@
 use railhub_proto::Subscribe;
 use std::sync::Arc;
 
-/// Seconds between checks for sessions whose responses are overdue.
+/// Time between checks for sessions whose responses are overdue.
 const STALLED_CHECK_INTERVAL: Seconds = 0.5;
 
 impl<C: ProxyChannel> ControllerCore<C> {
-    /// Takes the subscription of a new stream. The session waits for [`ControllerCore::admit_sessions`].
+    /// Handles the subscription of a new stream. The session is not joined until [`ControllerCore::admit_sessions`]
+    /// admits it.
     pub fn on_subscribe(
         &mut self,
         now: Seconds,
@@ -45,7 +46,7 @@
         self.sessions.insert(proxy, ProxySession::new(stream, subscribe, channel));
     }
 
-    /// Takes the end of a stream. `reason` is for the log.
+    /// Handles the end of a stream. `reason` is for the log.
     pub fn on_disconnect(
         &mut self,
         now: Seconds,
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Takes a proxy's response to a delta, and returns whether the delta was in flight. A delta that was rejected has
-    /// left the channel as well, which is all that the decisions go by.
+    /// Handles a proxy's response to a delta, and returns whether the delta was in flight. A rejected delta passes its
+    /// barrier like an acknowledged one: it has left the channel, and the decision engine depends on nothing else.
     pub fn on_delta_response(
         &mut self,
         now: Seconds,
@@ -85,7 +86,8 @@
         true
     }
 
-    /// Sends proxies that have subscribed what they lack, as far as the backlog has room.
+    /// Admits proxies that have subscribed, in order, and sends each the changes it lacks, as far as the backlog limit
+    /// allows.
     pub fn admit_sessions(&mut self, now: Seconds) {
         if !self.sessions.any_joining() {
             return;
@@ -105,11 +107,13 @@
         }
     }
 
-    /// What a proxy lacks that holds this version of this controller process.
+    /// The change that brings a proxy up to date which holds `version` of the controller process `incarnation`: the
+    /// logged changes since that version, or a snapshot if the process is another one or the log does not reach back
+    /// so far.
     fn catch_up_change(&self, incarnation: u64, version: u64) -> Change {
         let is_same_incarnation = incarnation == self.incarnation;
-        let lacking = is_same_incarnation.then(|| self.tables.changes_since(version)).flatten();
-        let change = lacking.unwrap_or_else(|| self.tables.snapshot());
+        let logged_changes = is_same_incarnation.then(|| self.tables.changes_since(version)).flatten();
+        let change = logged_changes.unwrap_or_else(|| self.tables.snapshot());
         let has_no_slices = self.installation.config.slice_count == 0;
         let mut change = if has_no_slices { change.without_lines() } else { change };
         if self.shared.is_some() {
@@ -131,7 +135,8 @@
         });
     }
 
-    /// Ends sessions whose responses are overdue: what waits for them would count for ever.
+    /// Closes sessions whose responses are overdue. Otherwise the lines queued for them would count towards the backlog
+    /// for ever.
     pub fn end_stalled_sessions(&mut self, now: Seconds, environment: &mut impl Environment) {
         if now - self.stalled_checked_at < STALLED_CHECK_INTERVAL {
             return;
--- a/crates/railhub-controller/src/core/timers.rs
+++ b/crates/railhub-controller/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! Timers that the decisions have set.
+//! Timers set by the decision engine.
 use railhub::{Seconds, TimerId};
 
 /// A timer that is not due yet.
@@ -19,12 +19,12 @@
         self.pending.push(PendingTimer { due, timer });
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due, if any is set.
     pub(super) fn next_due(&self) -> Option<Seconds> {
         self.pending.iter().map(|pending| pending.due).min_by(Seconds::total_cmp)
     }
 
-    /// Removes the timers that are due.
+    /// Removes and returns the timers that are due, in the order in which they were set.
     pub(super) fn take_due(&mut self, now: Seconds) -> Vec<PendingTimer> {
         let due = self.pending.iter().filter(|pending| pending.due <= now).copied().collect();
         self.pending.retain(|pending| pending.due > now);
--- a/crates/railhub-controller/src/membership/cpu_meter.rs
+++ b/crates/railhub-controller/src/membership/cpu_meter.rs
@@ -1,9 +1,9 @@
-//! How busy this process keeps its cores.
+//! Measures the CPU usage of this process.
 
-/// Seconds that a reading covers at the least.
+/// Shortest interval that a reading is divided by, so that the result stays finite.
 const MIN_INTERVAL_SECONDS: f64 = 0.001;
 
-/// Measures processor time between readings.
+/// Measures the CPU time used between two readings.
 pub(super) struct CpuMeter {
     measured_at: f64,
     cpu_seconds: f64,
@@ -14,7 +14,7 @@
         CpuMeter { measured_at: now, cpu_seconds: cpu_seconds() }
     }
 
-    /// Cores that were busy since the last reading.
+    /// Average number of busy cores since the last reading.
     pub(super) fn busy_cores(&mut self, now: f64) -> f32 {
         let reading = CpuMeter::start(now);
         let before = std::mem::replace(self, reading);
@@ -23,9 +23,9 @@
     }
 }
 
-/// Seconds of processor time that this process took.
+/// CPU time that this process has used, user and system.
 fn cpu_seconds() -> f64 {
-    // SAFETY: the call fills in one rusage, for which all zeroes are a value.
+    // SAFETY: getrusage writes to the one rusage it is given, and all zeroes are a valid rusage.
     let usage = unsafe {
         let mut usage = std::mem::zeroed::<libc::rusage>();
         libc::getrusage(libc::RUSAGE_SELF, &mut usage);
--- a/crates/railhub-controller/src/membership/lease_coordinator.rs
+++ b/crates/railhub-controller/src/membership/lease_coordinator.rs
@@ -1,4 +1,5 @@
-//! The membership thread: feeds the lease manager datagrams, store responses and the time, and carries out its effects.
+//! The membership thread: passes datagrams, store responses and the time to the lease manager and executes the effects
+//! that it returns.
 use super::cpu_meter::CpuMeter;
 use super::figures::MembershipFigures;
 use super::slice_sharing::SliceSharing;
@@ -18,30 +19,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Seconds that the thread sleeps at the longest, so that it sees that it is to end.
+/// Longest wait for a datagram, so that the thread notices a change of its run state.
 const MAX_SLEEP_SECONDS: f64 = 0.05;
-/// The shortest time-out of the socket.
+/// Shortest read time-out of the socket.
 const MIN_SOCKET_TIMEOUT: Duration = Duration::from_micros(100);
-/// Seconds between measurements of this controller's load.
+/// Interval between measurements of this controller's load.
 const LOAD_INTERVAL_SECONDS: f64 = 1.0;
-/// Seconds within which a controller that leaves hands its slices over; the rest is taken when the leases end.
+/// Time for a leaving controller to hand its slices over. Others acquire the remaining slices once the leases expire.
 const HAND_OVER_TIMEOUT_SECONDS: f64 = 2.0;
-/// Seconds between polls for the store's response while one is due.
+/// Interval between polls for the store's response while a request is in flight.
 const STORE_POLL_INTERVAL_SECONDS: f64 = 0.004;
 
-/// What the thread is to do.
+/// Whether the thread runs on, and how it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum RunState {
-    /// Take part.
+    /// Take part in the membership.
     Running,
-    /// Hand the slices over, announce that this controller leaves, and end.
+    /// Hand the slices over, announce to the other controllers that this one leaves, and end.
     Leaving,
-    /// End without a message to the others, as a crash would.
+    /// End without a message to the other controllers, as in a crash.
     Stopping,
 }
 
-/// A [`RunState`] that the thread reads and its starter sets.
+/// A [`RunState`] that the thread reads and its owner sets.
 pub(super) struct AtomicRunState(AtomicU8);
 
 impl AtomicRunState {
@@ -49,7 +50,7 @@
         AtomicRunState(AtomicU8::new(RunState::Running as u8))
     }
 
-    /// Ends the thread; a state that was set before stays.
+    /// Requests the end of the thread. Only the first request takes effect.
     pub(super) fn end(&self, state: RunState) {
         let running = RunState::Running as u8;
         let _ = self.0.compare_exchange(running, state as u8, Ordering::AcqRel, Ordering::Acquire);
@@ -64,23 +65,23 @@
     }
 }
 
-/// What the thread shares with the rest of the process.
+/// Counters shared between the thread and the rest of the process.
 pub(super) struct SharedFigures {
-    /// The core's figures, for the load that is announced to the others.
+    /// The core's figures, read for the load that is announced to the other controllers.
     pub(super) core: Arc<Mutex<Figures>>,
-    /// The thread's own.
+    /// The thread's own figures.
     pub(super) membership: Arc<Mutex<MembershipFigures>>,
 }
 
-/// Owns the lease manager and its socket.
+/// Owns the lease manager and the membership socket.
 pub(super) struct LeaseCoordinator {
     lease_manager: LeaseManager,
     clock: LeaseClock,
     socket: UdpSocket,
     installation: String,
-    /// Present where slices are shared.
+    /// Present if slices are shared.
     sharing: Option<SliceSharing>,
-    /// Slices of the installation.
+    /// Number of slices in the installation.
     slices: u16,
     figures: MembershipFigures,
     shared_figures: SharedFigures,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// This controller's process, as the others know it.
+    /// The process number under which the other controllers know this process.
     pub(super) fn process(&self) -> u64 {
         self.membership().incarnation().process
     }
@@ -123,11 +124,11 @@
         self.lease_manager.membership()
     }
 
-    /// Runs until the switch ends it.
+    /// Runs until `run_state` requests the end.
     pub(super) fn run(mut self, run_state: &AtomicRunState) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        // When the next tick is due. A message may bring it forward and never puts it off: messages that come without
-        // end must not hold up ticks.
+        // A message may bring the next tick forward but never postpones it, so that a constant stream of messages
+        // cannot delay ticks.
         let mut next_tick = 0.0;
         while run_state.get() == RunState::Running {
             self.poll_store();
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Waits for a datagram until the next tick or poll is due.
+    /// Waits for a datagram, but no longer than until the next tick or store poll is due.
     fn receive(&self, bytes: &mut [u8], seconds_to_tick: f64) -> Option<(usize, SocketAddr)> {
         let request_in_flight = self.lease_manager.request_in_flight();
         let max_wait = if request_in_flight { STORE_POLL_INTERVAL_SECONDS } else { MAX_SLEEP_SECONDS };
@@ -166,7 +167,7 @@
         self.carry_out(effects);
     }
 
-    /// Releases all slices, as far as the time for it reaches.
+    /// Releases all slices, as far as [`HAND_OVER_TIMEOUT_SECONDS`] allows.
     fn hand_over(&mut self) {
         self.lease_manager.start_draining();
         let deadline = now() + HAND_OVER_TIMEOUT_SECONDS;
@@ -206,7 +207,7 @@
         *self.shared_figures.membership.lock().expect("no holder panics") = self.figures.clone();
     }
 
-    /// Takes the store's response to a request for leases, if there is one.
+    /// Handles the store's response to a lease request, if one has arrived.
     fn poll_store(&mut self) {
         let response = self.sharing.as_ref().and_then(|sharing| sharing.store.take_lease_response());
         let Some(leased) = response else { return };
@@ -262,7 +263,7 @@
         };
         let bytes = packet::encode(&self.installation, &Packet::Message(Box::new(outgoing.message)));
         if let Some(address) = address {
-            // One that cannot be sent is one that was lost.
+            // A datagram that cannot be sent counts as lost; the protocol tolerates losses.
             let _ = self.socket.send_to(&bytes, address);
         }
     }
--- a/crates/railhub-controller/src/membership/mod.rs
+++ b/crates/railhub-controller/src/membership/mod.rs
@@ -1,22 +1,24 @@
-//! This controller among the others: a thread and a socket around the lease manager of `railhub-membership`, which
-//! decides all of it. Without a `[fleet]` section there is none of it.
+//! Membership of this controller among the others: a thread and a UDP socket around the lease manager of
+//! `railhub-membership`, which makes all decisions. The thread runs only if the file has a `[fleet]` section.
 //!
-//! What it owns: the UDP socket, the lease manager with its view of the other controllers, the rate limit of view
-//! requests, and the figures of all that.
+//! The thread owns the UDP socket, the lease manager with its view of the other controllers, the rate limit of view
+//! requests, and the counters of all these.
 //!
-//! The way of one datagram:
-//! 1. The socket gives it; [`railhub_membership::packet`] drops and counts what is invalid, of another installation, of
-//!    another version or too long.
+//! Life cycle of a datagram:
+//! 1. It is read from the socket. [`railhub_membership::packet`] decodes it; datagrams that are invalid, too long, of
+//!    another installation or of another version are dropped and counted.
 //! 2. The lease manager handles the message and returns its effects.
-//! 3. Each outgoing message goes to the address in its receiver's metadata; each change of the view is logged.
+//! 3. Each outgoing message is sent to the address in its receiver's metadata; each change of the view is logged.
 //!
-//! The way of one lease:
-//! 1. The lease manager requests it; the store writer sends the request, after the tables that wait.
-//! 2. The store's response comes with the tables of what it granted.
-//! 3. The lease table is updated first, then the owner of the core learns what was acquired, lost or has expired.
+//! Life cycle of a lease:
+//! 1. The lease manager requests it. The store writer sends the request after all tables that are waiting to be written.
+//! 2. The store's response contains the tables of the granted slices.
+//! 3. The lease table is updated first; then the owner of the core is sent the slices that were acquired, lost or have
+//!    expired.
 //!
-//! The way of one failure: a datagram that cannot be sent is lost, a request to a store that does not respond is repeated, a lease
-//! that is not renewed expires. Whatever goes wrong here, the controller serves on: nothing else waits for this thread.
+//! Failure handling: a datagram that cannot be sent is lost, a request to a store that does not respond is repeated,
+//! and a lease that is not renewed expires. The controller keeps serving its proxies whatever fails here, since nothing
+//! else waits for this thread.
 mod cpu_meter;
 mod figures;
 mod lease_coordinator;
--- a/crates/railhub-controller/src/membership/service.rs
+++ b/crates/railhub-controller/src/membership/service.rs
@@ -1,4 +1,4 @@
-//! Starts the membership thread and ends it.
+//! Starts and stops the membership thread.
 use super::figures::MembershipFigures;
 use super::lease_coordinator::{AtomicRunState, LeaseCoordinator, RunState, SharedFigures};
 use super::settings::MembershipSettings;
@@ -15,18 +15,18 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds after a start before leases are requested: who else is there is learnt first.
+/// Time after a start before leases are requested, so that the other controllers are discovered first.
 const SETTLE_TIME_SECONDS: f64 = 1.0;
-/// The weight of this controller in the placement of slices.
+/// Weight of this controller in the placement of slices.
 const PLACEMENT_WEIGHT: f64 = 1.0;
-/// Version of the program, as the others see it.
+/// Version of the program, announced to the other controllers.
 const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// The membership thread. Dropping it ends the thread without a message to the others, as a crash would.
+/// The membership thread. Dropping it ends the thread without a message to the other controllers, as in a crash.
 pub struct MembershipService {
-    /// Where the socket is bound.
+    /// The address that the socket is bound to.
     pub address: SocketAddr,
-    /// This process, as the others know it.
+    /// The process number under which the other controllers know this process.
     pub process: u64,
     run_state: Arc<AtomicRunState>,
     figures: Arc<Mutex<MembershipFigures>>,
@@ -34,7 +34,8 @@
 }
 
 impl MembershipService {
-    /// Starts the thread. `core_figures` gives the load; `sharing` is present where slices are shared.
+    /// Starts the thread. `core_figures` is read for this controller's load; `sharing` is present if slices are shared;
+    /// `slices` is the number of slices in the installation.
     ///
     /// # Errors
     /// The address cannot be bound, or the thread cannot be started.
@@ -66,12 +67,12 @@
         Ok(MembershipService { address, process, run_state, figures, thread: Some(thread) })
     }
 
-    /// What the thread has seen so far.
+    /// The thread's counters, updated once a second.
     pub fn figures(&self) -> MembershipFigures {
         self.figures.lock().expect("no holder panics").clone()
     }
 
-    /// Hands the slices over, announces that this controller leaves, and ends the thread.
+    /// Hands the slices over, announces to the other controllers that this one leaves, and ends the thread.
     pub fn leave(&mut self) {
         self.end(RunState::Leaving);
     }
@@ -119,9 +120,9 @@
     LeaseManager::new(&options, settings.clock.now())
 }
 
-/// Microseconds since 1970: higher than any earlier process of this controller, unless the clock was set back, which
-/// the others report then.
+/// Microseconds since 1970. This is higher than the number of any earlier process of this controller unless the clock
+/// was set back; the other controllers report that case.
 fn process_number() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_micros() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_micros() as u64
 }
--- a/crates/railhub-controller/src/membership/settings.rs
+++ b/crates/railhub-controller/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! The `[fleet]` section of a controller's file.
+//! The `[fleet]` section of a controller's configuration file.
 use crate::lease_clock::LeaseClock;
 use railhub_ini::{Diagnostic, Document, Section};
 use railhub_membership::packet::MAX_INSTALLATION_BYTES;
@@ -7,9 +7,9 @@
 use railhub_net::now;
 use std::net::SocketAddr;
 
-/// Addresses to join by.
+/// Largest number of addresses in the key `join`.
 const MAX_SEEDS: usize = 16;
-/// Safeguards that a test may leave out, by their names in the file.
+/// Safeguards that a test may disable, by their names in the file.
 const SAFEGUARDS: [(&str, Option<Safeguard>); 9] = [
     ("nothing", None),
     ("refutation", Some(Safeguard::Refutation)),
@@ -25,29 +25,29 @@
 /// How this controller takes part in the membership.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// This controller's number.
+    /// This controller's id.
     pub id: NodeId,
-    /// Datagrams of other installations are dropped.
+    /// Name of the installation. Datagrams of other installations are dropped.
     pub installation: String,
-    /// Where the socket is bound.
+    /// The address to bind the socket to.
     pub listen: SocketAddr,
-    /// Where the others reach this controller, if that is not where its socket is bound.
+    /// The address at which other controllers reach this one, if it differs from the bound address.
     pub advertise: Option<SocketAddr>,
-    /// Addresses of controllers to join by.
+    /// Addresses of controllers through which this one joins the membership.
     pub join: Vec<SocketAddr>,
     /// Seconds after which a controller that is dead or has left is forgotten.
     pub forget_after: f64,
-    /// Whether the slices are shared: leased from the store.
+    /// Whether controllers share the slices, by leases from the store.
     pub share: bool,
     /// Seconds that a lease is granted for.
     pub lease: f64,
-    /// The number of the process, where the clock should not give it: for tests of clocks that were set back.
+    /// The process number, if it is not to be derived from the clock: for tests of clocks that were set back.
     pub process: Option<u64>,
-    /// The clock that leases go by, for tests: machines' clocks run apart and jump.
+    /// The clock for leases. Tests make it run fast or slow, or jump, as the clocks of machines do.
     pub clock: LeaseClock,
-    /// A safeguard that is left out: for tests of the invariant checker alone.
+    /// A safeguard that is disabled: only for tests of the invariant checker.
     pub without: Option<Safeguard>,
-    /// Digest of the file, less what each controller has of its own.
+    /// Digest of the file without the keys that may differ between controllers.
     pub settings_digest: u64,
 }
 
@@ -79,7 +79,7 @@
         Ok(Some(settings))
     }
 
-    /// Whether leases never end: for tests of the invariant checker alone.
+    /// Whether this controller ignores the expiry of its leases: only for tests of the invariant checker.
     pub fn ignores_lease_expiry(&self) -> bool {
         self.without == Some(Safeguard::LeaseExpiry)
     }
@@ -88,7 +88,9 @@
 fn read_installation(fleet: &Section) -> Result<String, Diagnostic> {
     let installation: String = fleet.required("installation")?;
     if installation.is_empty() || installation.len() > MAX_INSTALLATION_BYTES {
-        return Err(fleet.diagnostic("installation", format!("needs 1 to {MAX_INSTALLATION_BYTES} bytes")));
+        let length = installation.len();
+        let message = format!("needs 1 to {MAX_INSTALLATION_BYTES} bytes, not {length}");
+        return Err(fleet.diagnostic("installation", message));
     }
     Ok(installation)
 }
@@ -102,9 +104,8 @@
         );
     }
     if seeds.len() > MAX_SEEDS {
-        return Err(
-            fleet.diagnostic("join", format!("has {} addresses, {MAX_SEEDS} at the most", seeds.len()))
-        );
+        return Err(fleet
+            .diagnostic("join", format!("has {} addresses, at most {MAX_SEEDS} are allowed", seeds.len())));
     }
     Ok(seeds)
 }
@@ -118,7 +119,7 @@
     })
 }
 
-/// Whether controllers of one installation may differ in a key.
+/// Whether a key may have different values for the controllers of one installation.
 fn may_differ_between_controllers(section: &str, key: &str) -> bool {
     section == "fleet" && !matches!(key, "installation" | "share" | "lease")
         || section == "steward" && matches!(key, "listen" | "traffic")
--- a/crates/railhub-controller/src/membership/slice_sharing.rs
+++ b/crates/railhub-controller/src/membership/slice_sharing.rs
@@ -1,4 +1,5 @@
-//! What a controller that shares slices works with, and how it passes leases on.
+//! The connection of the membership thread to the store, to the lease table and to the owner of the core, if slices are
+//! shared.
 use crate::core::LeaseChanges;
 use crate::inbox::{Inbox, OwnerEvent};
 use crate::lease_table::LeaseTable;
@@ -9,23 +10,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The other parts of a controller that shares slices.
+/// The parts of a controller that are involved in sharing slices.
 pub struct SliceSharing {
-    /// Sends requests for leases, and writes the tables.
+    /// Sends lease requests to the store and writes tables.
     pub store: Arc<StoreWriter>,
-    /// Reaches the owner of the core.
+    /// The inbox of the owner of the core.
     pub inbox: Arc<Inbox>,
-    /// What stream writers go by.
+    /// The leases that stream writers check before they write.
     pub leases: Arc<LeaseTable>,
-    /// Slices of the installation.
+    /// Number of slices in the installation.
     pub slices: u16,
-    /// For tests of the invariant checker alone: slices whose leases have ended are kept.
+    /// Whether slices are kept after their leases have ended: only for tests of the invariant checker.
     pub ignores_lease_expiry: bool,
 }
 
 impl SliceSharing {
-    /// Passes on what was acquired, with its tables, and lost. The lease table goes first: what is written from now on
-    /// must not rest on a lease that is gone.
+    /// Passes changes of the leases on to the lease table and to the owner of the core, with the tables of acquired
+    /// slices. The lease table is updated first, so that no delta is written from now on under a lease that has ended.
     pub(super) fn apply(&self, leases: &HeldLeases, effects: &Effects, tables: Vec<StoredTable>) {
         self.leases.update(leases);
         let mut changes = LeaseChanges::default();
@@ -36,7 +37,8 @@
         let mut tables: BTreeMap<u16, StoredTable> =
             tables.into_iter().map(|table| (table.slice, table)).collect();
         for (slice, epoch) in &effects.acquired {
-            // The store gives each with its table; without one it is filled as a slice that has none.
+            // The store sends a table with each granted slice. If one is missing, the slice is treated as one without
+            // a table.
             let table = tables.remove(slice).unwrap_or(StoredTable::empty(*slice));
             changes.acquired.push(table.into_acquired_slice(epoch.0));
         }
--- a/crates/railhub-controller/src/membership/view_responder.rs
+++ b/crates/railhub-controller/src/membership/view_responder.rs
@@ -1,15 +1,15 @@
-//! Answers requests for this controller's view of the others, at a limited rate.
+//! Answers requests for this controller's view of the membership, at a limited rate.
 use railhub_membership::packet::{View, MAX_VIEW_ENTRIES};
 use railhub_membership::swim::Membership;
 use railhub_membership::view::ViewEntry;
 use railhub_membership::NodeId;
 
-/// Requests for the view that are answered in a second. Further ones are dropped and counted.
+/// View requests that are answered per second. Further ones are dropped and counted.
 const MAX_VIEWS_PER_SECOND: u32 = 400;
-/// Seconds that requests are counted in.
+/// Length of the interval in which requests are counted.
 const COUNTING_INTERVAL_SECONDS: f64 = 1.0;
 
-/// Counts requests for the view.
+/// Limits the rate of view requests that are answered.
 #[derive(Default)]
 pub(super) struct ViewRateLimiter {
     interval_start: f64,
@@ -27,7 +27,7 @@
     }
 }
 
-/// One page of the view, beginning with the entry of `first_id`. `dropped`: datagrams that were dropped so far.
+/// One page of the view, with the entries from `first_id` on. `dropped` is the number of datagrams dropped so far.
 pub(super) fn view_page(
     membership: &Membership,
     now: f64,
--- a/crates/railhub-controller/src/store/client.rs
+++ b/crates/railhub-controller/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the store.
+//! The HTTP client for requests to the store.
 use super::bodies::{LeasedTables, StoredTable};
 use railhub::Seconds;
 use railhub_membership::lease_messages::LeaseRequest;
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// What is requested of the store.
+/// The kinds of requests to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOperation {
-    /// All slices with their tables.
+    /// Reads all slices with their tables.
     ReadSlices,
-    /// Tables are written.
+    /// Writes tables.
     WriteTables,
-    /// Leases are taken, renewed and released.
+    /// Acquires, renews and releases leases.
     RequestLeases,
 }
 
@@ -29,15 +29,15 @@
     }
 }
 
-/// A request to the store failed.
+/// A failed request to the store.
 #[derive(Debug, Error)]
-#[error("store {address}, {operation}: {source}")]
+#[error("store {address}: {operation} failed: {source}")]
 pub struct StoreError {
-    /// Where the store is.
+    /// The store's address.
     pub address: SocketAddr,
-    /// What was requested.
+    /// The request that failed.
     pub operation: StoreOperation,
-    /// What went wrong.
+    /// Why it failed.
     pub source: HttpError,
 }
 
@@ -48,12 +48,12 @@
 }
 
 impl StoreClient {
-    /// A client whose requests take at most `timeout`.
+    /// Creates a client whose requests fail after `timeout`.
     pub(super) fn new(address: SocketAddr, timeout: Seconds) -> StoreClient {
         StoreClient { address, client: Client::new(address, seconds(timeout)) }
     }
 
-    /// All slices with their tables, for a controller that is alone.
+    /// Reads all slices with their tables, for a controller that does not share slices.
     pub(super) fn read_slices(&mut self) -> Result<Vec<StoredTable>, StoreError> {
         let tables = self.client.get_json("/charges");
         tables.map_err(|source| self.error(StoreOperation::ReadSlices, source))
@@ -65,7 +65,7 @@
         rejected.map_err(|source| self.error(StoreOperation::WriteTables, source))
     }
 
-    /// Takes, renews and releases leases.
+    /// Acquires, renews and releases leases.
     pub(super) fn request_leases(&mut self, request: &LeaseRequest) -> Result<LeasedTables, StoreError> {
         let leased = self.client.exchange_json("POST", "/leases", request);
         leased.map_err(|source| self.error(StoreOperation::RequestLeases, source))
--- a/crates/railhub-controller/src/store/mod.rs
+++ b/crates/railhub-controller/src/store/mod.rs
@@ -1,17 +1,19 @@
-//! The slice store: gives slices with their tables, and takes tables that change. A controller alone is given all slices
-//! at its start; controllers that share request leases of some, again and again.
+//! Access to the slice store, which keeps the slices and their tables. A controller that does not share slices reads all
+//! of them at its start; controllers that share slices request leases for some of them and renew these leases
+//! periodically. Changed tables are written back.
 //!
-//! What it owns: the connection to the store, the tables that wait to be written, the request for leases that waits, and
-//! the store's latest response.
+//! This module owns the connections to the store, the tables waiting to be written, the lease request waiting to be
+//! sent, and the store's latest response.
 //!
-//! The way of one table: it waits, at most one a slice, until the writer's coroutine puts it; a table that could not be
-//! written waits on, unless a later one of its slice has come. The store rejects a table whose lease another holds.
+//! Life cycle of a table: it waits, at most one per slice, until the writer's coroutine sends it to the store. A table
+//! that could not be written keeps waiting unless a later one of its slice has been queued. The store rejects a table if
+//! another controller holds the lease of its slice.
 //!
-//! The way of one request for leases: it is sent after the tables that wait, so that what a controller releases is
-//! written before another can be granted it.
+//! Life cycle of a lease request: it is sent after the tables that are waiting, so that the table of a released slice is
+//! written before another controller can be granted the slice.
 //!
-//! The way of one failure: a store that does not respond is tried again after a pause. Nothing is lost meanwhile and
-//! nothing is held up.
+//! Failure handling: if the store does not respond, the request is repeated after a pause. Waiting tables are kept
+//! meanwhile, and no other part of the controller waits for the store.
 mod bodies;
 mod client;
 mod writer;
--- a/crates/railhub-controller/src/store/writer.rs
+++ b/crates/railhub-controller/src/store/writer.rs
@@ -1,4 +1,4 @@
-//! Writes tables and requests leases, in a coroutine of its own.
+//! Writes tables and requests leases in a coroutine of its own, so that callers do not wait for the store.
 use super::bodies::{LeasedTables, StoredHandoff, StoredTable};
 use super::client::{StoreClient, StoreError};
 use crate::inbox::{Inbox, OwnerEvent};
@@ -11,20 +11,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Seconds that the store may take to respond.
+/// Time-out of requests to the store if slices are not shared.
 const RESPONSE_TIMEOUT: Seconds = 2.0;
-/// Seconds that the store may take where leases hang on it: less than the lease manager waits for a response.
+/// Time-out of requests to the store if slices are shared. It is shorter than the time that the lease manager waits for
+/// a response.
 const LEASE_RESPONSE_TIMEOUT: Seconds = 0.8;
-/// Seconds between attempts while the store does not respond.
+/// Pause before a failed request is repeated.
 const RETRY_INTERVAL: Seconds = 0.2;
-/// Seconds after which a request for leases that could not be sent is dropped: its response would come too late.
+/// Age at which a lease request that could not be sent is dropped, since its response would come too late.
 const MAX_LEASE_REQUEST_AGE: Seconds = 0.9;
-/// Seconds between checks whether the owner has passed on the tables of slices that a request releases.
+/// Interval between checks whether the owner has passed on the last tables of the slices that a request releases.
 const RELEASE_POLL_INTERVAL: Seconds = 0.002;
-/// How often that is checked: the owner takes a moment, and if it does not come the request goes without.
+/// Number of these checks. The owner usually needs only a moment; if the tables are still missing after the last check,
+/// the request is sent without them.
 const MAX_RELEASE_POLLS: usize = 25;
 
-/// What waits to be written of a slice.
+/// The table of a slice that waits to be written, with its handoff if the slice is released.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     epoch: u64,
@@ -34,26 +36,27 @@
 
 type PendingWrites = BTreeMap<SliceId, PendingWrite>;
 
-/// A request for leases that waits to be sent.
+/// A lease request that waits to be sent.
 struct PendingRequest {
     requested_at: Seconds,
     request: LeaseRequest,
 }
 
-/// Takes tables to be written and requests for leases. A slice waits once, with its latest entries, so what waits is
-/// bounded by their number; of requests and responses the latest replaces an older one.
+/// Queues tables and lease requests for the store. Only the latest table of each slice is kept, so the queue is bounded
+/// by the number of slices. A newer lease request or response replaces an older one.
 pub struct StoreWriter {
     state: Arc<WriterState>,
     _tasks: Vec<Task>,
 }
 
+/// State shared between the [`StoreWriter`] and its coroutine.
 struct WriterState {
     writes: Mutex<PendingWrites>,
     request: Mutex<Option<PendingRequest>>,
-    /// Slices whose last tables have been passed on: a request may release them.
+    /// Slices whose last tables have been passed on, so that a request may release them.
     releasable: Mutex<BTreeSet<u16>>,
     response: Mutex<Option<LeasedTables>>,
-    /// Tables that the store rejected: another controller holds the lease by now.
+    /// Tables that the store rejected because another controller holds the lease.
     tables_rejected: AtomicU64,
     wake: Semphore,
 }
@@ -73,32 +76,34 @@
         StoreWriter { state, _tasks: vec![task] }
     }
 
-    /// For a controller that is alone: it is given all slices.
+    /// Starts the writer of a controller that does not share slices. All slices are read from the store and sent to
+    /// `inbox`.
     pub fn start_alone(store: SocketAddr, inbox: Arc<Inbox>) -> StoreWriter {
         let mut writer = StoreWriter::start(store, RESPONSE_TIMEOUT);
         writer._tasks.push(Task::spawn(move || read_slices(store, &inbox)));
         writer
     }
 
-    /// For a controller that shares slices: it requests leases.
+    /// Starts the writer of a controller that shares slices and requests leases.
     pub fn start_sharing(store: SocketAddr) -> StoreWriter {
         StoreWriter::start(store, LEASE_RESPONSE_TIMEOUT)
     }
 
-    /// Writes a slice's table.
+    /// Queues a slice's table.
     pub fn write_table(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>) {
         let write = PendingWrite { epoch, entries, handoff: None };
         self.state.writes.lock().expect("no holder panics").insert(slice, write);
         self.state.wake.post();
     }
 
-    /// Writes the table of a slice that is released, with the handoff for its next holder.
+    /// Queues the table of a slice that is being released, with the handoff for its next holder. It is written once
+    /// the writer is woken, at the latest by [`StoreWriter::allow_release`].
     pub fn hand_over(&self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: &SliceHandoff) {
         let write = PendingWrite { epoch, entries, handoff: Some(handoff.into()) };
         self.state.writes.lock().expect("no holder panics").insert(slice, write);
     }
 
-    /// All that is to be written of these slices has been passed on.
+    /// Permits the release of these slices, since their last tables have been queued.
     pub fn allow_release(&self, slices: &[SliceId]) {
         let mut releasable = self.state.releasable.lock().expect("no holder panics");
         releasable.extend(slices.iter().map(|slice| slice.0));
@@ -106,25 +111,25 @@
         self.state.wake.post();
     }
 
-    /// Sends a request for leases.
+    /// Queues a lease request.
     pub fn request_leases(&self, request: LeaseRequest) {
         let pending = PendingRequest { requested_at: now(), request };
         *self.state.request.lock().expect("no holder panics") = Some(pending);
         self.state.wake.post();
     }
 
-    /// The latest response to a request for leases, once.
+    /// Takes the latest response to a lease request. Each response is returned once.
     pub fn take_lease_response(&self) -> Option<LeasedTables> {
         self.state.response.lock().expect("no holder panics").take()
     }
 
-    /// Tables that the store rejected so far.
+    /// Number of tables that the store has rejected.
     pub fn tables_rejected(&self) -> u64 {
         self.state.tables_rejected.load(Ordering::Relaxed)
     }
 }
 
-/// Reads all slices, again and again until the store responds.
+/// Reads all slices and sends them to the inbox. The request is repeated until it succeeds.
 fn read_slices(store: SocketAddr, inbox: &Inbox) {
     let mut client = StoreClient::new(store, RESPONSE_TIMEOUT);
     loop {
@@ -155,7 +160,8 @@
     }
 }
 
-/// Slices that a request releases are written first: the owner of the core learns of them at the same time.
+/// Waits until the last tables of the slices that the pending request releases have been queued, so that they are
+/// written first: the owner of the core learns of the release at the same time as the request is queued.
 fn wait_for_released_tables(state: &WriterState) {
     let released: Vec<u16> = match &*state.request.lock().expect("no holder panics") {
         Some(pending) => pending.request.release.iter().map(|(slice, _)| *slice).collect(),
@@ -174,7 +180,7 @@
     }
 }
 
-/// Writes what waits. What could not be written waits on, unless there is a later table of its slice.
+/// Writes the queued tables. If this fails, they are queued again unless a later table of their slice has been queued.
 fn write_pending(client: &mut StoreClient, state: &WriterState) -> Result<(), StoreError> {
     let batch = std::mem::take(&mut *state.writes.lock().expect("no holder panics"));
     if batch.is_empty() {
