--- a/crates/railhub-controller/src/store/bodies/tests.rs
+++ b/crates/railhub-controller/src/store/bodies/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn what_cannot_be_believed_of_a_slice_is_left_out() {
+fn ignores_invalid_handoffs() {
     let good =
         serde_json::json!({ "version": 1, "rate": 12.5, "rests": 2.0, "home": "127.0.0.1:80", "new": 1 });
     assert_eq!(handoff(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn reads_the_lease_response_under_its_name_on_the_wire() {
+fn reads_lease_response_by_wire_name() {
     let answer = serde_json::json!({
         "says": { "number": 3, "granted": [[5, 7]], "refused": [6] },
         "tables": [],
--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet around a controller, and peers that are driven step by step.
+//! A small fleet around a controller, and proxies that are driven step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
 use railhub_controller::{Installation, Running};
@@ -18,16 +18,16 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything here takes; only a failing test waits for it.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Fleet {
     pub hosts: Vec<ListeningHost>,
-    pub roster: EndpointList,
+    pub endpoint_list: EndpointList,
     pub store: Store,
     pub installation: Installation,
 }
 
-fn facts(zone: u32) -> HostConfig {
+fn host_config(zone: u32) -> HostConfig {
     HostConfig {
         zone,
         kind: 0,
@@ -79,14 +79,14 @@
     }
 }
 
-pub fn fleet(hosts: usize, slices: u16) -> Fleet {
+pub fn open_fleet(hosts: usize, slices: u16) -> Fleet {
     static START: Once = Once::new();
     START.call_once(railhub_net::start_runtime);
     let recorder = Recorder::start(None).expect("in memory");
     let classes = Arc::new(vec![operation_class()]);
-    let open = |n| {
+    let open = |index| {
         let host = ListeningHost::open(
-            facts(n % 2),
+            host_config(index % 2),
             classes.clone(),
             SharedSeenOperations::default(),
             recorder.clone(),
@@ -96,14 +96,14 @@
         host
     };
     let hosts: Vec<ListeningHost> = (0..hosts as u32).map(open).collect();
-    let roster = EndpointList::open(recorder.clone()).expect("loopback");
-    roster.update((0..hosts.len()).map(|n| entry(&hosts, n, READY)).collect());
+    let endpoint_list = EndpointList::open(recorder.clone()).expect("loopback");
+    endpoint_list.update((0..hosts.len()).map(|index| entry(&hosts, index, READY)).collect());
     let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
     let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
     let installation = Installation {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-        endpoint_list: roster.address,
+        endpoint_list: endpoint_list.address,
         store: (slices > 0).then_some(store.address),
         config: controller_config(slices),
         class_names: vec!["view".into()],
@@ -117,11 +117,11 @@
         traffic: None,
         membership: None,
     };
-    Fleet { hosts, roster, store, installation }
+    Fleet { hosts, endpoint_list, store, installation }
 }
 
-pub fn entry(hosts: &[ListeningHost], n: usize, phase: &'static str) -> ListedEndpoint {
-    let host = hosts[n].host.address;
+pub fn entry(hosts: &[ListeningHost], index: usize, phase: &'static str) -> ListedEndpoint {
+    let host = hosts[index].host.address;
     ListedEndpoint { host, phase, started: None, weight: 4.0, kind: 0 }
 }
 
@@ -130,20 +130,20 @@
         Running::start(self.installation.clone()).expect("loopback")
     }
 
-    pub fn list(&self, n: usize, phase: &'static str) {
-        self.roster.update(vec![entry(&self.hosts, n, phase)]);
+    pub fn set_phase(&self, host_index: usize, phase: &'static str) {
+        self.endpoint_list.update(vec![entry(&self.hosts, host_index, phase)]);
     }
 
-    pub fn address(&self, n: usize) -> SocketAddr {
-        self.hosts[n].host.address
+    pub fn address(&self, host_index: usize) -> SocketAddr {
+        self.hosts[host_index].host.address
     }
 }
 
 /// A proxy that does what a test says.
-pub struct Peer {
+pub struct TestProxy {
     pub stream: TcpStream,
     deframer: Deframer,
-    pub held: RoutingState,
+    pub routing: RoutingState,
 }
 
 /// What ended a wait.
@@ -155,19 +155,19 @@
     Nothing,
 }
 
-impl Peer {
-    pub fn connect(controller: SocketAddr, number: u32) -> Peer {
-        Peer::connect_as(controller, number, u64::from(number) + 1, RoutingState::default())
+impl TestProxy {
+    pub fn connect(controller: SocketAddr, number: u32) -> TestProxy {
+        TestProxy::connect_as(controller, number, u64::from(number) + 1, RoutingState::default())
     }
 
     /// As such a process, holding something already.
-    pub fn connect_as(controller: SocketAddr, number: u32, process: u64, held: RoutingState) -> Peer {
+    pub fn connect_as(controller: SocketAddr, number: u32, process: u64, routing: RoutingState) -> TestProxy {
         let stream = TcpStream::connect(controller).expect("the steward listens");
-        let mut peer = Peer::new(stream, held);
-        let (incarnation, version) = (peer.held.incarnation, peer.held.version);
+        let mut proxy = TestProxy::new(stream, routing);
+        let (incarnation, version) = (proxy.routing.incarnation, proxy.routing.version);
         let subscribe = Subscribe { proxy: number, zone: number % 2, process, incarnation, version };
-        peer.send(from_proxy::Payload::Subscribe(subscribe));
-        peer
+        proxy.send(from_proxy::Payload::Subscribe(subscribe));
+        proxy
     }
 
     /// The same, dialled again while it is turned away since the end of an earlier process is not seen yet; with its
@@ -176,30 +176,30 @@
         controller: SocketAddr,
         number: u32,
         process: u64,
-        held: &RoutingState,
-    ) -> (Peer, Delta) {
-        let until = Instant::now() + LONG;
+        routing: &RoutingState,
+    ) -> (TestProxy, Delta) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let mut peer = Peer::connect_as(controller, number, process, held.clone());
-            match peer.receive(LONG) {
-                Received::Delta(delta) => return (peer, *delta),
-                other => assert!(Instant::now() < until, "still turned away: {other:?}"),
+            let mut proxy = TestProxy::connect_as(controller, number, process, routing.clone());
+            match proxy.receive(TEST_TIMEOUT) {
+                Received::Delta(delta) => return (proxy, *delta),
+                other => assert!(Instant::now() < deadline, "still turned away: {other:?}"),
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// A connection that has said nothing yet.
-    pub fn new(stream: TcpStream, held: RoutingState) -> Peer {
-        Peer { stream, deframer: Deframer::new(MAX_FROM_CONTROLLER_BYTES), held }
+    pub fn new(stream: TcpStream, routing: RoutingState) -> TestProxy {
+        TestProxy { stream, deframer: Deframer::new(MAX_FROM_CONTROLLER_BYTES), routing }
     }
 
     pub fn send(&mut self, payload: from_proxy::Payload) {
         let _ = self.stream.write_all(&frame(&FromProxy { payload: Some(payload) }));
     }
 
-    pub fn receive(&mut self, within: Duration) -> Received {
-        let until = Instant::now() + within;
+    pub fn receive(&mut self, timeout: Duration) -> Received {
+        let deadline = Instant::now() + timeout;
         loop {
             match self.deframer.message::<FromController>().expect("a steward sends messages") {
                 Some(FromController { payload: Some(from_controller::Payload::Delta(delta)) }) => {
@@ -210,7 +210,7 @@
                 }
                 _ => {}
             }
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Received::Nothing;
             }
@@ -219,8 +219,11 @@
             match self.stream.read(&mut bytes) {
                 Ok(0) => return Received::Closed,
                 Ok(read) => self.deframer.push(&bytes[..read]),
-                Err(e)
-                    if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                    ) =>
                 {
                     return Received::Nothing
                 }
@@ -230,8 +233,8 @@
     }
 
     /// The next delta, neither taken in nor answered.
-    pub fn delta(&mut self) -> Delta {
-        match self.receive(LONG) {
+    pub fn next_delta(&mut self) -> Delta {
+        match self.receive(TEST_TIMEOUT) {
             Received::Delta(delta) => *delta,
             other => panic!("a delta was due, not {other:?}"),
         }
@@ -239,20 +242,20 @@
 
     /// Takes a delta in and says so.
     pub fn acknowledge(&mut self, delta: &Delta) {
-        self.held.apply(delta).expect("a good delta");
+        self.routing.apply(delta).expect("a good delta");
         self.send(from_proxy::Payload::Ack(Ack { nonce: delta.nonce }));
     }
 
     pub fn reject(&mut self, delta: &Delta) {
-        self.held.has_gap = true;
+        self.routing.has_gap = true;
         self.send(from_proxy::Payload::Nack(Nack { nonce: delta.nonce, reason: "a test".into() }));
     }
 
     /// Obeys until what it holds is as wanted.
-    pub fn apply_until(&mut self, wanted: impl Fn(&RoutingState) -> bool) {
-        let until = Instant::now() + LONG;
-        while !wanted(&self.held) {
-            assert!(Instant::now() < until, "it never came to hold that: {:?}", self.held);
+    pub fn apply_until(&mut self, condition: impl Fn(&RoutingState) -> bool) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while !condition(&self.routing) {
+            assert!(Instant::now() < deadline, "it never came to hold that: {:?}", self.routing);
             if let Received::Delta(delta) = self.receive(Duration::from_millis(200)) {
                 self.acknowledge(&delta);
             }
@@ -260,9 +263,9 @@
     }
 
     /// Obeys for so long.
-    pub fn apply_for(&mut self, span: Duration) {
-        let until = Instant::now() + span;
-        while let Some(left) = until.checked_duration_since(Instant::now()) {
+    pub fn apply_for(&mut self, duration: Duration) {
+        let deadline = Instant::now() + duration;
+        while let Some(left) = deadline.checked_duration_since(Instant::now()) {
             match self.receive(left) {
                 Received::Delta(delta) => self.acknowledge(&delta),
                 Received::Nothing => {}
@@ -277,24 +280,24 @@
 }
 
 /// Whether any line of a table names the host.
-pub fn names(held: &RoutingState, host: SocketAddr) -> bool {
-    held.tables().values().flatten().any(|line| line.0 == host)
+pub fn routes_to(routing: &RoutingState, host: SocketAddr) -> bool {
+    routing.tables().values().flatten().any(|line| line.0 == host)
 }
 
 /// All tables, their lines in order.
-pub fn tables(held: &RoutingState) -> Vec<(u32, Vec<(SocketAddr, f64)>)> {
+pub fn sorted_tables(routing: &RoutingState) -> Vec<(u32, Vec<(SocketAddr, f64)>)> {
     let sorted = |lines: &Vec<(SocketAddr, f64)>| {
         let mut lines = lines.clone();
         lines.sort_by_key(|line| line.0);
         lines
     };
-    held.tables().iter().filter(|(_, t)| !t.is_empty()).map(|(slice, t)| (*slice, sorted(t))).collect()
+    routing.tables().iter().filter(|(_, t)| !t.is_empty()).map(|(slice, t)| (*slice, sorted(t))).collect()
 }
 
-pub fn eventually(what: &str, holds: impl Fn() -> bool) {
-    let until = Instant::now() + LONG;
-    while !holds() {
-        assert!(Instant::now() < until, "never came about: {what}");
+pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "never came about: {description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/railhub-controller/tests/membership_json.rs
+++ b/crates/railhub-controller/tests/membership_json.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn store_faults_json() {
-    let broken = StoreFaults { reuses_epochs: true, skips_write_check: false, skips_grace_period: true };
-    assert_json(&broken, r#"{"reuses_epochs":true,"writes_unchecked":false,"not_quiet":true}"#);
+    let faults = StoreFaults { reuses_epochs: true, skips_write_check: false, skips_grace_period: true };
+    assert_json(&faults, r#"{"reuses_epochs":true,"writes_unchecked":false,"not_quiet":true}"#);
 }
 
 #[test]
@@ -118,7 +118,7 @@
 
 #[test]
 fn dropped_datagrams_json() {
-    let mut drops = DroppedDatagrams::default();
+    let mut dropped = DroppedDatagrams::default();
     let all = [
         DecodeError::Oversized,
         DecodeError::Corrupt,
@@ -127,10 +127,10 @@
         DecodeError::Malformed,
     ];
     for (count, cause) in all.into_iter().enumerate() {
-        (0..=count).for_each(|_| drops.count(cause));
+        (0..=count).for_each(|_| dropped.count(cause));
     }
     assert_eq!(
-        serde_json::to_string(&drops).expect("it can be written"),
+        serde_json::to_string(&dropped).expect("it can be written"),
         r#"{"oversized":1,"spoilt":2,"version":3,"foreign":4,"malformed":5}"#
     );
 }
--- a/crates/railhub-controller/tests/handover.rs
+++ b/crates/railhub-controller/tests/slice_handoff.rs
@@ -44,15 +44,15 @@
 
 #[derive(Default)]
 struct RecordingEnvironment {
-    handed_on: Vec<(SliceId, u64, SliceHandoff)>,
+    handoffs: Vec<(SliceId, u64, SliceHandoff)>,
 }
 
 impl Environment for RecordingEnvironment {
     fn check_health(&mut self, _: HostId) {}
     fn store_table(&mut self, _: SliceId, _: u64, _: Vec<WeightedHost>) {}
-    fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, state: SliceHandoff) {
+    fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: SliceHandoff) {
         assert!(!entries.is_empty(), "the table goes along");
-        self.handed_on.push((slice, epoch, state));
+        self.handoffs.push((slice, epoch, handoff));
     }
     fn decided(&mut self, _: &str) {}
     fn published(&mut self, _: &Change, _: u64) {}
@@ -72,8 +72,8 @@
     let installation = Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
-    let terms = ControllerConfig { classes, ..installation.config.clone() };
-    let mut core = ControllerCore::new(Installation { config: terms, ..installation }, process, 0.0);
+    let config = ControllerConfig { classes, ..installation.config.clone() };
+    let mut core = ControllerCore::new(Installation { config, ..installation }, process, 0.0);
     let entry = |n| EndpointEntry {
         host: host(n),
         phase: Phase::Ready,
@@ -96,7 +96,7 @@
 }
 
 /// A second of the core's life, with what a proxy met meanwhile.
-fn second(
+fn run_one_second(
     core: &mut ControllerCore<RecordingChannel>,
     now: Seconds,
     operations: u32,
@@ -128,28 +128,30 @@
 }
 
 #[test]
-fn an_heir_knows_what_a_slice_brought_and_forgets_it_when_that_is_old() {
-    let (mut first, mut environment) = (core(1), RecordingEnvironment::default());
-    let sent = join(&mut first, &mut environment);
-    first.on_lease_changes(0.0, acquired(1, None), &mut environment);
-    (0..6).for_each(|n| second(&mut first, 0.1 + f64::from(n), 40, &mut environment));
-    first.on_lease_changes(6.0, lost(), &mut environment);
-    let (slice, epoch, state) = environment.handed_on.pop().expect("it tells of what it gives up");
+fn next_holder_uses_recent_handoff_and_ignores_old_one() {
+    let (mut first_holder, mut environment) = (core(1), RecordingEnvironment::default());
+    let channel = join(&mut first_holder, &mut environment);
+    first_holder.on_lease_changes(0.0, acquired(1, None), &mut environment);
+    (0..6).for_each(|n| run_one_second(&mut first_holder, 0.1 + f64::from(n), 40, &mut environment));
+    first_holder.on_lease_changes(6.0, lost(), &mut environment);
+    let (slice, epoch, handoff) = environment.handoffs.pop().expect("it tells of what it gives up");
     assert_eq!((slice, epoch), (SLICE, 1));
-    assert!((25.0..60.0).contains(&state.rate), "{state:?}");
+    assert!((25.0..60.0).contains(&handoff.rate), "{handoff:?}");
     // Nothing is published of the slice any more, and what was published bears its epoch.
-    let before = sent.0.lock().expect("no holder panics").len();
-    (6..9).for_each(|n| second(&mut first, 0.1 + f64::from(n), 40, &mut environment));
-    let published = sent.0.lock().expect("no holder panics").clone();
-    assert!(published[..before].iter().any(|publication| publication.change.epochs.get(&SLICE) == Some(&1)));
-    assert!(published[before..].iter().all(|publication| publication.change.slices().is_empty()));
+    let published_before = channel.0.lock().expect("no holder panics").len();
+    (6..9).for_each(|n| run_one_second(&mut first_holder, 0.1 + f64::from(n), 40, &mut environment));
+    let published = channel.0.lock().expect("no holder panics").clone();
+    assert!(published[..published_before]
+        .iter()
+        .any(|publication| publication.change.epochs.get(&SLICE) == Some(&1)));
+    assert!(published[published_before..].iter().all(|publication| publication.change.slices().is_empty()));
     let rate_after = |age: Seconds| {
         let (mut next_holder, mut environment) = (core(2), RecordingEnvironment::default());
-        next_holder.on_lease_changes(10.0, acquired(2, Some((state, age))), &mut environment);
+        next_holder.on_lease_changes(10.0, acquired(2, Some((handoff, age))), &mut environment);
         next_holder.process(10.0, || 10.0, &mut environment);
         next_holder.on_lease_changes(10.1, lost(), &mut environment);
-        environment.handed_on.pop().expect("it tells on").2.rate
+        environment.handoffs.pop().expect("it tells on").2.rate
     };
-    assert!((rate_after(0.3) - state.rate).abs() < 1e-6, "as the former one knew it");
+    assert!((rate_after(0.3) - handoff.rate).abs() < 1e-6, "as the former one knew it");
     assert_eq!(rate_after(60.0), 0.0, "a minute old: it begins anew");
 }
--- a/crates/railhub-controller/tests/wire_fixtures.rs
+++ b/crates/railhub-controller/tests/wire_fixtures.rs
@@ -15,14 +15,14 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything here takes; only a failing test waits for it.
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn start() {
+fn start_runtime() {
     static START: Once = Once::new();
     START.call_once(railhub_net::start_runtime);
 }
 
-fn read(text: &str) -> Installation {
+fn read_installation(text: &str) -> Installation {
     Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right")
 }
 
@@ -32,60 +32,60 @@
 
 /// A request as it came: its line and its body.
 #[derive(Clone, Debug, PartialEq)]
-struct Exchange {
+struct Request {
     line: String,
     body: String,
 }
 
-type Respond = dyn Fn(&Exchange, usize) -> Option<String> + Send + Sync;
+type Respond = dyn Fn(&Request, usize) -> Option<String> + Send + Sync;
 
 /// A server that keeps what it is sent; each request is answered with a body, or left without an answer. The second
 /// argument of `respond` is the number of earlier requests with the same line.
-struct Server {
+struct RecordingServer {
     address: SocketAddr,
-    exchanges: Arc<Mutex<Vec<Exchange>>>,
+    requests: Arc<Mutex<Vec<Request>>>,
 }
 
-impl Server {
-    fn start(respond: impl Fn(&Exchange, usize) -> Option<String> + Send + Sync + 'static) -> Server {
+impl RecordingServer {
+    fn start(respond: impl Fn(&Request, usize) -> Option<String> + Send + Sync + 'static) -> RecordingServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
         let address = listener.local_addr().expect("bound");
-        let exchanges: Arc<Mutex<Vec<Exchange>>> = Arc::default();
-        let (kept, respond): (_, Arc<Respond>) = (exchanges.clone(), Arc::new(respond));
+        let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
+        let (recorded, respond): (_, Arc<Respond>) = (requests.clone(), Arc::new(respond));
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (kept, respond) = (kept.clone(), respond.clone());
-                std::thread::spawn(move || serve(stream, &kept, &*respond));
+                let (recorded, respond) = (recorded.clone(), respond.clone());
+                std::thread::spawn(move || serve(stream, &recorded, &*respond));
             }
         });
-        Server { address, exchanges }
+        RecordingServer { address, requests }
     }
 
     /// Bodies of the requests with such a line, as soon as there are so many.
-    fn bodies(&self, line: &str, least: usize) -> Vec<String> {
-        let until = Instant::now() + LONG;
+    fn bodies(&self, line: &str, min_count: usize) -> Vec<String> {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let exchanges = self.exchanges.lock().expect("no holder panics").clone();
-            let of_line = exchanges.iter().filter(|exchange| exchange.line == line);
-            let bodies: Vec<String> = of_line.map(|exchange| exchange.body.clone()).collect();
-            if bodies.len() >= least {
+            let requests = self.requests.lock().expect("no holder panics").clone();
+            let of_line = requests.iter().filter(|request| request.line == line);
+            let bodies: Vec<String> = of_line.map(|request| request.body.clone()).collect();
+            if bodies.len() >= min_count {
                 return bodies;
             }
-            assert!(Instant::now() < until, "no {least} requests {line}: {exchanges:?}");
+            assert!(Instant::now() < deadline, "no {min_count} requests {line}: {requests:?}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-fn serve(stream: TcpStream, kept: &Mutex<Vec<Exchange>>, respond: &Respond) {
+fn serve(stream: TcpStream, recorded: &Mutex<Vec<Request>>, respond: &Respond) {
     let mut reader = BufReader::new(stream);
-    while let Some(exchange) = read_request(&mut reader) {
+    while let Some(request) = read_http_request(&mut reader) {
         let earlier = {
-            let mut kept = kept.lock().expect("no holder panics");
-            kept.push(exchange.clone());
-            kept.iter().filter(|other| other.line == exchange.line).count() - 1
+            let mut recorded = recorded.lock().expect("no holder panics");
+            recorded.push(request.clone());
+            recorded.iter().filter(|other| other.line == request.line).count() - 1
         };
-        let Some(body) = respond(&exchange, earlier) else { return std::thread::sleep(LONG) };
+        let Some(body) = respond(&request, earlier) else { return std::thread::sleep(TEST_TIMEOUT) };
         let head = format!("HTTP/1.1 200 .\r\ncontent-length: {}\r\n\r\n", body.len());
         if reader.get_mut().write_all((head + &body).as_bytes()).is_err() {
             return;
@@ -93,7 +93,7 @@
     }
 }
 
-fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Exchange> {
+fn read_http_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let (mut line, mut length) = (String::new(), 0);
     reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
     loop {
@@ -108,18 +108,18 @@
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(Exchange { line: line.trim_end().to_owned(), body: String::from_utf8(body).ok()? })
+    Some(Request { line: line.trim_end().to_owned(), body: String::from_utf8(body).ok()? })
 }
 
 /// A host that passes its health checks.
-fn host() -> Server {
-    Server::start(|_, _| Some(String::new()))
+fn healthy_host() -> RecordingServer {
+    RecordingServer::start(|_, _| Some(String::new()))
 }
 
 /// An endpoint list with the first host ready; after `drains_after` it is draining.
-fn endpoint_list(first: SocketAddr, second: SocketAddr, drains_after: Option<Duration>) -> Server {
-    Server::start(move |exchange, _| {
-        match exchange.line.as_str() {
+fn endpoint_list(first: SocketAddr, second: SocketAddr, drains_after: Option<Duration>) -> RecordingServer {
+    RecordingServer::start(move |request, _| {
+        match request.line.as_str() {
         "GET /hosts?after=0 HTTP/1.1" => Some(format!(
             "{{\"version\":7,\"whole\":true,\"hosts\":[\
              {{\"host\":\"{first}\",\"phase\":\"ready\",\"started\":null,\"weight\":4.0,\"kind\":0}},\
@@ -138,12 +138,12 @@
 }
 
 #[test]
-fn a_controller_alone_exchanges_the_same_bodies_with_list_and_store() {
-    start();
-    let (first, second) = (host(), host());
+fn request_bodies_without_sharing() {
+    start_runtime();
+    let (first, second) = (healthy_host(), healthy_host());
     let (from, to) = (first.address, second.address);
     let list = endpoint_list(from, to, Some(Duration::from_millis(300)));
-    let store = Server::start(move |exchange, _| match exchange.line.as_str() {
+    let store = RecordingServer::start(move |request, _| match request.line.as_str() {
         "GET /charges HTTP/1.1" => Some(format!("[{{\"slice\":0,\"lines\":[[\"{from}\",1.0]]}}]")),
         _ => Some("[]".into()),
     });
@@ -151,7 +151,7 @@
         "[steward]\nroster = {}\nstore = {}\nslices = 1\n[class any]\ncontract_time = 1\n",
         list.address, store.address
     );
-    let running = Running::start(read(&text)).expect("loopback");
+    let running = Running::start(read_installation(&text)).expect("loopback");
     assert_eq!(list.bodies("GET /hosts?after=0 HTTP/1.1", 1), [""]);
     assert_eq!(store.bodies("GET /charges HTTP/1.1", 1), [""]);
     assert_eq!(list.bodies("GET /hosts?after=9 HTTP/1.1", 1), [""]);
@@ -164,23 +164,23 @@
 }
 
 #[test]
-fn a_controller_that_shares_exchanges_the_same_bodies_with_its_store() {
-    start();
-    let (first, second) = (host(), host());
+fn lease_request_bodies_with_sharing() {
+    start_runtime();
+    let (first, second) = (healthy_host(), healthy_host());
     let from = first.address;
     let list = endpoint_list(from, second.address, None);
-    let store = Server::start(move |exchange, earlier| match (exchange.line.as_str(), earlier) {
+    let store = RecordingServer::start(move |request, earlier| match (request.line.as_str(), earlier) {
         ("POST /leases HTTP/1.1", 0) => Some(format!(
             "{{\"says\":{{\"number\":1,\"granted\":[[0,5]],\"refused\":[1]}},\"tables\":[\
              {{\"slice\":0,\"epoch\":5,\"lines\":[[\"{from}\",1.0]],\
              \"state\":{{\"version\":1,\"rate\":12.5,\"rests\":0.0,\"home\":\"{from}\"}},\"age\":0.25}}]}}"
         )),
         ("POST /leases HTTP/1.1", _) => {
-            let number = exchange.body.strip_prefix("{\"number\":").expect("the number goes first");
+            let number = request.body.strip_prefix("{\"number\":").expect("the number goes first");
             let (number, _) = number.split_once(',').expect("more than a number");
-            let granted = if exchange.body.contains("\"renew\":[[0,5]]") { "[0,5]" } else { "" };
-            let says = format!("{{\"number\":{number},\"granted\":[{granted}],\"refused\":[]}}");
-            Some(format!("{{\"says\":{says},\"tables\":[]}}"))
+            let granted = if request.body.contains("\"renew\":[[0,5]]") { "[0,5]" } else { "" };
+            let response = format!("{{\"number\":{number},\"granted\":[{granted}],\"refused\":[]}}");
+            Some(format!("{{\"says\":{response},\"tables\":[]}}"))
         }
         _ => Some("[]".into()),
     });
@@ -191,20 +191,21 @@
             list.address, store.address
         )
     };
-    let mut running = Running::start(read(&text(1, 77, ""))).expect("loopback");
-    let taken = "{\"number\":1,\"process\":77,\"span\":3.0,\"take\":[0,1],\"renew\":[],\"release\":[]}";
-    assert_eq!(store.bodies("POST /leases HTTP/1.1", 1)[0], taken);
-    let until = Instant::now() + LONG;
+    let mut running = Running::start(read_installation(&text(1, 77, ""))).expect("loopback");
+    let first_request =
+        "{\"number\":1,\"process\":77,\"span\":3.0,\"take\":[0,1],\"renew\":[],\"release\":[]}";
+    assert_eq!(store.bodies("POST /leases HTTP/1.1", 1)[0], first_request);
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let holds_one = || running.membership_figures().is_some_and(|figures| figures.leases == 1);
     while !holds_one() {
-        assert!(Instant::now() < until, "the slice never came");
+        assert!(Instant::now() < deadline, "the slice never came");
         std::thread::sleep(Duration::from_millis(10));
     }
     // The one that it hands the slice to; the store grants it nothing.
     let join = format!("join = {}\n", running.membership_address().expect("it shares"));
-    let other = Running::start(read(&text(2, 78, &join))).expect("loopback");
+    let other = Running::start(read_installation(&text(2, 78, &join))).expect("loopback");
     while running.membership_figures().is_none_or(|figures| figures.alive < 2) {
-        assert!(Instant::now() < until, "the other one is not seen");
+        assert!(Instant::now() < deadline, "the other one is not seen");
         std::thread::sleep(Duration::from_millis(10));
     }
     running.leave();
@@ -213,16 +214,19 @@
     let bodies = store.bodies("POST /leases HTTP/1.1", 2);
     assert!(bodies.iter().any(|body| body.ends_with(released)), "{bodies:?}");
     let written = store.bodies("PUT /tables HTTP/1.1", 1).pop().expect("one at least");
-    let (table, state) = written.split_once(",\"state\":").expect("what the next one is told");
+    let (table, handoff) = written.split_once(",\"state\":").expect("what the next one is told");
     assert!(table.starts_with("[{\"slice\":0,\"epoch\":5,\"lines\":[[\"127.0.0.1:"), "{written}");
-    let (home, rate) = state.split_once(",\"rate\":").expect("a rate");
-    assert!(home == "{\"home\":null" || home.starts_with("{\"home\":\"127.0.0.1:"), "{written}");
-    let (_, rests) = rate.split_once(",\"rests\":").expect("a rest");
-    assert!(rests.ends_with(",\"version\":1},\"age\":0.0}]"), "{written}");
+    let (preferred_host, rate) = handoff.split_once(",\"rate\":").expect("a rate");
+    assert!(
+        preferred_host == "{\"home\":null" || preferred_host.starts_with("{\"home\":\"127.0.0.1:"),
+        "{written}"
+    );
+    let (_, pinned_for) = rate.split_once(",\"rests\":").expect("a rest");
+    assert!(pinned_for.ends_with(",\"version\":1},\"age\":0.0}]"), "{written}");
 }
 
 #[test]
-fn every_key_of_the_file_is_read_into_its_place() {
+fn reads_every_key_of_the_file() {
     let text = "[steward]\nlisten = 127.0.0.1:7000\nroster = 127.0.0.1:7001\nstore = 127.0.0.1:7002\nslices = 40\n\
         single_owner = yes\nprobes = no\nremoval_binds = no\nlevels = no\ntraffic = ops.traffic\n\
         [limits]\nreports_a_second = 801\nprobe_within = 0.3\nprobes_at_once = 65\nstuck_after = 11\n\
@@ -235,36 +239,43 @@
         [fleet]\nid = 3\ninstallation = shop\nlisten = 127.0.0.1:7003\nadvertise = 127.0.0.1:7004\n\
         join = 127.0.0.1:7005, 127.0.0.1:7006\nforget_after = 22\nshare = yes\nlease = 4\nclock_speed = 1.5\n\
         clock_jumps_after = 23\nclock_jumps_by = 24\nprocess = 25\nwithout = rumour bound\n";
-    let read = read(text);
+    let installation = read_installation(text);
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     assert_eq!(
-        (read.listen, read.endpoint_list, read.store),
+        (installation.listen, installation.endpoint_list, installation.store),
         (address(7000), address(7001), Some(address(7002)))
     );
-    assert_eq!(read.class_names, ["view", "pay", "near"]);
+    assert_eq!(installation.class_names, ["view", "pay", "near"]);
     assert_eq!(
-        (read.max_reports_per_second, read.health_check_timeout, read.max_concurrent_health_checks),
+        (
+            installation.max_reports_per_second,
+            installation.health_check_timeout,
+            installation.max_concurrent_health_checks
+        ),
         (801.0, 0.3, 65)
     );
-    assert_eq!((read.response_timeout, read.subscribe_timeout, read.idle_timeout), (11.0, 6.0, 12.0));
-    assert_eq!(read.max_streams, 13);
-    assert_eq!(read.traffic.as_deref(), Some(Path::new("ops.traffic")));
-    let terms = &read.config;
-    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (40, true, false));
-    assert_eq!((terms.delisted_may_serve, terms.admission_by_fraction), (true, false));
     assert_eq!(
-        (terms.write_lease, terms.max_write_duration, terms.cold_capacity_fraction),
+        (installation.response_timeout, installation.subscribe_timeout, installation.idle_timeout),
+        (11.0, 6.0, 12.0)
+    );
+    assert_eq!(installation.max_streams, 13);
+    assert_eq!(installation.traffic.as_deref(), Some(Path::new("ops.traffic")));
+    let config = &installation.config;
+    assert_eq!((config.slice_count, config.single_owner, config.health_checks_allowed), (40, true, false));
+    assert_eq!((config.delisted_may_serve, config.admission_by_fraction), (true, false));
+    assert_eq!(
+        (config.write_lease, config.max_write_duration, config.cold_capacity_fraction),
         (14.0, 15.0, 0.5)
     );
-    assert_eq!((terms.warm_up_time, terms.overload_multiple, terms.backlog_limit), (16.0, 3.5, 17.0));
-    assert_eq!((terms.message_overhead, terms.message_quota), (18.0, 19));
-    assert_eq!((terms.message_quota_window, terms.first_attempt_timeout_multiple), (20.0, 21.0));
+    assert_eq!((config.warm_up_time, config.overload_multiple, config.backlog_limit), (16.0, 3.5, 17.0));
+    assert_eq!((config.message_overhead, config.message_quota), (18.0, 19));
+    assert_eq!((config.message_quota_window, config.first_attempt_timeout_multiple), (20.0, 21.0));
     let classes: Vec<_> =
-        terms.classes.iter().map(|c| (c.contract_time, c.priority_weight, c.idempotency)).collect();
+        config.classes.iter().map(|c| (c.contract_time, c.priority_weight, c.idempotency)).collect();
     let keyed = Idempotency::IdempotencyKeyGlobal(30.0);
     let nearby = Idempotency::IdempotencyKeyLocal;
     assert_eq!(classes, [(0.8, 2.0, Idempotency::Safe), (1.2, 1.0, keyed), (1.3, 1.0, nearby)]);
-    let fleet = read.membership.expect("a section of its own");
+    let fleet = installation.membership.expect("a section of its own");
     assert_eq!((fleet.id.0, fleet.installation.as_str(), fleet.share), (3, "shop", true));
     assert_eq!((fleet.listen, fleet.advertise), (address(7003), Some(address(7004))));
     assert_eq!(fleet.join, [address(7005), address(7006)]);
@@ -276,26 +287,36 @@
 }
 
 #[test]
-fn a_file_with_no_limits_gets_the_same_defaults() {
-    let read = read("[steward]\nroster = 127.0.0.1:7001\n[class view]\ncontract_time = 0.8\n[fleet]\nid = 1\ninstallation = a\n");
-    assert_eq!((read.listen.port(), read.store, read.traffic.is_none()), (0, None, true));
+fn default_settings() {
+    let installation = read_installation("[steward]\nroster = 127.0.0.1:7001\n[class view]\ncontract_time = 0.8\n[fleet]\nid = 1\ninstallation = a\n");
     assert_eq!(
-        (read.max_reports_per_second, read.health_check_timeout, read.max_concurrent_health_checks),
+        (installation.listen.port(), installation.store, installation.traffic.is_none()),
+        (0, None, true)
+    );
+    assert_eq!(
+        (
+            installation.max_reports_per_second,
+            installation.health_check_timeout,
+            installation.max_concurrent_health_checks
+        ),
         (800.0, 0.4, 64)
     );
-    assert_eq!((read.response_timeout, read.subscribe_timeout, read.idle_timeout), (10.0, 5.0, 10.0));
-    assert_eq!(read.max_streams, 10_000);
-    let terms = &read.config;
-    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (0, false, true));
-    assert_eq!((terms.delisted_may_serve, terms.admission_by_fraction), (false, true));
     assert_eq!(
-        (terms.write_lease, terms.max_write_duration, terms.cold_capacity_fraction),
+        (installation.response_timeout, installation.subscribe_timeout, installation.idle_timeout),
+        (10.0, 5.0, 10.0)
+    );
+    assert_eq!(installation.max_streams, 10_000);
+    let config = &installation.config;
+    assert_eq!((config.slice_count, config.single_owner, config.health_checks_allowed), (0, false, true));
+    assert_eq!((config.delisted_may_serve, config.admission_by_fraction), (false, true));
+    assert_eq!(
+        (config.write_lease, config.max_write_duration, config.cold_capacity_fraction),
         (10.0, 10.0, 1.0)
     );
-    assert_eq!((terms.warm_up_time, terms.overload_multiple, terms.backlog_limit), (0.0, 2.5, 50_000.0));
-    assert_eq!((terms.message_overhead, terms.message_quota), (8.0, 20));
-    assert_eq!((terms.message_quota_window, terms.first_attempt_timeout_multiple), (10.0, 1.0));
-    let fleet = read.membership.expect("a section of its own");
+    assert_eq!((config.warm_up_time, config.overload_multiple, config.backlog_limit), (0.0, 2.5, 50_000.0));
+    assert_eq!((config.message_overhead, config.message_quota), (8.0, 20));
+    assert_eq!((config.message_quota_window, config.first_attempt_timeout_multiple), (10.0, 1.0));
+    let fleet = installation.membership.expect("a section of its own");
     assert_eq!((fleet.listen.port(), fleet.advertise, fleet.share), (0, None, false));
     assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (600.0, 3.0, None));
     let clock = fleet.clock;
@@ -304,7 +325,7 @@
 }
 
 #[test]
-fn a_publication_keeps_its_bytes() {
+fn publication_bytes() {
     let host = |name: &str| HostId::new(name).expect("a name");
     let change = Change {
         reset: true,
@@ -325,14 +346,14 @@
 }
 
 #[test]
-fn a_recorded_traffic_file_keeps_its_bytes() {
+fn traffic_file_bytes() {
     let path = std::env::temp_dir().join(format!("railhub-bytes-{}.traffic", std::process::id()));
     let text = format!(
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:2\nslices = 4\ntraffic = {}\n\
          [class view]\ncontract_time = 1\n[class pay]\ncontract_time = 1\n",
         path.display()
     );
-    let mut writer = TrafficWriter::start(&read(&text), 10.0).expect("writable").expect("named");
+    let mut writer = TrafficWriter::start(&read_installation(&text), 10.0).expect("writable").expect("named");
     let demand = |slice, class| SliceLoad { slice, class, operations: 30 };
     let report = |span, demand| LoadReport { span, hosts: Vec::new(), slices: demand };
     writer.record(15.0, ProxyId(3), ZoneId(1), &report(2.0, vec![demand(2, 0), demand(0, 1)]));
@@ -347,7 +368,7 @@
 }
 
 #[test]
-fn figures_keep_their_names() {
+fn figures_json_names() {
     assert_eq!(serde_json::to_string(&Figures::default()).expect("plain"), FIGURES);
     assert_eq!(serde_json::to_string(&MembershipFigures::default()).expect("plain"), FLEET_FIGURES);
 }
