--- a/crates/railhub-controller/src/membership/mod.rs
+++ b/crates/railhub-controller/src/membership/mod.rs
@@ -11,7 +11,7 @@
 //! 3. Each outgoing message is sent to the address in its receiver's metadata; each change of the view is logged.
 //!
 //! Life cycle of a lease:
-//! 1. The lease manager requests it. The store writer sends the request after all tables that are waiting to be written.
+//! 1. The lease manager requests it. The store writer sends the request after all tables that wait to be written.
 //! 2. The store's response contains the tables of the granted slices.
 //! 3. The lease table is updated first; then the owner of the core is sent the slices that were acquired, lost or have
 //!    expired.
--- a/crates/railhub-controller/src/membership/settings.rs
+++ b/crates/railhub-controller/src/membership/settings.rs
@@ -104,8 +104,8 @@
         );
     }
     if seeds.len() > MAX_SEEDS {
-        return Err(fleet
-            .diagnostic("join", format!("has {} addresses, at most {MAX_SEEDS} are allowed", seeds.len())));
+        let message = format!("has {} addresses, at most {MAX_SEEDS} are allowed", seeds.len());
+        return Err(fleet.diagnostic("join", message));
     }
     Ok(seeds)
 }
--- a/crates/railhub-controller/src/store/bodies/tests.rs
+++ b/crates/railhub-controller/src/store/bodies/tests.rs
@@ -6,11 +6,11 @@
 
 #[test]
 fn ignores_invalid_handoffs() {
-    let good =
+    let valid =
         serde_json::json!({ "version": 1, "rate": 12.5, "rests": 2.0, "home": "127.0.0.1:80", "new": 1 });
-    assert_eq!(handoff(good.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
+    assert_eq!(handoff(valid.clone(), 0.5).map(|(state, age)| (state.rate, age)), Some((12.5, 0.5)));
     let invalid = |key: &str, value: serde_json::Value| {
-        let mut state = good.clone();
+        let mut state = valid.clone();
         state[key] = value;
         handoff(state, 0.5)
     };
@@ -23,17 +23,18 @@
     ] {
         assert!(invalid(key, value.clone()).is_none(), "{key} {value}");
     }
-    assert!(handoff(serde_json::json!({ "version": 1 }), 0.1).is_none(), "cut short");
-    assert!(handoff(good, -3.0).is_none(), "from the future");
+    assert!(handoff(serde_json::json!({ "version": 1 }), 0.1).is_none(), "fields are missing");
+    assert!(handoff(valid, -3.0).is_none(), "a negative age means that it was written in the future");
 }
 
 #[test]
 fn reads_lease_response_by_wire_name() {
-    let answer = serde_json::json!({
+    let response = serde_json::json!({
         "says": { "number": 3, "granted": [[5, 7]], "refused": [6] },
         "tables": [],
     });
-    let leased: LeasedTables = serde_json::from_value(answer).expect("what a store of any version answers");
+    let leased: LeasedTables =
+        serde_json::from_value(response).expect("a response as stores of every version send it");
     assert_eq!((leased.response.number, leased.response.refused), (3, vec![6]));
     assert_eq!(leased.response.granted.len(), 1);
 }
--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet around a controller, and proxies that are driven step by step.
+//! A fixture of hosts, endpoint list and store for one controller, and proxies that tests drive step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
 use railhub_controller::{Installation, Running};
@@ -17,9 +17,10 @@
 use std::sync::{Arc, Once};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; only a failing test waits for it.
+/// Time limit of each wait; only failing tests reach it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Hosts, an endpoint list and a store, with the settings of a controller that uses them.
 pub struct Fleet {
     pub hosts: Vec<ListeningHost>,
     pub endpoint_list: EndpointList,
@@ -79,10 +80,11 @@
     }
 }
 
+/// Starts so many hosts, the endpoint list and a store in which each of the slices is assigned to one host.
 pub fn open_fleet(hosts: usize, slices: u16) -> Fleet {
     static START: Once = Once::new();
     START.call_once(railhub_net::start_runtime);
-    let recorder = Recorder::start(None).expect("in memory");
+    let recorder = Recorder::start(None).expect("a recorder without a file starts");
     let classes = Arc::new(vec![operation_class()]);
     let open = |index| {
         let host = ListeningHost::open(
@@ -91,16 +93,16 @@
             SharedSeenOperations::default(),
             recorder.clone(),
         );
-        let host = host.expect("loopback");
+        let host = host.expect("the host starts");
         host.host.start(false);
         host
     };
     let hosts: Vec<ListeningHost> = (0..hosts as u32).map(open).collect();
-    let endpoint_list = EndpointList::open(recorder.clone()).expect("loopback");
+    let endpoint_list = EndpointList::open(recorder.clone()).expect("the endpoint list starts");
     endpoint_list.update((0..hosts.len()).map(|index| entry(&hosts, index, READY)).collect());
     let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
     let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
-    let store = Store::open(tables.collect()).expect("loopback");
+    let store = Store::open(tables.collect()).expect("the store starts");
     let installation = Installation {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         endpoint_list: endpoint_list.address,
@@ -127,7 +129,7 @@
 
 impl Fleet {
     pub fn start(&self) -> Running {
-        Running::start(self.installation.clone()).expect("loopback")
+        Running::start(self.installation.clone()).expect("the controller starts")
     }
 
     pub fn set_phase(&self, host_index: usize, phase: &'static str) {
@@ -139,14 +141,14 @@
     }
 }
 
-/// A proxy that does what a test says.
+/// A proxy whose actions a test controls.
 pub struct TestProxy {
     pub stream: TcpStream,
     deframer: Deframer,
     pub routing: RoutingState,
 }
 
-/// What ended a wait.
+/// The result of waiting for a message of the controller.
 #[derive(Debug, PartialEq)]
 pub enum Received {
     Delta(Box<Delta>),
@@ -160,9 +162,9 @@
         TestProxy::connect_as(controller, number, u64::from(number) + 1, RoutingState::default())
     }
 
-    /// As such a process, holding something already.
+    /// Connects as the given process of the proxy, with the state that the proxy holds already.
     pub fn connect_as(controller: SocketAddr, number: u32, process: u64, routing: RoutingState) -> TestProxy {
-        let stream = TcpStream::connect(controller).expect("the steward listens");
+        let stream = TcpStream::connect(controller).expect("the controller listens");
         let mut proxy = TestProxy::new(stream, routing);
         let (incarnation, version) = (proxy.routing.incarnation, proxy.routing.version);
         let subscribe = Subscribe { proxy: number, zone: number % 2, process, incarnation, version };
@@ -170,8 +172,8 @@
         proxy
     }
 
-    /// The same, dialled again while it is turned away since the end of an earlier process is not seen yet; with its
-    /// first delta, neither taken in nor answered.
+    /// Connects as the given process and returns the first delta, neither applied nor acknowledged. The connection is
+    /// repeated while the controller rejects it because it has not noticed yet that an earlier process has ended.
     pub fn connect_after(
         controller: SocketAddr,
         number: u32,
@@ -183,13 +185,13 @@
             let mut proxy = TestProxy::connect_as(controller, number, process, routing.clone());
             match proxy.receive(TEST_TIMEOUT) {
                 Received::Delta(delta) => return (proxy, *delta),
-                other => assert!(Instant::now() < deadline, "still turned away: {other:?}"),
+                other => assert!(Instant::now() < deadline, "the stream is still rejected: {other:?}"),
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// A connection that has said nothing yet.
+    /// A proxy on a connection on which nothing has been sent.
     pub fn new(stream: TcpStream, routing: RoutingState) -> TestProxy {
         TestProxy { stream, deframer: Deframer::new(MAX_FROM_CONTROLLER_BYTES), routing }
     }
@@ -201,7 +203,7 @@
     pub fn receive(&mut self, timeout: Duration) -> Received {
         let deadline = Instant::now() + timeout;
         loop {
-            match self.deframer.message::<FromController>().expect("a steward sends messages") {
+            match self.deframer.message::<FromController>().expect("the controller sends valid messages") {
                 Some(FromController { payload: Some(from_controller::Payload::Delta(delta)) }) => {
                     return Received::Delta(Box::new(delta))
                 }
@@ -232,17 +234,17 @@
         }
     }
 
-    /// The next delta, neither taken in nor answered.
+    /// Waits for the next delta, which is neither applied nor acknowledged.
     pub fn next_delta(&mut self) -> Delta {
         match self.receive(TEST_TIMEOUT) {
             Received::Delta(delta) => *delta,
-            other => panic!("a delta was due, not {other:?}"),
+            other => panic!("expected a delta, got {other:?}"),
         }
     }
 
-    /// Takes a delta in and says so.
+    /// Applies and acknowledges a delta.
     pub fn acknowledge(&mut self, delta: &Delta) {
-        self.routing.apply(delta).expect("a good delta");
+        self.routing.apply(delta).expect("the delta is valid");
         self.send(from_proxy::Payload::Ack(Ack { nonce: delta.nonce }));
     }
 
@@ -251,18 +253,18 @@
         self.send(from_proxy::Payload::Nack(Nack { nonce: delta.nonce, reason: "a test".into() }));
     }
 
-    /// Obeys until what it holds is as wanted.
+    /// Applies and acknowledges deltas until the routing state meets a condition.
     pub fn apply_until(&mut self, condition: impl Fn(&RoutingState) -> bool) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while !condition(&self.routing) {
-            assert!(Instant::now() < deadline, "it never came to hold that: {:?}", self.routing);
+            assert!(Instant::now() < deadline, "condition not met by the routing state {:?}", self.routing);
             if let Received::Delta(delta) = self.receive(Duration::from_millis(200)) {
                 self.acknowledge(&delta);
             }
         }
     }
 
-    /// Obeys for so long.
+    /// Applies and acknowledges deltas for a while.
     pub fn apply_for(&mut self, duration: Duration) {
         let deadline = Instant::now() + duration;
         while let Some(left) = deadline.checked_duration_since(Instant::now()) {
@@ -279,12 +281,12 @@
     }
 }
 
-/// Whether any line of a table names the host.
+/// Whether any table contains the host.
 pub fn routes_to(routing: &RoutingState, host: SocketAddr) -> bool {
     routing.tables().values().flatten().any(|line| line.0 == host)
 }
 
-/// All tables, their lines in order.
+/// All tables that are not empty, with their lines ordered by host.
 pub fn sorted_tables(routing: &RoutingState) -> Vec<(u32, Vec<(SocketAddr, f64)>)> {
     let sorted = |lines: &Vec<(SocketAddr, f64)>| {
         let mut lines = lines.clone();
@@ -294,10 +296,11 @@
     routing.tables().iter().filter(|(_, t)| !t.is_empty()).map(|(slice, t)| (*slice, sorted(t))).collect()
 }
 
+/// Waits until a condition holds.
 pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "never came about: {description}");
+        assert!(Instant::now() < deadline, "timed out waiting until {description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/railhub-controller/tests/external_services.rs
+++ b/crates/railhub-controller/tests/external_services.rs
@@ -1,4 +1,5 @@
-//! Lists that lie, stores that are away, stewards that die, and sites without slices.
+//! The controller with a wrong endpoint list, an unavailable store or a failed host, after a restart, and without
+//! slices.
 mod common;
 
 use common::{entry, open_fleet, routes_to, sorted_tables, wait_until, Received, TestProxy};
@@ -6,6 +7,7 @@
 use railhub_proto::{HostLoad, LoadReport, SliceLoad};
 use std::time::Duration;
 
+/// Time within which pending deltas arrive.
 const OBSERVATION_TIME: Duration = Duration::from_millis(1500);
 
 #[test]
@@ -15,6 +17,7 @@
     let mut proxy = TestProxy::connect(controller.address, 0);
     proxy.apply_until(|routing| routing.tables().len() == 20);
     proxy.apply_for(OBSERVATION_TIME);
+    // All hosts still pass their health checks.
     let all_gone = (0..4).map(|n| entry(&fleet.hosts, n, GONE)).collect();
     fleet.endpoint_list.set_override(1, Some(all_gone));
     proxy.apply_for(Duration::from_secs(4));
@@ -40,7 +43,7 @@
     wait_until("the store has the new tables", || {
         fleet.store.tables().values().flatten().all(|line| line.0 != draining)
     });
-    // The second one never says that it has taken the change in.
+    // `outdated` has not acknowledged the change when the controller stops.
     drop(controller);
     let (updated, outdated) = (updated.routing.clone(), outdated.routing.clone());
     let controller = fleet.start();
@@ -48,7 +51,7 @@
     let mut outdated = TestProxy::connect_as(controller.address, 1, 2, outdated);
     for proxy in [&mut updated, &mut outdated] {
         let snapshot = proxy.next_delta();
-        assert!(snapshot.reset, "another process: versions do not go on");
+        assert!(snapshot.reset, "versions of the earlier controller process are not continued");
         proxy.acknowledge(&snapshot);
         assert!(!routes_to(&proxy.routing, draining) && proxy.routing.tables().len() == 40);
     }
@@ -63,7 +66,11 @@
     fleet.store.set_unavailable(true);
     let controller = fleet.start();
     let mut proxy = TestProxy::connect(controller.address, 0);
-    assert_eq!(proxy.receive(OBSERVATION_TIME), Received::Nothing, "an empty table would lose every slice");
+    assert_eq!(
+        proxy.receive(OBSERVATION_TIME),
+        Received::Nothing,
+        "an empty table would remove the hosts of every slice"
+    );
     fleet.store.set_unavailable(false);
     proxy.apply_until(|routing| routing.tables().len() == 40);
 }
@@ -80,7 +87,7 @@
     proxy.apply_until(|routing| !routes_to(routing, draining));
     assert!(fleet.store.tables().values().flatten().any(|line| line.0 == draining));
     fleet.store.set_unavailable(false);
-    wait_until("the store catches up", || {
+    wait_until("the store has the latest tables", || {
         fleet.store.tables().values().flatten().all(|line| line.0 != draining)
     });
 }
@@ -92,6 +99,7 @@
     let mut proxy = TestProxy::connect(controller.address, 0);
     proxy.apply_until(|routing| routing.tables().len() == 20);
     let failed_host = fleet.address(2);
+    // The endpoint list keeps reporting the host as ready.
     fleet.hosts[2].host.kill();
     let standby_only = |routing: &railhub_emulator::routing::RoutingState| {
         routing.tables().values().all(|table| table.iter().all(|line| line.0 != failed_host || line.1 < 0.5))
@@ -110,7 +118,7 @@
         let hosts = [0, 1, 3].into_iter().map(busy).collect();
         proxy.report(LoadReport { span: 1.0, hosts, slices: demand });
     };
-    // Under load slices move to where there is room.
+    // Under load, slices are moved to hosts with spare capacity.
     for _ in 0..15 {
         report(&mut proxy);
         proxy.apply_for(Duration::from_secs(1));
@@ -118,7 +126,7 @@
             return;
         }
     }
-    panic!("the host that came back got nothing");
+    panic!("no slice was assigned to the recovered host within 15 s");
 }
 
 #[test]
@@ -137,7 +145,7 @@
     proxies
         .iter_mut()
         .for_each(|proxy| proxy.apply_until(|routing| !routes_to(routing, draining) && lines(routing) == 3));
-    // One that comes later, and one that comes again.
+    // One proxy connects for the first time, another one reconnects.
     let reconnected = proxies.remove(0).routing;
     let mut late = TestProxy::connect(controller.address, 9);
     late.apply_until(|routing| lines(routing) == 3);
--- a/crates/railhub-controller/tests/membership_json.rs
+++ b/crates/railhub-controller/tests/membership_json.rs
@@ -1,5 +1,5 @@
-//! The JSON forms of membership's and leases' types as literals: the store, scripts and other builds read them, so they
-//! must not change while the names in the code do.
+//! The JSON forms of the membership and lease types, as literals. The store, scripts and other builds read them, so
+//! they must not change when names in the code change.
 use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
 use railhub_membership::lease_store::StoreFaults;
 use railhub_membership::member::{Incarnation, Load, Member, NodeMetadata, Status};
@@ -12,7 +12,7 @@
 
 fn entry(id: u16, status: Status, reported_by: Option<u16>) -> Member {
     let metadata = NodeMetadata {
-        address: Some("[2001:db8::1]:7946".parse().expect("an address")),
+        address: Some("[2001:db8::1]:7946".parse().expect("a valid address")),
         program_version: "0.2.0".to_owned(),
         protocol_version: 1,
         settings_digest: 0x0123_4567_89ab_cdef,
@@ -33,8 +33,8 @@
 
 #[track_caller]
 fn assert_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, json: &str) {
-    assert_eq!(serde_json::to_string(value).expect("it can be written"), json);
-    assert_eq!(&serde_json::from_str::<T>(json).expect("it can be read"), value);
+    assert_eq!(serde_json::to_string(value).expect("the value can be serialized"), json);
+    assert_eq!(&serde_json::from_str::<T>(json).expect("the JSON can be deserialized"), value);
 }
 
 #[test]
@@ -130,7 +130,7 @@
         (0..=count).for_each(|_| dropped.count(cause));
     }
     assert_eq!(
-        serde_json::to_string(&dropped).expect("it can be written"),
+        serde_json::to_string(&dropped).expect("the value can be serialized"),
         r#"{"oversized":1,"spoilt":2,"version":3,"foreign":4,"malformed":5}"#
     );
 }
--- a/crates/railhub-controller/tests/slice_handoff.rs
+++ b/crates/railhub-controller/tests/slice_handoff.rs
@@ -1,4 +1,4 @@
-//! The handoff of a slice from one core to the next.
+//! The handoff of a slice from one controller core to the next holder's.
 use railhub::{
     ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId, Seconds,
     WeightedHost,
@@ -16,7 +16,7 @@
 use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use std::sync::{Arc, Mutex};
 
-/// A proxy that confirms nothing and keeps what it is sent.
+/// A channel that records publications and never acknowledges one.
 #[derive(Clone, Default)]
 struct RecordingChannel(Arc<Mutex<Vec<Arc<Publication>>>>);
 
@@ -42,6 +42,7 @@
     fn close(&self, _: CloseReason) {}
 }
 
+/// An environment that records handoffs.
 #[derive(Default)]
 struct RecordingEnvironment {
     handoffs: Vec<(SliceId, u64, SliceHandoff)>,
@@ -51,7 +52,7 @@
     fn check_health(&mut self, _: HostId) {}
     fn store_table(&mut self, _: SliceId, _: u64, _: Vec<WeightedHost>) {}
     fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: SliceHandoff) {
-        assert!(!entries.is_empty(), "the table goes along");
+        assert!(!entries.is_empty(), "the slice's table is stored with the handoff");
         self.handoffs.push((slice, epoch, handoff));
     }
     fn decided(&mut self, _: &str) {}
@@ -62,14 +63,15 @@
 const SLICE: SliceId = SliceId(3);
 
 fn host(n: u16) -> HostId {
-    HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
+    HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a valid host name")
 }
 
 fn core(process: u64) -> ControllerCore<RecordingChannel> {
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
-    let installation = Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right");
+    let installation =
+        Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
     let config = ControllerConfig { classes, ..installation.config.clone() };
@@ -95,7 +97,7 @@
     LeaseChanges { lost: vec![SLICE], ..LeaseChanges::default() }
 }
 
-/// A second of the core's life, with what a proxy met meanwhile.
+/// Runs the core for one second, in which a proxy reports so many operations for [`SLICE`].
 fn run_one_second(
     core: &mut ControllerCore<RecordingChannel>,
     now: Seconds,
@@ -134,10 +136,10 @@
     first_holder.on_lease_changes(0.0, acquired(1, None), &mut environment);
     (0..6).for_each(|n| run_one_second(&mut first_holder, 0.1 + f64::from(n), 40, &mut environment));
     first_holder.on_lease_changes(6.0, lost(), &mut environment);
-    let (slice, epoch, handoff) = environment.handoffs.pop().expect("it tells of what it gives up");
+    let (slice, epoch, handoff) = environment.handoffs.pop().expect("a lost slice is handed over");
     assert_eq!((slice, epoch), (SLICE, 1));
     assert!((25.0..60.0).contains(&handoff.rate), "{handoff:?}");
-    // Nothing is published of the slice any more, and what was published bears its epoch.
+    // The slice was published under the epoch of its lease, and is not published any more after its loss.
     let published_before = channel.0.lock().expect("no holder panics").len();
     (6..9).for_each(|n| run_one_second(&mut first_holder, 0.1 + f64::from(n), 40, &mut environment));
     let published = channel.0.lock().expect("no holder panics").clone();
@@ -150,8 +152,8 @@
         next_holder.on_lease_changes(10.0, acquired(2, Some((handoff, age))), &mut environment);
         next_holder.process(10.0, || 10.0, &mut environment);
         next_holder.on_lease_changes(10.1, lost(), &mut environment);
-        environment.handoffs.pop().expect("it tells on").2.rate
+        environment.handoffs.pop().expect("a lost slice is handed over").2.rate
     };
-    assert!((rate_after(0.3) - handoff.rate).abs() < 1e-6, "as the former one knew it");
-    assert_eq!(rate_after(60.0), 0.0, "a minute old: it begins anew");
+    assert!((rate_after(0.3) - handoff.rate).abs() < 1e-6, "a recent handoff's rate is used");
+    assert_eq!(rate_after(60.0), 0.0, "a handoff that is a minute old is ignored");
 }
--- a/crates/railhub-controller/tests/streams.rs
+++ b/crates/railhub-controller/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break, cross, send invalid messages or stop reading.
+//! Proxy streams that break, that compete for one proxy number, that send invalid messages or that stop reading.
 mod common;
 
 use common::{open_fleet, routes_to, sorted_tables, wait_until, Received, TestProxy, TEST_TIMEOUT};
@@ -13,6 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Time within which pending deltas arrive.
 const OBSERVATION_TIME: Duration = Duration::from_millis(1500);
 
 #[test]
@@ -23,7 +24,7 @@
     first.apply_until(|routing| routing.tables().len() == 40);
     fleet.set_phase(0, DRAINING);
     let draining = fleet.address(0);
-    // The delta has left for the first and is not acknowledged while the others join.
+    // `first` has received the delta but does not acknowledge it before the others have connected.
     let delta = loop {
         let delta = first.next_delta();
         if delta.exclusions.iter().any(|exclusion| exclusion.excluded)
@@ -52,10 +53,10 @@
     fleet.set_phase(1, DRAINING);
     let lost = proxy.next_delta();
     assert!(lost.version > proxy.routing.version);
-    proxy.stream.shutdown(Shutdown::Both).expect("open until now");
+    proxy.stream.shutdown(Shutdown::Both).expect("the stream is open");
     let mut reconnected = TestProxy::connect_as(controller.address, 0, 1, proxy.routing.clone());
     let resumed = reconnected.next_delta();
-    assert!(!resumed.reset, "what it holds is not sent again");
+    assert!(!resumed.reset, "tables that the proxy holds are not sent again");
     assert!(resumed.version >= lost.version);
     reconnected.acknowledge(&resumed);
     let draining = fleet.address(1);
@@ -78,12 +79,12 @@
     let draining = fleet.address(1);
     proxy.apply_until(|routing| !routes_to(routing, draining));
     proxy.apply_for(OBSERVATION_TIME);
-    // It was put back to an older state; the controller has its acknowledgement of the newer one.
+    // A new process of the proxy starts from an older state than the one that the controller has an acknowledgement of.
     drop(proxy);
     let (mut restored, delta) = TestProxy::connect_after(controller.address, 0, 9, &old);
     restored.acknowledge(&delta);
     restored.apply_until(|routing| !routes_to(routing, draining));
-    // A version of another controller process means nothing here: it gets a snapshot.
+    // A proxy that holds a version of another controller process gets a snapshot.
     let mut other = RoutingState::default();
     (other.incarnation, other.version) = (5, 3);
     let mut foreign = TestProxy::connect_as(controller.address, 1, 1, other);
@@ -100,7 +101,7 @@
     let tables_before = sorted_tables(&proxy.routing);
     fleet.set_phase(1, DRAINING);
     let draining = fleet.address(1);
-    // The change may leave as more than one delta: all are rejected.
+    // The change may be sent in more than one delta; all of them are rejected.
     let mut rejected = 0;
     let deadline = Instant::now() + Duration::from_secs(4);
     while Instant::now() < deadline {
@@ -109,12 +110,16 @@
             rejected += 1;
         }
     }
-    assert!((1..=5).contains(&rejected), "{rejected} in 4 s");
-    assert_eq!(sorted_tables(&proxy.routing), tables_before, "it keeps its last good tables");
+    assert!((1..=5).contains(&rejected), "{rejected} deltas were sent and rejected in 4 s");
+    assert_eq!(
+        sorted_tables(&proxy.routing),
+        tables_before,
+        "a proxy keeps its tables when it rejects a delta"
+    );
     fleet.set_phase(2, DRAINING);
     let also_draining = fleet.address(2);
     proxy.apply_until(|routing| !routes_to(routing, draining) && !routes_to(routing, also_draining));
-    wait_until("the refusal is counted", || controller.figures().nacks >= 1);
+    wait_until("the rejection is counted", || controller.figures().nacks >= 1);
 }
 
 #[test]
@@ -136,9 +141,9 @@
     let draining = fleet.address(0);
     others.iter_mut().for_each(|proxy| proxy.apply_until(|routing| !routes_to(routing, draining)));
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
-    wait_until("the slow one is cut off", || controller.figures().response_timeouts == 1);
+    wait_until("the stream of the slow proxy is closed", || controller.figures().response_timeouts == 1);
     others.iter_mut().for_each(|proxy| proxy.send(from_proxy::Payload::LoadReport(LoadReport::default())));
-    wait_until("all others stay", || controller.figures().joined == 299);
+    wait_until("all other proxies are still joined", || controller.figures().joined == 299);
     drop(reader);
 }
 
@@ -165,7 +170,7 @@
     fleet.set_phase(0, DRAINING);
     let draining = fleet.address(0);
     reconnected.apply_until(|routing| !routes_to(routing, draining));
-    // Once the holder has ended, another process may have the number.
+    // Once the stream of the registered process has ended, another process may take over the proxy number.
     drop(reconnected);
     let (mut next, delta) = TestProxy::connect_after(controller.address, 3, 78, &RoutingState::default());
     next.acknowledge(&delta);
@@ -185,12 +190,12 @@
         TestRunner::new(ProptestConfig { cases: 1000, failure_persistence: None, ..Default::default() });
     let address = controller.address;
     let sent = runner.run(&prop_oneof![bytes, prefixed], |bytes| {
-        let mut stream = TcpStream::connect(address).expect("the steward listens");
+        let mut stream = TcpStream::connect(address).expect("the controller listens");
         let _ = stream.write_all(&bytes);
         let _ = stream.shutdown(Shutdown::Write);
         Ok(())
     });
-    sent.expect("all were sent");
+    sent.expect("the property never fails");
     fleet.set_phase(0, DRAINING);
     let draining = fleet.address(0);
     valid.apply_until(|routing| !routes_to(routing, draining));
@@ -213,7 +218,7 @@
             other => panic!("{other:?}"),
         }
     };
-    let stream = TcpStream::connect(controller.address).expect("the steward listens");
+    let stream = TcpStream::connect(controller.address).expect("the controller listens");
     let mut silent = TestProxy::new(stream, RoutingState::default());
     assert_eq!(reason(&mut silent), "silent for too long");
     let mut flood = TestProxy::connect(controller.address, 1);
@@ -235,11 +240,11 @@
 #[test]
 fn all_proxies_join_when_snapshots_exceed_backlog() {
     let mut fleet = open_fleet(4, 100);
-    // One snapshot is some 200 lines.
+    // One snapshot has some 200 lines, so snapshots for all proxies exceed this limit.
     fleet.installation.config.backlog_limit = 700.0;
     let controller = fleet.start();
     let address = controller.address;
-    // One that never reads is in front: the others wait for it no longer than until it is cut off.
+    // The first proxy in the queue never reads. The others must wait no longer than until its stream is closed.
     let _stalled = TestProxy::connect(address, 99);
     let all_joined = Arc::new(AtomicBool::new(false));
     let threads = (0..60).map(|n| {
@@ -247,14 +252,14 @@
         std::thread::spawn(move || {
             let mut proxy = TestProxy::connect(address, n);
             proxy.apply_until(|routing| routing.tables().len() == 100);
-            // It goes on reading: one that stops is cut off.
+            // Keeps reading, since the stream of a proxy that stops is closed.
             while !all_joined.load(Ordering::Relaxed) {
                 proxy.apply_for(Duration::from_millis(50));
             }
         })
     });
     let threads: Vec<_> = threads.collect();
-    wait_until("all that read have joined", || controller.figures().joined >= threads.len());
+    wait_until("all proxies that read have joined", || controller.figures().joined >= threads.len());
     all_joined.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| thread.join().expect("it joined"));
+    threads.into_iter().for_each(|thread| thread.join().expect("the proxy received all tables"));
 }
--- a/crates/railhub-controller/tests/wire_fixtures.rs
+++ b/crates/railhub-controller/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! What a controller reads and writes, byte for byte: its INI file, the bodies it exchanges with the endpoint list and
-//! the store, the deltas it publishes, the traffic it records and the figures it shows.
+//! The formats that a controller reads and writes, compared with literals: its INI file, the bodies that it exchanges
+//! with the endpoint list and the store, the deltas that it publishes, the traffic file and the figures' JSON names.
 use railhub::{ClassId, HostId, Idempotency, ProxyId, RetryPolicy, SliceId, ZoneId};
 use railhub_controller::change::{Change, ClassAdmission};
 use railhub_controller::membership::MembershipFigures;
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, Once};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; only a failing test waits for it.
+/// Time limit of each wait; only failing tests reach it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start_runtime() {
@@ -23,14 +23,14 @@
 }
 
 fn read_installation(text: &str) -> Installation {
-    Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right")
+    Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings")
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A request as it came: its line and its body.
+/// A received HTTP request.
 #[derive(Clone, Debug, PartialEq)]
 struct Request {
     line: String,
@@ -39,8 +39,8 @@
 
 type Respond = dyn Fn(&Request, usize) -> Option<String> + Send + Sync;
 
-/// A server that keeps what it is sent; each request is answered with a body, or left without an answer. The second
-/// argument of `respond` is the number of earlier requests with the same line.
+/// An HTTP server that records all requests. `respond` returns the body of the response, or `None` to leave the request
+/// without one. Its second argument is the number of earlier requests with the same request line.
 struct RecordingServer {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<Request>>>,
@@ -48,8 +48,8 @@
 
 impl RecordingServer {
     fn start(respond: impl Fn(&Request, usize) -> Option<String> + Send + Sync + 'static) -> RecordingServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port");
+        let address = listener.local_addr().expect("the listener is bound");
         let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
         let (recorded, respond): (_, Arc<Respond>) = (requests.clone(), Arc::new(respond));
         std::thread::spawn(move || {
@@ -61,7 +61,7 @@
         RecordingServer { address, requests }
     }
 
-    /// Bodies of the requests with such a line, as soon as there are so many.
+    /// Waits for at least `min_count` requests with this request line and returns their bodies.
     fn bodies(&self, line: &str, min_count: usize) -> Vec<String> {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -71,7 +71,7 @@
             if bodies.len() >= min_count {
                 return bodies;
             }
-            assert!(Instant::now() < deadline, "no {min_count} requests {line}: {requests:?}");
+            assert!(Instant::now() < deadline, "fewer than {min_count} requests {line}: {requests:?}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -111,12 +111,12 @@
     Some(Request { line: line.trim_end().to_owned(), body: String::from_utf8(body).ok()? })
 }
 
-/// A host that passes its health checks.
+/// A host that passes all health checks.
 fn healthy_host() -> RecordingServer {
     RecordingServer::start(|_, _| Some(String::new()))
 }
 
-/// An endpoint list with the first host ready; after `drains_after` it is draining.
+/// An endpoint list with two ready hosts. The first one is draining after `drains_after`, if that is set.
 fn endpoint_list(first: SocketAddr, second: SocketAddr, drains_after: Option<Duration>) -> RecordingServer {
     RecordingServer::start(move |request, _| {
         match request.line.as_str() {
@@ -141,17 +141,17 @@
 fn request_bodies_without_sharing() {
     start_runtime();
     let (first, second) = (healthy_host(), healthy_host());
-    let (from, to) = (first.address, second.address);
-    let list = endpoint_list(from, to, Some(Duration::from_millis(300)));
+    let (first_address, second_address) = (first.address, second.address);
+    let list = endpoint_list(first_address, second_address, Some(Duration::from_millis(300)));
     let store = RecordingServer::start(move |request, _| match request.line.as_str() {
-        "GET /charges HTTP/1.1" => Some(format!("[{{\"slice\":0,\"lines\":[[\"{from}\",1.0]]}}]")),
+        "GET /charges HTTP/1.1" => Some(format!("[{{\"slice\":0,\"lines\":[[\"{first_address}\",1.0]]}}]")),
         _ => Some("[]".into()),
     });
     let text = format!(
         "[steward]\nroster = {}\nstore = {}\nslices = 1\n[class any]\ncontract_time = 1\n",
         list.address, store.address
     );
-    let running = Running::start(read_installation(&text)).expect("loopback");
+    let running = Running::start(read_installation(&text)).expect("the controller starts");
     assert_eq!(list.bodies("GET /hosts?after=0 HTTP/1.1", 1), [""]);
     assert_eq!(store.bodies("GET /charges HTTP/1.1", 1), [""]);
     assert_eq!(list.bodies("GET /hosts?after=9 HTTP/1.1", 1), [""]);
@@ -159,7 +159,7 @@
     let written = store.bodies("PUT /tables HTTP/1.1", 1).remove(0);
     assert!(written.starts_with("[{\"slice\":0,\"epoch\":0,\"lines\":[[\"127.0.0.1:"), "{written}");
     assert!(written.ends_with("]],\"age\":0.0}]"), "{written}");
-    assert!(written.contains(&format!("[\"{to}\",1.0]")), "{written}");
+    assert!(written.contains(&format!("[\"{second_address}\",1.0]")), "{written}");
     drop(running);
 }
 
@@ -167,22 +167,25 @@
 fn lease_request_bodies_with_sharing() {
     start_runtime();
     let (first, second) = (healthy_host(), healthy_host());
-    let from = first.address;
-    let list = endpoint_list(from, second.address, None);
-    let store = RecordingServer::start(move |request, earlier| match (request.line.as_str(), earlier) {
+    let first_address = first.address;
+    let list = endpoint_list(first_address, second.address, None);
+    let store = RecordingServer::start(move |request, earlier| {
+        match (request.line.as_str(), earlier) {
         ("POST /leases HTTP/1.1", 0) => Some(format!(
             "{{\"says\":{{\"number\":1,\"granted\":[[0,5]],\"refused\":[1]}},\"tables\":[\
-             {{\"slice\":0,\"epoch\":5,\"lines\":[[\"{from}\",1.0]],\
-             \"state\":{{\"version\":1,\"rate\":12.5,\"rests\":0.0,\"home\":\"{from}\"}},\"age\":0.25}}]}}"
+             {{\"slice\":0,\"epoch\":5,\"lines\":[[\"{first_address}\",1.0]],\
+             \"state\":{{\"version\":1,\"rate\":12.5,\"rests\":0.0,\"home\":\"{first_address}\"}},\"age\":0.25}}]}}"
         )),
         ("POST /leases HTTP/1.1", _) => {
-            let number = request.body.strip_prefix("{\"number\":").expect("the number goes first");
-            let (number, _) = number.split_once(',').expect("more than a number");
+            let number =
+                request.body.strip_prefix("{\"number\":").expect("the body starts with the request number");
+            let (number, _) = number.split_once(',').expect("more fields follow the number");
             let granted = if request.body.contains("\"renew\":[[0,5]]") { "[0,5]" } else { "" };
             let response = format!("{{\"number\":{number},\"granted\":[{granted}],\"refused\":[]}}");
             Some(format!("{{\"says\":{response},\"tables\":[]}}"))
         }
         _ => Some("[]".into()),
+    }
     });
     let text = |id: u16, process: u64, join: &str| {
         format!(
@@ -191,21 +194,24 @@
             list.address, store.address
         )
     };
-    let mut running = Running::start(read_installation(&text(1, 77, ""))).expect("loopback");
+    let mut running = Running::start(read_installation(&text(1, 77, ""))).expect("the controller starts");
     let first_request =
         "{\"number\":1,\"process\":77,\"span\":3.0,\"take\":[0,1],\"renew\":[],\"release\":[]}";
     assert_eq!(store.bodies("POST /leases HTTP/1.1", 1)[0], first_request);
     let deadline = Instant::now() + TEST_TIMEOUT;
     let holds_one = || running.membership_figures().is_some_and(|figures| figures.leases == 1);
     while !holds_one() {
-        assert!(Instant::now() < deadline, "the slice never came");
+        assert!(Instant::now() < deadline, "the controller never acquired the slice");
         std::thread::sleep(Duration::from_millis(10));
     }
-    // The one that it hands the slice to; the store grants it nothing.
-    let join = format!("join = {}\n", running.membership_address().expect("it shares"));
-    let other = Running::start(read_installation(&text(2, 78, &join))).expect("loopback");
+    // The other controller is the one to hand the slice over to; the store grants it no lease.
+    let join = format!(
+        "join = {}\n",
+        running.membership_address().expect("the controller has a membership address")
+    );
+    let other = Running::start(read_installation(&text(2, 78, &join))).expect("the controller starts");
     while running.membership_figures().is_none_or(|figures| figures.alive < 2) {
-        assert!(Instant::now() < deadline, "the other one is not seen");
+        assert!(Instant::now() < deadline, "the other controller never joined the membership");
         std::thread::sleep(Duration::from_millis(10));
     }
     running.leave();
@@ -213,15 +219,16 @@
     let released = "\"take\":[],\"renew\":[],\"release\":[[0,5]]}";
     let bodies = store.bodies("POST /leases HTTP/1.1", 2);
     assert!(bodies.iter().any(|body| body.ends_with(released)), "{bodies:?}");
-    let written = store.bodies("PUT /tables HTTP/1.1", 1).pop().expect("one at least");
-    let (table, handoff) = written.split_once(",\"state\":").expect("what the next one is told");
+    let written = store.bodies("PUT /tables HTTP/1.1", 1).pop().expect("at least one request");
+    let (table, handoff) = written.split_once(",\"state\":").expect("the body contains a handoff");
     assert!(table.starts_with("[{\"slice\":0,\"epoch\":5,\"lines\":[[\"127.0.0.1:"), "{written}");
-    let (preferred_host, rate) = handoff.split_once(",\"rate\":").expect("a rate");
+    let (preferred_host, rate) = handoff.split_once(",\"rate\":").expect("the handoff contains a rate");
     assert!(
         preferred_host == "{\"home\":null" || preferred_host.starts_with("{\"home\":\"127.0.0.1:"),
         "{written}"
     );
-    let (_, pinned_for) = rate.split_once(",\"rests\":").expect("a rest");
+    let (_, pinned_for) =
+        rate.split_once(",\"rests\":").expect("the handoff contains the remaining pin time");
     assert!(pinned_for.ends_with(",\"version\":1},\"age\":0.0}]"), "{written}");
 }
 
@@ -275,7 +282,7 @@
     let keyed = Idempotency::IdempotencyKeyGlobal(30.0);
     let nearby = Idempotency::IdempotencyKeyLocal;
     assert_eq!(classes, [(0.8, 2.0, Idempotency::Safe), (1.2, 1.0, keyed), (1.3, 1.0, nearby)]);
-    let fleet = installation.membership.expect("a section of its own");
+    let fleet = installation.membership.expect("the file has a [fleet] section");
     assert_eq!((fleet.id.0, fleet.installation.as_str(), fleet.share), (3, "shop", true));
     assert_eq!((fleet.listen, fleet.advertise), (address(7003), Some(address(7004))));
     assert_eq!(fleet.join, [address(7005), address(7006)]);
@@ -316,7 +323,7 @@
     assert_eq!((config.warm_up_time, config.overload_multiple, config.backlog_limit), (0.0, 2.5, 50_000.0));
     assert_eq!((config.message_overhead, config.message_quota), (8.0, 20));
     assert_eq!((config.message_quota_window, config.first_attempt_timeout_multiple), (10.0, 1.0));
-    let fleet = installation.membership.expect("a section of its own");
+    let fleet = installation.membership.expect("the file has a [fleet] section");
     assert_eq!((fleet.listen.port(), fleet.advertise, fleet.share), (0, None, false));
     assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (600.0, 3.0, None));
     let clock = fleet.clock;
@@ -326,7 +333,7 @@
 
 #[test]
 fn publication_bytes() {
-    let host = |name: &str| HostId::new(name).expect("a name");
+    let host = |name: &str| HostId::new(name).expect("a valid host name");
     let change = Change {
         reset: true,
         cleared: [SliceId(3), SliceId(700)].into(),
@@ -353,15 +360,18 @@
          [class view]\ncontract_time = 1\n[class pay]\ncontract_time = 1\n",
         path.display()
     );
-    let mut writer = TrafficWriter::start(&read_installation(&text), 10.0).expect("writable").expect("named");
+    let mut writer = TrafficWriter::start(&read_installation(&text), 10.0)
+        .expect("the file is writable")
+        .expect("a traffic file is named");
     let demand = |slice, class| SliceLoad { slice, class, operations: 30 };
     let report = |span, demand| LoadReport { span, hosts: Vec::new(), slices: demand };
     writer.record(15.0, ProxyId(3), ZoneId(1), &report(2.0, vec![demand(2, 0), demand(0, 1)]));
     writer.record(11.0, ProxyId(300), ZoneId(0), &report(2.0, vec![demand(3, 0)]));
     drop(writer);
-    let bytes = std::fs::read(&path).expect("written");
-    std::fs::remove_file(&path).expect("there");
-    // The facts name 256 zones: their block is known by its checksum, which stands behind its length.
+    let bytes = std::fs::read(&path).expect("the file was written");
+    std::fs::remove_file(&path).expect("the file exists");
+    // The header block names 256 zones, so it is compared only up to its first zones: the checksum after the block's
+    // length covers the rest.
     assert_eq!(bytes.len(), TRAFFIC_LENGTH);
     assert_eq!(hex(&bytes[..TRAFFIC_HEAD.len() / 2]), TRAFFIC_HEAD);
     assert_eq!(hex(&bytes[bytes.len() - TRAFFIC_TAIL.len() / 2..]), TRAFFIC_TAIL);
@@ -369,8 +379,8 @@
 
 #[test]
 fn figures_json_names() {
-    assert_eq!(serde_json::to_string(&Figures::default()).expect("plain"), FIGURES);
-    assert_eq!(serde_json::to_string(&MembershipFigures::default()).expect("plain"), FLEET_FIGURES);
+    assert_eq!(serde_json::to_string(&Figures::default()).expect("serializable"), FIGURES);
+    assert_eq!(serde_json::to_string(&MembershipFigures::default()).expect("serializable"), FLEET_FIGURES);
 }
 
 const SETTINGS_DIGEST: u64 = 13704884636301125366;
