--- a/crates/railhub-controller/src/membership/service.rs
+++ b/crates/railhub-controller/src/membership/service.rs
@@ -104,7 +104,7 @@
     let config = MembershipConfig {
         seeds: settings.join.clone(),
         forget_after: settings.forget_after,
-        without: settings.without,
+        without: settings.disabled_safeguard,
     };
     let options = LeaseManagerOptions {
         id: settings.id,
@@ -113,7 +113,7 @@
         metadata,
         config,
         slices: shared_slices,
-        lease_duration: settings.lease,
+        lease_duration: settings.lease_duration,
         settle_time: SETTLE_TIME_SECONDS,
         seed: process,
     };
--- a/crates/railhub-controller/src/membership/settings.rs
+++ b/crates/railhub-controller/src/membership/settings.rs
@@ -40,13 +40,13 @@
     /// Whether controllers share the slices, by leases from the store.
     pub share: bool,
     /// Seconds that a lease is granted for.
-    pub lease: f64,
+    pub lease_duration: f64,
     /// The process number, if it is not to be derived from the clock: for tests of clocks that were set back.
     pub process: Option<u64>,
     /// The clock for leases. Tests make it run fast or slow, or jump, as the clocks of machines do.
     pub clock: LeaseClock,
     /// A safeguard that is disabled: only for tests of the invariant checker.
-    pub without: Option<Safeguard>,
+    pub disabled_safeguard: Option<Safeguard>,
     /// Digest of the file without the keys that may differ between controllers.
     pub settings_digest: u64,
 }
@@ -69,10 +69,10 @@
             advertise: fleet.text("advertise").map(|_| fleet.required("advertise")).transpose()?,
             forget_after: fleet.in_range("forget_after", 600.0, 1.0, 1e6)?,
             share: fleet.flag("share", false)?,
-            lease: fleet.in_range("lease", 3.0, 0.5, 60.0)?,
+            lease_duration: fleet.in_range("lease", 3.0, 0.5, 60.0)?,
             clock: read_clock(&fleet)?,
             process: fleet.text("process").map(|_| fleet.required("process")).transpose()?,
-            without: fleet.choice("without", "nothing", &SAFEGUARDS)?,
+            disabled_safeguard: fleet.choice("without", "nothing", &SAFEGUARDS)?,
             settings_digest: document.digest(may_differ_between_controllers),
         };
         fleet.reject_unread_keys()?;
@@ -81,7 +81,7 @@
 
     /// Whether this controller ignores the expiry of its leases: only for tests of the invariant checker.
     pub fn ignores_lease_expiry(&self) -> bool {
-        self.without == Some(Safeguard::LeaseExpiry)
+        self.disabled_safeguard == Some(Safeguard::LeaseExpiry)
     }
 }
 
--- a/crates/railhub-controller/tests/slice_handoff.rs
+++ b/crates/railhub-controller/tests/slice_handoff.rs
@@ -70,12 +70,12 @@
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
-    let installation =
+    let settings =
         Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
-    let config = ControllerConfig { classes, ..installation.config.clone() };
-    let mut core = ControllerCore::new(Installation { config, ..installation }, process, 0.0);
+    let config = ControllerConfig { classes, ..settings.config.clone() };
+    let mut core = ControllerCore::new(Installation { config, ..settings }, process, 0.0);
     let entry = |n| EndpointEntry {
         host: host(n),
         phase: Phase::Ready,
--- a/crates/railhub-controller/tests/wire_fixtures.rs
+++ b/crates/railhub-controller/tests/wire_fixtures.rs
@@ -22,7 +22,7 @@
     START.call_once(railhub_net::start_runtime);
 }
 
-fn read_installation(text: &str) -> Installation {
+fn read_settings(text: &str) -> Installation {
     Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings")
 }
 
@@ -151,7 +151,7 @@
         "[steward]\nroster = {}\nstore = {}\nslices = 1\n[class any]\ncontract_time = 1\n",
         list.address, store.address
     );
-    let running = Running::start(read_installation(&text)).expect("the controller starts");
+    let running = Running::start(read_settings(&text)).expect("the controller starts");
     assert_eq!(list.bodies("GET /hosts?after=0 HTTP/1.1", 1), [""]);
     assert_eq!(store.bodies("GET /charges HTTP/1.1", 1), [""]);
     assert_eq!(list.bodies("GET /hosts?after=9 HTTP/1.1", 1), [""]);
@@ -194,7 +194,7 @@
             list.address, store.address
         )
     };
-    let mut running = Running::start(read_installation(&text(1, 77, ""))).expect("the controller starts");
+    let mut running = Running::start(read_settings(&text(1, 77, ""))).expect("the controller starts");
     let first_request =
         "{\"number\":1,\"process\":77,\"span\":3.0,\"take\":[0,1],\"renew\":[],\"release\":[]}";
     assert_eq!(store.bodies("POST /leases HTTP/1.1", 1)[0], first_request);
@@ -209,7 +209,7 @@
         "join = {}\n",
         running.membership_address().expect("the controller has a membership address")
     );
-    let other = Running::start(read_installation(&text(2, 78, &join))).expect("the controller starts");
+    let other = Running::start(read_settings(&text(2, 78, &join))).expect("the controller starts");
     while running.membership_figures().is_none_or(|figures| figures.alive < 2) {
         assert!(Instant::now() < deadline, "the other controller never joined the membership");
         std::thread::sleep(Duration::from_millis(10));
@@ -246,28 +246,28 @@
         [fleet]\nid = 3\ninstallation = shop\nlisten = 127.0.0.1:7003\nadvertise = 127.0.0.1:7004\n\
         join = 127.0.0.1:7005, 127.0.0.1:7006\nforget_after = 22\nshare = yes\nlease = 4\nclock_speed = 1.5\n\
         clock_jumps_after = 23\nclock_jumps_by = 24\nprocess = 25\nwithout = rumour bound\n";
-    let installation = read_installation(text);
+    let settings = read_settings(text);
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     assert_eq!(
-        (installation.listen, installation.endpoint_list, installation.store),
+        (settings.listen, settings.endpoint_list, settings.store),
         (address(7000), address(7001), Some(address(7002)))
     );
-    assert_eq!(installation.class_names, ["view", "pay", "near"]);
+    assert_eq!(settings.class_names, ["view", "pay", "near"]);
     assert_eq!(
         (
-            installation.max_reports_per_second,
-            installation.health_check_timeout,
-            installation.max_concurrent_health_checks
+            settings.max_reports_per_second,
+            settings.health_check_timeout,
+            settings.max_concurrent_health_checks
         ),
         (801.0, 0.3, 65)
     );
     assert_eq!(
-        (installation.response_timeout, installation.subscribe_timeout, installation.idle_timeout),
+        (settings.response_timeout, settings.subscribe_timeout, settings.idle_timeout),
         (11.0, 6.0, 12.0)
     );
-    assert_eq!(installation.max_streams, 13);
-    assert_eq!(installation.traffic.as_deref(), Some(Path::new("ops.traffic")));
-    let config = &installation.config;
+    assert_eq!(settings.max_streams, 13);
+    assert_eq!(settings.traffic.as_deref(), Some(Path::new("ops.traffic")));
+    let config = &settings.config;
     assert_eq!((config.slice_count, config.single_owner, config.health_checks_allowed), (40, true, false));
     assert_eq!((config.delisted_may_serve, config.admission_by_fraction), (true, false));
     assert_eq!(
@@ -282,38 +282,35 @@
     let keyed = Idempotency::IdempotencyKeyGlobal(30.0);
     let nearby = Idempotency::IdempotencyKeyLocal;
     assert_eq!(classes, [(0.8, 2.0, Idempotency::Safe), (1.2, 1.0, keyed), (1.3, 1.0, nearby)]);
-    let fleet = installation.membership.expect("the file has a [fleet] section");
+    let fleet = settings.membership.expect("the file has a [fleet] section");
     assert_eq!((fleet.id.0, fleet.installation.as_str(), fleet.share), (3, "shop", true));
     assert_eq!((fleet.listen, fleet.advertise), (address(7003), Some(address(7004))));
     assert_eq!(fleet.join, [address(7005), address(7006)]);
-    assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (22.0, 4.0, Some(25)));
+    assert_eq!((fleet.forget_after, fleet.lease_duration, fleet.process), (22.0, 4.0, Some(25)));
     let clock = fleet.clock;
     assert_eq!((clock.speed, clock.jumps_after, clock.jumps_by), (1.5, 23.0, 24.0));
-    assert_eq!(fleet.without, Some(railhub_membership::safeguard::Safeguard::GossipLimit));
+    assert_eq!(fleet.disabled_safeguard, Some(railhub_membership::safeguard::Safeguard::GossipLimit));
     assert_eq!(fleet.settings_digest, SETTINGS_DIGEST);
 }
 
 #[test]
 fn default_settings() {
-    let installation = read_installation("[steward]\nroster = 127.0.0.1:7001\n[class view]\ncontract_time = 0.8\n[fleet]\nid = 1\ninstallation = a\n");
-    assert_eq!(
-        (installation.listen.port(), installation.store, installation.traffic.is_none()),
-        (0, None, true)
-    );
+    let settings = read_settings("[steward]\nroster = 127.0.0.1:7001\n[class view]\ncontract_time = 0.8\n[fleet]\nid = 1\ninstallation = a\n");
+    assert_eq!((settings.listen.port(), settings.store, settings.traffic.is_none()), (0, None, true));
     assert_eq!(
         (
-            installation.max_reports_per_second,
-            installation.health_check_timeout,
-            installation.max_concurrent_health_checks
+            settings.max_reports_per_second,
+            settings.health_check_timeout,
+            settings.max_concurrent_health_checks
         ),
         (800.0, 0.4, 64)
     );
     assert_eq!(
-        (installation.response_timeout, installation.subscribe_timeout, installation.idle_timeout),
+        (settings.response_timeout, settings.subscribe_timeout, settings.idle_timeout),
         (10.0, 5.0, 10.0)
     );
-    assert_eq!(installation.max_streams, 10_000);
-    let config = &installation.config;
+    assert_eq!(settings.max_streams, 10_000);
+    let config = &settings.config;
     assert_eq!((config.slice_count, config.single_owner, config.health_checks_allowed), (0, false, true));
     assert_eq!((config.delisted_may_serve, config.admission_by_fraction), (false, true));
     assert_eq!(
@@ -323,12 +320,12 @@
     assert_eq!((config.warm_up_time, config.overload_multiple, config.backlog_limit), (0.0, 2.5, 50_000.0));
     assert_eq!((config.message_overhead, config.message_quota), (8.0, 20));
     assert_eq!((config.message_quota_window, config.first_attempt_timeout_multiple), (10.0, 1.0));
-    let fleet = installation.membership.expect("the file has a [fleet] section");
+    let fleet = settings.membership.expect("the file has a [fleet] section");
     assert_eq!((fleet.listen.port(), fleet.advertise, fleet.share), (0, None, false));
-    assert_eq!((fleet.forget_after, fleet.lease, fleet.process), (600.0, 3.0, None));
+    assert_eq!((fleet.forget_after, fleet.lease_duration, fleet.process), (600.0, 3.0, None));
     let clock = fleet.clock;
     assert_eq!((clock.speed, clock.jumps_after, clock.jumps_by), (1.0, 0.0, 0.0));
-    assert!(fleet.without.is_none() && fleet.join.is_empty());
+    assert!(fleet.disabled_safeguard.is_none() && fleet.join.is_empty());
 }
 
 #[test]
@@ -360,7 +357,7 @@
          [class view]\ncontract_time = 1\n[class pay]\ncontract_time = 1\n",
         path.display()
     );
-    let mut writer = TrafficWriter::start(&read_installation(&text), 10.0)
+    let mut writer = TrafficWriter::start(&read_settings(&text), 10.0)
         .expect("the file is writable")
         .expect("a traffic file is named");
     let demand = |slice, class| SliceLoad { slice, class, operations: 30 };
