--- a/crates/railhub-controller/src/core/controller_core.rs
+++ b/crates/railhub-controller/src/core/controller_core.rs
@@ -57,7 +57,7 @@
         let shares = installation.shares();
         ControllerCore {
             engine,
-            // A controller that shares slices serves its proxies even while it holds no slice.
+            // If slices are shared, a controller serves its proxies even while it holds no slice.
             slices_received: installation.config.slice_count == 0 || shares,
             shared: shares.then(SharedSlices::default),
             tables: Tables::default(),
--- a/crates/railhub-controller/src/core/publishing.rs
+++ b/crates/railhub-controller/src/core/publishing.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends a joined proxy the table that it is assigned, in an installation without slices.
+    /// Sends a joined proxy the table that it is assigned. Used only if there are no slices.
     fn assign_table(&mut self, table: SliceId, proxy: ProxyId, decided_at: Seconds) {
         let Some(session) = self.sessions.joined_mut(proxy) else { return };
         session.state = SessionState::Joined { table: Some(table) };
--- a/crates/railhub-controller/src/core/sessions.rs
+++ b/crates/railhub-controller/src/core/sessions.rs
@@ -9,9 +9,9 @@
 pub(super) enum SessionState {
     /// The proxy has subscribed but has not been sent anything, and the decision engine does not know it yet.
     AwaitingSnapshot,
-    /// A snapshot, or the changes that the proxy lacked, have been queued for it, and the decision engine knows it.
+    /// A snapshot or the changes that the proxy lacked have been queued for it, and the decision engine knows it.
     Joined {
-        /// The table that the proxy is assigned, in an installation without slices.
+        /// The table that the proxy is assigned; always `None` if there are slices.
         table: Option<SliceId>,
     },
 }
--- a/crates/railhub-controller/src/membership/cpu_meter.rs
+++ b/crates/railhub-controller/src/membership/cpu_meter.rs
@@ -1,6 +1,6 @@
 //! Measures the CPU usage of this process.
 
-/// Shortest interval that a reading is divided by, so that the result stays finite.
+/// Lower bound of the interval between two readings, so that the result stays finite.
 const MIN_INTERVAL_SECONDS: f64 = 0.001;
 
 /// Measures the CPU time used between two readings.
--- a/crates/railhub-controller/src/membership/lease_coordinator.rs
+++ b/crates/railhub-controller/src/membership/lease_coordinator.rs
@@ -51,7 +51,7 @@
     }
 
     /// Requests the end of the thread. Only the first request takes effect.
-    pub(super) fn end(&self, state: RunState) {
+    pub(super) fn request_end(&self, state: RunState) {
         let running = RunState::Running as u8;
         let _ = self.0.compare_exchange(running, state as u8, Ordering::AcqRel, Ordering::Acquire);
     }
@@ -164,7 +164,7 @@
             self.hand_over();
         }
         let effects = self.lease_manager.leave();
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Releases all slices, as far as [`HAND_OVER_TIMEOUT_SECONDS`] allows.
@@ -189,7 +189,7 @@
         }
         let effects = self.lease_manager.tick(now);
         self.apply_leases(&effects, Vec::new());
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     fn measure_load(&mut self, now: f64) {
@@ -213,7 +213,7 @@
         let Some(leased) = response else { return };
         let effects = self.lease_manager.on_response(self.clock.now(), &leased.response);
         self.apply_leases(&effects, leased.tables);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     fn apply_leases(&self, effects: &Effects, tables: Vec<StoredTable>) {
@@ -227,7 +227,7 @@
             Ok(Packet::Message(message)) => {
                 self.figures.received += 1;
                 let effects = self.lease_manager.on_message(self.clock.now(), &message);
-                self.carry_out(effects);
+                self.apply_effects(effects);
             }
             Ok(Packet::ViewRequest { nonce, from: first_id }) => self.send_view(nonce, first_id, sender),
             Ok(Packet::View(_)) => {}
@@ -244,7 +244,7 @@
         }
     }
 
-    fn carry_out(&mut self, effects: Effects) {
+    fn apply_effects(&mut self, effects: Effects) {
         if let (Some(request), Some(sharing)) = (effects.lease_request, &self.sharing) {
             sharing.store.request_leases(request);
         }
--- a/crates/railhub-controller/src/membership/service.rs
+++ b/crates/railhub-controller/src/membership/service.rs
@@ -78,7 +78,7 @@
     }
 
     fn end(&mut self, state: RunState) {
-        self.run_state.end(state);
+        self.run_state.request_end(state);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
