--- a/crates/railhub-controller/src/membership/lease_coordinator.rs
+++ b/crates/railhub-controller/src/membership/lease_coordinator.rs
@@ -1,4 +1,5 @@
-//! The membership thread: feeds the lease manager datagrams, store responses and the time, and carries out its effects.
+//! The membership thread: passes datagrams, store responses and the time to the lease manager and executes the effects
+//! that it returns.
 use super::cpu_meter::CpuMeter;
 use super::figures::MembershipFigures;
 use super::slice_sharing::SliceSharing;
@@ -18,39 +19,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Seconds that the thread sleeps at the longest, so that it sees that it is to end.
-const MAX_SLEEP: f64 = 0.05;
-/// The shortest time-out of the socket.
+/// Longest wait for a datagram, so that the thread notices a change of its run state.
+const MAX_SLEEP_SECONDS: f64 = 0.05;
+/// Shortest read time-out of the socket.
 const MIN_SOCKET_TIMEOUT: Duration = Duration::from_micros(100);
-/// Seconds between measurements of this controller's load.
-const LOAD_INTERVAL: f64 = 1.0;
-/// Seconds within which a controller that leaves hands its slices over; the rest is taken when the leases end.
-const HAND_OVER_TIMEOUT: f64 = 2.0;
-/// Seconds between polls for the store's response while one is due.
-const STORE_POLL_INTERVAL: f64 = 0.004;
+/// Interval between measurements of this controller's load.
+const LOAD_INTERVAL_SECONDS: f64 = 1.0;
+/// Time for a leaving controller to hand its slices over. Others acquire the remaining slices once the leases expire.
+const HAND_OVER_TIMEOUT_SECONDS: f64 = 2.0;
+/// Interval between polls for the store's response while a request is in flight.
+const STORE_POLL_INTERVAL_SECONDS: f64 = 0.004;
 
-/// What the thread is to do.
+/// Whether the thread runs on, and how it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum RunState {
-    /// Take part.
+    /// Take part in the membership.
     Running,
-    /// Hand the slices over, announce that this controller leaves, and end.
+    /// Hand the slices over, announce to the other controllers that this one leaves, and end.
     Leaving,
-    /// End without a message to the others, as a crash would.
+    /// End without a message to the other controllers, as in a crash.
     Stopping,
 }
 
-/// A [`RunState`] that the thread reads and its starter sets.
-pub(super) struct RunSwitch(AtomicU8);
+/// A [`RunState`] that the thread reads and its owner sets.
+pub(super) struct AtomicRunState(AtomicU8);
 
-impl RunSwitch {
-    pub(super) fn new() -> RunSwitch {
-        RunSwitch(AtomicU8::new(RunState::Running as u8))
+impl AtomicRunState {
+    pub(super) fn new() -> AtomicRunState {
+        AtomicRunState(AtomicU8::new(RunState::Running as u8))
     }
 
-    /// Ends the thread; a state that was set before stays.
-    pub(super) fn end(&self, state: RunState) {
+    /// Requests the end of the thread. Only the first request takes effect.
+    pub(super) fn request_end(&self, state: RunState) {
         let running = RunState::Running as u8;
         let _ = self.0.compare_exchange(running, state as u8, Ordering::AcqRel, Ordering::Acquire);
     }
@@ -64,23 +65,23 @@
     }
 }
 
-/// What the thread shares with the rest of the process.
+/// Counters shared between the thread and the rest of the process.
 pub(super) struct SharedFigures {
-    /// The core's figures, for the load that is announced to the others.
+    /// The core's figures, read for the load that is announced to the other controllers.
     pub(super) core: Arc<Mutex<Figures>>,
-    /// The thread's own.
+    /// The thread's own figures.
     pub(super) membership: Arc<Mutex<MembershipFigures>>,
 }
 
-/// Owns the lease manager and its socket.
+/// Owns the lease manager and the membership socket.
 pub(super) struct LeaseCoordinator {
     lease_manager: LeaseManager,
     clock: LeaseClock,
     socket: UdpSocket,
     installation: String,
-    /// Present where slices are shared.
+    /// Present if slices are shared.
     sharing: Option<SliceSharing>,
-    /// Slices of the installation.
+    /// Number of slices in the installation.
     slices: u16,
     figures: MembershipFigures,
     shared_figures: SharedFigures,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// This controller's process, as the others know it.
+    /// The process number under which the other controllers know this process.
     pub(super) fn process(&self) -> u64 {
         self.membership().incarnation().process
     }
@@ -123,35 +124,35 @@
         self.lease_manager.membership()
     }
 
-    /// Runs until the switch ends it.
-    pub(super) fn run(mut self, switch: &RunSwitch) {
+    /// Runs until `run_state` requests the end.
+    pub(super) fn run(mut self, run_state: &AtomicRunState) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        // When the next tick is due. A message may bring it forward and never puts it off: messages that come without
-        // end must not hold up ticks.
-        let mut due = 0.0;
-        while switch.get() == RunState::Running {
+        // A message may bring the next tick forward but never postpones it, so that a constant stream of messages
+        // cannot delay ticks.
+        let mut next_tick = 0.0;
+        while run_state.get() == RunState::Running {
             self.poll_store();
             let now = self.clock.now();
-            if now >= due {
+            if now >= next_tick {
                 self.tick(now);
-                due = self.lease_manager.next_tick_at(now);
+                next_tick = self.lease_manager.next_tick_at(now);
                 continue;
             }
-            if let Some((length, sender)) = self.receive(&mut bytes, due - now) {
+            if let Some((length, sender)) = self.receive(&mut bytes, next_tick - now) {
                 self.on_datagram(&bytes[..length], sender);
-                due = due.min(self.lease_manager.next_tick_at(self.clock.now()));
+                next_tick = next_tick.min(self.lease_manager.next_tick_at(self.clock.now()));
             }
         }
-        if switch.get() == RunState::Leaving {
+        if run_state.get() == RunState::Leaving {
             self.leave();
         }
     }
 
-    /// Waits for a datagram until the next tick or poll is due.
-    fn receive(&self, bytes: &mut [u8], until_tick: f64) -> Option<(usize, SocketAddr)> {
+    /// Waits for a datagram, but no longer than until the next tick or store poll is due.
+    fn receive(&self, bytes: &mut [u8], seconds_to_tick: f64) -> Option<(usize, SocketAddr)> {
         let request_in_flight = self.lease_manager.request_in_flight();
-        let longest = if request_in_flight { STORE_POLL_INTERVAL } else { MAX_SLEEP };
-        let timeout = seconds(until_tick.min(longest)).max(MIN_SOCKET_TIMEOUT);
+        let max_wait = if request_in_flight { STORE_POLL_INTERVAL_SECONDS } else { MAX_SLEEP_SECONDS };
+        let timeout = seconds(seconds_to_tick.min(max_wait)).max(MIN_SOCKET_TIMEOUT);
         if self.socket.set_read_timeout(Some(timeout)).is_err() {
             std::thread::sleep(timeout);
         }
@@ -163,17 +164,17 @@
             self.hand_over();
         }
         let effects = self.lease_manager.leave();
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    /// Releases all slices, as far as the time for it reaches.
+    /// Releases all slices, as far as [`HAND_OVER_TIMEOUT_SECONDS`] allows.
     fn hand_over(&mut self) {
         self.lease_manager.start_draining();
-        let until = now() + HAND_OVER_TIMEOUT;
-        while now() < until && self.has_slices_to_release() {
+        let deadline = now() + HAND_OVER_TIMEOUT_SECONDS;
+        while now() < deadline && self.has_slices_to_release() {
             self.poll_store();
             self.tick(self.clock.now());
-            std::thread::sleep(seconds(STORE_POLL_INTERVAL));
+            std::thread::sleep(seconds(STORE_POLL_INTERVAL_SECONDS));
         }
     }
 
@@ -182,22 +183,22 @@
     }
 
     fn tick(&mut self, now: f64) {
-        if now - self.load_measured_at >= LOAD_INTERVAL {
+        if now - self.load_measured_at >= LOAD_INTERVAL_SECONDS {
             self.load_measured_at = now;
             self.measure_load(now);
         }
         let effects = self.lease_manager.tick(now);
         self.apply_leases(&effects, Vec::new());
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     fn measure_load(&mut self, now: f64) {
         let cpu_cores = self.cpu.busy_cores(now);
         let proxies = self.shared_figures.core.lock().expect("no holder panics").joined as u32;
-        let held = self.sharing.is_some().then(|| self.lease_manager.leases().count() as u32);
-        let slices = held.unwrap_or(self.slices.into());
+        let held_leases = self.sharing.is_some().then(|| self.lease_manager.leases().count() as u32);
+        let slices = held_leases.unwrap_or(self.slices.into());
         self.lease_manager.set_load(Load { slices, proxies, cpu_cores });
-        self.figures.leases = held.unwrap_or(0) as usize;
+        self.figures.leases = held_leases.unwrap_or(0) as usize;
         self.figures.tables_rejected =
             self.sharing.as_ref().map_or(0, |sharing| sharing.store.tables_rejected());
         self.figures.alive = self.membership().live_count();
@@ -206,13 +207,13 @@
         *self.shared_figures.membership.lock().expect("no holder panics") = self.figures.clone();
     }
 
-    /// Takes the store's response to a request for leases, if there is one.
+    /// Handles the store's response to a lease request, if one has arrived.
     fn poll_store(&mut self) {
         let response = self.sharing.as_ref().and_then(|sharing| sharing.store.take_lease_response());
         let Some(leased) = response else { return };
         let effects = self.lease_manager.on_response(self.clock.now(), &leased.response);
         self.apply_leases(&effects, leased.tables);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     fn apply_leases(&self, effects: &Effects, tables: Vec<StoredTable>) {
@@ -226,9 +227,9 @@
             Ok(Packet::Message(message)) => {
                 self.figures.received += 1;
                 let effects = self.lease_manager.on_message(self.clock.now(), &message);
-                self.carry_out(effects);
+                self.apply_effects(effects);
             }
-            Ok(Packet::ViewRequest { nonce, from: first }) => self.send_view(nonce, first, sender),
+            Ok(Packet::ViewRequest { nonce, from: first_id }) => self.send_view(nonce, first_id, sender),
             Ok(Packet::View(_)) => {}
             Ok(Packet::Drain { node, process }) => self.on_drain_request(node, process),
             Err(error) => self.figures.dropped.count(error),
@@ -243,7 +244,7 @@
         }
     }
 
-    fn carry_out(&mut self, effects: Effects) {
+    fn apply_effects(&mut self, effects: Effects) {
         if let (Some(request), Some(sharing)) = (effects.lease_request, &self.sharing) {
             sharing.store.request_leases(request);
         }
@@ -262,18 +263,18 @@
         };
         let bytes = packet::encode(&self.installation, &Packet::Message(Box::new(outgoing.message)));
         if let Some(address) = address {
-            // One that cannot be sent is one that was lost.
+            // A datagram that cannot be sent counts as lost; the protocol tolerates losses.
             let _ = self.socket.send_to(&bytes, address);
         }
     }
 
-    fn send_view(&mut self, nonce: u64, first: NodeId, to: SocketAddr) {
+    fn send_view(&mut self, nonce: u64, first_id: NodeId, to: SocketAddr) {
         let now = self.clock.now();
         if !self.view_requests.allow(now) {
             self.figures.view_requests_dropped += 1;
             return;
         }
-        let view = view_page(self.membership(), now, nonce, first, self.figures.dropped.total());
+        let view = view_page(self.membership(), now, nonce, first_id, self.figures.dropped.total());
         let bytes = packet::encode(&self.installation, &Packet::View(Box::new(view)));
         let _ = self.socket.send_to(&bytes, to);
     }
--- a/crates/railhub-controller/src/membership/service.rs
+++ b/crates/railhub-controller/src/membership/service.rs
@@ -1,6 +1,6 @@
-//! Starts the membership thread and ends it.
+//! Starts and stops the membership thread.
 use super::figures::MembershipFigures;
-use super::lease_coordinator::{LeaseCoordinator, RunState, RunSwitch, SharedFigures};
+use super::lease_coordinator::{AtomicRunState, LeaseCoordinator, RunState, SharedFigures};
 use super::settings::MembershipSettings;
 use super::slice_sharing::SliceSharing;
 use crate::core::Figures;
@@ -15,26 +15,27 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds after a start before leases are requested: who else is there is learnt first.
-const SETTLE_TIME: f64 = 1.0;
-/// The weight of this controller in the placement of slices.
-const WEIGHT: f64 = 1.0;
-/// Version of the program, as the others see it.
-const PROGRAM: &str = env!("CARGO_PKG_VERSION");
+/// Time after a start before leases are requested, so that the other controllers are discovered first.
+const SETTLE_TIME_SECONDS: f64 = 1.0;
+/// Weight of this controller in the placement of slices.
+const PLACEMENT_WEIGHT: f64 = 1.0;
+/// Version of the program, announced to the other controllers.
+const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// The membership thread. Dropping it ends the thread without a message to the others, as a crash would.
+/// The membership thread. Dropping it ends the thread without a message to the other controllers, as in a crash.
 pub struct MembershipService {
-    /// Where the socket is bound.
+    /// The address that the socket is bound to.
     pub address: SocketAddr,
-    /// This process, as the others know it.
+    /// The process number under which the other controllers know this process.
     pub process: u64,
-    switch: Arc<RunSwitch>,
+    run_state: Arc<AtomicRunState>,
     figures: Arc<Mutex<MembershipFigures>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl MembershipService {
-    /// Starts the thread. `core_figures` gives the load; `sharing` is present where slices are shared.
+    /// Starts the thread. `core_figures` is read for this controller's load; `sharing` is present if slices are shared;
+    /// `slices` is the number of slices in the installation.
     ///
     /// # Errors
     /// The address cannot be bound, or the thread cannot be started.
@@ -59,25 +60,25 @@
         );
         let process = coordinator.process();
         tracing::info!(controller = settings.id.0, process, %address, "membership started");
-        let switch = Arc::new(RunSwitch::new());
-        let thread_switch = switch.clone();
+        let run_state = Arc::new(AtomicRunState::new());
+        let thread_run_state = run_state.clone();
         let builder = std::thread::Builder::new().name("fleet".into());
-        let thread = builder.spawn(move || coordinator.run(&thread_switch))?;
-        Ok(MembershipService { address, process, switch, figures, thread: Some(thread) })
+        let thread = builder.spawn(move || coordinator.run(&thread_run_state))?;
+        Ok(MembershipService { address, process, run_state, figures, thread: Some(thread) })
     }
 
-    /// What the thread has seen so far.
+    /// The thread's counters, updated once a second.
     pub fn figures(&self) -> MembershipFigures {
         self.figures.lock().expect("no holder panics").clone()
     }
 
-    /// Hands the slices over, announces that this controller leaves, and ends the thread.
+    /// Hands the slices over, announces to the other controllers that this one leaves, and ends the thread.
     pub fn leave(&mut self) {
         self.end(RunState::Leaving);
     }
 
     fn end(&mut self, state: RunState) {
-        self.switch.end(state);
+        self.run_state.request_end(state);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -94,7 +95,7 @@
     let process = settings.process.unwrap_or_else(process_number);
     let metadata = NodeMetadata {
         address: Some(settings.advertise.unwrap_or(address)),
-        program_version: PROGRAM.to_owned(),
+        program_version: PROGRAM_VERSION.to_owned(),
         protocol_version: u32::from(packet::VERSION),
         settings_digest: settings.settings_digest,
         draining: false,
@@ -103,25 +104,25 @@
     let config = MembershipConfig {
         seeds: settings.join.clone(),
         forget_after: settings.forget_after,
-        without: settings.without,
+        without: settings.disabled_safeguard,
     };
     let options = LeaseManagerOptions {
         id: settings.id,
         process,
-        weights: &BTreeMap::from([(settings.id, WEIGHT)]),
+        weights: &BTreeMap::from([(settings.id, PLACEMENT_WEIGHT)]),
         metadata,
         config,
         slices: shared_slices,
-        lease_duration: settings.lease,
-        settle_time: SETTLE_TIME,
+        lease_duration: settings.lease_duration,
+        settle_time: SETTLE_TIME_SECONDS,
         seed: process,
     };
     LeaseManager::new(&options, settings.clock.now())
 }
 
-/// Microseconds since 1970: higher than any earlier process of this controller, unless the clock was set back, which
-/// the others report then.
+/// Microseconds since 1970. This is higher than the number of any earlier process of this controller unless the clock
+/// was set back; the other controllers report that case.
 fn process_number() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_micros() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_micros() as u64
 }
--- a/crates/railhub-controller/tests/handover.rs
+++ b/crates/railhub-controller/tests/slice_handoff.rs
@@ -1,4 +1,4 @@
-//! The handoff of a slice from one core to the next.
+//! The handoff of a slice from one controller core to the next holder's.
 use railhub::{
     ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId, Seconds,
     WeightedHost,
@@ -6,7 +6,7 @@
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
 use railhub_controller::change::Change;
 use railhub_controller::core::{
-    CloseReason, ControllerCore, Environment, LeaseChanges, ProxyChannel, SessionEvent, SliceAcquired,
+    AcquiredSlice, CloseReason, ControllerCore, Environment, LeaseChanges, ProxyChannel, SessionEvent,
     StreamId,
 };
 use railhub_controller::delta_queue::{DeltaResponse, ResponseEffect};
@@ -16,7 +16,7 @@
 use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use std::sync::{Arc, Mutex};
 
-/// A proxy that confirms nothing and keeps what it is sent.
+/// A channel that records publications and never acknowledges one.
 #[derive(Clone, Default)]
 struct RecordingChannel(Arc<Mutex<Vec<Arc<Publication>>>>);
 
@@ -42,17 +42,18 @@
     fn close(&self, _: CloseReason) {}
 }
 
+/// An environment that records handoffs.
 #[derive(Default)]
 struct RecordingEnvironment {
-    handed_on: Vec<(SliceId, u64, SliceHandoff)>,
+    handoffs: Vec<(SliceId, u64, SliceHandoff)>,
 }
 
 impl Environment for RecordingEnvironment {
     fn check_health(&mut self, _: HostId) {}
     fn store_table(&mut self, _: SliceId, _: u64, _: Vec<WeightedHost>) {}
-    fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, state: SliceHandoff) {
-        assert!(!entries.is_empty(), "the table goes along");
-        self.handed_on.push((slice, epoch, state));
+    fn hand_over(&mut self, slice: SliceId, epoch: u64, entries: Vec<WeightedHost>, handoff: SliceHandoff) {
+        assert!(!entries.is_empty(), "the slice's table is stored with the handoff");
+        self.handoffs.push((slice, epoch, handoff));
     }
     fn decided(&mut self, _: &str) {}
     fn published(&mut self, _: &Change, _: u64) {}
@@ -62,18 +63,19 @@
 const SLICE: SliceId = SliceId(3);
 
 fn host(n: u16) -> HostId {
-    HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
+    HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a valid host name")
 }
 
 fn core(process: u64) -> ControllerCore<RecordingChannel> {
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
-    let installation = Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right");
+    let settings =
+        Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
-    let terms = ControllerConfig { classes, ..installation.config.clone() };
-    let mut core = ControllerCore::new(Installation { config: terms, ..installation }, process, 0.0);
+    let config = ControllerConfig { classes, ..settings.config.clone() };
+    let mut core = ControllerCore::new(Installation { config, ..settings }, process, 0.0);
     let entry = |n| EndpointEntry {
         host: host(n),
         phase: Phase::Ready,
@@ -87,7 +89,7 @@
 
 fn acquired(epoch: u64, handoff: Option<(SliceHandoff, Seconds)>) -> LeaseChanges {
     let entries = vec![(host(1), 1.0).into()];
-    let acquired = vec![SliceAcquired { slice: SLICE, entries, epoch, handoff }];
+    let acquired = vec![AcquiredSlice { slice: SLICE, entries, epoch, handoff }];
     LeaseChanges { acquired, ..LeaseChanges::default() }
 }
 
@@ -95,8 +97,8 @@
     LeaseChanges { lost: vec![SLICE], ..LeaseChanges::default() }
 }
 
-/// A second of the core's life, with what a proxy met meanwhile.
-fn second(
+/// Runs the core for one second, in which a proxy reports so many operations for [`SLICE`].
+fn run_one_second(
     core: &mut ControllerCore<RecordingChannel>,
     now: Seconds,
     operations: u32,
@@ -128,28 +130,30 @@
 }
 
 #[test]
-fn an_heir_knows_what_a_slice_brought_and_forgets_it_when_that_is_old() {
-    let (mut first, mut environment) = (core(1), RecordingEnvironment::default());
-    let sent = join(&mut first, &mut environment);
-    first.on_lease_changes(0.0, acquired(1, None), &mut environment);
-    (0..6).for_each(|n| second(&mut first, 0.1 + f64::from(n), 40, &mut environment));
-    first.on_lease_changes(6.0, lost(), &mut environment);
-    let (slice, epoch, state) = environment.handed_on.pop().expect("it tells of what it gives up");
+fn next_holder_uses_recent_handoff_and_ignores_old_one() {
+    let (mut first_holder, mut environment) = (core(1), RecordingEnvironment::default());
+    let channel = join(&mut first_holder, &mut environment);
+    first_holder.on_lease_changes(0.0, acquired(1, None), &mut environment);
+    (0..6).for_each(|n| run_one_second(&mut first_holder, 0.1 + f64::from(n), 40, &mut environment));
+    first_holder.on_lease_changes(6.0, lost(), &mut environment);
+    let (slice, epoch, handoff) = environment.handoffs.pop().expect("a lost slice is handed over");
     assert_eq!((slice, epoch), (SLICE, 1));
-    assert!((25.0..60.0).contains(&state.rate), "{state:?}");
-    // Nothing is published of the slice any more, and what was published bears its epoch.
-    let before = sent.0.lock().expect("no holder panics").len();
-    (6..9).for_each(|n| second(&mut first, 0.1 + f64::from(n), 40, &mut environment));
-    let published = sent.0.lock().expect("no holder panics").clone();
-    assert!(published[..before].iter().any(|publication| publication.change.epochs.get(&SLICE) == Some(&1)));
-    assert!(published[before..].iter().all(|publication| publication.change.slices().is_empty()));
+    assert!((25.0..60.0).contains(&handoff.rate), "{handoff:?}");
+    // The slice was published under the epoch of its lease, and is not published any more after its loss.
+    let published_before = channel.0.lock().expect("no holder panics").len();
+    (6..9).for_each(|n| run_one_second(&mut first_holder, 0.1 + f64::from(n), 40, &mut environment));
+    let published = channel.0.lock().expect("no holder panics").clone();
+    assert!(published[..published_before]
+        .iter()
+        .any(|publication| publication.change.epochs.get(&SLICE) == Some(&1)));
+    assert!(published[published_before..].iter().all(|publication| publication.change.slices().is_empty()));
     let rate_after = |age: Seconds| {
         let (mut next_holder, mut environment) = (core(2), RecordingEnvironment::default());
-        next_holder.on_lease_changes(10.0, acquired(2, Some((state, age))), &mut environment);
+        next_holder.on_lease_changes(10.0, acquired(2, Some((handoff, age))), &mut environment);
         next_holder.process(10.0, || 10.0, &mut environment);
         next_holder.on_lease_changes(10.1, lost(), &mut environment);
-        environment.handed_on.pop().expect("it tells on").2.rate
+        environment.handoffs.pop().expect("a lost slice is handed over").2.rate
     };
-    assert!((rate_after(0.3) - state.rate).abs() < 1e-6, "as the former one knew it");
-    assert_eq!(rate_after(60.0), 0.0, "a minute old: it begins anew");
+    assert!((rate_after(0.3) - handoff.rate).abs() < 1e-6, "a recent handoff's rate is used");
+    assert_eq!(rate_after(60.0), 0.0, "a handoff that is a minute old is ignored");
 }
