--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -18,7 +18,7 @@
 use railhub_net::http::{HttpError, LineStream};
 use railhub_net::spawn;
 use railhub_platform::wire::discovery;
-use railhub_platform::{EndpointPage, InvalidEntry};
+use railhub_platform::{DecodeError, EndpointPage};
 use std::convert::Infallible;
 use std::sync::Arc;
 use thiserror::Error;
@@ -48,7 +48,7 @@
     Superseded,
     /// A page is invalid.
     #[error("discovery sent an invalid page: {0}")]
-    InvalidPage(#[source] InvalidEntry),
+    InvalidPage(#[source] DecodeError),
     /// A page has an invalid entry.
     #[error("discovery sent an invalid entry")]
     InvalidEntry,
@@ -172,7 +172,7 @@
         is_current
     }
 
-    fn reject_page(&self, invalid: InvalidEntry) -> WatchError {
+    fn reject_page(&self, invalid: DecodeError) -> WatchError {
         self.shared.rejections.record(RejectionCause::EndpointPage);
         WatchError::InvalidPage(invalid)
     }
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -11,7 +11,7 @@
 use may::net::TcpStream;
 use railhub::ZoneId;
 use railhub_platform::wire::collector;
-use railhub_platform::{CollectorMessage, InvalidEntry};
+use railhub_platform::{CollectorMessage, DecodeError};
 use railhub_proto::Deframer;
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -46,7 +46,7 @@
     Message(CollectorMessage),
     /// It is invalid; `shown` is its start.
     Invalid {
-        reason: InvalidEntry,
+        reason: DecodeError,
         shown: String,
     },
     /// The length of a message is over the limit.
@@ -86,7 +86,7 @@
             Received::Nothing => self.read(),
             Received::Message(message) => self.on_message(message),
             Received::Invalid { reason, shown } => self.on_invalid(reason, shown),
-            Received::TooLong => self.close_with(InvalidEntry::Unreadable, String::new()),
+            Received::TooLong => self.close_with(DecodeError::Unreadable, String::new()),
         }
     }
 
@@ -128,7 +128,7 @@
             CollectorMessage::SliceLoad(report) if self.has_joined() => {
                 self.report(LoadReport::Slice(report))
             }
-            _ => self.close_with(InvalidEntry::Kind, String::new()),
+            _ => self.close_with(DecodeError::UnexpectedType, String::new()),
         }
     }
 
@@ -156,15 +156,15 @@
     }
 
     /// An invalid report of a collector is dropped alone, unless nothing that follows can be trusted.
-    fn on_invalid(&self, reason: InvalidEntry, shown: String) -> Next {
-        if self.has_joined() && reason != InvalidEntry::Unreadable {
+    fn on_invalid(&self, reason: DecodeError, shown: String) -> Next {
+        if self.has_joined() && reason != DecodeError::Unreadable {
             self.shared.rejections.record_with_sample(RejectionCause::Report(reason), || shown);
             return Next::Continue;
         }
         self.close_with(reason, shown)
     }
 
-    fn close_with(&self, reason: InvalidEntry, shown: String) -> Next {
+    fn close_with(&self, reason: DecodeError, shown: String) -> Next {
         let cause = match self.peer {
             Peer::Unidentified => RejectionCause::UnidentifiedPeer,
             Peer::Collector { .. } => RejectionCause::CollectorStream,
--- a/crates/railhub-platform-net/src/rejections.rs
+++ b/crates/railhub-platform-net/src/rejections.rs
@@ -1,5 +1,5 @@
 //! Counts messages and connections that were rejected, by cause, and logs few of them: floods cost the log little.
-use railhub_platform::InvalidEntry;
+use railhub_platform::DecodeError;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
@@ -13,7 +13,7 @@
     /// A collector sent something after which nothing can be trusted: its connection was closed.
     CollectorStream,
     /// A collector's report was invalid for this reason, and was dropped.
-    Report(InvalidEntry),
+    Report(DecodeError),
     /// An event of the relay was invalid: the subscription was closed.
     RelayEvent,
     /// A page of the endpoint list was invalid: the watch was closed.
@@ -31,11 +31,11 @@
             RejectionCause::ConnectionLimit => "connection_limit",
             RejectionCause::UnidentifiedPeer => "unidentified_peer",
             RejectionCause::CollectorStream => "collector_stream",
-            RejectionCause::Report(InvalidEntry::Unreadable) => "unreadable",
-            RejectionCause::Report(InvalidEntry::Fields) => "fields",
-            RejectionCause::Report(InvalidEntry::Range) => "range",
-            RejectionCause::Report(InvalidEntry::Unknown) => "unknown",
-            RejectionCause::Report(InvalidEntry::Kind) => "kind",
+            RejectionCause::Report(DecodeError::Unreadable) => "unreadable",
+            RejectionCause::Report(DecodeError::InvalidField) => "fields",
+            RejectionCause::Report(DecodeError::OutOfRange) => "range",
+            RejectionCause::Report(DecodeError::UnknownName) => "unknown",
+            RejectionCause::Report(DecodeError::UnexpectedType) => "kind",
             RejectionCause::RelayEvent => "relay_event",
             RejectionCause::EndpointPage => "endpoint_page",
             RejectionCause::EndpointEntry => "endpoint_entry",
--- a/crates/railhub-platform-net/src/relay/error.rs
+++ b/crates/railhub-platform-net/src/relay/error.rs
@@ -1,5 +1,5 @@
 //! Why a connection to the relay ended.
-use railhub_platform::InvalidEntry;
+use railhub_platform::DecodeError;
 use railhub_proto::FrameError;
 use std::io;
 use thiserror::Error;
@@ -33,12 +33,12 @@
     Io(#[source] io::Error),
     /// An event of the subscription is invalid.
     #[error("invalid event from the relay: {0}")]
-    InvalidEvent(#[source] InvalidEntry),
+    InvalidEvent(#[source] DecodeError),
     /// The answer to a call is invalid.
     #[error("invalid answer from the relay: {reason}: {line_start}")]
     InvalidAnswer {
         /// What is wrong with it.
-        reason: InvalidEntry,
+        reason: DecodeError,
         /// The first bytes of the line.
         line_start: String,
     },
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -17,7 +17,7 @@
 use railhub::Seconds;
 use railhub_net::{dial, spawn, IdleTimeout};
 use railhub_platform::wire::relay as wire;
-use railhub_platform::{InvalidEntry, RelayEvent, SubscriptionId};
+use railhub_platform::{DecodeError, RelayEvent, SubscriptionId};
 use railhub_proto::Lines;
 use std::io::Write;
 use std::sync::atomic::Ordering;
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    fn reject(&self, invalid: InvalidEntry) -> RelayError {
+    fn reject(&self, invalid: DecodeError) -> RelayError {
         self.shared.rejections.record(RejectionCause::RelayEvent);
         RelayError::InvalidEvent(invalid)
     }
--- a/crates/railhub-platform/src/endpoints.rs
+++ b/crates/railhub-platform/src/endpoints.rs
@@ -1,5 +1,5 @@
 //! Pages of discovery's list of hosts, as typed values. Their bytes are those of [`crate::wire::discovery`].
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use railhub::{EndpointEntry, EndpointList};
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     /// The entries that could be read.
     pub entries: Vec<PageEntry>,
     /// Why entries were left out, one for each.
-    pub invalid: Vec<InvalidEntry>,
+    pub invalid: Vec<DecodeError>,
 }
 
 impl EndpointPage {
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -5,7 +5,7 @@
 //! Sockets and time are the driver's (`railhub-platform-net`).
 //!
 //! The way of one message:
-//! 1. The driver decodes it ([`wire`]). What is invalid is dropped alone, or ends its connection ([`InvalidEntry`]).
+//! 1. The driver decodes it ([`wire`]). What is invalid is dropped alone, or ends its connection ([`DecodeError`]).
 //! 2. A handler of the [`PlatformController`] puts it into the next batch; what the relay holds is first gathered into a
 //!    snapshot.
 //! 3. The decisions handle the batch; commands wait, folded by what they are about and bounded ([`PendingCommands`]).
@@ -41,7 +41,7 @@
 pub use controller::PlatformController;
 pub use effects::{DroppedCommands, Effects};
 pub use endpoints::{EndpointPage, PageEntry};
-pub use error::InvalidEntry;
+pub use error::DecodeError;
 pub use host_directory::Probe;
 pub use pending_commands::{AcceptedCommands, PendingCommands};
 pub use relay::{Call, CallResponse, RelayEvent, SubscriptionId};
--- a/crates/railhub-platform/src/wire/collector.rs
+++ b/crates/railhub-platform/src/wire/collector.rs
@@ -2,7 +2,7 @@
 use super::json::{decode_fields, decode_message};
 use crate::collector::CollectorMessage;
 use crate::config::Names;
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use railhub::{HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport};
 use serde::Deserialize;
 
@@ -60,14 +60,14 @@
 /// Decodes one message, without its length. `slices`: how many there are.
 ///
 /// # Errors
-/// [`InvalidEntry::Unreadable`] if the stream cannot go on; any other one invalidates this message alone.
-pub fn decode(body: &[u8], names: &Names, slices: u16) -> Result<CollectorMessage, InvalidEntry> {
+/// [`DecodeError::Unreadable`] if the stream cannot go on; any other one invalidates this message alone.
+pub fn decode(body: &[u8], names: &Names, slices: u16) -> Result<CollectorMessage, DecodeError> {
     let message: MessageType = decode_message(body)?;
     match message.t.as_str() {
         "ping" => Ok(CollectorMessage::Ping),
         "collector" => {
             let join: JoinMessage = decode_fields(body)?;
-            let zone = names.zone(&join.zone).ok_or(InvalidEntry::Unknown)?;
+            let zone = names.zone(&join.zone).ok_or(DecodeError::UnknownName)?;
             Ok(CollectorMessage::Join(zone))
         }
         "heard" => {
@@ -78,7 +78,7 @@
             let report: SliceReportMessage = decode_fields(body)?;
             report.convert(names, slices).map(CollectorMessage::SliceLoad)
         }
-        _ => Err(InvalidEntry::Kind),
+        _ => Err(DecodeError::UnexpectedType),
     }
 }
 
@@ -88,7 +88,7 @@
 }
 
 /// What a visitor is sent before its connection is closed.
-pub fn encode_refusal(cause: InvalidEntry) -> Vec<u8> {
+pub fn encode_refusal(cause: DecodeError) -> Vec<u8> {
     framed(&format!("{{\"t\":\"refused\",\"why\":\"{cause}\"}}"))
 }
 
@@ -99,33 +99,33 @@
 }
 
 /// A number from 0 to `max`.
-fn bounded(number: f64, max: f64) -> Result<f64, InvalidEntry> {
+fn bounded(number: f64, max: f64) -> Result<f64, DecodeError> {
     if (0.0..=max).contains(&number) {
         Ok(number)
     } else {
-        Err(InvalidEntry::Range)
+        Err(DecodeError::OutOfRange)
     }
 }
 
 /// The time that a report covers, in seconds.
-fn report_span(span_ms: f64) -> Result<Seconds, InvalidEntry> {
+fn report_span(span_ms: f64) -> Result<Seconds, DecodeError> {
     let span = bounded(span_ms / 1e3, MAX_REPORT_SPAN)?;
     if span > 0.0 {
         Ok(span)
     } else {
-        Err(InvalidEntry::Range)
+        Err(DecodeError::OutOfRange)
     }
 }
 
 impl HostReportMessage {
-    fn convert(&self, names: &Names) -> Result<HostLoadReport, InvalidEntry> {
+    fn convert(&self, names: &Names) -> Result<HostLoadReport, DecodeError> {
         let attempts = bounded(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
         let in_flight = self.load.as_ref().and_then(|load| load.inflight);
         bounded(in_flight.unwrap_or(0.0), MAX_ATTEMPTS_PER_REPORT)?;
         let utilization = self.load.as_ref().and_then(|load| load.util);
         Ok(HostLoadReport {
-            zone: names.zone(&self.zone).ok_or(InvalidEntry::Unknown)?,
-            host: HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?,
+            zone: names.zone(&self.zone).ok_or(DecodeError::UnknownName)?,
+            host: HostId::new(&self.server).ok_or(DecodeError::UnknownName)?,
             attempts,
             failed: bounded(self.failed, attempts)?,
             mean_latency: bounded(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
@@ -136,14 +136,14 @@
 }
 
 impl SliceReportMessage {
-    fn convert(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, InvalidEntry> {
+    fn convert(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, DecodeError> {
         let operations = bounded(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
         // Not bounded by `tries`: an operation may fail in a later report than the one that counts it.
         bounded(self.failed, MAX_ATTEMPTS_PER_REPORT)?;
         if self.slice >= slices {
-            return Err(InvalidEntry::Unknown);
+            return Err(DecodeError::UnknownName);
         }
-        let class = names.class(&self.class).ok_or(InvalidEntry::Unknown)?;
+        let class = names.class(&self.class).ok_or(DecodeError::UnknownName)?;
         let span = report_span(self.span_ms)?;
         Ok(SliceLoadReport { slice: SliceId(self.slice), class, operations, span })
     }
--- a/crates/railhub-platform/src/wire/discovery.rs
+++ b/crates/railhub-platform/src/wire/discovery.rs
@@ -2,7 +2,7 @@
 use super::json::decode_message;
 use crate::config::Names;
 use crate::endpoints::{EndpointPage, PageEntry};
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use railhub::{EndpointEntry, HostId, Phase};
 use serde::Deserialize;
 
@@ -16,7 +16,7 @@
 /// # Errors
 /// The page cannot be read. An entry that cannot be read is left out and counted in
 /// [`EndpointPage::invalid`].
-pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, InvalidEntry> {
+pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, DecodeError> {
     let page: PageMessage = decode_message(line)?;
     Ok(page.convert(names))
 }
@@ -56,7 +56,7 @@
         for entry in &self.instances {
             let converted = match entry {
                 InstanceOrInvalid::Instance(instance) => instance.convert(names),
-                InstanceOrInvalid::Invalid(_) => Err(InvalidEntry::Fields),
+                InstanceOrInvalid::Invalid(_) => Err(DecodeError::InvalidField),
             };
             match converted {
                 Ok(entry) => page.entries.push(entry),
@@ -69,18 +69,18 @@
 }
 
 impl Instance {
-    fn convert(&self, names: &Names) -> Result<PageEntry, InvalidEntry> {
+    fn convert(&self, names: &Names) -> Result<PageEntry, DecodeError> {
         let phase = match self.lifecycle.as_str() {
             "ready" => Phase::Ready,
             "draining" => Phase::Draining,
             "gone" => Phase::Gone,
-            _ => return Err(InvalidEntry::Unknown),
+            _ => return Err(DecodeError::UnknownName),
         };
         if !is_amount(self.weight) || !is_amount(self.started_at_ms) {
-            return Err(InvalidEntry::Range);
+            return Err(DecodeError::OutOfRange);
         }
-        let host = HostId::new(&self.instance_id).ok_or(InvalidEntry::Fields)?;
-        let address = self.host_port.parse().map_err(|_| InvalidEntry::Fields)?;
+        let host = HostId::new(&self.instance_id).ok_or(DecodeError::InvalidField)?;
+        let address = self.host_port.parse().map_err(|_| DecodeError::InvalidField)?;
         let started_at = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
         let kind = names.kind(&self.machine_type);
         Ok(PageEntry {
--- a/crates/railhub-platform/src/wire/json.rs
+++ b/crates/railhub-platform/src/wire/json.rs
@@ -1,16 +1,16 @@
 //! JSON objects into message types.
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use serde::de::DeserializeOwned;
 
-/// Decodes a message. What is no JSON at all is [`InvalidEntry::Unreadable`].
-pub(super) fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, InvalidEntry> {
+/// Decodes a message. What is no JSON at all is [`DecodeError::Unreadable`].
+pub(super) fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     serde_json::from_slice(bytes).map_err(|error| match error.classify() {
-        serde_json::error::Category::Data => InvalidEntry::Fields,
-        _ => InvalidEntry::Unreadable,
+        serde_json::error::Category::Data => DecodeError::InvalidField,
+        _ => DecodeError::Unreadable,
     })
 }
 
 /// Decodes the fields of a message whose type is known; unknown fields are skipped without recursion.
-pub(super) fn decode_fields<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, InvalidEntry> {
-    serde_json::from_slice(bytes).map_err(|_| InvalidEntry::Fields)
+pub(super) fn decode_fields<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    serde_json::from_slice(bytes).map_err(|_| DecodeError::InvalidField)
 }
--- a/crates/railhub-platform/src/wire/relay.rs
+++ b/crates/railhub-platform/src/wire/relay.rs
@@ -1,7 +1,7 @@
 //! JSON-RPC 2.0 with the relay, one object a line: events of a subscription, calls that carry commands, responses.
 use super::json::decode_fields;
 use crate::command::Command;
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use crate::relay::{Call, CallResponse, RelayEvent};
 use railhub::{BarrierAck, BarrierId, HostId, ProxyId, RetryPolicy, SliceId, WeightedHost};
 use serde::de::DeserializeOwned;
@@ -58,13 +58,13 @@
 ///
 /// # Errors
 /// The line cannot be read; the stream cannot be trusted from there on.
-pub fn decode_event(line: &[u8]) -> Result<RelayEvent, InvalidEntry> {
-    let header: Header = serde_json::from_slice(line).map_err(|_| InvalidEntry::Unreadable)?;
+pub fn decode_event(line: &[u8]) -> Result<RelayEvent, DecodeError> {
+    let header: Header = serde_json::from_slice(line).map_err(|_| DecodeError::Unreadable)?;
     let Some(method) = header.method else {
         return if header.result == Some(true) {
             Ok(RelayEvent::Subscribed)
         } else {
-            Err(InvalidEntry::Kind)
+            Err(DecodeError::UnexpectedType)
         };
     };
     Ok(match method.as_str() {
@@ -87,19 +87,19 @@
             RelayEvent::SliceAssigned { slice: SliceId(given.slice), assigned: given.on }
         }
         "held" => params::<HeldParams>(line)?.convert()?,
-        _ => return Err(InvalidEntry::Kind),
+        _ => return Err(DecodeError::UnexpectedType),
     })
 }
 
-fn params<T: DeserializeOwned>(line: &[u8]) -> Result<T, InvalidEntry> {
+fn params<T: DeserializeOwned>(line: &[u8]) -> Result<T, DecodeError> {
     decode_fields::<Notification<T>>(line).map(|notification| notification.params)
 }
 
 impl HeldParams {
-    fn convert(&self) -> Result<RelayEvent, InvalidEntry> {
-        let host = HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?;
+    fn convert(&self) -> Result<RelayEvent, DecodeError> {
+        let host = HostId::new(&self.server).ok_or(DecodeError::UnknownName)?;
         if !(self.weight.is_finite() && self.weight >= 0.0) {
-            return Err(InvalidEntry::Range);
+            return Err(DecodeError::OutOfRange);
         }
         let line = WeightedHost { host, weight: self.weight };
         Ok(RelayEvent::StoredEntry { slice: SliceId(self.slice), line })
@@ -124,26 +124,26 @@
 ///
 /// # Errors
 /// The line is no response to this call, or cannot be read: the outcome of the call is not known.
-pub fn decode_response(line: &[u8], id: u64, commands: usize) -> Result<CallResponse, InvalidEntry> {
+pub fn decode_response(line: &[u8], id: u64, commands: usize) -> Result<CallResponse, DecodeError> {
     let response: ResponseMessage = decode_fields(line)?;
     if response.id != id {
-        return Err(InvalidEntry::Unknown);
+        return Err(DecodeError::UnknownName);
     }
     match (response.result, response.error) {
         (Some(CommitResult { taken }), None) if taken <= commands => Ok(CallResponse::Accepted(taken)),
-        (Some(_), None) => Err(InvalidEntry::Range),
+        (Some(_), None) => Err(DecodeError::OutOfRange),
         (None, Some(_)) => decode_error(line),
-        _ => Err(InvalidEntry::Fields),
+        _ => Err(DecodeError::InvalidField),
     }
 }
 
 /// The protocol does not state the form of an error: its cause is somewhere in the line.
-fn decode_error(line: &[u8]) -> Result<CallResponse, InvalidEntry> {
+fn decode_error(line: &[u8]) -> Result<CallResponse, DecodeError> {
     let contains = |cause: &[u8]| line.windows(cause.len()).any(|part| part == cause);
     match (contains(b"limit"), contains(b"malformed")) {
         (true, false) => Ok(CallResponse::Rejected),
         (false, true) => Ok(CallResponse::Malformed),
-        _ => Err(InvalidEntry::Fields),
+        _ => Err(DecodeError::InvalidField),
     }
 }
 
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -1,6 +1,6 @@
 //! Each decoder on valid input, on kinds of invalid input, and on damaged bytes.
 use railhub::{BarrierId, ClassId, HostId, Idempotency, Phase, ProxyId, SliceId, WeightedHost, ZoneId};
-use railhub_platform::{wire, CallResponse, CollectorMessage, InvalidEntry, Names, NodeConfig, RelayEvent};
+use railhub_platform::{wire, CallResponse, CollectorMessage, DecodeError, Names, NodeConfig, RelayEvent};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -10,7 +10,7 @@
     NodeConfig::parse(FILE).expect("a valid file").names
 }
 
-fn message(text: &str) -> Result<CollectorMessage, InvalidEntry> {
+fn message(text: &str) -> Result<CollectorMessage, DecodeError> {
     wire::collector::decode(text.as_bytes(), &names(), 40)
 }
 
@@ -111,32 +111,32 @@
     };
     assert_eq!(host_report("none", ""), Ok(()));
     for (field, value, error) in [
-        ("zone", "\"z\"", InvalidEntry::Unknown),
-        ("server", "\"\"", InvalidEntry::Unknown),
-        ("tries", "-1", InvalidEntry::Range),
-        ("tries", "\"10\"", InvalidEntry::Fields),
-        ("tries", "null", InvalidEntry::Fields),
-        ("failed", "11", InvalidEntry::Range),
-        ("mean_ms", "1e300", InvalidEntry::Range),
-        ("span_ms", "0", InvalidEntry::Range),
-        ("span_ms", "1e9", InvalidEntry::Range),
-        ("span_ms", "[]", InvalidEntry::Fields),
+        ("zone", "\"z\"", DecodeError::UnknownName),
+        ("server", "\"\"", DecodeError::UnknownName),
+        ("tries", "-1", DecodeError::OutOfRange),
+        ("tries", "\"10\"", DecodeError::InvalidField),
+        ("tries", "null", DecodeError::InvalidField),
+        ("failed", "11", DecodeError::OutOfRange),
+        ("mean_ms", "1e300", DecodeError::OutOfRange),
+        ("span_ms", "0", DecodeError::OutOfRange),
+        ("span_ms", "1e9", DecodeError::OutOfRange),
+        ("span_ms", "[]", DecodeError::InvalidField),
     ] {
         assert_eq!(host_report(field, value), Err(error), "{field} {value}");
     }
     let error = |text: &str| message(text).map(drop).expect_err("invalid");
-    assert_eq!(error(r#"{"zone":"a"}"#), InvalidEntry::Fields);
-    assert_eq!(error(r#"{"t":7}"#), InvalidEntry::Fields);
-    assert_eq!(error(r#"{"t":"joined","proxy":1}"#), InvalidEntry::Kind);
-    assert_eq!(error(r#"{"t":"collector","zone":"x"}"#), InvalidEntry::Unknown);
+    assert_eq!(error(r#"{"zone":"a"}"#), DecodeError::InvalidField);
+    assert_eq!(error(r#"{"t":7}"#), DecodeError::InvalidField);
+    assert_eq!(error(r#"{"t":"joined","proxy":1}"#), DecodeError::UnexpectedType);
+    assert_eq!(error(r#"{"t":"collector","zone":"x"}"#), DecodeError::UnknownName);
     assert_eq!(
         error(r#"{"t":"heat","slice":40,"class":"deposit","tries":1,"failed":0,"span_ms":1}"#),
-        InvalidEntry::Unknown
+        DecodeError::UnknownName
     );
-    assert_eq!(error(r#"{"t":"heard","zone":"#), InvalidEntry::Unreadable);
-    assert_eq!(error("GET / HTTP/1.1"), InvalidEntry::Unreadable);
+    assert_eq!(error(r#"{"t":"heard","zone":"#), DecodeError::Unreadable);
+    assert_eq!(error("GET / HTTP/1.1"), DecodeError::Unreadable);
     let deep = format!("{{\"t\":\"ping\",\"x\":{}", "[".repeat(900_000));
-    assert_eq!(error(&deep), InvalidEntry::Unreadable);
+    assert_eq!(error(&deep), DecodeError::Unreadable);
 }
 
 #[test]
@@ -165,10 +165,10 @@
     );
     assert_eq!(
         notification("held", r#"{"slice":88,"server":"s-1","weight":-1.0}"#),
-        Err(InvalidEntry::Range)
+        Err(DecodeError::OutOfRange)
     );
-    assert_eq!(notification("given", r#"{"slice":70000,"on":true}"#), Err(InvalidEntry::Fields));
-    assert_eq!(notification("heard", "{}"), Err(InvalidEntry::Kind));
+    assert_eq!(notification("given", r#"{"slice":70000,"on":true}"#), Err(DecodeError::InvalidField));
+    assert_eq!(notification("heard", "{}"), Err(DecodeError::UnexpectedType));
 }
 
 #[test]
@@ -197,13 +197,13 @@
         {"instanceId":"s-1","hostPort":"127.0.0.1:7070","lifecycle":"draining","weight":1.0},
         {"instanceId":"s-2","hostPort":"127.0.0.2:7070","lifecycle":"ready","weight":"heavy"}]}"#;
     let read = |text: &str| wire::discovery::decode_page(text.as_bytes(), &names());
-    for (weight, error) in [("\"heavy\"", InvalidEntry::Fields), ("-1", InvalidEntry::Range)] {
+    for (weight, error) in [("\"heavy\"", DecodeError::InvalidField), ("-1", DecodeError::OutOfRange)] {
         let page = read(&page.replace("\"heavy\"", weight)).expect("a page");
         assert_eq!((page.complete, page.entries.len(), page.invalid.as_slice()), (false, 1, &[error][..]));
         assert_eq!(page.entries[0].endpoint.phase, Phase::Draining);
     }
-    assert_eq!(read(&page.replace("true", "9")).map(drop), Err(InvalidEntry::Fields));
-    assert_eq!(read("{\"generation\":43,").map(drop), Err(InvalidEntry::Unreadable));
+    assert_eq!(read(&page.replace("true", "9")).map(drop), Err(DecodeError::InvalidField));
+    assert_eq!(read("{\"generation\":43,").map(drop), Err(DecodeError::Unreadable));
 }
 
 /// Bytes changed, cut, doubled and put in at random places.
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -4,7 +4,7 @@
     RetryPolicy, SliceId, SliceLoadReport, WeightedHost, ZoneId,
 };
 use railhub_platform::{
-    wire, CallResponse, CollectorMessage, Command, EndpointPage, InvalidEntry, Names, NodeConfig,
+    wire, CallResponse, CollectorMessage, Command, DecodeError, EndpointPage, Names, NodeConfig,
     PendingCommands, RelayEvent,
 };
 
@@ -31,19 +31,19 @@
     pending.next_call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
 }
 
-fn relay_event(line: &str) -> Result<RelayEvent, InvalidEntry> {
+fn relay_event(line: &str) -> Result<RelayEvent, DecodeError> {
     wire::relay::decode_event(line.as_bytes())
 }
 
-fn response(line: &str) -> Result<CallResponse, InvalidEntry> {
+fn response(line: &str) -> Result<CallResponse, DecodeError> {
     wire::relay::decode_response(line.as_bytes(), 8, 2)
 }
 
-fn collector_message(body: &str) -> Result<CollectorMessage, InvalidEntry> {
+fn collector_message(body: &str) -> Result<CollectorMessage, DecodeError> {
     wire::collector::decode(body.as_bytes(), &names(), 40)
 }
 
-fn page(line: &str) -> Result<EndpointPage, InvalidEntry> {
+fn page(line: &str) -> Result<EndpointPage, DecodeError> {
     wire::discovery::decode_page(line.as_bytes(), &names())
 }
 
@@ -128,11 +128,11 @@
     assert_eq!(wire::collector::encode_pong(), framed(r#"{"t":"pong"}"#));
     assert_eq!(wire::collector::encode_pong()[..4], [0, 0, 0, 12]);
     for (cause, why) in [
-        (InvalidEntry::Unreadable, "it cannot be read"),
-        (InvalidEntry::Fields, "a field is missing or of another type"),
-        (InvalidEntry::Range, "a figure is out of range"),
-        (InvalidEntry::Unknown, "it names what does not exist"),
-        (InvalidEntry::Kind, "it is of a kind that is not taken here"),
+        (DecodeError::Unreadable, "it cannot be read"),
+        (DecodeError::InvalidField, "a field is missing or of another type"),
+        (DecodeError::OutOfRange, "a figure is out of range"),
+        (DecodeError::UnknownName, "it names what does not exist"),
+        (DecodeError::UnexpectedType, "it is of a kind that is not taken here"),
     ] {
         assert_eq!(
             wire::collector::encode_refusal(cause),
@@ -172,12 +172,12 @@
         assert_eq!(relay_event(line), Ok(event), "{line}");
     }
     for (line, cause) in [
-        ("", InvalidEntry::Unreadable),
-        (r#"{"jsonrpc":"2.0","id":10,"result":false}"#, InvalidEntry::Kind),
-        (r#"{"jsonrpc":"2.0","id":10}"#, InvalidEntry::Kind),
-        (r#"{"jsonrpc":"2.0","method":"joined"}"#, InvalidEntry::Fields),
-        (r#"{"jsonrpc":"2.0","method":"moved","params":{}}"#, InvalidEntry::Kind),
-        (r#"{"method":"held","params":{"slice":88,"server":"","weight":1.0}}"#, InvalidEntry::Unknown),
+        ("", DecodeError::Unreadable),
+        (r#"{"jsonrpc":"2.0","id":10,"result":false}"#, DecodeError::UnexpectedType),
+        (r#"{"jsonrpc":"2.0","id":10}"#, DecodeError::UnexpectedType),
+        (r#"{"jsonrpc":"2.0","method":"joined"}"#, DecodeError::InvalidField),
+        (r#"{"jsonrpc":"2.0","method":"moved","params":{}}"#, DecodeError::UnexpectedType),
+        (r#"{"method":"held","params":{"slice":88,"server":"","weight":1.0}}"#, DecodeError::UnknownName),
     ] {
         assert_eq!(relay_event(line), Err(cause), "{line}");
     }
@@ -190,10 +190,10 @@
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(CallResponse::Accepted(0))),
         (r#"{"jsonrpc":"2.0","id":8,"error":{"code":-1,"message":"limit"}}"#, Ok(CallResponse::Rejected)),
         (r#"{"jsonrpc":"2.0","id":8,"error":"malformed"}"#, Ok(CallResponse::Malformed)),
-        (r#"{"jsonrpc":"2.0","id":8,"error":"limit malformed"}"#, Err(InvalidEntry::Fields)),
-        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2},"error":{}}"#, Err(InvalidEntry::Fields)),
-        (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(InvalidEntry::Unknown)),
-        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(InvalidEntry::Range)),
+        (r#"{"jsonrpc":"2.0","id":8,"error":"limit malformed"}"#, Err(DecodeError::InvalidField)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2},"error":{}}"#, Err(DecodeError::InvalidField)),
+        (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(DecodeError::UnknownName)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(DecodeError::OutOfRange)),
     ] {
         assert_eq!(response(line), answer, "{line}");
     }
