--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -12,7 +12,7 @@
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::seconds;
 
-use railhub_platform::{Call, CallResponse, EndpointPage, NodeConfig, PlatformController, Probe};
+use railhub_platform::{Call, CallResponse, EndpointPage, HealthCheck, NodeConfig, PlatformController};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -96,7 +96,9 @@
             ControllerEvent::SubscriptionRequested(id) => self.controller.on_subscription_requested(id),
             ControllerEvent::RelayEvent(id, event) => self.controller.on_relay_event(now(), id, event),
             ControllerEvent::SubscriptionEnded(id) => self.controller.on_subscription_ended(id),
-            ControllerEvent::HealthCheckCompleted(probe, outcome) => self.on_health_check(&probe, outcome),
+            ControllerEvent::HealthCheckCompleted(health_check, outcome) => {
+                self.on_health_check(&health_check, outcome)
+            }
             ControllerEvent::CallCompleted(answer) => self.on_call_completed(answer),
         }
     }
@@ -115,9 +117,9 @@
         self.shared.page_permits.post();
     }
 
-    fn on_health_check(&mut self, probe: &Probe, outcome: HealthCheckOutcome) {
-        tracing::debug!(host = %probe.host, ?outcome, "health check");
-        self.controller.on_probe_result(probe, outcome);
+    fn on_health_check(&mut self, health_check: &HealthCheck, outcome: HealthCheckOutcome) {
+        tracing::debug!(host = %health_check.host, ?outcome, "health check");
+        self.controller.on_health_check_result(health_check, outcome);
     }
 
     fn on_call_completed(&mut self, answer: Option<CallResponse>) {
@@ -160,8 +162,8 @@
         for lateness in effects.timer_lateness {
             self.timer_lateness.record(lateness);
         }
-        for probe in effects.probes {
-            self.health_checker.submit(probe);
+        for health_check in effects.health_checks {
+            self.health_checker.submit(health_check);
         }
         for cause in effects.notices {
             tracing::info!(%cause, "decision");
@@ -198,9 +200,9 @@
             reports_dropped: controller.load_reports_dropped()
                 + inbox.reports_dropped.load(Ordering::Relaxed),
             health_checks_dropped: self.health_checker.dropped(),
-            health_checks_stale: controller.probes_outdated(),
-            commands_coalesced: controller.commands_folded(),
-            unnamed_classes: controller.commands_unnamed(),
+            health_checks_stale: controller.health_checks_stale(),
+            commands_coalesced: controller.commands_coalesced(),
+            unnamed_classes: controller.unnamed_classes(),
             timer_lateness: self.timer_lateness.summary(),
             call_latency: self.timing.call_latency(),
             report_latency: self.timing.report_latency(),
--- a/crates/railhub-platform-net/src/events.rs
+++ b/crates/railhub-platform-net/src/events.rs
@@ -2,7 +2,7 @@
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::Inbox;
 use railhub_platform::{CallResponse, RelayEvent, SubscriptionId};
-use railhub_platform::{EndpointPage, Probe};
+use railhub_platform::{EndpointPage, HealthCheck};
 
 /// Events that may wait for the controller thread; senders wait while the queue is full.
 const MAX_QUEUED_EVENTS: usize = 4096;
@@ -20,7 +20,7 @@
     /// A subscription's connection ended, or never came up.
     SubscriptionEnded(SubscriptionId),
     /// A health check ended.
-    HealthCheckCompleted(Probe, HealthCheckOutcome),
+    HealthCheckCompleted(HealthCheck, HealthCheckOutcome),
     /// The call in flight ended. `None`: without a readable answer, so its outcome is unknown.
     CallCompleted(Option<CallResponse>),
 }
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -10,7 +10,7 @@
 use railhub_net::http::{Client, HttpError};
 use railhub_net::{seconds, WorkerPool};
 use railhub_platform::wire::hosts::{HEALTH_CHECK_PATH, NOT_SERVING_STATUS};
-use railhub_platform::Probe;
+use railhub_platform::HealthCheck;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,15 +25,15 @@
 const LOCAL_ERRORS: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
 
 /// Runs health checks from a bounded queue.
-pub type HealthChecker = WorkerPool<Probe>;
+pub type HealthChecker = WorkerPool<HealthCheck>;
 
 /// Starts the coroutines that run health checks; outcomes come back as [`ControllerEvent::HealthCheckCompleted`].
 pub fn start(shared: &Arc<SharedState>) -> HealthChecker {
     let shared = shared.clone();
-    WorkerPool::start(MAX_CONCURRENT, MAX_QUEUED, move |probe: Probe| {
+    WorkerPool::start(MAX_CONCURRENT, MAX_QUEUED, move |health_check: HealthCheck| {
         let _descriptor = DescriptorGuard::count(&shared.descriptors.health_checks);
-        match check(probe.address) {
-            Some(outcome) => shared.inbox.send(ControllerEvent::HealthCheckCompleted(probe, outcome)),
+        match check(health_check.address) {
+            Some(outcome) => shared.inbox.send(ControllerEvent::HealthCheckCompleted(health_check, outcome)),
             None => shared.rejections.record(RejectionCause::HealthCheckResponse),
         }
     })
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -17,7 +17,7 @@
 use crate::config::NodeConfig;
 use crate::effects::{DroppedCommands, Effects};
 use crate::endpoints::EndpointPage;
-use crate::host_directory::{merge_list, HostDirectory, Probe};
+use crate::host_directory::{merge_list, HealthCheck, HostDirectory};
 use crate::pending_commands::{AcceptedCommands, PendingCommands};
 use crate::relay::{Call, CallResponse, RelayEvent, SubscriptionId};
 use crate::sink::BatchSink;
@@ -48,7 +48,7 @@
     /// Since when there have been commands, at each batch, that the relay had not accepted; the oldest may be newer.
     oldest_pending_at: Option<Seconds>,
     call: CallTracker,
-    probes_outdated: u64,
+    health_checks_stale: u64,
 }
 
 impl PlatformController {
@@ -68,7 +68,7 @@
             commands: PendingCommands::new(&config.controller),
             oldest_pending_at: None,
             call: CallTracker::default(),
-            probes_outdated: 0,
+            health_checks_stale: 0,
         };
         controller.on_endpoint_page(0.0, &config.known_endpoints);
         controller
@@ -95,12 +95,12 @@
     }
 
     /// How a health check ended. One of a host that is gone, moved or started anew meanwhile is ignored.
-    pub fn on_probe_result(&mut self, probe: &Probe, outcome: HealthCheckOutcome) {
-        if self.hosts.is_current(probe) {
-            self.batch.events.health_checks.push(HealthCheckResult { host: probe.host, outcome });
+    pub fn on_health_check_result(&mut self, health_check: &HealthCheck, outcome: HealthCheckOutcome) {
+        if self.hosts.is_current(health_check) {
+            self.batch.events.health_checks.push(HealthCheckResult { host: health_check.host, outcome });
             self.batch.changed = true;
         } else {
-            self.probes_outdated += 1;
+            self.health_checks_stale += 1;
         }
     }
 
@@ -271,7 +271,7 @@
         let events = self.next_batch(now, expired.iter().map(|timer| timer.id));
         let mut sink = BatchSink::new(&mut self.commands);
         self.decisions.handle_batch(&events, &mut sink);
-        let BatchSink { probes, timers, notices, .. } = sink;
+        let BatchSink { health_checks, timers, notices, .. } = sink;
         if !self.commands.is_empty() {
             self.oldest_pending_at.get_or_insert(now);
         }
@@ -279,7 +279,10 @@
             self.timers.set(now + after, id);
         }
         Effects {
-            probes: probes.into_iter().filter_map(|host| self.hosts.probe(host)).collect(),
+            health_checks: health_checks
+                .into_iter()
+                .filter_map(|host| self.hosts.health_check(host))
+                .collect(),
             notices,
             batches: 1,
             timer_lateness: expired.iter().map(|timer| now - timer.due_at).collect(),
@@ -362,12 +365,12 @@
     }
 
     /// Commands dropped as a later one about the same came.
-    pub fn commands_folded(&self) -> u64 {
+    pub fn commands_coalesced(&self) -> u64 {
         self.commands.folded
     }
 
     /// Admission rates dropped as their class has no name.
-    pub fn commands_unnamed(&self) -> u64 {
+    pub fn unnamed_classes(&self) -> u64 {
         self.commands.unnamed
     }
 
@@ -377,8 +380,8 @@
     }
 
     /// Health checks whose host was another by the time they ended.
-    pub fn probes_outdated(&self) -> u64 {
-        self.probes_outdated
+    pub fn health_checks_stale(&self) -> u64 {
+        self.health_checks_stale
     }
 }
 
--- a/crates/railhub-platform/src/effects.rs
+++ b/crates/railhub-platform/src/effects.rs
@@ -1,6 +1,6 @@
 //! What the controller wants of its driver, and what it reports for the log.
 use crate::command::Command;
-use crate::host_directory::Probe;
+use crate::host_directory::HealthCheck;
 use crate::sink::Notice;
 use railhub::Seconds;
 use thiserror::Error;
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Health checks to make.
-    pub probes: Vec<Probe>,
+    pub health_checks: Vec<HealthCheck>,
     /// What the decisions report, for the log.
     pub notices: Vec<Notice>,
     /// Batches handled: 0 or 1.
--- a/crates/railhub-platform/src/host_directory.rs
+++ b/crates/railhub-platform/src/host_directory.rs
@@ -10,7 +10,7 @@
 
 /// A health check of a host as the list had it when the check was decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Probe {
+pub struct HealthCheck {
     /// The host.
     pub host: HostId,
     /// Where it is reached.
@@ -74,14 +74,14 @@
     }
 
     /// A health check of a host, if it is listed.
-    pub(crate) fn probe(&self, host: HostId) -> Option<Probe> {
+    pub(crate) fn health_check(&self, host: HostId) -> Option<HealthCheck> {
         let HostInstance { address, started_at } = *self.hosts.get(&host)?;
-        Some(Probe { host, address, started_at })
+        Some(HealthCheck { host, address, started_at })
     }
 
     /// Whether the host is still where it was checked and has not started anew.
-    pub(crate) fn is_current(&self, probe: &Probe) -> bool {
-        self.probe(probe.host) == Some(*probe)
+    pub(crate) fn is_current(&self, health_check: &HealthCheck) -> bool {
+        self.health_check(health_check.host) == Some(*health_check)
     }
 }
 
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -42,7 +42,7 @@
 pub use effects::{DroppedCommands, Effects};
 pub use endpoints::{EndpointPage, PageEntry};
 pub use error::DecodeError;
-pub use host_directory::Probe;
+pub use host_directory::HealthCheck;
 pub use pending_commands::{AcceptedCommands, PendingCommands};
 pub use relay::{Call, CallResponse, RelayEvent, SubscriptionId};
 pub use sink::Notice;
--- a/crates/railhub-platform/src/sink.rs
+++ b/crates/railhub-platform/src/sink.rs
@@ -26,7 +26,7 @@
 /// Takes the decisions of a batch: commands go to the pending ones, the rest is collected.
 pub(crate) struct BatchSink<'a> {
     pub(crate) commands: &'a mut PendingCommands,
-    pub(crate) probes: Vec<HostId>,
+    pub(crate) health_checks: Vec<HostId>,
     /// Timers, each with the seconds after which it expires.
     pub(crate) timers: Vec<(Seconds, TimerId)>,
     pub(crate) notices: Vec<Notice>,
@@ -34,7 +34,7 @@
 
 impl BatchSink<'_> {
     pub(crate) fn new(commands: &mut PendingCommands) -> BatchSink<'_> {
-        BatchSink { commands, probes: Vec::new(), timers: Vec::new(), notices: Vec::new() }
+        BatchSink { commands, health_checks: Vec::new(), timers: Vec::new(), notices: Vec::new() }
     }
 }
 
@@ -58,7 +58,7 @@
         self.commands.push(Command::Barrier(barrier));
     }
     fn check_health(&mut self, host: HostId) {
-        self.probes.push(host);
+        self.health_checks.push(host);
     }
     fn set_timer(&mut self, after: Seconds, timer: TimerId) {
         self.timers.push((after, timer));
--- a/crates/railhub-platform/tests/controller/hosts.rs
+++ b/crates/railhub-platform/tests/controller/hosts.rs
@@ -17,11 +17,15 @@
     {
         let mut controller = PlatformController::new(&config);
         send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 2)]);
-        let probes = controller.poll(START).probes;
-        let probe = probes.into_iter().find(|probe| probe.host == host(1)).expect("a health check");
+        let health_checks = controller.poll(START).health_checks;
+        let health_check = health_checks
+            .into_iter()
+            .find(|health_check| health_check.host == host(1))
+            .expect("a health check");
         controller.on_endpoint_page(START, &page(42, address, lifecycle, started));
-        (0..3).for_each(|_| controller.on_probe_result(&probe, HealthCheckOutcome::Unreachable));
-        assert_eq!(controller.probes_outdated(), 3);
+        (0..3)
+            .for_each(|_| controller.on_health_check_result(&health_check, HealthCheckOutcome::Unreachable));
+        assert_eq!(controller.health_checks_stale(), 3);
         let notices = controller.poll(START + 0.1).notices;
         assert!(!notices.iter().any(|notice| notice.to_string().contains("down")), "{notices:?}");
     }
