--- a/crates/railhub-platform/src/call.rs
+++ b/crates/railhub-platform/src/call.rs
@@ -130,7 +130,7 @@
     }
 
     /// The newest subscription that does not show the outcome of the call, if an ended one has an unknown outcome.
-    pub(crate) fn outcome_unknown_at(&self) -> Option<SubscriptionId> {
+    pub(crate) fn newest_subscription_without_outcome(&self) -> Option<SubscriptionId> {
         match self.state {
             CallState::OutcomeUnknown { latest } => Some(latest),
             _ => None,
--- a/crates/railhub-platform/src/call/tests.rs
+++ b/crates/railhub-platform/src/call/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn one_call_is_in_flight_at_a_time() {
+fn only_one_call_is_in_flight() {
     let mut call = CallTracker::default();
     assert_eq!(call.blocker(), None);
     call.on_sent();
@@ -15,21 +15,25 @@
 }
 
 #[test]
-fn an_outdated_calls_outcome_is_unknown_even_after_a_response() {
+fn outcome_of_an_outdated_call_is_unknown_despite_a_response() {
     let mut call = CallTracker::default();
     call.on_sent();
     call.require_snapshot(id(1), ResubscribeReason::SliceReassigned);
     assert_eq!(call.blocker(), Some(CallBlocker::InFlight));
-    assert_eq!(call.outcome_unknown_at(), None, "a snapshot of before its end may not show it");
+    assert_eq!(
+        call.newest_subscription_without_outcome(),
+        None,
+        "a snapshot of before its end may not show it"
+    );
     assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::SliceReassigned));
     call.on_ended(id(2));
     assert_eq!(call.blocker(), Some(CallBlocker::OutcomeUnknown));
     assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::OutdatedCallEnded));
-    assert_eq!(call.outcome_unknown_at(), Some(id(2)));
+    assert_eq!(call.newest_subscription_without_outcome(), Some(id(2)));
 }
 
 #[test]
-fn a_subscription_that_was_requested_too_early_needs_another() {
+fn resubscribes_when_the_subscription_was_requested_too_early() {
     let mut call = CallTracker::default();
     call.require_snapshot(id(3), ResubscribeReason::OutcomeUnknown);
     assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::OutcomeUnknown));
--- a/crates/railhub-platform/src/command.rs
+++ b/crates/railhub-platform/src/command.rs
@@ -10,7 +10,7 @@
         /// The slice whose table changes.
         slice: SliceId,
         /// The host and its weight, 0 or more.
-        line: WeightedHost,
+        entry: WeightedHost,
     },
     /// Excludes a host from every table at the proxies.
     Exclude(HostId),
@@ -32,7 +32,7 @@
 impl fmt::Display for Command {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Command::SetWeight { slice, line: WeightedHost { host, weight } } => {
+            Command::SetWeight { slice, entry: WeightedHost { host, weight } } => {
                 write!(formatter, "set weight slice={} host={host} weight={weight}", slice.0)
             }
             Command::Exclude(host) => write!(formatter, "exclude host={host}"),
@@ -57,7 +57,7 @@
 impl Command {
     pub(crate) fn key(&self) -> CommandKey {
         match *self {
-            Command::SetWeight { slice, line } => CommandKey::Weight(slice, line.host),
+            Command::SetWeight { slice, entry } => CommandKey::Weight(slice, entry.host),
             Command::Exclude(host) | Command::Readmit(host) => CommandKey::Exclusion(host),
             Command::SetAdmissionRate { class, .. } => CommandKey::AdmissionRate(class),
             Command::Barrier(_) => CommandKey::Barrier,
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -10,50 +10,50 @@
 /// Longest duration that a file may give, in seconds: a day.
 pub const MAX_DURATION: Seconds = 86_400.0;
 
-/// What is wrong in a configuration file. Each names the place, as a path of JSON fields.
+/// What is wrong in a configuration file. Each names the path of the JSON field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// No JSON, or a field is missing or of another type.
-    #[error("{place}: {error}")]
+    #[error("{field_path}: {error}")]
     Json {
         /// Where in the file.
-        place: String,
+        field_path: String,
         /// The parser's error.
         error: serde_json::Error,
     },
     /// No class of requests, or more than [`MAX_CLASSES`].
-    #[error("{place}: {count} classes, 1 to {MAX_CLASSES} can be")]
+    #[error("{field_path}: {count} classes, 1 to {MAX_CLASSES} can be")]
     ClassCount {
         /// Where in the file.
-        place: String,
+        field_path: String,
         /// How many the file names.
         count: usize,
     },
     /// A duration over [`MAX_DURATION`].
-    #[error("{place}: is longer than a day")]
+    #[error("{field_path}: is longer than a day")]
     TooLong {
         /// Where in the file.
-        place: String,
+        field_path: String,
     },
     /// A number below 0, or none.
-    #[error("{place}: must be a number from 0 up")]
+    #[error("{field_path}: must be a number from 0 up")]
     Negative {
         /// Where in the file.
-        place: String,
+        field_path: String,
     },
     /// A value that the field does not know.
-    #[error("{place}: cannot be '{value}'")]
+    #[error("{field_path}: cannot be '{value}'")]
     UnknownValue {
         /// Where in the file.
-        place: String,
+        field_path: String,
         /// The value.
         value: String,
     },
     /// Without it two hosts could accept one owner's writes.
-    #[error("{place}: is needed where a slice has one owner")]
-    SingleOwnerTime {
+    #[error("{field_path}: is needed where a slice has one owner")]
+    MissingSingleOwnerDuration {
         /// Where in the file.
-        place: String,
+        field_path: String,
     },
 }
 
@@ -117,12 +117,12 @@
     /// The names that messages use.
     pub names: Names,
     /// Least time between two batches, in seconds.
-    pub tick_interval: Seconds,
+    pub min_batch_interval: Seconds,
 }
 
 impl NodeConfig {
     /// The list of hosts it starts with, as the decisions take it.
-    pub fn first_list(&self) -> EndpointList {
+    pub fn initial_list(&self) -> EndpointList {
         EndpointList {
             complete: true,
             entries: self.known_endpoints.entries.iter().map(|entry| entry.endpoint).collect(),
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -22,7 +22,7 @@
 use crate::relay::{Call, CallResponse, RelayEvent, SubscriptionId};
 use crate::sink::BatchSink;
 use crate::slice_assignments::PendingAssignments;
-use crate::snapshot_changes::{assignment_changes, stream_changes, stream_up};
+use crate::snapshot_changes::{assignment_changes, stream_changes, stream_established};
 use crate::subscription::{EventOutcome, Snapshot, Subscription};
 use crate::table::Table;
 use railhub::{
@@ -57,7 +57,7 @@
         let mut controller = PlatformController {
             decisions: Controller::new(config.controller.clone()),
             class_names: config.names.classes.clone(),
-            min_batch_interval: config.tick_interval,
+            min_batch_interval: config.min_batch_interval,
             single_owner: config.controller.single_owner,
             batch: PendingBatch { changed: true, ..PendingBatch::default() },
             timers: Timers::default(),
@@ -129,24 +129,26 @@
     fn on_live_event(&mut self, now: Seconds, event: RelayEvent) {
         self.batch.changed |= event != RelayEvent::Heartbeat;
         match event {
-            RelayEvent::ProxyJoined { proxy, first } => self.add_stream_event(stream_up(proxy, first)),
+            RelayEvent::ProxyJoined { proxy, first } => {
+                self.add_stream_event(stream_established(proxy, first))
+            }
             RelayEvent::ProxyLeft(proxy) => self.add_stream_event(ProxyStreamEvent::Disconnected(proxy)),
             RelayEvent::BarrierAcked(ack) => self.batch.events.barrier_acks.push(ack),
             RelayEvent::SliceAssigned { slice, assigned } => {
                 self.discard_commands(slice, assigned);
                 self.pending_assignments.on_assigned(now, slice, assigned);
             }
-            RelayEvent::StoredEntry { slice, line } => {
+            RelayEvent::StoredEntry { slice, line: entry } => {
                 let decisions = &self.decisions;
                 let known_table = || {
-                    let (_, lines) = decisions.assigned_tables().find(|(id, _)| *id == slice)?;
-                    Some(lines.to_vec())
+                    let (_, entries) = decisions.assigned_tables().find(|(id, _)| *id == slice)?;
+                    Some(entries.to_vec())
                 };
                 let batched = &mut self.batch.events.assignments;
                 self.pending_assignments.on_stored_entry(
                     now,
                     slice,
-                    line,
+                    entry,
                     self.single_owner,
                     batched,
                     known_table,
@@ -171,8 +173,8 @@
     /// Commands about a slice that changed hands are about its table as it was before. On which table those of the
     /// current call are carried out, only a snapshot shows.
     fn discard_commands(&mut self, slice: SliceId, assigned: bool) {
-        let call_is_about_it = self.commands.discard_table(slice);
-        if call_is_about_it && assigned {
+        let call_changes_slice = self.commands.discard_queued_for(slice);
+        if call_changes_slice && assigned {
             self.require_snapshot(ResubscribeReason::SliceReassigned);
         }
     }
@@ -216,7 +218,7 @@
 
     /// The snapshot being received, if it was requested after a call ended whose outcome is not known.
     fn snapshot_after_call(&self) -> Option<&Snapshot> {
-        let latest = self.call.outcome_unknown_at()?;
+        let latest = self.call.newest_subscription_without_outcome()?;
         self.subscription.snapshot_later_than(latest)
     }
 
@@ -366,12 +368,12 @@
 
     /// Commands dropped as a later one about the same came.
     pub fn commands_coalesced(&self) -> u64 {
-        self.commands.folded
+        self.commands.coalesced
     }
 
     /// Admission rates dropped as their class has no name.
     pub fn unnamed_classes(&self) -> u64 {
-        self.commands.unnamed
+        self.commands.unnamed_classes
     }
 
     /// Load reports dropped for want of room.
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn merges_waiting_lists_into_one_with_each_host_once() {
+fn merges_pending_lists_into_one_with_each_host_once() {
     let mut controller = controller();
     let names = NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file").names;
     for generation in 42..500 {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_single_owners_table_never_has_two_lines() {
+fn single_owner_table_never_has_two_entries() {
     let file = include_str!("../../tests/node_config.json").replace(
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
@@ -78,14 +78,14 @@
     );
     controller.commands.push(Command::SetWeight {
         slice,
-        line: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
+        entry: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
     });
     let table = controller.commands.table_when_accepted(slice, &[stored]);
     assert_eq!(table, [WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 }]);
 }
 
 #[test]
-fn a_line_joins_the_latest_assignment_of_its_slice() {
+fn stored_entry_joins_the_latest_assignment_of_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.batch.events.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
--- a/crates/railhub-platform/src/host_directory.rs
+++ b/crates/railhub-platform/src/host_directory.rs
@@ -47,8 +47,8 @@
 
     /// Applies a page. Returns whether it is new: an older page, or changes under the known generation, are ignored.
     pub(crate) fn apply_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
-        let generations_began_anew = page.complete && now - self.updated_at >= GENERATION_RESET_TIMEOUT;
-        let is_outdated = page.generation < self.generation && !generations_began_anew;
+        let discovery_restarted = page.complete && now - self.updated_at >= GENERATION_RESET_TIMEOUT;
+        let is_outdated = page.generation < self.generation && !discovery_restarted;
         let is_known = page.generation == self.generation && !page.complete;
         if is_outdated || is_known {
             return false;
--- a/crates/railhub-platform/src/pending_commands.rs
+++ b/crates/railhub-platform/src/pending_commands.rs
@@ -8,7 +8,7 @@
 //!    out.
 use crate::command::{Command, CommandKey};
 use crate::relay::Call;
-use crate::table::{has_line, set_weight, Table};
+use crate::table::{has_entry, set_weight, Table};
 use crate::wire::relay::{encode_command, CallEncoder};
 use railhub::{ControllerConfig, SliceId, WeightedHost};
 use std::collections::{BTreeMap, VecDeque};
@@ -45,9 +45,9 @@
     /// Commands were dropped for want of room: the store's tables are not what the decisions believe.
     pub overflowed: bool,
     /// Commands dropped as a later one with the same key came.
-    pub folded: u64,
+    pub coalesced: u64,
     /// Admission rates dropped as their class has no name.
-    pub unnamed: u64,
+    pub unnamed_classes: u64,
 }
 
 impl PendingCommands {
@@ -61,7 +61,7 @@
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         if let Some(earlier) = self.newest.insert(command.key(), sequence) {
-            self.fold(earlier);
+            self.drop_queued(earlier);
         }
         self.queue.push_back(QueuedCommand { sequence, command });
         if self.queue.len() > MAX_PENDING_COMMANDS {
@@ -72,16 +72,16 @@
     }
 
     /// Drops the command with this sequence number if it still waits.
-    fn fold(&mut self, sequence: u64) {
+    fn drop_queued(&mut self, sequence: u64) {
         if let Ok(index) = self.queue.binary_search_by_key(&sequence, |queued| queued.sequence) {
             self.queue.remove(index);
-            self.folded += 1;
+            self.coalesced += 1;
         }
     }
 
     /// Drops the commands that wait about a slice's table. Returns whether the current call has some: they may be
     /// carried out on the table as it was or as it is now.
-    pub fn discard_table(&mut self, slice: SliceId) -> bool {
+    pub fn discard_queued_for(&mut self, slice: SliceId) -> bool {
         self.queue.retain(|queued| !queued.command.changes_table(slice));
         self.newest.retain(|key, _| !matches!(key, CommandKey::Weight(of, _) if *of == slice));
         self.current_call.iter().any(|command| command.changes_table(slice))
@@ -106,7 +106,7 @@
         self.last_call_id += 1;
         let mut call = CallEncoder::new(self.last_call_id);
         if self.current_call.is_empty() {
-            self.fill(&mut call, class_names);
+            self.fill_from_queue(&mut call, class_names);
         } else {
             for command in &self.current_call {
                 call.push(&encode_command(command, class_names));
@@ -122,22 +122,22 @@
             Command::SetAdmissionRate { class, .. } => usize::from(class.0) < classes,
             _ => true,
         });
-        self.unnamed += (before - self.queue.len()) as u64;
+        self.unnamed_classes += (before - self.queue.len()) as u64;
     }
 
     /// Moves commands from the queue into a call while they fit.
-    fn fill(&mut self, call: &mut CallEncoder, class_names: &[String]) {
+    fn fill_from_queue(&mut self, call: &mut CallEncoder, class_names: &[String]) {
         while let Some(queued) = self.queue.front() {
             let encoded = encode_command(&queued.command, class_names);
             if !call.has_room(&encoded) {
                 break;
             }
             call.push(&encoded);
-            self.start_front();
+            self.move_front_to_call();
         }
     }
 
-    fn start_front(&mut self) {
+    fn move_front_to_call(&mut self) {
         let Some(QueuedCommand { sequence, command }) = self.queue.pop_front() else { return };
         if self.newest.get(&command.key()) == Some(&sequence) {
             self.newest.remove(&command.key());
@@ -158,30 +158,30 @@
     }
 
     /// Finds in a later snapshot what of the current call, whose outcome is not known, was carried out; repeated, it
-    /// would wait in the proxies' channel twice. The last line that the call sets in a table shows it for that table.
+    /// would wait in the proxies' channel twice. The last entry that the call sets in a table shows it for that table.
     /// Where every table has it, all of the call was carried out. Otherwise the rest is repeated, except for tables that
     /// are not assigned here any more.
     pub fn reconcile(&mut self, tables: &BTreeMap<SliceId, Table>) {
-        let last_lines = self.last_lines();
+        let last_entries = self.last_entries();
         let is_applied =
-            |slice: &SliceId| tables.get(slice).is_none_or(|table| has_line(table, last_lines[slice]));
-        let is_visible = last_lines.keys().any(|slice| tables.contains_key(slice));
-        if is_visible && last_lines.keys().all(is_applied) {
+            |slice: &SliceId| tables.get(slice).is_none_or(|table| has_entry(table, last_entries[slice]));
+        let is_visible = last_entries.keys().any(|slice| tables.contains_key(slice));
+        if is_visible && last_entries.keys().all(is_applied) {
             self.current_call.clear();
         } else {
             self.current_call.retain(|command| !command.table().is_some_and(|slice| is_applied(&slice)));
         }
     }
 
-    /// The last line that the current call sets in each table.
-    fn last_lines(&self) -> BTreeMap<SliceId, WeightedHost> {
-        let mut lines = BTreeMap::new();
+    /// The last entry that the current call sets in each table.
+    fn last_entries(&self) -> BTreeMap<SliceId, WeightedHost> {
+        let mut entries = BTreeMap::new();
         for command in &self.current_call {
-            if let Command::SetWeight { slice, line } = *command {
-                lines.insert(slice, line);
+            if let Command::SetWeight { slice, entry } = *command {
+                entries.insert(slice, entry);
             }
         }
-        lines
+        entries
     }
 
     /// Drops the current call, which the relay cannot read. Returns how many commands it had.
@@ -195,13 +195,13 @@
         let queued = self.queue.iter().map(|queued| &queued.command);
         for command in self.current_call.iter().chain(queued) {
             match *command {
-                Command::SetWeight { slice: of, line } if of == slice => {
-                    set_weight(&mut table, line, self.single_owner);
+                Command::SetWeight { slice: of, entry } if of == slice => {
+                    set_weight(&mut table, entry, self.single_owner);
                 }
                 _ => {}
             }
         }
-        table.sort_by_key(|line| line.host);
+        table.sort_by_key(|entry| entry.host);
         table
     }
 }
--- a/crates/railhub-platform/src/sink.rs
+++ b/crates/railhub-platform/src/sink.rs
@@ -40,7 +40,7 @@
 
 impl CommandSink for BatchSink<'_> {
     fn set_weight(&mut self, slice: SliceId, host: HostId, weight: f64) {
-        self.commands.push(Command::SetWeight { slice, line: WeightedHost { host, weight } });
+        self.commands.push(Command::SetWeight { slice, entry: WeightedHost { host, weight } });
     }
     fn assign_table(&mut self, table: SliceId, proxy: ProxyId) {
         self.notices.push(Notice::TableNotAssignable { table, proxy });
--- a/crates/railhub-platform/src/slice_assignments.rs
+++ b/crates/railhub-platform/src/slice_assignments.rs
@@ -1,11 +1,11 @@
-//! Slices assigned since the last batch, until their tables are complete: the lines follow the assignment at once.
+//! Slices assigned since the last batch, until their tables are complete: the entries follow the assignment at once.
 use crate::table::Table;
 use railhub::{Seconds, SliceAssignment, SliceId, WeightedHost};
 
 /// Seconds without an event after which the tables of assigned slices count as complete.
 const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
 
-/// Assignments whose lines may still come.
+/// Assignments whose entries may still come.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingAssignments {
     assignments: Vec<SliceAssignment>,
@@ -23,13 +23,13 @@
         });
     }
 
-    /// A line of an assigned slice: it joins the latest assignment of the slice, here or in the next batch, or else the
-    /// table that the decisions know. With a single owner, the last line is the table.
+    /// A entry of an assigned slice: it joins the latest assignment of the slice, here or in the next batch, or else the
+    /// table that the decisions know. With a single owner, the last entry is the table.
     pub(crate) fn on_stored_entry(
         &mut self,
         now: Seconds,
         slice: SliceId,
-        line: WeightedHost,
+        entry: WeightedHost,
         single_owner: bool,
         batched: &mut [SliceAssignment],
         known_table: impl FnOnce() -> Option<Table>,
@@ -38,10 +38,10 @@
         let all = batched.iter_mut().chain(&mut self.assignments);
         match all.filter(|assignment| assignment.slice() == slice).last() {
             Some(SliceAssignment::Revoked { .. }) => {}
-            Some(SliceAssignment::Assigned { entries, .. }) => add_line(entries, line, single_owner),
+            Some(SliceAssignment::Assigned { entries, .. }) => add_entry(entries, entry, single_owner),
             None => {
                 if let Some(mut entries) = known_table() {
-                    add_line(&mut entries, line, single_owner);
+                    add_entry(&mut entries, entry, single_owner);
                     self.assignments.push(SliceAssignment::Assigned { slice, entries });
                 }
             }
@@ -69,8 +69,8 @@
     }
 }
 
-/// Adds a stored line, which may have weight 0. With a single owner it is the only one.
-fn add_line(table: &mut Table, line: WeightedHost, single_owner: bool) {
-    table.retain(|known| known.host != line.host && !single_owner);
-    table.push(line);
+/// Adds a stored entry, which may have weight 0. With a single owner it is the only one.
+fn add_entry(table: &mut Table, entry: WeightedHost, single_owner: bool) {
+    table.retain(|known| known.host != entry.host && !single_owner);
+    table.push(entry);
 }
--- a/crates/railhub-platform/src/snapshot_changes.rs
+++ b/crates/railhub-platform/src/snapshot_changes.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The stream of a proxy is up. `first`: it holds no table yet.
-pub(crate) fn stream_up(proxy: ProxyId, first: bool) -> ProxyStreamEvent {
+pub(crate) fn stream_established(proxy: ProxyId, first: bool) -> ProxyStreamEvent {
     if first {
         ProxyStreamEvent::Connected(proxy)
     } else {
@@ -20,7 +20,7 @@
 ) -> Vec<ProxyStreamEvent> {
     let absent = known.iter().filter(|proxy| !present.contains_key(proxy));
     let down = absent.map(|proxy| ProxyStreamEvent::Disconnected(*proxy));
-    let up = present.iter().map(|(proxy, first)| stream_up(*proxy, *first));
+    let up = present.iter().map(|(proxy, first)| stream_established(*proxy, *first));
     down.chain(up).collect()
 }
 
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -230,9 +230,9 @@
         let mut snapshot = self.take_snapshot()?;
         self.state = State::Synchronized;
         for AcceptedCommand { latest, command } in &self.accepted_since_snapshot {
-            if let Command::SetWeight { slice, line } = command {
+            if let Command::SetWeight { slice, entry } = command {
                 if snapshot.subscription <= *latest {
-                    snapshot.set_weight(*slice, *line, single_owner);
+                    snapshot.set_weight(*slice, *entry, single_owner);
                 }
             }
         }
@@ -267,8 +267,8 @@
                     return EventOutcome::SliceReassigned { slice, assigned };
                 }
             }
-            RelayEvent::StoredEntry { slice, line } => {
-                self.tables.entry(slice).or_default().push(line);
+            RelayEvent::StoredEntry { slice, line: entry } => {
+                self.tables.entry(slice).or_default().push(entry);
             }
             RelayEvent::BarrierAcked(ack) => return EventOutcome::BarrierAcked(ack),
             RelayEvent::Subscribed | RelayEvent::Heartbeat => {}
@@ -287,9 +287,9 @@
     }
 
     /// Sets a line of a slice that the snapshot has.
-    fn set_weight(&mut self, slice: SliceId, line: WeightedHost, single_owner: bool) {
+    fn set_weight(&mut self, slice: SliceId, entry: WeightedHost, single_owner: bool) {
         if let Some(table) = self.tables.get_mut(&slice) {
-            set_weight(table, line, single_owner);
+            set_weight(table, entry, single_owner);
         }
     }
 }
--- a/crates/railhub-platform/src/subscription/tests.rs
+++ b/crates/railhub-platform/src/subscription/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_later_snapshot_waits_longer_for_events_than_the_first() {
+fn later_snapshots_have_a_longer_idle_timeout() {
     let mut subscription = receiving_first_snapshot();
     assert!(!subscription.is_idle(1.09) && subscription.is_idle(1.11));
     assert!(subscription.complete_snapshot(false).is_some() && subscription.may_decide());
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn only_the_snapshot_whose_connection_ends_is_discarded() {
+fn discards_only_the_snapshot_whose_connection_ended() {
     let mut subscription = receiving_first_snapshot();
     subscription.on_ended(id(0));
     assert!(subscription.snapshot().is_some());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn keeps_a_bounded_number_of_accepted_commands_and_only_while_a_snapshot_is_due() {
+fn bounds_accepted_commands_kept_for_a_pending_snapshot() {
     let commands = |count: usize| vec![Command::Barrier(BarrierId(1)); count];
     let mut subscription = receiving_first_snapshot();
     assert_eq!(subscription.on_accepted(commands(20_000)), Ok(()));
--- a/crates/railhub-platform/src/wire/collector.rs
+++ b/crates/railhub-platform/src/wire/collector.rs
@@ -57,11 +57,11 @@
     span_ms: f64,
 }
 
-/// Decodes one message, without its length. `slices`: how many there are.
+/// Decodes one message, without its length. `slice_count`: how many there are.
 ///
 /// # Errors
 /// [`DecodeError::Unreadable`] if the stream cannot go on; any other one invalidates this message alone.
-pub fn decode(body: &[u8], names: &Names, slices: u16) -> Result<CollectorMessage, DecodeError> {
+pub fn decode(body: &[u8], names: &Names, slice_count: u16) -> Result<CollectorMessage, DecodeError> {
     let message: MessageType = decode_message(body)?;
     match message.t.as_str() {
         "ping" => Ok(CollectorMessage::Ping),
@@ -76,7 +76,7 @@
         }
         "heat" => {
             let report: SliceReportMessage = decode_fields(body)?;
-            report.convert(names, slices).map(CollectorMessage::SliceLoad)
+            report.convert(names, slice_count).map(CollectorMessage::SliceLoad)
         }
         _ => Err(DecodeError::UnexpectedType),
     }
@@ -136,11 +136,11 @@
 }
 
 impl SliceReportMessage {
-    fn convert(&self, names: &Names, slices: u16) -> Result<SliceLoadReport, DecodeError> {
+    fn convert(&self, names: &Names, slice_count: u16) -> Result<SliceLoadReport, DecodeError> {
         let operations = bounded(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
         // Not bounded by `tries`: an operation may fail in a later report than the one that counts it.
         bounded(self.failed, MAX_ATTEMPTS_PER_REPORT)?;
-        if self.slice >= slices {
+        if self.slice >= slice_count {
             return Err(DecodeError::UnknownName);
         }
         let class = names.class(&self.class).ok_or(DecodeError::UnknownName)?;
--- a/crates/railhub-platform/src/wire/configuration.rs
+++ b/crates/railhub-platform/src/wire/configuration.rs
@@ -6,46 +6,46 @@
 use std::net::SocketAddr;
 
 #[derive(Deserialize)]
-struct ConfigMessage {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
-    registry: RegistryMessage,
-    limits: LimitsMessage,
+    registry: RegistrySection,
+    limits: LimitsSection,
     #[serde(default)]
     known: PageMessage,
-    settings: SettingsMessage,
+    settings: SettingsSection,
 }
 
 #[derive(Deserialize)]
-struct RegistryMessage {
+struct RegistrySection {
     address: SocketAddr,
 }
 
 #[derive(Deserialize)]
-struct LimitsMessage {
+struct LimitsSection {
     memory_mb: f64,
     sockets: usize,
 }
 
 #[derive(Deserialize)]
-struct SettingsMessage {
-    ceilings: CeilingsMessage,
-    family_info: FamilyMessage,
+struct SettingsSection {
+    ceilings: CeilingsSection,
+    family_info: FamilySection,
     host_types: Vec<String>,
-    request_classes: Vec<ClassMessage>,
-    rules: RulesMessage,
+    request_classes: Vec<ClassSection>,
+    rules: RulesSection,
     tick_us: u64,
     zones: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct CeilingsMessage {
+struct CeilingsSection {
     probes: bool,
 }
 
 #[derive(Deserialize)]
-struct FamilyMessage {
+struct FamilySection {
     backlog: f64,
     envelope: f64,
     exclusive: bool,
@@ -62,7 +62,7 @@
 }
 
 #[derive(Deserialize)]
-struct ClassMessage {
+struct ClassSection {
     aim_us: u64,
     effect: String,
     #[serde(default)]
@@ -75,7 +75,7 @@
 }
 
 #[derive(Deserialize)]
-struct RulesMessage {
+struct RulesSection {
     cold_from: f64,
     fall_multiple: f64,
     #[serde(default)]
@@ -87,7 +87,7 @@
     /// Reads a configuration file.
     ///
     /// # Errors
-    /// What is wrong, with its place in the file. An invalid entry of the known list of hosts is no error: it is left
+    /// What is wrong and the path of the field. An invalid entry of the known list of hosts is no error: it is left
     /// out and counted in [`crate::EndpointPage::invalid`].
     pub fn parse(text: &str) -> Result<NodeConfig, ConfigError> {
         let file = decode(text)?;
@@ -100,8 +100,8 @@
             discovery: file.discovery,
             relay: file.registry.address,
             sockets: file.limits.sockets,
-            memory_mb: amount(file.limits.memory_mb, "limits.memory_mb")? as usize,
-            tick_interval: duration(file.settings.tick_us, "settings.tick_us")?,
+            memory_mb: non_negative(file.limits.memory_mb, "limits.memory_mb")? as usize,
+            min_batch_interval: duration(file.settings.tick_us, "settings.tick_us")?,
             known_endpoints: file.known.convert(&names),
             controller,
             names,
@@ -109,76 +109,95 @@
     }
 }
 
-fn decode(text: &str) -> Result<ConfigMessage, ConfigError> {
+fn decode(text: &str) -> Result<ConfigFile, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let file = serde_path_to_error::deserialize(&mut json)
-        .map_err(|error| ConfigError::Json { place: error.path().to_string(), error: error.into_inner() })?;
-    json.end().map_err(|error| ConfigError::Json { place: "the end".to_owned(), error })?;
+    let file = serde_path_to_error::deserialize(&mut json).map_err(|error| ConfigError::Json {
+        field_path: error.path().to_string(),
+        error: error.into_inner(),
+    })?;
+    json.end().map_err(|error| ConfigError::Json { field_path: "the end".to_owned(), error })?;
     Ok(file)
 }
 
-fn class_configs(classes: &[ClassMessage]) -> Result<Vec<ClassConfig>, ConfigError> {
+fn class_configs(classes: &[ClassSection]) -> Result<Vec<ClassConfig>, ConfigError> {
     let count = classes.len();
     if !(1..=MAX_CLASSES).contains(&count) {
-        return Err(ConfigError::ClassCount { place: "settings.request_classes".to_owned(), count });
+        return Err(ConfigError::ClassCount { field_path: "settings.request_classes".to_owned(), count });
     }
     classes.iter().enumerate().map(|(index, class)| class_config(index, class)).collect()
 }
 
-fn class_config(index: usize, class: &ClassMessage) -> Result<ClassConfig, ConfigError> {
-    let place = |field: &str| format!("settings.request_classes[{index}].{field}");
+fn class_config(index: usize, class: &ClassSection) -> Result<ClassConfig, ConfigError> {
+    let field_path = |field: &str| format!("settings.request_classes[{index}].{field}");
     Ok(ClassConfig {
-        contract_time: duration(class.aim_us, &place("aim_us"))?,
-        priority_weight: amount(class.worth, &place("worth"))?,
+        contract_time: duration(class.aim_us, &field_path("aim_us"))?,
+        priority_weight: non_negative(class.worth, &field_path("worth"))?,
         idempotency: match (class.effect.as_str(), class.group.as_str()) {
             ("repeatable", _) => Idempotency::Safe,
             ("by_key", "all") => {
-                Idempotency::IdempotencyKeyGlobal(duration(class.key_ttl_us, &place("key_ttl_us"))?)
+                Idempotency::IdempotencyKeyGlobal(duration(class.key_ttl_us, &field_path("key_ttl_us"))?)
             }
             ("by_key", _) => Idempotency::IdempotencyKeyLocal,
             ("once", _) => Idempotency::Never,
             (other, _) => {
-                return Err(ConfigError::UnknownValue { place: place("effect"), value: other.to_owned() })
+                return Err(ConfigError::UnknownValue {
+                    field_path: field_path("effect"),
+                    value: other.to_owned(),
+                })
             }
         },
     })
 }
 
 fn controller_config(
-    settings: &SettingsMessage,
+    settings: &SettingsSection,
     classes: Vec<ClassConfig>,
 ) -> Result<ControllerConfig, ConfigError> {
-    let SettingsMessage { ceilings, family_info: family, rules, .. } = settings;
+    let SettingsSection { ceilings, family_info: family, rules, .. } = settings;
     Ok(ControllerConfig {
         classes,
         slice_count: family.key_ranges,
         single_owner: family.exclusive,
-        write_lease: write_time(family, family.write_lease_us, "settings.family_info.write_lease_us")?,
-        max_write_duration: write_time(family, family.write_life_us, "settings.family_info.write_life_us")?,
+        write_lease: single_owner_duration(
+            family,
+            family.write_lease_us,
+            "settings.family_info.write_lease_us",
+        )?,
+        max_write_duration: single_owner_duration(
+            family,
+            family.write_life_us,
+            "settings.family_info.write_life_us",
+        )?,
         health_checks_allowed: ceilings.probes,
         delisted_may_serve: rules.removal_not_binding,
         admission_by_fraction: family.throttle_by == "share",
-        cold_capacity_fraction: amount(rules.cold_from, "settings.rules.cold_from")?,
+        cold_capacity_fraction: non_negative(rules.cold_from, "settings.rules.cold_from")?,
         warm_up_time: duration(rules.warm_within_us, "settings.rules.warm_within_us")?,
-        overload_multiple: amount(rules.fall_multiple, "settings.rules.fall_multiple")?,
-        backlog_limit: amount(family.backlog, "settings.family_info.backlog")?,
-        message_overhead: amount(family.envelope, "settings.family_info.envelope")?,
+        overload_multiple: non_negative(rules.fall_multiple, "settings.rules.fall_multiple")?,
+        backlog_limit: non_negative(family.backlog, "settings.family_info.backlog")?,
+        message_overhead: non_negative(family.envelope, "settings.family_info.envelope")?,
         message_quota: family.update_cap,
         message_quota_window: duration(family.messages_over_us, "settings.family_info.messages_over_us")?,
-        first_attempt_timeout_multiple: amount(family.first_wait, "settings.family_info.first_wait")?,
+        first_attempt_timeout_multiple: non_negative(family.first_wait, "settings.family_info.first_wait")?,
     })
 }
 
 /// A time of a single owner's writes. Counted as 0 where it is missing, it would let two hosts accept one owner's writes.
-fn write_time(family: &FamilyMessage, micros: Option<u64>, place: &str) -> Result<Seconds, ConfigError> {
+fn single_owner_duration(
+    family: &FamilySection,
+    micros: Option<u64>,
+    field_path: &str,
+) -> Result<Seconds, ConfigError> {
     match micros {
-        Some(micros) => duration(micros, place),
-        None if family.exclusive => Err(ConfigError::SingleOwnerTime { place: place.to_owned() }),
+        Some(micros) => duration(micros, field_path),
+        None if family.exclusive => {
+            Err(ConfigError::MissingSingleOwnerDuration { field_path: field_path.to_owned() })
+        }
         None => Ok(0.0),
     }
 }
 
-fn names(settings: &SettingsMessage) -> Result<Names, ConfigError> {
+fn names(settings: &SettingsSection) -> Result<Names, ConfigError> {
     let timeouts = settings.request_classes.iter().map(|class| class.hard_limit_us);
     let max_client_timeout = timeouts.max().unwrap_or_default();
     Ok(Names {
@@ -190,20 +209,20 @@
 }
 
 /// Microseconds of the file, in seconds.
-fn duration(micros: u64, place: &str) -> Result<Seconds, ConfigError> {
+fn duration(micros: u64, field_path: &str) -> Result<Seconds, ConfigError> {
     let duration = micros as f64 / 1e6;
     if duration <= MAX_DURATION {
         Ok(duration)
     } else {
-        Err(ConfigError::TooLong { place: place.to_owned() })
+        Err(ConfigError::TooLong { field_path: field_path.to_owned() })
     }
 }
 
 /// A finite number from 0 up.
-fn amount(number: f64, place: &str) -> Result<f64, ConfigError> {
+fn non_negative(number: f64, field_path: &str) -> Result<f64, ConfigError> {
     if number.is_finite() && number >= 0.0 {
         Ok(number)
     } else {
-        Err(ConfigError::Negative { place: place.to_owned() })
+        Err(ConfigError::Negative { field_path: field_path.to_owned() })
     }
 }
--- a/crates/railhub-platform/src/wire/discovery.rs
+++ b/crates/railhub-platform/src/wire/discovery.rs
@@ -76,7 +76,7 @@
             "gone" => Phase::Gone,
             _ => return Err(DecodeError::UnknownName),
         };
-        if !is_amount(self.weight) || !is_amount(self.started_at_ms) {
+        if !is_non_negative(self.weight) || !is_non_negative(self.started_at_ms) {
             return Err(DecodeError::OutOfRange);
         }
         let host = HostId::new(&self.instance_id).ok_or(DecodeError::InvalidField)?;
@@ -90,6 +90,6 @@
     }
 }
 
-fn is_amount(number: f64) -> bool {
+fn is_non_negative(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
--- a/crates/railhub-platform/src/wire/relay.rs
+++ b/crates/railhub-platform/src/wire/relay.rs
@@ -171,22 +171,22 @@
 /// If it is about a class that has no name: [`crate::PendingCommands`] leaves these out.
 pub(crate) fn encode_command(command: &Command, class_names: &[String]) -> String {
     let message = match command {
-        Command::SetWeight { slice, line } => {
-            CommandMessage::Share { table: slice.0, server: line.host.name(), weight: line.weight }
+        Command::SetWeight { slice, entry } => {
+            CommandMessage::Share { table: slice.0, server: entry.host.name(), weight: entry.weight }
         }
         Command::Exclude(host) => CommandMessage::Withdraw { server: host.name() },
         Command::Readmit(host) => CommandMessage::Restore { server: host.name() },
         Command::SetAdmissionRate { class, rate, retry } => CommandMessage::Admit {
             classes: [&class_names[usize::from(class.0)]],
             level: *rate,
-            retry: retry_code(*retry),
+            retry: retry_policy_code(*retry),
         },
         Command::Barrier(barrier) => CommandMessage::Mark { ticket: barrier.0, on: ALL_PROXIES },
     };
     serde_json::to_string(&message).expect("names and finite numbers have a JSON form")
 }
 
-fn retry_code(policy: RetryPolicy) -> u8 {
+fn retry_policy_code(policy: RetryPolicy) -> u8 {
     match policy {
         RetryPolicy::Never => 0,
         RetryPolicy::IfNotExecuted => 1,
--- a/crates/railhub-platform/tests/controller/calls.rs
+++ b/crates/railhub-platform/tests/controller/calls.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn a_line_in_flight_counts_as_stored_in_a_snapshot() {
+fn entry_in_flight_counts_as_stored_in_a_snapshot() {
     let (mut controller, call) = with_call_in_flight();
     // The subscription breaks while the call is in flight; its line is not in the snapshot.
     send_snapshot(&mut controller, START + 0.1, &[joined(1), assigned(3), stored(3, 1)]);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn repeats_a_call_of_unknown_outcome_only_if_a_later_snapshot_lacks_it() {
+fn repeats_a_call_only_if_a_later_snapshot_lacks_its_entry() {
     for carried_out in [false, true] {
         let (mut controller, call) = with_call_in_flight();
         assert!(controller.on_call_ended(None).is_none());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_subscription_requested_before_a_call_ended_does_not_show_its_outcome() {
+fn early_subscription_does_not_resolve_the_outcome_of_a_call() {
     let (mut controller, _) = with_call_in_flight();
     controller.request_subscription();
     let requested_early = controller.subscription;
@@ -49,7 +49,7 @@
     assert!(controller.take_resubscribe_reason().is_some());
     // Its snapshot is of before the call was carried out: by it the call would be repeated.
     for event in [RelayEvent::Subscribed, joined(1), assigned(3), stored(3, 1), RelayEvent::Heartbeat] {
-        controller.core.on_relay_event(START + 0.1, requested_early, event);
+        controller.inner.on_relay_event(START + 0.1, requested_early, event);
     }
     controller.poll(START + 0.3);
     assert!(controller.next_call().is_none());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_snapshot_that_pauses_shows_the_outcome_of_a_call_before_it_is_complete() {
+fn idle_incomplete_snapshot_resolves_the_outcome_of_a_call() {
     let (mut controller, _) = with_call_in_flight();
     controller.on_call_ended(None);
     controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_slice_missing_from_an_incomplete_snapshot_does_not_count_as_revoked() {
-    let mut controller = PlatformController::new(&config());
+fn slice_missing_from_an_incomplete_snapshot_is_not_revoked() {
+    let mut controller = TestController::new(&config());
     let tables = [joined(1), assigned(3), stored(3, 1), assigned(4), stored(4, 1)];
     send_snapshot(&mut controller, START, &tables);
     controller.poll(START);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn resubscribes_for_a_slice_assigned_while_a_call_about_it_is_in_flight() {
+fn resubscribes_when_a_slice_of_the_call_in_flight_is_reassigned() {
     let (mut controller, call) = with_call_in_flight();
     controller.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
     assert!(
@@ -119,13 +119,13 @@
 }
 
 #[test]
-fn does_not_repeat_a_call_of_unknown_outcome_about_a_slice_of_another_controller() {
+fn does_not_repeat_commands_for_a_slice_assigned_elsewhere() {
     // The relay carried the call out or not, and assigned the slice to the other controller meanwhile.
     for carried_out in [true, false] {
         let (mut first, _) = with_call_in_flight();
         first.on_call_ended(None);
         first.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
-        let mut successor = PlatformController::new(&config());
+        let mut successor = TestController::new(&config());
         send_snapshot(&mut successor, START, &[joined(1)]);
         accept_all_calls(&mut successor, START);
         let table = [assigned(3), stored(3, 1), standby(0.0)];
@@ -147,10 +147,10 @@
 }
 
 #[test]
-fn a_proxy_that_joins_while_a_call_is_in_flight_counts_as_a_recipient() {
+fn proxy_joining_during_a_call_counts_as_a_recipient() {
     // 35 proxies and a few lines for each: one such update fits into the backlog's limit, two do not.
     const LATE_PROXIES: std::ops::Range<u16> = 5..35;
-    let mut controller = PlatformController::new(&config());
+    let mut controller = TestController::new(&config());
     let mut first = vec![assigned(3), stored(3, 1)];
     first.extend((0..LATE_PROXIES.start).map(joined));
     send_snapshot(&mut controller, START, &first);
@@ -159,7 +159,7 @@
     LATE_PROXIES.for_each(|proxy| controller.on_relay_event(START + 0.01, joined(proxy)));
     controller.poll(START + 0.02);
     assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
-    let drains = FILE
+    let drains = CONFIG_JSON
         .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
         .replacen("draining", "ready", 1);
     let known = NodeConfig::parse(&drains.replace("\"generation\": 41", "\"generation\": 42"))
--- a/crates/railhub-platform/tests/controller/hosts.rs
+++ b/crates/railhub-platform/tests/controller/hosts.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 #[test]
-fn ignores_a_health_check_of_a_host_that_moved_restarted_or_went_meanwhile() {
-    let config = NodeConfig::parse(FILE).expect("a valid file");
+fn ignores_the_health_check_result_of_a_changed_host() {
+    let config = NodeConfig::parse(CONFIG_JSON).expect("a valid file");
     let page = |generation: u64, address: &str, lifecycle: &str, started: f64| {
         let text = format!(
             "{{\"generation\":{generation},\"reset\":false,\"instances\":[{{\"instanceId\":\"s-1\",\"hostPort\":\
@@ -15,7 +15,7 @@
     for (address, lifecycle, started) in
         [("127.0.0.9:7070", "ready", 0.0), (here, "ready", 1.7e12), (here, "gone", 0.0)]
     {
-        let mut controller = PlatformController::new(&config);
+        let mut controller = TestController::new(&config);
         send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 2)]);
         let health_checks = controller.poll(START).health_checks;
         let health_check = health_checks
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn accepts_a_complete_list_of_a_lower_generation_after_a_long_pause() {
+fn accepts_a_lower_generation_after_the_reset_timeout() {
     let config = config();
     let page = |generation: u64, complete: bool, name: &str| {
         let text = format!(
@@ -41,7 +41,7 @@
         );
         railhub_platform::wire::discovery::decode_page(text.as_bytes(), &config.names).expect("a page")
     };
-    let mut controller = PlatformController::new(&config);
+    let mut controller = TestController::new(&config);
     assert!(controller.on_endpoint_page(START, &page(60, true, "s-7")));
     assert!(!controller.on_endpoint_page(START + 5.0, &page(3, true, "s-8")), "it may be late");
     assert!(!controller.on_endpoint_page(START + 20.0, &page(4, false, "s-8")), "changes of an unknown list");
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn accepts_a_page_with_an_invalid_entry_again() {
+fn accepts_a_page_resent_after_an_invalid_entry() {
     let config = config();
-    let mut controller = PlatformController::new(&config);
+    let mut controller = TestController::new(&config);
     let page = |weight: &str| {
         let text = format!(
             "{{\"generation\":42,\"reset\":false,\"instances\":[{{\"instanceId\":\"s-9\",\
--- a/crates/railhub-platform/tests/controller/main.rs
+++ b/crates/railhub-platform/tests/controller/main.rs
@@ -8,29 +8,31 @@
     BarrierAck, BarrierId, ClassId, HealthCheckOutcome, HostId, ProxyId, RetryPolicy, SliceId, WeightedHost,
 };
 use railhub_platform::{
-    Call, CallResponse, Command, NodeConfig, PendingCommands, PlatformController as Core, RelayEvent,
-    SubscriptionId,
+    Call, CallResponse, Command, NodeConfig, PendingCommands, PlatformController, RelayEvent, SubscriptionId,
 };
 use std::ops::{Deref, DerefMut};
 
-const FILE: &str = include_str!("../node_config.json");
+const CONFIG_JSON: &str = include_str!("../node_config.json");
 const START: f64 = 1_700_000_100.0;
 
 fn config() -> NodeConfig {
     // Without health checks the decisions trust the list, so that a few batches are enough.
-    NodeConfig::parse(&FILE.replace("\"probes\": true", "\"probes\": false")).expect("a valid file")
+    NodeConfig::parse(&CONFIG_JSON.replace("\"probes\": true", "\"probes\": false")).expect("a valid file")
 }
 
-fn host(n: u8) -> HostId {
-    HostId::new(&format!("s-{n}")).expect("a name")
+fn host(number: u8) -> HostId {
+    HostId::new(&format!("s-{number}")).expect("a name")
 }
 
 fn assigned(slice: u16) -> RelayEvent {
     RelayEvent::SliceAssigned { slice: SliceId(slice), assigned: true }
 }
 
-fn stored(slice: u16, n: u8) -> RelayEvent {
-    RelayEvent::StoredEntry { slice: SliceId(slice), line: WeightedHost { host: host(n), weight: 1.0 } }
+fn stored(slice: u16, host_number: u8) -> RelayEvent {
+    RelayEvent::StoredEntry {
+        slice: SliceId(slice),
+        line: WeightedHost { host: host(host_number), weight: 1.0 },
+    }
 }
 
 fn joined(proxy: u16) -> RelayEvent {
@@ -38,45 +40,45 @@
 }
 
 /// A controller and its current subscription; each further one is requested as it is confirmed.
-struct PlatformController {
-    core: Core,
+struct TestController {
+    inner: PlatformController,
     subscription: SubscriptionId,
 }
 
-impl PlatformController {
-    fn new(config: &NodeConfig) -> PlatformController {
-        PlatformController { core: Core::new(config), subscription: SubscriptionId::default() }
+impl TestController {
+    fn new(config: &NodeConfig) -> TestController {
+        TestController { inner: PlatformController::new(config), subscription: SubscriptionId::default() }
     }
 
     fn request_subscription(&mut self) {
         self.subscription.sequence += 1;
-        self.core.on_subscription_requested(self.subscription);
+        self.inner.on_subscription_requested(self.subscription);
     }
 
     fn on_relay_event(&mut self, now: f64, event: RelayEvent) {
         if event == RelayEvent::Subscribed {
             self.request_subscription();
         }
-        self.core.on_relay_event(now, self.subscription, event);
+        self.inner.on_relay_event(now, self.subscription, event);
     }
 }
 
-impl Deref for PlatformController {
-    type Target = Core;
+impl Deref for TestController {
+    type Target = PlatformController;
 
-    fn deref(&self) -> &Core {
-        &self.core
+    fn deref(&self) -> &PlatformController {
+        &self.inner
     }
 }
 
-impl DerefMut for PlatformController {
-    fn deref_mut(&mut self) -> &mut Core {
-        &mut self.core
+impl DerefMut for TestController {
+    fn deref_mut(&mut self) -> &mut PlatformController {
+        &mut self.inner
     }
 }
 
 /// A complete snapshot of a new subscription.
-fn send_snapshot(controller: &mut PlatformController, now: f64, events: &[RelayEvent]) {
+fn send_snapshot(controller: &mut TestController, now: f64, events: &[RelayEvent]) {
     controller.on_relay_event(now, RelayEvent::Subscribed);
     for event in events {
         controller.on_relay_event(now, *event);
@@ -89,7 +91,7 @@
 }
 
 /// Polls and accepts all calls that are due. Returns their text.
-fn accept_all_calls(controller: &mut PlatformController, now: f64) -> String {
+fn accept_all_calls(controller: &mut TestController, now: f64) -> String {
     controller.poll(now);
     let mut calls = String::new();
     while let Some(call) = controller.next_call() {
@@ -104,8 +106,8 @@
 }
 
 /// A controller that has set slice 3's standby, with that call in flight.
-fn with_call_in_flight() -> (PlatformController, Call) {
-    let mut controller = PlatformController::new(&config());
+fn with_call_in_flight() -> (TestController, Call) {
+    let mut controller = TestController::new(&config());
     send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 1)]);
     controller.poll(START);
     let call = controller.next_call().expect("a standby is due");
--- a/crates/railhub-platform/tests/controller/pending_commands.rs
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -1,10 +1,10 @@
-//! Pending commands: folded, bounded, and encoded in calls.
+//! Pending commands: coalesced, bounded, and encoded in calls.
 use super::*;
 
 #[test]
-fn a_repeated_call_leaves_out_tables_of_revoked_slices() {
+fn repeated_call_omits_tables_of_revoked_slices() {
     let mut pending = PendingCommands::default();
-    push_lines(&mut pending, 3);
+    push_entries(&mut pending, 3);
     pending.next_call(&[]).expect("a call");
     // Slice 0 was carried out, slice 1 was not, slice 2 is another controller's now.
     let tables = [(SliceId(0), vec![(host(1), 1.0).into()]), (SliceId(1), Vec::new())].into();
@@ -19,7 +19,7 @@
     pending.push(Command::SetAdmissionRate { class: ClassId(1), rate: 0.5, retry: RetryPolicy::Never });
     pending.push(Command::SetAdmissionRate { class: ClassId(0), rate: 0.7, retry: RetryPolicy::Never });
     let call = pending.next_call(&["view".to_owned()]).expect("a call");
-    assert_eq!(pending.unnamed, 1);
+    assert_eq!(pending.unnamed_classes, 1);
     assert!(
         call.commands == 1 && text(&call).contains("view") && !text(&call).contains('*'),
         "{}",
@@ -27,19 +27,19 @@
     );
 }
 
-fn push_lines(pending: &mut PendingCommands, count: u16) {
+fn push_entries(pending: &mut PendingCommands, count: u16) {
     (0..count).for_each(|slice| {
         pending.push(Command::SetWeight {
             slice: SliceId(slice),
-            line: WeightedHost { host: host(1), weight: 1.0 },
+            entry: WeightedHost { host: host(1), weight: 1.0 },
         })
     });
 }
 
 #[test]
-fn calls_stay_below_the_relays_limit_and_lose_nothing() {
+fn splits_commands_into_calls_below_the_size_limit() {
     let mut pending = PendingCommands::default();
-    push_lines(&mut pending, 5000);
+    push_entries(&mut pending, 5000);
     let (mut calls, mut commands) = (0, 0);
     while let Some(call) = pending.next_call(&[]) {
         assert!(call.bytes.len() < 60_000 && call.bytes.ends_with(b"]}}\n"));
@@ -53,12 +53,12 @@
 #[test]
 fn drops_a_refused_command_alone() {
     let mut pending = PendingCommands::default();
-    push_lines(&mut pending, 5);
+    push_entries(&mut pending, 5);
     assert_eq!(pending.next_call(&[]).expect("a call").commands, 5);
-    push_lines(&mut pending, 6);
+    push_entries(&mut pending, 6);
     assert_eq!(
         pending.on_accepted(2).refused,
-        Some(Command::SetWeight { slice: SliceId(2), line: WeightedHost { host: host(1), weight: 1.0 } })
+        Some(Command::SetWeight { slice: SliceId(2), entry: WeightedHost { host: host(1), weight: 1.0 } })
     );
     let rest = pending.next_call(&[]).expect("the rest of the call first");
     assert_eq!(rest.commands, 2);
@@ -68,15 +68,18 @@
 }
 
 #[test]
-fn pending_commands_fold_by_key_and_are_bounded() {
+fn coalesces_pending_commands_by_key_and_bounds_them() {
     let mut pending = PendingCommands::default();
-    pending.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(1), weight: 0.0 } });
-    pending.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(2), weight: 1.0 } });
+    pending
+        .push(Command::SetWeight { slice: SliceId(1), entry: WeightedHost { host: host(1), weight: 0.0 } });
+    pending
+        .push(Command::SetWeight { slice: SliceId(1), entry: WeightedHost { host: host(2), weight: 1.0 } });
     pending.push(Command::Exclude(host(2)));
-    pending.push(Command::SetWeight { slice: SliceId(1), line: WeightedHost { host: host(1), weight: 1.0 } });
+    pending
+        .push(Command::SetWeight { slice: SliceId(1), entry: WeightedHost { host: host(1), weight: 1.0 } });
     pending.push(Command::Readmit(host(2)));
     let call = pending.next_call(&[]).expect("a call");
-    assert_eq!((call.commands, pending.folded), (3, 2));
+    assert_eq!((call.commands, pending.coalesced), (3, 2));
     let text = text(&call);
     assert!(
         text.find("\"s-2\",\"weight\":1.0").expect("kept")
@@ -88,7 +91,7 @@
     for slice in 0..u16::MAX {
         pending.push(Command::SetWeight {
             slice: SliceId(slice),
-            line: WeightedHost { host: host(1), weight: 1.0 },
+            entry: WeightedHost { host: host(1), weight: 1.0 },
         });
         assert!(pending.len() <= 20_000);
     }
--- a/crates/railhub-platform/tests/controller/snapshots.rs
+++ b/crates/railhub-platform/tests/controller/snapshots.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn issues_no_command_before_the_first_snapshot_is_complete() {
-    let mut controller = PlatformController::new(&config());
+    let mut controller = TestController::new(&config());
     assert_eq!(accept_all_calls(&mut controller, START), "");
     controller.on_relay_event(START, RelayEvent::Subscribed);
     controller.on_relay_event(START, assigned(3));
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn a_snapshot_replaces_what_was_known() {
-    let mut controller = PlatformController::new(&config());
+fn snapshot_replaces_known_proxies_and_tables() {
+    let mut controller = TestController::new(&config());
     let first = [joined(1), joined(2), assigned(3), stored(3, 1), assigned(4), stored(4, 1)];
     send_snapshot(&mut controller, START, &first);
     accept_all_calls(&mut controller, START);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn keeps_a_line_accepted_after_the_snapshot_was_taken_in_either_order() {
+fn keeps_an_entry_accepted_after_the_snapshot_was_taken() {
     // The relay sends slice 3 without the line, then accepts the line; its response overtakes the end of the snapshot,
     // or even its start, as the two come on connections of their own.
     for answered_first in [true, false] {
@@ -49,15 +49,15 @@
         if !answered_first {
             events
                 .into_iter()
-                .for_each(|event| controller.core.on_relay_event(START + 0.1, subscription, event));
+                .for_each(|event| controller.inner.on_relay_event(START + 0.1, subscription, event));
         }
         controller.on_call_ended(Some(CallResponse::Accepted(call.commands)));
         if answered_first {
             events
                 .into_iter()
-                .for_each(|event| controller.core.on_relay_event(START + 0.1, subscription, event));
+                .for_each(|event| controller.inner.on_relay_event(START + 0.1, subscription, event));
         }
-        controller.core.on_relay_event(START + 0.2, subscription, RelayEvent::Heartbeat);
+        controller.inner.on_relay_event(START + 0.2, subscription, RelayEvent::Heartbeat);
         controller.poll(START + 0.2);
         let call = controller.next_call();
         assert!(!call.is_some_and(|call| text(&call).contains("share")), "answered first: {answered_first}");
@@ -66,7 +66,7 @@
 
 #[test]
 fn discards_an_incomplete_snapshot_when_its_connection_ends() {
-    let mut controller = PlatformController::new(&config());
+    let mut controller = TestController::new(&config());
     send_snapshot(
         &mut controller,
         START,
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn a_first_snapshot_that_breaks_off_leaves_the_controller_unsynchronized() {
-    let mut controller = PlatformController::new(&config());
+fn interrupted_first_snapshot_leaves_it_unsynchronized() {
+    let mut controller = TestController::new(&config());
     controller.on_relay_event(START, RelayEvent::Subscribed);
     controller.on_relay_event(START, assigned(3));
     let subscription = controller.subscription;
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn ignores_an_older_configurations_subscription_after_a_newer_one() {
-    let mut controller = Core::new(&config());
+fn ignores_the_subscription_of_an_older_configuration() {
+    let mut controller = PlatformController::new(&config());
     let (older, newer) = (
         SubscriptionId { config_version: 0, sequence: 5 },
         SubscriptionId { config_version: 1, sequence: 4 },
@@ -117,8 +117,8 @@
 }
 
 #[test]
-fn waits_for_the_lines_of_a_slice_assigned_later() {
-    let mut controller = PlatformController::new(&config());
+fn waits_for_the_entries_of_a_slice_assigned_later() {
+    let mut controller = TestController::new(&config());
     send_snapshot(&mut controller, START, &[joined(1)]);
     accept_all_calls(&mut controller, START);
     controller.on_relay_event(START + 0.5, assigned(7));
@@ -131,8 +131,8 @@
 }
 
 #[test]
-fn keeps_a_line_that_comes_after_the_batch_with_its_slice() {
-    let mut controller = PlatformController::new(&config());
+fn keeps_an_entry_that_arrives_after_the_batch_with_its_slice() {
+    let mut controller = TestController::new(&config());
     send_snapshot(&mut controller, START, &[joined(1), assigned(7)]);
     accept_all_calls(&mut controller, START);
     // The table was assigned empty and got an owner; now the store's own line follows, of a host that the decisions do
@@ -143,8 +143,8 @@
 }
 
 #[test]
-fn drops_pending_commands_about_a_slice_that_changes_hands() {
-    let mut controller = PlatformController::new(&config());
+fn drops_pending_commands_of_a_revoked_slice() {
+    let mut controller = TestController::new(&config());
     send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 1)]);
     controller.poll(START);
     controller.on_relay_event(START + 0.01, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -4,19 +4,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const FILE: &str = include_str!("node_config.json");
+const CONFIG_JSON: &str = include_str!("node_config.json");
 
 fn names() -> Names {
-    NodeConfig::parse(FILE).expect("a valid file").names
+    NodeConfig::parse(CONFIG_JSON).expect("a valid file").names
 }
 
-fn message(text: &str) -> Result<CollectorMessage, DecodeError> {
+fn decode_collector_message(text: &str) -> Result<CollectorMessage, DecodeError> {
     wire::collector::decode(text.as_bytes(), &names(), 40)
 }
 
 #[test]
-fn reads_a_configuration_and_its_first_list() {
-    let read = NodeConfig::parse(FILE).expect("a valid file");
+fn decodes_a_configuration_and_its_initial_list() {
+    let read = NodeConfig::parse(CONFIG_JSON).expect("a valid file");
     assert_eq!((read.name.as_str(), read.sockets, read.memory_mb), ("n0", 256, 32));
     assert_eq!(read.relay.to_string(), "127.0.0.1:6400");
     assert_eq!(
@@ -24,17 +24,17 @@
         (40, 18.0, true)
     );
     assert_eq!(read.controller.classes[1].idempotency, Idempotency::Never);
-    let list = read.first_list();
+    let list = read.initial_list();
     assert!(list.complete && read.known_endpoints.generation == 41);
     assert_eq!(list.entries[0].host, HostId::new("s-1").expect("a name"));
     assert_eq!((list.entries[0].started_at, list.entries[1].started_at), (None, Some(1_700_000_000.25)));
 }
 
 #[test]
-fn names_the_place_of_an_error_in_the_configuration() {
+fn configuration_errors_name_the_field() {
     let error = |from: &str, to: &str| {
-        assert!(FILE.contains(from), "{from}");
-        NodeConfig::parse(&FILE.replace(from, to)).expect_err("wrong").to_string()
+        assert!(CONFIG_JSON.contains(from), "{from}");
+        NodeConfig::parse(&CONFIG_JSON.replace(from, to)).expect_err("wrong").to_string()
     };
     let place = error("\"127.0.0.1:6400\"", "17");
     assert!(place.starts_with("registry.address: "), "{place}");
@@ -43,16 +43,16 @@
     assert!(error("\"backlog\": 900.5", "\"backlog\": -1").starts_with("settings.family_info.backlog: "));
     let one_owner = error("\"exclusive\": false", "\"exclusive\": true");
     assert_eq!(one_owner, "settings.family_info.write_lease_us: is needed where a slice has one owner");
-    assert!(NodeConfig::parse(&FILE[..FILE.len() / 2]).is_err());
+    assert!(NodeConfig::parse(&CONFIG_JSON[..CONFIG_JSON.len() / 2]).is_err());
 }
 
 #[test]
-fn leaves_out_an_invalid_entry_of_the_known_list_and_removes_no_host() {
+fn skips_an_invalid_entry_of_the_known_list_and_removes_no_host() {
     for (from, to) in
         [("127.0.0.2:7070", "nowhere"), ("\"weight\": 2.0", "\"weight\": \"two\""), ("\"weight\": 2.0,", "")]
     {
-        assert!(FILE.contains(from), "{from}");
-        let read = NodeConfig::parse(&FILE.replace(from, to)).expect("a start");
+        assert!(CONFIG_JSON.contains(from), "{from}");
+        let read = NodeConfig::parse(&CONFIG_JSON.replace(from, to)).expect("a start");
         assert_eq!(
             (
                 read.known_endpoints.invalid.len(),
@@ -64,28 +64,35 @@
         // Generation 0: the complete list is requested, and counts under whatever generation it comes.
         assert_eq!(railhub_platform::PlatformController::new(&read).generation(), 0);
     }
-    let empty = FILE.replace("\"instances\": [", "\"instances\": [], \"old\": [");
+    let empty = CONFIG_JSON.replace("\"instances\": [", "\"instances\": [], \"old\": [");
     assert_eq!(NodeConfig::parse(&empty).expect("a start").known_endpoints.entries.len(), 0);
 }
 
 #[test]
 fn decodes_collector_messages() {
-    assert!(matches!(message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
-    assert!(matches!(message(r#"{"t":"collector","zone":"b"}"#), Ok(CollectorMessage::Join(ZoneId(1)))));
+    assert!(matches!(decode_collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
+    assert!(matches!(
+        decode_collector_message(r#"{"t":"collector","zone":"b"}"#),
+        Ok(CollectorMessage::Join(ZoneId(1)))
+    ));
     let host_report = r#"{"t":"heard","zone":"a","server":"s-1","tries":212,"failed":3,"mean_ms":41.5,
         "span_ms":1000.0,"load":{"inflight":7,"util":0.61},"new":[[{}]]}"#;
-    let Ok(CollectorMessage::HostLoad(report)) = message(host_report) else { panic!("a report") };
+    let Ok(CollectorMessage::HostLoad(report)) = decode_collector_message(host_report) else {
+        panic!("a report")
+    };
     assert_eq!((report.attempts, report.failed, report.mean_latency, report.span), (212.0, 3.0, 0.0415, 1.0));
     assert_eq!((report.zone, report.cpu_utilization), (ZoneId(0), Some(0.61)));
     // As the settings of another customer name the same figures.
     let renamed = host_report.replace("inflight", "rif").replace("util", "busy");
     assert!(
-        matches!(message(&renamed), Ok(CollectorMessage::HostLoad(report)) if report.cpu_utilization == Some(0.61))
+        matches!(decode_collector_message(&renamed), Ok(CollectorMessage::HostLoad(report)) if report.cpu_utilization == Some(0.61))
     );
-    assert!(message(&renamed.replace("0.61", "61")).is_err(), "a share out of range");
+    assert!(decode_collector_message(&renamed.replace("0.61", "61")).is_err(), "a share out of range");
     // An operation may fail in a later span than the one it came in.
     let slice_report = r#"{"t":"heat","slice":30,"class":"deposit","tries":0,"failed":1,"span_ms":500}"#;
-    let Ok(CollectorMessage::SliceLoad(report)) = message(slice_report) else { panic!("a report") };
+    let Ok(CollectorMessage::SliceLoad(report)) = decode_collector_message(slice_report) else {
+        panic!("a report")
+    };
     assert_eq!(
         (report.slice, report.class, report.operations, report.span),
         (SliceId(30), ClassId(1), 0.0, 0.5)
@@ -107,7 +114,7 @@
             let value = if name == field { value } else { usual };
             format!("\"{name}\":{value}")
         });
-        message(&format!("{{\"t\":\"heard\",{}}}", fields_text.join(","))).map(drop)
+        decode_collector_message(&format!("{{\"t\":\"heard\",{}}}", fields_text.join(","))).map(drop)
     };
     assert_eq!(host_report("none", ""), Ok(()));
     for (field, value, error) in [
@@ -124,7 +131,7 @@
     ] {
         assert_eq!(host_report(field, value), Err(error), "{field} {value}");
     }
-    let error = |text: &str| message(text).map(drop).expect_err("invalid");
+    let error = |text: &str| decode_collector_message(text).map(drop).expect_err("invalid");
     assert_eq!(error(r#"{"zone":"a"}"#), DecodeError::InvalidField);
     assert_eq!(error(r#"{"t":7}"#), DecodeError::InvalidField);
     assert_eq!(error(r#"{"t":"joined","proxy":1}"#), DecodeError::UnexpectedType);
@@ -172,7 +179,7 @@
 }
 
 #[test]
-fn accepts_only_the_response_to_this_call() {
+fn accepts_only_a_valid_response_to_the_given_call() {
     let answer = |text: &str| wire::relay::decode_response(text.as_bytes(), 8, 2);
     assert_eq!(answer(r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#), Ok(CallResponse::Accepted(2)));
     assert_eq!(answer(r#"{"id":8,"error":{"code":1,"message":"limit"}}"#), Ok(CallResponse::Rejected));
@@ -192,7 +199,7 @@
 }
 
 #[test]
-fn a_complete_list_with_an_invalid_entry_removes_no_host() {
+fn complete_list_with_an_invalid_entry_removes_no_host() {
     let page = r#"{"generation":43,"reset":true,"instances":[
         {"instanceId":"s-1","hostPort":"127.0.0.1:7070","lifecycle":"draining","weight":1.0},
         {"instanceId":"s-2","hostPort":"127.0.0.2:7070","lifecycle":"ready","weight":"heavy"}]}"#;
@@ -207,14 +214,14 @@
 }
 
 /// Bytes changed, cut, doubled and put in at random places.
-fn damage(valid: &[u8], random: &mut ChaCha8Rng) -> Vec<u8> {
+fn damage(valid: &[u8], rng: &mut ChaCha8Rng) -> Vec<u8> {
     let mut bytes = valid.to_vec();
-    for _ in 0..random.random_range(1..6) {
-        let at = random.random_range(0..bytes.len().max(1));
-        match random.random_range(0..4) {
-            0 if at < bytes.len() => bytes[at] = random.random(),
+    for _ in 0..rng.random_range(1..6) {
+        let at = rng.random_range(0..bytes.len().max(1));
+        match rng.random_range(0..4) {
+            0 if at < bytes.len() => bytes[at] = rng.random(),
             1 => bytes.truncate(at),
-            2 => bytes.insert(at.min(bytes.len()), b"{}[]\",:0-e.\\\n"[random.random_range(0..13)]),
+            2 => bytes.insert(at.min(bytes.len()), b"{}[]\",:0-e.\\\n"[rng.random_range(0..13)]),
             _ => {
                 let tail: Vec<u8> = bytes.iter().skip(at).take(40).copied().collect();
                 bytes.extend(tail);
@@ -225,9 +232,9 @@
 }
 
 /// A decoder may refuse what it likes but must neither panic nor let through what the module can't take.
-fn decode_damaged(valid: &str, seed: u64, mut read: impl FnMut(&[u8]) -> bool) {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let accepted = (0..100_000).filter(|_| read(&damage(valid.as_bytes(), &mut random))).count();
+fn check_damaged(valid: &str, seed: u64, mut read: impl FnMut(&[u8]) -> bool) {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let accepted = (0..100_000).filter(|_| read(&damage(valid.as_bytes(), &mut rng))).count();
     assert!(
         (1..100_000).contains(&accepted),
         "{accepted} of the damaged ones still read: the damage is of no use"
@@ -238,15 +245,15 @@
 #[test]
 fn damaged_bytes_never_decode_to_impossible_values() {
     let names = names();
-    let is_amount = |figure: f64| figure.is_finite() && figure >= 0.0;
+    let is_non_negative = |figure: f64| figure.is_finite() && figure >= 0.0;
     let host_report =
         r#"{"t":"heard","zone":"a","server":"s-1","tries":12,"failed":3,"mean_ms":4.5,"span_ms":1000.0}"#;
-    decode_damaged(host_report, 1, |bytes| match wire::collector::decode(bytes, &names, 40) {
+    check_damaged(host_report, 1, |bytes| match wire::collector::decode(bytes, &names, 40) {
         Ok(CollectorMessage::HostLoad(report)) => {
             assert!(
-                is_amount(report.attempts)
+                is_non_negative(report.attempts)
                     && report.failed <= report.attempts
-                    && is_amount(report.mean_latency)
+                    && is_non_negative(report.mean_latency)
                     && report.span > 0.0
             );
             true
@@ -254,12 +261,12 @@
         read => read.is_ok(),
     });
     let slice_report = r#"{"t":"heat","slice":8,"class":"deposit","tries":40,"failed":1,"span_ms":1000.0}"#;
-    decode_damaged(slice_report, 2, |bytes| match wire::collector::decode(bytes, &names, 40) {
+    check_damaged(slice_report, 2, |bytes| match wire::collector::decode(bytes, &names, 40) {
         Ok(CollectorMessage::SliceLoad(report)) => {
             assert!(
                 report.slice.0 < 40
                     && report.class.0 < 2
-                    && is_amount(report.operations)
+                    && is_non_negative(report.operations)
                     && report.span > 0.0
             );
             true
@@ -267,22 +274,22 @@
         read => read.is_ok(),
     });
     let stored = r#"{"jsonrpc":"2.0","method":"held","params":{"slice":88,"server":"s-1","weight":1.0}}"#;
-    decode_damaged(stored, 3, |bytes| match wire::relay::decode_event(bytes) {
-        Ok(RelayEvent::StoredEntry { line, .. }) => is_amount(line.weight),
+    check_damaged(stored, 3, |bytes| match wire::relay::decode_event(bytes) {
+        Ok(RelayEvent::StoredEntry { line, .. }) => is_non_negative(line.weight),
         read => read.is_ok(),
     });
     let answer = r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#;
-    decode_damaged(answer, 4, |bytes| match wire::relay::decode_response(bytes, 8, 2) {
+    check_damaged(answer, 4, |bytes| match wire::relay::decode_response(bytes, 8, 2) {
         Ok(CallResponse::Accepted(accepted)) => accepted <= 2,
         read => read.is_ok(),
     });
     let page = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:7070",
         "lifecycle":"draining","weight":1.0,"startedAtMs":5}]}"#;
-    decode_damaged(page, 5, |bytes| {
+    check_damaged(page, 5, |bytes| {
         wire::discovery::decode_page(bytes, &names)
-            .is_ok_and(|page| page.entries.iter().all(|entry| is_amount(entry.endpoint.weight)))
+            .is_ok_and(|page| page.entries.iter().all(|entry| is_non_negative(entry.endpoint.weight)))
     });
-    decode_damaged(FILE, 6, |bytes| {
+    check_damaged(CONFIG_JSON, 6, |bytes| {
         std::str::from_utf8(bytes).is_ok_and(|text| NodeConfig::parse(text).is_ok())
     });
 }
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -31,43 +31,43 @@
     pending.next_call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
 }
 
-fn relay_event(line: &str) -> Result<RelayEvent, DecodeError> {
+fn decode_relay_event(line: &str) -> Result<RelayEvent, DecodeError> {
     wire::relay::decode_event(line.as_bytes())
 }
 
-fn response(line: &str) -> Result<CallResponse, DecodeError> {
+fn decode_response(line: &str) -> Result<CallResponse, DecodeError> {
     wire::relay::decode_response(line.as_bytes(), 8, 2)
 }
 
-fn collector_message(body: &str) -> Result<CollectorMessage, DecodeError> {
+fn decode_collector_message(body: &str) -> Result<CollectorMessage, DecodeError> {
     wire::collector::decode(body.as_bytes(), &names(), 40)
 }
 
-fn page(line: &str) -> Result<EndpointPage, DecodeError> {
+fn decode_page(line: &str) -> Result<EndpointPage, DecodeError> {
     wire::discovery::decode_page(line.as_bytes(), &names())
 }
 
 #[test]
-fn sends_each_command_in_these_bytes() {
+fn encodes_each_command() {
     for (command, order) in [
         (
             Command::SetWeight {
                 slice: SliceId(4),
-                line: WeightedHost { host: host("s-5be2a07c"), weight: 1.5 },
+                entry: WeightedHost { host: host("s-5be2a07c"), weight: 1.5 },
             },
             r#"{"op":"share","table":4,"server":"s-5be2a07c","weight":1.5}"#,
         ),
         (
             Command::SetWeight {
                 slice: SliceId(65535),
-                line: WeightedHost { host: host("s-1"), weight: 0.0 },
+                entry: WeightedHost { host: host("s-1"), weight: 0.0 },
             },
             r#"{"op":"share","table":65535,"server":"s-1","weight":0.0}"#,
         ),
         (
             Command::SetWeight {
                 slice: SliceId(0),
-                line: WeightedHost { host: host("s-1"), weight: 0.0001 },
+                entry: WeightedHost { host: host("s-1"), weight: 0.0001 },
             },
             r#"{"op":"share","table":0,"server":"s-1","weight":0.0001}"#,
         ),
@@ -96,11 +96,11 @@
 }
 
 #[test]
-fn sends_commands_in_order_in_one_call_and_a_retry_in_the_same_bytes_under_the_next_id() {
+fn encodes_commands_in_order_and_a_retry_under_the_next_id() {
     let mut pending = PendingCommands::default();
     pending.push(Command::SetWeight {
         slice: SliceId(4),
-        line: WeightedHost { host: host("s-1"), weight: 1.0 },
+        entry: WeightedHost { host: host("s-1"), weight: 1.0 },
     });
     pending.push(Command::Exclude(host("s-2")));
     pending.push(Command::Barrier(BarrierId(7)));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn sends_these_bytes_to_subscribe_and_to_answer_a_visitor() {
+fn encodes_subscribe_pong_and_refusal() {
     assert_eq!(
         text(&wire::relay::encode_subscribe(10)),
         "{\"jsonrpc\":\"2.0\",\"id\":10,\"method\":\"subscribe\"}\n"
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn reads_each_event_of_the_relay_from_these_bytes() {
+fn decodes_each_relay_event_from_literal_bytes() {
     let slice = SliceId(88);
     for (line, event) in [
         (r#"{"jsonrpc":"2.0","id":10,"result":true}"#, RelayEvent::Subscribed),
@@ -169,7 +169,7 @@
             RelayEvent::StoredEntry { slice, line: WeightedHost { host: host("s-5be2a07c"), weight: 1.0 } },
         ),
     ] {
-        assert_eq!(relay_event(line), Ok(event), "{line}");
+        assert_eq!(decode_relay_event(line), Ok(event), "{line}");
     }
     for (line, cause) in [
         ("", DecodeError::Unreadable),
@@ -179,12 +179,12 @@
         (r#"{"jsonrpc":"2.0","method":"moved","params":{}}"#, DecodeError::UnexpectedType),
         (r#"{"method":"held","params":{"slice":88,"server":"","weight":1.0}}"#, DecodeError::UnknownName),
     ] {
-        assert_eq!(relay_event(line), Err(cause), "{line}");
+        assert_eq!(decode_relay_event(line), Err(cause), "{line}");
     }
 }
 
 #[test]
-fn reads_each_answer_to_a_call_from_these_bytes() {
+fn decodes_each_call_response_from_literal_bytes() {
     for (line, answer) in [
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#, Ok(CallResponse::Accepted(2))),
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(CallResponse::Accepted(0))),
@@ -195,15 +195,15 @@
         (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(DecodeError::UnknownName)),
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(DecodeError::OutOfRange)),
     ] {
-        assert_eq!(response(line), answer, "{line}");
+        assert_eq!(decode_response(line), answer, "{line}");
     }
 }
 
 #[test]
-fn reads_each_collector_message_from_these_bytes() {
-    assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
+fn decodes_each_collector_message_from_literal_bytes() {
+    assert!(matches!(decode_collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
     assert!(matches!(
-        collector_message(r#"{"t":"collector","zone":"a"}"#),
+        decode_collector_message(r#"{"t":"collector","zone":"a"}"#),
         Ok(CollectorMessage::Join(ZoneId(0)))
     ));
     let body = r#"{"t":"heard","zone":"a","server":"s-5be2a07c","tries":212,"failed":3,"mean_ms":41.5,"span_ms":1000.0,"load":{"inflight":7,"util":0.61}}"#;
@@ -222,18 +222,20 @@
         (body.replace("inflight", "rif").replace("util", "busy"), expected.clone()),
         (body.replace(r#","load":{"inflight":7,"util":0.61}"#, ""), without_load),
     ] {
-        let Ok(CollectorMessage::HostLoad(report)) = collector_message(&body) else { panic!("{body}") };
+        let Ok(CollectorMessage::HostLoad(report)) = decode_collector_message(&body) else {
+            panic!("{body}")
+        };
         assert_eq!(format!("{report:?}"), format!("{expected:?}"), "{body}");
     }
     let body = r#"{"t":"heat","slice":38,"class":"view","tries":40,"failed":1,"span_ms":1000.0}"#;
-    let Ok(CollectorMessage::SliceLoad(report)) = collector_message(body) else { panic!("{body}") };
+    let Ok(CollectorMessage::SliceLoad(report)) = decode_collector_message(body) else { panic!("{body}") };
     let expected = SliceLoadReport { slice: SliceId(38), class: ClassId(0), operations: 40.0, span: 1.0 };
     assert_eq!(format!("{report:?}"), format!("{expected:?}"));
 }
 
 #[test]
-fn reads_a_page_of_discovery_from_these_bytes() {
-    let list = page(concat!(
+fn decodes_a_discovery_page_from_literal_bytes() {
+    let list = decode_page(concat!(
         r#"{"generation":41,"reset":true,"instances":["#,
         r#"{"instanceId":"s-1","hostPort":"10.1.0.18:7070","zone":"a","machineType":"m","cell":3,"lifecycle":"ready","weight":1.0,"startedAtMs":0},"#,
         r#"{"instanceId":"s-2","hostPort":"10.1.0.19:7070","zone":"a","machineType":"m2","cell":3,"lifecycle":"draining","weight":2.5,"startedAtMs":1700000000250},"#,
@@ -256,36 +258,49 @@
     assert!(list.list().complete && list.generation == 41);
     let addresses: Vec<String> = list.entries.iter().map(|entry| entry.address.to_string()).collect();
     assert_eq!(addresses, ["10.1.0.18:7070", "10.1.0.19:7070", "10.1.0.20:7070"]);
-    let changes = page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
+    let changes = decode_page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
     assert!(!changes.list().complete && changes.generation == 43 && changes.entries.is_empty());
 }
 
 #[test]
-fn reads_the_configuration_from_these_bytes() {
+fn decodes_the_configuration_from_literal_bytes() {
     let read = NodeConfig::parse(include_str!("node_config.json")).expect("a valid file");
     assert_eq!(
         [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
     assert_eq!(
-        (read.sockets, read.memory_mb, read.tick_interval, read.known_endpoints.generation),
+        (read.sockets, read.memory_mb, read.min_batch_interval, read.known_endpoints.generation),
         (256, 32, 0.001, 41)
     );
     assert_eq!(read.names.classes, ["view", "deposit"]);
     assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
-    let terms = read.controller;
-    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (40, false, true));
+    let controller = read.controller;
     assert_eq!(
-        (terms.admission_by_fraction, terms.cold_capacity_fraction, terms.warm_up_time),
+        (controller.slice_count, controller.single_owner, controller.health_checks_allowed),
+        (40, false, true)
+    );
+    assert_eq!(
+        (controller.admission_by_fraction, controller.cold_capacity_fraction, controller.warm_up_time),
         (true, 0.16, 18.0)
     );
-    assert_eq!((terms.overload_multiple, terms.backlog_limit, terms.message_overhead), (2.5, 900.5, 12.0));
     assert_eq!(
-        (terms.message_quota, terms.message_quota_window, terms.first_attempt_timeout_multiple),
+        (controller.overload_multiple, controller.backlog_limit, controller.message_overhead),
+        (2.5, 900.5, 12.0)
+    );
+    assert_eq!(
+        (
+            controller.message_quota,
+            controller.message_quota_window,
+            controller.first_attempt_timeout_multiple
+        ),
         (20, 10.0, 1.2)
     );
-    assert_eq!((terms.write_lease, terms.max_write_duration, terms.delisted_may_serve), (0.0, 0.0, false));
-    let classes: Vec<_> = terms
+    assert_eq!(
+        (controller.write_lease, controller.max_write_duration, controller.delisted_may_serve),
+        (0.0, 0.0, false)
+    );
+    let classes: Vec<_> = controller
         .classes
         .iter()
         .map(|class| (class.contract_time, class.priority_weight, class.idempotency))
@@ -294,7 +309,7 @@
 }
 
 #[test]
-fn requests_these_paths_of_discovery_and_hosts() {
+fn request_paths_of_discovery_and_health_checks() {
     assert_eq!(wire::discovery::watch_path(41), "/discovery/hosts?watch=1&after=41");
     assert_eq!((wire::hosts::HEALTH_CHECK_PATH, wire::hosts::NOT_SERVING_STATUS), ("/alive", 503));
 }
