--- a/crates/railhub-platform/src/batch.rs
+++ b/crates/railhub-platform/src/batch.rs
@@ -1,29 +1,30 @@
-//! Events that wait for the next batch of the decisions, and the timers that the decisions set.
+//! Events for the next batch, and the timers that the decision logic has set.
 use railhub::{EventBatch, HostLoadReport, Seconds, SliceLoadReport, TimerId};
 
-/// Most load reports of each kind in one batch; further ones are dropped, as the next ones say more.
+/// Maximum number of load reports of each kind in one batch. Further ones are dropped, since the reports that follow
+/// are more recent.
 const MAX_LOAD_REPORTS_PER_BATCH: usize = 8192;
 
-/// Events that wait for the next batch.
+/// The events of the next batch.
 #[derive(Default)]
 pub(crate) struct PendingBatch {
     pub(crate) events: EventBatch,
-    /// Something came since the last batch.
+    /// Whether an event arrived since the last batch that calls for a new one.
     pub(crate) changed: bool,
     /// When the last batch was handled.
     pub(crate) handled_at: Seconds,
-    /// Load reports dropped for want of room.
+    /// Number of load reports dropped because the batch was full.
     pub(crate) load_reports_dropped: u64,
 }
 
 impl PendingBatch {
-    /// Adds what the proxies of a zone saw of one host.
+    /// Adds a load report of one host, from the proxies of one zone.
     pub(crate) fn add_host_load(&mut self, report: HostLoadReport) {
         let added = push_bounded(&mut self.events.host_loads, report);
         self.count_load_report(added);
     }
 
-    /// Adds what the proxies saw of one slice and class.
+    /// Adds a load report of one slice and class.
     pub(crate) fn add_slice_load(&mut self, report: SliceLoadReport) {
         let added = push_bounded(&mut self.events.slice_loads, report);
         self.count_load_report(added);
@@ -34,7 +35,7 @@
         self.load_reports_dropped += u64::from(!added);
     }
 
-    /// Takes the events out for a batch that is handled now.
+    /// Takes the events for a batch that is handled now.
     pub(crate) fn take(&mut self, now: Seconds) -> EventBatch {
         self.changed = false;
         self.handled_at = now;
@@ -42,7 +43,7 @@
     }
 }
 
-/// Returns whether there was room.
+/// Adds a report unless the limit is reached. Returns whether it was added.
 fn push_bounded<T>(reports: &mut Vec<T>, report: T) -> bool {
     let has_room = reports.len() < MAX_LOAD_REPORTS_PER_BATCH;
     if has_room {
@@ -51,7 +52,7 @@
     has_room
 }
 
-/// A timer of the decisions.
+/// A timer of the decision logic.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timer {
     pub(crate) due_at: Seconds,
@@ -68,17 +69,17 @@
         self.0.push(Timer { due_at, id });
     }
 
-    /// When the next one expires.
+    /// When the next timer expires.
     pub(crate) fn next_due(&self) -> Option<Seconds> {
         self.0.iter().map(|timer| timer.due_at).min_by(f64::total_cmp)
     }
 
-    /// Whether one has expired.
+    /// Whether a timer has expired.
     pub(crate) fn is_due(&self, now: Seconds) -> bool {
         self.0.iter().any(|timer| timer.due_at <= now)
     }
 
-    /// Takes out those that have expired.
+    /// Removes and returns the expired timers.
     pub(crate) fn take_expired(&mut self, now: Seconds) -> Vec<Timer> {
         let (expired, waiting) = self.0.drain(..).partition(|timer| timer.due_at <= now);
         self.0 = waiting;
--- a/crates/railhub-platform/src/call.rs
+++ b/crates/railhub-platform/src/call.rs
@@ -1,12 +1,13 @@
-//! Whether a call may leave: at most one is in flight, and none leaves while the outcome of an earlier one is not known.
+//! Whether a call may be sent: at most one is in flight, and none is sent while an earlier one's outcome is unknown.
 //!
-//! What is not decided yet waits in `src/decision/publish.rs`. A command that was decided and has not left waits for:
-//! 1. No snapshot is complete yet, so that nothing is decided ([`crate::subscription`]).
+//! Changes that are not decided yet are held back in `src/decision/publish.rs`. A decided command is not sent while:
+//! 1. No snapshot is complete yet, so no decisions are made ([`crate::subscription`]).
 //! 2. A call is in flight: [`CallBlocker::InFlight`].
-//! 3. The outcome of a call is not known: [`CallBlocker::OutcomeUnknown`]. Repeated, a call that was carried out would
-//!    wait in the proxies' channel twice; a snapshot of a subscription that was requested after the call ended shows it.
-//! 4. Earlier commands of a call that the relay stopped at or did not let in ([`crate::pending_commands`]).
-//! 5. The driver, which pauses after a call that was not let in or whose outcome is not known.
+//! 3. The outcome of a call is unknown: [`CallBlocker::OutcomeUnknown`]. Repeating a call that was carried out would
+//!    queue its commands in the proxies' channel twice. The snapshot of a subscription that was requested after the
+//!    call ended shows the outcome.
+//! 4. Commands remain of an earlier call that the relay rejected or partly accepted ([`crate::pending_commands`]).
+//! 5. The driver pauses after a call that was rejected or whose outcome is unknown.
 use crate::relay::SubscriptionId;
 use thiserror::Error;
 
@@ -15,63 +16,63 @@
 /// | from | event | to |
 /// | --- | --- | --- |
 /// | `Idle` | a call is sent | `InFlight` |
-/// | `InFlight` | its response comes | `Idle` |
+/// | `InFlight` | its response arrives | `Idle` |
 /// | `InFlight` | it ends without a response | `OutcomeUnknown` |
-/// | `InFlight` | a slice that it is about is assigned anew | `InFlightOutdated` |
+/// | `InFlight` | a slice that the call changes is reassigned | `InFlightOutdated` |
 /// | `InFlightOutdated` | it ends, with or without a response | `OutcomeUnknown` |
-/// | `Idle` | a slice is assigned anew that the rest of an ended call is about | `OutcomeUnknown` |
+/// | `Idle` | a slice that the remaining commands of an ended call change is reassigned | `OutcomeUnknown` |
 /// | `Idle` | too many commands were accepted before a snapshot was complete | `OutcomeUnknown` |
-/// | `InFlightOutdated`, `OutcomeUnknown` | a slice that it is about is assigned anew | the same, with a newer `latest` |
+/// | `InFlightOutdated`, `OutcomeUnknown` | a slice that the call changes is reassigned | same state, newer `latest` |
 /// | `OutcomeUnknown` | a snapshot that was requested later shows the outcome | `Idle` |
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum CallState {
     #[default]
     Idle,
     InFlight,
-    /// In flight, and its response will not show on which table its commands were carried out. Only subscriptions later
-    /// than `latest` do.
+    /// In flight, but its response will not show to which version of a table its commands were applied. Only
+    /// subscriptions later than `latest` do.
     InFlightOutdated {
         latest: SubscriptionId,
     },
-    /// Only subscriptions later than `latest`, the newest that was requested when the call ended, show the outcome.
+    /// Only subscriptions later than `latest`, the newest one requested when the call ended, show the outcome.
     OutcomeUnknown {
         latest: SubscriptionId,
     },
 }
 
-/// Why no call leaves.
+/// Why no call may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallBlocker {
-    /// One is in flight.
+    /// A call is in flight.
     InFlight,
-    /// It is not known whether an earlier one was carried out.
+    /// It is unknown whether an earlier call was carried out.
     OutcomeUnknown,
 }
 
-/// Why a new subscription is needed: the relay must send what it holds again.
+/// Why a new subscription is needed, for which the relay sends a new snapshot.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ResubscribeReason {
-    /// A call ended without a response that could be read.
+    /// A call ended without a valid response.
     #[error("the outcome of a call is not known")]
     OutcomeUnknown,
-    /// The new subscription was requested before such a call ended, so that its snapshot may be older.
+    /// The new subscription was requested before that call ended, so its snapshot may not show the outcome.
     #[error("the subscription was requested before the call ended")]
     SubscriptionTooEarly,
-    /// A call's commands may be on a slice's table as it was before, or as it was assigned.
-    #[error("a slice was assigned while a call about it was in flight")]
+    /// A call's commands may have been applied to the table of a slice either before or after its reassignment.
+    #[error("a slice was reassigned while a call that changes it was in flight")]
     SliceReassigned,
-    /// Such a call ended: its effect can be seen from now on.
-    #[error("a call about a reassigned slice ended")]
+    /// A call that changes a reassigned slice ended: snapshots requested from now on show its effect.
+    #[error("a call that changes a reassigned slice ended")]
     OutdatedCallEnded,
-    /// More commands were accepted than are kept while a snapshot is due.
+    /// More commands were accepted than are kept while a snapshot is pending.
     #[error("too many commands were accepted before a snapshot was complete")]
     SnapshotTooSlow,
-    /// More commands waited than are kept.
-    #[error("pending commands were dropped for want of room")]
+    /// The queue of pending commands overflowed and was cleared.
+    #[error("too many pending commands, all were dropped")]
     CommandsDropped,
 }
 
-/// The state of the call, and the reason for a new subscription that follows from it.
+/// Tracks the state of the call, and the reason for a new subscription that results from it.
 #[derive(Debug, Default)]
 pub(crate) struct CallTracker {
     state: CallState,
@@ -79,7 +80,7 @@
 }
 
 impl CallTracker {
-    /// What keeps the next call from leaving.
+    /// Why the next call may not be sent, if it may not.
     pub(crate) fn blocker(&self) -> Option<CallBlocker> {
         match self.state {
             CallState::Idle => None,
@@ -88,13 +89,13 @@
         }
     }
 
-    /// A call leaves.
+    /// A call is sent.
     pub(crate) fn on_sent(&mut self) {
         self.state = CallState::InFlight;
     }
 
-    /// The call in flight ended, in whatever way. `latest`: the newest subscription requested. Without a response the
-    /// caller then calls [`CallTracker::require_snapshot`].
+    /// The call in flight ended, with or without a response. `latest` is the newest subscription requested. Without a
+    /// response, the caller must also call [`CallTracker::require_snapshot`].
     pub(crate) fn on_ended(&mut self, latest: SubscriptionId) {
         match self.state {
             CallState::Idle | CallState::InFlight => self.state = CallState::Idle,
@@ -105,8 +106,8 @@
         }
     }
 
-    /// What the relay holds is not known until a later snapshot: because of this call, or of commands that were dropped.
-    /// `latest`: the newest subscription requested.
+    /// The relay's state is unknown until a later snapshot, because of this call or because commands were dropped.
+    /// `latest` is the newest subscription requested.
     pub(crate) fn require_snapshot(&mut self, latest: SubscriptionId, reason: ResubscribeReason) {
         self.state = match self.state {
             CallState::InFlight | CallState::InFlightOutdated { .. } => {
@@ -117,7 +118,7 @@
         self.resubscribe = Some(reason);
     }
 
-    /// The relay confirmed a subscription. One that was requested too early needs yet another.
+    /// The relay confirmed a subscription. If it was requested too early to show the outcome, another one is needed.
     pub(crate) fn on_subscribed(&mut self, subscription: SubscriptionId) {
         match self.state {
             CallState::InFlightOutdated { latest } | CallState::OutcomeUnknown { latest }
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The newest subscription that does not show the outcome of the call, if an ended one has an unknown outcome.
+    /// If the outcome of an ended call is unknown: the newest subscription whose snapshot does not show it.
     pub(crate) fn newest_subscription_without_outcome(&self) -> Option<SubscriptionId> {
         match self.state {
             CallState::OutcomeUnknown { latest } => Some(latest),
@@ -142,7 +143,7 @@
         self.state = CallState::Idle;
     }
 
-    /// Why a new subscription is needed; given once.
+    /// Returns why a new subscription is needed, and clears the reason.
     pub(crate) fn take_resubscribe_reason(&mut self) -> Option<ResubscribeReason> {
         self.resubscribe.take()
     }
--- a/crates/railhub-platform/src/collector.rs
+++ b/crates/railhub-platform/src/collector.rs
@@ -1,16 +1,16 @@
-//! What comes to the controller's own address, as typed values: a zone's collector with its load reports, and visitors
-//! that check whether the controller lives. Its bytes are those of [`crate::wire::collector`].
+//! Messages that arrive at the controller's own address, as typed values: load reports of a zone's collector, and pings
+//! of other clients that check whether the controller is alive. [`crate::wire::collector`] decodes them.
 use railhub::{HostLoadReport, SliceLoadReport, ZoneId};
 
-/// A message of a collector or another visitor.
+/// A message of a collector or of another client.
 #[derive(Clone, Debug)]
 pub enum CollectorMessage {
-    /// Checks whether the controller lives.
+    /// Checks whether the controller is alive.
     Ping,
-    /// The connection is that of this zone's collector.
+    /// Identifies the connection as that of this zone's collector.
     Join(ZoneId),
-    /// What the zone's proxies saw of one host.
+    /// A load report of one host, from the zone's proxies.
     HostLoad(HostLoadReport),
-    /// What the proxies saw of one slice and class.
+    /// A load report of one slice and class.
     SliceLoad(SliceLoadReport),
 }
--- a/crates/railhub-platform/src/command.rs
+++ b/crates/railhub-platform/src/command.rs
@@ -1,31 +1,31 @@
-//! One command to the relay: what the decisions want changed in the store or at the proxies.
+//! Commands to the relay: changes to the store or to the proxies.
 use railhub::{BarrierId, ClassId, HostId, RetryPolicy, SliceId, WeightedHost};
 use std::fmt;
 
 /// A change that the relay carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command {
-    /// Gives a host this weight in a slice's table; 0 removes it.
+    /// Sets the weight of a host in a slice's table; 0 removes the host.
     SetWeight {
         /// The slice whose table changes.
         slice: SliceId,
         /// The host and its weight, 0 or more.
         entry: WeightedHost,
     },
-    /// Excludes a host from every table at the proxies.
+    /// Excludes a host at the proxies, whatever their tables contain.
     Exclude(HostId),
     /// Ends the exclusion of a host.
     Readmit(HostId),
-    /// Sets what proxies admit of a class, and which failed attempts they may retry.
+    /// Sets the fraction of a class's operations that proxies admit, and which failed attempts they may retry.
     SetAdmissionRate {
-        /// The class of requests.
+        /// The class of operations.
         class: ClassId,
         /// The admitted fraction, 0 to 1.
         rate: f64,
         /// Which failed attempts may be retried.
         retry: RetryPolicy,
     },
-    /// Makes every proxy acknowledge all that was sent before.
+    /// Makes every proxy acknowledge all changes sent before the barrier.
     Barrier(BarrierId),
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a command is about: a later command with the same key makes an earlier one that still waits needless.
+/// The target of a command. A command replaces a queued earlier one with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CommandKey {
     Weight(SliceId, HostId),
@@ -55,6 +55,7 @@
 }
 
 impl Command {
+    /// The target by which queued commands replace each other.
     pub(crate) fn key(&self) -> CommandKey {
         match *self {
             Command::SetWeight { slice, entry } => CommandKey::Weight(slice, entry.host),
@@ -64,12 +65,12 @@
         }
     }
 
-    /// Whether it changes the table of this slice.
+    /// Whether the command changes the table of this slice.
     pub(crate) fn changes_table(&self, slice: SliceId) -> bool {
         self.table() == Some(slice)
     }
 
-    /// The slice whose table it changes.
+    /// The slice whose table the command changes.
     pub(crate) fn table(&self) -> Option<SliceId> {
         match *self {
             Command::SetWeight { slice, .. } => Some(slice),
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -1,17 +1,17 @@
-//! Gathers what peers send into batches, runs the decisions on them, and hands commands to the relay's driver.
+//! Collects events of the peers into batches, runs the decision logic on them, and provides its commands as calls.
 //!
-//! Owns the decisions and wires the parts around them, each with one job: [`crate::subscription`] (whose events count,
-//! and the snapshot), [`crate::call`] (whether a call may leave), [`crate::pending_commands`] (what it carries),
-//! [`crate::host_directory`], [`crate::slice_assignments`] and [`crate::batch`].
+//! Owns the decision logic and connects it with the modules around it: [`crate::subscription`] (which subscription is
+//! current, and its snapshot), [`crate::call`] (whether a call may be sent), [`crate::pending_commands`] (the contents
+//! of the call), [`crate::host_directory`], [`crate::slice_assignments`] and [`crate::batch`].
 //!
-//! The way of one event:
-//! 1. A handler, `on_EVENT`, puts it into the pending batch, or into the snapshot while one is received.
-//! 2. [`PlatformController::next_deadline`] says when the next batch is due; nothing is decided before the first
+//! How an event is processed:
+//! 1. A handler, `on_EVENT`, adds it to the pending batch, or to the snapshot while one is being received.
+//! 2. [`PlatformController::next_deadline`] returns when the next batch is due. No decisions are made before the first
 //!    snapshot is complete.
-//! 3. [`PlatformController::poll`] hands the batch to the decisions, whose commands wait among the pending ones.
-//! 4. [`PlatformController::next_call`] gives the call that carries them, one at a time.
-//! 5. [`PlatformController::on_call_ended`] settles it by its response. Without one, a snapshot of a later subscription
-//!    shows its outcome ([`PlatformController::take_resubscribe_reason`]).
+//! 3. [`PlatformController::poll`] passes the batch to the decision logic and queues the resulting commands.
+//! 4. [`PlatformController::next_call`] returns the call that carries them, one at a time.
+//! 5. [`PlatformController::on_call_ended`] handles the response. Without a response, the snapshot of a later
+//!    subscription shows the outcome ([`PlatformController::take_resubscribe_reason`]).
 use crate::batch::{PendingBatch, Timers};
 use crate::call::{CallTracker, ResubscribeReason};
 use crate::config::NodeConfig;
@@ -31,11 +31,11 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller on the platform, free of I/O and clocks.
+/// A controller on the platform, without I/O or clocks.
 pub struct PlatformController {
     decisions: Controller,
     class_names: Vec<String>,
-    /// Least time between two batches without an expired timer, in seconds. No tick of the decisions: that is a timer.
+    /// Minimum time between two batches if no timer expires, in seconds. The decision logic's own tick is a timer.
     min_batch_interval: Seconds,
     single_owner: bool,
     batch: PendingBatch,
@@ -45,14 +45,15 @@
     hosts: HostDirectory,
     proxies: BTreeSet<ProxyId>,
     commands: PendingCommands,
-    /// Since when there have been commands, at each batch, that the relay had not accepted; the oldest may be newer.
+    /// Time of the first batch since which some command has been pending at every batch. The oldest command that is
+    /// pending now may be newer.
     oldest_pending_at: Option<Seconds>,
     call: CallTracker,
     health_checks_stale: u64,
 }
 
 impl PlatformController {
-    /// A controller that knows the hosts of its configuration and nothing of the relay.
+    /// Creates a controller that knows the hosts of its configuration and nothing about the relay's state.
     pub fn new(config: &NodeConfig) -> PlatformController {
         let mut controller = PlatformController {
             decisions: Controller::new(config.controller.clone()),
@@ -74,7 +75,7 @@
         controller
     }
 
-    /// A page of discovery. Returns whether it is new.
+    /// Handles a page of the endpoint list. Returns whether the page is new.
     pub fn on_endpoint_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
         let is_new = self.hosts.apply_page(now, page);
         if is_new {
@@ -84,17 +85,17 @@
         is_new
     }
 
-    /// What the proxies of a zone saw of one host.
+    /// Handles a load report of one host, from the proxies of one zone.
     pub fn on_host_load(&mut self, report: HostLoadReport) {
         self.batch.add_host_load(report);
     }
 
-    /// What the proxies saw of one slice and class.
+    /// Handles a load report of one slice and class.
     pub fn on_slice_load(&mut self, report: SliceLoadReport) {
         self.batch.add_slice_load(report);
     }
 
-    /// How a health check ended. One of a host that is gone, moved or started anew meanwhile is ignored.
+    /// Handles the result of a health check. It is ignored if the host is gone, moved or restarted in the meantime.
     pub fn on_health_check_result(&mut self, health_check: &HealthCheck, outcome: HealthCheckOutcome) {
         if self.hosts.is_current(health_check) {
             self.batch.events.health_checks.push(HealthCheckResult { host: health_check.host, outcome });
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A subscription is about to be requested; must come before the relay can know of it.
+    /// A subscription is about to be requested. Must be called before the request is sent.
     pub fn on_subscription_requested(&mut self, id: SubscriptionId) {
         self.subscription.on_requested(id);
     }
@@ -114,7 +115,7 @@
         self.subscription.on_ended(id);
     }
 
-    /// An event of a subscription; those of an older one than the newest confirmed one are ignored.
+    /// Handles an event of a subscription. Events of subscriptions older than the newest confirmed one are ignored.
     pub fn on_relay_event(&mut self, now: Seconds, id: SubscriptionId, event: RelayEvent) {
         match self.subscription.on_event(now, id, event) {
             EventOutcome::None => {}
@@ -170,8 +171,8 @@
         self.batch.events.proxy_streams.push(event);
     }
 
-    /// Commands about a slice that changed hands are about its table as it was before. On which table those of the
-    /// current call are carried out, only a snapshot shows.
+    /// Drops the queued commands for a reassigned slice, which were decided for its previous table. Only a snapshot
+    /// shows whether those of the current call are applied before or after the reassignment.
     fn discard_commands(&mut self, slice: SliceId, assigned: bool) {
         let call_changes_slice = self.commands.discard_queued_for(slice);
         if call_changes_slice && assigned {
@@ -183,12 +184,12 @@
         self.call.require_snapshot(self.subscription.newest_requested(), reason);
     }
 
-    /// The snapshot is complete: it replaces what was known of proxies and slices.
+    /// The snapshot is complete: it replaces the known state of proxies and slices.
     fn complete_snapshot(&mut self) {
         self.settle_call();
         let Some(snapshot) = self.subscription.complete_snapshot(self.single_owner) else { return };
         self.batch.changed = true;
-        // Assignments of before are part of the snapshot; that a proxy left before it is not.
+        // The snapshot includes the earlier assignments, but not that a proxy disconnected before it.
         self.pending_assignments.clear();
         self.batch.events.assignments.clear();
         for event in stream_changes(&self.proxies, &snapshot.proxies) {
@@ -197,8 +198,8 @@
         self.apply_tables(&snapshot.tables);
     }
 
-    /// The tables of the decisions, with what the store will hold in place of what it holds: a table differs if it does
-    /// so once all commands are accepted.
+    /// Assigns the stored tables to the decision logic where they differ from those that it knows. The comparison uses
+    /// each stored table with all pending commands applied.
     fn apply_tables(&mut self, stored: &BTreeMap<SliceId, Table>) {
         let known = self.decisions.assigned_tables().map(|(slice, table)| (slice, table.to_vec())).collect();
         let mut expected = BTreeMap::new();
@@ -208,7 +209,7 @@
         self.batch.events.assignments.extend(assignment_changes(known, expected));
     }
 
-    /// Reads the outcome of a call from the snapshot, if it is not known and the snapshot shows it.
+    /// Determines an unknown outcome of a call from the snapshot being received, if that shows it.
     fn settle_call(&mut self) {
         let Some(snapshot) = self.snapshot_after_call() else { return };
         let tables = snapshot.tables.clone();
@@ -216,19 +217,19 @@
         self.call.on_outcome_known();
     }
 
-    /// The snapshot being received, if it was requested after a call ended whose outcome is not known.
+    /// The snapshot being received, if it was requested after the end of a call whose outcome is unknown.
     fn snapshot_after_call(&self) -> Option<&Snapshot> {
         let latest = self.call.newest_subscription_without_outcome()?;
         self.subscription.snapshot_later_than(latest)
     }
 
-    /// The same, once it has all tables that the call changes: a slice that has not come yet must not pass for one that
-    /// is not assigned here any more.
+    /// The snapshot of [`Self::snapshot_after_call`], once it contains every table that the call changes. Otherwise a
+    /// slice that has not been received yet would count as one that is no longer assigned to this controller.
     fn snapshot_covering_call(&self) -> Option<&Snapshot> {
         self.snapshot_after_call().filter(|snapshot| self.commands.call_is_covered_by(&snapshot.tables))
     }
 
-    /// When [`PlatformController::poll`] has something to do, if no event comes before.
+    /// When [`PlatformController::poll`] is due next if no event arrives before.
     pub fn next_deadline(&self) -> Option<Seconds> {
         let snapshot = self.subscription.idle_deadline();
         let call = self.snapshot_covering_call().map(Snapshot::outcome_deadline);
@@ -243,7 +244,7 @@
         [assignments, timer, changes].into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// Does what is due: ends a snapshot that has paused for long, and handles a batch.
+    /// Performs due work: completes a snapshot whose events have paused for its idle timeout, and handles a batch.
     pub fn poll(&mut self, now: Seconds) -> Effects {
         if self.subscription.is_idle(now) {
             self.complete_snapshot();
@@ -267,7 +268,7 @@
         are_changes_due || self.timers.is_due(now)
     }
 
-    /// Runs the decisions on the pending events.
+    /// Runs the decision logic on the pending events.
     fn handle_batch(&mut self, now: Seconds) -> Effects {
         let expired = self.timers.take_expired(now);
         let events = self.next_batch(now, expired.iter().map(|timer| timer.id));
@@ -301,8 +302,8 @@
         events
     }
 
-    /// The next call to the relay, if one may leave: none is in flight, and the outcome of the last one is known. Its
-    /// end must come back by [`PlatformController::on_call_ended`].
+    /// The next call to the relay, if one may be sent: none is in flight, and the outcome of the last one is known. The
+    /// driver must report its end with [`PlatformController::on_call_ended`].
     pub fn next_call(&mut self) -> Option<Call> {
         if self.call.blocker().is_some() {
             return None;
@@ -312,7 +313,7 @@
         Some(call)
     }
 
-    /// The call in flight ended; without a response its outcome is not known. Returns what was dropped, for the log.
+    /// The call in flight ended; without a response its outcome is unknown. Returns the dropped commands, for the log.
     pub fn on_call_ended(&mut self, response: Option<CallResponse>) -> Option<DroppedCommands> {
         self.call.on_ended(self.subscription.newest_requested());
         match response {
@@ -334,54 +335,54 @@
         }
     }
 
-    /// Why a new subscription must be requested, if it must; given once.
+    /// Returns why a new subscription must be requested, if it must, and clears the reason.
     pub fn take_resubscribe_reason(&mut self) -> Option<ResubscribeReason> {
         let overflowed = std::mem::take(&mut self.commands.overflowed);
         let dropped = overflowed.then_some(ResubscribeReason::CommandsDropped);
         self.call.take_resubscribe_reason().or(dropped)
     }
 
-    /// The generation of the list of hosts.
+    /// The generation of the endpoint list.
     pub fn generation(&self) -> u64 {
         self.hosts.generation()
     }
 
-    /// Whether a first snapshot is complete, so that decisions are made.
+    /// Whether a first snapshot is complete and decisions are made.
     pub fn is_synchronized(&self) -> bool {
         self.subscription.may_decide()
     }
 
-    /// Proxies whose stream is up.
+    /// Number of connected proxies.
     pub fn proxies_joined(&self) -> usize {
         self.proxies.len()
     }
 
-    /// Hosts that discovery lists.
+    /// Number of hosts in the endpoint list.
     pub fn hosts_listed(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Commands that the relay has not accepted.
+    /// Number of commands that the relay has not accepted.
     pub fn commands_pending(&self) -> usize {
         self.commands.len()
     }
 
-    /// Commands dropped as a later one about the same came.
+    /// Number of commands dropped because a later one with the same target was queued.
     pub fn commands_coalesced(&self) -> u64 {
         self.commands.coalesced
     }
 
-    /// Admission rates dropped as their class has no name.
+    /// Number of admission rates dropped because their class has no name.
     pub fn unnamed_classes(&self) -> u64 {
         self.commands.unnamed_classes
     }
 
-    /// Load reports dropped for want of room.
+    /// Number of load reports dropped because a batch was full.
     pub fn load_reports_dropped(&self) -> u64 {
         self.batch.load_reports_dropped
     }
 
-    /// Health checks whose host was another by the time they ended.
+    /// Number of health check results ignored because the host was gone, moved or restarted meanwhile.
     pub fn health_checks_stale(&self) -> u64 {
         self.health_checks_stale
     }
--- a/crates/railhub-platform/src/effects.rs
+++ b/crates/railhub-platform/src/effects.rs
@@ -1,33 +1,33 @@
-//! What the controller wants of its driver, and what it reports for the log.
+//! Work for the driver that results from handling events, and errors for its log.
 use crate::command::Command;
 use crate::host_directory::HealthCheck;
 use crate::sink::Notice;
 use railhub::Seconds;
 use thiserror::Error;
 
-/// What the driver does after [`crate::PlatformController::poll`], and logs.
+/// The result of [`crate::PlatformController::poll`]: health checks for the driver to make, and values for its log.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Health checks to make.
+    /// Health checks to start.
     pub health_checks: Vec<HealthCheck>,
-    /// What the decisions report, for the log.
+    /// Log messages of the decision logic.
     pub notices: Vec<Notice>,
-    /// Batches handled: 0 or 1.
+    /// Number of batches handled: 0 or 1.
     pub batches: u64,
-    /// Seconds by which expired timers came late.
+    /// For each expired timer, the seconds between its due time and this poll.
     pub timer_lateness: Vec<Seconds>,
 }
 
-/// Commands that the relay will not carry out. The next snapshot corrects what the decisions believe.
+/// Commands that the relay will not carry out. The next snapshot corrects the state that the decision logic assumes.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum DroppedCommands {
-    /// The relay stopped at a command: it names what the relay does not know, or a number below 0.
+    /// The relay stopped at this command: it names something unknown to the relay, or contains a negative number.
     #[error("relay refused a command: {0}")]
     Refused(Command),
-    /// The relay cannot read a call.
+    /// The relay could not parse a call.
     #[error("relay cannot read a call: commands_dropped={commands}")]
     MalformedCall {
-        /// How many commands it carried.
+        /// Number of commands in the call.
         commands: usize,
     },
 }
--- a/crates/railhub-platform/src/endpoints.rs
+++ b/crates/railhub-platform/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Pages of discovery's list of hosts, as typed values. Their bytes are those of [`crate::wire::discovery`].
+//! Pages of discovery's endpoint list as typed values. [`crate::wire::discovery`] decodes them.
 use crate::error::DecodeError;
 use railhub::{EndpointEntry, EndpointList};
 use std::net::SocketAddr;
@@ -6,27 +6,27 @@
 /// One host of a page.
 #[derive(Clone, Copy, Debug)]
 pub struct PageEntry {
-    /// What the decisions see of it.
+    /// The entry as the decision logic receives it.
     pub endpoint: EndpointEntry,
-    /// Where this controller reaches it for health checks.
+    /// The host's address for health checks.
     pub address: SocketAddr,
 }
 
-/// A complete list of hosts, or what changed since the page before.
+/// A complete endpoint list, or the changes since the previous page.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointPage {
     /// Discovery's version of the list.
     pub generation: u64,
-    /// The complete list, so that a host it lacks is gone; otherwise what changed.
+    /// Whether this is the complete list, so that a host missing from it is gone; otherwise it contains changes.
     pub complete: bool,
-    /// The entries that could be read.
+    /// The valid entries.
     pub entries: Vec<PageEntry>,
-    /// Why entries were left out, one for each.
+    /// For each entry that was left out, why it is invalid.
     pub invalid: Vec<DecodeError>,
 }
 
 impl EndpointPage {
-    /// The page as the decisions take it.
+    /// The page as the decision logic receives it.
     pub fn list(&self) -> EndpointList {
         EndpointList {
             complete: self.complete,
--- a/crates/railhub-platform/src/host_directory.rs
+++ b/crates/railhub-platform/src/host_directory.rs
@@ -1,32 +1,32 @@
-//! The hosts that discovery lists, and where each is reached for health checks.
+//! The hosts of the endpoint list, with their addresses for health checks.
 use crate::endpoints::EndpointPage;
 use railhub::{EndpointList, HostId, Phase, Seconds};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Seconds without a newer page after which a complete list under a lower generation counts: discovery began anew, and
-/// its generations with it. Whatever discovery has to send counts as sent by then.
+/// Time without a newer page after which a complete list with a lower generation is accepted: discovery has restarted,
+/// and its generations with it. Every page that was sent before counts as received by then.
 const GENERATION_RESET_TIMEOUT: Seconds = 6.0;
 
-/// A health check of a host as the list had it when the check was decided.
+/// A health check of a host, as the endpoint list described the host when the check was decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthCheck {
     /// The host.
     pub host: HostId,
-    /// Where it is reached.
+    /// The address to check.
     pub address: SocketAddr,
-    /// Its last start, in seconds of Unix time; unknown if long ago.
+    /// When the host last started, in seconds of Unix time; unknown if that is long ago.
     started_at: Option<Seconds>,
 }
 
-/// Where a host is, and since when it runs.
+/// The address of a host and the time of its last start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HostInstance {
     address: SocketAddr,
     started_at: Option<Seconds>,
 }
 
-/// The hosts that are listed.
+/// The listed hosts.
 #[derive(Debug, Default)]
 pub(crate) struct HostDirectory {
     generation: u64,
@@ -40,12 +40,12 @@
         self.generation
     }
 
-    /// How many hosts are listed.
+    /// Number of listed hosts.
     pub(crate) fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Applies a page. Returns whether it is new: an older page, or changes under the known generation, are ignored.
+    /// Applies a page. Returns whether it is new: an older page, or changes with the known generation, are ignored.
     pub(crate) fn apply_page(&mut self, now: Seconds, page: &EndpointPage) -> bool {
         let discovery_restarted = page.complete && now - self.updated_at >= GENERATION_RESET_TIMEOUT;
         let is_outdated = page.generation < self.generation && !discovery_restarted;
@@ -54,7 +54,7 @@
             return false;
         }
         self.updated_at = now;
-        // A page with invalid entries is sent again under the same generation.
+        // A page with invalid entries is sent again with the same generation.
         if page.invalid.is_empty() {
             self.generation = page.generation;
         }
@@ -79,18 +79,19 @@
         Some(HealthCheck { host, address, started_at })
     }
 
-    /// Whether the host is still where it was checked and has not started anew.
+    /// Whether the host still has the checked address and has not restarted.
     pub(crate) fn is_current(&self, health_check: &HealthCheck) -> bool {
         self.health_check(health_check.host) == Some(*health_check)
     }
 }
 
-/// Merges a list into those that wait for the next batch, which become one: a complete list replaces what came before,
-/// changes replace the entries that they are about. So it holds each host once, however long the batch is put off.
-pub(crate) fn merge_list(waiting: &mut Vec<EndpointList>, newer: EndpointList) {
-    match waiting.last_mut() {
+/// Merges a list into those pending for the next batch, which become one list: a complete list replaces the earlier
+/// ones, changes replace the entries of the same hosts. So the list contains each host once, however long the batch is
+/// delayed.
+pub(crate) fn merge_list(pending: &mut Vec<EndpointList>, newer: EndpointList) {
+    match pending.last_mut() {
         Some(list) if !newer.complete => merge_changes(list, newer),
-        _ => *waiting = vec![newer],
+        _ => *pending = vec![newer],
     }
 }
 
@@ -98,7 +99,7 @@
     let changed: BTreeSet<HostId> = changes.entries.iter().map(|entry| entry.host).collect();
     list.entries.retain(|entry| !changed.contains(&entry.host));
     for entry in changes.entries {
-        // A complete list shows a host that is gone by lacking it.
+        // A complete list omits hosts that are gone.
         if !(list.complete && entry.phase == Phase::Gone) {
             list.entries.push(entry);
         }
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -1,18 +1,19 @@
-//! The operators' platform: its protocol and the controller that speaks it, free of I/O and clocks.
+//! The protocol of the operators' platform and the controller that implements it, without I/O or clocks.
 //!
-//! Owns everything between bytes and decisions: [`wire`] converts messages, [`PlatformController`] gathers them into
-//! batches for the decisions of the package `railhub` and keeps their commands until the relay has accepted them.
-//! Sockets and time are the driver's (`railhub-platform-net`).
+//! [`wire`] converts between bytes and typed messages. [`PlatformController`] collects events into batches for the
+//! decision logic (the package `railhub`) and queues the resulting commands until the relay has accepted them. The
+//! driver, `railhub-platform-net`, provides sockets and time.
 //!
-//! The way of one message:
-//! 1. The driver decodes it ([`wire`]). What is invalid is dropped alone, or ends its connection ([`DecodeError`]).
-//! 2. A handler of the [`PlatformController`] puts it into the next batch; what the relay holds is first gathered into a
-//!    snapshot.
-//! 3. The decisions handle the batch; commands wait, folded by what they are about and bounded ([`PendingCommands`]).
-//! 4. They leave in a [`Call`], one at a time.
-//! 5. The [`CallResponse`] settles it; without one, a new subscription's snapshot shows the outcome.
+//! How a message is processed:
+//! 1. The driver decodes it ([`wire`]). An invalid message is dropped or ends its connection ([`DecodeError`]).
+//! 2. A handler of [`PlatformController`] adds it to the next batch. The state that the relay sends at the start of a
+//!    subscription is collected into a snapshot first.
+//! 3. The decision logic handles the batch. Its commands are queued ([`PendingCommands`]): their number is bounded, and
+//!    a newer command replaces a queued one for the same target.
+//! 4. The commands are sent in a [`Call`], one call at a time.
+//! 5. The [`CallResponse`] completes the call. Without one, the snapshot of a new subscription shows the outcome.
 //!
-//! [`NodeConfig`] is the configuration, checked.
+//! [`NodeConfig`] is the validated configuration.
 #![warn(missing_docs)]
 
 mod batch;
--- a/crates/railhub-platform/src/pending_commands.rs
+++ b/crates/railhub-platform/src/pending_commands.rs
@@ -1,11 +1,11 @@
-//! Commands that the relay has not accepted: those of the current call, and those that wait behind it.
+//! Commands that the relay has not accepted: those of the current call, and those queued behind it.
 //!
-//! 1. [`PendingCommands::push`] queues a command; an earlier one with the same key that still waits is dropped.
-//! 2. [`PendingCommands::next_call`] moves the head of the queue into a call, as many as fit.
-//! 3. [`PendingCommands::on_accepted`] hands back what the relay accepted, and the command it stopped at, which is
-//!    dropped. What remains is repeated in the next call, before anything that waits.
-//! 4. A call whose outcome is not known stays until [`PendingCommands::reconcile`] finds in a snapshot what was carried
-//!    out.
+//! 1. [`PendingCommands::push`] queues a command and drops a queued earlier one with the same key.
+//! 2. [`PendingCommands::next_call`] moves commands from the head of the queue into a call, as many as fit.
+//! 3. [`PendingCommands::on_accepted`] returns the commands that the relay accepted, and the one that it refused, which
+//!    is dropped. The remaining ones are sent again in the next call, before any queued command.
+//! 4. A call whose outcome is unknown is kept until [`PendingCommands::reconcile`] finds in a snapshot which of its
+//!    commands were carried out.
 use crate::command::{Command, CommandKey};
 use crate::relay::Call;
 use crate::table::{has_entry, set_weight, Table};
@@ -13,15 +13,16 @@
 use railhub::{ControllerConfig, SliceId, WeightedHost};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most commands that wait while the relay is out of reach. Past them all are dropped, and a new snapshot is requested.
+/// Maximum number of queued commands, reached while the relay is unreachable. Beyond it all of them are dropped and a
+/// new snapshot is requested.
 const MAX_PENDING_COMMANDS: usize = 20_000;
 
-/// The commands of a call that ended by [`crate::CallResponse::Accepted`].
+/// The result of a call that ended with [`crate::CallResponse::Accepted`].
 #[derive(Debug, Default, PartialEq)]
 pub struct AcceptedCommands {
-    /// What the relay accepted.
+    /// The commands that the relay accepted.
     pub accepted: Vec<Command>,
-    /// The command at which it stopped.
+    /// The command that the relay refused, if any.
     pub refused: Option<Command>,
 }
 
@@ -31,27 +32,27 @@
     command: Command,
 }
 
-/// Commands that the relay has not accepted, in their order.
+/// Commands that the relay has not accepted, in the order in which they were issued.
 #[derive(Default)]
 pub struct PendingCommands {
     queue: VecDeque<QueuedCommand>,
     /// Sequence number of the newest command queued for each key.
     newest: BTreeMap<CommandKey, u64>,
     next_sequence: u64,
-    /// Commands of the current call: sent at least once, and not accepted, refused or found in a snapshot.
+    /// Commands of the current call: sent at least once, and neither accepted, refused nor found in a snapshot.
     current_call: Vec<Command>,
     last_call_id: u64,
     single_owner: bool,
-    /// Commands were dropped for want of room: the store's tables are not what the decisions believe.
+    /// Whether the queue overflowed and was cleared, so that the store differs from what the decision logic assumes.
     pub overflowed: bool,
-    /// Commands dropped as a later one with the same key came.
+    /// Number of commands dropped because a later one with the same key was queued.
     pub coalesced: u64,
-    /// Admission rates dropped as their class has no name.
+    /// Number of admission rates dropped because their class has no name.
     pub unnamed_classes: u64,
 }
 
 impl PendingCommands {
-    /// No commands.
+    /// Creates an empty queue.
     pub fn new(config: &ControllerConfig) -> PendingCommands {
         PendingCommands { single_owner: config.single_owner, ..PendingCommands::default() }
     }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Drops the command with this sequence number if it still waits.
+    /// Drops the command with this sequence number if it is still queued.
     fn drop_queued(&mut self, sequence: u64) {
         if let Ok(index) = self.queue.binary_search_by_key(&sequence, |queued| queued.sequence) {
             self.queue.remove(index);
@@ -79,15 +80,15 @@
         }
     }
 
-    /// Drops the commands that wait about a slice's table. Returns whether the current call has some: they may be
-    /// carried out on the table as it was or as it is now.
+    /// Drops the queued commands that change a slice's table. Returns whether the current call has such commands: they
+    /// may be applied to the table before or after its reassignment.
     pub fn discard_queued_for(&mut self, slice: SliceId) -> bool {
         self.queue.retain(|queued| !queued.command.changes_table(slice));
         self.newest.retain(|key, _| !matches!(key, CommandKey::Weight(of, _) if *of == slice));
         self.current_call.iter().any(|command| command.changes_table(slice))
     }
 
-    /// Commands that wait or are in the current call.
+    /// Number of commands that are queued or in the current call.
     pub fn len(&self) -> usize {
         self.queue.len() + self.current_call.len()
     }
@@ -97,7 +98,7 @@
         self.len() == 0
     }
 
-    /// The call to make now: the rest of the current one again, or else a new one with what waits.
+    /// The next call to send: the remaining commands of the current call, or else a new call with queued commands.
     pub fn next_call(&mut self, class_names: &[String]) -> Option<Call> {
         self.drop_unnamed_classes(class_names.len());
         if self.is_empty() {
@@ -115,7 +116,7 @@
         Some(call.finish())
     }
 
-    /// A class without a name cannot be encoded, and `*` in its place would change every class.
+    /// Drops admission rates of classes without a name: they cannot be encoded, and `*` would change every class.
     fn drop_unnamed_classes(&mut self, classes: usize) {
         let before = self.queue.len();
         self.queue.retain(|queued| match queued.command {
@@ -125,7 +126,7 @@
         self.unnamed_classes += (before - self.queue.len()) as u64;
     }
 
-    /// Moves commands from the queue into a call while they fit.
+    /// Moves commands from the queue into a call until it is full.
     fn fill_from_queue(&mut self, call: &mut CallEncoder, class_names: &[String]) {
         while let Some(queued) = self.queue.front() {
             let encoded = encode_command(&queued.command, class_names);
@@ -145,22 +146,22 @@
         self.current_call.push(command);
     }
 
-    /// The relay accepted the first `count` commands of the current call and refused the next one, if there is one.
+    /// The relay accepted the first `count` commands of the current call and refused the next one, if any.
     pub fn on_accepted(&mut self, count: usize) -> AcceptedCommands {
         let accepted = self.current_call.drain(..count.min(self.current_call.len())).collect();
         let refused = (!self.current_call.is_empty()).then(|| self.current_call.remove(0));
         AcceptedCommands { accepted, refused }
     }
 
-    /// Whether all tables that the current call changes are among these.
+    /// Whether `tables` contains every table that the current call changes.
     pub fn call_is_covered_by(&self, tables: &BTreeMap<SliceId, Table>) -> bool {
         self.current_call.iter().filter_map(Command::table).all(|slice| tables.contains_key(&slice))
     }
 
-    /// Finds in a later snapshot what of the current call, whose outcome is not known, was carried out; repeated, it
-    /// would wait in the proxies' channel twice. The last entry that the call sets in a table shows it for that table.
-    /// Where every table has it, all of the call was carried out. Otherwise the rest is repeated, except for tables that
-    /// are not assigned here any more.
+    /// Drops the commands of the current call, whose outcome is unknown, that a later snapshot shows as carried out:
+    /// repeated, they would be queued in the proxies' channel twice. The call's commands for a table were carried out
+    /// if the table has the last entry that the call sets in it. If that holds for every table, the whole call was
+    /// carried out. Otherwise the rest is repeated, except for tables that are no longer assigned to this controller.
     pub fn reconcile(&mut self, tables: &BTreeMap<SliceId, Table>) {
         let last_entries = self.last_entries();
         let is_applied =
@@ -173,7 +174,7 @@
         }
     }
 
-    /// The last entry that the current call sets in each table.
+    /// For each table, the last entry that the current call sets in it.
     fn last_entries(&self) -> BTreeMap<SliceId, WeightedHost> {
         let mut entries = BTreeMap::new();
         for command in &self.current_call {
@@ -184,12 +185,12 @@
         entries
     }
 
-    /// Drops the current call, which the relay cannot read. Returns how many commands it had.
+    /// Drops the current call, which the relay could not parse. Returns the number of its commands.
     pub fn drop_call(&mut self) -> usize {
         std::mem::take(&mut self.current_call).len()
     }
 
-    /// A table as it will be once the relay has accepted all commands, sorted by host.
+    /// The stored table with all pending commands applied, sorted by host.
     pub fn table_when_accepted(&self, slice: SliceId, stored: &[WeightedHost]) -> Table {
         let mut table = stored.to_vec();
         let queued = self.queue.iter().map(|queued| &queued.command);
--- a/crates/railhub-platform/src/relay.rs
+++ b/crates/railhub-platform/src/relay.rs
@@ -1,69 +1,69 @@
-//! What the relay sends and what is sent to it, as typed values: events of a subscription, calls and their responses.
-//! Their bytes are those of [`crate::wire::relay`].
+//! Messages from and to the relay as typed values: events of a subscription, calls and their responses.
+//! [`crate::wire::relay`] encodes and decodes them.
 use railhub::{BarrierAck, ProxyId, SliceId, WeightedHost};
 
-/// One subscription of this process. Ordered by the configuration file that named the relay, then by the order in which
-/// they were requested: a follower of an older file may subscribe later and is older all the same.
+/// Identifies one subscription of this process. Ordered by configuration version, then by the order of the requests: a
+/// subscription under an older configuration is older, even if it was requested later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SubscriptionId {
-    /// Configuration files read before the one that named this relay.
+    /// Number of configurations read before the one that names this relay.
     pub config_version: u64,
-    /// Counts the subscriptions of the process, from 1.
+    /// Sequence number of the subscription in this process, from 1.
     pub sequence: u64,
 }
 
-/// What a subscription delivers.
+/// An event of a subscription.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayEvent {
     /// The relay confirms the subscription; its snapshot follows.
     Subscribed,
-    /// The relay lives. The first one ends the snapshot.
+    /// The relay is alive. The first heartbeat ends the snapshot.
     Heartbeat,
-    /// A proxy's stream is up.
+    /// A proxy's stream to the relay is established.
     ProxyJoined {
         /// The proxy.
         proxy: ProxyId,
-        /// It holds no table yet.
+        /// Whether the proxy holds no table yet.
         first: bool,
     },
-    /// A proxy's stream is gone.
+    /// A proxy's stream to the relay ended.
     ProxyLeft(ProxyId),
-    /// A proxy has applied everything up to a barrier.
+    /// A proxy has applied all changes up to a barrier.
     BarrierAcked(BarrierAck),
-    /// A slice is assigned to this controller, or taken from it.
+    /// A slice was assigned to this controller, or revoked from it.
     SliceAssigned {
         /// The slice.
         slice: SliceId,
-        /// Whether this controller has it now.
+        /// Whether the slice is now assigned to this controller.
         assigned: bool,
     },
-    /// One line of an assigned slice's table, as the store holds it.
+    /// One entry of an assigned slice's table, as the store holds it.
     StoredEntry {
-        /// The slice whose table it is.
+        /// The slice that the table belongs to.
         slice: SliceId,
         /// The host and its weight, 0 or more.
         line: WeightedHost,
     },
 }
 
-/// A call to the relay, encoded.
+/// An encoded call to the relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Counts the calls of the process, from 1; the response bears it.
+    /// Sequence number of the call in this process, from 1; the response carries it too.
     pub id: u64,
-    /// How many commands it carries.
+    /// Number of commands in the call.
     pub commands: usize,
-    /// The line, with its line break.
+    /// The encoded line, including its line break.
     pub bytes: Vec<u8>,
 }
 
-/// How the relay ended a call.
+/// The relay's response to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResponse {
-    /// So many commands, counted from the first, were accepted; the next one, if there is one, was refused.
+    /// The relay accepted this many commands, from the first on, and refused the next one, if any.
     Accepted(usize),
-    /// The relay lets no calls in yet: nothing was carried out.
+    /// The relay does not admit the call yet; no command was carried out.
     Rejected,
-    /// The relay cannot read the call; repeated, it would end alike.
+    /// The relay cannot parse the call; a repetition would fail in the same way.
     Malformed,
 }
--- a/crates/railhub-platform/src/sink.rs
+++ b/crates/railhub-platform/src/sink.rs
@@ -1,4 +1,4 @@
-//! What the decisions issue in one batch, sorted by who carries it out.
+//! Collects the output of the decision logic for one batch, separated by recipient.
 use crate::command::Command;
 use crate::pending_commands::PendingCommands;
 use railhub::{
@@ -7,13 +7,14 @@
 };
 use thiserror::Error;
 
-/// What the decisions report, for the log.
+/// A log message of the decision logic.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Notice {
-    /// A decision.
+    /// A decision that was made.
     #[error("{0}")]
     Decision(DecisionEvent),
-    /// The protocol has no command that assigns a table to a proxy; decisions give it only where there are no slices.
+    /// The protocol has no command that assigns a table to a proxy. The decision logic issues it only if the key space
+    /// is not sliced.
     #[error("cannot assign a table to a proxy on the platform table={} proxy={}", table.0, proxy.0)]
     TableNotAssignable {
         /// The table.
@@ -23,11 +24,11 @@
     },
 }
 
-/// Takes the decisions of a batch: commands go to the pending ones, the rest is collected.
+/// Receives the output of one batch: commands are queued, everything else is collected.
 pub(crate) struct BatchSink<'a> {
     pub(crate) commands: &'a mut PendingCommands,
     pub(crate) health_checks: Vec<HostId>,
-    /// Timers, each with the seconds after which it expires.
+    /// Timers to set, each with the seconds until it expires.
     pub(crate) timers: Vec<(Seconds, TimerId)>,
     pub(crate) notices: Vec<Notice>,
 }
--- a/crates/railhub-platform/src/slice_assignments.rs
+++ b/crates/railhub-platform/src/slice_assignments.rs
@@ -1,11 +1,12 @@
-//! Slices assigned since the last batch, until their tables are complete: the entries follow the assignment at once.
+//! Slices assigned since the last batch, kept until their tables are complete: the relay sends a table's entries right
+//! after the assignment.
 use crate::table::Table;
 use railhub::{Seconds, SliceAssignment, SliceId, WeightedHost};
 
-/// Seconds without an event after which the tables of assigned slices count as complete.
+/// Time without an event after which the tables of assigned slices count as complete.
 const ASSIGNMENT_IDLE_TIMEOUT: Seconds = 0.02;
 
-/// Assignments whose entries may still come.
+/// Assignments whose entries may not all have arrived yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingAssignments {
     assignments: Vec<SliceAssignment>,
@@ -13,7 +14,7 @@
 }
 
 impl PendingAssignments {
-    /// A slice is assigned to this controller, or taken from it.
+    /// A slice was assigned to this controller, or revoked from it.
     pub(crate) fn on_assigned(&mut self, now: Seconds, slice: SliceId, assigned: bool) {
         self.last_event_at = now;
         self.assignments.push(if assigned {
@@ -23,8 +24,8 @@
         });
     }
 
-    /// A entry of an assigned slice: it joins the latest assignment of the slice, here or in the next batch, or else the
-    /// table that the decisions know. With a single owner, the last entry is the table.
+    /// Adds an entry to the latest assignment of its slice, pending here or in the next batch, or else to the table
+    /// that the decision logic knows. With a single owner, the last entry replaces the table.
     pub(crate) fn on_stored_entry(
         &mut self,
         now: Seconds,
@@ -35,8 +36,8 @@
         known_table: impl FnOnce() -> Option<Table>,
     ) {
         self.last_event_at = now;
-        let all = batched.iter_mut().chain(&mut self.assignments);
-        match all.filter(|assignment| assignment.slice() == slice).last() {
+        let candidates = batched.iter_mut().chain(&mut self.assignments);
+        match candidates.filter(|assignment| assignment.slice() == slice).last() {
             Some(SliceAssignment::Revoked { .. }) => {}
             Some(SliceAssignment::Assigned { entries, .. }) => add_entry(entries, entry, single_owner),
             None => {
@@ -48,17 +49,17 @@
         }
     }
 
-    /// Discards all: a snapshot has them.
+    /// Discards all assignments: a snapshot contains them.
     pub(crate) fn clear(&mut self) {
         self.assignments.clear();
     }
 
-    /// Moves all into the next batch.
+    /// Moves all assignments into the next batch.
     pub(crate) fn move_into(&mut self, batched: &mut Vec<SliceAssignment>) {
         batched.append(&mut self.assignments);
     }
 
-    /// When the assignments count as complete if no event comes before.
+    /// When the assignments count as complete if no event arrives before.
     pub(crate) fn idle_deadline(&self) -> Option<Seconds> {
         (!self.assignments.is_empty()).then_some(self.last_event_at + ASSIGNMENT_IDLE_TIMEOUT)
     }
@@ -69,7 +70,7 @@
     }
 }
 
-/// Adds a stored entry, which may have weight 0. With a single owner it is the only one.
+/// Adds a stored entry, which may have weight 0. With a single owner it becomes the only entry.
 fn add_entry(table: &mut Table, entry: WeightedHost, single_owner: bool) {
     table.retain(|known| known.host != entry.host && !single_owner);
     table.push(entry);
--- a/crates/railhub-platform/src/snapshot_changes.rs
+++ b/crates/railhub-platform/src/snapshot_changes.rs
@@ -1,9 +1,9 @@
-//! What a complete snapshot changes in what the decisions know of proxies and slices.
+//! Differences between a complete snapshot and the proxies and slices known to the decision logic.
 use crate::table::{tables_match, Table};
 use railhub::{ProxyId, ProxyStreamEvent, SliceAssignment, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The stream of a proxy is up. `first`: it holds no table yet.
+/// The event for an established stream of a proxy. `first`: the proxy holds no table yet.
 pub(crate) fn stream_established(proxy: ProxyId, first: bool) -> ProxyStreamEvent {
     if first {
         ProxyStreamEvent::Connected(proxy)
@@ -12,8 +12,8 @@
     }
 }
 
-/// Streams that are gone, then those that are up. Also one that was known to be up is among these: it may have gone and
-/// returned unseen.
+/// Events for the streams that ended, then for all established ones, including those already known: they may have ended
+/// and been re-established unnoticed.
 pub(crate) fn stream_changes(
     known: &BTreeSet<ProxyId>,
     present: &BTreeMap<ProxyId, bool>,
@@ -24,15 +24,15 @@
     down.chain(up).collect()
 }
 
-/// Assigns the slices whose table is not as known, then revokes those that are missing.
+/// Assigns the slices whose table differs from the known one, then revokes the known slices that are missing.
 pub(crate) fn assignment_changes(
     mut known: BTreeMap<SliceId, Table>,
     expected: BTreeMap<SliceId, Table>,
 ) -> Vec<SliceAssignment> {
     let mut changes = Vec::new();
     for (slice, entries) in expected {
-        let is_as_known = known.remove(&slice).is_some_and(|table| tables_match(&table, &entries));
-        if !is_as_known {
+        let is_unchanged = known.remove(&slice).is_some_and(|table| tables_match(&table, &entries));
+        if !is_unchanged {
             changes.push(SliceAssignment::Assigned { slice, entries });
         }
     }
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -1,22 +1,22 @@
-//! The subscription to the relay: which one counts, and whether its snapshot is complete.
+//! The subscription to the relay: which one is current, and whether its snapshot is complete.
 //!
-//! Owns the snapshot while it is received, and the commands that the relay accepts meanwhile. The relay begins each
-//! subscription with what it holds (the snapshot); its first heartbeat, or a pause, ends that. Events after it are live.
-//! Requests, events and ends name their subscription; only the newest confirmed one counts.
+//! Owns the snapshot while it is being received, and the commands that the relay accepts meanwhile. The relay starts
+//! each subscription with a snapshot of its state, which ends with the first heartbeat or with a pause. Events after it
+//! are live. Requests, events and ends carry the id of their subscription; only the newest confirmed one is current.
 use crate::command::Command;
 use crate::relay::{RelayEvent, SubscriptionId};
 use crate::table::{set_weight, Table};
 use railhub::{BarrierAck, ProxyId, Seconds, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds without an event after which the first snapshot counts as complete: what comes later is added.
+/// Time without an event after which the first snapshot counts as complete. Later entries are added as live events.
 const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
-/// Seconds without an event after which a later snapshot counts as complete: what is missing then counts as lost.
+/// Time without an event after which a later snapshot counts as complete. Known proxies and
+/// slices that are missing from it count as lost.
 const SNAPSHOT_IDLE_TIMEOUT: Seconds = 1.5;
-/// Seconds without an event after which the tables that a snapshot has so far count as complete, to see in them the
-/// outcome of a call.
+/// Time without an event after which the tables received so far count as complete, to determine the outcome of a call.
 const TABLES_IDLE_TIMEOUT: Seconds = 0.1;
-/// Most accepted commands kept while a snapshot is due; past them a new subscription is needed.
+/// Maximum number of accepted commands kept while a snapshot is pending. Beyond it a new subscription is needed.
 const MAX_ACCEPTED_SINCE_SNAPSHOT: usize = 20_000;
 
 /// The state of the subscription.
@@ -29,26 +29,27 @@
 /// | `Synchronized` | the relay confirms a newer subscription | `ReceivingSnapshot` |
 /// | `ReceivingSnapshot` | heartbeat, or 1.5 s without an event | `Synchronized` |
 /// | `ReceivingSnapshot` | its connection ends | `Synchronized` |
-/// | a receiving state | the relay confirms a newer subscription | the same, with an empty snapshot |
+/// | a receiving state | the relay confirms a newer subscription | same state, empty snapshot |
 ///
-/// An incomplete snapshot is discarded: what the last complete one gave stays in force, however long the relay is away.
+/// An incomplete snapshot is discarded: the state of the last complete one stays in force, however long the relay is
+/// unreachable.
 #[derive(Debug, Default)]
 enum State {
-    /// Nothing may be decided.
+    /// No decisions are made.
     #[default]
     AwaitingFirstSnapshot,
-    /// Nothing may be decided.
+    /// No decisions are made.
     ReceivingFirstSnapshot(Snapshot),
     /// Decisions are made; events are live.
     Synchronized,
-    /// Decisions are made on what was known before; events go into the snapshot.
+    /// Decisions are based on the state known before; events are added to the snapshot.
     ReceivingSnapshot(Snapshot),
 }
 
-/// What the relay holds, as one subscription gives it.
+/// The relay's state as sent at the start of a subscription.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
-    /// Proxies whose stream is up, each with whether it holds no table yet.
+    /// The connected proxies, each with whether it holds no table yet.
     pub(crate) proxies: BTreeMap<ProxyId, bool>,
     /// The table of each slice assigned to this controller.
     pub(crate) tables: BTreeMap<SliceId, Table>,
@@ -56,29 +57,29 @@
     subscription: SubscriptionId,
 }
 
-/// A command that the relay accepted, with the newest subscription requested by then.
+/// A command that the relay accepted, and the newest subscription requested at that time.
 #[derive(Debug)]
 struct AcceptedCommand {
     latest: SubscriptionId,
     command: Command,
 }
 
-/// More commands were accepted than are kept while a snapshot is due.
+/// More commands were accepted than are kept while a snapshot is pending.
 #[derive(Debug, PartialEq)]
 pub(crate) struct TooManyAccepted;
 
 /// What an event means for the rest of the controller.
 #[derive(Debug, PartialEq)]
 pub(crate) enum EventOutcome {
-    /// Nothing: it is of an old subscription, or part of the snapshot.
+    /// Nothing: it belongs to an old subscription, or was added to the snapshot.
     None,
-    /// A newer subscription counts from here on.
+    /// A newer subscription is current from now on.
     Subscribed,
     /// The heartbeat that ends the snapshot.
     SnapshotEnded,
-    /// A slice that the snapshot had was assigned or taken again.
+    /// A slice of the snapshot was assigned again or revoked.
     SliceReassigned { slice: SliceId, assigned: bool },
-    /// An acknowledgement, which is no part of the snapshot.
+    /// An acknowledgement, which is not part of the snapshot.
     BarrierAcked(BarrierAck),
     /// An event after the snapshot.
     Live(RelayEvent),
@@ -88,18 +89,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct Subscription {
     state: State,
-    /// The newest subscription that was confirmed: only its events count.
+    /// The newest confirmed subscription. Events of others are ignored.
     current: SubscriptionId,
     /// The newest subscription that was requested.
     newest_requested: SubscriptionId,
     /// Requested subscriptions whose connection has not ended and whose snapshot is not complete.
     snapshots_pending: BTreeSet<SubscriptionId>,
-    /// Commands accepted while a snapshot was due, which may have been taken before them.
+    /// Commands accepted while a snapshot was pending, which may have been taken before they were applied.
     accepted_since_snapshot: Vec<AcceptedCommand>,
 }
 
 impl Subscription {
-    /// Whether a first snapshot is complete, so that decisions may be made.
+    /// Whether a first snapshot is complete and decisions may be made.
     pub(crate) fn may_decide(&self) -> bool {
         matches!(self.state, State::Synchronized | State::ReceivingSnapshot(_))
     }
@@ -109,7 +110,7 @@
         self.newest_requested
     }
 
-    /// A subscription is about to be requested; must come before the relay can know of it.
+    /// A subscription is about to be requested. Must be called before the request is sent.
     pub(crate) fn on_requested(&mut self, id: SubscriptionId) {
         self.newest_requested = self.newest_requested.max(id);
         self.snapshots_pending.insert(id);
@@ -124,7 +125,7 @@
         self.discard_accepted_unless_pending();
     }
 
-    /// An event of a subscription.
+    /// Handles an event of a subscription.
     pub(crate) fn on_event(&mut self, now: Seconds, id: SubscriptionId, event: RelayEvent) -> EventOutcome {
         if event == RelayEvent::Subscribed {
             return self.on_confirmed(now, id);
@@ -137,14 +138,14 @@
             return EventOutcome::SnapshotEnded;
         }
         snapshot.last_event_at = now;
-        let update = snapshot.add(event);
-        if let EventOutcome::SliceReassigned { slice, .. } = update {
+        let outcome = snapshot.add(event);
+        if let EventOutcome::SliceReassigned { slice, .. } = outcome {
             self.accepted_since_snapshot.retain(|accepted| !accepted.command.changes_table(slice));
         }
-        update
+        outcome
     }
 
-    /// The relay confirmed a subscription; an older one than the current one is ignored.
+    /// The relay confirmed a subscription. It is ignored if it is older than the current one.
     fn on_confirmed(&mut self, now: Seconds, id: SubscriptionId) -> EventOutcome {
         if id <= self.current {
             return EventOutcome::None;
@@ -162,7 +163,7 @@
     /// The relay accepted these commands.
     ///
     /// # Errors
-    /// Too many are kept for the snapshot that is due. All of them are discarded.
+    /// More than [`MAX_ACCEPTED_SINCE_SNAPSHOT`] are kept for the pending snapshot. All of them are discarded.
     pub(crate) fn on_accepted(&mut self, commands: Vec<Command>) -> Result<(), TooManyAccepted> {
         if !self.snapshots_pending.is_empty() {
             let latest = self.newest_requested;
@@ -191,17 +192,17 @@
         }
     }
 
-    /// The snapshot being received, if it is of a later subscription than this one.
+    /// The snapshot being received, if its subscription is later than this one.
     pub(crate) fn snapshot_later_than(&self, id: SubscriptionId) -> Option<&Snapshot> {
         self.snapshot().filter(|snapshot| snapshot.subscription > id)
     }
 
-    /// Takes the snapshot out of a receiving state.
+    /// Leaves a receiving state and returns its snapshot.
     fn take_snapshot(&mut self) -> Option<Snapshot> {
         let (next, snapshot) = match std::mem::take(&mut self.state) {
             State::ReceivingFirstSnapshot(snapshot) => (State::AwaitingFirstSnapshot, Some(snapshot)),
             State::ReceivingSnapshot(snapshot) => (State::Synchronized, Some(snapshot)),
-            idle => (idle, None),
+            other => (other, None),
         };
         self.state = next;
         snapshot
@@ -215,17 +216,17 @@
         }
     }
 
-    /// When the snapshot counts as complete if no event comes before.
+    /// When the snapshot counts as complete if no event arrives before.
     pub(crate) fn idle_deadline(&self) -> Option<Seconds> {
         self.snapshot().map(|snapshot| snapshot.last_event_at + self.idle_timeout())
     }
 
-    /// Whether no event of the snapshot has come for so long that it counts as complete.
+    /// Whether the snapshot has received no event for its idle timeout, so that it counts as complete.
     pub(crate) fn is_idle(&self, now: Seconds) -> bool {
         self.snapshot().is_some_and(|snapshot| now - snapshot.last_event_at >= self.idle_timeout())
     }
 
-    /// The snapshot is complete: it is handed over, with the commands accepted since it was requested applied.
+    /// Completes the snapshot and returns it with the commands applied that were accepted since it was requested.
     pub(crate) fn complete_snapshot(&mut self, single_owner: bool) -> Option<Snapshot> {
         let mut snapshot = self.take_snapshot()?;
         self.state = State::Synchronized;
@@ -249,7 +250,7 @@
 }
 
 impl Snapshot {
-    /// Adds an event. A slice that is in the snapshot already changed hands while it was sent.
+    /// Adds an event. A slice that the snapshot already contains was reassigned while the snapshot was being sent.
     fn add(&mut self, event: RelayEvent) -> EventOutcome {
         match event {
             RelayEvent::ProxyJoined { proxy, first } => {
@@ -276,17 +277,17 @@
         EventOutcome::None
     }
 
-    /// When the tables so far show the outcome of a call about them, if no event comes before.
+    /// When the tables received so far show the outcome of a call that changes them, if no event arrives before.
     pub(crate) fn outcome_deadline(&self) -> Seconds {
         self.last_event_at + TABLES_IDLE_TIMEOUT
     }
 
-    /// Whether the tables so far show the outcome of a call about them.
+    /// Whether the tables received so far show the outcome of a call that changes them.
     pub(crate) fn shows_outcomes(&self, now: Seconds) -> bool {
         now - self.last_event_at >= TABLES_IDLE_TIMEOUT
     }
 
-    /// Sets a line of a slice that the snapshot has.
+    /// Sets an entry in the table of a slice, if the snapshot contains the slice.
     fn set_weight(&mut self, slice: SliceId, entry: WeightedHost, single_owner: bool) {
         if let Some(table) = self.tables.get_mut(&slice) {
             set_weight(table, entry, single_owner);
--- a/crates/railhub-platform/src/wire/collector.rs
+++ b/crates/railhub-platform/src/wire/collector.rs
@@ -1,4 +1,4 @@
-//! Messages at the controller's own address: four bytes of length, then one JSON object whose `t` names its type.
+//! Messages at the controller's own address: a length of four bytes, then one JSON object whose `t` is the type.
 use super::json::{decode_fields, decode_message};
 use crate::collector::CollectorMessage;
 use crate::config::Names;
@@ -6,15 +6,16 @@
 use railhub::{HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport};
 use serde::Deserialize;
 
-/// Most bytes of a message.
+/// Maximum length of a message.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Most bytes of a message of a peer that has not joined as a collector.
+/// Maximum length of a message from a peer that has not joined as a collector.
 pub const MAX_FIRST_MESSAGE_BYTES: usize = 1 << 10;
-/// Longest time that one report may cover, in seconds.
+/// Maximum time that one report may cover.
 const MAX_REPORT_SPAN: Seconds = 60.0;
-/// Most attempts that one report may count.
+/// Maximum number of attempts in one report.
 const MAX_ATTEMPTS_PER_REPORT: f64 = 1e6;
-/// Multiple of its natural bound (a client's time-out, full use) that a noisy report may give.
+/// Values of a report may be noisy: they are accepted up to this multiple of their natural maximum, which is the
+/// longest client time-out for latencies and 1 for utilization.
 const REPORT_NOISE_FACTOR: f64 = 2.0;
 
 #[derive(Deserialize)]
@@ -39,7 +40,7 @@
     load: Option<HostLoadMessage>,
 }
 
-/// The protocol's page and the settings (`telemetry.names`) give the same fields different names.
+/// The protocol's documentation and the settings (`telemetry.names`) use different names for the same fields.
 #[derive(Deserialize)]
 struct HostLoadMessage {
     #[serde(default, alias = "rif")]
@@ -57,10 +58,10 @@
     span_ms: f64,
 }
 
-/// Decodes one message, without its length. `slice_count`: how many there are.
+/// Decodes one message, given without its length prefix. `slice_count` is the number of slices.
 ///
 /// # Errors
-/// [`DecodeError::Unreadable`] if the stream cannot go on; any other one invalidates this message alone.
+/// [`DecodeError::Unreadable`] if the stream cannot be continued. Any other error concerns this message alone.
 pub fn decode(body: &[u8], names: &Names, slice_count: u16) -> Result<CollectorMessage, DecodeError> {
     let message: MessageType = decode_message(body)?;
     match message.t.as_str() {
@@ -82,12 +83,12 @@
     }
 }
 
-/// The answer to a ping.
+/// Encodes the response to a ping.
 pub fn encode_pong() -> Vec<u8> {
     framed("{\"t\":\"pong\"}")
 }
 
-/// What a visitor is sent before its connection is closed.
+/// Encodes the message that a client receives before its connection is closed.
 pub fn encode_refusal(cause: DecodeError) -> Vec<u8> {
     framed(&format!("{{\"t\":\"refused\",\"why\":\"{cause}\"}}"))
 }
@@ -98,7 +99,7 @@
     bytes
 }
 
-/// A number from 0 to `max`.
+/// Returns the number if it is between 0 and `max`.
 fn bounded(number: f64, max: f64) -> Result<f64, DecodeError> {
     if (0.0..=max).contains(&number) {
         Ok(number)
@@ -107,7 +108,7 @@
     }
 }
 
-/// The time that a report covers, in seconds.
+/// The time that a report covers, in seconds; must be above 0.
 fn report_span(span_ms: f64) -> Result<Seconds, DecodeError> {
     let span = bounded(span_ms / 1e3, MAX_REPORT_SPAN)?;
     if span > 0.0 {
@@ -130,7 +131,9 @@
             failed: bounded(self.failed, attempts)?,
             mean_latency: bounded(self.mean_ms / 1e3, REPORT_NOISE_FACTOR * names.max_client_timeout)?,
             span: report_span(self.span_ms)?,
-            cpu_utilization: utilization.map(|share| bounded(share, REPORT_NOISE_FACTOR)).transpose()?,
+            cpu_utilization: utilization
+                .map(|fraction| bounded(fraction, REPORT_NOISE_FACTOR))
+                .transpose()?,
         })
     }
 }
@@ -138,7 +141,7 @@
 impl SliceReportMessage {
     fn convert(&self, names: &Names, slice_count: u16) -> Result<SliceLoadReport, DecodeError> {
         let operations = bounded(self.tries, MAX_ATTEMPTS_PER_REPORT)?;
-        // Not bounded by `tries`: an operation may fail in a later report than the one that counts it.
+        // Not bounded by `tries`: an operation may fail in a later reporting period than the one that counts it.
         bounded(self.failed, MAX_ATTEMPTS_PER_REPORT)?;
         if self.slice >= slice_count {
             return Err(DecodeError::UnknownName);
--- a/crates/railhub-platform/src/wire/discovery.rs
+++ b/crates/railhub-platform/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's pages: the list of hosts, complete or what changed, one JSON object a line of a watch.
+//! Discovery's pages: the complete endpoint list or changes to it, one JSON object per line of a watch.
 use super::json::decode_message;
 use crate::config::Names;
 use crate::endpoints::{EndpointPage, PageEntry};
@@ -6,7 +6,7 @@
 use railhub::{EndpointEntry, HostId, Phase};
 use serde::Deserialize;
 
-/// The path of a watch that begins after this generation.
+/// The request path of a watch that starts after this generation.
 pub fn watch_path(generation: u64) -> String {
     format!("/discovery/hosts?watch=1&after={generation}")
 }
@@ -14,8 +14,7 @@
 /// Decodes one page.
 ///
 /// # Errors
-/// The page cannot be read. An entry that cannot be read is left out and counted in
-/// [`EndpointPage::invalid`].
+/// The page is invalid. An invalid entry is not an error: it is left out and recorded in [`EndpointPage::invalid`].
 pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, DecodeError> {
     let page: PageMessage = decode_message(line)?;
     Ok(page.convert(names))
@@ -28,7 +27,7 @@
     instances: Vec<InstanceOrInvalid>,
 }
 
-/// An entry with a field that is missing or of another type invalidates itself, not the page.
+/// An entry with a field that is missing or has the wrong type is invalid alone; the page remains valid.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum InstanceOrInvalid {
@@ -50,7 +49,8 @@
 }
 
 impl PageMessage {
-    /// A complete list with an invalid entry counts as changes: that host must not be gone for it.
+    /// Converts a page. A complete list with an invalid entry is treated as changes, so that the host of that entry is
+    /// not removed.
     pub(super) fn convert(&self, names: &Names) -> EndpointPage {
         let mut page = EndpointPage { generation: self.generation, ..EndpointPage::default() };
         for entry in &self.instances {
--- a/crates/railhub-platform/src/wire/json.rs
+++ b/crates/railhub-platform/src/wire/json.rs
@@ -1,8 +1,8 @@
-//! JSON objects into message types.
+//! Decodes JSON objects to message types.
 use crate::error::DecodeError;
 use serde::de::DeserializeOwned;
 
-/// Decodes a message. What is no JSON at all is [`DecodeError::Unreadable`].
+/// Decodes a message. Invalid JSON is [`DecodeError::Unreadable`].
 pub(super) fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     serde_json::from_slice(bytes).map_err(|error| match error.classify() {
         serde_json::error::Category::Data => DecodeError::InvalidField,
@@ -10,7 +10,7 @@
     })
 }
 
-/// Decodes the fields of a message whose type is known; unknown fields are skipped without recursion.
+/// Decodes the fields of a message whose type is known. Unknown fields are skipped without recursion.
 pub(super) fn decode_fields<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     serde_json::from_slice(bytes).map_err(|_| DecodeError::InvalidField)
 }
--- a/crates/railhub-platform/src/wire/relay.rs
+++ b/crates/railhub-platform/src/wire/relay.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC 2.0 with the relay, one object a line: events of a subscription, calls that carry commands, responses.
+//! JSON-RPC 2.0 with the relay, one object per line: events of a subscription, calls that carry commands, responses.
 use super::json::decode_fields;
 use crate::command::Command;
 use crate::error::DecodeError;
@@ -7,9 +7,9 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a line that the relay sends.
+/// Maximum length of a line from the relay.
 pub const MAX_LINE_BYTES: usize = 64 << 10;
-/// Most bytes of a call: the relay accepts 60,000 of commands, and the call's own fields need some.
+/// Maximum length of a call: the relay accepts 60,000 bytes of commands, and the call's other fields take some.
 const MAX_CALL_BYTES: usize = 58_000;
 
 #[derive(Deserialize)]
@@ -57,7 +57,7 @@
 /// Decodes a line of a subscription.
 ///
 /// # Errors
-/// The line cannot be read; the stream cannot be trusted from there on.
+/// The line is invalid. Later lines of the stream cannot be trusted either.
 pub fn decode_event(line: &[u8]) -> Result<RelayEvent, DecodeError> {
     let header: Header = serde_json::from_slice(line).map_err(|_| DecodeError::Unreadable)?;
     let Some(method) = header.method else {
@@ -120,10 +120,10 @@
     taken: usize,
 }
 
-/// Decodes the response to call `id` with so many commands.
+/// Decodes the response to the call with this id and number of commands.
 ///
 /// # Errors
-/// The line is no response to this call, or cannot be read: the outcome of the call is not known.
+/// The line is invalid or not a response to this call: the outcome of the call is unknown.
 pub fn decode_response(line: &[u8], id: u64, commands: usize) -> Result<CallResponse, DecodeError> {
     let response: ResponseMessage = decode_fields(line)?;
     if response.id != id {
@@ -137,7 +137,7 @@
     }
 }
 
-/// The protocol does not state the form of an error: its cause is somewhere in the line.
+/// Finds the cause of an error. The protocol does not specify the format of errors, so the whole line is searched.
 fn decode_error(line: &[u8]) -> Result<CallResponse, DecodeError> {
     let contains = |cause: &[u8]| line.windows(cause.len()).any(|part| part == cause);
     match (contains(b"limit"), contains(b"malformed")) {
@@ -147,7 +147,7 @@
     }
 }
 
-/// The request that begins a subscription.
+/// Encodes the request that starts a subscription.
 pub fn encode_subscribe(id: u64) -> Vec<u8> {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"subscribe\"}}\n").into_bytes()
 }
@@ -162,13 +162,13 @@
     Mark { ticket: u16, on: u8 },
 }
 
-/// `on` of a mark: all proxies answer.
+/// The value of `on` in a mark: all proxies acknowledge it.
 const ALL_PROXIES: u8 = 1;
 
 /// Encodes one command.
 ///
 /// # Panics
-/// If it is about a class that has no name: [`crate::PendingCommands`] leaves these out.
+/// If the class of an admission rate has no name: [`crate::PendingCommands`] drops such commands.
 pub(crate) fn encode_command(command: &Command, class_names: &[String]) -> String {
     let message = match command {
         Command::SetWeight { slice, entry } => {
@@ -208,7 +208,7 @@
         CallEncoder { id, commands: 0, bytes: head.into_bytes() }
     }
 
-    /// Whether one more command stays within [`MAX_CALL_BYTES`]; the first always does.
+    /// Whether one more command keeps the call within [`MAX_CALL_BYTES`]. The first one always fits.
     pub(crate) fn has_room(&self, command: &str) -> bool {
         self.commands == 0 || self.bytes.len() + command.len() < MAX_CALL_BYTES
     }
