--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -1,19 +1,19 @@
-//! The configuration of a controller on the platform, and the names that its messages use. The file's fields are those
-//! of [`crate::wire::configuration`], where [`NodeConfig::parse`] is.
+//! The configuration of a controller on the platform, and the names used in its messages. The file format, with
+//! [`NodeConfig::parse`], is in [`crate::wire::configuration`].
 use crate::endpoints::EndpointPage;
 use railhub::{ClassId, ControllerConfig, EndpointList, KindId, Seconds, ZoneId};
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Most classes of requests that a file may name.
+/// Maximum number of operation classes in a file.
 pub const MAX_CLASSES: usize = 64;
-/// Longest duration that a file may give, in seconds: a day.
+/// Maximum duration in a file: one day.
 pub const MAX_DURATION: Seconds = 86_400.0;
 
-/// What is wrong in a configuration file. Each names the path of the JSON field.
+/// Why a configuration file is invalid. Each error names the path of the JSON field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No JSON, or a field is missing or of another type.
+    /// The file is not JSON, or a field is missing or has the wrong type.
     #[error("{field_path}: {error}")]
     Json {
         /// Where in the file.
@@ -21,68 +21,74 @@
         /// The parser's error.
         error: serde_json::Error,
     },
-    /// No class of requests, or more than [`MAX_CLASSES`].
-    #[error("{field_path}: {count} classes, 1 to {MAX_CLASSES} can be")]
+    /// No operation class, or more than [`MAX_CLASSES`].
+    #[error("{field_path}: expected 1 to {MAX_CLASSES} classes, got {count}")]
     ClassCount {
         /// Where in the file.
         field_path: String,
-        /// How many the file names.
+        /// Number of classes in the file.
         count: usize,
     },
     /// A duration over [`MAX_DURATION`].
-    #[error("{field_path}: is longer than a day")]
+    #[error("{field_path}: expected at most {MAX_DURATION} s, got {duration} s")]
     TooLong {
         /// Where in the file.
         field_path: String,
+        /// The duration, in seconds.
+        duration: Seconds,
     },
-    /// A number below 0, or none.
-    #[error("{field_path}: must be a number from 0 up")]
+    /// A number below 0, or not finite.
+    #[error("{field_path}: expected a finite number of at least 0, got {number}")]
     Negative {
         /// Where in the file.
         field_path: String,
+        /// The number.
+        number: f64,
     },
-    /// A value that the field does not know.
-    #[error("{field_path}: cannot be '{value}'")]
+    /// A text that is none of the field's values.
+    #[error("{field_path}: expected {expected}, got '{value}'")]
     UnknownValue {
         /// Where in the file.
         field_path: String,
         /// The value.
         value: String,
+        /// The values that the field accepts.
+        expected: &'static str,
     },
-    /// Without it two hosts could accept one owner's writes.
-    #[error("{field_path}: is needed where a slice has one owner")]
+    /// A duration that is required if a slice has one owner. Without it two hosts could accept one owner's writes.
+    #[error("{field_path}: required if settings.family_info.exclusive is true")]
     MissingSingleOwnerDuration {
         /// Where in the file.
         field_path: String,
     },
 }
 
-/// The names that messages use for what the decisions number.
+/// Maps the names used in messages to the numbers that the decision logic uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Classes of requests, by [`ClassId`].
+    /// Operation classes, by [`ClassId`].
     pub classes: Vec<String>,
     /// Zones, by [`ZoneId`].
     pub zones: Vec<String>,
     /// Kinds of hosts, by [`KindId`].
     pub kinds: Vec<String>,
-    /// The longest time a client waits, in seconds: an upper bound of mean service times.
+    /// The longest client time-out, in seconds: an upper bound of mean service times.
     pub max_client_timeout: Seconds,
 }
 
 impl Names {
-    /// The zone of this name.
+    /// The zone with this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         self.zones.iter().position(|known| known == name).map(|index| ZoneId(index as u16))
     }
 
-    /// The class of this name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|known| known == name).map(|index| ClassId(index as u8))
     }
 
-    /// The kind of this name. One that the file does not name gets a number by its hash: a table of them would grow
-    /// without bound.
+    /// The kind with this name. A name that the file does not list gets a number derived from its hash: a table of such
+    /// names would grow without bound.
     pub fn kind(&self, name: &str) -> KindId {
         match self.kinds.iter().position(|known| known == name) {
             Some(index) => KindId(index as u16),
@@ -95,33 +101,33 @@
     name.bytes().fold(0, |hash: u16, byte| hash.wrapping_mul(251) ^ u16::from(byte))
 }
 
-/// The configuration of one controller, checked.
+/// The validated configuration of one controller.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The controller's name on the platform.
     pub name: String,
-    /// Its own address.
+    /// The address that the controller listens on.
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
     /// The relay's address.
     pub relay: SocketAddr,
-    /// Descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Megabytes of memory that the process may use.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: usize,
-    /// The list of hosts as this controller last had it; it may be old.
+    /// The endpoint list that the controller last knew. It may be outdated.
     pub known_endpoints: EndpointPage,
-    /// The configuration of the decisions.
+    /// The configuration of the decision logic.
     pub controller: ControllerConfig,
-    /// The names that messages use.
+    /// The names used in messages.
     pub names: Names,
-    /// Least time between two batches, in seconds.
+    /// Minimum time between two batches, in seconds.
     pub min_batch_interval: Seconds,
 }
 
 impl NodeConfig {
-    /// The list of hosts it starts with, as the decisions take it.
+    /// The known endpoint list as the decision logic receives it at the start.
     pub fn initial_list(&self) -> EndpointList {
         EndpointList {
             complete: true,
--- a/crates/railhub-platform/src/wire/configuration.rs
+++ b/crates/railhub-platform/src/wire/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file: one JSON object, read at the start and again after SIGHUP.
+//! The configuration file: one JSON object, read at the start and again on SIGHUP.
 use super::discovery::PageMessage;
 use crate::config::{ConfigError, Names, NodeConfig, MAX_CLASSES, MAX_DURATION};
 use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
@@ -54,7 +54,7 @@
     messages_over_us: u64,
     throttle_by: String,
     update_cap: u32,
-    /// Needed where a slice has one owner.
+    /// Required, like `write_life_us`, if `exclusive` is true.
     #[serde(default)]
     write_lease_us: Option<u64>,
     #[serde(default)]
@@ -84,11 +84,11 @@
 }
 
 impl NodeConfig {
-    /// Reads a configuration file.
+    /// Parses and validates a configuration file.
     ///
     /// # Errors
-    /// What is wrong and the path of the field. An invalid entry of the known list of hosts is no error: it is left
-    /// out and counted in [`crate::EndpointPage::invalid`].
+    /// The path of the first invalid field and why it is invalid. An invalid entry of the known endpoint list is not an
+    /// error: it is left out and recorded in [`crate::EndpointPage::invalid`].
     pub fn parse(text: &str) -> Result<NodeConfig, ConfigError> {
         let file = decode(text)?;
         let classes = class_configs(&file.settings.request_classes)?;
@@ -115,7 +115,7 @@
         field_path: error.path().to_string(),
         error: error.into_inner(),
     })?;
-    json.end().map_err(|error| ConfigError::Json { field_path: "the end".to_owned(), error })?;
+    json.end().map_err(|error| ConfigError::Json { field_path: "end of file".to_owned(), error })?;
     Ok(file)
 }
 
@@ -143,6 +143,7 @@
                 return Err(ConfigError::UnknownValue {
                     field_path: field_path("effect"),
                     value: other.to_owned(),
+                    expected: "repeatable, by_key or once",
                 })
             }
         },
@@ -182,7 +183,8 @@
     })
 }
 
-/// A time of a single owner's writes. Counted as 0 where it is missing, it would let two hosts accept one owner's writes.
+/// A duration that limits a single owner's writes, required if slices have a single owner: with 0 in place of a missing
+/// one, two hosts could accept one owner's writes.
 fn single_owner_duration(
     family: &FamilySection,
     micros: Option<u64>,
@@ -208,21 +210,21 @@
     })
 }
 
-/// Microseconds of the file, in seconds.
+/// Converts microseconds of the file to seconds.
 fn duration(micros: u64, field_path: &str) -> Result<Seconds, ConfigError> {
     let duration = micros as f64 / 1e6;
     if duration <= MAX_DURATION {
         Ok(duration)
     } else {
-        Err(ConfigError::TooLong { field_path: field_path.to_owned() })
+        Err(ConfigError::TooLong { field_path: field_path.to_owned(), duration })
     }
 }
 
-/// A finite number from 0 up.
+/// Returns the number if it is finite and at least 0.
 fn non_negative(number: f64, field_path: &str) -> Result<f64, ConfigError> {
     if number.is_finite() && number >= 0.0 {
         Ok(number)
     } else {
-        Err(ConfigError::Negative { field_path: field_path.to_owned() })
+        Err(ConfigError::Negative { field_path: field_path.to_owned(), number })
     }
 }
