--- a/crates/railhub-platform/src/call/tests.rs
+++ b/crates/railhub-platform/src/call/tests.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         call.newest_subscription_without_outcome(),
         None,
-        "a snapshot of before its end may not show it"
+        "a snapshot taken before the call ended may not show it"
     );
     assert_eq!(call.take_resubscribe_reason(), Some(ResubscribeReason::SliceReassigned));
     call.on_ended(id(2));
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -2,7 +2,7 @@
 use crate::command::Command;
 use railhub::{HostId, SliceAssignment, WeightedHost};
 
-/// The current subscription before any is confirmed.
+/// The id of the current subscription before any is confirmed.
 const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
 fn controller() -> PlatformController {
@@ -11,7 +11,7 @@
     )
 }
 
-/// The assignments whose lines may still come.
+/// The assignments whose entries may not all have arrived yet.
 fn pending_assignments(controller: &PlatformController) -> Vec<SliceAssignment> {
     let mut assignments = Vec::new();
     controller.pending_assignments.clone().move_into(&mut assignments);
--- a/crates/railhub-platform/src/subscription/tests.rs
+++ b/crates/railhub-platform/src/subscription/tests.rs
@@ -5,7 +5,7 @@
     SubscriptionId { config_version: 0, sequence }
 }
 
-/// A subscription whose first snapshot is being received since second 1.
+/// A subscription that has been receiving its first snapshot since time 1.
 fn receiving_first_snapshot() -> Subscription {
     let mut subscription = Subscription::default();
     subscription.on_requested(id(1));
--- a/crates/railhub-platform/tests/controller/calls.rs
+++ b/crates/railhub-platform/tests/controller/calls.rs
@@ -1,10 +1,10 @@
-//! Calls: one at a time, and none before the outcome of the last one is known.
+//! Calls: only one is in flight, and none is sent before the outcome of the previous one is known.
 use super::*;
 
 #[test]
 fn entry_in_flight_counts_as_stored_in_a_snapshot() {
     let (mut controller, call) = with_call_in_flight();
-    // The subscription breaks while the call is in flight; its line is not in the snapshot.
+    // The subscription is renewed while the call is in flight, and the snapshot lacks the entry of the call.
     send_snapshot(&mut controller, START + 0.1, &[joined(1), assigned(3), stored(3, 1)]);
     controller.poll(START + 0.1);
     assert!(controller.next_call().is_none(), "one call at a time");
@@ -12,7 +12,7 @@
     controller.poll(START + 0.2);
     assert!(
         !controller.next_call().is_some_and(|call| text(&call).contains("share")),
-        "the line is as expected"
+        "the accepted entry counts as stored"
     );
 }
 
@@ -23,19 +23,22 @@
         assert!(controller.on_call_ended(None).is_none());
         assert!(controller.take_resubscribe_reason().is_some(), "only a snapshot shows the outcome");
         controller.poll(START + 0.1);
-        assert!(controller.next_call().is_none(), "carried out, it would wait in the channel twice");
+        assert!(
+            controller.next_call().is_none(),
+            "if the call was carried out, a repetition would queue it twice"
+        );
         let table = [joined(1), assigned(3), stored(3, 1), standby(0.0)];
         send_snapshot(&mut controller, START + 0.2, &table[..3 + usize::from(carried_out)]);
         controller.poll(START + 0.2);
-        let again = controller.next_call();
+        let repeated = controller.next_call();
         if carried_out {
-            assert!(!again.is_some_and(|call| text(&call).contains("share")));
+            assert!(!repeated.is_some_and(|call| text(&call).contains("share")));
             continue;
         }
-        let again = again.expect("it was not carried out");
-        assert_eq!(commands_of(&again), commands_of(&call));
-        assert!(again.id > call.id, "an answer to the first must not pass for this one's");
-        controller.on_call_ended(Some(CallResponse::Accepted(again.commands)));
+        let repeated = repeated.expect("the call was not carried out");
+        assert_eq!(commands_of(&repeated), commands_of(&call));
+        assert!(repeated.id > call.id, "a late response to the first call must not match");
+        controller.on_call_ended(Some(CallResponse::Accepted(repeated.commands)));
         assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
     }
 }
@@ -47,13 +50,13 @@
     let requested_early = controller.subscription;
     controller.on_call_ended(None);
     assert!(controller.take_resubscribe_reason().is_some());
-    // Its snapshot is of before the call was carried out: by it the call would be repeated.
+    // Its snapshot was taken before the call was carried out, so relying on it would repeat the call.
     for event in [RelayEvent::Subscribed, joined(1), assigned(3), stored(3, 1), RelayEvent::Heartbeat] {
         controller.inner.on_relay_event(START + 0.1, requested_early, event);
     }
     controller.poll(START + 0.3);
     assert!(controller.next_call().is_none());
-    assert!(controller.take_resubscribe_reason().is_some(), "one more is needed");
+    assert!(controller.take_resubscribe_reason().is_some(), "a later subscription is needed");
     send_snapshot(&mut controller, START + 0.4, &[joined(1), assigned(3), stored(3, 1), standby(0.0)]);
     controller.poll(START + 0.4);
     assert!(!controller.next_call().is_some_and(|call| text(&call).contains("share")));
@@ -66,33 +69,36 @@
     controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
     [assigned(3), stored(3, 1)].into_iter().for_each(|event| controller.on_relay_event(START + 0.2, event));
     controller.poll(START + 0.25);
-    assert!(controller.next_call().is_none(), "the rest may be on its way");
+    assert!(controller.next_call().is_none(), "more entries may arrive");
     assert!(controller.next_deadline().is_some_and(|due| due < START + 0.35));
     controller.poll(START + 0.31);
-    assert!(controller.next_call().is_some(), "no heartbeat is needed");
+    assert!(controller.next_call().is_some(), "the outcome is known without a heartbeat");
 }
 
 #[test]
 fn slice_missing_from_an_incomplete_snapshot_is_not_revoked() {
     let mut controller = TestController::new(&config());
-    let tables = [joined(1), assigned(3), stored(3, 1), assigned(4), stored(4, 1)];
-    send_snapshot(&mut controller, START, &tables);
+    let events = [joined(1), assigned(3), stored(3, 1), assigned(4), stored(4, 1)];
+    send_snapshot(&mut controller, START, &events);
     controller.poll(START);
     let call = controller.next_call().expect("two standbys");
     controller.on_call_ended(None);
     controller.on_relay_event(START + 0.2, RelayEvent::Subscribed);
-    tables[..3].iter().for_each(|event| controller.on_relay_event(START + 0.2, *event));
-    // The snapshot pauses for longer than an outcome takes to be seen.
+    events[..3].iter().for_each(|event| controller.on_relay_event(START + 0.2, *event));
+    // The snapshot pauses for longer than the idle time after which its tables show an outcome.
     controller.poll(START + 0.4);
     assert!(
         controller.next_call().is_none() && controller.next_deadline().is_some_and(|due| due > START + 0.4)
     );
-    tables[3..]
+    events[3..]
         .iter()
         .chain([&RelayEvent::Heartbeat])
         .for_each(|event| controller.on_relay_event(START + 0.5, *event));
     controller.poll(START + 0.5);
-    assert_eq!(commands_of(&controller.next_call().expect("it was not carried out")), commands_of(&call));
+    assert_eq!(
+        commands_of(&controller.next_call().expect("the call was not carried out")),
+        commands_of(&call)
+    );
 }
 
 #[test]
@@ -104,14 +110,11 @@
         "no command changes the table of a revoked slice"
     );
     [assigned(3), stored(3, 1)].into_iter().for_each(|event| controller.on_relay_event(START + 0.11, event));
-    assert!(
-        controller.take_resubscribe_reason().is_some(),
-        "the call's line may be on the table as it is now"
-    );
+    assert!(controller.take_resubscribe_reason().is_some(), "the call's entry may be in the new table");
     controller.on_call_ended(Some(CallResponse::Accepted(call.commands)));
     assert!(
         controller.take_resubscribe_reason().is_some() && controller.next_call().is_none(),
-        "its effect can be seen from now on"
+        "a snapshot requested from now on shows its effect"
     );
     send_snapshot(&mut controller, START + 0.3, &[joined(1), assigned(3), stored(3, 1), standby(0.0)]);
     controller.poll(START + 0.3);
@@ -120,7 +123,7 @@
 
 #[test]
 fn does_not_repeat_commands_for_a_slice_assigned_elsewhere() {
-    // The relay carried the call out or not, and assigned the slice to the other controller meanwhile.
+    // Meanwhile the relay assigned the slice to another controller, after carrying out the call or without it.
     for carried_out in [true, false] {
         let (mut first, _) = with_call_in_flight();
         first.on_call_ended(None);
@@ -135,12 +138,12 @@
         send_snapshot(&mut first, START + 0.2, &[joined(1)]);
         first.poll(START + 0.2);
         assert!(!first.next_call().is_some_and(|call| text(&call).contains("\"table\":3")));
-        // The other controller sets what the table lacks, once.
+        // The other controller sets the missing entry, once.
         assert_eq!(accept_all_calls(&mut successor, START + 0.2).contains("\"table\":3"), !carried_out);
     }
 }
 
-/// The barrier that a call carries.
+/// The barrier in a call.
 fn barrier_of(call: &Call) -> BarrierId {
     let number = text(call).split("\"ticket\":").nth(1).and_then(|rest| rest.split(',').next());
     BarrierId(number.and_then(|number| number.parse().ok()).expect("a barrier"))
@@ -148,26 +151,26 @@
 
 #[test]
 fn proxy_joining_during_a_call_counts_as_a_recipient() {
-    // 35 proxies and a few lines for each: one such update fits into the backlog's limit, two do not.
+    // With 35 proxies and a few entries for each, one update fits the backlog limit and two do not.
     const LATE_PROXIES: std::ops::Range<u16> = 5..35;
     let mut controller = TestController::new(&config());
-    let mut first = vec![assigned(3), stored(3, 1)];
-    first.extend((0..LATE_PROXIES.start).map(joined));
-    send_snapshot(&mut controller, START, &first);
+    let mut events = vec![assigned(3), stored(3, 1)];
+    events.extend((0..LATE_PROXIES.start).map(joined));
+    send_snapshot(&mut controller, START, &events);
     controller.poll(START);
     let call = controller.next_call().expect("a standby is due");
     LATE_PROXIES.for_each(|proxy| controller.on_relay_event(START + 0.01, joined(proxy)));
     controller.poll(START + 0.02);
     assert!(controller.on_call_ended(Some(CallResponse::Accepted(call.commands))).is_none());
-    let drains = CONFIG_JSON
+    let draining = CONFIG_JSON
         .replace("\"lifecycle\": \"ready\"", "\"lifecycle\": \"draining\"")
         .replacen("draining", "ready", 1);
-    let known = NodeConfig::parse(&drains.replace("\"generation\": 41", "\"generation\": 42"))
+    let known = NodeConfig::parse(&draining.replace("\"generation\": 41", "\"generation\": 42"))
         .expect("a valid file")
         .known_endpoints;
     assert!(controller.on_endpoint_page(START + 0.1, &known));
     controller.poll(START + 0.1);
-    assert!(controller.next_call().is_none(), "the first update may wait for all that have joined since");
+    assert!(controller.next_call().is_none(), "the backlog counts the first update for all late proxies too");
     let mark = barrier_of(&call);
     for proxy in (0..LATE_PROXIES.end).map(ProxyId) {
         controller.on_relay_event(START + 0.9, RelayEvent::BarrierAcked(BarrierAck { proxy, barrier: mark }));
--- a/crates/railhub-platform/tests/controller/hosts.rs
+++ b/crates/railhub-platform/tests/controller/hosts.rs
@@ -1,4 +1,4 @@
-//! Pages of discovery and health checks.
+//! Endpoint pages and health checks.
 use super::*;
 
 #[test]
@@ -11,9 +11,9 @@
         );
         railhub_platform::wire::discovery::decode_page(text.as_bytes(), &config.names).expect("a page")
     };
-    let here = "127.0.0.1:7070";
+    let listed_address = "127.0.0.1:7070";
     for (address, lifecycle, started) in
-        [("127.0.0.9:7070", "ready", 0.0), (here, "ready", 1.7e12), (here, "gone", 0.0)]
+        [("127.0.0.9:7070", "ready", 0.0), (listed_address, "ready", 1.7e12), (listed_address, "gone", 0.0)]
     {
         let mut controller = TestController::new(&config);
         send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 2)]);
@@ -43,9 +43,9 @@
     };
     let mut controller = TestController::new(&config);
     assert!(controller.on_endpoint_page(START, &page(60, true, "s-7")));
-    assert!(!controller.on_endpoint_page(START + 5.0, &page(3, true, "s-8")), "it may be late");
-    assert!(!controller.on_endpoint_page(START + 20.0, &page(4, false, "s-8")), "changes of an unknown list");
-    assert!(controller.on_endpoint_page(START + 20.0, &page(3, true, "s-8")), "discovery began anew");
+    assert!(!controller.on_endpoint_page(START + 5.0, &page(3, true, "s-8")), "the page may be late");
+    assert!(!controller.on_endpoint_page(START + 20.0, &page(4, false, "s-8")), "changes to an unknown list");
+    assert!(controller.on_endpoint_page(START + 20.0, &page(3, true, "s-8")), "discovery restarted");
     assert!(
         controller.on_endpoint_page(START + 20.1, &page(4, false, "s-9")) && controller.generation() == 4
     );
@@ -67,5 +67,5 @@
     assert_eq!((controller.hosts_listed(), controller.generation()), (2, 41));
     assert!(controller.on_endpoint_page(START, &page("1")));
     assert_eq!((controller.hosts_listed(), controller.generation()), (3, 42));
-    assert!(!controller.on_endpoint_page(START, &page("1")), "known already");
+    assert!(!controller.on_endpoint_page(START, &page("1")), "the page is already known");
 }
--- a/crates/railhub-platform/tests/controller/main.rs
+++ b/crates/railhub-platform/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! The controller with the real decisions: snapshots, commands, and the outcomes of calls.
+//! The controller with the real decision logic: snapshots, commands, and the outcomes of calls.
 mod calls;
 mod hosts;
 mod pending_commands;
@@ -13,10 +13,11 @@
 use std::ops::{Deref, DerefMut};
 
 const CONFIG_JSON: &str = include_str!("../node_config.json");
+/// Time of the first event of a test, in seconds of Unix time.
 const START: f64 = 1_700_000_100.0;
 
 fn config() -> NodeConfig {
-    // Without health checks the decisions trust the list, so that a few batches are enough.
+    // Without health checks the decision logic trusts the endpoint list, so that a few batches are enough.
     NodeConfig::parse(&CONFIG_JSON.replace("\"probes\": true", "\"probes\": false")).expect("a valid file")
 }
 
@@ -39,7 +40,7 @@
     RelayEvent::ProxyJoined { proxy: ProxyId(proxy), first: false }
 }
 
-/// A controller and its current subscription; each further one is requested as it is confirmed.
+/// A controller and its newest subscription. A new one is requested with each `Subscribed` event.
 struct TestController {
     inner: PlatformController,
     subscription: SubscriptionId,
@@ -77,7 +78,7 @@
     }
 }
 
-/// A complete snapshot of a new subscription.
+/// Sends a complete snapshot of a new subscription.
 fn send_snapshot(controller: &mut TestController, now: f64, events: &[RelayEvent]) {
     controller.on_relay_event(now, RelayEvent::Subscribed);
     for event in events {
@@ -101,11 +102,12 @@
     calls
 }
 
+/// The encoded commands of a call, without its id.
 fn commands_of(call: &Call) -> &str {
     text(call).split_once("orders").expect("a commit").1
 }
 
-/// A controller that has set slice 3's standby, with that call in flight.
+/// A controller whose call that sets the standby of slice 3 is in flight.
 fn with_call_in_flight() -> (TestController, Call) {
     let mut controller = TestController::new(&config());
     send_snapshot(&mut controller, START, &[joined(1), assigned(3), stored(3, 1)]);
@@ -114,6 +116,7 @@
     (controller, call)
 }
 
+/// The entry of the standby in the table of slice 3.
 fn standby(weight: f64) -> RelayEvent {
     RelayEvent::StoredEntry { slice: SliceId(3), line: WeightedHost { host: host(2), weight } }
 }
--- a/crates/railhub-platform/tests/controller/pending_commands.rs
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -6,11 +6,11 @@
     let mut pending = PendingCommands::default();
     push_entries(&mut pending, 3);
     pending.next_call(&[]).expect("a call");
-    // Slice 0 was carried out, slice 1 was not, slice 2 is another controller's now.
+    // The command for slice 0 was carried out, that for slice 1 was not, and slice 2 is assigned elsewhere now.
     let tables = [(SliceId(0), vec![(host(1), 1.0).into()]), (SliceId(1), Vec::new())].into();
     pending.reconcile(&tables);
-    let again = pending.next_call(&[]).expect("one line");
-    assert!(again.commands == 1 && text(&again).contains("\"table\":1"), "{}", text(&again));
+    let repeated = pending.next_call(&[]).expect("one entry");
+    assert!(repeated.commands == 1 && text(&repeated).contains("\"table\":1"), "{}", text(&repeated));
 }
 
 #[test]
@@ -64,7 +64,7 @@
     assert_eq!(rest.commands, 2);
     assert!(text(&rest).contains("\"table\":3") && text(&rest).contains("\"table\":4"));
     assert!(pending.on_accepted(2).refused.is_none());
-    assert_eq!(pending.next_call(&[]).expect("what was queued meanwhile").commands, 6);
+    assert_eq!(pending.next_call(&[]).expect("the commands queued meanwhile").commands, 6);
 }
 
 #[test]
@@ -95,5 +95,5 @@
         });
         assert!(pending.len() <= 20_000);
     }
-    assert!(pending.overflowed, "the store must be read again");
+    assert!(pending.overflowed, "a new snapshot is needed");
 }
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of each message, both ways: what is sent byte for byte, what is read from literal bytes to typed values.
+//! The bytes of each message: encoding is compared byte for byte, decoding starts from literal bytes.
 use railhub::{
     BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
     RetryPolicy, SliceId, SliceLoadReport, WeightedHost, ZoneId,
@@ -49,7 +49,7 @@
 
 #[test]
 fn encodes_each_command() {
-    for (command, order) in [
+    for (command, encoded) in [
         (
             Command::SetWeight {
                 slice: SliceId(4),
@@ -88,7 +88,7 @@
         (Command::Barrier(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
     ] {
         let expected = format!(
-            "{}{order}{}",
+            "{}{encoded}{}",
             r#"{"jsonrpc":"2.0","id":1,"method":"commit","params":{"orders":["#, "]}}\n"
         );
         assert_eq!(text(&call(&[command])), expected);
@@ -185,7 +185,7 @@
 
 #[test]
 fn decodes_each_call_response_from_literal_bytes() {
-    for (line, answer) in [
+    for (line, expected) in [
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#, Ok(CallResponse::Accepted(2))),
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(CallResponse::Accepted(0))),
         (r#"{"jsonrpc":"2.0","id":8,"error":{"code":-1,"message":"limit"}}"#, Ok(CallResponse::Rejected)),
@@ -195,7 +195,7 @@
         (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(DecodeError::UnknownName)),
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(DecodeError::OutOfRange)),
     ] {
-        assert_eq!(decode_response(line), answer, "{line}");
+        assert_eq!(decode_response(line), expected, "{line}");
     }
 }
 
@@ -264,18 +264,21 @@
 
 #[test]
 fn decodes_the_configuration_from_literal_bytes() {
-    let read = NodeConfig::parse(include_str!("node_config.json")).expect("a valid file");
+    let config = NodeConfig::parse(include_str!("node_config.json")).expect("a valid file");
     assert_eq!(
-        [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
+        [config.listen, config.discovery, config.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
     assert_eq!(
-        (read.sockets, read.memory_mb, read.min_batch_interval, read.known_endpoints.generation),
+        (config.sockets, config.memory_mb, config.min_batch_interval, config.known_endpoints.generation),
         (256, 32, 0.001, 41)
     );
-    assert_eq!(read.names.classes, ["view", "deposit"]);
-    assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
-    let controller = read.controller;
+    assert_eq!(config.names.classes, ["view", "deposit"]);
+    assert_eq!(
+        (config.names.zones, config.names.kinds),
+        (vec!["a".into(), "b".into()], vec!["m".to_owned()])
+    );
+    let controller = config.controller;
     assert_eq!(
         (controller.slice_count, controller.single_owner, controller.health_checks_allowed),
         (40, false, true)
