--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -29,7 +29,7 @@
 /// # Errors
 /// [`RunError::Listen`] if the address cannot be opened.
 pub fn open(config: &NodeConfig, shared: &Arc<SharedState>) -> Result<Listener, RunError> {
-    let table = Arc::new(ConnectionTable::new(max_connections(config.sockets)));
+    let table = Arc::new(ConnectionTable::new(max_connections(config.descriptor_limit)));
     let shared = shared.clone();
     let on_connection = move |stream: TcpStream| {
         let (shared, table) = (shared.clone(), table.clone());
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -34,7 +34,7 @@
     signals.handle(path.to_owned(), shared.clone()).map_err(RunError::StartThread)?;
     let thread = std::thread::Builder::new().name("owner".into());
     thread.spawn(move || controller.run()).map_err(RunError::StartThread)?;
-    status_log::run(&shared, config.memory_mb)
+    status_log::run(&shared, config.memory_limit_mb)
 }
 
 /// An invalid entry of the known list does not end the start, which would leave nobody in control.
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -113,9 +113,9 @@
     /// The relay's address.
     pub relay: SocketAddr,
     /// Maximum number of file descriptors of the process.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// Memory limit of the process, in megabytes.
-    pub memory_mb: usize,
+    pub memory_limit_mb: usize,
     /// The endpoint list that the controller last knew. It may be outdated.
     pub known_endpoints: EndpointPage,
     /// The configuration of the decision logic.
--- a/crates/railhub-platform/tests/decoders.rs
+++ b/crates/railhub-platform/tests/decoders.rs
@@ -17,7 +17,7 @@
 #[test]
 fn decodes_a_configuration_and_its_initial_list() {
     let config = NodeConfig::parse(CONFIG_JSON).expect("a valid file");
-    assert_eq!((config.name.as_str(), config.sockets, config.memory_mb), ("n0", 256, 32));
+    assert_eq!((config.name.as_str(), config.descriptor_limit, config.memory_limit_mb), ("n0", 256, 32));
     assert_eq!(config.relay.to_string(), "127.0.0.1:6400");
     assert_eq!(
         (
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -270,7 +270,12 @@
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
     assert_eq!(
-        (config.sockets, config.memory_mb, config.min_batch_interval, config.known_endpoints.generation),
+        (
+            config.descriptor_limit,
+            config.memory_limit_mb,
+            config.min_batch_interval,
+            config.known_endpoints.generation
+        ),
         (256, 32, 0.001, 41)
     );
     assert_eq!(config.names.classes, ["view", "deposit"]);
