--- a/crates/railhub-platform/src/batch.rs
+++ b/crates/railhub-platform/src/batch.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 pub(crate) struct PendingBatch {
     pub(crate) events: EventBatch,
-    /// Whether an event arrived since the last batch that calls for a new one.
+    /// Whether an event that requires a new batch has arrived since the last one.
     pub(crate) changed: bool,
     /// When the last batch was handled.
     pub(crate) handled_at: Seconds,
@@ -45,11 +45,11 @@
 
 /// Adds a report unless the limit is reached. Returns whether it was added.
 fn push_bounded<T>(reports: &mut Vec<T>, report: T) -> bool {
-    let has_room = reports.len() < MAX_LOAD_REPORTS_PER_BATCH;
-    if has_room {
+    let is_below_limit = reports.len() < MAX_LOAD_REPORTS_PER_BATCH;
+    if is_below_limit {
         reports.push(report);
     }
-    has_room
+    is_below_limit
 }
 
 /// A timer of the decision logic.
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -16,7 +16,7 @@
     /// The file is not JSON, or a field is missing or has the wrong type.
     #[error("{field_path}: {error}")]
     Json {
-        /// Where in the file.
+        /// The path of the field, or `end of file`.
         field_path: String,
         /// The parser's error.
         error: serde_json::Error,
@@ -24,23 +24,23 @@
     /// No operation class, or more than [`MAX_CLASSES`].
     #[error("{field_path}: expected 1 to {MAX_CLASSES} classes, got {count}")]
     ClassCount {
-        /// Where in the file.
+        /// The path of the field.
         field_path: String,
         /// Number of classes in the file.
         count: usize,
     },
     /// A duration over [`MAX_DURATION`].
     #[error("{field_path}: expected at most {MAX_DURATION} s, got {duration} s")]
-    TooLong {
-        /// Where in the file.
+    DurationTooLong {
+        /// The path of the field.
         field_path: String,
         /// The duration, in seconds.
         duration: Seconds,
     },
     /// A number below 0, or not finite.
     #[error("{field_path}: expected a finite number of at least 0, got {number}")]
-    Negative {
-        /// Where in the file.
+    InvalidNumber {
+        /// The path of the field.
         field_path: String,
         /// The number.
         number: f64,
@@ -48,7 +48,7 @@
     /// A text that is none of the field's values.
     #[error("{field_path}: expected {expected}, got '{value}'")]
     UnknownValue {
-        /// Where in the file.
+        /// The path of the field.
         field_path: String,
         /// The value.
         value: String,
@@ -58,7 +58,7 @@
     /// A duration that is required if a slice has one owner. Without it two hosts could accept one owner's writes.
     #[error("{field_path}: required if settings.family_info.exclusive is true")]
     MissingSingleOwnerDuration {
-        /// Where in the file.
+        /// The path of the field.
         field_path: String,
     },
 }
--- a/crates/railhub-platform/src/controller.rs
+++ b/crates/railhub-platform/src/controller.rs
@@ -45,7 +45,7 @@
     hosts: HostDirectory,
     proxies: BTreeSet<ProxyId>,
     commands: PendingCommands,
-    /// Time of the first batch since which some command has been pending at every batch. The oldest command that is
+    /// Time of the batch since which commands have been pending without interruption. The oldest command that is
     /// pending now may be newer.
     oldest_pending_at: Option<Seconds>,
     call: CallTracker,
@@ -186,7 +186,7 @@
 
     /// The snapshot is complete: it replaces the known state of proxies and slices.
     fn complete_snapshot(&mut self) {
-        self.settle_call();
+        self.resolve_call_outcome();
         let Some(snapshot) = self.subscription.complete_snapshot(self.single_owner) else { return };
         self.batch.changed = true;
         // The snapshot includes the earlier assignments, but not that a proxy disconnected before it.
@@ -210,7 +210,7 @@
     }
 
     /// Determines an unknown outcome of a call from the snapshot being received, if that shows it.
-    fn settle_call(&mut self) {
+    fn resolve_call_outcome(&mut self) {
         let Some(snapshot) = self.snapshot_after_call() else { return };
         let tables = snapshot.tables.clone();
         self.commands.reconcile(&tables);
@@ -250,7 +250,7 @@
             self.complete_snapshot();
         }
         if self.snapshot_covering_call().is_some_and(|snapshot| snapshot.shows_outcomes(now)) {
-            self.settle_call();
+            self.resolve_call_outcome();
         }
         if self.pending_assignments.are_complete(now) {
             self.pending_assignments.move_into(&mut self.batch.events.assignments);
@@ -264,8 +264,8 @@
     }
 
     fn is_batch_due(&self, now: Seconds) -> bool {
-        let are_changes_due = self.batch.changed && now - self.batch.handled_at >= self.min_batch_interval;
-        are_changes_due || self.timers.is_due(now)
+        let changes_due = self.batch.changed && now - self.batch.handled_at >= self.min_batch_interval;
+        changes_due || self.timers.is_due(now)
     }
 
     /// Runs the decision logic on the pending events.
--- a/crates/railhub-platform/src/pending_commands.rs
+++ b/crates/railhub-platform/src/pending_commands.rs
@@ -57,7 +57,7 @@
         PendingCommands { single_owner: config.single_owner, ..PendingCommands::default() }
     }
 
-    /// Queues a command.
+    /// Appends a command to the queue and drops a queued one with the same key.
     pub fn push(&mut self, command: Command) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -84,7 +84,7 @@
     /// may be applied to the table before or after its reassignment.
     pub fn discard_queued_for(&mut self, slice: SliceId) -> bool {
         self.queue.retain(|queued| !queued.command.changes_table(slice));
-        self.newest.retain(|key, _| !matches!(key, CommandKey::Weight(of, _) if *of == slice));
+        self.newest.retain(|key, _| !matches!(key, CommandKey::Weight(changed, _) if *changed == slice));
         self.current_call.iter().any(|command| command.changes_table(slice))
     }
 
@@ -117,10 +117,10 @@
     }
 
     /// Drops admission rates of classes without a name: they cannot be encoded, and `*` would change every class.
-    fn drop_unnamed_classes(&mut self, classes: usize) {
+    fn drop_unnamed_classes(&mut self, class_count: usize) {
         let before = self.queue.len();
         self.queue.retain(|queued| match queued.command {
-            Command::SetAdmissionRate { class, .. } => usize::from(class.0) < classes,
+            Command::SetAdmissionRate { class, .. } => usize::from(class.0) < class_count,
             _ => true,
         });
         self.unnamed_classes += (before - self.queue.len()) as u64;
@@ -130,7 +130,7 @@
     fn fill_from_queue(&mut self, call: &mut CallEncoder, class_names: &[String]) {
         while let Some(queued) = self.queue.front() {
             let encoded = encode_command(&queued.command, class_names);
-            if !call.has_room(&encoded) {
+            if !call.fits(&encoded) {
                 break;
             }
             call.push(&encoded);
@@ -196,7 +196,7 @@
         let queued = self.queue.iter().map(|queued| &queued.command);
         for command in self.current_call.iter().chain(queued) {
             match *command {
-                Command::SetWeight { slice: of, entry } if of == slice => {
+                Command::SetWeight { slice: changed, entry } if changed == slice => {
                     set_weight(&mut table, entry, self.single_owner);
                 }
                 _ => {}
--- a/crates/railhub-platform/src/snapshot_changes.rs
+++ b/crates/railhub-platform/src/snapshot_changes.rs
@@ -19,9 +19,9 @@
     present: &BTreeMap<ProxyId, bool>,
 ) -> Vec<ProxyStreamEvent> {
     let absent = known.iter().filter(|proxy| !present.contains_key(proxy));
-    let down = absent.map(|proxy| ProxyStreamEvent::Disconnected(*proxy));
-    let up = present.iter().map(|(proxy, first)| stream_established(*proxy, *first));
-    down.chain(up).collect()
+    let disconnected = absent.map(|proxy| ProxyStreamEvent::Disconnected(*proxy));
+    let connected = present.iter().map(|(proxy, first)| stream_established(*proxy, *first));
+    disconnected.chain(connected).collect()
 }
 
 /// Assigns the slices whose table differs from the known one, then revokes the known slices that are missing.
--- a/crates/railhub-platform/src/subscription.rs
+++ b/crates/railhub-platform/src/subscription.rs
@@ -11,8 +11,8 @@
 
 /// Time without an event after which the first snapshot counts as complete. Later entries are added as live events.
 const FIRST_SNAPSHOT_IDLE_TIMEOUT: Seconds = 0.1;
-/// Time without an event after which a later snapshot counts as complete. Known proxies and
-/// slices that are missing from it count as lost.
+/// Time without an event after which a later snapshot counts as complete. Known proxies and slices that are missing
+/// from it count as lost.
 const SNAPSHOT_IDLE_TIMEOUT: Seconds = 1.5;
 /// Time without an event after which the tables received so far count as complete, to determine the outcome of a call.
 const TABLES_IDLE_TIMEOUT: Seconds = 0.1;
@@ -68,7 +68,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct TooManyAccepted;
 
-/// What an event means for the rest of the controller.
+/// The effect of an event on the rest of the controller.
 #[derive(Debug, PartialEq)]
 pub(crate) enum EventOutcome {
     /// Nothing: it belongs to an old subscription, or was added to the snapshot.
@@ -95,7 +95,7 @@
     newest_requested: SubscriptionId,
     /// Requested subscriptions whose connection has not ended and whose snapshot is not complete.
     snapshots_pending: BTreeSet<SubscriptionId>,
-    /// Commands accepted while a snapshot was pending, which may have been taken before they were applied.
+    /// Commands accepted while a snapshot was pending: the relay may have taken the snapshot before it applied them.
     accepted_since_snapshot: Vec<AcceptedCommand>,
 }
 
--- a/crates/railhub-platform/src/wire/collector.rs
+++ b/crates/railhub-platform/src/wire/collector.rs
@@ -85,15 +85,16 @@
 
 /// Encodes the response to a ping.
 pub fn encode_pong() -> Vec<u8> {
-    framed("{\"t\":\"pong\"}")
+    frame("{\"t\":\"pong\"}")
 }
 
 /// Encodes the message that a client receives before its connection is closed.
 pub fn encode_refusal(cause: DecodeError) -> Vec<u8> {
-    framed(&format!("{{\"t\":\"refused\",\"why\":\"{cause}\"}}"))
+    frame(&format!("{{\"t\":\"refused\",\"why\":\"{cause}\"}}"))
 }
 
-fn framed(body: &str) -> Vec<u8> {
+/// Prepends the length of the body.
+fn frame(body: &str) -> Vec<u8> {
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(body.as_bytes());
     bytes
--- a/crates/railhub-platform/src/wire/relay.rs
+++ b/crates/railhub-platform/src/wire/relay.rs
@@ -209,7 +209,7 @@
     }
 
     /// Whether one more command keeps the call within [`MAX_CALL_BYTES`]. The first one always fits.
-    pub(crate) fn has_room(&self, command: &str) -> bool {
+    pub(crate) fn fits(&self, command: &str) -> bool {
         self.commands == 0 || self.bytes.len() + command.len() < MAX_CALL_BYTES
     }
 
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -16,7 +16,7 @@
     HostId::new(name).expect("a valid name")
 }
 
-fn framed(body: &str) -> Vec<u8> {
+fn frame(body: &str) -> Vec<u8> {
     [&(body.len() as u32).to_be_bytes(), body.as_bytes()].concat()
 }
 
@@ -125,7 +125,7 @@
         text(&wire::relay::encode_subscribe(10)),
         "{\"jsonrpc\":\"2.0\",\"id\":10,\"method\":\"subscribe\"}\n"
     );
-    assert_eq!(wire::collector::encode_pong(), framed(r#"{"t":"pong"}"#));
+    assert_eq!(wire::collector::encode_pong(), frame(r#"{"t":"pong"}"#));
     assert_eq!(wire::collector::encode_pong()[..4], [0, 0, 0, 12]);
     for (cause, why) in [
         (DecodeError::Unreadable, "it cannot be read"),
@@ -136,7 +136,7 @@
     ] {
         assert_eq!(
             wire::collector::encode_refusal(cause),
-            framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#))
+            frame(&format!(r#"{{"t":"refused","why":"{why}"}}"#))
         );
     }
 }
