--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -3,7 +3,7 @@
 use railhub::{HostId, SliceAssignment, WeightedHost};
 
 /// The id of the current subscription before any is confirmed.
-const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
+const NO_SUBSCRIPTION: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
 fn controller() -> PlatformController {
     PlatformController::new(
@@ -22,8 +22,8 @@
 fn reports_a_proxy_that_left_just_before_a_new_subscription() {
     let mut controller = controller();
     let (proxy, now) = (ProxyId(5), 1.0);
-    controller.on_relay_event(now, NONE, RelayEvent::ProxyJoined { proxy, first: true });
-    controller.on_relay_event(now, NONE, RelayEvent::ProxyLeft(proxy));
+    controller.on_relay_event(now, NO_SUBSCRIPTION, RelayEvent::ProxyJoined { proxy, first: true });
+    controller.on_relay_event(now, NO_SUBSCRIPTION, RelayEvent::ProxyLeft(proxy));
     let first = SubscriptionId { config_version: 0, sequence: 1 };
     [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
@@ -60,11 +60,11 @@
     );
     let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a valid file"));
     let slice = SliceId(3);
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
+    controller.on_relay_event(1.0, NO_SUBSCRIPTION, RelayEvent::SliceAssigned { slice, assigned: true });
     for name in ["s-1", "s-2"] {
         controller.on_relay_event(
             1.0,
-            NONE,
+            NO_SUBSCRIPTION,
             RelayEvent::StoredEntry {
                 slice,
                 line: WeightedHost { host: HostId::new(name).expect("a name"), weight: 1.0 },
@@ -89,10 +89,10 @@
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.batch.events.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: false });
+    controller.on_relay_event(1.0, NO_SUBSCRIPTION, RelayEvent::SliceAssigned { slice, assigned: false });
     controller.on_relay_event(
         1.0,
-        NONE,
+        NO_SUBSCRIPTION,
         RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
     );
     assert_eq!(pending_assignments(&controller), [SliceAssignment::Revoked { slice }]);
@@ -100,10 +100,10 @@
         controller.batch.events.assignments,
         [SliceAssignment::Assigned { slice, entries: Vec::new() }]
     );
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
+    controller.on_relay_event(1.0, NO_SUBSCRIPTION, RelayEvent::SliceAssigned { slice, assigned: true });
     controller.on_relay_event(
         1.0,
-        NONE,
+        NO_SUBSCRIPTION,
         RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
     );
     let entries = vec![WeightedHost { host, weight: 1.0 }];
--- a/crates/railhub-platform/tests/controller/calls.rs
+++ b/crates/railhub-platform/tests/controller/calls.rs
@@ -27,8 +27,8 @@
             controller.next_call().is_none(),
             "if the call was carried out, a repetition would queue it twice"
         );
-        let table = [joined(1), assigned(3), stored(3, 1), standby(0.0)];
-        send_snapshot(&mut controller, START + 0.2, &table[..3 + usize::from(carried_out)]);
+        let events = [joined(1), assigned(3), stored(3, 1), standby(0.0)];
+        send_snapshot(&mut controller, START + 0.2, &events[..3 + usize::from(carried_out)]);
         controller.poll(START + 0.2);
         let repeated = controller.next_call();
         if carried_out {
@@ -123,21 +123,22 @@
 
 #[test]
 fn does_not_repeat_commands_for_a_slice_assigned_elsewhere() {
-    // Meanwhile the relay assigned the slice to another controller, after carrying out the call or without it.
+    // The relay assigns the slice to another controller, having carried out the call or not.
     for carried_out in [true, false] {
-        let (mut first, _) = with_call_in_flight();
-        first.on_call_ended(None);
-        first.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
+        let (mut predecessor, _) = with_call_in_flight();
+        predecessor.on_call_ended(None);
+        predecessor
+            .on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
         let mut successor = TestController::new(&config());
         send_snapshot(&mut successor, START, &[joined(1)]);
         accept_all_calls(&mut successor, START);
-        let table = [assigned(3), stored(3, 1), standby(0.0)];
-        table[..2 + usize::from(carried_out)]
+        let events = [assigned(3), stored(3, 1), standby(0.0)];
+        events[..2 + usize::from(carried_out)]
             .iter()
             .for_each(|event| successor.on_relay_event(START + 0.1, *event));
-        send_snapshot(&mut first, START + 0.2, &[joined(1)]);
-        first.poll(START + 0.2);
-        assert!(!first.next_call().is_some_and(|call| text(&call).contains("\"table\":3")));
+        send_snapshot(&mut predecessor, START + 0.2, &[joined(1)]);
+        predecessor.poll(START + 0.2);
+        assert!(!predecessor.next_call().is_some_and(|call| text(&call).contains("\"table\":3")));
         // The other controller sets the missing entry, once.
         assert_eq!(accept_all_calls(&mut successor, START + 0.2).contains("\"table\":3"), !carried_out);
     }
--- a/crates/railhub-platform/tests/controller/snapshots.rs
+++ b/crates/railhub-platform/tests/controller/snapshots.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn interrupted_first_snapshot_leaves_it_unsynchronized() {
+fn interrupted_first_snapshot_does_not_synchronize() {
     let mut controller = TestController::new(&config());
     controller.on_relay_event(START, RelayEvent::Subscribed);
     controller.on_relay_event(START, assigned(3));
