--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -38,12 +38,10 @@
         duration: Seconds,
     },
     /// A number below 0, or not finite.
-    #[error("{field_path}: expected a finite number of at least 0, got {number}")]
+    #[error("{field_path}: must be a number from 0 up")]
     InvalidNumber {
         /// The path of the field.
         field_path: String,
-        /// The number.
-        number: f64,
     },
     /// A text that is none of the field's values.
     #[error("{field_path}: expected {expected}, got '{value}'")]
--- a/crates/railhub-platform/src/wire/configuration.rs
+++ b/crates/railhub-platform/src/wire/configuration.rs
@@ -225,6 +225,6 @@
     if number.is_finite() && number >= 0.0 {
         Ok(number)
     } else {
-        Err(ConfigError::InvalidNumber { field_path: field_path.to_owned(), number })
+        Err(ConfigError::InvalidNumber { field_path: field_path.to_owned() })
     }
 }
