--- a/crates/railhub-adapter/src/events.rs
+++ b/crates/railhub-adapter/src/events.rs
@@ -4,8 +4,8 @@
 use crate::wire_line::WireLine;
 use railhub::{
     BarrierAck, BarrierId, ClassId, EndpointEntry, EndpointList, EventBatch, HealthCheckOutcome,
-    HealthCheckResult, HostLoadReport, KindId, Phase, ProxyId, ProxyStreamEvent, SliceAssignment, SliceId,
-    SliceLoadReport, TimerId, WeightedHost, ZoneId,
+    HealthCheckResult, HostKindId, HostLoadReport, Phase, ProxyId, ProxyStreamEvent, SliceAssignment,
+    SliceId, SliceLoadReport, TimerId, WeightedHost, ZoneId,
 };
 use std::ops::RangeInclusive;
 
@@ -61,7 +61,7 @@
         None => 0.0,
     };
     let host = line.host()?;
-    let kind = KindId(number_of(&mut names.kinds, line.optional("flavor").unwrap_or_default()));
+    let kind = HostKindId(number_of(&mut names.kinds, line.optional("flavor").unwrap_or_default()));
     let phase = match line.text("phase")? {
         "active" => Phase::Ready,
         "leaving" => Phase::Draining,
--- a/crates/railhub-controller/src/endpoint_list_poller.rs
+++ b/crates/railhub-controller/src/endpoint_list_poller.rs
@@ -4,7 +4,7 @@
 //! each entry is checked, and the update goes to the owner of the core. While the list does not respond the last one
 //! holds.
 use crate::inbox::{Inbox, OwnerEvent};
-use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
+use railhub::{EndpointEntry, EndpointList, HostId, HostKindId, Phase, Seconds};
 use railhub_net::http::{Client, HttpError};
 use railhub_net::{seconds, Task};
 use serde::{Deserialize, Serialize};
@@ -107,5 +107,5 @@
         return Err(EndpointListError::ImpossibleWeight { host, weight });
     }
     let started_at = entry.started.filter(|at| at.is_finite());
-    Ok(EndpointEntry { host: HostId::from(host), phase, started_at, weight, kind: KindId(entry.kind) })
+    Ok(EndpointEntry { host: HostId::from(host), phase, started_at, weight, kind: HostKindId(entry.kind) })
 }
--- a/crates/railhub-controller/src/expired_slices/tests.rs
+++ b/crates/railhub-controller/src/expired_slices/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use railhub::{EndpointEntry, KindId};
+use railhub::{EndpointEntry, HostKindId};
 
 fn host(n: u16) -> HostId {
     HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
@@ -11,7 +11,7 @@
         phase: *phase,
         started_at: None,
         weight: 1.0,
-        kind: KindId::default(),
+        kind: HostKindId::default(),
     };
     EndpointList { complete: false, entries: phases.iter().map(entry).collect() }
 }
--- a/crates/railhub-controller/tests/handover.rs
+++ b/crates/railhub-controller/tests/handover.rs
@@ -1,6 +1,6 @@
 //! The handoff of a slice from one core to the next.
 use railhub::{
-    ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId, Seconds,
+    ClassConfig, EndpointEntry, EndpointList, HostId, HostKindId, Idempotency, Phase, ProxyId, Seconds,
     WeightedHost,
 };
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
@@ -79,7 +79,7 @@
         phase: Phase::Ready,
         started_at: None,
         weight: 4.0,
-        kind: KindId(0),
+        kind: HostKindId(0),
     };
     core.on_endpoint_list(EndpointList { complete: true, entries: (1..4).map(entry).collect() });
     core
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use proptest::prelude::*;
 use railhub::{
-    EndpointEntry, EndpointList, EventBatch, HostId, HostLoadReport, KindId, Phase, TimerId, ZoneId,
+    EndpointEntry, EndpointList, EventBatch, HostId, HostKindId, HostLoadReport, Phase, TimerId, ZoneId,
 };
 use railhub_controller::delta_builder::DeltaBuilder;
 
@@ -10,7 +10,7 @@
 fn a_round_is_written_line_by_line() {
     let host = HostId::new("10.0.0.1:80").expect("a name");
     let listed =
-        EndpointEntry { host, kind: KindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
+        EndpointEntry { host, kind: HostKindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
     let sum = HostLoadReport {
         zone: ZoneId(1),
         host,
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a controller on the platform, and the names that its messages use. The file's fields are those
 //! of [`crate::wire::configuration`], where [`NodeConfig::parse`] is.
 use crate::endpoints::EndpointPage;
-use railhub::{ClassId, ControllerConfig, EndpointList, KindId, Seconds, ZoneId};
+use railhub::{ClassId, ControllerConfig, EndpointList, HostKindId, Seconds, ZoneId};
 use std::net::SocketAddr;
 use thiserror::Error;
 
@@ -64,7 +64,7 @@
     pub classes: Vec<String>,
     /// Zones, by [`ZoneId`].
     pub zones: Vec<String>,
-    /// Kinds of hosts, by [`KindId`].
+    /// Kinds of hosts, by [`HostKindId`].
     pub kinds: Vec<String>,
     /// The longest time a client waits, in seconds: an upper bound of mean service times.
     pub max_client_timeout: Seconds,
@@ -83,10 +83,10 @@
 
     /// The kind of this name. One that the file does not name gets a number by its hash: a table of them would grow
     /// without bound.
-    pub fn kind(&self, name: &str) -> KindId {
+    pub fn kind(&self, name: &str) -> HostKindId {
         match self.kinds.iter().position(|known| known == name) {
-            Some(index) => KindId(index as u16),
-            None => KindId(hash(name).max(self.kinds.len() as u16)),
+            Some(index) => HostKindId(index as u16),
+            None => HostKindId(hash(name).max(self.kinds.len() as u16)),
         }
     }
 }
--- a/crates/railhub-simulator/src/list.rs
+++ b/crates/railhub-simulator/src/list.rs
@@ -1,5 +1,5 @@
 //! The host list of the model: the truth as it has been noticed, lies on top, and what the steward was told.
-use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase};
+use railhub::{EndpointEntry, EndpointList, HostId, HostKindId, Phase};
 use railhub_record::{EndpointStatus, EndpointsReceived};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
         phase: line.phase,
         started_at: line.started,
         weight: line.weight,
-        kind: KindId(line.kind),
+        kind: HostKindId(line.kind),
     });
     EndpointList { complete: whole, entries: entries.collect() }
 }
--- a/src/decision/host.rs
+++ b/src/decision/host.rs
@@ -12,7 +12,7 @@
 //! - none of these: no slice was placed on it (`placement`).
 use super::health_score::ZoneHealthScore;
 use super::service_time::ServiceTime;
-use crate::interface::{EndpointEntry, KindId, Phase, Seconds, ZoneId};
+use crate::interface::{EndpointEntry, HostKindId, Phase, Seconds, ZoneId};
 use std::collections::BTreeMap;
 
 /// Seconds after which a host that is gone is forgotten.
@@ -24,7 +24,7 @@
     pub phase: Phase,
     /// Its size: cores, or what the list weighs it by.
     pub weight: f64,
-    pub kind: KindId,
+    pub kind: HostKindId,
     /// When it last started, by the list.
     pub started_at: Option<Seconds>,
     /// When it began to warm up: its last start, or when it was reached again.
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -12,7 +12,7 @@
     least_capacity_fraction, likely_capacity_fraction, utilization_limits, UtilizationLimits,
 };
 use crate::decaying::quantile;
-use crate::interface::{ControllerConfig, HostId, KindId, Seconds};
+use crate::interface::{ControllerConfig, HostId, HostKindId, Seconds};
 use std::collections::BTreeMap;
 
 /// Seconds that an operation is taken to need before any is reported.
@@ -104,7 +104,7 @@
 }
 
 /// The middle service time among hosts of a kind, or else among all.
-fn typical_service_time(now: Seconds, hosts: &BTreeMap<HostId, Host>, kind: KindId) -> Seconds {
+fn typical_service_time(now: Seconds, hosts: &BTreeMap<HostId, Host>, kind: HostKindId) -> Seconds {
     let of_kind = hosts.values().filter(|host| host.kind == kind);
     let typical = middle_service_time(now, of_kind);
     typical.or_else(|| middle_service_time(now, hosts.values())).unwrap_or(DEFAULT_SERVICE_TIME)
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -87,7 +87,7 @@
 }
 
 fn entry(n: u8, phase: Phase, started_at: Option<Seconds>) -> EndpointEntry {
-    EndpointEntry { host: host(n), phase, started_at, weight: 4.0, kind: KindId(0) }
+    EndpointEntry { host: host(n), phase, started_at, weight: 4.0, kind: HostKindId(0) }
 }
 
 fn endpoint_update(now: Seconds, entries: Vec<EndpointEntry>) -> EventBatch {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,5 +1,5 @@
 //! What a controller is notified of: endpoint lists, proxy streams, slices, load, health checks, acknowledgements.
-use super::ids::{BarrierId, ClassId, HostId, KindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
+use super::ids::{BarrierId, ClassId, HostId, HostKindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
 use super::time::Seconds;
 
 /// Where a host is in its life, by the endpoint list.
@@ -26,7 +26,7 @@
     /// Its size relative to other hosts, such as its number of cores.
     pub weight: f64,
     /// Its machine type.
-    pub kind: KindId,
+    pub kind: HostKindId,
 }
 
 /// An update of the endpoint list.
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -101,7 +101,7 @@
 pub struct ClassId(pub u8);
 /// A machine type. Hosts of one type are alike; the number itself has no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub u16);
+pub struct HostKindId(pub u16);
 /// A timer that a controller set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -12,5 +12,5 @@
     BarrierAck, EndpointEntry, EndpointList, EventBatch, HealthCheckOutcome, HealthCheckResult,
     HostLoadReport, Phase, ProxyStreamEvent, SliceAssignment, SliceHandoff, SliceLoadReport,
 };
-pub use ids::{BarrierId, ClassId, HostId, KindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
+pub use ids::{BarrierId, ClassId, HostId, HostKindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
 pub use time::Seconds;
