--- a/crates/railhub-adapter/src/commands/tests.rs
+++ b/crates/railhub-adapter/src/commands/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_decision_is_written() {
+fn writes_every_command() {
     let mut writer = CommandWriter::default();
     let host = HostId::new("10.0.0.1:80").expect("a name");
     writer.set_weight(SliceId(1), host, 0.5);
--- a/crates/railhub-adapter/src/instances/tests.rs
+++ b/crates/railhub-adapter/src/instances/tests.rs
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_has_empty_reply() {
     let reply = feed(&mut Instances::default(), "FRAME wall_us=1\nOVER_TO_YOU");
     assert_eq!(reply.as_deref(), Ok("DONE\n"));
 }
 
 #[test]
-fn every_event_is_read() {
+fn parses_every_event() {
     let mut instances = started();
     let text = "AT i=3\nFRAMED x=1\nBELL ref=77\nHEALTH code=304 rtt_us=5 host=10.0.0.1:80\n\
         SUBSCRIBED edge=41 zone=a w=6.5 on=1\nSTREAM_DOWN edge=40\n\
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn interleaved_instances_do_not_touch_each_other() {
+fn interleaved_instances_are_independent() {
     let mut both = started();
     let other = format!("FRAME wall_us=1000000\nAT i=5\n{CREATE}\n{LIST}\nOVER_TO_YOU");
     feed(&mut both, &other).expect("a valid batch");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn faults_name_the_line_and_the_field() {
+fn errors_name_line_and_field() {
     assert!(fault("BELL ref=x").ends_with("(BELL): field ref cannot be 'x'"));
     assert!(fault("HEALTH host=10.0.0.1:80").ends_with("(HEALTH): field code is missing"));
     assert!(fault("STREAM_DOWN edge").contains("'edge' is not name=value"));
@@ -90,14 +90,14 @@
 }
 
 #[test]
-fn a_missing_setting_is_refused_by_name() {
+fn missing_setting_is_named_in_error() {
     let batch = format!("AT i=3\n{}", CREATE.replace("rules.cold_from=0.2 ", ""));
     let fault = feed(&mut Instances::default(), &batch).expect_err("a fault");
     assert!(fault.contains("field rules.cold_from is missing"), "{fault}");
 }
 
 #[test]
-fn events_for_a_dead_instance_are_skipped() {
+fn events_for_detached_instance_are_skipped() {
     let text = format!("FRAME wall_us=2000000\nAT i=3\nDETACH\n{LIST}\nBELL ref=0\nOVER_TO_YOU");
     assert_eq!(feed(&mut started(), &text).as_deref(), Ok("DONE\n"));
 }
--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -18,7 +18,7 @@
 
 /// The protocol has whole microseconds, the module has not: nothing else may differ.
 #[test]
-fn the_adapter_serves_a_day_as_the_module_does() {
+fn adapter_matches_in_process_controller() {
     let mut apart = 0.0f64;
     for seed in 1..=3 {
         for name in ["short.ini", "short-weights.ini"] {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_version_that_is_killed_with_its_steward_starts_anew() {
+fn external_engine_restarts_with_its_controller() {
     let events = played("short.ini", 3, &adapter());
     let lives = events
         .iter()
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_version_that_is_no_such_program_fails_the_run_and_is_named() {
+fn failing_external_engine_is_named_in_error() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
     let day = Scenario::open(&path).expect("a good script");
     let fault = run(&day, &Policy::Version("/bin/false".into()), Physics::default()).expect_err("a fault");
--- a/crates/railhub-adapter/tests/wire_format.rs
+++ b/crates/railhub-adapter/tests/wire_format.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_invalid_line_ends_the_program_with_the_same_text() {
+fn invalid_line_is_reported_on_stdout_and_stderr() {
     let created = format!("FRAME wall_us=1\nAT i=3\n{CREATE}");
     for (lines, text) in INVALID_LINES {
         let lines = match lines.strip_prefix("CREATED ") {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_missing_or_invalid_setting_ends_the_program_with_the_same_text() {
+fn missing_or_invalid_setting_is_named_in_reply() {
     let text_of = |create: &str| {
         let output = answer(&format!("AT i=3\n{create}\n"));
         String::from_utf8(output.stdout).expect("text")
--- a/src/decision/tests/admission.rs
+++ b/src/decision/tests/admission.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn overload_sheds_the_least_worth_first_and_stops_retries() {
+fn overload_sheds_lowest_priority_and_stops_retries() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 16.0, 0.1);
     let loads = controller.loads(101.0);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn after_a_surge_everything_is_admitted_again_within_seconds() {
+fn admission_recovers_within_seconds_after_surge() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 2.0, 0.1);
     controller.admission.rates[0] = 0.4;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn slices_that_are_not_reported_yet_count_in_the_fleet_utilization() {
+fn unreported_slices_count_in_fleet_utilization() {
     // Eight operations a second for each of twelve slices, half of which have just come from another controller.
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 8.0, 0.1);
--- a/src/decision/tests/backlog_model.rs
+++ b/src/decision/tests/backlog_model.rs
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn no_more_waits_than_the_limit_while_proxies_leave_return_and_acknowledge_on_a_slow_channel() {
+fn backlog_stays_within_limit_on_slow_channel() {
     let runs: Vec<_> = (0..300).map(most_waiting).collect();
     for (seed, (most, published_lines)) in runs.iter().enumerate() {
         assert!(*most <= 1.0, "seed {seed}: {most} of the limit waited");
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn rates_exclusions_and_tables_of_one_batch_wait_where_the_backlog_is_nearly_full() {
+fn whole_update_waits_while_backlog_is_nearly_full() {
     for (share, is_published) in [(0.89, true), (0.95, false), (1.0, false)] {
         let mut controller =
             controller(ControllerConfig { backlog_limit: 1000.0, message_overhead: 0.0, ..config() });
--- a/src/decision/tests/controller.rs
+++ b/src/decision/tests/controller.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn a_restarted_controller_keeps_the_stored_tables() {
+fn restarted_controller_keeps_stored_tables() {
     let controller = controller(config());
     assert!((1..=4).all(|n| owned(&controller, n) == 3));
 }
 
 #[test]
-fn what_the_controller_does_not_know_is_ignored() {
+fn unknown_ids_are_ignored() {
     let mut controller = controller(config());
     let mut batch = failing(101.0, 1);
     batch.host_loads.iter_mut().for_each(|report| report.host = host(99));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn without_slices_all_hosts_are_one_table_and_each_proxy_gets_it() {
+fn unsliced_key_space_has_one_table_for_all_proxies() {
     let mut controller = Controller::new(ControllerConfig { slice_count: 0, ..config() });
     let mut batch = endpoint_update(100.0, (1..=3).map(|n| entry(n, Phase::Ready, None)).collect());
     batch.proxy_streams = vec![ProxyStreamEvent::Connected(ProxyId(4))];
--- a/src/decision/tests/endpoint_list.rs
+++ b/src/decision/tests/endpoint_list.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_draining_host_leaves_every_table_at_once_and_the_next_owner_comes_first() {
+fn draining_host_is_removed_after_next_owner_is_added() {
     let (initial, mut controller) = (controller(config()), controller(config()));
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&endpoint_update(100.5, vec![entry(2, Phase::Draining, None)]), &mut commands);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_host_the_list_drops_stays_while_it_passes_health_checks_if_it_did_not_drain() {
+fn delisted_host_serves_until_health_checks_fail() {
     // A list may call live hosts gone: the rest would be overloaded.
     for (delisted_may_serve, phase, slices) in
         [(true, Phase::Ready, 3), (true, Phase::Draining, 0), (false, Phase::Ready, 0)]
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_host_the_list_adds_is_trusted_once_it_passes_a_health_check() {
+fn new_host_is_usable_after_passing_health_check() {
     // An unknown host looks as fast as a typical one; hosts that do not exist would be given slices.
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn hosts_that_are_gone_for_long_are_readmitted_and_forgotten() {
+fn expired_hosts_are_readmitted_and_forgotten() {
     let mut controller = controller(config());
     controller.config.delisted_may_serve = false;
     let mut commands = RecordedCommands::default();
--- a/src/decision/tests/exclusion.rs
+++ b/src/decision/tests/exclusion.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_lost_host_is_excluded_at_once_and_readmitted_for_every_proxy_that_reconnects() {
+fn lost_host_is_excluded_and_readmitted_on_reconnection() {
     // After a great loss, tables take longer to rewrite than a drain may last.
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_proxy_that_connects_later_learns_who_is_excluded_while_tables_name_them() {
+fn exclusion_is_repeated_for_new_proxies() {
     let mut controller = controller(ControllerConfig {
         message_quota: 0,
         backlog_limit: 40.0,
--- a/src/decision/tests/health_check.rs
+++ b/src/decision/tests/health_check.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_unreachable_host_is_checked_again_and_then_left() {
+fn unreachable_host_is_checked_again_then_loses_slices() {
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&health_checked(101.0, 2, HealthCheckOutcome::Unreachable), &mut commands);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_silent_host_that_completes_operations_is_only_full() {
+fn failed_checks_alone_do_not_prove_host_down() {
     // Checks of saturated hosts time out: calling them down would move their slices onto the rest.
     let mut controller = controller(config());
     for k in 0..5 {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn if_most_hosts_fail_nobody_is_down() {
+fn at_most_half_of_the_hosts_are_down() {
     let mut controller = controller(config());
     for n in 1..=4 {
         for _ in 0..2 {
--- a/src/decision/tests/load_estimate.rs
+++ b/src/decision/tests/load_estimate.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn slices_from_another_controller_count_as_typical_until_they_are_reported() {
+fn unreported_slices_have_mean_reported_rate() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 2.0, 0.1);
     let assigned = |k| SliceAssignment::Assigned { slice: SliceId(k), entries: vec![(host(1), 1.0).into()] };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn reports_that_reach_back_to_before_a_slice_was_assigned_count_for_the_time_since() {
+fn reports_count_only_since_slice_assignment() {
     let mut controller = controller(config());
     let assigned = SliceAssignment::Assigned { slice: SliceId(0), entries: vec![(host(1), 1.0).into()] };
     controller.handle_batch(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn zones_that_report_apart_give_the_same_service_time_as_together() {
+fn service_time_is_independent_of_zone_report_timing() {
     // A busy host must not look slower for reports that come one by one.
     let mut host = Host::new(&entry(1, Phase::Ready, None));
     for (k, zone) in [0, 1, 0, 1, 0, 1].into_iter().enumerate() {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_slice_that_reports_seldom_has_the_rate_of_the_time_covered() {
+fn slice_rate_is_weighted_by_reported_span() {
     let mut demand = DecayingRate::default();
     demand.add(100.0, 10.0, 1.0, DEMAND_AVERAGING);
     demand.add(106.0, 60.0, 6.0, DEMAND_AVERAGING);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_host_without_reports_goes_back_to_the_typical_service_time() {
+fn service_time_reverts_to_typical_without_reports() {
     // A host that lost its slices is not reported any more and must not look slow for ever.
     let mut host = Host::new(&entry(1, Phase::Ready, None));
     host.service_time.core_time = DecayingSum { value: 50.0, updated_at: 10.0 };
--- a/src/decision/tests/outlier_ejection.rs
+++ b/src/decision/tests/outlier_ejection.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn outlier_needs_the_gap_above_the_next() {
+fn outlier_exceeds_next_score_by_the_gap() {
     assert_eq!(find_outlier(&scores(&[(host(1), 1.0), (host(2), 31.0)])), Some(host(2)));
     assert_eq!(find_outlier(&scores(&[(host(1), 50.0), (host(2), 79.0)])), None);
     assert_eq!(find_outlier(&scores(&[(host(1), 100.0), (host(2), 100.0)])), None);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_failing_host_is_ejected_alone_and_returns_once_its_score_is_low() {
+fn failing_host_is_ejected_until_its_score_recovers() {
     let mut controller = controller(config());
     (1..12).for_each(|k| {
         controller.handle_batch(&failing(100.0 + f64::from(k), 2), &mut RecordedCommands::default())
--- a/src/decision/tests/placement.rs
+++ b/src/decision/tests/placement.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_hash_is_fixed_and_moves_only_what_a_lost_host_held() {
+fn rendezvous_hash_moves_only_slices_of_lost_host() {
     let best = |slice, hosts: std::ops::RangeInclusive<u8>| {
         hosts.max_by(|a, b| {
             rendezvous::rank(slice, host(*a), 4.0).total_cmp(&rendezvous::rank(slice, host(*b), 4.0))
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn slices_fail_over_to_their_standbys_where_those_have_capacity() {
+fn slices_fail_over_to_standbys_with_capacity() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 2.0, 0.1);
     let standbys: Vec<_> = slices_of(&controller, 2).map(|(id, slice)| (*id, slice.standby)).collect();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_hottest_slice_leaves_a_lagging_host_for_the_fastest() {
+fn hottest_slice_moves_from_lagging_to_fastest_host() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 5.0, 0.1);
     controller.slices.get_mut(&SliceId(0)).expect("assigned").demand[0].amount.value = 14.0;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn moves_end_with_the_quota() {
+fn rebalancing_stops_when_quota_is_used_up() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 5.0, 0.1);
     controller.slices.get_mut(&SliceId(0)).expect("assigned").demand[0].amount.value = 28.0;
--- a/src/decision/tests/publish.rs
+++ b/src/decision/tests/publish.rs
@@ -2,7 +2,7 @@
 use crate::decision::publish::UPDATE_EXPIRY;
 
 #[test]
-fn nothing_new_writes_nothing() {
+fn unchanged_state_publishes_nothing() {
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&tick(101.0), &mut commands);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_stored_table_is_not_rewritten_for_its_standby_though_its_weight_is_rounded() {
+fn rounded_standby_weight_does_not_rewrite_stored_table() {
     let mut controller = controller(config());
     let stored = |k: u16| vec![(host(4), 0.0).into(), (host(1 + (k % 3) as u8), 1.0).into()];
     let assignments =
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn ordinary_updates_leave_part_of_the_message_quota() {
+fn ordinary_updates_leave_quota_for_urgent_ones() {
     let mut controller = controller(config());
     controller.publisher.sent_at = (0..14).map(|_| 101.0).collect();
     controller.admission.rates[0] = 0.5;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_slow_channel_is_seen_by_its_barriers_and_keeps_capacity_for_hosts_that_must_be_left() {
+fn ordinary_tables_leave_backlog_capacity_for_exclusions() {
     let mut controller =
         controller(ControllerConfig { backlog_limit: 50.0, message_overhead: 0.0, ..config() });
     let mut commands = RecordedCommands::default();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_burst_of_urgent_updates_leaves_messages_for_a_drain() {
+fn urgent_burst_leaves_message_quota_for_drain() {
     let mut controller = controller(config());
     let mut sent_at = Vec::new();
     let mut handle = |controller: &mut Controller, batch: EventBatch| {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_waits_for_a_proxy_that_connects_again_still_fills_the_backlog_until_a_barrier_frees_it() {
+fn reconnection_keeps_backlog_until_barrier_is_acknowledged() {
     let mut controller =
         controller(ControllerConfig { backlog_limit: 50.0, message_overhead: 0.0, ..config() });
     let mut commands = RecordedCommands::default();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn lost_acknowledgements_are_asked_for_by_a_barrier_alone() {
+fn lost_acknowledgements_are_recovered_by_one_barrier() {
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
     (0..3).for_each(|k| controller.handle_batch(&tick(101.0 + f64::from(k)), &mut commands));
--- a/src/decision/tests/retry_policy.rs
+++ b/src/decision/tests/retry_policy.rs
@@ -2,7 +2,7 @@
 use crate::decision::retry_policy::widest_safe_policy;
 
 #[test]
-fn an_attempt_that_may_have_run_is_retried_only_while_hosts_have_capacity() {
+fn retries_after_failure_need_spare_capacity() {
     // Retries would take a fleet at two thirds of what it can do into an overload.
     for (rate, policy) in [(3.0, RetryPolicy::AfterFailure), (8.5, RetryPolicy::IfNotExecuted)] {
         let mut controller = controller(config());
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn retries_that_could_take_effect_twice_are_never_allowed() {
+fn retries_never_take_effect_twice() {
     assert_eq!(widest_safe_policy(&class(Idempotency::Never, 1.0), 1.0), RetryPolicy::IfNotExecuted);
     assert_eq!(
         widest_safe_policy(&class(Idempotency::IdempotencyKeyLocal, 1.0), 1.0),
--- a/src/decision/tests/single_owner.rs
+++ b/src/decision/tests/single_owner.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_single_owner_is_named_once_no_write_to_the_former_one_can_be_in_progress() {
+fn next_owner_waits_for_writes_to_former_owner() {
     let mut controller = controller(ControllerConfig { single_owner: true, ..config() });
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&endpoint_update(120.0, vec![entry(1, Phase::Draining, None)]), &mut commands);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_proxy_that_disconnected_with_an_owners_table_is_waited_for_by_its_lease() {
+fn next_owner_waits_for_lease_of_disconnected_proxy() {
     let mut controller = controller(ControllerConfig { single_owner: true, ..config() });
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&endpoint_update(120.0, vec![entry(1, Phase::Draining, None)]), &mut commands);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_single_owners_table_that_is_stored_empty_may_have_just_been_cleared() {
+fn stored_empty_table_waits_for_acknowledgement() {
     let mut controller = controller(ControllerConfig { single_owner: true, ..config() });
     let assigned = SliceAssignment::Assigned { slice: SliceId(2), entries: Vec::new() };
     let mut commands = RecordedCommands::default();
--- a/src/decision/tests/slow_start.rs
+++ b/src/decision/tests/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::decision::slow_start::{COLD_OFFLOAD_UTILIZATION_FRACTION, MAX_UTILIZATION};
 
 #[test]
-fn a_cold_host_owns_no_more_than_its_limit_and_sheds_past_the_next() {
+fn cold_host_gives_up_slices_above_offload_limit() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 4.0, 0.1);
     controller.handle_batch(
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_cold_host_is_taken_to_be_warmer_than_its_least_but_filled_by_the_least() {
+fn cold_host_is_filled_by_least_capacity() {
     let mut controller = controller(ControllerConfig { overload_multiple: 4.0, ..config() });
     controller.handle_batch(
         &endpoint_update(101.0, vec![entry(1, Phase::Ready, Some(100.9))]),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn cold_hosts_alone_are_not_given_what_the_lost_ones_owned() {
+fn cold_hosts_do_not_take_over_all_lost_slices() {
     // After two zone losses in a row, all that is left would fail.
     let mut controller = controller(ControllerConfig { delisted_may_serve: false, ..config() });
     set_load(&mut controller, 101.0, 10.0, 0.1);
--- a/src/update_backlog/tests.rs
+++ b/src/update_backlog/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_acknowledged_proxy_waits_no_more_for_the_oldest_update() {
+fn acknowledged_lines_no_longer_wait() {
     let mut channel = two_updates();
     assert_eq!(channel.waiting_lines(2.0, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
     channel.acknowledge(2.1, ProxyId(0), BarrierId(1));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_newer_update_waits_as_a_whole_behind_an_older_one() {
+fn newer_update_waits_behind_older_one() {
     let mut channel = two_updates();
     (4..10).for_each(|proxy| channel.acknowledge(2.1, ProxyId(proxy), BarrierId(2)));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_update_that_stalls_holds_the_next_one_up_no_longer() {
+fn stalled_update_does_not_block_next_one() {
     let mut channel = two_updates();
     (1..4).for_each(|proxy| channel.acknowledge(2.2, ProxyId(proxy), BarrierId(2)));
     (4..10).for_each(|proxy| channel.acknowledge(2.3, ProxyId(proxy), BarrierId(2)));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_proxy_whose_stream_broke_counts_in_no_update() {
+fn disconnected_proxy_is_not_counted() {
     let mut channel = two_updates();
     channel.acknowledge(2.1, ProxyId(5), BarrierId(2));
     [0, 5].into_iter().for_each(|proxy| channel.remove_proxy(ProxyId(proxy)));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_proxy_that_connects_before_an_update_is_taken_counts_in_it() {
+fn proxy_connected_before_acceptance_is_counted() {
     let mut channel = two_updates();
     channel.add_recipient(2.0, ProxyId(10));
     assert_eq!(channel.waiting_lines(2.0, STALLED_AFTER), 4.0 * 10.0 + 11.0 * 5.0);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_unknown_barrier_acknowledges_nothing() {
+fn unknown_barrier_is_ignored() {
     let mut channel = two_updates();
     channel.acknowledge(2.1, ProxyId(0), BarrierId(9));
     assert_eq!(channel.waiting_lines(2.1, STALLED_AFTER), 4.0 * 10.0 + 10.0 * 5.0);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_slice_that_changed_hands_is_left_out() {
+fn reassigned_slice_is_not_cleared() {
     let mut channel = UpdateBacklog::default();
     let cleared_slices = vec![SliceId(1), SliceId(2)];
     channel.send(Update { cleared_slices, ..update(1.0, 1, 1.0, 0..1) });
