--- a/crates/railhub-adapter/src/error.rs
+++ b/crates/railhub-adapter/src/error.rs
@@ -8,7 +8,7 @@
     /// Standard input cannot be read.
     Input(io::Error),
     /// A part of a line is no field.
-    NotAField {
+    MalformedField {
         /// The line's number, from 1.
         line: usize,
         /// The line's name.
@@ -37,18 +37,18 @@
     /// It has this value, which is not possible.
     Invalid(String),
     /// No line has named the instance.
-    NoInstance,
+    NoInstanceSelected,
     /// More entries of a list come than it has announced.
     TooManyEntries,
     /// A stored table is of a slice that was not assigned in this batch.
-    NotAssigned,
+    SliceNotAssigned,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             WireError::Input(error) => write!(out, "standard input: {error}"),
-            WireError::NotAField { line, name, part } => {
+            WireError::MalformedField { line, name, part } => {
                 write!(out, "line {line} ({name}): '{part}' is not name=value")
             }
             WireError::Field { line, name, field, problem } => {
@@ -65,9 +65,9 @@
         match self {
             FieldProblem::Missing => out.write_str("is missing"),
             FieldProblem::Invalid(value) => write!(out, "cannot be '{value}'"),
-            FieldProblem::NoInstance => out.write_str("is missing: no AT came before"),
+            FieldProblem::NoInstanceSelected => out.write_str("is missing: no AT came before"),
             FieldProblem::TooManyEntries => out.write_str("names fewer entries"),
-            FieldProblem::NotAssigned => out.write_str("was not given in this batch"),
+            FieldProblem::SliceNotAssigned => out.write_str("was not given in this batch"),
         }
     }
 }
--- a/crates/railhub-adapter/src/events.rs
+++ b/crates/railhub-adapter/src/events.rs
@@ -1,6 +1,6 @@
 //! Lines of the wire as events of a batch.
 use crate::error::{FieldProblem, WireError};
-use crate::settings::Names;
+use crate::settings::WireNames;
 use crate::wire_line::WireLine;
 use railhub::{
     BarrierAck, BarrierId, ClassId, EndpointEntry, EndpointList, EventBatch, HealthCheckOutcome,
@@ -10,15 +10,15 @@
 use std::ops::RangeInclusive;
 
 /// The wire's codes for the ends of a health check; any other is a failure.
-const CODE_PASSED: u32 = 100;
-const CODE_REJECTED: u32 = 302;
-const CODES_UNREACHABLE: RangeInclusive<u32> = 304..=305;
+const PASSED_CODE: u32 = 100;
+const REJECTED_CODE: u32 = 302;
+const UNREACHABLE_CODES: RangeInclusive<u32> = 304..=305;
 
 /// Adds a line to a batch. Lines of other names are ignored.
 ///
 /// # Errors
 /// A field is missing or has an invalid value.
-pub fn add_event(line: &WireLine, names: &mut Names, batch: &mut EventBatch) -> Result<(), WireError> {
+pub fn add_event(line: &WireLine, names: &mut WireNames, batch: &mut EventBatch) -> Result<(), WireError> {
     match line.name {
         "ENDPOINTS" => batch.endpoint_lists.extend(endpoint_list(line)?),
         "ITEM" => {
@@ -55,13 +55,13 @@
     Ok((how != "lost").then(|| EndpointList { complete, entries: Vec::new() }))
 }
 
-fn endpoint_entry(line: &WireLine, names: &mut Names) -> Result<EndpointEntry, WireError> {
+fn endpoint_entry(line: &WireLine, names: &mut WireNames) -> Result<EndpointEntry, WireError> {
     let started_at = match line.optional("last_start_us") {
         Some(_) => line.seconds("last_start_us")?,
         None => 0.0,
     };
     let host = line.host()?;
-    let kind = HostKindId(number_of(&mut names.kinds, line.optional("flavor").unwrap_or_default()));
+    let kind = HostKindId(index_of(&mut names.kinds, line.optional("flavor").unwrap_or_default()));
     let phase = match line.text("phase")? {
         "active" => Phase::Ready,
         "leaving" => Phase::Draining,
@@ -69,14 +69,14 @@
         other => return Err(line.invalid("phase", other)),
     };
     let weight = match line.optional("w") {
-        Some(_) => line.amount("w")?,
+        Some(_) => line.non_negative("w")?,
         None => 1.0,
     };
     Ok(EndpointEntry { host, kind, phase, started_at: (started_at > 0.0).then_some(started_at), weight })
 }
 
 /// A name's place among those known; a new name is added.
-fn number_of(names: &mut Vec<String>, name: &str) -> u16 {
+fn index_of(names: &mut Vec<String>, name: &str) -> u16 {
     let known = names.iter().position(|known| known == name);
     let place = known.unwrap_or_else(|| {
         names.push(name.to_owned());
@@ -88,9 +88,9 @@
 fn health_check(line: &WireLine) -> Result<HealthCheckResult, WireError> {
     let host = line.host()?;
     let outcome = match line.value::<u32>("code")? {
-        CODE_PASSED => HealthCheckOutcome::Passed,
-        CODE_REJECTED => HealthCheckOutcome::Rejected,
-        code if CODES_UNREACHABLE.contains(&code) => HealthCheckOutcome::Unreachable,
+        PASSED_CODE => HealthCheckOutcome::Passed,
+        REJECTED_CODE => HealthCheckOutcome::Rejected,
+        code if UNREACHABLE_CODES.contains(&code) => HealthCheckOutcome::Unreachable,
         _ => HealthCheckOutcome::Failed,
     };
     Ok(HealthCheckResult { host, outcome })
@@ -107,17 +107,17 @@
     Ok(if is_first { ProxyStreamEvent::Connected(proxy) } else { ProxyStreamEvent::Reconnected(proxy) })
 }
 
-fn host_load(line: &WireLine, names: &mut Names) -> Result<HostLoadReport, WireError> {
+fn host_load(line: &WireLine, names: &mut WireNames) -> Result<HostLoadReport, WireError> {
     let report = line.optional("server_stats").unwrap_or_default();
     let Some(values) = finite_numbers(report) else { return Err(line.invalid("server_stats", report)) };
     Ok(HostLoadReport {
-        zone: ZoneId(number_of(&mut names.zones, line.text("zone")?)),
+        zone: ZoneId(index_of(&mut names.zones, line.text("zone")?)),
         host: line.host()?,
-        attempts: line.amount("total")?,
-        failed: line.amount("failed")?,
+        attempts: line.non_negative("total")?,
+        failed: line.non_negative("failed")?,
         mean_latency: line.seconds("rtt_us")?,
         span: line.seconds("over_us")?,
-        cpu_utilization: names.utilization_at.and_then(|at| values.get(at).copied()),
+        cpu_utilization: names.cpu_utilization_index.and_then(|at| values.get(at).copied()),
     })
 }
 
@@ -135,13 +135,13 @@
 }
 
 /// `None`: the class is not known.
-fn slice_load(line: &WireLine, names: &Names) -> Result<Option<SliceLoadReport>, WireError> {
+fn slice_load(line: &WireLine, names: &WireNames) -> Result<Option<SliceLoadReport>, WireError> {
     let name = line.text("cls")?;
     let Some(class) = names.classes.iter().position(|known| known == name) else { return Ok(None) };
     Ok(Some(SliceLoadReport {
         slice: slice(line)?,
         class: ClassId(class as u8),
-        operations: line.amount("total")?,
+        operations: line.non_negative("total")?,
         span: line.seconds("over_us")?,
     }))
 }
@@ -158,12 +158,12 @@
 /// Adds a line of a stored table to the assignment of its slice.
 fn add_stored_entry(line: &WireLine, batch: &mut EventBatch) -> Result<(), WireError> {
     let slice = slice(line)?;
-    let stored = WeightedHost { host: line.host()?, weight: line.amount("w")? };
+    let stored = WeightedHost { host: line.host()?, weight: line.non_negative("w")? };
     let latest = batch.assignments.iter_mut().rev().find(|assignment| assignment.slice() == slice);
     match latest {
         Some(SliceAssignment::Assigned { entries, .. }) => entries.push(stored),
         Some(SliceAssignment::Revoked { .. }) => {}
-        None => return Err(line.error("sheet", FieldProblem::NotAssigned)),
+        None => return Err(line.error("sheet", FieldProblem::SliceNotAssigned)),
     }
     Ok(())
 }
--- a/crates/railhub-adapter/src/instances.rs
+++ b/crates/railhub-adapter/src/instances.rs
@@ -3,7 +3,7 @@
 use crate::commands::CommandWriter;
 use crate::error::{FieldProblem, WireError};
 use crate::events::add_event;
-use crate::settings::{self, Names};
+use crate::settings::{self, WireNames};
 use crate::wire_line::WireLine;
 use railhub::{Controller, EventBatch, Seconds};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 /// A controller and its next batch.
 struct Instance {
     controller: Controller,
-    names: Names,
+    names: WireNames,
     batch: EventBatch,
     has_events: bool,
 }
@@ -20,9 +20,9 @@
 /// Entries of the latest endpoint list that are still to come.
 #[derive(Default)]
 struct ExpectedEntries {
-    left: usize,
+    remaining: usize,
     /// The list was for an instance that does not exist.
-    skipped: bool,
+    is_skipped: bool,
 }
 
 /// All instances, and where the batch that comes in stands.
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     /// The line is not readable, or does not fit those before it.
-    pub fn take_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
+    pub fn process_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.lines_read += 1;
         let line = WireLine::read(text, self.lines_read)?;
         match line.name {
@@ -57,17 +57,17 @@
                 let number = self.selected(&line)?;
                 self.instances.remove(&number);
             }
-            "ITEM" if self.expected_entries.left == 0 => {
+            "ITEM" if self.expected_entries.remaining == 0 => {
                 return Err(line.error("records", FieldProblem::TooManyEntries));
             }
-            "ITEM" if self.expected_entries.skipped => self.expected_entries.left -= 1,
-            _ => self.take_event(&line)?,
+            "ITEM" if self.expected_entries.is_skipped => self.expected_entries.remaining -= 1,
+            _ => self.add_to_batch(&line)?,
         }
         Ok(None)
     }
 
     fn selected(&self, line: &WireLine) -> Result<u32, WireError> {
-        self.selected.ok_or_else(|| line.error("i", FieldProblem::NoInstance))
+        self.selected.ok_or_else(|| line.error("i", FieldProblem::NoInstanceSelected))
     }
 
     fn create(&mut self, line: &WireLine) -> Result<(), WireError> {
@@ -79,20 +79,20 @@
     }
 
     /// Adds a line to the batch of the selected instance; lines for an instance that does not exist are ignored.
-    fn take_event(&mut self, line: &WireLine) -> Result<(), WireError> {
+    fn add_to_batch(&mut self, line: &WireLine) -> Result<(), WireError> {
         let number = self.selected(line)?;
         let instance = self.instances.get_mut(&number);
         if line.name == "ENDPOINTS" {
-            self.expected_entries.left = match line.optional("records") {
+            self.expected_entries.remaining = match line.optional("records") {
                 Some(_) => line.value("records")?,
                 None => 0,
             };
-            self.expected_entries.skipped = instance.is_none();
+            self.expected_entries.is_skipped = instance.is_none();
         }
         let Some(instance) = instance else { return Ok(()) };
         instance.has_events = true;
         if line.name == "ITEM" {
-            self.expected_entries.left -= 1;
+            self.expected_entries.remaining -= 1;
         }
         add_event(line, &mut instance.names, &mut instance.batch)
     }
--- a/crates/railhub-adapter/src/instances/tests.rs
+++ b/crates/railhub-adapter/src/instances/tests.rs
@@ -14,41 +14,42 @@
     ITEM phase=active w=4 host=10.0.0.1:80 stripe=0 zone=a flavor=x\n\
     ITEM phase=active last_start_us=5 w=1.5 host=10.0.0.2:80 stripe=0 zone=b flavor=y";
 
-fn feed(instances: &mut Instances, text: &str) -> Result<String, String> {
+fn process_lines(instances: &mut Instances, text: &str) -> Result<String, String> {
     let mut reply = None;
     for line in text.lines() {
-        reply = instances.take_line(line).map_err(|error| error.to_string())?.or(reply);
+        reply = instances.process_line(line).map_err(|error| error.to_string())?.or(reply);
     }
     Ok(reply.unwrap_or_default())
 }
 
-fn started() -> Instances {
+fn instances_with_one() -> Instances {
     let mut instances = Instances::default();
     let first = format!("FRAME wall_us=1000000\nAT i=3\n{CREATE}\n{LIST}\nOVER_TO_YOU");
-    let reply = feed(&mut instances, &first).expect("a valid batch");
+    let reply = process_lines(&mut instances, &first).expect("a valid batch");
     assert!(reply.starts_with("SPEAKING i=3\n") && reply.ends_with("DONE\n"), "{reply}");
     instances
 }
 
-fn fault(text: &str) -> String {
-    feed(&mut started(), &format!("FRAME wall_us=2000000\nAT i=3\n{text}\nOVER_TO_YOU")).expect_err("a fault")
+fn error_text(text: &str) -> String {
+    process_lines(&mut instances_with_one(), &format!("FRAME wall_us=2000000\nAT i=3\n{text}\nOVER_TO_YOU"))
+        .expect_err("an error")
 }
 
 #[test]
 fn empty_batch_has_empty_reply() {
-    let reply = feed(&mut Instances::default(), "FRAME wall_us=1\nOVER_TO_YOU");
+    let reply = process_lines(&mut Instances::default(), "FRAME wall_us=1\nOVER_TO_YOU");
     assert_eq!(reply.as_deref(), Ok("DONE\n"));
 }
 
 #[test]
 fn parses_every_event() {
-    let mut instances = started();
+    let mut instances = instances_with_one();
     let text = "AT i=3\nFRAMED x=1\nBELL ref=77\nHEALTH code=304 rtt_us=5 host=10.0.0.1:80\n\
         SUBSCRIBED edge=41 zone=a w=6.5 on=1\nSTREAM_DOWN edge=40\n\
         HEARD zone=b host=10.0.0.2:80 total=14 failed=1 rtt_us=48250 over_us=1000000 server_stats=7,0.5\n\
         TENURE sheet=2 on=1\nSTORED_LINE sheet=2 host=10.0.0.1:80 w=0.75\n\
         HOTNESS sheet=2 cls=view total=9 failed=0 over_us=2000000\nCONFIRMED edge=41 rev=1 rtt_us=5";
-    feed(&mut instances, text).expect("readable");
+    process_lines(&mut instances, text).expect("readable");
     let batch = &instances.instances[&3].batch;
     assert_eq!(batch.timers, [TimerId(77)]);
     assert_eq!(batch.health_checks[0].outcome, HealthCheckOutcome::Unreachable);
@@ -68,36 +69,36 @@
 
 #[test]
 fn interleaved_instances_are_independent() {
-    let mut both = started();
+    let mut both = instances_with_one();
     let other = format!("FRAME wall_us=1000000\nAT i=5\n{CREATE}\n{LIST}\nOVER_TO_YOU");
-    feed(&mut both, &other).expect("a valid batch");
+    process_lines(&mut both, &other).expect("a valid batch");
     let news = "TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=1";
     let gone = "ENDPOINTS rev=2 how=incr records=1\nITEM phase=left host=10.0.0.1:80";
     let batch =
         format!("FRAME wall_us=2000000\nAT i=3\n{news}\nAT i=5\n{gone}\nAT i=3\nBELL ref=0\nOVER_TO_YOU");
-    let together = feed(&mut both, &batch).expect("a valid batch");
+    let together = process_lines(&mut both, &batch).expect("a valid batch");
     let alone = format!("FRAME wall_us=2000000\nAT i=3\n{news}\nBELL ref=0\nOVER_TO_YOU");
-    let alone = feed(&mut started(), &alone).expect("a valid batch");
+    let alone = process_lines(&mut instances_with_one(), &alone).expect("a valid batch");
     assert!(together.starts_with(alone.trim_end_matches("DONE\n")), "{together} against {alone}");
 }
 
 #[test]
 fn errors_name_line_and_field() {
-    assert!(fault("BELL ref=x").ends_with("(BELL): field ref cannot be 'x'"));
-    assert!(fault("HEALTH host=10.0.0.1:80").ends_with("(HEALTH): field code is missing"));
-    assert!(fault("STREAM_DOWN edge").contains("'edge' is not name=value"));
-    assert!(fault("TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=NaN").contains("field w"));
+    assert!(error_text("BELL ref=x").ends_with("(BELL): field ref cannot be 'x'"));
+    assert!(error_text("HEALTH host=10.0.0.1:80").ends_with("(HEALTH): field code is missing"));
+    assert!(error_text("STREAM_DOWN edge").contains("'edge' is not name=value"));
+    assert!(error_text("TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=NaN").contains("field w"));
 }
 
 #[test]
 fn missing_setting_is_named_in_error() {
     let batch = format!("AT i=3\n{}", CREATE.replace("rules.cold_from=0.2 ", ""));
-    let fault = feed(&mut Instances::default(), &batch).expect_err("a fault");
-    assert!(fault.contains("field rules.cold_from is missing"), "{fault}");
+    let error = process_lines(&mut Instances::default(), &batch).expect_err("an error");
+    assert!(error.contains("field rules.cold_from is missing"), "{error}");
 }
 
 #[test]
 fn events_for_detached_instance_are_skipped() {
     let text = format!("FRAME wall_us=2000000\nAT i=3\nDETACH\n{LIST}\nBELL ref=0\nOVER_TO_YOU");
-    assert_eq!(feed(&mut started(), &text).as_deref(), Ok("DONE\n"));
+    assert_eq!(process_lines(&mut instances_with_one(), &text).as_deref(), Ok("DONE\n"));
 }
--- a/crates/railhub-adapter/src/main.rs
+++ b/crates/railhub-adapter/src/main.rs
@@ -27,7 +27,7 @@
     let stdin = io::stdin();
     let mut out = io::BufWriter::new(io::stdout().lock());
     for line in stdin.lock().lines() {
-        let reply = match take_line(&mut instances, line) {
+        let reply = match process_line(&mut instances, line) {
             Ok(None) => continue,
             Ok(Some(reply)) => reply,
             Err(error) => {
@@ -44,9 +44,9 @@
 }
 
 /// Takes one line; the last line of a batch brings its reply.
-fn take_line(instances: &mut Instances, line: io::Result<String>) -> Result<Option<String>, WireError> {
+fn process_line(instances: &mut Instances, line: io::Result<String>) -> Result<Option<String>, WireError> {
     let line = line.map_err(WireError::Input)?;
-    instances.take_line(line.trim_end_matches('\r'))
+    instances.process_line(line.trim_end_matches('\r'))
 }
 
 fn write_reply(out: &mut impl Write, reply: &str) -> io::Result<()> {
--- a/crates/railhub-adapter/src/settings.rs
+++ b/crates/railhub-adapter/src/settings.rs
@@ -7,7 +7,7 @@
 const MAX_CLASSES: usize = 255;
 
 /// What the numbers of an instance stand for on the wire.
-pub struct Names {
+pub struct WireNames {
     /// Names of the classes.
     pub classes: Vec<String>,
     /// Names of the zones; further ones are added as reports name them.
@@ -15,26 +15,26 @@
     /// Names of the kinds of hosts, added as the endpoint list names them.
     pub kinds: Vec<String>,
     /// Place of the busy share of a host's cores in load reports.
-    pub utilization_at: Option<usize>,
+    pub cpu_utilization_index: Option<usize>,
 }
 
 /// The settings of an instance.
 ///
 /// # Errors
 /// A setting is missing or has an invalid value.
-pub fn decode(line: &WireLine) -> Result<(ControllerConfig, Names), WireError> {
+pub fn decode(line: &WireLine) -> Result<(ControllerConfig, WireNames), WireError> {
     let reports = line.optional("telemetry.names").unwrap_or_default();
-    let utilization_at = reports.split(',').position(|name| name == "busy");
+    let cpu_utilization_index = reports.split(',').position(|name| name == "busy");
     let zones = line.text("zones")?.split(',').filter(|name| !name.is_empty());
     let zones = zones.map(str::to_owned).collect();
-    let mut names = Names { classes: Vec::new(), zones, kinds: Vec::new(), utilization_at };
+    let mut names = WireNames { classes: Vec::new(), zones, kinds: Vec::new(), cpu_utilization_index };
     let mut classes = Vec::new();
     for number in 0..line.value::<usize>("request_classes.count")?.min(MAX_CLASSES) {
         let field = |tail: &str| format!("request_classes.{number}.{tail}");
         names.classes.push(line.text(&field("name"))?.to_owned());
         classes.push(ClassConfig {
             contract_time: line.seconds(&field("aim_us"))?,
-            priority_weight: line.amount(&field("worth"))?,
+            priority_weight: line.non_negative(&field("worth"))?,
             idempotency: idempotency(line, &field)?,
         });
     }
@@ -64,14 +64,14 @@
         health_checks_allowed: line.flag("ceilings.probes")?,
         delisted_may_serve: optional_flag(line, "rules.removal_not_binding")?,
         admission_by_fraction: line.text("family_info.throttle_by")? == "share",
-        cold_capacity_fraction: line.amount("rules.cold_from")?,
+        cold_capacity_fraction: line.non_negative("rules.cold_from")?,
         warm_up_time: line.seconds("rules.warm_within_us")?,
-        overload_multiple: line.amount("rules.fall_multiple")?,
-        backlog_limit: line.amount("family_info.backlog")?,
-        message_overhead: line.amount("family_info.envelope")?,
+        overload_multiple: line.non_negative("rules.fall_multiple")?,
+        backlog_limit: line.non_negative("family_info.backlog")?,
+        message_overhead: line.non_negative("family_info.envelope")?,
         message_quota: line.value("family_info.update_cap")?,
         message_quota_window: line.seconds("family_info.messages_over_us")?,
-        first_attempt_timeout_multiple: line.amount("family_info.first_wait")?,
+        first_attempt_timeout_multiple: line.non_negative("family_info.first_wait")?,
     })
 }
 
--- a/crates/railhub-adapter/src/wire_line.rs
+++ b/crates/railhub-adapter/src/wire_line.rs
@@ -26,7 +26,7 @@
         for part in parts {
             let Some(field) = part.split_once('=') else {
                 let (name, part) = (name.to_owned(), part.to_owned());
-                return Err(WireError::NotAField { line: number, name, part });
+                return Err(WireError::MalformedField { line: number, name, part });
             };
             fields.push(field);
         }
@@ -50,7 +50,7 @@
     }
 
     /// A number that is finite and not below 0.
-    pub fn amount(&self, field: &str) -> Result<f64, WireError> {
+    pub fn non_negative(&self, field: &str) -> Result<f64, WireError> {
         let value: f64 = self.value(field)?;
         if value.is_finite() && value >= 0.0 {
             Ok(value)
--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -6,7 +6,7 @@
 use railhub_simulator::{run, Physics, Policy};
 use std::path::{Path, PathBuf};
 
-fn played(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
+fn simulate(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
     let day = Scenario { seed, ..Scenario::open(&path).expect("a good script") };
     run(&day, policy, Physics::default()).expect("it runs")
@@ -19,26 +19,26 @@
 /// The protocol has whole microseconds, the module has not: nothing else may differ.
 #[test]
 fn adapter_matches_in_process_controller() {
-    let mut apart = 0.0f64;
+    let mut service_difference = 0.0f64;
     for seed in 1..=3 {
         for name in ["short.ini", "short-weights.ini"] {
-            let served = |policy: &Policy| {
-                let events = played(name, seed, policy);
+            let service_of = |policy: &Policy| {
+                let events = simulate(name, seed, policy);
                 assert!(
                     check(&events).expect("a record").iter().all(|verdict| verdict.kept),
                     "{name} {seed}"
                 );
                 service(&events, limits(&events).expect("limits come first")).overall
             };
-            apart += served(&adapter()) - served(&Policy::Steward);
+            service_difference += service_of(&adapter()) - service_of(&Policy::Steward);
         }
     }
-    assert!(apart.abs() / 6.0 < 0.01, "{apart} over six days");
+    assert!(service_difference.abs() / 6.0 < 0.01, "{service_difference} over six runs");
 }
 
 #[test]
 fn external_engine_restarts_with_its_controller() {
-    let events = played("short.ini", 3, &adapter());
+    let events = simulate("short.ini", 3, &adapter());
     let lives = events
         .iter()
         .filter(|event| matches!(&event.kind, Some(railhub_record::EventKind::ControllerLifecycle(life)) if life.running));
--- a/crates/railhub-adapter/tests/wire_format.rs
+++ b/crates/railhub-adapter/tests/wire_format.rs
@@ -12,7 +12,7 @@
     rules.warm_within_us=10000000 telemetry.names=rif,busy zones=a,b tick_us=4000 unheard.of=1";
 
 /// What the program makes of these lines.
-fn answer(lines: &str) -> Output {
+fn run_adapter(lines: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_railhub-adapter"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().expect("built");
@@ -31,7 +31,7 @@
             Some(rest) => format!("{created}\n{rest}\n"),
             None => format!("{lines}\n"),
         };
-        let output = answer(&lines);
+        let output = run_adapter(&lines);
         assert_eq!(String::from_utf8_lossy(&output.stdout), format!("DIE words={text}\nDONE\n"), "{lines}");
         assert_eq!(String::from_utf8_lossy(&output.stderr), format!("railhub-adapter: {text}\n"), "{lines}");
         assert!(!output.status.success(), "{lines}");
@@ -40,14 +40,14 @@
 
 #[test]
 fn missing_or_invalid_setting_is_named_in_reply() {
-    let text_of = |create: &str| {
-        let output = answer(&format!("AT i=3\n{create}\n"));
+    let reply_to = |create: &str| {
+        let output = run_adapter(&format!("AT i=3\n{create}\n"));
         String::from_utf8(output.stdout).expect("text")
     };
     let missing = "DIE words=line 2 (CREATE): field rules.cold_from is missing\nDONE\n";
-    assert_eq!(text_of(&CREATE.replace("rules.cold_from=0.2 ", "")), missing);
+    assert_eq!(reply_to(&CREATE.replace("rules.cold_from=0.2 ", "")), missing);
     let invalid = "DIE words=line 2 (CREATE): field request_classes.0.effect cannot be 'often'\nDONE\n";
-    assert_eq!(text_of(&CREATE.replace("effect=repeatable", "effect=often")), invalid);
+    assert_eq!(reply_to(&CREATE.replace("effect=repeatable", "effect=often")), invalid);
 }
 
 /// Lines, after an instance was created where they begin with CREATED, and what is wrong with the last of them.
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -49,7 +49,7 @@
             .values()
             .map(|load| load.limits.max_utilization.min(OVERLOAD_UTILIZATION) * load.max_rate())
             .sum();
-        for class in by_worth(&config.classes) {
+        for class in classes_by_priority(&config.classes) {
             let wanted = if capacity >= offered[class] { 1.0 } else { capacity / offered[class] };
             capacity = (capacity - offered[class]).max(0.0);
             self.rates[class] = next_rate(self.rates[class], wanted);
@@ -67,7 +67,7 @@
 }
 
 /// Positions of the classes, the one with the most worth for its work first.
-fn by_worth(classes: &[ClassConfig]) -> Vec<usize> {
+fn classes_by_priority(classes: &[ClassConfig]) -> Vec<usize> {
     let worth = |class: &ClassConfig| class.priority_weight / class.contract_time.max(0.001);
     let mut order: Vec<usize> = (0..classes.len()).collect();
     order.sort_by(|a, b| worth(&classes[*b]).total_cmp(&worth(&classes[*a])));
--- a/src/decision/assignment.rs
+++ b/src/decision/assignment.rs
@@ -54,7 +54,7 @@
 }
 
 /// The mean rate of the slices that are reported, in operations a second.
-pub fn typical_rate(slices: &Slices) -> f64 {
+pub fn mean_reported_rate(slices: &Slices) -> f64 {
     let reported = || slices.values().filter(|slice| slice.is_reported());
     let total: f64 = reported().flat_map(|slice| slice.demand.iter().map(DecayingRate::per_second)).sum();
     total / reported().count().max(1) as f64
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -13,7 +13,7 @@
 
 /// What the proxies know of a host that was ever excluded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Published {
+pub enum ExclusionState {
     Excluded,
     Admitted,
     /// Some proxy may not know.
@@ -30,29 +30,29 @@
 /// The exclusions, as published.
 #[derive(Default)]
 pub struct Exclusions {
-    published: BTreeMap<HostId, Published>,
+    published: BTreeMap<HostId, ExclusionState>,
 }
 
 impl Exclusions {
     /// A proxy connected: it may have missed what was published.
     pub fn on_proxy_connected(&mut self) {
-        self.published.values_mut().for_each(|state| *state = Published::Unconfirmed);
+        self.published.values_mut().for_each(|state| *state = ExclusionState::Unconfirmed);
     }
 
     /// This controller has restarted and does not know whom it had excluded.
     pub fn on_controller_restarted(&mut self, hosts: impl Iterator<Item = HostId>) {
-        self.published.extend(hosts.map(|host| (host, Published::Unconfirmed)));
+        self.published.extend(hosts.map(|host| (host, ExclusionState::Unconfirmed)));
     }
 
     /// What is published from now on.
     pub fn apply(&mut self, change: ExclusionChange) {
-        let state = if change.is_excluded { Published::Excluded } else { Published::Admitted };
+        let state = if change.is_excluded { ExclusionState::Excluded } else { ExclusionState::Admitted };
         self.published.insert(change.host, state);
     }
 
     /// Drops a host unless proxies may still exclude it; whether it is dropped.
     pub fn forget(&mut self, host: HostId) -> bool {
-        let is_admitted = self.published.get(&host).is_none_or(|state| *state == Published::Admitted);
+        let is_admitted = self.published.get(&host).is_none_or(|state| *state == ExclusionState::Admitted);
         if is_admitted {
             self.published.remove(&host);
         }
@@ -76,12 +76,12 @@
             let may_be_forgotten = host.is_none_or(|host| host.is_expired(now)) && !named.contains(id);
             !single_owner && !is_usable && !owners.contains(id) && !may_be_forgotten
         };
-        let mut concerned: BTreeSet<HostId> = named.iter().copied().filter(&must_exclude).collect();
-        concerned.extend(self.published.keys().copied().filter(|host| !must_exclude(host)));
+        let mut candidates: BTreeSet<HostId> = named.iter().copied().filter(&must_exclude).collect();
+        candidates.extend(self.published.keys().copied().filter(|host| !must_exclude(host)));
         let mut changes = Vec::new();
-        for host in concerned {
+        for host in candidates {
             let is_excluded = must_exclude(&host);
-            let wanted = if is_excluded { Published::Excluded } else { Published::Admitted };
+            let wanted = if is_excluded { ExclusionState::Excluded } else { ExclusionState::Admitted };
             if self.published.get(&host) != Some(&wanted) {
                 changes.push(ExclusionChange { host, is_excluded });
             }
@@ -91,7 +91,7 @@
 
     /// What the proxies know, for tests to set.
     #[cfg(test)]
-    pub fn published(&mut self) -> &mut BTreeMap<HostId, Published> {
+    pub fn published(&mut self) -> &mut BTreeMap<HostId, ExclusionState> {
         &mut self.published
     }
 }
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -40,8 +40,8 @@
     host.failed_checks += 1;
     host.is_unreachable = result.outcome == HealthCheckOutcome::Unreachable;
     let may_go_down = host.is_delisted || !is_down_limit_reached;
-    let goes_down = !host.is_down && is_proven_down(now, host) && may_go_down;
-    if !goes_down {
+    let is_newly_down = !host.is_down && is_proven_down(now, host) && may_go_down;
+    if !is_newly_down {
         // Checked again at once, not at the next tick: a second failure is the proof.
         if host.is_unreachable && host.failed_checks < UNREACHABLE_THRESHOLD {
             commands.check_health(result.host);
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -106,11 +106,11 @@
 /// The middle service time among hosts of a kind, or else among all.
 fn typical_service_time(now: Seconds, hosts: &BTreeMap<HostId, Host>, kind: HostKindId) -> Seconds {
     let of_kind = hosts.values().filter(|host| host.kind == kind);
-    let typical = middle_service_time(now, of_kind);
-    typical.or_else(|| middle_service_time(now, hosts.values())).unwrap_or(DEFAULT_SERVICE_TIME)
+    let typical = median_service_time(now, of_kind);
+    typical.or_else(|| median_service_time(now, hosts.values())).unwrap_or(DEFAULT_SERVICE_TIME)
 }
 
-fn middle_service_time<'a>(now: Seconds, hosts: impl Iterator<Item = &'a Host>) -> Option<Seconds> {
+fn median_service_time<'a>(now: Seconds, hosts: impl Iterator<Item = &'a Host>) -> Option<Seconds> {
     let known = hosts.filter(|host| host.service_time.is_known(now));
     quantile(known.map(|host| host.service_time.read(now, 0.0)).collect(), 0.5)
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -31,7 +31,7 @@
     ProxyId, ProxyStreamEvent, Seconds, SliceAssignment, SliceHandoff, SliceId, TimerId, WeightedHost,
 };
 use admission::AdmissionControl;
-use assignment::{apply_assignment, apply_handoff, drop_outdated_estimates, handoff, typical_rate};
+use assignment::{apply_assignment, apply_handoff, drop_outdated_estimates, handoff, mean_reported_rate};
 use endpoint_list::{apply_endpoint_list, forget_gone_hosts};
 use exclusion::Exclusions;
 use health_check::apply_health_check;
@@ -236,7 +236,7 @@
     }
 
     fn apply_assignments(&mut self, now: Seconds, assignments: &[SliceAssignment]) {
-        let estimated_rate = if assignments.is_empty() { 0.0 } else { typical_rate(&self.slices) };
+        let estimated_rate = if assignments.is_empty() { 0.0 } else { mean_reported_rate(&self.slices) };
         let classes = self.config.classes.len();
         for assignment in assignments {
             if self.slices.is_empty() {
--- a/src/decision/placement/failback.rs
+++ b/src/decision/placement/failback.rs
@@ -14,21 +14,21 @@
     let away: Vec<(SliceId, HostId)> =
         moves.slices.iter().filter_map(|(id, slice)| Some((*id, slice.preferred_host?))).collect();
     for (id, host) in away {
-        if remaining > 0 && may_return(moves, id, host) {
+        if remaining > 0 && can_fail_back(moves, id, host) {
             remaining -= 1;
             moves.move_slice(id, Some(host));
         }
     }
 }
 
-fn may_return(moves: &SliceMoves, id: SliceId, host: HostId) -> bool {
+fn can_fail_back(moves: &SliceMoves, id: SliceId, host: HostId) -> bool {
     let slice = &moves.slices[&id];
     let more_demand = moves.rate(id) * COLD_CACHE_DEMAND_MULTIPLE;
     let owner_load = slice.owner.and_then(|owner| moves.loads.get(&owner));
-    let latency_now = owner_load.map_or(f64::INFINITY, |load| load.expected_latency(0.0));
+    let present_latency = owner_load.map_or(f64::INFINITY, |load| load.expected_latency(0.0));
     let is_better = moves
         .loads
         .get(&host)
-        .is_some_and(|load| load.fits(more_demand) && load.expected_latency(more_demand) < latency_now);
+        .is_some_and(|load| load.fits(more_demand) && load.expected_latency(more_demand) < present_latency);
     is_better && moves.ejected != Some(host) && moves.now >= slice.pinned_until
 }
--- a/src/decision/placement/failover.rs
+++ b/src/decision/placement/failover.rs
@@ -17,7 +17,7 @@
     for id in leaving {
         let slice = &moves.slices[&id];
         let (owner, preferred_host) = (slice.owner, slice.preferred_host.or(slice.owner));
-        let target = failover_target(moves, id).or_else(|| last_resort(moves, owner));
+        let target = failover_target(moves, id).or_else(|| fallback_host(moves, owner));
         if target != owner {
             moves.move_slice(id, target);
             moves.slices.get_mut(&id).expect("moved above").preferred_host = preferred_host;
@@ -67,7 +67,7 @@
 
 /// A table may be empty only while every listed host is cold: the owner if it is listed and warm, though down, or the
 /// first such host.
-fn last_resort(moves: &SliceMoves, owner: Option<HostId>) -> Option<HostId> {
+fn fallback_host(moves: &SliceMoves, owner: Option<HostId>) -> Option<HostId> {
     let is_listed_and_warm = |id: &HostId| {
         let host = moves.hosts.get(id);
         host.is_some_and(|host| {
--- a/src/decision/placement/rebalancing.rs
+++ b/src/decision/placement/rebalancing.rs
@@ -54,7 +54,7 @@
         if quota.available < 1.0 {
             return;
         }
-        if let Some((slice, to)) = worthwhile_move(moves, &from) {
+        if let Some((slice, to)) = beneficial_move(moves, &from) {
             quota.available -= 1.0;
             moves.move_slice(slice, Some(to));
         }
@@ -80,7 +80,7 @@
 }
 
 /// The slice with the highest rate whose move shortens the latency enough, at both hosts, and where it goes.
-fn worthwhile_move(moves: &SliceMoves, from: &LaggingHost) -> Option<(SliceId, HostId)> {
+fn beneficial_move(moves: &SliceMoves, from: &LaggingHost) -> Option<(SliceId, HostId)> {
     for id in moves.slices_by_rate(from.host) {
         if moves.now < moves.slices[&id].pinned_until {
             continue;
--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -197,7 +197,8 @@
     ) {
         let mut cleared_slices = Vec::new();
         if state.config.single_owner {
-            cleared_slices = single_owner::unconfirmed_clears(state.slices, &self.backlog.cleared_slices());
+            cleared_slices =
+                single_owner::unconfirmed_cleared_slices(state.slices, &self.backlog.cleared_slices());
         }
         let is_ack_missed = self.barrier_due && !self.backlog.is_empty();
         self.barrier_due = is_ack_missed || !cleared_slices.is_empty();
@@ -260,8 +261,8 @@
         let slice = state.slices.get_mut(&write.slice).expect("pending above");
         let mut lines = changes(&slice.published, &write.table);
         // A single owner's table is cleared before it names the next.
-        let is_clear = state.config.single_owner && lines.iter().any(|line| line.weight == 0.0);
-        lines.retain(|line| !is_clear || line.weight == 0.0);
+        let is_clearing = state.config.single_owner && lines.iter().any(|line| line.weight == 0.0);
+        lines.retain(|line| !is_clearing || line.weight == 0.0);
         let max_fraction = match write.urgency {
             Urgency::NoUsableHost => MAX_BACKLOG_FRACTION,
             Urgency::OwnerChanged | Urgency::Other => MAX_ORDINARY_BACKLOG_FRACTION,
@@ -272,8 +273,8 @@
         for line in lines {
             commands.set_weight(write.slice, line.host, line.weight);
         }
-        slice.published = if is_clear { Vec::new() } else { write.table };
-        if is_clear {
+        slice.published = if is_clearing { Vec::new() } else { write.table };
+        if is_clearing {
             slice.writes_end_at = None;
         }
     }
--- a/src/decision/single_owner.rs
+++ b/src/decision/single_owner.rs
@@ -42,7 +42,7 @@
 }
 
 /// Slices with a clear table of which no update in the backlog will show that all proxies know.
-pub fn unconfirmed_clears(slices: &Slices, in_backlog: &BTreeSet<SliceId>) -> Vec<SliceId> {
+pub fn unconfirmed_cleared_slices(slices: &Slices, in_backlog: &BTreeSet<SliceId>) -> Vec<SliceId> {
     let mut unconfirmed = Vec::new();
     for (id, slice) in slices {
         if slice.published.is_empty() && slice.writes_end_at.is_none() && !in_backlog.contains(id) {
--- a/src/decision/tests/backlog_model.rs
+++ b/src/decision/tests/backlog_model.rs
@@ -132,7 +132,7 @@
 
 /// A minute in which seven in ten proxies leave at once now and then and come back, on a channel that is slow at
 /// times. The most that waited after a message, as a share of the limit, and how many lines were published.
-fn most_waiting(seed: u64) -> (f64, usize) {
+fn max_backlog_fraction(seed: u64) -> (f64, usize) {
     let mut controller = controller(ControllerConfig { backlog_limit: LIMIT, message_quota: 0, ..config() });
     controller.publisher.backlog = UpdateBacklog::default();
     let mut channel = ModelChannel::new(seed);
@@ -188,7 +188,7 @@
 
 #[test]
 fn backlog_stays_within_limit_on_slow_channel() {
-    let runs: Vec<_> = (0..300).map(most_waiting).collect();
+    let runs: Vec<_> = (0..300).map(max_backlog_fraction).collect();
     for (seed, (most, published_lines)) in runs.iter().enumerate() {
         assert!(*most <= 1.0, "seed {seed}: {most} of the limit waited");
         assert!(*published_lines > 300, "seed {seed}: only {published_lines} lines in a minute");
--- a/src/decision/tests/controller.rs
+++ b/src/decision/tests/controller.rs
@@ -3,13 +3,13 @@
 #[test]
 fn restarted_controller_keeps_stored_tables() {
     let controller = controller(config());
-    assert!((1..=4).all(|n| owned(&controller, n) == 3));
+    assert!((1..=4).all(|n| owned_slice_count(&controller, n) == 3));
 }
 
 #[test]
 fn unknown_ids_are_ignored() {
     let mut controller = controller(config());
-    let mut batch = failing(101.0, 1);
+    let mut batch = failure_reports(101.0, 1);
     batch.host_loads.iter_mut().for_each(|report| report.host = host(99));
     batch.health_checks.push(HealthCheckResult { host: host(99), outcome: HealthCheckOutcome::Passed });
     batch.slice_loads.push(SliceLoadReport {
--- a/src/decision/tests/endpoint_list.rs
+++ b/src/decision/tests/endpoint_list.rs
@@ -32,14 +32,14 @@
             ..EventBatch::default()
         };
         controller.handle_batch(&batch, &mut RecordedCommands::default());
-        assert_eq!(owned(&controller, 4), slices);
+        assert_eq!(owned_slice_count(&controller, 4), slices);
         (0..2).for_each(|_| {
             controller.handle_batch(
                 &health_checked(101.0, 4, HealthCheckOutcome::Unreachable),
                 &mut RecordedCommands::default(),
             )
         });
-        assert_eq!((owned(&controller, 4), controller.hosts[&host(4)].phase), (0, Phase::Gone));
+        assert_eq!((owned_slice_count(&controller, 4), controller.hosts[&host(4)].phase), (0, Phase::Gone));
     }
 }
 
--- a/src/decision/tests/exclusion.rs
+++ b/src/decision/tests/exclusion.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::decision::exclusion::{ExclusionChange, Published};
+use crate::decision::exclusion::{ExclusionChange, ExclusionState};
 
 fn due_exclusions(controller: &Controller, now: Seconds) -> Vec<ExclusionChange> {
     controller.exclusions.due_changes(now, &controller.hosts, &controller.slices, false)
@@ -43,6 +43,6 @@
     controller.handle_batch(&EventBatch { proxy_streams: vec![connected], ..tick(102.0) }, &mut commands);
     assert_eq!(commands.exclusions, [(host(2), true), (host(2), true)]);
     controller.slices.values_mut().for_each(|slice| slice.published = vec![(host(1), 1.0).into()]);
-    controller.exclusions.published().insert(host(2), Published::Unconfirmed);
+    controller.exclusions.published().insert(host(2), ExclusionState::Unconfirmed);
     assert!(due_exclusions(&controller, 110.0).is_empty());
 }
--- a/src/decision/tests/health_check.rs
+++ b/src/decision/tests/health_check.rs
@@ -5,12 +5,12 @@
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&health_checked(101.0, 2, HealthCheckOutcome::Unreachable), &mut commands);
-    assert_eq!((commands.health_checks, owned(&controller, 2)), (vec![host(2)], 3));
+    assert_eq!((commands.health_checks, owned_slice_count(&controller, 2)), (vec![host(2)], 3));
     controller.handle_batch(
         &health_checked(101.1, 2, HealthCheckOutcome::Unreachable),
         &mut RecordedCommands::default(),
     );
-    assert_eq!(owned(&controller, 2), 0);
+    assert_eq!(owned_slice_count(&controller, 2), 0);
 }
 
 #[test]
--- a/src/decision/tests/load_estimate.rs
+++ b/src/decision/tests/load_estimate.rs
@@ -18,7 +18,7 @@
         &mut RecordedCommands::default(),
     );
     assert_eq!((rate(&controller, 0), rate(&controller, 7)), (2.0, 2.0));
-    let owned_slices = f64::from(owned(&controller, 1) as u16);
+    let owned_slices = f64::from(owned_slice_count(&controller, 1) as u16);
     assert_eq!(controller.loads(101.1)[&host(1)].demand, owned_slices * 2.0);
     let report = SliceLoadReport { slice: SliceId(0), class: ClassId(0), operations: 5.0, span: 1.0 };
     controller.handle_batch(
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -132,7 +132,7 @@
     }
 }
 
-fn owned(controller: &Controller, n: u8) -> usize {
+fn owned_slice_count(controller: &Controller, n: u8) -> usize {
     controller.slices.values().filter(|slice| slice.owner == Some(host(n))).count()
 }
 
@@ -148,7 +148,7 @@
     }
 }
 
-fn failing(now: Seconds, n: u8) -> EventBatch {
+fn failure_reports(now: Seconds, n: u8) -> EventBatch {
     let host_loads = (1..=4).map(|k| load_report(k, if k == n { 10.0 } else { 0.0 })).collect();
     EventBatch { host_loads, ..tick(now) }
 }
--- a/src/decision/tests/outlier_ejection.rs
+++ b/src/decision/tests/outlier_ejection.rs
@@ -17,10 +17,10 @@
 fn failing_host_is_ejected_until_its_score_recovers() {
     let mut controller = controller(config());
     (1..12).for_each(|k| {
-        controller.handle_batch(&failing(100.0 + f64::from(k), 2), &mut RecordedCommands::default())
+        controller.handle_batch(&failure_reports(100.0 + f64::from(k), 2), &mut RecordedCommands::default())
     });
-    assert_eq!((controller.ejected_outlier, owned(&controller, 2)), (Some(host(2)), 0));
-    controller.handle_batch(&failing(112.0, 3), &mut RecordedCommands::default());
+    assert_eq!((controller.ejected_outlier, owned_slice_count(&controller, 2)), (Some(host(2)), 0));
+    controller.handle_batch(&failure_reports(112.0, 3), &mut RecordedCommands::default());
     assert_eq!(controller.ejected_outlier, Some(host(2)));
     // It must not be the outlier again at once.
     let mut now = 113.0;
@@ -37,7 +37,7 @@
     let mut controller = controller(config());
     (1..12).for_each(|k| {
         controller.admission.rates[0] = 0.5;
-        controller.handle_batch(&failing(100.0 + f64::from(k), 2), &mut RecordedCommands::default());
+        controller.handle_batch(&failure_reports(100.0 + f64::from(k), 2), &mut RecordedCommands::default());
         controller.admission.rates[0] = 0.5;
     });
     assert_eq!(controller.ejected_outlier, None);
--- a/src/decision/tests/placement.rs
+++ b/src/decision/tests/placement.rs
@@ -16,7 +16,7 @@
     rebalance(&mut moves, &mut controller.move_quota);
 }
 
-fn slices_of(controller: &Controller, n: u8) -> impl Iterator<Item = (&SliceId, &Slice)> {
+fn owned_slices(controller: &Controller, n: u8) -> impl Iterator<Item = (&SliceId, &Slice)> {
     controller.slices.iter().filter(move |(_, slice)| slice.owner == Some(host(n)))
 }
 
@@ -41,7 +41,7 @@
 fn slices_fail_over_to_standbys_with_capacity() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 2.0, 0.1);
-    let standbys: Vec<_> = slices_of(&controller, 2).map(|(id, slice)| (*id, slice.standby)).collect();
+    let standbys: Vec<_> = owned_slices(&controller, 2).map(|(id, slice)| (*id, slice.standby)).collect();
     controller.handle_batch(
         &endpoint_update(101.0, vec![entry(2, Phase::Draining, None)]),
         &mut RecordedCommands::default(),
@@ -83,5 +83,5 @@
     controller.hosts.get_mut(&host(1)).expect("listed").lagging_ticks = MIN_LAGGING_TICKS;
     (controller.move_quota.available, controller.move_quota.refilled_at) = (0.5, 101.0);
     rebalance_at(&mut controller, 101.0);
-    assert_eq!(owned(&controller, 1), 3);
+    assert_eq!(owned_slice_count(&controller, 1), 3);
 }
--- a/src/decision/tests/single_owner.rs
+++ b/src/decision/tests/single_owner.rs
@@ -10,7 +10,7 @@
 }
 
 /// When the next line with a weight is published, at a tick a second.
-fn named_at(controller: &mut Controller, from: Seconds) -> Seconds {
+fn next_owner_published_at(controller: &mut Controller, from: Seconds) -> Seconds {
     (0..60)
         .map(|k| from + f64::from(k))
         .find(|now| {
@@ -34,7 +34,11 @@
     (122..130).for_each(|now| controller.handle_batch(&tick(f64::from(now)), &mut commands));
     assert_eq!(commands.lines.len(), 3, "still nobody");
     controller.handle_batch(&acknowledged(130.0, &[1], barrier), &mut commands);
-    assert_eq!(named_at(&mut controller, 130.5), 133.5, "a write's duration after the last proxy knows");
+    assert_eq!(
+        next_owner_published_at(&mut controller, 130.5),
+        133.5,
+        "a write's duration after the last proxy knows"
+    );
     assert!(controller
         .slices
         .values()
@@ -50,7 +54,7 @@
     controller.handle_batch(&acknowledged(121.0, &[0], barrier), &mut commands);
     controller.handle_batch(&disconnected(122.0, 1), &mut commands);
     // It may write until 126, and that write lasts until 129.
-    assert_eq!(named_at(&mut controller, 122.5), 129.5);
+    assert_eq!(next_owner_published_at(&mut controller, 122.5), 129.5);
 }
 
 #[test]
@@ -63,7 +67,7 @@
     let barrier = *commands.barriers.last().expect("all are asked whether they know");
     controller.handle_batch(&acknowledged(141.0, &[0, 1], barrier), &mut commands);
     assert_eq!(
-        named_at(&mut controller, 141.5),
+        next_owner_published_at(&mut controller, 141.5),
         147.5,
         "the lease of proxies that are not connected, and a write's duration"
     );
--- a/src/decision/tests/slow_start.rs
+++ b/src/decision/tests/slow_start.rs
@@ -16,7 +16,7 @@
         "{}",
         load.utilization(0.0)
     );
-    assert!(owned(&controller, 1) < 3);
+    assert!(owned_slice_count(&controller, 1) < 3);
 }
 
 #[test]
