--- a/src/decaying.rs
+++ b/src/decaying.rs
@@ -1,4 +1,4 @@
-//! What is measured over time: exponentially decaying sums, brought up to date when they are read or added to.
+//! Exponentially decaying sums and rates. The decay is computed when a sum is read or added to.
 use crate::interface::Seconds;
 
 /// A sum in which an amount counts for less the longer ago it was added.
@@ -11,34 +11,35 @@
 }
 
 impl DecayingSum {
-    /// The sum now. In `averaging_time` seconds an amount falls to 1/e of what it was.
+    /// Returns the sum at `now`. In `averaging_time` seconds an amount decays to 1/e of its value.
     pub fn read(&self, now: Seconds, averaging_time: Seconds) -> f64 {
         self.value * (-(now - self.updated_at).max(0.0) / averaging_time).exp()
     }
 
-    /// Adds an amount that counts in full now.
+    /// Adds an amount that counts in full at `now`.
     pub fn add(&mut self, now: Seconds, amount: f64, averaging_time: Seconds) {
         *self = DecayingSum { value: self.read(now, averaging_time) + amount, updated_at: now };
     }
 }
 
-/// A rate over the time that reports cover, which come late, apart and not every second.
+/// A rate computed from reports that arrive late, at irregular intervals, and cover time spans of different lengths.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingRate {
-    /// What the reports counted.
+    /// Decaying sum of the reported amounts.
     pub amount: DecayingSum,
-    /// Seconds that the reports cover.
+    /// Decaying sum of the seconds that the reports cover.
     pub span: DecayingSum,
 }
 
 impl DecayingRate {
-    /// Adds a report of an amount within a span of seconds.
+    /// Adds a report of `amount` that covers `span` seconds.
     pub fn add(&mut self, now: Seconds, amount: f64, span: Seconds, averaging_time: Seconds) {
         self.amount.add(now, amount, averaging_time);
         self.span.add(now, span, averaging_time);
     }
 
-    /// The amount a second; 0 before the first report. Without new reports it stays: both sums decay alike.
+    /// The amount per second; 0 before the first report. It does not change without new reports, because both sums
+    /// decay alike.
     pub fn per_second(&self) -> f64 {
         if self.span.value > 0.0 {
             self.amount.value / self.span.value
@@ -47,13 +48,13 @@
         }
     }
 
-    /// A report has been added.
+    /// Whether a report has been added.
     pub fn is_known(&self) -> bool {
         self.span.value > 0.0
     }
 }
 
-/// The value below which the given fraction of the values lies; `None` of no values.
+/// Returns the value below which `fraction` of the values lie, or `None` if there are no values.
 pub fn quantile(mut values: Vec<f64>, fraction: f64) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get((values.len() as f64 * fraction) as usize).copied()
--- a/src/interface/commands.rs
+++ b/src/interface/commands.rs
@@ -1,4 +1,4 @@
-//! What a controller has done: the commands it gives, and the decisions it reports for the log.
+//! The output of a controller: its commands, and the decisions that it reports for the log.
 use super::ids::{BarrierId, ClassId, HostId, ProxyId, SliceId, TimerId};
 use super::time::Seconds;
 use std::fmt;
@@ -6,32 +6,33 @@
 /// After which failures a proxy retries an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// After none.
+    /// After no failure.
     Never,
-    /// Where the attempt has certainly not run: it was refused, or no host was reached.
+    /// Only if the attempt was certainly not executed: it was refused, or no host was reached.
     IfNotExecuted,
-    /// After any, though the attempt may have run.
+    /// After any failure, even if the attempt may have been executed.
     AfterFailure,
 }
 
-/// Takes a controller's commands, in order, as they are given.
+/// Receives the commands of a controller, in the order in which they are issued.
 pub trait CommandSink {
     /// Sets a host's weight in a slice's table; 0 removes the host.
     fn set_weight(&mut self, slice: SliceId, host: HostId, weight: f64);
-    /// Puts a proxy on a table, where the key space is not sliced.
+    /// Assigns a table to a proxy. Used only if the key space is not sliced.
     fn assign_table(&mut self, table: SliceId, proxy: ProxyId);
-    /// Sets the fraction (0 to 1) of a class's operations that all proxies admit, and how they retry them.
+    /// Sets the fraction (0 to 1) of a class's operations that every proxy admits, and after which failures it retries
+    /// them.
     fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry_policy: RetryPolicy);
-    /// Stops all proxies from sending to a host, whatever their tables name.
+    /// Stops all proxies from sending to a host, even if their tables name it.
     fn exclude_host(&mut self, host: HostId);
     /// Lets proxies send to an excluded host again.
     fn readmit_host(&mut self, host: HostId);
-    /// Adds a barrier to this update: every connected proxy acknowledges it, also one that the update brings
-    /// nothing else.
+    /// Adds a barrier to this update. Every connected proxy acknowledges it, even if the update contains nothing else
+    /// for that proxy.
     fn set_barrier(&mut self, barrier: BarrierId);
     /// Starts a health check of a host.
     fn check_health(&mut self, host: HostId);
-    /// Sets a timer that is due after this many seconds.
+    /// Sets a timer that expires after this many seconds.
     fn set_timer(&mut self, after: Seconds, timer: TimerId);
     /// Reports a decision, for the log.
     fn report(&mut self, event: DecisionEvent);
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,16 +1,17 @@
-//! What a controller is notified of: endpoint lists, proxy streams, slices, load, health checks, acknowledgements.
+//! The input of a controller: endpoint lists, changes of proxy streams and of slice assignments, load reports, health
+//! checks and acknowledgements.
 use super::ids::{BarrierId, ClassId, HostId, HostKindId, ProxyId, SliceId, TimerId, WeightedHost, ZoneId};
 use super::time::Seconds;
 
-/// Where a host is in its life, by the endpoint list.
+/// The phase of a host's life cycle, as given by the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes operations.
+    /// It accepts operations.
     #[default]
     Ready,
-    /// It finishes what it has and must be sent nothing new.
+    /// It completes the operations in progress and must not be sent new ones.
     Draining,
-    /// It is no more.
+    /// It no longer exists.
     Gone,
 }
 
@@ -19,20 +20,20 @@
 pub struct EndpointEntry {
     /// The host.
     pub host: HostId,
-    /// Where it is in its life.
+    /// The phase of its life cycle.
     pub phase: Phase,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if that was long ago.
     pub started_at: Option<Seconds>,
     /// Its size relative to other hosts, such as its number of cores.
     pub weight: f64,
-    /// Its machine type.
+    /// Its kind (machine type).
     pub kind: HostKindId,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// It names every host, so that a host it lacks is gone; else only those that changed.
+    /// Whether the list names every host, so that a missing host is gone, or only the hosts that changed.
     pub complete: bool,
     /// The hosts that it names.
     pub entries: Vec<EndpointEntry>,
@@ -43,7 +44,7 @@
 pub enum ProxyStreamEvent {
     /// Its first stream to this controller.
     Connected(ProxyId),
-    /// It had a stream to this controller before and still holds what it was sent there.
+    /// It had a stream to this controller before and still has the state that it received there.
     Reconnected(ProxyId),
     /// Its stream is closed.
     Disconnected(ProxyId),
@@ -59,23 +60,23 @@
         }
     }
 
-    /// The proxy has a stream now.
+    /// Whether the proxy has a stream after this event.
     pub fn is_connected(&self) -> bool {
         !matches!(self, ProxyStreamEvent::Disconnected(_))
     }
 }
 
-/// A change of what slices this controller decides on.
+/// A change of the set of slices that this controller decides on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SliceAssignment {
-    /// The slice is this controller's, with the table that is stored of it.
+    /// The slice is assigned to this controller, with its stored table.
     Assigned {
         /// The slice.
         slice: SliceId,
         /// The hosts of its table, as stored.
         entries: Vec<WeightedHost>,
     },
-    /// The slice is this controller's no more.
+    /// The slice is no longer assigned to this controller.
     Revoked {
         /// The slice.
         slice: SliceId,
@@ -91,14 +92,15 @@
     }
 }
 
-/// What a controller that gives a slice up knows of it and the next cannot learn from lists and reports.
+/// The state of a slice that its former controller hands to the next one, which cannot learn it from endpoint lists and
+/// load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SliceHandoff {
-    /// Operations a second.
+    /// Admitted operations per second.
     pub rate: f64,
     /// Seconds until fail-back or rebalancing may move the slice again.
     pub pinned_for: Seconds,
-    /// The host it was taken from and fails back to.
+    /// The host that the slice was moved from by failover and fails back to.
     pub preferred_host: Option<HostId>,
 }
 
@@ -109,37 +111,37 @@
     pub zone: ZoneId,
     /// The host.
     pub host: HostId,
-    /// Attempts that ended.
+    /// Completed attempts, including those that failed.
     pub attempts: f64,
-    /// Those of them that failed.
+    /// Attempts that failed.
     pub failed: f64,
-    /// Mean latency of the others in seconds; 0 if there were none.
+    /// Mean latency of the successful attempts in seconds; 0 if there were none.
     pub mean_latency: Seconds,
     /// Seconds that the report covers.
     pub span: Seconds,
-    /// Fraction of its cores that the host last reported busy.
+    /// Fraction of the host's cores that were busy, as the host last reported.
     pub cpu_utilization: Option<f64>,
 }
 
-/// Operations of a class that came for a slice.
+/// Operations of one class that arrived for a slice.
 #[derive(Clone, Copy, Debug)]
 pub struct SliceLoadReport {
     /// The slice.
     pub slice: SliceId,
     /// The class.
     pub class: ClassId,
-    /// Operations that came, admitted or not.
+    /// Operations that arrived, whether admitted or not.
     pub operations: f64,
     /// Seconds that the report covers.
     pub span: Seconds,
 }
 
-/// How a health check ended.
+/// Outcome of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckOutcome {
     /// The host answered.
     Passed,
-    /// The host is there and refused the check, as one that is full does.
+    /// The host was reached and refused the check, as a saturated host does.
     Rejected,
     /// The host did not answer in time, or answered with an error.
     Failed,
@@ -147,16 +149,16 @@
     Unreachable,
 }
 
-/// A health check that ended.
+/// A completed health check.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthCheckResult {
     /// The host that was checked.
     pub host: HostId,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: HealthCheckOutcome,
 }
 
-/// A proxy has applied the update that bore the barrier, and all before it.
+/// A proxy has applied the update that carries the barrier, and all updates before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BarrierAck {
     /// The proxy.
@@ -165,10 +167,10 @@
     pub barrier: BarrierId,
 }
 
-/// All that came in since the last batch.
+/// All events since the previous batch.
 #[derive(Clone, Debug, Default)]
 pub struct EventBatch {
-    /// The time now.
+    /// The current time.
     pub now: Seconds,
     /// Endpoint lists, oldest first.
     pub endpoint_lists: Vec<EndpointList>,
@@ -180,13 +182,13 @@
     pub host_loads: Vec<HostLoadReport>,
     /// Load reports by slice.
     pub slice_loads: Vec<SliceLoadReport>,
-    /// Health checks that ended.
+    /// Completed health checks.
     pub health_checks: Vec<HealthCheckResult>,
     /// Barriers that proxies acknowledged.
     pub barrier_acks: Vec<BarrierAck>,
-    /// Timers that are due.
+    /// Timers that have expired.
     pub timers: Vec<TimerId>,
-    /// When the oldest commands were given that the channel has not accepted yet: a proxy that connects may get
-    /// them too.
+    /// When the oldest commands that the channel has not accepted yet were issued; `None` if it has accepted all. A
+    /// proxy that connects now may receive the pending commands too.
     pub oldest_pending_at: Option<Seconds>,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,24 +1,25 @@
-//! What hosts, proxies, slices, zones, classes, timers and barriers are named by.
+//! Identifiers of hosts, proxies, slices, zones, classes, kinds of hosts, timers and barriers.
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Longest host name, in bytes. Instance ids and addresses with ports fit.
+/// Maximum length of a host name, in bytes: enough for instance ids and for addresses with ports.
 const MAX_NAME_BYTES: usize = 54;
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A host's name. It holds the name itself, so no table of names outlives the hosts.
+/// The name of a host. The id contains the name itself, so there is no table of names to clean up when hosts go away.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId {
-    /// Padded with zeros, so that ids sort as their names do.
+    /// The name padded with zeros, so that ids sort like their names.
     bytes: [u8; MAX_NAME_BYTES],
     length: u8,
     hash: u64,
 }
 
 impl HostId {
-    /// `None` if the name is empty, longer than 54 bytes, or holds a space, a control or a non-ASCII character.
+    /// Returns `None` if the name is empty, longer than 54 bytes, or contains a space, a control character or a
+    /// non-ASCII character.
     pub fn new(name: &str) -> Option<HostId> {
         let is_valid = !name.is_empty()
             && name.len() <= MAX_NAME_BYTES
@@ -30,17 +31,17 @@
         })
     }
 
-    /// The name as it was given.
+    /// The name as passed to [`HostId::new`].
     pub fn name(&self) -> &str {
         std::str::from_utf8(&self.bytes[..usize::from(self.length)]).unwrap_or_default()
     }
 
-    /// A hash of the name alone: the same on every controller and after every restart.
+    /// A hash that depends on the name only: it is the same on every controller and after every restart.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// The address, where hosts are named by the address that they listen at.
+    /// The address, if the host is named by the address that it listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.name().parse().ok()
     }
@@ -72,7 +73,7 @@
     }
 }
 
-/// A host in a slice's table, with the weight that proxies choose it by.
+/// A host in the table of a slice, with the weight by which proxies choose it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedHost {
     /// The host.
@@ -87,24 +88,24 @@
     }
 }
 
-/// A proxy.
+/// Identifies a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyId(pub u16);
-/// A slice of the key space; also the number of its table.
+/// Identifies a slice of the key space, and the table of that slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SliceId(pub u16);
-/// A zone that proxies stand in.
+/// Identifies a zone in which proxies run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
-/// An operation class: its position in `ControllerConfig::classes`.
+/// Identifies an operation class: its index in `ControllerConfig::classes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub u8);
-/// A machine type. Hosts of one type are alike; the number itself has no meaning.
+/// Identifies a kind of hosts (a machine type). Hosts of one kind are alike; the number itself has no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostKindId(pub u16);
-/// A timer that a controller set.
+/// Identifies a timer that a controller set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
-/// A barrier in the stream of updates: acknowledging it acknowledges all that was sent before it.
+/// Identifies a barrier in the stream of updates. Acknowledging a barrier acknowledges every update before it, too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BarrierId(pub u16);
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! What passes between a controller and the program around it: its configuration, the events that come in, the
-//! commands that go out. Times are seconds with fractions, on one clock that the program chooses.
+//! The interface between a controller and the program that runs it: the configuration, the events that the controller
+//! receives, and the commands that it issues. All times are seconds on one clock, which the program chooses.
 mod commands;
 mod config;
 mod events;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decisions of railhub, a configuration controller for a fleet of proxies.
+//! The decision logic of railhub, a configuration controller for a fleet of proxies.
 //!
-//! Make a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each
+//! Create a [`Controller`] from a [`ControllerConfig`], then call [`Controller::handle_batch`] with each
 //! [`EventBatch`] and a [`CommandSink`].
 #![warn(missing_docs)]
 mod decaying;
--- a/src/update_backlog.rs
+++ b/src/update_backlog.rs
@@ -1,32 +1,32 @@
-//! The backlog of the update channel: updates that were sent and that some proxy has not acknowledged yet.
+//! The backlog of the update channel: updates that were sent and that at least one proxy has not acknowledged yet.
 //!
-//! Messages leave the channel one after another in the order in which they were sent, so an update waits as a whole
-//! until the one before it has left. Acknowledgements alone do not show that: a proxy that connected after the older
-//! update was sent may acknowledge the newer one while both still count as waiting for others.
+//! Messages leave the channel one after another in the order in which they were sent, so no part of an update leaves
+//! before the whole previous update has left. Acknowledgements alone do not show that: a proxy that connected after the
+//! older update was sent may acknowledge the newer one while both updates are still waiting for other proxies.
 use crate::interface::{BarrierId, ProxyId, Seconds, SliceId};
 use std::collections::BTreeSet;
 
 /// One update, sent to all proxies that were connected at that time.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
-    /// The barrier that the update bears.
+    /// The barrier that the update carries.
     pub barrier: BarrierId,
     /// When it was sent.
     pub sent_at: Seconds,
-    /// Lines that it costs for each proxy, the overhead of the message included.
+    /// Lines that it counts for at each proxy, including the overhead of the message.
     pub lines: f64,
-    /// Proxies it was sent to whose streams have not broken since.
+    /// Proxies to which it was sent and whose streams have not closed since.
     pub recipients: BTreeSet<ProxyId>,
-    /// Those of them that have not acknowledged it.
+    /// Recipients that have not acknowledged it.
     pub awaited: BTreeSet<ProxyId>,
-    /// When a proxy acknowledged it last, or when it was sent.
+    /// When a proxy last acknowledged it, or when it was sent if none has.
     pub progress_at: Seconds,
-    /// Slices whose tables are known to be empty once all have acknowledged it.
+    /// Slices whose tables are known to be empty once all recipients have acknowledged the update.
     pub cleared_slices: Vec<SliceId>,
 }
 
 impl Update {
-    /// An update that leaves now for `recipients`.
+    /// An update sent now to `recipients`.
     pub fn new(now: Seconds, barrier: BarrierId, lines: f64, recipients: BTreeSet<ProxyId>) -> Update {
         let awaited = recipients.clone();
         Update {
@@ -41,19 +41,20 @@
     }
 }
 
-/// Updates in the order in which they were sent. Bounded by the age at which they expire.
+/// Unacknowledged updates in the order in which they were sent. Bounded, because updates expire at a certain age.
 #[derive(Debug, Default)]
 pub struct UpdateBacklog {
     updates: Vec<Update>,
 }
 
 impl UpdateBacklog {
-    /// Adds the update that leaves now.
+    /// Adds an update that is sent now.
     pub fn send(&mut self, update: Update) {
         self.updates.push(update);
     }
 
-    /// A proxy has applied the update with this barrier and all before it. An unknown barrier is ignored.
+    /// Records that a proxy has applied the update with this barrier and all updates before it. An unknown barrier is
+    /// ignored.
     pub fn acknowledge(&mut self, now: Seconds, proxy: ProxyId, barrier: BarrierId) {
         let acknowledged = self
             .updates
@@ -67,7 +68,8 @@
         }
     }
 
-    /// A proxy connected while updates sent at `since` or later were not accepted: it may be sent them too.
+    /// Adds a proxy that connected before the channel accepted the updates sent at `since` or later: the proxy may
+    /// receive them too.
     pub fn add_recipient(&mut self, since: Seconds, proxy: ProxyId) {
         for update in self.updates.iter_mut().filter(|update| update.sent_at >= since) {
             update.recipients.insert(proxy);
@@ -75,7 +77,7 @@
         }
     }
 
-    /// A proxy's stream closed: what was on its way to it is lost and waits no more.
+    /// Removes a proxy whose stream closed: updates in transit to it are lost and no longer wait.
     pub fn remove_proxy(&mut self, proxy: ProxyId) {
         for update in &mut self.updates {
             update.recipients.remove(&proxy);
@@ -83,33 +85,34 @@
         }
     }
 
-    /// A slice was assigned or revoked: these updates no longer show what its table is.
+    /// Removes a slice that was assigned or revoked: the updates in the backlog no longer show the state of its table.
     pub fn forget_slice(&mut self, slice: SliceId) {
         for update in &mut self.updates {
             update.cleared_slices.retain(|id| *id != slice);
         }
     }
 
-    /// Slices whose tables will be known to be empty.
+    /// Slices whose tables will be known to be empty once the updates are acknowledged.
     pub fn cleared_slices(&self) -> BTreeSet<SliceId> {
         self.updates.iter().flat_map(|update| update.cleared_slices.iter().copied()).collect()
     }
 
-    /// Takes out the updates that no proxy still has to acknowledge.
+    /// Removes and returns the updates that all recipients have acknowledged.
     pub fn take_acknowledged(&mut self) -> Vec<Update> {
         self.updates.extract_if(.., |update| update.awaited.is_empty()).collect()
     }
 
-    /// Drops updates that were sent `age` seconds ago or earlier: their acknowledgements were lost.
+    /// Drops updates that were sent `age` seconds ago or earlier: their acknowledgements are considered lost.
     pub fn expire(&mut self, now: Seconds, age: Seconds) {
         self.updates.retain(|update| now - update.sent_at < age);
     }
 
-    /// Lines that may still wait in the channel.
+    /// Lines that may still wait in the channel, summed over the proxies.
     ///
-    /// Behind an update that some have not acknowledged, the next ones count for all their recipients. Where no proxy
-    /// has acknowledged one for `stalled_after` seconds since it was sent or last acknowledged, wherever it stands, it
-    /// does not hold the next ones up: those that are missing are slow or their acknowledgements lost.
+    /// An update counts for the recipients that have not acknowledged it; behind an update that is not acknowledged by
+    /// all, it counts for all its recipients. An update at any position for which nothing has happened for
+    /// `stalled_after` seconds (it was neither sent nor acknowledged by a proxy) does not block the updates behind it:
+    /// the remaining proxies are slow, or their acknowledgements were lost.
     pub fn waiting_lines(&self, now: Seconds, stalled_after: Seconds) -> f64 {
         let mut is_blocked = false;
         let mut lines = 0.0;
@@ -121,12 +124,12 @@
         lines
     }
 
-    /// No update waits for an acknowledgement.
+    /// Whether no update waits for an acknowledgement.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty()
     }
 
-    /// The updates that wait, oldest first.
+    /// The unacknowledged updates, oldest first.
     #[cfg(test)]
     pub fn updates(&self) -> &[Update] {
         &self.updates
