--- a/src/decision/assignment.rs
+++ b/src/decision/assignment.rs
@@ -1,19 +1,19 @@
-//! Assignments: slices that this controller is assigned and loses, and what one controller hands to the next.
+//! Assignments: slices that this controller is assigned and loses, and the handoff from one controller to the next.
 //!
-//! A slice comes with its stored table and without a load report. Until its first report, for `UNREPORTED_TIMEOUT` at
-//! most, its rate is estimated: by the handoff of the controller that had it, or else as the mean of the slices that
-//! are reported. Without that its owner would seem idle, and be given more than it can bear.
+//! A slice is assigned with its stored table and without a load report. Until its first report, but for no longer than
+//! `UNREPORTED_TIMEOUT`, its rate is estimated: from the handoff of its former controller, or else as the mean rate of
+//! the reported slices. Without an estimate its owner would appear idle and be given more slices than it can serve.
 use super::host::Host;
 use super::slice::{Slice, Slices};
 use crate::decaying::DecayingRate;
 use crate::interface::{HostId, Seconds, SliceAssignment, SliceHandoff};
 use std::collections::BTreeMap;
 
-/// Seconds for which a slice that no report covers is taken to have its estimated rate.
+/// Seconds for which a slice without a load report is assumed to have its estimated rate.
 pub const UNREPORTED_TIMEOUT: Seconds = 4.0;
 
-/// Applies an assignment. `estimated_rate`: of the slice, in operations a second. Changes `slices`, and in `hosts` only
-/// what makes a host trusted: one that a stored table names has served, and needs no health check first.
+/// Applies an assignment to `slices`. `estimated_rate` is the rate of the slice in operations per second. A host that
+/// the stored table names has served before, so it is marked as usable without a health check.
 pub fn apply_assignment(
     now: Seconds,
     assignment: &SliceAssignment,
@@ -34,7 +34,7 @@
     slices.insert(*slice, Slice { estimated_rate, ..stored });
 }
 
-/// What the next controller of a slice gets to know.
+/// The state of a slice for its next controller.
 pub fn handoff(now: Seconds, slice: &Slice, admission_rates: &[f64]) -> SliceHandoff {
     SliceHandoff {
         rate: slice.admitted_rate(admission_rates),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Applies a handoff that is `age` seconds old, unless that is too old or the slice is reported already.
+/// Applies a handoff that was made `age` seconds ago, unless it is too old or a load report has covered the slice.
 pub fn apply_handoff(now: Seconds, slice: &mut Slice, handoff: &SliceHandoff, age: Seconds) {
     if age > UNREPORTED_TIMEOUT || slice.is_reported() {
         return;
@@ -53,15 +53,15 @@
     slice.preferred_host = handoff.preferred_host;
 }
 
-/// The mean rate of the slices that are reported, in operations a second.
+/// The mean rate of the slices that load reports have covered, in operations per second.
 pub fn mean_reported_rate(slices: &Slices) -> f64 {
     let reported = || slices.values().filter(|slice| slice.is_reported());
     let total: f64 = reported().flat_map(|slice| slice.demand.iter().map(DecayingRate::per_second)).sum();
     total / reported().count().max(1) as f64
 }
 
-/// Drops the estimated rates of slices that are reported by now, or that went unreported for too long: they have no
-/// traffic.
+/// Drops the estimated rates of slices that load reports have covered, and of slices that have not been reported for
+/// `UNREPORTED_TIMEOUT`, which have no traffic.
 pub fn drop_outdated_estimates(now: Seconds, slices: &mut Slices) {
     for slice in slices.values_mut() {
         if slice.is_reported() || now - slice.assigned_at >= UNREPORTED_TIMEOUT {
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! Endpoint lists: what an update of the list changes, and when a host is forgotten.
+//! Endpoint lists: how an update of the list changes the known hosts, and when a host is forgotten.
 //!
-//! The list may be wrong. A host that it drops stays in service while it passes its health checks, unless it was
-//! draining or `delisted_may_serve` is off. One that it adds or brings back gets no slice before it has passed one. A
-//! host that drains loses its slices at once, always.
+//! The list may be wrong. A host that is removed from it stays in service while it passes its health checks, unless it
+//! was draining or `delisted_may_serve` is off. A host that is added or listed again owns no slice until it has passed a
+//! health check. A draining host always loses its slices at once.
 use super::exclusion::Exclusions;
 use super::host::Host;
 use super::slice::Slice;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Forgets hosts that have been gone for long, once no table, ejection or exclusion names them: proxies may meet the
-/// same id anew, so a host is readmitted before it is forgotten.
+/// Forgets hosts that have been gone for long, once no table, ejection or exclusion refers to them. A host is readmitted
+/// before it is forgotten, because a new host may be listed under the same id.
 pub fn forget_gone_hosts(
     now: Seconds,
     ejected: Option<HostId>,
@@ -66,8 +66,8 @@
     let expired: Vec<HostId> =
         hosts.iter().filter(|(_, host)| host.is_expired(now)).map(|(id, _)| *id).collect();
     for id in expired {
-        let is_named = slices.values().any(|slice| slice.owner == Some(id) || slice.publishes(id));
-        if is_named || ejected == Some(id) || !exclusions.forget(id) {
+        let is_in_use = slices.values().any(|slice| slice.owner == Some(id) || slice.publishes(id));
+        if is_in_use || ejected == Some(id) || !exclusions.forget(id) {
             continue;
         }
         hosts.remove(&id);
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -1,56 +1,57 @@
 //! Exclusion: hosts that proxies must not send to, whatever their tables name.
 //!
-//! A host that is not usable and owns no slice, but that some published table still names, is excluded by one line to
-//! each proxy, in place of a line for each table: a great loss or a drain is answered before the channel could carry the
-//! tables, and standbys serve until it has. It is readmitted once it is usable, owns a slice, or has been gone for long
-//! enough to be forgotten and no table names it. Hosts are not excluded where a slice has a single owner.
+//! A host that is not usable and owns no slice, but that a published table still names, is excluded by one line per
+//! proxy instead of one line per table. So the proxies react to the loss of many hosts or to a drain before the channel
+//! has transferred all tables; until then the standbys serve. A host is readmitted once it is usable, owns a slice, or
+//! has been gone for long enough to be forgotten and no table names it. Hosts are not excluded if slices have a single
+//! owner.
 //!
-//! A proxy that connects may have missed lines, so every state is unconfirmed then and is published again.
+//! A proxy that connects may have missed lines, so every published state becomes unconfirmed and is published again.
 use super::host::Host;
 use super::slice::Slices;
 use crate::interface::{HostId, Seconds};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the proxies know of a host that was ever excluded.
+/// The state of a host as published to the proxies. Only hosts that were excluded at some time have one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExclusionState {
     Excluded,
     Admitted,
-    /// Some proxy may not know.
+    /// Some proxies may not have received the last published state.
     Unconfirmed,
 }
 
-/// A change that is due.
+/// A change that has to be published.
 #[derive(Clone, Copy)]
 pub struct ExclusionChange {
     pub host: HostId,
     pub is_excluded: bool,
 }
 
-/// The exclusions, as published.
+/// The exclusions as published to the proxies.
 #[derive(Default)]
 pub struct Exclusions {
     published: BTreeMap<HostId, ExclusionState>,
 }
 
 impl Exclusions {
-    /// A proxy connected: it may have missed what was published.
+    /// Marks all states as unconfirmed: the proxy that connected may have missed them.
     pub fn on_proxy_connected(&mut self) {
         self.published.values_mut().for_each(|state| *state = ExclusionState::Unconfirmed);
     }
 
-    /// This controller has restarted and does not know whom it had excluded.
+    /// Marks all known hosts as unconfirmed: after its restart the controller does not know which hosts it had excluded.
     pub fn on_controller_restarted(&mut self, hosts: impl Iterator<Item = HostId>) {
         self.published.extend(hosts.map(|host| (host, ExclusionState::Unconfirmed)));
     }
 
-    /// What is published from now on.
+    /// Records a change that is published now.
     pub fn apply(&mut self, change: ExclusionChange) {
         let state = if change.is_excluded { ExclusionState::Excluded } else { ExclusionState::Admitted };
         self.published.insert(change.host, state);
     }
 
-    /// Drops a host unless proxies may still exclude it; whether it is dropped.
+    /// Removes the state of a host, unless proxies may still exclude the host. Returns whether none does.
     pub fn forget(&mut self, host: HostId) -> bool {
         let is_admitted = self.published.get(&host).is_none_or(|state| *state == ExclusionState::Admitted);
         if is_admitted {
@@ -59,7 +60,7 @@
         is_admitted
     }
 
-    /// Changes that are due, in the order of the hosts.
+    /// Returns the changes that have to be published, ordered by host.
     pub fn due_changes(
         &self,
         now: Seconds,
@@ -81,15 +82,15 @@
         let mut changes = Vec::new();
         for host in candidates {
             let is_excluded = must_exclude(&host);
-            let wanted = if is_excluded { ExclusionState::Excluded } else { ExclusionState::Admitted };
-            if self.published.get(&host) != Some(&wanted) {
+            let desired = if is_excluded { ExclusionState::Excluded } else { ExclusionState::Admitted };
+            if self.published.get(&host) != Some(&desired) {
                 changes.push(ExclusionChange { host, is_excluded });
             }
         }
         changes
     }
 
-    /// What the proxies know, for tests to set.
+    /// The published states, for tests to change.
     #[cfg(test)]
     pub fn published(&mut self) -> &mut BTreeMap<HostId, ExclusionState> {
         &mut self.published
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -1,24 +1,27 @@
-//! Health checks: when failed checks and load reports prove that a host is down, and when it is back.
+//! Health checks: when failed checks and load reports prove that a host is down, and when it is back in service.
 //!
-//! A host is down after `UNREACHABLE_THRESHOLD` failed checks, the last of which reached no process, or after
-//! `UNHEALTHY_THRESHOLD` that failed while load reports show failures alone: checks of a host that is merely full time
-//! out as well. A missing report proves nothing. Where most hosts would be down the fault is likely elsewhere, and no
-//! further one is.
+//! A host is down after `UNREACHABLE_THRESHOLD` consecutive failed checks, the last of which reached no process. It is
+//! also down after `UNHEALTHY_THRESHOLD` consecutive failed checks while load reports show nothing but failures: failed
+//! checks alone prove nothing, because checks of a saturated host time out as well. A missing report proves nothing
+//! either. If more than `MAX_FRACTION_DOWN` of the hosts would be down, the fault is likely elsewhere, and no further
+//! host is marked as down.
 use super::host::Host;
 use crate::interface::{CommandSink, DecisionEvent, HealthCheckOutcome, HealthCheckResult, HostId};
 use crate::interface::{Phase, Seconds};
 use std::collections::BTreeMap;
 
-/// Failed checks in a row that count as proof, beside reports of failures alone.
+/// Consecutive failed checks that prove a host down while load reports show only failures.
 const UNHEALTHY_THRESHOLD: u32 = 3;
-/// Failed checks in a row that count as proof, the last of which reached no process.
+/// Consecutive failed checks that prove a host down if the last of them reached no process.
 const UNREACHABLE_THRESHOLD: u32 = 2;
-/// Seconds without a completed operation, while reports show failures, that count as failures alone.
+/// Seconds without a successful operation, while load reports show failures, after which a host is considered to fail
+/// all operations.
 const FAILING_REPORTS_TIMEOUT: Seconds = 2.0;
-/// Fraction of the ready hosts that ever served which may be down.
+/// Maximum fraction of the hosts in service (ready, with an operation or a health check that succeeded) that may be
+/// marked as down.
 const MAX_FRACTION_DOWN: f64 = 0.5;
 
-/// Applies the end of a health check; whether the host is down from now on and was not before.
+/// Applies the result of a health check; returns whether it marked the host as down.
 pub fn apply_health_check(
     now: Seconds,
     result: &HealthCheckResult,
@@ -42,7 +45,7 @@
     let may_go_down = host.is_delisted || !is_down_limit_reached;
     let is_newly_down = !host.is_down && is_proven_down(now, host) && may_go_down;
     if !is_newly_down {
-        // Checked again at once, not at the next tick: a second failure is the proof.
+        // Checks again at once instead of at the next tick: a second failure proves the host down.
         if host.is_unreachable && host.failed_checks < UNREACHABLE_THRESHOLD {
             commands.check_health(result.host);
         }
@@ -56,7 +59,7 @@
     true
 }
 
-/// One more host down would be more than may be.
+/// Whether one more host down would exceed `MAX_FRACTION_DOWN`.
 fn is_down_limit_reached(hosts: &BTreeMap<HostId, Host>) -> bool {
     let has_served = |host: &&Host| host.phase == Phase::Ready && host.last_success_at > 0.0;
     let serving = hosts.values().filter(has_served).count();
@@ -71,7 +74,8 @@
         || host.is_unreachable && host.failed_checks >= UNREACHABLE_THRESHOLD
 }
 
-/// Whether the host was down and is back. One whose process was not reached has likely started anew: it is cold.
+/// Applies a passed check; returns whether the host was down. A host whose process was not reached has likely
+/// restarted, so it is cold.
 fn apply_passed_check(now: Seconds, host: &mut Host) -> bool {
     host.failed_checks = 0;
     host.last_success_at = now;
--- a/src/decision/health_score.rs
+++ b/src/decision/health_score.rs
@@ -1,34 +1,35 @@
 //! The health score of a host as the proxies of one zone see it: from 1 (healthy) to 100.
 //!
 //! An additive-increase, multiplicative-decrease rule after IASO ("A Fail-Slow Detection and Mitigation Framework
-//! for Distributed Storage Services", section 2.2). An interval in which attempts failed multiplies the score, one
-//! without failures takes a fixed step off it. No report is no evidence: the score stays.
+//! for Distributed Storage Services", section 2.2). An interval in which attempts failed multiplies the score, an
+//! interval without failures reduces it by a fixed step. Without a report the score does not change.
 //!
 //! Inputs: attempts and failures, by zone and host. Result: the scores that `outlier_ejection` compares.
 use crate::decaying::quantile;
 use crate::interface::{HostLoadReport, Seconds, ZoneId};
 use std::collections::BTreeMap;
 
-/// Seconds between two evaluations, which are the controller's ticks; IASO's epoch.
+/// Seconds between two ticks of the controller, each of which evaluates the scores; IASO's epoch.
 pub const TICK_INTERVAL: Seconds = 1.0;
-/// Failed fraction of the attempts from which on a score doubles in each interval; IASO's ratioThresh.
+/// Fraction of failed attempts at or above which a score doubles in each interval; IASO's ratioThresh.
 const HEAVY_FAILURE_FRACTION: f64 = 0.1;
 /// Seconds without a failure in which a score falls from 100 to 1; IASO's minTTR.
 pub const SCORE_RECOVERY_TIME: Seconds = 12.0;
-/// Seconds of past scores that a host is evaluated on.
+/// Length of the window of past scores on which a host is evaluated, in seconds.
 const SCORE_WINDOW: Seconds = 5.0;
-/// Fraction of the scores in the window that lie below the representative one.
+/// Fraction of the scores in the window that lie below the representative score.
 pub const SCORE_PERCENTILE: f64 = 0.3;
 /// The score of a host without failures, and the highest score.
 pub const MIN_SCORE: f64 = 1.0;
 const MAX_SCORE: f64 = 100.0;
 
+/// A score at one evaluation.
 pub struct ScoreSample {
     at: Seconds,
     score: f64,
 }
 
-/// A zone's score of a host, and what was reported since it was last evaluated.
+/// The score of a host in one zone, and the totals of the reports since it was last evaluated.
 pub struct ZoneHealthScore {
     pub score: f64,
     attempts: f64,
@@ -51,7 +52,8 @@
         self.span += report.span;
     }
 
-    /// Ends an interval. A report that covers several counts for each. An ejected host's score falls.
+    /// Ends an interval and updates the score. A report that covers several intervals counts for each of them. The score
+    /// of an ejected host falls whatever the reports show.
     pub fn evaluate(&mut self, now: Seconds, is_ejected: bool) {
         let has_report = self.attempts > 0.0;
         if is_ejected {
@@ -68,12 +70,12 @@
     }
 }
 
-/// The score after some intervals without a failure.
+/// The score after `intervals` intervals without a failure.
 fn recovered_score(score: f64, intervals: f64) -> f64 {
     (score - MAX_SCORE * TICK_INTERVAL * intervals / SCORE_RECOVERY_TIME).clamp(MIN_SCORE, MAX_SCORE)
 }
 
-/// The score after some intervals with these attempts.
+/// The score after `intervals` intervals, given the attempts in all of them.
 pub fn next_score(score: f64, attempts: f64, failed: f64, intervals: f64) -> f64 {
     if failed <= 0.0 {
         return recovered_score(score, intervals);
@@ -82,14 +84,15 @@
     (score * (1.0 + severity).powf(intervals)).clamp(MIN_SCORE, MAX_SCORE)
 }
 
-/// A host's score by all zones: a low percentile of those in the window, so that one zone alone does not raise it.
+/// The score of a host over all zones: a low percentile of the scores in the window, so that a single zone does not
+/// raise it.
 pub fn representative_score(zones: &BTreeMap<ZoneId, ZoneHealthScore>) -> f64 {
     let samples = zones.values().flat_map(|zone| &zone.window);
     let scores = samples.map(|sample| sample.score).collect();
     quantile(scores, SCORE_PERCENTILE).unwrap_or(MIN_SCORE)
 }
 
-/// The highest present score of a host in any zone.
+/// The highest current score of a host in any zone.
 pub fn worst_score(zones: &BTreeMap<ZoneId, ZoneHealthScore>) -> f64 {
     zones.values().map(|zone| zone.score).fold(MIN_SCORE, f64::max)
 }
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -1,11 +1,12 @@
-//! Load estimates: the demand on each host, its utilization, and the latency to expect of it.
+//! Load estimates: the demand on each host, its utilization, and its expected latency.
 //!
-//! Reports are seconds old, and the latency in them is not the one that a host would have with one slice more. So
-//! placement goes by an expected latency: demand (operations a second, by slice) and service time (seconds a core is
-//! held) give the utilization of the host's capacity (cores), and that the latency. It shows a move's effect at once.
+//! Reports are seconds old, and the reported latency is not the latency that a host would have with one slice more. So
+//! placement compares expected latencies: the demand (operations per second, by slice) and the service time (seconds
+//! for which an operation holds a core) give the utilization of the host's capacity (cores), and the utilization gives
+//! the latency. The estimate reflects a move of a slice at once.
 //!
-//! Where several controllers share the slices, each sees its own alone. It counts a host's capacity in proportion to
-//! the slices that are its own, so the controllers need not talk.
+//! If several controllers share the slices, each one knows only the load of its own slices. It counts a part of each
+//! host's capacity, in proportion to its part of the slices, so that the controllers need not communicate.
 use super::host::Host;
 use super::slice::Slices;
 use super::slow_start::{
@@ -15,11 +16,12 @@
 use crate::interface::{ControllerConfig, HostId, HostKindId, Seconds};
 use std::collections::BTreeMap;
 
-/// Seconds that an operation is taken to need before any is reported.
+/// Service time, in seconds, that is assumed before any operation is reported.
 const DEFAULT_SERVICE_TIME: Seconds = 0.01;
-/// Multiple of the present demand for which latency is estimated: demand swings, and nearly full hosts tip over.
+/// Multiple of the current demand for which latency is estimated: demand fluctuates, and a nearly saturated host is
+/// easily overloaded.
 const DEMAND_SWING_MULTIPLE: f64 = 1.3;
-/// Utilization past which the latency curve goes on as a straight line, so that it stays finite.
+/// Utilization above which the latency curve continues as a straight line, so that it stays finite.
 const LINEAR_LATENCY_UTILIZATION: f64 = 0.95;
 /// Slope of that line, relative to the latency at its start.
 const LINEAR_LATENCY_SLOPE: f64 = 10.0;
@@ -27,27 +29,27 @@
 /// The loads of all usable hosts.
 pub type HostLoads = BTreeMap<HostId, HostLoad>;
 
-/// What one evaluation goes by of a usable host.
+/// The estimated load of a usable host in one evaluation.
 #[derive(Clone, Copy)]
 pub struct HostLoad {
-    /// Operations a second.
+    /// Operations per second.
     pub demand: f64,
-    /// Seconds that an operation holds a core.
+    /// Seconds for which an operation holds a core.
     pub service_time: Seconds,
-    /// Cores, as far as they are likely warm and this controller's part.
+    /// This controller's part of the host's likely capacity, in cores.
     pub capacity: f64,
     pub limits: UtilizationLimits,
-    /// It is warming up.
+    /// The host is warming up.
     pub is_cold: bool,
 }
 
 impl HostLoad {
-    /// Used fraction of the capacity with this much more demand.
+    /// Used fraction of the capacity if the demand were higher by `more_demand`.
     pub fn utilization(&self, more_demand: f64) -> f64 {
         (self.demand + more_demand).max(0.0) * self.service_time / self.capacity
     }
 
-    /// Expected latency with this much more demand, should demand swing up.
+    /// Expected latency if the demand were higher by `more_demand`, with an allowance for fluctuations of the demand.
     pub fn expected_latency(&self, more_demand: f64) -> Seconds {
         let utilization = DEMAND_SWING_MULTIPLE * self.utilization(more_demand);
         let curved = utilization.min(LINEAR_LATENCY_UTILIZATION);
@@ -55,18 +57,18 @@
         self.service_time / (1.0 - curved * curved).sqrt() * (1.0 + LINEAR_LATENCY_SLOPE * beyond)
     }
 
-    /// It may be given this much more demand.
+    /// Whether the host may be given `more_demand` in addition.
     pub fn fits(&self, more_demand: f64) -> bool {
         self.utilization(more_demand) <= self.limits.max_utilization
     }
 
-    /// Operations a second that would use its whole capacity.
+    /// Operations per second that would use the whole capacity.
     pub fn max_rate(&self) -> f64 {
         self.capacity / self.service_time
     }
 }
 
-/// The loads of all usable hosts. `admission_rates`: by class.
+/// Estimates the loads of all usable hosts. `admission_rates` holds one rate per class.
 pub fn estimate_loads(
     now: Seconds,
     config: &ControllerConfig,
@@ -82,7 +84,7 @@
         let least = least_capacity_fraction(now, host.warming_since, config);
         let is_cold = least < 1.0;
         let measured = host.service_time.read(now, typical);
-        // A host that has just started has no keys cached, and its first reports look better than it is.
+        // A host that has just started has an empty cache, and its first reports show a service time that is too low.
         let service_time = if is_cold { measured.max(typical) } else { measured };
         let capacity = owned_capacity(now, host, config, slices.len());
         let limits = utilization_limits(least, config);
@@ -96,14 +98,14 @@
     loads
 }
 
-/// The part of a host's likely capacity, in cores, that falls to this controller's slices.
+/// The part of a host's likely capacity, in cores, that belongs to the slices of this controller.
 pub fn owned_capacity(now: Seconds, host: &Host, config: &ControllerConfig, owned_slices: usize) -> f64 {
     let owned_fraction = owned_slices as f64 / f64::from(config.slice_count.max(1));
     let least = least_capacity_fraction(now, host.warming_since, config);
     (host.weight * likely_capacity_fraction(least) * owned_fraction).max(0.001)
 }
 
-/// The middle service time among hosts of a kind, or else among all.
+/// The median service time of the hosts of a kind, or of all hosts if none of that kind is known.
 fn typical_service_time(now: Seconds, hosts: &BTreeMap<HostId, Host>, kind: HostKindId) -> Seconds {
     let of_kind = hosts.values().filter(|host| host.kind == kind);
     let typical = median_service_time(now, of_kind);
--- a/src/decision/load_report.rs
+++ b/src/decision/load_report.rs
@@ -1,21 +1,22 @@
-//! Load reports: what a report of the proxies changes.
+//! Load reports: how a report of the proxies changes the state of a host or a slice.
 //!
-//! A report by host feeds the host's service time and health score, and shows whether it completes operations. A
-//! report by slice feeds the slice's demand. The first report after slices were assigned may reach back to before,
-//! when nothing came here: it counts for the time since, less the time that a report takes to arrive.
+//! A host report updates the host's service time and health score, and shows whether the host completes operations. A
+//! slice report updates the slice's demand. The span of the first report after slices were assigned may include time
+//! before the assignment, from which it counts no operations for this controller. So its span is limited to the time
+//! since the assignment, minus the delay with which a report arrives.
 use super::host::Host;
 use super::slice::Slices;
 use crate::interface::{ControllerConfig, HostLoadReport, Seconds, SliceLoadReport};
 
 /// Seconds over which the demand of a slice is averaged.
 pub const DEMAND_AVERAGING: Seconds = 4.0;
-/// Seconds from the end of what a report covers to its arrival.
+/// Seconds from the end of the time that a report covers to its arrival.
 const REPORT_DELAY: Seconds = 1.0;
-/// Least time that a report covers, in seconds.
+/// Least time for which a report counts, in seconds.
 pub const MIN_REPORT_SPAN: Seconds = 0.5;
 
-/// Applies a report of a host. `capacity`: cores, as `load_estimate` has it. `first_assigned_at`: when this controller
-/// was assigned slices and had none.
+/// Applies a host report. `capacity` is the result of `load_estimate::owned_capacity`, in cores. `first_assigned_at` is
+/// when this controller was last assigned a slice while it had none.
 pub fn apply_host_load(
     now: Seconds,
     report: &HostLoadReport,
@@ -35,7 +36,7 @@
     host.zone_scores.entry(report.zone).or_default().add_report(&report);
 }
 
-/// Applies a report of a slice; one of an unknown slice or class is ignored.
+/// Applies a slice report; a report of an unknown slice or class is ignored.
 pub fn apply_slice_load(now: Seconds, report: &SliceLoadReport, slices: &mut Slices) {
     let Some(slice) = slices.get_mut(&report.slice) else { return };
     let span = covered_span(now, slice.assigned_at, report.span);
@@ -44,12 +45,12 @@
     }
 }
 
-/// The part of a report's span, in seconds, that counts.
+/// The part of a report's span that counts, in seconds.
 pub fn covered_span(now: Seconds, assigned_at: Seconds, span: Seconds) -> Seconds {
     span.min((now - assigned_at - REPORT_DELAY).max(MIN_REPORT_SPAN))
 }
 
-/// Seconds for which a failed attempt is taken to have been in flight.
+/// Seconds for which a failed attempt is assumed to have been in flight.
 fn mean_contract_time(config: &ControllerConfig) -> Seconds {
     let total: Seconds = config.classes.iter().map(|class| class.contract_time).sum();
     total / config.classes.len().max(1) as f64
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,10 +1,10 @@
-//! The decisions of a controller: a [`Controller`] takes event batches and gives commands.
+//! The decisions of a controller: a [`Controller`] receives batches of events and issues commands.
 //!
-//! Events change what is known at once. Once a second a batch is also a tick, which evaluates scores, moves slices by
-//! load and sets admission rates. Endpoint lists, assignments and hosts that go down are acted on at once. What
-//! changed leaves as one update at the end of the batch.
+//! Every batch updates the controller's state. Once a second a batch is also a tick, which evaluates health scores,
+//! moves slices by load and sets admission rates. The controller acts on endpoint lists, assignments and hosts that go
+//! down without waiting for a tick. The resulting changes are published as one update at the end of the batch.
 //!
-//! Each rule is in a module of its own; [`Controller::handle_batch`] has their order.
+//! Each rule has its own module; [`Controller::handle_batch`] calls them in order.
 mod admission;
 mod assignment;
 mod endpoint_list;
@@ -52,22 +52,22 @@
 #[cfg(test)]
 mod tests;
 
-/// The timer of the tick.
+/// The timer of the next tick.
 const TICK_TIMER: TimerId = TimerId(0);
 
-/// Decides for the slices that it is assigned.
+/// Decides on the slices that are assigned to it.
 #[derive(Default)]
 pub struct Controller {
     config: ControllerConfig,
-    /// It has handled a batch.
+    /// Whether it has handled a batch.
     is_started: bool,
     hosts: BTreeMap<HostId, Host>,
     slices: Slices,
-    /// When it was assigned slices and had none.
+    /// When it was last assigned a slice while it had none.
     first_assigned_at: Seconds,
-    /// Proxies with a stream.
+    /// Connected proxies.
     proxies: BTreeSet<ProxyId>,
-    /// When a proxy last disconnected: it may go on writing by the tables that it had.
+    /// When a proxy last disconnected: that proxy may go on writing according to the tables that it has.
     last_disconnect_at: Seconds,
     ejected_outlier: Option<HostId>,
     admission: AdmissionControl,
@@ -77,7 +77,7 @@
 }
 
 impl Controller {
-    /// A controller that knows no host and no slice.
+    /// Creates a controller without hosts and slices.
     pub fn new(config: ControllerConfig) -> Controller {
         let classes = config.classes.len();
         Controller {
@@ -89,25 +89,26 @@
         }
     }
 
-    /// The slices that it is assigned, and the table that each one has as last published or stored.
+    /// The assigned slices, each with its table as last published or stored.
     pub fn assigned_tables(&self) -> impl Iterator<Item = (SliceId, &[WeightedHost])> {
         self.slices.iter().map(|(id, slice)| (*id, slice.published.as_slice()))
     }
 
-    /// What the next controller that a slice is assigned to gets to know; `None` of a slice that is not this one's.
+    /// Returns the state of a slice for the next controller that it is assigned to, or `None` if the slice is not
+    /// assigned to this controller.
     pub fn slice_handoff(&self, now: Seconds, slice: SliceId) -> Option<SliceHandoff> {
         Some(handoff(now, self.slices.get(&slice)?, &self.admission.rates))
     }
 
-    /// Applies the handoff of the controller that had a slice before, `age` seconds after it was made. Ignored of a
-    /// slice that is not assigned or is reported already, and when it is old.
+    /// Applies the handoff of the former controller of a slice, `age` seconds after it was made. The handoff is ignored
+    /// if it is too old, the slice is not assigned, or a load report has already covered the slice.
     pub fn apply_handoff(&mut self, now: Seconds, slice: SliceId, handoff: &SliceHandoff, age: Seconds) {
         if let Some(slice) = self.slices.get_mut(&slice) {
             apply_handoff(now, slice, handoff, age);
         }
     }
 
-    /// Handles all that came in since the last batch: first what is known changes, then the rules run on it.
+    /// Handles the events since the previous batch: updates the state with all of them, then runs the rules.
     pub fn handle_batch(&mut self, batch: &EventBatch, commands: &mut impl CommandSink) {
         let now = batch.now;
         let is_tick = self.start_batch(batch);
@@ -138,10 +139,10 @@
         }
     }
 
-    /// Whether the batch is a tick: the first one is, and each with a timer that is due.
+    /// Returns whether the batch is a tick: the first batch is, and every batch with an expired timer.
     fn start_batch(&mut self, batch: &EventBatch) -> bool {
         let is_first = !self.is_started;
-        // Proxies of before a restart may still write by the tables that they had.
+        // Proxies that were connected before a restart of the controller may still write according to their old tables.
         if is_first {
             self.last_disconnect_at = batch.now;
         }
@@ -149,7 +150,7 @@
         is_first || !batch.timers.is_empty()
     }
 
-    /// Runs the rules in their order: eject, place, admit, publish.
+    /// Runs the rules in order: outlier ejection, placement, admission control, publishing.
     fn evaluate(&mut self, now: Seconds, is_tick: bool, commands: &mut impl CommandSink) {
         if is_tick {
             let is_shedding = self.admission.is_shedding();
@@ -170,7 +171,7 @@
         estimate_loads(now, &self.config, &self.hosts, &self.slices, &self.admission.rates)
     }
 
-    /// Moves slices; `loads` follow.
+    /// Moves slices, and updates `loads` with each move.
     fn place_slices(
         &mut self,
         now: Seconds,
@@ -191,14 +192,14 @@
         if failed_over > 0 {
             commands.report(DecisionEvent::SlicesFailedOver(failed_over));
         }
-        // Where a slice has a single owner a move stops it for seconds: it leaves only hosts that must be left.
+        // With a single owner a move interrupts the slice for seconds, so slices leave only hosts that must be left.
         if is_tick && !self.config.single_owner {
             fail_back(&mut moves);
             rebalance(&mut moves, &mut self.move_quota);
         }
     }
 
-    /// Publishes tables, exclusions and admission rates that differ from the published ones.
+    /// Publishes the tables, exclusions and admission rates that differ from the published ones.
     fn publish(&mut self, now: Seconds, is_tick: bool, commands: &mut impl CommandSink) {
         let state = PublishState {
             now,
@@ -213,7 +214,7 @@
         self.publisher.publish(state, commands);
     }
 
-    /// Publishes the table of a key space that is not sliced, and puts proxies that connected on it.
+    /// Publishes the table of a key space that is not sliced, and assigns it to the proxies that connected.
     fn publish_single_table(&mut self, batch: &EventBatch, commands: &mut impl CommandSink) {
         single_table::publish(batch.now, &self.hosts, &self.config, &mut self.slices, commands);
         for event in &batch.proxy_streams {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Starts health checks, forgets hosts, and sets the timer of the next tick.
+    /// Requests health checks, forgets hosts that have been gone for long, and sets the timer of the next tick.
     fn end_tick(&mut self, now: Seconds, commands: &mut impl CommandSink) {
         if self.config.health_checks_allowed {
             for (id, _) in self.hosts.iter().filter(|(_, host)| host.phase == Phase::Ready) {
@@ -262,7 +263,7 @@
         apply_host_load(now, report, capacity, self.first_assigned_at, &self.config, host);
     }
 
-    /// Changes the connected proxies, and what exclusions and the backlog know of them.
+    /// Updates the set of connected proxies, and the exclusions and the backlog accordingly.
     fn apply_proxy_stream(
         &mut self,
         now: Seconds,
@@ -277,7 +278,7 @@
             self.publisher.backlog.remove_proxy(proxy);
             return;
         }
-        // The first proxy to connect had a stream before: this controller has likely restarted.
+        // The first proxy to connect had a stream before, so this controller has likely restarted.
         if matches!(event, ProxyStreamEvent::Reconnected(_)) && self.proxies.is_empty() {
             self.exclusions.on_controller_restarted(self.hosts.keys().copied());
         }
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,18 +1,18 @@
-//! Outlier ejection: which host loses its slices though it is in service, and until when.
+//! Outlier ejection: which host loses its slices although it is in service, and for how long.
 //!
-//! Each tick compares the hosts' representative scores (a low quantile over all zones and the last seconds). The one
-//! usable host whose score stands `EJECTION_SCORE_GAP` above all others is ejected; one host at a time is (IASO, see
-//! `health_score`, section 2.3). While it is ejected its scores fall with time, and the ejection ends once its worst
-//! zone's present score is `EJECTION_END_SCORE` or less, or it is not usable. No further host is ejected while load is
-//! shed, as a poor host is better than an overload of the others; an ejection that has begun goes on.
+//! Each tick compares the hosts' representative scores (a low percentile over all zones and the last seconds). A usable
+//! host whose score exceeds all others by at least `EJECTION_SCORE_GAP` is ejected, one host at a time (IASO, see
+//! `health_score`, section 2.3). While it is ejected its scores fall with time. The ejection ends once its current score
+//! in its worst zone is `EJECTION_END_SCORE` or less, or when the host is not usable. No host is ejected while load is
+//! shed, because a poor host is better than an overload of the others; an ejection in progress continues.
 use super::health_score::{representative_score, worst_score, MIN_SCORE};
 use super::host::Host;
 use crate::interface::{CommandSink, DecisionEvent, HostId, Seconds};
 use std::collections::BTreeMap;
 
-/// Points by which an outlier's score exceeds every other host's.
+/// Least number of points by which an outlier's score exceeds the score of every other host.
 pub const EJECTION_SCORE_GAP: f64 = 30.0;
-/// Score at which an ejection ends: below the gap, or the host would be the outlier again at once.
+/// Score at or below which an ejection ends. It is less than the gap, or the host would be the outlier again at once.
 const EJECTION_END_SCORE: f64 = 25.0;
 
 /// A host's representative health score.
@@ -21,7 +21,7 @@
     pub score: f64,
 }
 
-/// The host whose score stands the gap above all others, if there are others.
+/// Returns the host whose score exceeds all others by the gap; `None` if there are no other hosts.
 pub fn find_outlier(scores: &[HostScore]) -> Option<HostId> {
     let highest = scores.iter().max_by(|a, b| a.score.total_cmp(&b.score))?;
     let others = scores.iter().filter(|other| other.host != highest.host);
@@ -29,7 +29,8 @@
     (scores.len() > 1 && highest.score - next >= EJECTION_SCORE_GAP).then_some(highest.host)
 }
 
-/// Ends an interval of all health scores. Takes the host that is ejected and returns the one that is from now on.
+/// Ends an interval of all health scores. `ejected` is the host that is ejected so far; returns the host that is ejected
+/// from now on.
 pub fn evaluate_outliers(
     now: Seconds,
     hosts: &mut BTreeMap<HostId, Host>,
--- a/src/decision/placement/failback.rs
+++ b/src/decision/placement/failback.rs
@@ -1,19 +1,19 @@
-//! Fail-back: slices return to the host they were taken from.
+//! Fail-back: slices return to the host that failover moved them from.
 //!
-//! A few slices each tick, so that a relapse costs little, and each only where its host has capacity for it and will
-//! serve it faster than the present owner does.
+//! Only a few slices return in each tick, so that a second failure of the host affects few of them, and a slice returns
+//! only if the host has capacity for it and is expected to serve it faster than the current owner.
 use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
 use crate::interface::{HostId, SliceId};
 
-/// Slices that return in one tick.
+/// Maximum number of slices that return in one tick.
 const MAX_FAILBACKS_PER_TICK: usize = 2;
 
-/// Moves slices back.
+/// Moves slices back to their preferred hosts.
 pub fn fail_back(moves: &mut SliceMoves) {
     let mut remaining = MAX_FAILBACKS_PER_TICK;
-    let away: Vec<(SliceId, HostId)> =
+    let candidates: Vec<(SliceId, HostId)> =
         moves.slices.iter().filter_map(|(id, slice)| Some((*id, slice.preferred_host?))).collect();
-    for (id, host) in away {
+    for (id, host) in candidates {
         if remaining > 0 && can_fail_back(moves, id, host) {
             remaining -= 1;
             moves.move_slice(id, Some(host));
--- a/src/decision/placement/failover.rs
+++ b/src/decision/placement/failover.rs
@@ -1,15 +1,16 @@
-//! Failover: new owners for slices whose host must be left, at once.
+//! Failover: slices whose host must be left get a new owner at once.
 //!
-//! A host must be left when it is not usable or ejected. A cold host past its offload limit gives up slices with
-//! the highest rates until it fits its limit. The target is the slice's standby, else the next on the rendezvous hash
-//! that has capacity; where none has, the warm host with the least expected latency. Where only cold hosts are left and
-//! all are full, the slice has no owner: what they cannot bear is refused, or the last of them would fail, too.
+//! A host must be left when it is not usable or is ejected. A cold host above its offload limit gives up the slices with
+//! the highest rates until its utilization is within its limit. The new owner is the standby of the slice, or else the
+//! first host in rendezvous order that has capacity, or else the warm host with the lowest expected latency. If all
+//! remaining hosts are cold and full, the slice has no owner: the excess operations are refused, or the remaining hosts
+//! would fail too.
 use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
 use crate::decision::rendezvous;
 use crate::decision::slow_start::started_long_ago;
 use crate::interface::{HostId, Phase, SliceId};
 
-/// Moves the slices that must be moved; how many were.
+/// Moves the slices that must leave their hosts; returns the number of moved slices.
 pub fn fail_over(moves: &mut SliceMoves) -> usize {
     let mut leaving = slices_without_usable_owner(moves);
     leaving.extend(slices_offloaded_by_cold_hosts(moves));
@@ -51,22 +52,22 @@
     offloaded
 }
 
-/// The host that takes a slice over, if one can bear it or is warm.
+/// The host that takes over a slice, if a host has capacity for it or is warm.
 fn failover_target(moves: &SliceMoves, id: SliceId) -> Option<HostId> {
     let rate = moves.rate(id);
     let standby = moves.slices[&id].standby;
-    let open = || moves.loads.iter().filter(|(host, _)| Some(**host) != moves.ejected);
+    let eligible = || moves.loads.iter().filter(|(host, _)| Some(**host) != moves.ejected);
     let rank =
         |host: &HostId| (standby == Some(*host), rendezvous::rank(id, *host, moves.hosts[host].weight));
-    let with_capacity = open().filter(|(_, load)| load.fits(rate * COLD_CACHE_DEMAND_MULTIPLE));
+    let with_capacity = eligible().filter(|(_, load)| load.fits(rate * COLD_CACHE_DEMAND_MULTIPLE));
     let first = with_capacity.max_by(|a, b| rank(a.0).partial_cmp(&rank(b.0)).expect("finite"));
-    let warm = open().filter(|(_, load)| !load.is_cold);
+    let warm = eligible().filter(|(_, load)| !load.is_cold);
     let fastest = || warm.min_by(|a, b| a.1.expected_latency(rate).total_cmp(&b.1.expected_latency(rate)));
     first.or_else(fastest).map(|(host, _)| *host)
 }
 
-/// A table may be empty only while every listed host is cold: the owner if it is listed and warm, though down, or the
-/// first such host.
+/// The owner of a slice for which no usable host was found: its present owner if that is listed and warm, even if it is
+/// down, or else the first listed and warm host. A table may be empty only while every listed host is cold.
 fn fallback_host(moves: &SliceMoves, owner: Option<HostId>) -> Option<HostId> {
     let is_listed_and_warm = |id: &HostId| {
         let host = moves.hosts.get(id);
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -1,8 +1,8 @@
 //! Placement: which host owns each slice.
 //!
-//! Four rules, in this order: `failover` at once, for slices of hosts that must be left; then, once a tick and only
-//! where slices may have several hosts, `failback` to where a slice came from and `rebalancing` by latency; then
-//! `standby`, the host that retries meet.
+//! Four rules are applied in this order: `failover` immediately moves slices off hosts that must be left; then, once a
+//! tick and only if a slice may have several hosts, `failback` returns slices to their former hosts and `rebalancing`
+//! moves slices by latency; finally `standby` chooses the hosts that receive retries.
 pub mod failback;
 pub mod failover;
 pub mod rebalancing;
--- a/src/decision/placement/slice_moves.rs
+++ b/src/decision/placement/slice_moves.rs
@@ -1,13 +1,13 @@
-//! What the rules of placement look at, and the one way in which they change it.
+//! The state that the placement rules read, and the only operation by which they change it.
 use crate::decision::host::Host;
 use crate::decision::load_estimate::HostLoads;
 use crate::decision::slice::Slices;
 use crate::interface::{ControllerConfig, HostId, Seconds, SliceId};
 use std::collections::BTreeMap;
 
-/// Seconds that a moved slice stays where it is, until reports show the effect.
+/// Seconds for which a moved slice is not moved again, until reports show the effect of the move.
 const MOVE_COOLDOWN: Seconds = 6.0;
-/// Demand of a slice, as a multiple of its present one, at a host that has none of its keys cached.
+/// Demand of a slice, as a multiple of its current demand, at a host that has none of its keys cached.
 pub const COLD_CACHE_DEMAND_MULTIPLE: f64 = 1.5;
 
 /// The state that one evaluation of placement reads and moves slices in.
@@ -24,12 +24,12 @@
 }
 
 impl SliceMoves<'_> {
-    /// Operations a second that a slice brings.
+    /// Admitted operations per second of a slice.
     pub fn rate(&self, slice: SliceId) -> f64 {
         self.slices[&slice].admitted_rate(self.admission_rates)
     }
 
-    /// Slices of a host, the one with the highest rate first.
+    /// The slices that a host owns, the one with the highest rate first.
     pub fn slices_by_rate(&self, host: HostId) -> Vec<SliceId> {
         let owned = self.slices.iter().filter(|(_, slice)| slice.owner == Some(host));
         let mut rates: Vec<(f64, SliceId)> = owned.map(|(id, _)| (self.rate(*id), *id)).collect();
@@ -37,7 +37,7 @@
         rates.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Gives a slice to a host, and its demand with it.
+    /// Moves a slice to another owner, and its demand with it.
     pub fn move_slice(&mut self, id: SliceId, to: Option<HostId>) {
         let rate = self.rate(id);
         let slice = self.slices.get_mut(&id).expect("a slice of this controller");
--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -1,18 +1,19 @@
-//! Publishing: which update leaves when, and what is in it.
+//! Publishing: when an update is sent, and what it contains.
 //!
-//! An update is one message to every connected proxy. It takes what differs from what was last published, in this
-//! order: admission rates and retry policies, exclusions, tables by urgency; and a barrier, by whose acknowledgements
-//! the channel's backlog is known. What does not fit waits for the next update. Something has not left because of
-//! - the message quota: `URGENT_MESSAGE_RESERVE` messages are kept for urgent updates, and past
-//!   `IMMEDIATE_QUOTA_FRACTION` updates leave on ticks only, so that a burst of urgent ones leaves some for a drain;
-//! - the backlog: lines that wait in the channel for all proxies, and the update's own, stay within
-//!   `MAX_BACKLOG_FRACTION` of the limit; for a table that names a usable host already, within
-//!   `MAX_ORDINARY_BACKLOG_FRACTION`; behind a table that does not fit, less urgent ones wait, too;
-//! - a single owner's former writes, which must have ended (`single_owner`).
+//! An update is one message to every connected proxy. It contains the differences from the published state, in this
+//! order: admission rates and retry policies, exclusions, tables by urgency, and a barrier whose acknowledgements show
+//! how much is still in the channel. What does not fit waits for the next update. A change is delayed by
+//! - the message quota: `URGENT_MESSAGE_RESERVE` messages are reserved for urgent updates, and above
+//!   `IMMEDIATE_QUOTA_FRACTION` of the quota updates are sent on ticks only, so that a burst of urgent updates leaves
+//!   messages for a drain;
+//! - the backlog: the lines that wait in the channel, summed over all proxies and including the new update, stay within
+//!   `MAX_BACKLOG_FRACTION` of the limit, or within `MAX_ORDINARY_BACKLOG_FRACTION` for a table whose published version
+//!   names a usable host; if a table does not fit, the less urgent tables wait too;
+//! - writes to a former single owner, which must have ended (`single_owner`).
 //!
-//! Before all that, the rules must have run: on a tick, and at once only for an endpoint list, an assignment or a host
-//! that went down (`Controller::handle_batch`). What has left here is given as commands; where these wait, the program
-//! around the controller tells (on the platform `call.rs` of `railhub-platform`).
+//! A change also waits until the rules run: on a tick, or at once for an endpoint list, an assignment or a host that
+//! went down (`Controller::handle_batch`). What is published here is issued as commands; the program that runs the
+//! controller shows where those wait (on the platform, `call.rs` of `railhub-platform`).
 use super::admission::AdmissionControl;
 use super::exclusion::{ExclusionChange, Exclusions};
 use super::host::Host;
@@ -25,22 +26,22 @@
 use crate::update_backlog::{Update, UpdateBacklog};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fraction of the message quota past which updates leave on ticks only.
+/// Fraction of the message quota at or above which updates are sent on ticks only.
 const IMMEDIATE_QUOTA_FRACTION: f64 = 0.45;
-/// Messages of the quota that are kept for urgent updates.
+/// Messages of the quota that are reserved for urgent updates.
 const URGENT_MESSAGE_RESERVE: usize = 6;
 /// Messages of the quota that are never sent.
 const MESSAGE_RESERVE: usize = 1;
 /// Fraction of the backlog limit that updates may fill.
 const MAX_BACKLOG_FRACTION: f64 = 0.9;
-/// Fraction of the backlog limit that tables may fill which name a usable host already.
+/// Fraction of the backlog limit up to which an update takes tables whose published version names a usable host.
 const MAX_ORDINARY_BACKLOG_FRACTION: f64 = 0.75;
-/// Seconds after which an update counts as waiting no more, though some proxy has not acknowledged it.
+/// Seconds after which an update no longer counts as waiting, even if some proxy has not acknowledged it.
 pub const UPDATE_EXPIRY: Seconds = 20.0;
-/// Seconds without an acknowledgement of the oldest update after which it has left the channel.
+/// Seconds without a new acknowledgement of an update after which the update is assumed to have left the channel.
 const STALLED_UPDATE_TIMEOUT: Seconds = 8.0;
 
-/// The admission of a class, as published.
+/// The published admission rate and retry policy of a class.
 #[derive(Clone, Copy, PartialEq)]
 pub struct ClassAdmission {
     /// Admitted fraction of the operations, from 0 to 1.
@@ -48,14 +49,14 @@
     pub retry_policy: RetryPolicy,
 }
 
-/// A table that must replace the published one.
+/// A table that is to replace the published one.
 struct PendingWrite {
     slice: SliceId,
     urgency: Urgency,
     table: Vec<WeightedHost>,
 }
 
-/// What is to be published. Publishing changes the published tables of the slices, and the exclusions.
+/// The state to publish. Publishing updates the published tables of the slices, and the exclusions.
 pub struct PublishState<'a> {
     pub now: Seconds,
     pub is_tick: bool,
@@ -67,38 +68,39 @@
     pub exclusions: &'a mut Exclusions,
 }
 
-/// What was published, and what of it waits in the channel.
+/// The published admission rates, and the updates that wait in the channel.
 #[derive(Default)]
 pub struct Publisher {
     pub admission: Vec<ClassAdmission>,
-    /// When the updates within the message quota's window were sent.
+    /// When the updates within the window of the message quota were sent.
     pub sent_at: Vec<Seconds>,
     pub backlog: UpdateBacklog,
-    /// Acknowledgements may have been missed: one more barrier is needed, whose acknowledgement covers all before it.
+    /// Acknowledgements may have been missed: one more barrier is needed, whose acknowledgement covers all updates
+    /// before it.
     pub barrier_due: bool,
     last_barrier: u16,
 }
 
-/// An update as it is put together.
+/// An update that is being assembled.
 struct UpdateDraft {
-    /// Lines that it costs for each proxy, so far.
+    /// Lines so far, for each proxy.
     lines: f64,
-    /// Lines that wait in the channel.
+    /// Lines of earlier updates that wait in the channel, summed over the proxies.
     waiting_lines: f64,
-    /// Connected proxies, at least one.
+    /// Number of connected proxies, at least one.
     proxies: f64,
-    /// Lines that may wait.
+    /// Lines that may wait in the channel, summed over the proxies.
     backlog_limit: f64,
 }
 
 impl UpdateDraft {
-    /// This many lines more keep the channel within a fraction of the backlog limit.
+    /// Whether the backlog stays within `max_fraction` of its limit if `more_lines` are added.
     fn fits(&self, more_lines: f64, max_fraction: f64) -> bool {
         self.waiting_lines + self.proxies * (self.lines + more_lines) <= self.backlog_limit * max_fraction
     }
 
-    /// Adds lines if they fit; whether they do.
-    fn add(&mut self, more_lines: f64, max_fraction: f64) -> bool {
+    /// Adds lines if they fit; returns whether they do.
+    fn try_add(&mut self, more_lines: f64, max_fraction: f64) -> bool {
         let fits = self.fits(more_lines, max_fraction);
         if fits {
             self.lines += more_lines;
@@ -108,14 +110,14 @@
 }
 
 impl Publisher {
-    /// Proxies admit everything and retry what has not run, until something else is published.
+    /// Until the first update, proxies admit all operations and retry those that were not executed.
     pub fn new(classes: usize) -> Publisher {
         let admission = ClassAdmission { rate: 1.0, retry_policy: RetryPolicy::IfNotExecuted };
         Publisher { admission: vec![admission; classes], ..Publisher::default() }
     }
 
-    /// A proxy has a stream. Where it had one already, what waits for it still does, or its acknowledgement was
-    /// missed. It may be sent what was sent since `oldest_pending_at`.
+    /// Updates the backlog for a proxy that connected. If it was connected already, earlier updates still wait for it or
+    /// its acknowledgements were missed. It may also receive the updates sent since `oldest_pending_at`.
     pub fn on_connected(&mut self, proxy: ProxyId, was_connected: bool, oldest_pending_at: Option<Seconds>) {
         if was_connected {
             self.barrier_due = true;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Publishes what differs from what was last published, as far as quota and backlog allow.
+    /// Publishes the differences from the published state, as far as the message quota and the backlog allow.
     pub fn publish(&mut self, mut state: PublishState, commands: &mut impl CommandSink) {
         let tables = pending_writes(&state);
         let exclusions =
@@ -146,7 +148,7 @@
         self.finish_update(&state, &draft, draft.lines > overhead, commands);
     }
 
-    /// Whether the message quota leaves a message for an update.
+    /// Whether the message quota allows an update now.
     fn may_send(&mut self, now: Seconds, is_tick: bool, is_urgent: bool, config: &ControllerConfig) -> bool {
         self.sent_at.retain(|at| *at >= now - config.message_quota_window);
         let quota = if config.message_quota == 0 { usize::MAX } else { config.message_quota as usize };
@@ -155,7 +157,7 @@
         !waits_for_tick && self.sent_at.len() + reserve < quota
     }
 
-    /// An update with the overhead of its message, its barrier and all admission rates.
+    /// Starts an update that counts the overhead of its message, its barrier and all admission rates.
     fn start_update(&mut self, state: &PublishState) -> UpdateDraft {
         self.backlog.expire(state.now, UPDATE_EXPIRY);
         UpdateDraft {
@@ -180,14 +182,14 @@
                 rate: state.admission.rates[position],
                 retry_policy: retry_policy(safe, is_shedding, state.admission.fleet_utilization),
             };
-            if *published != desired && draft.add(1.0, MAX_BACKLOG_FRACTION) {
+            if *published != desired && draft.try_add(1.0, MAX_BACKLOG_FRACTION) {
                 commands.set_admission_rate(ClassId(position as u8), desired.rate, desired.retry_policy);
                 *published = desired;
             }
         }
     }
 
-    /// Ends the update with a barrier, if there is anything in it or a barrier is due by itself.
+    /// Ends the update with a barrier, if the update has content or a barrier is needed by itself.
     fn finish_update(
         &mut self,
         state: &PublishState,
@@ -216,7 +218,7 @@
     }
 }
 
-/// Tables that differ from the published ones and may be published, the most urgent first.
+/// The tables that differ from the published ones and may be published now, the most urgent first.
 fn pending_writes(state: &PublishState) -> Vec<PendingWrite> {
     let is_usable = |host: HostId| state.hosts.get(&host).is_some_and(Host::is_usable);
     let mut pending = Vec::new();
@@ -239,7 +241,7 @@
     commands: &mut impl CommandSink,
 ) {
     for change in due {
-        if !draft.add(1.0, MAX_BACKLOG_FRACTION) {
+        if !draft.try_add(1.0, MAX_BACKLOG_FRACTION) {
             continue;
         }
         match change.is_excluded {
@@ -260,14 +262,14 @@
     for write in pending {
         let slice = state.slices.get_mut(&write.slice).expect("pending above");
         let mut lines = changes(&slice.published, &write.table);
-        // A single owner's table is cleared before it names the next.
+        // The table of a single owner is cleared first; a later update adds the next owner.
         let is_clearing = state.config.single_owner && lines.iter().any(|line| line.weight == 0.0);
         lines.retain(|line| !is_clearing || line.weight == 0.0);
         let max_fraction = match write.urgency {
             Urgency::NoUsableHost => MAX_BACKLOG_FRACTION,
             Urgency::OwnerChanged | Urgency::Other => MAX_ORDINARY_BACKLOG_FRACTION,
         };
-        if !draft.add(lines.len() as f64, max_fraction) {
+        if !draft.try_add(lines.len() as f64, max_fraction) {
             return;
         }
         for line in lines {
--- a/src/decision/rendezvous.rs
+++ b/src/decision/rendezvous.rs
@@ -1,18 +1,19 @@
-//! Weighted rendezvous hashing: the order in which hosts are chosen for a slice.
+//! Weighted rendezvous hashing: the order of preference of the hosts for a slice.
 use crate::interface::{HostId, SliceId};
 
-/// Least weight that a host counts with.
+/// Least weight with which a host is ranked.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// A host's rank for a slice; the highest comes first. It is made of the arguments alone, so every controller and
-/// every restart agrees, and a host that goes moves only its own slices.
+/// The rank of a host for a slice; the host with the highest rank comes first. The rank depends on the arguments only,
+/// so it is the same on every controller and after every restart, and the loss of a host moves only the slices of that
+/// host.
 pub fn rank(slice: SliceId, host: HostId, weight: f64) -> f64 {
     let bits = mix(mix(host.hash() ^ (u64::from(slice.0) << 48)));
     let unit = ((bits >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -weight.max(MIN_WEIGHT) / unit.ln()
 }
 
-/// A step of splitmix64.
+/// One step of splitmix64.
 fn mix(bits: u64) -> u64 {
     let bits = bits.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/decision/retry_policy.rs
+++ b/src/decision/retry_policy.rs
@@ -1,13 +1,13 @@
-//! Retries: after which failures the proxies retry an operation of a class.
+//! Retry policies: after which failures the proxies retry an operation of a class.
 //!
-//! Inputs: whether the class may run twice, whether load is shed, the utilization of all hosts together. An
-//! operation that must not run twice is retried only where its attempt has certainly not run.
+//! Inputs: whether operations of the class may be executed twice, whether load is shed, and the utilization of all hosts
+//! together. An operation that must not be executed twice is retried only if its attempt was certainly not executed.
 use crate::interface::{ClassConfig, Idempotency, RetryPolicy};
 
-/// Utilization of all hosts together up to which attempts that may have run are retried.
+/// Utilization of all hosts together below which attempts that may have been executed are retried.
 const MAX_RETRY_UTILIZATION: f64 = 0.5;
-/// Least time that an idempotency key must be remembered, as a multiple of the first attempt's timeout: the first
-/// attempt may run late.
+/// Least time for which hosts must remember an idempotency key, as a multiple of the timeout of the first attempt: the
+/// first attempt may be executed late.
 const MIN_KEY_WINDOW_MULTIPLE: f64 = 3.0;
 
 /// The widest policy under which no operation of a class takes effect twice.
@@ -22,7 +22,7 @@
     }
 }
 
-/// The policy under the present load: retries would feed an overload.
+/// The policy under the current load: retries would increase an overload.
 pub fn retry_policy(safe: RetryPolicy, is_shedding: bool, fleet_utilization: f64) -> RetryPolicy {
     if is_shedding {
         RetryPolicy::Never
--- a/src/decision/service_time.rs
+++ b/src/decision/service_time.rs
@@ -1,15 +1,15 @@
-//! Service time: seconds that one operation holds a core of a host, without waiting.
+//! Service time: seconds for which one operation holds a core of a host, without waiting.
 //!
-//! Core seconds over completed operations, both from load reports and averaged over `SERVICE_TIME_AVERAGING`. The
-//! typical service time counts for a few operations in it: a host that lost its slices is not reported any more, and
-//! would otherwise look slow for ever.
+//! Computed as core seconds divided by completed operations, both from load reports and averaged over
+//! `SERVICE_TIME_AVERAGING`. The typical service time is included with the weight of a few operations, because a host
+//! that lost its slices is no longer reported and would otherwise appear slow forever.
 use crate::decaying::DecayingSum;
 use crate::interface::{HostLoadReport, Seconds, ZoneId};
 use std::collections::BTreeMap;
 
 /// Seconds over which a host's service time is averaged.
 pub const SERVICE_TIME_AVERAGING: Seconds = 10.0;
-/// Operations that the typical service time counts for in a host's own.
+/// Weight of the typical service time in the service time of a host, in operations.
 const TYPICAL_SERVICE_TIME_WEIGHT: f64 = 5.0;
 
 /// Operations in flight at a host from one zone, as last reported.
@@ -18,20 +18,20 @@
     reported_at: Seconds,
 }
 
-/// What is known of a host's service time.
+/// The measured service time of a host.
 #[derive(Default)]
 pub struct ServiceTime {
-    /// Core seconds used.
+    /// Used core seconds.
     pub core_time: DecayingSum,
-    /// Operations completed.
+    /// Completed operations.
     pub completed: DecayingSum,
     in_flight: BTreeMap<ZoneId, InFlight>,
 }
 
 impl ServiceTime {
-    /// Adds a zone's report. `capacity`: the host's cores, as far as they are here and warm. A failed attempt counts
-    /// as in flight for `failed_attempt_time`. Zones report apart and share the busy cores by what they have in
-    /// flight.
+    /// Adds the report of a zone. `capacity` is this controller's part of the host's likely capacity, in cores. A failed
+    /// attempt counts as in flight for `failed_attempt_time`. Zones report separately, so the busy cores are divided
+    /// among the zones in proportion to their operations in flight.
     pub fn add_report(
         &mut self,
         now: Seconds,
@@ -54,20 +54,20 @@
         self.completed.add(now, succeeded, SERVICE_TIME_AVERAGING);
     }
 
-    /// Seconds that an operation holds a core.
+    /// Seconds for which an operation holds a core. `typical` is the typical service time.
     pub fn read(&self, now: Seconds, typical: Seconds) -> Seconds {
         let core_time =
             self.core_time.read(now, SERVICE_TIME_AVERAGING) + TYPICAL_SERVICE_TIME_WEIGHT * typical;
         core_time / (self.completed.read(now, SERVICE_TIME_AVERAGING) + TYPICAL_SERVICE_TIME_WEIGHT)
     }
 
-    /// Enough operations completed lately for it to count towards what is typical.
+    /// Whether enough operations completed lately for the service time to count towards the typical one.
     pub fn is_known(&self, now: Seconds) -> bool {
         self.completed.read(now, SERVICE_TIME_AVERAGING) > TYPICAL_SERVICE_TIME_WEIGHT
     }
 }
 
-/// Busy fraction of a machine of a few cores with this many operations in flight for each core.
+/// Estimated busy fraction of a machine of a few cores with this many operations in flight per core.
 fn estimated_cpu_utilization(in_flight_per_core: f64) -> f64 {
     in_flight_per_core / in_flight_per_core.hypot(1.0)
 }
--- a/src/decision/single_owner.rs
+++ b/src/decision/single_owner.rs
@@ -1,21 +1,21 @@
-//! Single owners: when a slice whose writes must go through one host may have a new owner.
+//! Single owners: when a slice whose writes must go through one host may get a new owner.
 //!
-//! Its table changes in two updates. The first clears it, at once where the owner must be left. The second names the
-//! next owner, when no write to the former one can be in progress: all connected proxies have acknowledged the
-//! clear, proxies that disconnected before write for `write_lease` at most, and the last write lasts
-//! `max_write_duration`. A table that was stored empty may have just been cleared by another controller: it waits for
-//! the acknowledgement of a barrier and then as long.
+//! The table of the slice changes in two updates. The first one clears the table, at once if the owner must be left. The
+//! second one names the next owner, when no write to the former owner can be in progress any more: all connected proxies
+//! have acknowledged the cleared table, proxies that disconnected earlier write for `write_lease` at most, and the last
+//! write takes up to `max_write_duration`. A table that was stored empty may just have been cleared by another
+//! controller: it waits for the acknowledgement of a barrier and then for the same time.
 use super::slice::{Slice, Slices};
 use crate::interface::{ControllerConfig, Seconds, SliceId};
 use crate::update_backlog::Update;
 use std::collections::BTreeSet;
 
-/// The slice's table may be published: it names its owner, or no write to a former one is in progress.
+/// Whether the table of a slice may be published: it names its owner, or no write to a former owner is in progress.
 pub fn may_publish(now: Seconds, slice: &Slice) -> bool {
     !slice.published.is_empty() || slice.writes_end_at.is_some_and(|at| at <= now)
 }
 
-/// Applies acknowledged updates: all connected proxies know by now that these slices' tables are clear.
+/// Applies acknowledged updates: all connected proxies have cleared the tables of the updates' `cleared_slices`.
 pub fn apply_acknowledged(
     now: Seconds,
     acknowledged: &[Update],
@@ -30,7 +30,7 @@
     }
 }
 
-/// When the last write to the former owner has ended, once all connected proxies know that the table is clear.
+/// When the last write to the former owner has ended, given that all connected proxies have cleared the table by `now`.
 fn writes_end_at(
     now: Seconds,
     last_disconnect_at: Seconds,
@@ -41,7 +41,8 @@
     last_write_starts + config.max_write_duration
 }
 
-/// Slices with a clear table of which no update in the backlog will show that all proxies know.
+/// Slices with an empty table for which neither an acknowledged update nor one in the backlog shows that all proxies
+/// have the empty table.
 pub fn unconfirmed_cleared_slices(slices: &Slices, in_backlog: &BTreeSet<SliceId>) -> Vec<SliceId> {
     let mut unconfirmed = Vec::new();
     for (id, slice) in slices {
--- a/src/decision/single_table.rs
+++ b/src/decision/single_table.rs
@@ -1,6 +1,6 @@
-//! The table of a key space that is not sliced: one for all proxies.
+//! The table of a key space that is not sliced: one table for all proxies.
 //!
-//! It names all usable hosts, or all that are ready if none is usable, each by its weight and as far as it is warm.
+//! It names all usable hosts, or all ready hosts if none is usable, each with its weight, reduced while it warms up.
 use super::host::Host;
 use super::slice::{Slice, Slices};
 use super::slow_start::least_capacity_fraction;
@@ -8,10 +8,10 @@
 use crate::interface::{CommandSink, ControllerConfig, HostId, Phase, Seconds, SliceId, WeightedHost};
 use std::collections::BTreeMap;
 
-/// The number of the table.
+/// The id of the table.
 pub const TABLE: SliceId = SliceId(0);
 
-/// Publishes what differs from the table as published, which is kept in `slices`.
+/// Publishes the differences from the published table, which is stored in `slices`.
 pub fn publish(
     now: Seconds,
     hosts: &BTreeMap<HostId, Host>,
@@ -32,9 +32,9 @@
     hosts: &BTreeMap<HostId, Host>,
     config: &ControllerConfig,
 ) -> Vec<WeightedHost> {
-    let entries = |is_open: fn(&Host) -> bool| -> Vec<WeightedHost> {
-        let open = hosts.iter().filter(|(_, host)| is_open(host));
-        open.map(|(id, host)| WeightedHost { host: *id, weight: weight(now, host, config) }).collect()
+    let entries = |is_eligible: fn(&Host) -> bool| -> Vec<WeightedHost> {
+        let eligible = hosts.iter().filter(|(_, host)| is_eligible(host));
+        eligible.map(|(id, host)| WeightedHost { host: *id, weight: weight(now, host, config) }).collect()
     };
     let usable = entries(Host::is_usable);
     if usable.is_empty() {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A host's weight in tenths, rounded up.
+/// The weight of a host, rounded up to a multiple of a tenth.
 fn weight(now: Seconds, host: &Host, config: &ControllerConfig) -> f64 {
     let least = least_capacity_fraction(now, host.warming_since, config);
     (10.0 * host.weight * least).max(0.1).ceil() / 10.0
--- a/src/decision/slice.rs
+++ b/src/decision/slice.rs
@@ -1,4 +1,4 @@
-//! A slice, as the controller that decides on it knows it.
+//! The controller's state of one slice.
 use crate::decaying::DecayingRate;
 use crate::interface::{HostId, Seconds, SliceId, WeightedHost};
 use std::collections::BTreeMap;
@@ -8,28 +8,29 @@
 
 /// A slice and its table.
 pub struct Slice {
-    /// The host that serves it; `None`: no host can bear it now.
+    /// The host that serves it; `None` while no host has the capacity for it.
     pub owner: Option<HostId>,
-    /// The host it was taken from and fails back to.
+    /// The host that it was moved from by failover and fails back to.
     pub preferred_host: Option<HostId>,
-    /// The host that retries meet.
+    /// The host that receives retries.
     pub standby: Option<HostId>,
     /// Its table, as last published or as stored.
     pub published: Vec<WeightedHost>,
-    /// Operations that come for it, by class.
+    /// Rate of the operations that arrive for it, by class.
     pub demand: Vec<DecayingRate>,
     /// When it was assigned to this controller.
     pub assigned_at: Seconds,
-    /// Where it has a single owner: when the last write to a former one has ended; `None`: not known yet.
+    /// For a single owner: when the last write to a former owner has ended; `None` if that is not known yet.
     pub writes_end_at: Option<Seconds>,
-    /// Operations a second that it is taken to have until it is reported.
+    /// Operations per second that are assumed until a load report covers the slice.
     pub estimated_rate: f64,
-    /// Neither fail-back nor rebalancing moves it before; failover does.
+    /// Time before which fail-back and rebalancing do not move the slice; failover does.
     pub pinned_until: Seconds,
 }
 
 impl Slice {
-    /// A slice with its table as stored. The stored standby stays, too: to choose anew would rewrite every table.
+    /// Creates a slice from its stored table. The stored standby is kept, because choosing a new one would rewrite every
+    /// table.
     pub fn from_stored(now: Seconds, published: Vec<WeightedHost>, classes: usize) -> Slice {
         let owner = published.iter().max_by(|a, b| a.weight.total_cmp(&b.weight)).map(|entry| entry.host);
         let standby = published.iter().map(|entry| entry.host).find(|host| Some(*host) != owner);
@@ -46,17 +47,17 @@
         }
     }
 
-    /// A load report has covered it.
+    /// Whether a load report has covered it.
     pub fn is_reported(&self) -> bool {
         self.demand.iter().any(DecayingRate::is_known)
     }
 
-    /// Its published table names this host.
+    /// Whether its published table names this host.
     pub fn publishes(&self, host: HostId) -> bool {
         self.published.iter().any(|entry| entry.host == host)
     }
 
-    /// Operations a second that proxies admit for it. `admission_rates`: by class.
+    /// Operations per second that proxies admit for it. `admission_rates` holds one rate per class.
     pub fn admitted_rate(&self, admission_rates: &[f64]) -> f64 {
         let classes = self.demand.iter().zip(admission_rates);
         let admitted = classes.map(|(demand, admission_rate)| demand.per_second() * admission_rate);
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,29 +1,31 @@
-//! Slow start: what a host can bear from its start until it is warm.
+//! Slow start: how much load a host can serve from its start until it is warm.
 //!
-//! From a known start, the least fraction of its capacity that a host surely has grows in a straight line to 1 within
-//! `warm_up_time`. The fraction that it likely has is the square root of that. An overload makes a cold host
-//! fail, so it is filled by the least and by the multiple of its capacity that overloads it.
+//! From a known start, the least fraction of its capacity that a host is certain to have grows linearly to 1 within
+//! `warm_up_time`. The fraction that it likely has is the square root of the least fraction. A cold host fails when it
+//! is overloaded, so its limits are computed from the least fraction and from the multiple of its capacity that
+//! overloads it.
 use crate::interface::{ControllerConfig, Seconds};
 
 /// Utilization up to which a host is given slices.
 pub const MAX_UTILIZATION: f64 = 0.75;
-/// Utilization, as a fraction of the one that overloads a cold host, up to which it is given slices.
+/// Utilization up to which a cold host is given slices, as a fraction of the utilization that overloads it.
 pub const COLD_MAX_UTILIZATION_FRACTION: f64 = 0.3;
-/// The same fraction, past which a cold host gives slices up. Between the two slices neither come nor go.
+/// Utilization above which a cold host gives up slices, as a fraction of the utilization that overloads it. Between the
+/// two limits slices are neither added nor removed.
 pub const COLD_OFFLOAD_UTILIZATION_FRACTION: f64 = 0.4;
-/// Least time, in seconds, that a warm-up is taken to last.
+/// Least duration of a warm-up, in seconds.
 const MIN_WARM_UP_TIME: Seconds = 1.0;
 
 /// Utilization limits of a host.
 #[derive(Clone, Copy)]
 pub struct UtilizationLimits {
-    /// Up to it the host is given slices.
+    /// Utilization up to which the host is given slices.
     pub max_utilization: f64,
-    /// Past it slices leave the host.
+    /// Utilization above which slices leave the host.
     pub offload_utilization: f64,
 }
 
-/// The fraction of its warm capacity that a host surely has.
+/// The fraction of its warm capacity that a host is certain to have.
 pub fn least_capacity_fraction(
     now: Seconds,
     warming_since: Option<Seconds>,
@@ -34,17 +36,18 @@
     (config.cold_capacity_fraction + (1.0 - config.cold_capacity_fraction) * progress).clamp(0.01, 1.0)
 }
 
-/// The fraction of its warm capacity that a host likely has.
+/// The fraction of its warm capacity that a host likely has. `least` is the fraction that it is certain to have.
 pub fn likely_capacity_fraction(least: f64) -> f64 {
     least.sqrt()
 }
 
-/// The limits of a host that surely has this fraction of its capacity.
+/// The limits of a host. `least` is the fraction of its capacity that it is certain to have.
 pub fn utilization_limits(least: f64, config: &ControllerConfig) -> UtilizationLimits {
     if least >= 1.0 {
         return UtilizationLimits { max_utilization: MAX_UTILIZATION, offload_utilization: f64::MAX };
     }
-    // `overload_multiple` is of the least capacity, utilization of the likely one: least / sqrt(least) = sqrt(least).
+    // `overload_multiple` refers to the least capacity and utilization to the likely one, so the multiple is scaled by
+    // least / sqrt(least) = sqrt(least).
     let overload_limit = config.overload_multiple * least.sqrt();
     UtilizationLimits {
         max_utilization: MAX_UTILIZATION.min(COLD_MAX_UTILIZATION_FRACTION * overload_limit),
@@ -52,7 +55,7 @@
     }
 }
 
-/// Whether a host is warm by its listed start alone, whatever `warming_since` says.
+/// Whether a host is warm judging by its listed start only, regardless of `warming_since`.
 pub fn started_long_ago(now: Seconds, started_at: Option<Seconds>, config: &ControllerConfig) -> bool {
     started_at.is_none_or(|at| now - at >= config.warm_up_time)
 }
--- a/src/decision/table.rs
+++ b/src/decision/table.rs
@@ -1,16 +1,16 @@
-//! A slice's table: what it should name, how soon that is needed, and the lines that get it there.
+//! The table of a slice: the desired entries, the urgency of a change, and the lines that make the change.
 //!
-//! A table names the slice's owner with weight 1 and its standby with a weight too small to draw first attempts: only
-//! retries meet the standby, where the owner refuses them or cannot be reached. Where a slice has a single owner,
-//! the table names the owner alone.
+//! A table names the owner of the slice with weight 1 and its standby with a weight too small to attract first attempts:
+//! the standby receives only retries, when the owner refuses an attempt or cannot be reached. If slices have a single
+//! owner, the table names only the owner.
 use crate::interface::{HostId, WeightedHost};
 
 /// Weight of an owner.
 const OWNER_WEIGHT: f64 = 1.0;
-/// Weight of a standby, beside the owner's 1.
+/// Weight of a standby; the owner has weight 1.
 pub const STANDBY_WEIGHT: f64 = 0.0001;
 
-/// How soon a table must be published; the most urgent first.
+/// The urgency of publishing a table, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
     /// The published table names no usable host.
@@ -35,7 +35,7 @@
     table
 }
 
-/// How soon a table must replace the published one.
+/// The urgency of replacing the published table.
 pub fn urgency(
     published: &[WeightedHost],
     owner: Option<HostId>,
@@ -51,8 +51,8 @@
     }
 }
 
-/// The lines that turn the published table into the desired one, new hosts first, so that no table is empty between.
-/// A store may hold rounded weights, a standby's as 0: that is no difference.
+/// The lines that turn the published table into the desired one. New hosts come first, so that the table is never empty
+/// in between. The store may have rounded the weights, that of a standby to 0; such differences are ignored.
 pub fn changes(published: &[WeightedHost], desired: &[WeightedHost]) -> Vec<WeightedHost> {
     let mut lines = Vec::new();
     for entry in desired {
