--- a/crates/railhub-adapter/src/commands.rs
+++ b/crates/railhub-adapter/src/commands.rs
@@ -1,20 +1,20 @@
-//! Commands of the decisions as lines of the wire.
+//! Encodes the commands of a controller as lines of the wire protocol.
 use railhub::{
     BarrierId, ClassId, CommandSink, DecisionEvent, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
 };
 use std::fmt::Write;
 
-/// The table number that stands for all tables.
+/// The table number that means all tables.
 const ALL_TABLES: u16 = u16::MAX;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Microseconds after which a timer rings at the earliest.
+/// Shortest time after which a timer expires, in microseconds.
 const MIN_TIMER_MICROS: f64 = 1.0;
 
-/// Writes commands.
+/// Encodes commands in the order in which they are issued.
 #[derive(Default)]
 pub struct CommandWriter {
-    /// The lines so far.
+    /// The lines written so far.
     pub lines: String,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A decision as this wire words it.
+/// The text of a decision in this wire protocol.
 fn trace_text(event: DecisionEvent) -> String {
     match event {
         DecisionEvent::HealthCheckPassed(host) => format!("host {host} answers"),
--- a/crates/railhub-adapter/src/error.rs
+++ b/crates/railhub-adapter/src/error.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a line. The text goes to the bench.
+//! Errors in the input. Their texts are sent to the test bench.
 use std::fmt;
 use std::io;
 
-/// Why a line cannot be taken.
+/// Why a line of input is rejected.
 #[derive(Debug)]
 pub enum WireError {
-    /// Standard input cannot be read.
+    /// Reading from standard input failed.
     Input(io::Error),
-    /// A part of a line is no field.
+    /// A part of a line is not of the form name=value.
     MalformedField {
         /// The line's number, from 1.
         line: usize,
         /// The line's name.
         name: String,
-        /// The part.
+        /// The malformed part.
         part: String,
     },
     /// A field is missing or has an invalid value.
@@ -24,23 +24,23 @@
         name: String,
         /// The field's name.
         field: String,
-        /// What is wrong with it.
+        /// The problem with the field.
         problem: FieldProblem,
     },
 }
 
-/// What is wrong with a field.
+/// The problem with a field.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FieldProblem {
-    /// The line lacks it.
+    /// The line does not have the field.
     Missing,
-    /// It has this value, which is not possible.
+    /// The field has this value, which is invalid.
     Invalid(String),
-    /// No line has named the instance.
+    /// No line before has selected an instance.
     NoInstanceSelected,
-    /// More entries of a list come than it has announced.
+    /// An endpoint list has more entries than announced.
     TooManyEntries,
-    /// A stored table is of a slice that was not assigned in this batch.
+    /// The slice of a stored table was not assigned in this batch.
     SliceNotAssigned,
 }
 
--- a/crates/railhub-adapter/src/events.rs
+++ b/crates/railhub-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire as events of a batch.
+//! Decodes lines of the wire protocol into the events of a batch.
 use crate::error::{FieldProblem, WireError};
 use crate::settings::WireNames;
 use crate::wire_line::WireLine;
@@ -9,12 +9,12 @@
 };
 use std::ops::RangeInclusive;
 
-/// The wire's codes for the ends of a health check; any other is a failure.
+/// The wire codes for the outcomes of a health check; any other code means a failed check.
 const PASSED_CODE: u32 = 100;
 const REJECTED_CODE: u32 = 302;
 const UNREACHABLE_CODES: RangeInclusive<u32> = 304..=305;
 
-/// Adds a line to a batch. Lines of other names are ignored.
+/// Adds the event of a line to a batch. Lines with an unknown name are ignored.
 ///
 /// # Errors
 /// A field is missing or has an invalid value.
@@ -48,7 +48,8 @@
     Ok(SliceId(line.value("sheet")?))
 }
 
-/// An endpoint list, whose entries follow; `None` where the list was lost.
+/// Decodes an endpoint list without its entries, which follow in lines of their own. `None` means that the list was
+/// lost.
 fn endpoint_list(line: &WireLine) -> Result<Option<EndpointList>, WireError> {
     let how = line.text("how")?;
     let complete = matches!(how, "total" | "warm_copy");
@@ -75,14 +76,14 @@
     Ok(EndpointEntry { host, kind, phase, started_at: (started_at > 0.0).then_some(started_at), weight })
 }
 
-/// A name's place among those known; a new name is added.
+/// Returns the index of a name; an unknown name is added first.
 fn index_of(names: &mut Vec<String>, name: &str) -> u16 {
-    let known = names.iter().position(|known| known == name);
-    let place = known.unwrap_or_else(|| {
+    let known_index = names.iter().position(|known| known == name);
+    let index = known_index.unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
     });
-    place as u16
+    index as u16
 }
 
 fn health_check(line: &WireLine) -> Result<HealthCheckResult, WireError> {
@@ -121,7 +122,7 @@
     })
 }
 
-/// `None`: one of the numbers is none, or is not finite.
+/// Parses a comma-separated list of numbers; `None` if a part is not a finite number.
 fn finite_numbers(text: &str) -> Option<Vec<f64>> {
     let mut numbers = Vec::new();
     for part in text.split(',').filter(|part| !part.is_empty()) {
@@ -134,7 +135,7 @@
     Some(numbers)
 }
 
-/// `None`: the class is not known.
+/// Decodes a slice report; `None` if its class is unknown.
 fn slice_load(line: &WireLine, names: &WireNames) -> Result<Option<SliceLoadReport>, WireError> {
     let name = line.text("cls")?;
     let Some(class) = names.classes.iter().position(|known| known == name) else { return Ok(None) };
@@ -155,7 +156,7 @@
     })
 }
 
-/// Adds a line of a stored table to the assignment of its slice.
+/// Adds an entry of a stored table to the latest assignment of its slice.
 fn add_stored_entry(line: &WireLine, batch: &mut EventBatch) -> Result<(), WireError> {
     let slice = slice(line)?;
     let stored = WeightedHost { host: line.host()?, weight: line.non_negative("w")? };
--- a/crates/railhub-adapter/src/instances.rs
+++ b/crates/railhub-adapter/src/instances.rs
@@ -1,5 +1,5 @@
-//! The instances, each apart from the others: collects a batch, then lets each instance with events decide and writes
-//! its commands.
+//! The controller instances: collects a batch for each instance; at the end of the batch every instance with events
+//! handles it, and its commands are written to the reply.
 use crate::commands::CommandWriter;
 use crate::error::{FieldProblem, WireError};
 use crate::events::add_event;
@@ -17,33 +17,33 @@
     has_events: bool,
 }
 
-/// Entries of the latest endpoint list that are still to come.
+/// The entries of the latest endpoint list that have not been received yet.
 #[derive(Default)]
 struct ExpectedEntries {
     remaining: usize,
-    /// The list was for an instance that does not exist.
+    /// The list is for an instance that does not exist, so its entries are ignored.
     is_skipped: bool,
 }
 
-/// All instances, and where the batch that comes in stands.
+/// All instances, and the state of the batch that is being received.
 #[derive(Default)]
 pub struct Instances {
     instances: BTreeMap<u32, Instance>,
     now: Seconds,
-    /// The instance that lines are for.
+    /// The instance that the following lines are for.
     selected: Option<u32>,
     lines_read: usize,
     expected_entries: ExpectedEntries,
 }
 
 impl Instances {
-    /// Takes one line; the last line of a batch brings its reply.
+    /// Processes one line; returns the reply if the line ends a batch.
     ///
     /// # Errors
-    /// The line is not readable, or does not fit those before it.
+    /// The line is invalid, or does not match the lines before it.
     pub fn process_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.lines_read += 1;
-        let line = WireLine::read(text, self.lines_read)?;
+        let line = WireLine::parse(text, self.lines_read)?;
         match line.name {
             "" => {}
             "FRAME" => {
@@ -54,7 +54,7 @@
             "AT" => self.selected = Some(line.value("i")?),
             "CREATE" => self.create(&line)?,
             "DETACH" => {
-                let number = self.selected(&line)?;
+                let number = self.selected_instance(&line)?;
                 self.instances.remove(&number);
             }
             "ITEM" if self.expected_entries.remaining == 0 => {
@@ -66,7 +66,7 @@
         Ok(None)
     }
 
-    fn selected(&self, line: &WireLine) -> Result<u32, WireError> {
+    fn selected_instance(&self, line: &WireLine) -> Result<u32, WireError> {
         self.selected.ok_or_else(|| line.error("i", FieldProblem::NoInstanceSelected))
     }
 
@@ -74,13 +74,14 @@
         let (config, names) = settings::decode(line)?;
         let (controller, batch) = (Controller::new(config), EventBatch::default());
         let instance = Instance { controller, names, batch, has_events: true };
-        self.instances.insert(self.selected(line)?, instance);
+        self.instances.insert(self.selected_instance(line)?, instance);
         Ok(())
     }
 
-    /// Adds a line to the batch of the selected instance; lines for an instance that does not exist are ignored.
+    /// Adds the event of a line to the batch of the selected instance. Lines for an instance that does not exist are
+    /// ignored.
     fn add_to_batch(&mut self, line: &WireLine) -> Result<(), WireError> {
-        let number = self.selected(line)?;
+        let number = self.selected_instance(line)?;
         let instance = self.instances.get_mut(&number);
         if line.name == "ENDPOINTS" {
             self.expected_entries.remaining = match line.optional("records") {
@@ -97,7 +98,7 @@
         add_event(line, &mut instance.names, &mut instance.batch)
     }
 
-    /// Lets each instance with events decide.
+    /// Handles the batch of each instance with events, and returns the commands of all of them.
     fn reply(&mut self) -> String {
         let mut reply = String::new();
         for (number, instance) in &mut self.instances {
--- a/crates/railhub-adapter/src/instances/tests.rs
+++ b/crates/railhub-adapter/src/instances/tests.rs
@@ -69,15 +69,16 @@
 
 #[test]
 fn interleaved_instances_are_independent() {
-    let mut both = instances_with_one();
+    let mut two_instances = instances_with_one();
     let other = format!("FRAME wall_us=1000000\nAT i=5\n{CREATE}\n{LIST}\nOVER_TO_YOU");
-    process_lines(&mut both, &other).expect("a valid batch");
-    let news = "TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=1";
-    let gone = "ENDPOINTS rev=2 how=incr records=1\nITEM phase=left host=10.0.0.1:80";
-    let batch =
-        format!("FRAME wall_us=2000000\nAT i=3\n{news}\nAT i=5\n{gone}\nAT i=3\nBELL ref=0\nOVER_TO_YOU");
-    let together = process_lines(&mut both, &batch).expect("a valid batch");
-    let alone = format!("FRAME wall_us=2000000\nAT i=3\n{news}\nBELL ref=0\nOVER_TO_YOU");
+    process_lines(&mut two_instances, &other).expect("a valid batch");
+    let assignment = "TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=1";
+    let removal = "ENDPOINTS rev=2 how=incr records=1\nITEM phase=left host=10.0.0.1:80";
+    let batch = format!(
+        "FRAME wall_us=2000000\nAT i=3\n{assignment}\nAT i=5\n{removal}\nAT i=3\nBELL ref=0\nOVER_TO_YOU"
+    );
+    let together = process_lines(&mut two_instances, &batch).expect("a valid batch");
+    let alone = format!("FRAME wall_us=2000000\nAT i=3\n{assignment}\nBELL ref=0\nOVER_TO_YOU");
     let alone = process_lines(&mut instances_with_one(), &alone).expect("a valid batch");
     assert!(together.starts_with(alone.trim_end_matches("DONE\n")), "{together} against {alone}");
 }
--- a/crates/railhub-adapter/src/main.rs
+++ b/crates/railhub-adapter/src/main.rs
@@ -1,14 +1,17 @@
-//! The decisions on the bench's wire: reads batches from standard input and answers each on standard output.
+//! Connects the controller of `railhub` to the line protocol of a test bench: reads batches of events from standard
+//! input and writes a reply to each batch to standard output.
 //!
-//! What it owns: the instances that the bench has created, each a controller with its next batch, apart from the others.
+//! The adapter holds the instances that the bench has created. Each instance is a controller with its next batch, and
+//! the instances are independent of each other.
 //!
-//! The way of one batch:
-//! 1. `FRAME` gives the time; `AT` names the instance that the lines after it are for.
-//! 2. Each line becomes an event of that instance's batch ([`events`]); `CREATE` and `DETACH` make and end instances.
-//! 3. `OVER_TO_YOU` ends the batch: each instance with events decides, and its commands are written as lines
+//! Processing of a batch:
+//! 1. `FRAME` gives the time; `AT` selects the instance that the following lines are for.
+//! 2. Each line adds an event to the batch of that instance ([`events`]); `CREATE` and `DETACH` create and remove
+//!    instances.
+//! 3. `OVER_TO_YOU` ends the batch: each instance with events handles its batch, and its commands are written as lines
 //!    ([`commands`]).
 //!
-//! The way of one failure: a line that is not readable ends the program, with the line, the field and what is wrong.
+//! An invalid line ends the program with an error that names the line, the field and the problem.
 #![warn(missing_docs)]
 mod commands;
 mod error;
@@ -43,7 +46,7 @@
     ExitCode::SUCCESS
 }
 
-/// Takes one line; the last line of a batch brings its reply.
+/// Processes one line; returns the reply if the line ends a batch.
 fn process_line(instances: &mut Instances, line: io::Result<String>) -> Result<Option<String>, WireError> {
     let line = line.map_err(WireError::Input)?;
     instances.process_line(line.trim_end_matches('\r'))
--- a/crates/railhub-adapter/src/settings.rs
+++ b/crates/railhub-adapter/src/settings.rs
@@ -1,24 +1,24 @@
-//! Decodes the settings of a `CREATE` that the decisions read.
+//! Decodes the settings of a `CREATE` line that the controller uses.
 use crate::error::WireError;
 use crate::wire_line::WireLine;
 use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
 
-/// Classes that an instance may have.
+/// Maximum number of classes of an instance; further classes are ignored.
 const MAX_CLASSES: usize = 255;
 
-/// What the numbers of an instance stand for on the wire.
+/// The names on the wire of the ids of an instance: an id is the index of its name.
 pub struct WireNames {
     /// Names of the classes.
     pub classes: Vec<String>,
-    /// Names of the zones; further ones are added as reports name them.
+    /// Names of the zones; an unknown name in a report is added.
     pub zones: Vec<String>,
-    /// Names of the kinds of hosts, added as the endpoint list names them.
+    /// Names of the kinds of hosts; an unknown name in an endpoint list is added.
     pub kinds: Vec<String>,
-    /// Place of the busy share of a host's cores in load reports.
+    /// Index of the busy fraction of a host's cores in the statistics of load reports.
     pub cpu_utilization_index: Option<usize>,
 }
 
-/// The settings of an instance.
+/// Decodes the configuration of an instance and its names on the wire.
 ///
 /// # Errors
 /// A setting is missing or has an invalid value.
@@ -30,7 +30,7 @@
     let mut names = WireNames { classes: Vec::new(), zones, kinds: Vec::new(), cpu_utilization_index };
     let mut classes = Vec::new();
     for number in 0..line.value::<usize>("request_classes.count")?.min(MAX_CLASSES) {
-        let field = |tail: &str| format!("request_classes.{number}.{tail}");
+        let field = |name: &str| format!("request_classes.{number}.{name}");
         names.classes.push(line.text(&field("name"))?.to_owned());
         classes.push(ClassConfig {
             contract_time: line.seconds(&field("aim_us"))?,
@@ -75,7 +75,7 @@
     })
 }
 
-/// A time that only instances with a single owner a slice have.
+/// Decodes a setting that only instances with single owners have; 0 for other instances.
 fn write_time(line: &WireLine, field: &str, single_owner: bool) -> Result<Seconds, WireError> {
     if single_owner {
         line.seconds(field)
--- a/crates/railhub-adapter/src/wire_line.rs
+++ b/crates/railhub-adapter/src/wire_line.rs
@@ -1,9 +1,9 @@
-//! One line of the wire: a name, then fields as name=value.
+//! One line of the wire protocol: a name followed by fields of the form name=value, separated by spaces.
 use crate::error::{FieldProblem, WireError};
 use railhub::{HostId, Seconds};
 use std::str::FromStr;
 
-/// Microseconds in a second: the wire has whole microseconds.
+/// Microseconds in a second: the wire protocol gives times in whole microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// A line and its fields.
@@ -15,11 +15,11 @@
 }
 
 impl<'a> WireLine<'a> {
-    /// Reads a line. `number`: its number, from 1.
+    /// Parses a line. `number` is its number, starting at 1.
     ///
     /// # Errors
-    /// A part of the line is no field.
-    pub fn read(text: &'a str, number: usize) -> Result<WireLine<'a>, WireError> {
+    /// A part of the line is not of the form name=value.
+    pub fn parse(text: &'a str, number: usize) -> Result<WireLine<'a>, WireError> {
         let mut parts = text.split(' ').filter(|part| !part.is_empty());
         let name = parts.next().unwrap_or_default();
         let mut fields = Vec::new();
@@ -33,23 +33,23 @@
         Ok(WireLine { name, number, fields })
     }
 
-    /// A field's text, if the line has the field.
+    /// The text of a field, if the line has the field.
     pub fn optional(&self, field: &str) -> Option<&'a str> {
         self.fields.iter().find(|(name, _)| *name == field).map(|(_, value)| *value)
     }
 
-    /// A field's text.
+    /// The text of a field.
     pub fn text(&self, field: &str) -> Result<&'a str, WireError> {
         self.optional(field).ok_or_else(|| self.error(field, FieldProblem::Missing))
     }
 
-    /// A field's value.
+    /// The parsed value of a field.
     pub fn value<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
         let text = self.text(field)?;
         text.parse().map_err(|_| self.invalid(field, text))
     }
 
-    /// A number that is finite and not below 0.
+    /// The value of a field that must be a finite number, at least 0.
     pub fn non_negative(&self, field: &str) -> Result<f64, WireError> {
         let value: f64 = self.value(field)?;
         if value.is_finite() && value >= 0.0 {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// A time, which the wire has in whole microseconds.
+    /// The value in seconds of a field that is in whole microseconds.
     pub fn seconds(&self, field: &str) -> Result<Seconds, WireError> {
         Ok(self.value::<u64>(field)? as f64 / MICROS_PER_SECOND)
     }
 
-    /// A yes or no.
+    /// The value of a boolean field.
     pub fn flag(&self, field: &str) -> Result<bool, WireError> {
         match self.text(field)? {
             "1" | "true" => Ok(true),
@@ -73,19 +73,19 @@
         }
     }
 
-    /// The host that the line is about.
+    /// The host that the line refers to.
     pub fn host(&self) -> Result<HostId, WireError> {
         let name = self.text("host")?;
         HostId::new(name).ok_or_else(|| self.invalid("host", name))
     }
 
-    /// An error in a field.
+    /// Creates the error for a problem with a field.
     pub fn error(&self, field: &str, problem: FieldProblem) -> WireError {
         let (name, field) = (self.name.to_owned(), field.to_owned());
         WireError::Field { line: self.number, name, field, problem }
     }
 
-    /// An impossible value of a field.
+    /// Creates the error for an invalid value of a field.
     pub fn invalid(&self, field: &str, value: &str) -> WireError {
         self.error(field, FieldProblem::Invalid(value.to_owned()))
     }
--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -1,4 +1,5 @@
-//! The adapter as a version that steers a fleet in the model, beside the module in the same process.
+//! Runs the adapter as an external decision engine in the simulator, and compares it with the controller that runs in
+//! the simulator's own process.
 use railhub_invariants::{check, limits};
 use railhub_record::Event;
 use railhub_scenario::report::service;
@@ -8,15 +9,16 @@
 
 fn simulate(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
-    let day = Scenario { seed, ..Scenario::open(&path).expect("a good script") };
-    run(&day, policy, Physics::default()).expect("it runs")
+    let scenario = Scenario { seed, ..Scenario::open(&path).expect("valid scenario") };
+    run(&scenario, policy, Physics::default()).expect("the run completes")
 }
 
 fn adapter() -> Policy {
     Policy::Version(PathBuf::from(env!("CARGO_BIN_EXE_railhub-adapter")))
 }
 
-/// The protocol has whole microseconds, the module has not: nothing else may differ.
+/// The wire protocol rounds times to whole microseconds, the controller in the same process does not. Nothing else may
+/// differ.
 #[test]
 fn adapter_matches_in_process_controller() {
     let mut service_difference = 0.0f64;
@@ -25,7 +27,7 @@
             let service_of = |policy: &Policy| {
                 let events = simulate(name, seed, policy);
                 assert!(
-                    check(&events).expect("a record").iter().all(|verdict| verdict.kept),
+                    check(&events).expect("valid recording").iter().all(|verdict| verdict.kept),
                     "{name} {seed}"
                 );
                 service(&events, limits(&events).expect("limits come first")).overall
@@ -39,16 +41,17 @@
 #[test]
 fn external_engine_restarts_with_its_controller() {
     let events = simulate("short.ini", 3, &adapter());
-    let lives = events
+    let starts = events
         .iter()
         .filter(|event| matches!(&event.kind, Some(railhub_record::EventKind::ControllerLifecycle(life)) if life.running));
-    assert_eq!(lives.count(), 2);
+    assert_eq!(starts.count(), 2);
 }
 
 #[test]
 fn failing_external_engine_is_named_in_error() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
-    let day = Scenario::open(&path).expect("a good script");
-    let fault = run(&day, &Policy::Version("/bin/false".into()), Physics::default()).expect_err("a fault");
-    assert!(fault.starts_with("the version /bin/false: "), "{fault}");
+    let scenario = Scenario::open(&path).expect("valid scenario");
+    let error =
+        run(&scenario, &Policy::Version("/bin/false".into()), Physics::default()).expect_err("an error");
+    assert!(error.starts_with("the version /bin/false: "), "{error}");
 }
--- a/crates/railhub-adapter/tests/wire_format.rs
+++ b/crates/railhub-adapter/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! What the program reads and writes on the bench's wire, line for line.
+//! The wire protocol of the adapter: the lines that it reads, and the replies and errors that it writes.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -11,16 +11,16 @@
     request_classes.0.worth=1.0 rules.cold_from=0.2 rules.fall_multiple=2.5 \
     rules.warm_within_us=10000000 telemetry.names=rif,busy zones=a,b tick_us=4000 unheard.of=1";
 
-/// What the program makes of these lines.
+/// Runs the adapter with these lines as its input.
 fn run_adapter(lines: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_railhub-adapter"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().expect("built");
     let mut stdin = child.stdin.take().expect("piped");
-    // A program that has ended reads no more.
+    // The write fails if the adapter has exited because of an invalid line.
     let _ = stdin.write_all(lines.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 #[test]
@@ -50,7 +50,7 @@
     assert_eq!(reply_to(&CREATE.replace("effect=repeatable", "effect=often")), invalid);
 }
 
-/// Lines, after an instance was created where they begin with CREATED, and what is wrong with the last of them.
+/// Input lines, and the error text for the last of them. An instance is created first if they begin with CREATED.
 const INVALID_LINES: &[(&str, &str)] = &[
     ("AT i=x", "line 1 (AT): field i cannot be 'x'"),
     ("AT", "line 1 (AT): field i is missing"),
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! Endpoint lists: how an update of the list changes the known hosts, and when a host is forgotten.
 //!
 //! The list may be wrong. A host that is removed from it stays in service while it passes its health checks, unless it
-//! was draining or `delisted_may_serve` is off. A host that is added or listed again owns no slice until it has passed a
-//! health check. A draining host always loses its slices at once.
+//! was draining or `delisted_may_serve` is off. A host that is added or listed again owns no slice until it has passed
+//! a health check. A draining host always loses its slices at once.
 use super::exclusion::Exclusions;
 use super::host::Host;
 use super::slice::Slice;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Forgets hosts that have been gone for long, once no table, ejection or exclusion refers to them. A host is readmitted
-/// before it is forgotten, because a new host may be listed under the same id.
+/// Forgets hosts that have been gone for long, once no table, ejection or exclusion refers to them. A host is
+/// readmitted before it is forgotten, because a new host may be listed under the same id.
 pub fn forget_gone_hosts(
     now: Seconds,
     ejected: Option<HostId>,
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -40,7 +40,8 @@
         self.published.values_mut().for_each(|state| *state = ExclusionState::Unconfirmed);
     }
 
-    /// Marks all known hosts as unconfirmed: after its restart the controller does not know which hosts it had excluded.
+    /// Marks all known hosts as unconfirmed: after its restart the controller does not know which hosts it had
+    /// excluded.
     pub fn on_controller_restarted(&mut self, hosts: impl Iterator<Item = HostId>) {
         self.published.extend(hosts.map(|host| (host, ExclusionState::Unconfirmed)));
     }
--- a/src/decision/health_score.rs
+++ b/src/decision/health_score.rs
@@ -52,8 +52,8 @@
         self.span += report.span;
     }
 
-    /// Ends an interval and updates the score. A report that covers several intervals counts for each of them. The score
-    /// of an ejected host falls whatever the reports show.
+    /// Ends an interval and updates the score. A report that covers several intervals counts for each of them. The
+    /// score of an ejected host falls whatever the reports show.
     pub fn evaluate(&mut self, now: Seconds, is_ejected: bool) {
         let has_report = self.attempts > 0.0;
         if is_ejected {
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -2,9 +2,9 @@
 //!
 //! Each tick compares the hosts' representative scores (a low percentile over all zones and the last seconds). A usable
 //! host whose score exceeds all others by at least `EJECTION_SCORE_GAP` is ejected, one host at a time (IASO, see
-//! `health_score`, section 2.3). While it is ejected its scores fall with time. The ejection ends once its current score
-//! in its worst zone is `EJECTION_END_SCORE` or less, or when the host is not usable. No host is ejected while load is
-//! shed, because a poor host is better than an overload of the others; an ejection in progress continues.
+//! `health_score`, section 2.3). While it is ejected its scores fall with time. The ejection ends once its current
+//! score in its worst zone is `EJECTION_END_SCORE` or less, or when the host is not usable. No host is ejected while
+//! load is shed, because a poor host is better than an overload of the others; an ejection in progress continues.
 use super::health_score::{representative_score, worst_score, MIN_SCORE};
 use super::host::Host;
 use crate::interface::{CommandSink, DecisionEvent, HostId, Seconds};
@@ -29,8 +29,8 @@
     (scores.len() > 1 && highest.score - next >= EJECTION_SCORE_GAP).then_some(highest.host)
 }
 
-/// Ends an interval of all health scores. `ejected` is the host that is ejected so far; returns the host that is ejected
-/// from now on.
+/// Ends an interval of all health scores. `ejected` is the host that is ejected so far; returns the host that is
+/// ejected from now on.
 pub fn evaluate_outliers(
     now: Seconds,
     hosts: &mut BTreeMap<HostId, Host>,
--- a/src/decision/placement/failover.rs
+++ b/src/decision/placement/failover.rs
@@ -1,8 +1,8 @@
 //! Failover: slices whose host must be left get a new owner at once.
 //!
-//! A host must be left when it is not usable or is ejected. A cold host above its offload limit gives up the slices with
-//! the highest rates until its utilization is within its limit. The new owner is the standby of the slice, or else the
-//! first host in rendezvous order that has capacity, or else the warm host with the lowest expected latency. If all
+//! A host must be left when it is not usable or is ejected. A cold host above its offload limit gives up the slices
+//! with the highest rates until its utilization is within its limit. The new owner is the standby of the slice, or else
+//! the first host in rendezvous order that has capacity, or else the warm host with the lowest expected latency. If all
 //! remaining hosts are cold and full, the slice has no owner: the excess operations are refused, or the remaining hosts
 //! would fail too.
 use super::slice_moves::{SliceMoves, COLD_CACHE_DEMAND_MULTIPLE};
--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -116,8 +116,8 @@
         Publisher { admission: vec![admission; classes], ..Publisher::default() }
     }
 
-    /// Updates the backlog for a proxy that connected. If it was connected already, earlier updates still wait for it or
-    /// its acknowledgements were missed. It may also receive the updates sent since `oldest_pending_at`.
+    /// Updates the backlog for a proxy that connected. If it was connected already, earlier updates still wait for it
+    /// or its acknowledgements were missed. It may also receive the updates sent since `oldest_pending_at`.
     pub fn on_connected(&mut self, proxy: ProxyId, was_connected: bool, oldest_pending_at: Option<Seconds>) {
         if was_connected {
             self.barrier_due = true;
--- a/src/decision/retry_policy.rs
+++ b/src/decision/retry_policy.rs
@@ -1,7 +1,8 @@
 //! Retry policies: after which failures the proxies retry an operation of a class.
 //!
-//! Inputs: whether operations of the class may be executed twice, whether load is shed, and the utilization of all hosts
-//! together. An operation that must not be executed twice is retried only if its attempt was certainly not executed.
+//! Inputs: whether operations of the class may be executed twice, whether load is shed, and the utilization of all
+//! hosts together. An operation that must not be executed twice is retried only if its attempt was certainly not
+//! executed.
 use crate::interface::{ClassConfig, Idempotency, RetryPolicy};
 
 /// Utilization of all hosts together below which attempts that may have been executed are retried.
--- a/src/decision/service_time.rs
+++ b/src/decision/service_time.rs
@@ -29,9 +29,9 @@
 }
 
 impl ServiceTime {
-    /// Adds the report of a zone. `capacity` is this controller's part of the host's likely capacity, in cores. A failed
-    /// attempt counts as in flight for `failed_attempt_time`. Zones report separately, so the busy cores are divided
-    /// among the zones in proportion to their operations in flight.
+    /// Adds the report of a zone. `capacity` is this controller's part of the host's likely capacity, in cores. A
+    /// failed attempt counts as in flight for `failed_attempt_time`. Zones report separately, so the busy cores are
+    /// divided among the zones in proportion to their operations in flight.
     pub fn add_report(
         &mut self,
         now: Seconds,
--- a/src/decision/single_owner.rs
+++ b/src/decision/single_owner.rs
@@ -1,9 +1,9 @@
 //! Single owners: when a slice whose writes must go through one host may get a new owner.
 //!
-//! The table of the slice changes in two updates. The first one clears the table, at once if the owner must be left. The
-//! second one names the next owner, when no write to the former owner can be in progress any more: all connected proxies
-//! have acknowledged the cleared table, proxies that disconnected earlier write for `write_lease` at most, and the last
-//! write takes up to `max_write_duration`. A table that was stored empty may just have been cleared by another
+//! The table of the slice changes in two updates. The first one clears the table, at once if the owner must be left.
+//! The second one names the next owner, when no write to the former owner can be in progress any more: all connected
+//! proxies have acknowledged the cleared table, proxies that disconnected earlier write for `write_lease` at most, and
+//! the last write takes up to `max_write_duration`. A table that was stored empty may just have been cleared by another
 //! controller: it waits for the acknowledgement of a barrier and then for the same time.
 use super::slice::{Slice, Slices};
 use crate::interface::{ControllerConfig, Seconds, SliceId};
--- a/src/decision/slice.rs
+++ b/src/decision/slice.rs
@@ -29,8 +29,8 @@
 }
 
 impl Slice {
-    /// Creates a slice from its stored table. The stored standby is kept, because choosing a new one would rewrite every
-    /// table.
+    /// Creates a slice from its stored table. The stored standby is kept, because choosing a new one would rewrite
+    /// every table.
     pub fn from_stored(now: Seconds, published: Vec<WeightedHost>, classes: usize) -> Slice {
         let owner = published.iter().max_by(|a, b| a.weight.total_cmp(&b.weight)).map(|entry| entry.host);
         let standby = published.iter().map(|entry| entry.host).find(|host| Some(*host) != owner);
--- a/src/decision/table.rs
+++ b/src/decision/table.rs
@@ -1,8 +1,8 @@
 //! The table of a slice: the desired entries, the urgency of a change, and the lines that make the change.
 //!
-//! A table names the owner of the slice with weight 1 and its standby with a weight too small to attract first attempts:
-//! the standby receives only retries, when the owner refuses an attempt or cannot be reached. If slices have a single
-//! owner, the table names only the owner.
+//! A table names the owner of the slice with weight 1 and its standby with a weight too small to attract first
+//! attempts: the standby receives only retries, when the owner refuses an attempt or cannot be reached. If slices have
+//! a single owner, the table names only the owner.
 use crate::interface::{HostId, WeightedHost};
 
 /// Weight of an owner.
