--- a/src/decision/tests/admission.rs
+++ b/src/decision/tests/admission.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn unreported_slices_count_in_fleet_utilization() {
-    // Eight operations a second for each of twelve slices, half of which have just come from another controller.
+    // Eight operations per second for each of twelve slices, half of which were just assigned to this controller.
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 8.0, 0.1);
     let assigned = |k| SliceAssignment::Assigned {
--- a/src/decision/tests/endpoint_list.rs
+++ b/src/decision/tests/endpoint_list.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn delisted_host_serves_until_health_checks_fail() {
-    // A list may call live hosts gone: the rest would be overloaded.
+    // A list may mark live hosts as gone; removing them would overload the remaining hosts.
     for (delisted_may_serve, phase, slices) in
         [(true, Phase::Ready, 3), (true, Phase::Draining, 0), (false, Phase::Ready, 0)]
     {
@@ -45,7 +45,8 @@
 
 #[test]
 fn new_host_is_usable_after_passing_health_check() {
-    // An unknown host looks as fast as a typical one; hosts that do not exist would be given slices.
+    // A host without reports is assumed to have the typical service time, so without a health check even a host that
+    // does not exist would be given slices.
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
     controller.handle_batch(
@@ -66,7 +67,7 @@
     let mut controller = controller(config());
     controller.config.delisted_may_serve = false;
     let mut commands = RecordedCommands::default();
-    // A new host takes the first one's place every ten seconds, under an id of its own.
+    // Every ten seconds a new host with a new id replaces the oldest one.
     for n in 1..=60 {
         let now = 100.0 + 10.0 * f64::from(n);
         let entries = vec![entry(n, Phase::Gone, None), entry(n + 4, Phase::Ready, Some(now))];
@@ -84,9 +85,9 @@
             controller.hosts.len()
         );
     }
-    assert!(commands.exclusions.contains(&(host(1), true)), "a host that is gone is excluded at once");
+    assert!(commands.exclusions.contains(&(host(1), true)), "a gone host is excluded");
     let last = commands.exclusions.iter().rev().find(|(id, _)| *id == host(1));
-    assert_eq!(last, Some(&(host(1), false)), "its id may come back");
+    assert_eq!(last, Some(&(host(1), false)), "a forgotten host is readmitted, because its id may be reused");
     assert!(controller
         .slices
         .values()
--- a/src/decision/tests/exclusion.rs
+++ b/src/decision/tests/exclusion.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn lost_host_is_excluded_and_readmitted_on_reconnection() {
-    // After a great loss, tables take longer to rewrite than a drain may last.
+    // After the loss of many hosts, rewriting all tables may take longer than a drain lasts.
     let mut controller = controller(config());
     let mut commands = RecordedCommands::default();
     (0..2).for_each(|_| {
@@ -15,7 +15,7 @@
     });
     assert_eq!(commands.exclusions, [(host(2), true)]);
     controller.handle_batch(&health_checked(103.0, 2, HealthCheckOutcome::Passed), &mut commands);
-    // Hosts that come back one by one must not use up the messages that a drain needs.
+    // Readmission waits for a tick: hosts that return one by one must not use up the messages that a drain needs.
     assert_eq!(commands.exclusions.len(), 1);
     controller.handle_batch(&tick(103.5), &mut commands);
     assert_eq!(commands.exclusions[1..], [(host(2), false)]);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn exclusion_is_repeated_for_new_proxies() {
+fn exclusion_is_repeated_for_new_proxies_while_published() {
     let mut controller = controller(ControllerConfig {
         message_quota: 0,
         backlog_limit: 40.0,
--- a/src/decision/tests/health_check.rs
+++ b/src/decision/tests/health_check.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn failed_checks_alone_do_not_prove_host_down() {
-    // Checks of saturated hosts time out: calling them down would move their slices onto the rest.
+    // Health checks of saturated hosts time out; marking such hosts as down would move their slices to the other hosts.
     let mut controller = controller(config());
     for k in 0..5 {
         let now = 101.0 + f64::from(k);
@@ -26,8 +26,8 @@
         );
     }
     assert!(!controller.hosts[&host(2)].is_down);
-    // Reports may come only every few seconds: their absence proves nothing.
-    let fails_checks = |controller: &mut Controller, at| {
+    // Reports may arrive only every few seconds, so a missing report proves nothing.
+    let is_down_after_failed_checks = |controller: &mut Controller, at| {
         (0..3).for_each(|k| {
             controller.handle_batch(
                 &health_checked(at + k as f64, 2, HealthCheckOutcome::Failed),
@@ -36,9 +36,9 @@
         });
         controller.hosts[&host(2)].is_down
     };
-    assert!(!fails_checks(&mut controller, 108.0));
+    assert!(!is_down_after_failed_checks(&mut controller, 108.0));
     controller.apply_host_load(111.0, &load_report(2, 20.0));
-    assert!(fails_checks(&mut controller, 112.0));
+    assert!(is_down_after_failed_checks(&mut controller, 112.0));
 }
 
 #[test]
--- a/src/decision/tests/load_estimate.rs
+++ b/src/decision/tests/load_estimate.rs
@@ -26,7 +26,7 @@
         &mut RecordedCommands::default(),
     );
     assert_eq!((rate(&controller, 0), rate(&controller, 1)), (5.0, 2.0));
-    // One that is never reported has no traffic.
+    // A slice without a report for `UNREPORTED_TIMEOUT` has no traffic.
     controller.handle_batch(&tick(101.1 + UNREPORTED_TIMEOUT), &mut RecordedCommands::default());
     assert_eq!(rate(&controller, 1), 0.0);
 }
@@ -39,7 +39,7 @@
         &EventBatch { assignments: vec![assigned], ..tick(110.0) },
         &mut RecordedCommands::default(),
     );
-    // Six operations came in the one second since the slice was assigned; of another slice the report counts in full.
+    // The report of slice 0 counts for the one second since its assignment; the report of slice 1 counts in full.
     let report = |k| SliceLoadReport { slice: SliceId(k), class: ClassId(0), operations: 6.0, span: 5.0 };
     controller.handle_batch(
         &EventBatch { slice_loads: vec![report(0), report(1)], ..tick(112.0) },
@@ -47,14 +47,15 @@
     );
     let rate = |k: u16| rate(&controller, k);
     assert!((rate(0) - 6.0).abs() < 1e-9 && (rate(1) - 1.2).abs() < 1e-9, "{} {}", rate(0), rate(1));
-    // The first report after a start is no sign that the host had little in flight.
+    // The span of the first report after a start is shortened too, or the host would appear to have few operations in
+    // flight.
     assert_eq!(covered_span(103.0, controller.first_assigned_at, 5.0), 2.0);
     assert_eq!(covered_span(100.3, controller.first_assigned_at, 5.0), MIN_REPORT_SPAN);
 }
 
 #[test]
 fn service_time_is_independent_of_zone_report_timing() {
-    // A busy host must not look slower for reports that come one by one.
+    // A busy host must not appear slower because the reports of its zones arrive separately.
     let mut host = Host::new(&entry(1, Phase::Ready, None));
     for (k, zone) in [0, 1, 0, 1, 0, 1].into_iter().enumerate() {
         let report = HostLoadReport {
@@ -65,7 +66,7 @@
         };
         host.service_time.add_report(10.0 + k as f64, &report, 4.0, 1.0);
     }
-    // Half of four cores over 20 operations a second.
+    // Half of four cores divided by 20 operations per second.
     assert!((host.service_time.read(16.0, 0.1) - 0.1).abs() < 0.02, "{}", host.service_time.read(16.0, 0.1));
 }
 
@@ -79,7 +80,7 @@
 
 #[test]
 fn service_time_reverts_to_typical_without_reports() {
-    // A host that lost its slices is not reported any more and must not look slow for ever.
+    // A host that lost its slices is no longer reported and must not appear slow forever.
     let mut host = Host::new(&entry(1, Phase::Ready, None));
     host.service_time.core_time = DecayingSum { value: 50.0, updated_at: 10.0 };
     host.service_time.completed = DecayingSum { value: 50.0, updated_at: 10.0 };
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the rules share: a controller with four hosts, and the commands that it gives.
+//! Fixtures shared by the tests of the rules: a controller with four hosts, and a sink that records its commands.
 use super::load_report::DEMAND_AVERAGING;
 use super::*;
 use crate::decaying::{DecayingRate, DecayingSum};
@@ -21,6 +21,7 @@
 mod single_owner;
 mod slow_start;
 
+/// Records the commands that the tests check.
 #[derive(Default)]
 struct RecordedCommands {
     lines: Vec<(SliceId, HostId, f64)>,
@@ -118,7 +119,7 @@
     controller
 }
 
-/// Gives each slice so many operations a second, and each host a service time.
+/// Sets the operations per second of each slice and the service time of each host.
 fn set_load(controller: &mut Controller, now: Seconds, rate: f64, service_time: Seconds) {
     for slice in controller.slices.values_mut() {
         slice.demand[0] = DecayingRate::default();
@@ -148,6 +149,7 @@
     }
 }
 
+/// A tick with reports of all hosts, in which half the attempts at host `n` failed.
 fn failure_reports(now: Seconds, n: u8) -> EventBatch {
     let host_loads = (1..=4).map(|k| load_report(k, if k == n { 10.0 } else { 0.0 })).collect();
     EventBatch { host_loads, ..tick(now) }
--- a/src/decision/tests/outlier_ejection.rs
+++ b/src/decision/tests/outlier_ejection.rs
@@ -22,7 +22,7 @@
     assert_eq!((controller.ejected_outlier, owned_slice_count(&controller, 2)), (Some(host(2)), 0));
     controller.handle_batch(&failure_reports(112.0, 3), &mut RecordedCommands::default());
     assert_eq!(controller.ejected_outlier, Some(host(2)));
-    // It must not be the outlier again at once.
+    // When the ejection ends, the host must not become the outlier again at once.
     let mut now = 113.0;
     while controller.ejected_outlier.is_some() {
         controller.handle_batch(&tick(now), &mut RecordedCommands::default());
@@ -33,7 +33,7 @@
 
 #[test]
 fn no_host_is_ejected_while_load_is_shed() {
-    // After a zone loss, ejecting one of the few hosts left would overload the rest.
+    // After the loss of a zone, ejecting one of the few remaining hosts would overload the others.
     let mut controller = controller(config());
     (1..12).for_each(|k| {
         controller.admission.rates[0] = 0.5;
--- a/src/decision/tests/placement.rs
+++ b/src/decision/tests/placement.rs
@@ -22,19 +22,19 @@
 
 #[test]
 fn rendezvous_hash_moves_only_slices_of_lost_host() {
-    let best = |slice, hosts: std::ops::RangeInclusive<u8>| {
+    let first_choice = |slice, hosts: std::ops::RangeInclusive<u8>| {
         hosts.max_by(|a, b| {
             rendezvous::rank(slice, host(*a), 4.0).total_cmp(&rendezvous::rank(slice, host(*b), 4.0))
         })
     };
     for slice in (0..60).map(SliceId) {
-        let before = best(slice, 1..=8).expect("some host");
+        let before = first_choice(slice, 1..=8).expect("a host");
         if before != 8 {
-            assert_eq!(best(slice, 1..=7), Some(before));
+            assert_eq!(first_choice(slice, 1..=7), Some(before));
         }
     }
-    let held = (0..800).filter(|k| best(SliceId(*k), 1..=8) == Some(3)).count();
-    assert!((60..140).contains(&held), "{held}");
+    let owned = (0..800).filter(|k| first_choice(SliceId(*k), 1..=8) == Some(3)).count();
+    assert!((60..140).contains(&owned), "{owned}");
 }
 
 #[test]
--- a/src/decision/tests/publish.rs
+++ b/src/decision/tests/publish.rs
@@ -47,8 +47,8 @@
     controller.publisher.backlog = UpdateBacklog::default();
     controller.slices.values_mut().for_each(|slice| slice.standby = Some(host(4)));
     controller.publish(200.0, true, &mut commands);
-    let ordinary = commands.lines.len();
-    assert!(ordinary < 16, "{ordinary}");
+    let ordinary_lines = commands.lines.len();
+    assert!(ordinary_lines < 16, "{ordinary_lines}");
     controller.hosts.get_mut(&host(1)).expect("listed").phase = Phase::Draining;
     controller.slices.values_mut().for_each(|slice| slice.owner = slice.owner.map(|o| o.max(host(2))));
     controller.publish(201.0, true, &mut commands);
@@ -68,7 +68,7 @@
         sent_at.extend(commands.barriers.iter().map(|_| batch.now));
         commands
     };
-    // Ten times a second some slice loses its only host: each loss is urgent. Ticks go on beside.
+    // Ten times a second a slice loses its only usable host, which makes its table urgent. Ticks continue meanwhile.
     for k in 0..60 {
         let now = 111.0 + 0.1 * f64::from(k);
         let slice = controller.slices.get_mut(&SliceId(k as u16 % 12)).expect("assigned");
@@ -80,7 +80,7 @@
     let later = handle(&mut controller, tick(117.9));
     assert!(
         drain.exclusions.iter().chain(&later.exclusions).any(|excluded| *excluded == (host(1), true)),
-        "within a tick"
+        "the draining host is excluded within a tick"
     );
     let within_window =
         sent_at.iter().map(|from| sent_at.iter().filter(|at| (0.0..10.0).contains(&(**at - from))).count());
@@ -93,7 +93,7 @@
         controller(ControllerConfig { backlog_limit: 50.0, message_overhead: 0.0, ..config() });
     let mut commands = RecordedCommands::default();
     controller.publisher.backlog = UpdateBacklog::default();
-    // Owners move to and fro, and before each tick both proxies connect again.
+    // Owners alternate between two hosts, and both proxies reconnect with each tick.
     let connected = || (0..2).map(|k| ProxyStreamEvent::Connected(ProxyId(k))).collect();
     for k in 0..6 {
         controller.slices.values_mut().for_each(|slice| slice.owner = Some(host(1 + k % 2)));
@@ -103,9 +103,9 @@
             &mut commands,
         );
         let sent = commands.lines.len() + commands.exclusions.len() + 3 * commands.barriers.len();
-        assert!(2.0 * sent as f64 <= 50.0, "{sent} lines for each of two proxies, none acknowledged");
+        assert!(2.0 * sent as f64 <= 50.0, "{sent} unacknowledged lines for each of two proxies");
     }
-    // Acknowledgements were missed: the next barrier covers all that came before it.
+    // Acknowledgements were missed: the acknowledgement of the next barrier covers all updates before it.
     let barrier = *commands.barriers.last().expect("a barrier");
     (0..2).for_each(|k| controller.apply_barrier_ack(200.0, &BarrierAck { proxy: ProxyId(k), barrier }));
     assert!(controller.publisher.backlog.is_empty());
@@ -114,7 +114,7 @@
         !controller.publisher.barrier_due && commands.barriers.last() > Some(&barrier),
         "tables are published again"
     );
-    // Should the acknowledgements of that barrier and the next ones be lost as well, updates expire.
+    // If the acknowledgements of that barrier and of later ones are lost as well, the updates expire.
     let before = commands.lines.len();
     controller.slices.values_mut().for_each(|slice| slice.owner = Some(host(1)));
     controller.handle_batch(&tick(206.0 + UPDATE_EXPIRY), &mut commands);
@@ -127,13 +127,13 @@
     let mut commands = RecordedCommands::default();
     (0..3).for_each(|k| controller.handle_batch(&tick(101.0 + f64::from(k)), &mut commands));
     let (barriers, waiting) = (commands.barriers.len(), controller.publisher.backlog.updates().len());
-    assert!(waiting > 0, "nobody acknowledged the first tables");
+    assert!(waiting > 0, "the first tables are not acknowledged");
     let connected = (0..2).map(|k| ProxyStreamEvent::Connected(ProxyId(k))).collect();
     controller.handle_batch(&EventBatch { proxy_streams: connected, ..tick(110.0) }, &mut commands);
     (0..3).for_each(|k| controller.handle_batch(&tick(111.0 + f64::from(k)), &mut commands));
     assert_eq!(
         (commands.barriers.len(), controller.publisher.backlog.updates().len()),
         (barriers + 1, waiting + 1),
-        "once"
+        "one barrier is sent in addition"
     );
 }
--- a/src/decision/tests/retry_policy.rs
+++ b/src/decision/tests/retry_policy.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn retries_after_failure_need_spare_capacity() {
-    // Retries would take a fleet at two thirds of what it can do into an overload.
+    // At two thirds of the fleet's capacity, retries would cause an overload.
     for (rate, policy) in [(3.0, RetryPolicy::AfterFailure), (8.5, RetryPolicy::IfNotExecuted)] {
         let mut controller = controller(config());
         set_load(&mut controller, 101.0, rate, 0.1);
--- a/src/decision/tests/slow_start.rs
+++ b/src/decision/tests/slow_start.rs
@@ -28,11 +28,12 @@
     );
     for now in [101.0, 104.0, 108.0] {
         let load = controller.loads(now)[&host(1)];
-        let least =
+        let least_capacity =
             4.0 * least_capacity_fraction(now, controller.hosts[&host(1)].warming_since, &controller.config);
-        assert!(load.capacity > least && load.limits.max_utilization <= MAX_UTILIZATION, "{now}");
+        assert!(load.capacity > least_capacity && load.limits.max_utilization <= MAX_UTILIZATION, "{now}");
         assert!(
-            load.limits.max_utilization * load.capacity <= COLD_MAX_UTILIZATION_FRACTION * 4.0 * least + 1e-9,
+            load.limits.max_utilization * load.capacity
+                <= COLD_MAX_UTILIZATION_FRACTION * 4.0 * least_capacity + 1e-9,
             "{now}"
         );
     }
@@ -40,7 +41,7 @@
 
 #[test]
 fn cold_hosts_do_not_take_over_all_lost_slices() {
-    // After two zone losses in a row, all that is left would fail.
+    // After the loss of two zones in succession, the remaining cold hosts would fail under the whole load.
     let mut controller = controller(ControllerConfig { delisted_may_serve: false, ..config() });
     set_load(&mut controller, 101.0, 10.0, 0.1);
     let lost = (2..=4).map(|n| entry(n, Phase::Gone, None)).chain([entry(1, Phase::Ready, Some(100.9))]);
