--- a/crates/railhub-adapter/src/instances.rs
+++ b/crates/railhub-adapter/src/instances.rs
@@ -50,7 +50,7 @@
                 self.now = line.seconds("wall_us")?;
                 self.selected = None;
             }
-            "OVER_TO_YOU" => return Ok(Some(self.reply())),
+            "OVER_TO_YOU" => return Ok(Some(self.finish_batch())),
             "AT" => self.selected = Some(line.value("i")?),
             "CREATE" => self.create(&line)?,
             "DETACH" => {
@@ -99,7 +99,7 @@
     }
 
     /// Handles the batch of each instance with events, and returns the commands of all of them.
-    fn reply(&mut self) -> String {
+    fn finish_batch(&mut self) -> String {
         let mut reply = String::new();
         for (number, instance) in &mut self.instances {
             if !std::mem::take(&mut instance.has_events) {
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -70,15 +70,17 @@
         single_owner: bool,
     ) -> Vec<ExclusionChange> {
         let owners: BTreeSet<HostId> = slices.values().filter_map(|slice| slice.owner).collect();
-        let named: BTreeSet<HostId> =
+        let published_hosts: BTreeSet<HostId> =
             slices.values().flat_map(|slice| slice.published.iter().map(|entry| entry.host)).collect();
         let must_exclude = |id: &HostId| {
             let host = hosts.get(id);
             let is_usable = host.is_some_and(Host::is_usable);
-            let may_be_forgotten = host.is_none_or(|host| host.is_expired(now)) && !named.contains(id);
+            let may_be_forgotten =
+                host.is_none_or(|host| host.is_expired(now)) && !published_hosts.contains(id);
             !single_owner && !is_usable && !owners.contains(id) && !may_be_forgotten
         };
-        let mut candidates: BTreeSet<HostId> = named.iter().copied().filter(&must_exclude).collect();
+        let mut candidates: BTreeSet<HostId> =
+            published_hosts.iter().copied().filter(&must_exclude).collect();
         candidates.extend(self.published.keys().copied().filter(|host| !must_exclude(host)));
         let mut changes = Vec::new();
         for host in candidates {
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -52,9 +52,10 @@
     /// Expected latency if the demand were higher by `more_demand`, with an allowance for fluctuations of the demand.
     pub fn expected_latency(&self, more_demand: f64) -> Seconds {
         let utilization = DEMAND_SWING_MULTIPLE * self.utilization(more_demand);
-        let curved = utilization.min(LINEAR_LATENCY_UTILIZATION);
-        let beyond = utilization - curved;
-        self.service_time / (1.0 - curved * curved).sqrt() * (1.0 + LINEAR_LATENCY_SLOPE * beyond)
+        let curved_utilization = utilization.min(LINEAR_LATENCY_UTILIZATION);
+        let excess_utilization = utilization - curved_utilization;
+        self.service_time / (1.0 - curved_utilization * curved_utilization).sqrt()
+            * (1.0 + LINEAR_LATENCY_SLOPE * excess_utilization)
     }
 
     /// Whether the host may be given `more_demand` in addition.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -128,10 +128,11 @@
             self.apply_barrier_ack(now, ack);
         }
         self.apply_acknowledged_updates(now);
-        let must_act = hosts_went_down || !batch.endpoint_lists.is_empty() || !batch.assignments.is_empty();
+        let needs_evaluation =
+            hosts_went_down || !batch.endpoint_lists.is_empty() || !batch.assignments.is_empty();
         if self.config.slice_count == 0 {
             self.publish_single_table(batch, commands);
-        } else if is_tick || must_act {
+        } else if is_tick || needs_evaluation {
             self.evaluate(now, is_tick, commands);
         }
         if is_tick {
--- a/src/decision/service_time.rs
+++ b/src/decision/service_time.rs
@@ -44,12 +44,12 @@
         let operations = time_in_flight / report.span.max(0.01);
         self.in_flight.insert(report.zone, InFlight { operations, reported_at: now });
         let recent = self.in_flight.values().filter(|zone| now - zone.reported_at <= SERVICE_TIME_AVERAGING);
-        let all_zones = recent.map(|zone| zone.operations).sum::<f64>().max(1e-6);
-        let busy = report.cpu_utilization.map_or_else(
-            || estimated_cpu_utilization(all_zones / capacity),
+        let in_flight_all_zones = recent.map(|zone| zone.operations).sum::<f64>().max(1e-6);
+        let cpu_utilization = report.cpu_utilization.map_or_else(
+            || estimated_cpu_utilization(in_flight_all_zones / capacity),
             |reported| reported.clamp(0.01, 1.0),
         );
-        let core_time = busy * capacity * report.span * operations / all_zones;
+        let core_time = cpu_utilization * capacity * report.span * operations / in_flight_all_zones;
         self.core_time.add(now, core_time, SERVICE_TIME_AVERAGING);
         self.completed.add(now, succeeded, SERVICE_TIME_AVERAGING);
     }
--- a/src/decision/tests/backlog_model.rs
+++ b/src/decision/tests/backlog_model.rs
@@ -137,17 +137,17 @@
 /// Simulates one minute in which at random times about 70 % of the proxies disconnect at once and reconnect later, on a
 /// channel that is slow at times. Returns the largest backlog, as a fraction of the limit, and the number of published
 /// table lines.
-fn max_backlog_fraction(seed: u64) -> (f64, usize) {
+fn simulate_minute(seed: u64) -> (f64, usize) {
     let mut controller =
         controller(ControllerConfig { backlog_limit: BACKLOG_LIMIT_LINES, message_quota: 0, ..config() });
     controller.publisher.backlog = UpdateBacklog::default();
     let mut channel = ModelChannel::new(seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
-    let mut returns: Vec<(Seconds, ProxyId)> = Vec::new();
+    let mut reconnections: Vec<(Seconds, ProxyId)> = Vec::new();
     let (mut max_fraction, mut published_lines) = (0.0_f64, 0);
     let moved_at = random.random_range(105.0..155.0);
     for proxy in (FIRST_MOVED..PROXIES).map(ProxyId) {
-        returns.push((moved_at + random.random_range(0.0..1.0), proxy));
+        reconnections.push((moved_at + random.random_range(0.0..1.0), proxy));
     }
     let first_proxies = (0..FIRST_MOVED).map(|k| ProxyStreamEvent::Connected(ProxyId(k))).collect();
     let connected = EventBatch { now: 100.5, proxy_streams: first_proxies, ..EventBatch::default() };
@@ -163,11 +163,11 @@
             disconnecting.retain(|_| random.random_bool(0.7));
             for proxy in disconnecting {
                 channel.disconnect(now, proxy);
-                returns.push((now + random.random_range(0.5..2.5), proxy));
+                reconnections.push((now + random.random_range(0.5..2.5), proxy));
                 proxy_streams.push(ProxyStreamEvent::Disconnected(proxy));
             }
         }
-        for (_, proxy) in returns.extract_if(.., |(at, _)| *at <= now) {
+        for (_, proxy) in reconnections.extract_if(.., |(at, _)| *at <= now) {
             channel.connected.insert(proxy);
             proxy_streams.push(ProxyStreamEvent::Connected(proxy));
         }
@@ -194,7 +194,7 @@
 
 #[test]
 fn backlog_stays_within_limit_on_slow_channel() {
-    let runs: Vec<_> = (0..300).map(max_backlog_fraction).collect();
+    let runs: Vec<_> = (0..300).map(simulate_minute).collect();
     for (seed, (max_fraction, published_lines)) in runs.iter().enumerate() {
         assert!(*max_fraction <= 1.0, "seed {seed}: the backlog reached {max_fraction} of the limit");
         assert!(*published_lines > 300, "seed {seed}: only {published_lines} lines published in a minute");
--- a/src/decision/tests/controller.rs
+++ b/src/decision/tests/controller.rs
@@ -31,5 +31,5 @@
     batch.proxy_streams = vec![ProxyStreamEvent::Connected(ProxyId(4))];
     let mut commands = RecordedCommands::default();
     controller.handle_batch(&batch, &mut commands);
-    assert_eq!((commands.lines.len(), commands.tables), (3, 1));
+    assert_eq!((commands.lines.len(), commands.assigned_tables), (3, 1));
 }
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Default)]
 struct RecordedCommands {
     lines: Vec<(SliceId, HostId, f64)>,
-    tables: usize,
+    assigned_tables: usize,
     admission: Vec<(ClassId, f64, RetryPolicy)>,
     health_checks: Vec<HostId>,
     barriers: Vec<BarrierId>,
@@ -37,7 +37,7 @@
         self.lines.push((slice, host, weight));
     }
     fn assign_table(&mut self, _: SliceId, _: ProxyId) {
-        self.tables += 1;
+        self.assigned_tables += 1;
     }
     fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry_policy: RetryPolicy) {
         self.admission.push((class, rate, retry_policy));
--- a/src/decision/tests/publish.rs
+++ b/src/decision/tests/publish.rs
@@ -84,7 +84,7 @@
     );
     let within_window =
         sent_at.iter().map(|from| sent_at.iter().filter(|at| (0.0..10.0).contains(&(**at - from))).count());
-    assert!(within_window.max().is_some_and(|most| (10..20).contains(&most)));
+    assert!(within_window.max().is_some_and(|count| (10..20).contains(&count)));
 }
 
 #[test]
