--- a/crates/railhub-adapter/src/commands/tests.rs
+++ b/crates/railhub-adapter/src/commands/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn writes_every_command() {
     let mut writer = CommandWriter::default();
-    let host = HostId::new("10.0.0.1:80").expect("a name");
+    let host = HostId::new("10.0.0.1:80").expect("valid host name");
     writer.set_weight(SliceId(1), host, 0.5);
     writer.assign_table(SliceId(0), ProxyId(4));
     writer.set_admission_rate(ClassId(1), 0.75, RetryPolicy::AfterFailure);
--- a/crates/railhub-adapter/src/instances/tests.rs
+++ b/crates/railhub-adapter/src/instances/tests.rs
@@ -14,6 +14,7 @@
     ITEM phase=active w=4 host=10.0.0.1:80 stripe=0 zone=a flavor=x\n\
     ITEM phase=active last_start_us=5 w=1.5 host=10.0.0.2:80 stripe=0 zone=b flavor=y";
 
+/// Processes lines, and returns the last reply or the first error.
 fn process_lines(instances: &mut Instances, text: &str) -> Result<String, String> {
     let mut reply = None;
     for line in text.lines() {
@@ -22,6 +23,7 @@
     Ok(reply.unwrap_or_default())
 }
 
+/// One instance with two hosts, after its first batch.
 fn instances_with_one() -> Instances {
     let mut instances = Instances::default();
     let first = format!("FRAME wall_us=1000000\nAT i=3\n{CREATE}\n{LIST}\nOVER_TO_YOU");
@@ -30,6 +32,7 @@
     instances
 }
 
+/// The error for lines sent to the instance in its second batch.
 fn error_text(text: &str) -> String {
     process_lines(&mut instances_with_one(), &format!("FRAME wall_us=2000000\nAT i=3\n{text}\nOVER_TO_YOU"))
         .expect_err("an error")
@@ -49,7 +52,7 @@
         HEARD zone=b host=10.0.0.2:80 total=14 failed=1 rtt_us=48250 over_us=1000000 server_stats=7,0.5\n\
         TENURE sheet=2 on=1\nSTORED_LINE sheet=2 host=10.0.0.1:80 w=0.75\n\
         HOTNESS sheet=2 cls=view total=9 failed=0 over_us=2000000\nCONFIRMED edge=41 rev=1 rtt_us=5";
-    process_lines(&mut instances, text).expect("readable");
+    process_lines(&mut instances, text).expect("valid lines");
     let batch = &instances.instances[&3].batch;
     assert_eq!(batch.timers, [TimerId(77)]);
     assert_eq!(batch.health_checks[0].outcome, HealthCheckOutcome::Unreachable);
@@ -60,7 +63,7 @@
     let load = &batch.host_loads[0];
     assert_eq!((load.zone, load.attempts, load.failed, load.mean_latency), (ZoneId(1), 14.0, 1.0, 0.04825));
     assert_eq!((load.span, load.cpu_utilization), (1.0, Some(0.5)));
-    let stored = WeightedHost { host: HostId::new("10.0.0.1:80").expect("a name"), weight: 0.75 };
+    let stored = WeightedHost { host: HostId::new("10.0.0.1:80").expect("valid host name"), weight: 0.75 };
     let assigned = SliceAssignment::Assigned { slice: SliceId(2), entries: vec![stored] };
     assert_eq!(batch.assignments, [assigned]);
     assert_eq!((batch.slice_loads[0].operations, batch.slice_loads[0].span), (9.0, 2.0));
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -15,7 +15,9 @@
 /// The state of a host as published to the proxies. Only hosts that were excluded at some time have one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExclusionState {
+    /// Proxies must not send to the host.
     Excluded,
+    /// Proxies may send to the host.
     Admitted,
     /// Some proxies may not have received the last published state.
     Unconfirmed,
--- a/src/decision/health_score.rs
+++ b/src/decision/health_score.rs
@@ -2,7 +2,7 @@
 //!
 //! An additive-increase, multiplicative-decrease rule after IASO ("A Fail-Slow Detection and Mitigation Framework
 //! for Distributed Storage Services", section 2.2). An interval in which attempts failed multiplies the score, an
-//! interval without failures reduces it by a fixed step. Without a report the score does not change.
+//! interval without failures reduces it by a fixed step. A missing report is no evidence, so the score does not change.
 //!
 //! Inputs: attempts and failures, by zone and host. Result: the scores that `outlier_ejection` compares.
 use crate::decaying::quantile;
@@ -19,8 +19,9 @@
 const SCORE_WINDOW: Seconds = 5.0;
 /// Fraction of the scores in the window that lie below the representative score.
 pub const SCORE_PERCENTILE: f64 = 0.3;
-/// The score of a host without failures, and the highest score.
+/// The score of a host without failures.
 pub const MIN_SCORE: f64 = 1.0;
+/// The highest score.
 const MAX_SCORE: f64 = 100.0;
 
 /// A score at one evaluation.
@@ -36,6 +37,7 @@
     failed: f64,
     /// Seconds that the reports cover.
     span: Seconds,
+    /// Scores of the last `SCORE_WINDOW` seconds, oldest first.
     pub window: Vec<ScoreSample>,
 }
 
@@ -46,6 +48,7 @@
 }
 
 impl ZoneHealthScore {
+    /// Adds the attempts of a report to the current interval.
     pub fn add_report(&mut self, report: &HostLoadReport) {
         self.attempts += report.attempts;
         self.failed += report.failed;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -67,8 +67,9 @@
     first_assigned_at: Seconds,
     /// Connected proxies.
     proxies: BTreeSet<ProxyId>,
-    /// When a proxy last disconnected: that proxy may go on writing according to the tables that it has.
+    /// When a proxy last disconnected: it may continue to write according to the tables that it has.
     last_disconnect_at: Seconds,
+    /// The host that is ejected as the outlier.
     ejected_outlier: Option<HostId>,
     admission: AdmissionControl,
     move_quota: MoveQuota,
@@ -168,6 +169,7 @@
         self.publish(now, is_tick, commands);
     }
 
+    /// Estimates the current loads of the usable hosts.
     fn loads(&self, now: Seconds) -> HostLoads {
         estimate_loads(now, &self.config, &self.hosts, &self.slices, &self.admission.rates)
     }
@@ -237,6 +239,7 @@
         commands.set_timer(TICK_INTERVAL, TICK_TIMER);
     }
 
+    /// Applies assigned and revoked slices.
     fn apply_assignments(&mut self, now: Seconds, assignments: &[SliceAssignment]) {
         let estimated_rate = if assignments.is_empty() { 0.0 } else { mean_reported_rate(&self.slices) };
         let classes = self.config.classes.len();
@@ -293,6 +296,7 @@
         self.apply_acknowledged_updates(now);
     }
 
+    /// Removes the updates that all recipients have acknowledged from the backlog, and applies their effect.
     fn apply_acknowledged_updates(&mut self, now: Seconds) {
         let updates = self.publisher.backlog.take_acknowledged();
         let last_disconnect_at = self.last_disconnect_at;
--- a/src/decision/placement/failover.rs
+++ b/src/decision/placement/failover.rs
@@ -21,7 +21,7 @@
         let target = failover_target(moves, id).or_else(|| fallback_host(moves, owner));
         if target != owner {
             moves.move_slice(id, target);
-            moves.slices.get_mut(&id).expect("moved above").preferred_host = preferred_host;
+            moves.slices.get_mut(&id).expect("the moved slice is assigned").preferred_host = preferred_host;
             moved += 1;
         }
     }
--- a/src/decision/placement/rebalancing.rs
+++ b/src/decision/placement/rebalancing.rs
@@ -23,7 +23,9 @@
 /// The moves that rebalancing may still make: a token bucket that holds at most one move per slice.
 #[derive(Default)]
 pub struct MoveQuota {
+    /// Moves that may still be made.
     pub available: f64,
+    /// When the quota was last refilled.
     pub refilled_at: Seconds,
 }
 
@@ -69,7 +71,7 @@
     let Some(median) = quantile(latencies, 0.5) else { return Vec::new() };
     let mut lagging = Vec::new();
     for (id, load) in moves.loads.iter() {
-        let host = moves.hosts.get_mut(id).expect("loads are of known hosts");
+        let host = moves.hosts.get_mut(id).expect("each load belongs to a known host");
         let latency = load.expected_latency(0.0);
         let is_lagging = latency > LAG_LATENCY_MULTIPLE * median;
         host.lagging_ticks = if is_lagging { host.lagging_ticks + 1 } else { 0 };
--- a/src/decision/placement/slice_moves.rs
+++ b/src/decision/placement/slice_moves.rs
@@ -40,7 +40,7 @@
     /// Moves a slice to another owner, and its demand with it.
     pub fn move_slice(&mut self, id: SliceId, to: Option<HostId>) {
         let rate = self.rate(id);
-        let slice = self.slices.get_mut(&id).expect("a slice of this controller");
+        let slice = self.slices.get_mut(&id).expect("the slice is assigned");
         if let Some(load) = slice.owner.and_then(|owner| self.loads.get_mut(&owner)) {
             load.demand -= rate;
         }
--- a/src/decision/publish.rs
+++ b/src/decision/publish.rs
@@ -260,7 +260,7 @@
     commands: &mut impl CommandSink,
 ) {
     for write in pending {
-        let slice = state.slices.get_mut(&write.slice).expect("pending above");
+        let slice = state.slices.get_mut(&write.slice).expect("pending writes are of assigned slices");
         let mut lines = changes(&slice.published, &write.table);
         // The table of a single owner is cleared first; a later update adds the next owner.
         let is_clearing = state.config.single_owner && lines.iter().any(|line| line.weight == 0.0);
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -24,11 +24,14 @@
 /// Records the commands that the tests check.
 #[derive(Default)]
 struct RecordedCommands {
+    /// Calls of `set_weight`.
     lines: Vec<(SliceId, HostId, f64)>,
+    /// Number of calls of `assign_table`.
     assigned_tables: usize,
     admission: Vec<(ClassId, f64, RetryPolicy)>,
     health_checks: Vec<HostId>,
     barriers: Vec<BarrierId>,
+    /// Excluded (true) and readmitted (false) hosts.
     exclusions: Vec<(HostId, bool)>,
 }
 
@@ -133,6 +136,7 @@
     }
 }
 
+/// The number of slices that host `n` owns.
 fn owned_slice_count(controller: &Controller, n: u8) -> usize {
     controller.slices.values().filter(|slice| slice.owner == Some(host(n))).count()
 }
