--- a/crates/railhub-adapter/src/settings.rs
+++ b/crates/railhub-adapter/src/settings.rs
@@ -59,8 +59,8 @@
         classes,
         slice_count: line.value("family_info.key_ranges")?,
         single_owner,
-        write_lease: write_time(line, "family_info.write_lease_us", single_owner)?,
-        max_write_duration: write_time(line, "family_info.write_life_us", single_owner)?,
+        write_lease: single_owner_time(line, "family_info.write_lease_us", single_owner)?,
+        max_write_duration: single_owner_time(line, "family_info.write_life_us", single_owner)?,
         health_checks_allowed: line.flag("ceilings.probes")?,
         delisted_may_serve: optional_flag(line, "rules.removal_not_binding")?,
         admission_by_fraction: line.text("family_info.throttle_by")? == "share",
@@ -76,7 +76,7 @@
 }
 
 /// Decodes a setting that only instances with single owners have; 0 for other instances.
-fn write_time(line: &WireLine, field: &str, single_owner: bool) -> Result<Seconds, WireError> {
+fn single_owner_time(line: &WireLine, field: &str, single_owner: bool) -> Result<Seconds, WireError> {
     if single_owner {
         line.seconds(field)
     } else {
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -34,6 +34,8 @@
     }
 }
 
+/// Updates a host from its entry in the list. A host that is not known to serve counts as down until it passes a health
+/// check, which is requested here.
 fn apply_entry(
     entry: &EndpointEntry,
     host: &mut Host,
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -67,6 +67,7 @@
     (down + 1) as f64 > MAX_FRACTION_DOWN * serving as f64
 }
 
+/// Whether failed checks and load reports prove that the host is down.
 fn is_proven_down(now: Seconds, host: &Host) -> bool {
     let only_failures_reported =
         host.last_failure_at > host.last_success_at && now - host.last_success_at > FAILING_REPORTS_TIMEOUT;
