--- a/crates/railhub-adapter/src/error.rs
+++ b/crates/railhub-adapter/src/error.rs
@@ -47,9 +47,9 @@
 impl fmt::Display for WireError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            WireError::Input(error) => write!(out, "cannot read standard input: {error}"),
+            WireError::Input(error) => write!(out, "standard input: {error}"),
             WireError::MalformedField { line, name, part } => {
-                write!(out, "line {line} ({name}): '{part}' is not of the form name=value")
+                write!(out, "line {line} ({name}): '{part}' is not name=value")
             }
             WireError::Field { line, name, field, problem } => {
                 write!(out, "line {line} ({name}): field {field} {problem}")
@@ -64,16 +64,10 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             FieldProblem::Missing => out.write_str("is missing"),
-            FieldProblem::Invalid(value) => write!(out, "has invalid value '{value}'"),
-            FieldProblem::NoInstanceSelected => {
-                out.write_str("is missing: no AT line has selected an instance")
-            }
-            FieldProblem::TooManyEntries => {
-                out.write_str("announced fewer ITEM lines than the endpoint list has")
-            }
-            FieldProblem::SliceNotAssigned => {
-                out.write_str("names a slice that was not assigned in this batch")
-            }
+            FieldProblem::Invalid(value) => write!(out, "cannot be '{value}'"),
+            FieldProblem::NoInstanceSelected => out.write_str("is missing: no AT came before"),
+            FieldProblem::TooManyEntries => out.write_str("names fewer entries"),
+            FieldProblem::SliceNotAssigned => out.write_str("was not given in this batch"),
         }
     }
 }
--- a/crates/railhub-adapter/src/instances/tests.rs
+++ b/crates/railhub-adapter/src/instances/tests.rs
@@ -88,9 +88,9 @@
 
 #[test]
 fn errors_name_line_and_field() {
-    assert!(error_text("BELL ref=x").ends_with("(BELL): field ref has invalid value 'x'"));
+    assert!(error_text("BELL ref=x").ends_with("(BELL): field ref cannot be 'x'"));
     assert!(error_text("HEALTH host=10.0.0.1:80").ends_with("(HEALTH): field code is missing"));
-    assert!(error_text("STREAM_DOWN edge").contains("'edge' is not of the form name=value"));
+    assert!(error_text("STREAM_DOWN edge").contains("'edge' is not name=value"));
     assert!(error_text("TENURE sheet=1 on=1\nSTORED_LINE sheet=1 host=10.0.0.1:80 w=NaN").contains("field w"));
 }
 
--- a/crates/railhub-adapter/tests/wire_format.rs
+++ b/crates/railhub-adapter/tests/wire_format.rs
@@ -46,28 +46,27 @@
     };
     let missing = "DIE words=line 2 (CREATE): field rules.cold_from is missing\nDONE\n";
     assert_eq!(reply_to(&CREATE.replace("rules.cold_from=0.2 ", "")), missing);
-    let invalid =
-        "DIE words=line 2 (CREATE): field request_classes.0.effect has invalid value 'often'\nDONE\n";
+    let invalid = "DIE words=line 2 (CREATE): field request_classes.0.effect cannot be 'often'\nDONE\n";
     assert_eq!(reply_to(&CREATE.replace("effect=repeatable", "effect=often")), invalid);
 }
 
 /// Input lines, and the error text for the last of them. An instance is created first if they begin with CREATED.
 const INVALID_LINES: &[(&str, &str)] = &[
-    ("AT i=x", "line 1 (AT): field i has invalid value 'x'"),
+    ("AT i=x", "line 1 (AT): field i cannot be 'x'"),
     ("AT", "line 1 (AT): field i is missing"),
-    ("BELL ref=1", "line 1 (BELL): field i is missing: no AT line has selected an instance"),
+    ("BELL ref=1", "line 1 (BELL): field i is missing: no AT came before"),
     ("FRAME", "line 1 (FRAME): field wall_us is missing"),
-    ("FRAME wall_us=-1", "line 1 (FRAME): field wall_us has invalid value '-1'"),
-    ("CREATED BELL ref=x", "line 4 (BELL): field ref has invalid value 'x'"),
-    ("CREATED STREAM_DOWN edge", "line 4 (STREAM_DOWN): 'edge' is not of the form name=value"),
+    ("FRAME wall_us=-1", "line 1 (FRAME): field wall_us cannot be '-1'"),
+    ("CREATED BELL ref=x", "line 4 (BELL): field ref cannot be 'x'"),
+    ("CREATED STREAM_DOWN edge", "line 4 (STREAM_DOWN): 'edge' is not name=value"),
     ("CREATED HEALTH host=10.0.0.1:80", "line 4 (HEALTH): field code is missing"),
-    ("CREATED HEALTH host=10.0.0.1:80 code=1.5", "line 4 (HEALTH): field code has invalid value '1.5'"),
-    ("CREATED ITEM phase=active host=a", "line 4 (ITEM): field records announced fewer ITEM lines than the endpoint list has"),
-    ("CREATED ENDPOINTS how=total records=1\nITEM phase=gone host=a", "line 5 (ITEM): field phase has invalid value 'gone'"),
-    ("CREATED ENDPOINTS how=total records=1\nITEM phase=active host=a w=NaN", "line 5 (ITEM): field w has invalid value 'NaN'"),
-    ("CREATED ENDPOINTS how=total records=1\nITEM phase=active host=a w=-1", "line 5 (ITEM): field w has invalid value '-1'"),
-    ("CREATED ENDPOINTS how=total records=1\nITEM phase=active host=aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "line 5 (ITEM): field host has invalid value 'aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa'"),
-    ("CREATED HEARD zone=a host=a total=1 failed=0 rtt_us=1 over_us=1 server_stats=inf", "line 4 (HEARD): field server_stats has invalid value 'inf'"),
-    ("CREATED SUBSCRIBED edge=1 on=maybe", "line 4 (SUBSCRIBED): field on has invalid value 'maybe'"),
-    ("CREATED TENURE sheet=1 on=1\nSTORED_LINE sheet=2 host=a w=1", "line 5 (STORED_LINE): field sheet names a slice that was not assigned in this batch"),
+    ("CREATED HEALTH host=10.0.0.1:80 code=1.5", "line 4 (HEALTH): field code cannot be '1.5'"),
+    ("CREATED ITEM phase=active host=a", "line 4 (ITEM): field records names fewer entries"),
+    ("CREATED ENDPOINTS how=total records=1\nITEM phase=gone host=a", "line 5 (ITEM): field phase cannot be 'gone'"),
+    ("CREATED ENDPOINTS how=total records=1\nITEM phase=active host=a w=NaN", "line 5 (ITEM): field w cannot be 'NaN'"),
+    ("CREATED ENDPOINTS how=total records=1\nITEM phase=active host=a w=-1", "line 5 (ITEM): field w cannot be '-1'"),
+    ("CREATED ENDPOINTS how=total records=1\nITEM phase=active host=aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "line 5 (ITEM): field host cannot be 'aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa'"),
+    ("CREATED HEARD zone=a host=a total=1 failed=0 rtt_us=1 over_us=1 server_stats=inf", "line 4 (HEARD): field server_stats cannot be 'inf'"),
+    ("CREATED SUBSCRIBED edge=1 on=maybe", "line 4 (SUBSCRIBED): field on cannot be 'maybe'"),
+    ("CREATED TENURE sheet=1 on=1\nSTORED_LINE sheet=2 host=a w=1", "line 5 (STORED_LINE): field sheet was not given in this batch"),
 ];
