--- a/crates/railhub-adapter/src/error.rs
+++ b/crates/railhub-adapter/src/error.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a line. The text goes to the bench.
+//! Errors in the input. Their texts are sent to the test bench.
 use std::fmt;
 use std::io;
 
-/// Why a line cannot be taken.
+/// Why a line of input is rejected.
 #[derive(Debug)]
 pub enum WireError {
-    /// Standard input cannot be read.
+    /// Reading from standard input failed.
     Input(io::Error),
-    /// A part of a line is no field.
-    NotAField {
+    /// A part of a line is not of the form name=value.
+    MalformedField {
         /// The line's number, from 1.
         line: usize,
         /// The line's name.
         name: String,
-        /// The part.
+        /// The malformed part.
         part: String,
     },
     /// A field is missing or has an invalid value.
@@ -24,31 +24,31 @@
         name: String,
         /// The field's name.
         field: String,
-        /// What is wrong with it.
+        /// The problem with the field.
         problem: FieldProblem,
     },
 }
 
-/// What is wrong with a field.
+/// The problem with a field.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FieldProblem {
-    /// The line lacks it.
+    /// The line does not have the field.
     Missing,
-    /// It has this value, which is not possible.
+    /// The field has this value, which is invalid.
     Invalid(String),
-    /// No line has named the instance.
-    NoInstance,
-    /// More entries of a list come than it has announced.
+    /// No line before has selected an instance.
+    NoInstanceSelected,
+    /// An endpoint list has more entries than announced.
     TooManyEntries,
-    /// A stored table is of a slice that was not assigned in this batch.
-    NotAssigned,
+    /// The slice of a stored table was not assigned in this batch.
+    SliceNotAssigned,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             WireError::Input(error) => write!(out, "standard input: {error}"),
-            WireError::NotAField { line, name, part } => {
+            WireError::MalformedField { line, name, part } => {
                 write!(out, "line {line} ({name}): '{part}' is not name=value")
             }
             WireError::Field { line, name, field, problem } => {
@@ -65,9 +65,9 @@
         match self {
             FieldProblem::Missing => out.write_str("is missing"),
             FieldProblem::Invalid(value) => write!(out, "cannot be '{value}'"),
-            FieldProblem::NoInstance => out.write_str("is missing: no AT came before"),
+            FieldProblem::NoInstanceSelected => out.write_str("is missing: no AT came before"),
             FieldProblem::TooManyEntries => out.write_str("names fewer entries"),
-            FieldProblem::NotAssigned => out.write_str("was not given in this batch"),
+            FieldProblem::SliceNotAssigned => out.write_str("was not given in this batch"),
         }
     }
 }
