--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -1,7 +1,7 @@
 //! `railhub controller` and `railhub conf check`.
 use crate::Ending;
 use clap::Args;
-use railhub_controller::{Installation, Running};
+use railhub_controller::{ControllerSettings, RunningController};
 use railhub_ini::Document;
 use railhub_platform_net::Signals;
 use railhub_scenario::Scenario;
@@ -59,7 +59,7 @@
         return run_on_platform(signals);
     }
     let Some(conf) = &arguments.conf else { return Err(Ending::Input("--conf names no file".into())) };
-    let mut running = Running::start(Installation::open(conf)?)?;
+    let mut running = RunningController::start(ControllerSettings::open(conf)?)?;
     let (fleet, process) = (running.membership_address(), running.membership_process());
     let stop_requested = Arc::new(AtomicBool::new(false));
     if fleet.is_some() {
@@ -100,7 +100,7 @@
 }
 
 /// Logs the figures of the membership, if the controller is in one.
-fn log_membership_figures(running: &Running) -> Result<(), Ending> {
+fn log_membership_figures(running: &RunningController) -> Result<(), Ending> {
     let Some(figures) = running.membership_figures() else { return Ok(()) };
     tracing::info!(
         alive = figures.alive,
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-fn log_figures(running: &Running) {
+fn log_figures(running: &RunningController) {
     let figures = running.figures();
     tracing::info!(
         joined = figures.joined,
@@ -138,7 +138,7 @@
     if document.section("day").exists() {
         Scenario::read(&document)?;
     } else {
-        Installation::read(&document)?;
+        ControllerSettings::read(&document)?;
     }
     Ok(())
 }
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -3,7 +3,7 @@
 use crate::Ending;
 use clap::Args;
 use railhub_controller::membership::MembershipSettings;
-use railhub_controller::Installation;
+use railhub_controller::ControllerSettings;
 use railhub_ini::Document;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
@@ -55,8 +55,8 @@
 
 pub fn slices(arguments: &Slices) -> Result<(), Ending> {
     let document = Document::open(&arguments.conf)?;
-    let installation = Installation::read(&document)?;
-    let store = installation.store.filter(|_| installation.shares());
+    let installation = ControllerSettings::read(&document)?;
+    let store = installation.store.filter(|_| installation.shares_slices());
     let store = store.ok_or_else(|| Ending::Input("these stewards share no slices".into()))?;
     let held = ask(store).map_err(|fault| Ending::Input(format!("the store {store}: {fault}")))?;
     if arguments.json {
--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -44,9 +44,10 @@
 /// The controller's process: prints its address, then its figures for each line that it reads.
 fn run_controller(conf: &str) {
     let document = railhub_ini::Document::parse("bench", conf).expect("readable");
-    let running =
-        railhub_controller::Running::start(railhub_controller::Installation::read(&document).expect("right"))
-            .expect("loopback");
+    let running = railhub_controller::RunningController::start(
+        railhub_controller::ControllerSettings::read(&document).expect("right"),
+    )
+    .expect("loopback");
     println!("{}", running.address);
     for line in std::io::stdin().lines() {
         if line.is_err() {
--- a/crates/railhub-controller/src/core/controller_core.rs
+++ b/crates/railhub-controller/src/core/controller_core.rs
@@ -8,8 +8,8 @@
 use super::timers::Timers;
 use crate::decision_engine::DecisionEngine;
 use crate::delta_builder::DeltaBuilder;
-use crate::installation::Installation;
 use crate::report_aggregator::ReportAggregator;
+use crate::settings::ControllerSettings;
 use crate::tables::Tables;
 use railhub::{
     Controller, EndpointList, EventBatch, HealthCheckResult, ProxyId, Seconds, SliceAssignment, ZoneId,
@@ -18,7 +18,7 @@
 
 /// A controller without sockets, threads and clocks.
 pub struct ControllerCore<C> {
-    pub(super) installation: Installation,
+    pub(super) settings: ControllerSettings,
     pub(super) engine: Box<dyn DecisionEngine + Send>,
     pub(super) tables: Tables,
     /// This process; each version is of one process.
@@ -42,24 +42,24 @@
 
 impl<C: ProxyChannel> ControllerCore<C> {
     /// A core with the decisions of the package `railhub`. `incarnation` differs for each process.
-    pub fn new(installation: Installation, incarnation: u64, now: Seconds) -> ControllerCore<C> {
-        let engine = Box::new(Controller::new(installation.config.clone()));
-        ControllerCore::with_engine(engine, installation, incarnation, now)
+    pub fn new(settings: ControllerSettings, incarnation: u64, now: Seconds) -> ControllerCore<C> {
+        let engine = Box::new(Controller::new(settings.config.clone()));
+        ControllerCore::with_engine(engine, settings, incarnation, now)
     }
 
     /// A core with other decisions.
     pub fn with_engine(
         engine: Box<dyn DecisionEngine + Send>,
-        installation: Installation,
+        settings: ControllerSettings,
         incarnation: u64,
         now: Seconds,
     ) -> ControllerCore<C> {
-        let shares = installation.shares();
+        let shares_slices = settings.shares_slices();
         ControllerCore {
             engine,
             // Where controllers share the slices, one that has none yet serves its proxies all the same.
-            slices_received: installation.config.slice_count == 0 || shares,
-            shared: shares.then(SharedSlices::default),
+            slices_received: settings.config.slice_count == 0 || shares_slices,
+            shared: shares_slices.then(SharedSlices::default),
             tables: Tables::default(),
             incarnation,
             sessions: Sessions::new(),
@@ -72,7 +72,7 @@
             stalled_checked_at: now,
             propagation: PropagationTracker::new(now),
             figures: Figures::default(),
-            installation,
+            settings,
         }
     }
 
@@ -138,7 +138,7 @@
     /// Gives the decisions the load reports that the rate allows.
     pub fn flush_load_reports(&mut self, now: Seconds) {
         let elapsed = now - self.reports_flushed_at;
-        let (hosts, slices) = self.reports.flush(elapsed, self.installation.max_reports_per_second);
+        let (hosts, slices) = self.reports.flush(elapsed, self.settings.max_reports_per_second);
         self.reports_flushed_at = now;
         self.batch.host_loads.extend(hosts);
         self.batch.slice_loads.extend(slices);
--- a/crates/railhub-controller/src/core/publishing.rs
+++ b/crates/railhub-controller/src/core/publishing.rs
@@ -21,7 +21,7 @@
         environment: &mut impl Environment,
     ) {
         if let Some(shared) = &mut self.shared {
-            let binding_removal = !self.installation.config.delisted_may_serve;
+            let binding_removal = !self.settings.config.delisted_may_serve;
             commands.change = shared_change(shared, &self.tables, &commands.change, binding_removal);
         }
         for (after, timer) in &commands.timers {
@@ -53,7 +53,7 @@
         let encode = |change: Arc<Change>| {
             Arc::new(Publication::new(change, self.incarnation, version, decided_at, barrier))
         };
-        let has_no_slices = self.installation.config.slice_count == 0;
+        let has_no_slices = self.settings.config.slice_count == 0;
         let without_lines = has_no_slices.then(|| encode(Arc::new(change.without_lines())));
         let complete = encode(change.clone());
         self.propagation.begin(decided_at);
--- a/crates/railhub-controller/src/core/streams.rs
+++ b/crates/railhub-controller/src/core/streams.rs
@@ -90,7 +90,7 @@
         if !self.sessions.any_joining() {
             return;
         }
-        let terms = &self.installation.config;
+        let terms = &self.settings.config;
         let (backlog, message_cost) = (terms.backlog_limit, terms.message_overhead);
         let mut waiting = self.sessions.backlog_lines(message_cost);
         while let Some((proxy, subscribe)) = self.sessions.first_joining() {
@@ -110,7 +110,7 @@
         let is_ours = incarnation == self.incarnation;
         let lacking = is_ours.then(|| self.tables.changes_since(version)).flatten();
         let change = lacking.unwrap_or_else(|| self.tables.snapshot());
-        let has_no_slices = self.installation.config.slice_count == 0;
+        let has_no_slices = self.settings.config.slice_count == 0;
         let mut change = if has_no_slices { change.without_lines() } else { change };
         if self.shared.is_some() {
             self.tables.stamp_epochs(&mut change);
@@ -137,7 +137,7 @@
             return;
         }
         self.stalled_checked_at = now;
-        for (proxy, stream) in self.sessions.stalled(now, self.installation.response_timeout) {
+        for (proxy, stream) in self.sessions.stalled(now, self.settings.response_timeout) {
             self.figures.response_timeouts += 1;
             environment.session_event(proxy, SessionEvent::ResponseTimeout);
             if let Some(session) = self.sessions.get(proxy) {
--- a/crates/railhub-controller/src/owner.rs
+++ b/crates/railhub-controller/src/owner.rs
@@ -5,8 +5,8 @@
 use crate::core::{ControllerCore, Figures, LeaseChanges};
 use crate::delta_queue::DeltaResponse;
 use crate::inbox::{Inbox, OwnerEvent};
-use crate::installation::Installation;
 use crate::process_environment::{CommandTargets, ProcessEnvironment};
+use crate::settings::ControllerSettings;
 use crate::stream_handle::StreamHandle;
 use railhub::{EndpointList, Phase, Seconds, SliceId};
 use railhub_net::{now, seconds};
@@ -43,16 +43,16 @@
 impl Owner {
     /// An owner with a new core. `incarnation`: of the core, where the clock does not give it.
     pub(crate) fn new(
-        installation: Installation,
+        settings: ControllerSettings,
         incarnation: Option<u64>,
         inbox: Arc<Inbox>,
         targets: CommandTargets,
         figures: Arc<Mutex<Figures>>,
     ) -> Owner {
         let now = now();
-        let environment = ProcessEnvironment { class_names: installation.class_names.clone(), targets };
+        let environment = ProcessEnvironment { class_names: settings.class_names.clone(), targets };
         let incarnation = incarnation.unwrap_or((now * INCARNATIONS_PER_SECOND) as u64);
-        let core = ControllerCore::new(installation, incarnation, now);
+        let core = ControllerCore::new(settings, incarnation, now);
         Owner { core, environment, inbox, figures }
     }
 
--- a/crates/railhub-controller/src/service.rs
+++ b/crates/railhub-controller/src/service.rs
@@ -4,11 +4,11 @@
 use crate::endpoint_list_poller;
 use crate::health_checker;
 use crate::inbox::{inbox, Inbox, OwnerEvent};
-use crate::installation::Installation;
 use crate::lease_table::LeaseTable;
 use crate::membership::{MembershipFigures, MembershipService, SliceSharing};
 use crate::owner::Owner;
 use crate::process_environment::CommandTargets;
+use crate::settings::ControllerSettings;
 use crate::store::StoreWriter;
 use crate::stream_server::{StreamLimits, StreamServer};
 use crate::traffic_writer::TrafficWriter;
@@ -34,7 +34,7 @@
 }
 
 /// A controller that runs; dropping it stops it.
-pub struct Running {
+pub struct RunningController {
     /// Where proxies connect.
     pub address: SocketAddr,
     inbox: Arc<Inbox>,
@@ -45,41 +45,41 @@
     membership: Option<MembershipService>,
 }
 
-impl Running {
+impl RunningController {
     /// Starts a controller.
     ///
     /// # Errors
     /// An address cannot be bound, or the traffic file cannot be made.
-    pub fn start(installation: Installation) -> Result<Running, StartError> {
-        let traffic = TrafficWriter::start(&installation, now())?;
+    pub fn start(settings: ControllerSettings) -> Result<RunningController, StartError> {
+        let traffic = TrafficWriter::start(&settings, now())?;
         let inbox = Arc::new(inbox());
         let figures = Arc::new(Mutex::new(Figures::default()));
-        let leases = lease_table(&installation);
-        let listener = listen(&installation, &inbox, leases.clone())?;
-        let store = start_store(&installation, &inbox);
+        let leases = lease_table(&settings);
+        let listener = listen(&settings, &inbox, leases.clone())?;
+        let store = start_store(&settings, &inbox);
         let sharing = store.clone().zip(leases).map(|(store, leases)| SliceSharing {
             store,
             inbox: inbox.clone(),
             leases,
-            slices: installation.config.slice_count,
-            ignores_lease_expiry: ignores_lease_expiry(&installation),
+            slices: settings.config.slice_count,
+            ignores_lease_expiry: ignores_lease_expiry(&settings),
         });
-        let membership = start_membership(&installation, &figures, sharing)?;
+        let membership = start_membership(&settings, &figures, sharing)?;
         let health_checker = health_checker::start(
-            installation.max_concurrent_health_checks,
-            installation.health_check_timeout,
+            settings.max_concurrent_health_checks,
+            settings.health_check_timeout,
             &inbox,
         );
-        let endpoint_list = endpoint_list_poller::start(installation.endpoint_list, inbox.clone());
+        let endpoint_list = endpoint_list_poller::start(settings.endpoint_list, inbox.clone());
         // Where controllers share the slices, versions and leases are of the same process.
-        let shares = installation.shares();
-        let incarnation = membership.as_ref().filter(|_| shares).map(|service| service.process);
+        let shares_slices = settings.shares_slices();
+        let incarnation = membership.as_ref().filter(|_| shares_slices).map(|service| service.process);
         let targets = CommandTargets { health_checker, store, traffic };
-        let owner = Owner::new(installation, incarnation, inbox.clone(), targets, figures.clone());
+        let owner = Owner::new(settings, incarnation, inbox.clone(), targets, figures.clone());
         let owner = std::thread::spawn(move || owner.run());
         let address = listener.address;
         tracing::info!(%address, "controller listening");
-        Ok(Running {
+        Ok(RunningController {
             address,
             inbox,
             figures,
@@ -123,7 +123,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningController {
     fn drop(&mut self) {
         self.inbox.send(OwnerEvent::Stop);
         if let Some(owner) = self.owner.take() {
@@ -132,36 +132,36 @@
     }
 }
 
-fn ignores_lease_expiry(installation: &Installation) -> bool {
-    installation.membership.as_ref().is_some_and(|settings| settings.ignores_lease_expiry())
+fn ignores_lease_expiry(settings: &ControllerSettings) -> bool {
+    settings.membership.as_ref().is_some_and(|membership| membership.ignores_lease_expiry())
 }
 
 /// The leases that stream writers go by, where controllers share the slices.
-fn lease_table(installation: &Installation) -> Option<Arc<LeaseTable>> {
-    let settings = installation.membership.as_ref().filter(|settings| settings.share)?;
-    Some(Arc::new(LeaseTable::new(settings.clock, settings.ignores_lease_expiry())))
+fn lease_table(settings: &ControllerSettings) -> Option<Arc<LeaseTable>> {
+    let membership = settings.membership.as_ref().filter(|membership| membership.share)?;
+    Some(Arc::new(LeaseTable::new(membership.clock, membership.ignores_lease_expiry())))
 }
 
 fn listen(
-    installation: &Installation,
+    settings: &ControllerSettings,
     inbox: &Arc<Inbox>,
     leases: Option<Arc<LeaseTable>>,
 ) -> Result<Listener, StartError> {
-    let terms = &installation.config;
+    let terms = &settings.config;
     let limits = StreamLimits {
-        subscribe_timeout: installation.subscribe_timeout,
-        idle_timeout: installation.idle_timeout,
-        max_streams: installation.max_streams,
+        subscribe_timeout: settings.subscribe_timeout,
+        idle_timeout: settings.idle_timeout,
+        max_streams: settings.max_streams,
         quota: MessageQuota { max_messages: terms.message_quota, window: terms.message_quota_window },
     };
     let server = Arc::new(StreamServer::new(limits, inbox.clone(), leases));
-    let listener = Listener::open(installation.listen, move |connection, _| server.serve(connection));
-    listener.map_err(|error| StartError::Listen(installation.listen, error))
+    let listener = Listener::open(settings.listen, move |connection, _| server.serve(connection));
+    listener.map_err(|error| StartError::Listen(settings.listen, error))
 }
 
-fn start_store(installation: &Installation, inbox: &Arc<Inbox>) -> Option<Arc<StoreWriter>> {
-    let store = installation.store?;
-    Some(Arc::new(if installation.shares() {
+fn start_store(settings: &ControllerSettings, inbox: &Arc<Inbox>) -> Option<Arc<StoreWriter>> {
+    let store = settings.store?;
+    Some(Arc::new(if settings.shares_slices() {
         StoreWriter::start_sharing(store)
     } else {
         StoreWriter::start_alone(store, inbox.clone())
@@ -169,14 +169,14 @@
 }
 
 fn start_membership(
-    installation: &Installation,
+    settings: &ControllerSettings,
     figures: &Arc<Mutex<Figures>>,
     sharing: Option<SliceSharing>,
 ) -> Result<Option<MembershipService>, StartError> {
-    let Some(settings) = &installation.membership else { return Ok(None) };
-    let slices = installation.config.slice_count;
-    match MembershipService::start(settings, figures.clone(), sharing, slices) {
+    let Some(membership) = &settings.membership else { return Ok(None) };
+    let slices = settings.config.slice_count;
+    match MembershipService::start(membership, figures.clone(), sharing, slices) {
         Ok(service) => Ok(Some(service)),
-        Err(error) => Err(StartError::Membership(settings.listen, error)),
+        Err(error) => Err(StartError::Membership(membership.listen, error)),
     }
 }
--- a/crates/railhub-controller/src/installation.rs
+++ b/crates/railhub-controller/src/settings.rs
@@ -14,7 +14,7 @@
 
 /// What a controller knows when it starts.
 #[derive(Clone, Debug)]
-pub struct Installation {
+pub struct ControllerSettings {
     /// Where proxies connect.
     pub listen: SocketAddr,
     /// Where the endpoint list is.
@@ -45,9 +45,9 @@
     pub membership: Option<MembershipSettings>,
 }
 
-impl Installation {
+impl ControllerSettings {
     /// Whether controllers share the slices: they lease them from the store.
-    pub fn shares(&self) -> bool {
+    pub fn shares_slices(&self) -> bool {
         self.membership.as_ref().is_some_and(|settings| settings.share)
     }
 
@@ -55,15 +55,15 @@
     ///
     /// # Errors
     /// The file cannot be read, or is no controller's; the error names the line.
-    pub fn open(path: &Path) -> Result<Installation, Diagnostic> {
-        Installation::read(&Document::open(path)?)
+    pub fn open(path: &Path) -> Result<ControllerSettings, Diagnostic> {
+        ControllerSettings::read(&Document::open(path)?)
     }
 
     /// Reads a document.
     ///
     /// # Errors
     /// A section or key is missing, unknown or has an invalid value; the error names its line.
-    pub fn read(document: &Document) -> Result<Installation, Diagnostic> {
+    pub fn read(document: &Document) -> Result<ControllerSettings, Diagnostic> {
         let is_class = |name: &str| name.starts_with(CLASS_PREFIX);
         document.reject_unknown_sections(|name| {
             matches!(name, "steward" | "limits" | "fleet") || is_class(name)
@@ -79,7 +79,7 @@
         if classes.is_empty() || classes.len() > MAX_CLASSES {
             return Err(steward.diagnostic("", format!("has {} classes, 1 to 64 are needed", classes.len())));
         }
-        let installation = Installation {
+        let settings = ControllerSettings {
             listen: steward.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
             endpoint_list: steward.required("roster")?,
             store: steward.text("store").map(|_| steward.required("store")).transpose()?,
@@ -95,20 +95,20 @@
             membership: MembershipSettings::read(document)?,
             max_streams: limits.in_range("streams_most", DEFAULT_MAX_STREAMS as f64, 1.0, 65_535.0)? as usize,
         };
-        installation.check_store(document)?;
+        settings.check_store(document)?;
         steward.reject_unread_keys()?;
         limits.reject_unread_keys()?;
-        Ok(installation)
+        Ok(settings)
     }
 
-    /// Slices need a store, and a membership that shares them needs slices.
+    /// Slices need a store, and sharing them needs slices.
     fn check_store(&self, document: &Document) -> Result<(), Diagnostic> {
         let has_slices = self.config.slice_count > 0;
         if has_slices != self.store.is_some() {
             let steward = document.section("steward");
             return Err(steward.diagnostic("store", "is needed where there are slices, and only there"));
         }
-        if self.shares() && !has_slices {
+        if self.shares_slices() && !has_slices {
             return Err(document
                 .section("fleet")
                 .diagnostic("share", "needs slices, and a store that leases them"));
--- a/crates/railhub-controller/src/installation/tests.rs
+++ b/crates/railhub-controller/src/settings/tests.rs
@@ -4,8 +4,8 @@
     [limits]\nbacklog = 9000\n[class view]\ncontract_time = 0.8\nrepeats = safe\n\
     [class pay]\ncontract_time = 1.2\ngain = 2\n";
 
-fn read(text: &str) -> Result<Installation, String> {
-    Installation::read(&Document::parse("s.ini", text).expect("readable")).map_err(|e| e.to_string())
+fn read(text: &str) -> Result<ControllerSettings, String> {
+    ControllerSettings::read(&Document::parse("s.ini", text).expect("readable")).map_err(|e| e.to_string())
 }
 
 #[test]
--- a/crates/railhub-controller/src/traffic_writer.rs
+++ b/crates/railhub-controller/src/traffic_writer.rs
@@ -1,6 +1,6 @@
 //! Records the operations that load reports tell of. The owner of the core passes reports on and never waits for the
 //! disk: what does not fit the queue is counted and left out.
-use crate::installation::Installation;
+use crate::settings::ControllerSettings;
 use railhub::{ProxyId, Seconds, ZoneId};
 use railhub_proto::{LoadReport, SliceLoad};
 use railhub_trace::file::{TraceError, TraceWriter};
@@ -35,16 +35,16 @@
 }
 
 impl TrafficWriter {
-    /// Starts recording if the installation names a file. The file is made at once, so that one that cannot be made is
+    /// Starts recording if the settings name a file. The file is made at once, so that one that cannot be made is
     /// reported at the start.
     ///
     /// # Errors
     /// The file cannot be made, or an earlier one cannot be moved.
-    pub fn start(installation: &Installation, now: Seconds) -> Result<Option<TrafficWriter>, TraceError> {
-        let Some(path) = &installation.traffic else { return Ok(None) };
-        let slices = u32::from(installation.config.slice_count);
+    pub fn start(settings: &ControllerSettings, now: Seconds) -> Result<Option<TrafficWriter>, TraceError> {
+        let Some(path) = &settings.traffic else { return Ok(None) };
+        let slices = u32::from(settings.config.slice_count);
         let header = TraceHeader {
-            classes: installation.class_names.clone(),
+            classes: settings.class_names.clone(),
             zones: (0..MAX_ZONES).map(|zone| format!("zone-{zone}")).collect(),
             slices,
             // Which proxies join is not known yet.
--- a/crates/railhub-controller/src/traffic_writer/tests.rs
+++ b/crates/railhub-controller/src/traffic_writer/tests.rs
@@ -3,12 +3,12 @@
 use railhub_proto::SliceLoad;
 use railhub_trace::file;
 
-fn installation(path: &str) -> Installation {
+fn settings(path: &str) -> ControllerSettings {
     let text = format!(
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:2\nslices = 4\ntraffic = {path}\n\
          [class view]\ncontract_time = 1\n"
     );
-    Installation::read(&Document::parse("s.ini", &text).expect("readable")).expect("right")
+    ControllerSettings::read(&Document::parse("s.ini", &text).expect("readable")).expect("right")
 }
 
 fn report(slice: u32, class: u32) -> LoadReport {
@@ -19,8 +19,8 @@
 #[test]
 fn sums_become_rows_and_nonsense_is_left_out() {
     let path = std::env::temp_dir().join(format!("railhub-sums-{}.traffic", std::process::id()));
-    let installation = installation(&path.display().to_string());
-    let mut writer = TrafficWriter::start(&installation, 10.0).expect("writable").expect("named");
+    let settings = settings(&path.display().to_string());
+    let mut writer = TrafficWriter::start(&settings, 10.0).expect("writable").expect("named");
     writer.record(15.0, ProxyId(3), ZoneId(1), &report(2, 0));
     writer.record(11.0, ProxyId(3), ZoneId(1), &report(0, 0));
     for bad in [report(4, 0), report(1, 1)] {
@@ -41,9 +41,9 @@
     let folder = std::env::temp_dir().join(format!("railhub-again-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("writable");
     let path = folder.join("ops");
-    let installation = installation(&path.display().to_string());
+    let settings = settings(&path.display().to_string());
     for n in 0..3u32 {
-        let mut writer = TrafficWriter::start(&installation, 10.0).expect("writable").expect("named");
+        let mut writer = TrafficWriter::start(&settings, 10.0).expect("writable").expect("named");
         writer.record(12.0 + f64::from(n), ProxyId(3), ZoneId(1), &report(n, 0));
         drop(writer);
     }
@@ -54,6 +54,6 @@
 
 #[test]
 fn a_file_that_cannot_be_made_is_told_of_at_the_start() {
-    let fault = TrafficWriter::start(&installation("/nowhere/at/all"), 0.0).err().expect("a fault");
+    let fault = TrafficWriter::start(&settings("/nowhere/at/all"), 0.0).err().expect("a fault");
     assert!(fault.to_string().starts_with("/nowhere/at/all: "));
 }
--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small fleet around a controller, and peers that are driven step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
-use railhub_controller::{Installation, Running};
+use railhub_controller::{ControllerSettings, RunningController};
 use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, READY};
 use railhub_emulator::host::{HostConfig, ListeningHost, SharedSeenOperations};
 use railhub_emulator::routing::RoutingState;
@@ -24,7 +24,7 @@
     pub hosts: Vec<ListeningHost>,
     pub roster: EndpointList,
     pub store: Store,
-    pub installation: Installation,
+    pub settings: ControllerSettings,
 }
 
 fn facts(zone: u32) -> HostConfig {
@@ -101,7 +101,7 @@
     let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
     let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
-    let installation = Installation {
+    let settings = ControllerSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         endpoint_list: roster.address,
         store: (slices > 0).then_some(store.address),
@@ -117,7 +117,7 @@
         traffic: None,
         membership: None,
     };
-    Fleet { hosts, roster, store, installation }
+    Fleet { hosts, roster, store, settings }
 }
 
 pub fn entry(hosts: &[ListeningHost], n: usize, phase: &'static str) -> ListedEndpoint {
@@ -126,8 +126,8 @@
 }
 
 impl Fleet {
-    pub fn start(&self) -> Running {
-        Running::start(self.installation.clone()).expect("loopback")
+    pub fn start(&self) -> RunningController {
+        RunningController::start(self.settings.clone()).expect("loopback")
     }
 
     pub fn list(&self, n: usize, phase: &'static str) {
--- a/crates/railhub-controller/tests/handover.rs
+++ b/crates/railhub-controller/tests/handover.rs
@@ -11,7 +11,7 @@
 };
 use railhub_controller::delta_queue::{DeltaResponse, ResponseEffect};
 use railhub_controller::publication::Publication;
-use railhub_controller::Installation;
+use railhub_controller::ControllerSettings;
 use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use std::sync::{Arc, Mutex};
@@ -69,11 +69,12 @@
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
-    let installation = Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right");
+    let settings =
+        ControllerSettings::read(&Document::parse("s.ini", text).expect("readable")).expect("right");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
-    let terms = ControllerConfig { classes, ..installation.config.clone() };
-    let mut core = ControllerCore::new(Installation { config: terms, ..installation }, process, 0.0);
+    let terms = ControllerConfig { classes, ..settings.config.clone() };
+    let mut core = ControllerCore::new(ControllerSettings { config: terms, ..settings }, process, 0.0);
     let entry = |n| EndpointEntry {
         host: host(n),
         phase: Phase::Ready,
--- a/crates/railhub-controller/tests/streams.rs
+++ b/crates/railhub-controller/tests/streams.rs
@@ -199,7 +199,7 @@
 #[test]
 fn a_peer_that_says_nothing_floods_or_lies_is_cut_off_with_a_reason() {
     let mut fleet = fleet(2, 10);
-    fleet.installation.subscribe_timeout = 0.3;
+    fleet.settings.subscribe_timeout = 0.3;
     let controller = fleet.start();
     let mut good = Peer::connect(controller.address, 0);
     good.apply_until(|held| held.tables().len() == 10);
@@ -233,7 +233,7 @@
 fn all_proxies_join_though_snapshots_do_not_fit_the_backlog_at_once() {
     let mut fleet = fleet(4, 100);
     // One snapshot is some 200 lines.
-    fleet.installation.config.backlog_limit = 700.0;
+    fleet.settings.config.backlog_limit = 700.0;
     let controller = fleet.start();
     let address = controller.address;
     // One that never reads is in front: the others wait for it no longer than until it is cut off.
--- a/crates/railhub-controller/tests/wire_fixtures.rs
+++ b/crates/railhub-controller/tests/wire_fixtures.rs
@@ -5,7 +5,7 @@
 use railhub_controller::membership::MembershipFigures;
 use railhub_controller::publication::Publication;
 use railhub_controller::traffic_writer::TrafficWriter;
-use railhub_controller::{Figures, Installation, Running};
+use railhub_controller::{ControllerSettings, Figures, RunningController};
 use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -22,8 +22,8 @@
     START.call_once(railhub_net::start_runtime);
 }
 
-fn read(text: &str) -> Installation {
-    Installation::read(&Document::parse("s.ini", text).expect("readable")).expect("right")
+fn read(text: &str) -> ControllerSettings {
+    ControllerSettings::read(&Document::parse("s.ini", text).expect("readable")).expect("right")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -151,7 +151,7 @@
         "[steward]\nroster = {}\nstore = {}\nslices = 1\n[class any]\ncontract_time = 1\n",
         list.address, store.address
     );
-    let running = Running::start(read(&text)).expect("loopback");
+    let running = RunningController::start(read(&text)).expect("loopback");
     assert_eq!(list.bodies("GET /hosts?after=0 HTTP/1.1", 1), [""]);
     assert_eq!(store.bodies("GET /charges HTTP/1.1", 1), [""]);
     assert_eq!(list.bodies("GET /hosts?after=9 HTTP/1.1", 1), [""]);
@@ -191,7 +191,7 @@
             list.address, store.address
         )
     };
-    let mut running = Running::start(read(&text(1, 77, ""))).expect("loopback");
+    let mut running = RunningController::start(read(&text(1, 77, ""))).expect("loopback");
     let taken = "{\"number\":1,\"process\":77,\"span\":3.0,\"take\":[0,1],\"renew\":[],\"release\":[]}";
     assert_eq!(store.bodies("POST /leases HTTP/1.1", 1)[0], taken);
     let until = Instant::now() + LONG;
@@ -202,7 +202,7 @@
     }
     // The one that it hands the slice to; the store grants it nothing.
     let join = format!("join = {}\n", running.membership_address().expect("it shares"));
-    let other = Running::start(read(&text(2, 78, &join))).expect("loopback");
+    let other = RunningController::start(read(&text(2, 78, &join))).expect("loopback");
     while running.membership_figures().is_none_or(|figures| figures.alive < 2) {
         assert!(Instant::now() < until, "the other one is not seen");
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -129,17 +129,17 @@
         }
         self.incarnation += 1;
         let now = self.agenda.now;
-        let (installation, incarnation) = (self.installation.clone(), self.incarnation);
+        let (controller_settings, incarnation) = (self.controller_settings.clone(), self.incarnation);
         let mind = match &self.policy {
             Policy::Baseline(policy) => Mind::Plain(Box::new(Plain::new(*policy, self.day.slices))),
             Policy::Version(program) => {
-                match ExternalEngine::start(program, &installation.config, self.day.zones.len()) {
+                match ExternalEngine::start(program, &controller_settings.config, self.day.zones.len()) {
                     Ok((engine, fault)) => {
                         self.faults.push(fault);
                         let engine = Box::new(engine);
                         Mind::ControllerCore(Box::new(ControllerCore::with_engine(
                             engine,
-                            installation,
+                            controller_settings,
                             incarnation,
                             now,
                         )))
@@ -150,7 +150,7 @@
                     }
                 }
             }
-            _ => Mind::ControllerCore(Box::new(ControllerCore::new(installation, incarnation, now))),
+            _ => Mind::ControllerCore(Box::new(ControllerCore::new(controller_settings, incarnation, now))),
         };
         if let Mind::Plain(plain) = &mind {
             plain.wakes().into_iter().for_each(|after| self.agenda.after(after, Due::StewardWakes));
@@ -475,7 +475,7 @@
     }
 
     pub fn probed(&mut self, place: HostAt) {
-        let (now, within) = (self.agenda.now, self.installation.health_check_timeout);
+        let (now, within) = (self.agenda.now, self.controller_settings.health_check_timeout);
         let host = &self.hosts[place];
         let still = (host.ailments.paused_until - now).max(0.0);
         let took = still + self.day.probe_work * host.ailments.slowdown / host.facts.speed;
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -7,7 +7,7 @@
 use crate::steward::Steward;
 use railhub::Phase;
 use railhub_controller::core::StreamId;
-use railhub_controller::Installation;
+use railhub_controller::ControllerSettings;
 use railhub_emulator::host::{HostConfig, SeenOperations};
 use railhub_emulator::load_totals::LoadTotals;
 use railhub_emulator::routing::RoutingState;
@@ -83,7 +83,7 @@
     pub day: &'a Scenario,
     pub policy: Policy,
     pub physics: Physics,
-    pub installation: Installation,
+    pub controller_settings: ControllerSettings,
     pub began: f64,
     pub agenda: Agenda,
     pub classes: Vec<OperationClass>,
@@ -135,9 +135,9 @@
     }
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let document = Document::parse("the steward's settings", &controller_settings(day, nowhere, nowhere));
-    let installation =
-        document.and_then(|document| Installation::read(&document)).map_err(|e| e.to_string())?;
-    let mut world = World::new(day, policy.clone(), physics, installation, luck);
+    let controller_settings =
+        document.and_then(|document| ControllerSettings::read(&document)).map_err(|e| e.to_string())?;
+    let mut world = World::new(day, policy.clone(), physics, controller_settings, luck);
     world.open();
     world.play();
     for place in &world.faults {
@@ -155,7 +155,7 @@
         day: &Scenario,
         policy: Policy,
         physics: Physics,
-        installation: Installation,
+        controller_settings: ControllerSettings,
         luck: u64,
     ) -> World<'_> {
         let facts = draw::hosts(day, day.hosts, "hosts");
@@ -175,7 +175,7 @@
             day,
             policy,
             physics,
-            installation,
+            controller_settings,
             began: JOIN_WITHIN,
             agenda: Agenda::default(),
             classes: day.class_facts(),
