--- a/crates/railhub-controller/src/change.rs
+++ b/crates/railhub-controller/src/change.rs
@@ -89,7 +89,7 @@
     }
 
     /// The same change without tables, for a proxy that is assigned none yet.
-    pub fn without_lines(&self) -> Change {
+    pub fn without_tables(&self) -> Change {
         let (cleared, lines, epochs) = Default::default();
         Change { cleared, lines, epochs, ..self.clone() }
     }
--- a/crates/railhub-controller/src/core/lease_changes.rs
+++ b/crates/railhub-controller/src/core/lease_changes.rs
@@ -32,7 +32,7 @@
 
     /// Nobody is known to hold the slice now: its table stands as it is.
     fn on_lease_expired(&mut self, slice: SliceId) {
-        let hosts = self.tables.entries_of(slice).into_iter().map(|entry| entry.host).collect();
+        let hosts = self.tables.table_entries(slice).into_iter().map(|entry| entry.host).collect();
         if let Some(shared) = &mut self.shared {
             shared.expired.add(slice, hosts);
         }
@@ -44,7 +44,7 @@
         }
         let Some(epoch) = self.tables.epoch(slice) else { return };
         if let Some(handoff) = self.engine.export_handoff(now, slice) {
-            environment.hand_over(slice, epoch, self.tables.entries_of(slice), handoff);
+            environment.hand_over(slice, epoch, self.tables.table_entries(slice), handoff);
         }
     }
 
--- a/crates/railhub-controller/src/core/publishing.rs
+++ b/crates/railhub-controller/src/core/publishing.rs
@@ -33,7 +33,7 @@
         if !commands.change.is_empty() || commands.barrier.is_some() {
             self.publish(Arc::new(commands.change), commands.barrier, decided_at, environment);
         }
-        for note in &commands.notes {
+        for note in &commands.decision_log {
             environment.decided(note);
         }
         for (table, proxy) in commands.assigned_tables {
@@ -54,11 +54,11 @@
             Arc::new(Publication::new(change, self.incarnation, version, decided_at, barrier))
         };
         let has_no_slices = self.settings.config.slice_count == 0;
-        let without_lines = has_no_slices.then(|| encode(Arc::new(change.without_lines())));
+        let without_tables = has_no_slices.then(|| encode(Arc::new(change.without_tables())));
         let complete = encode(change.clone());
         self.propagation.begin(decided_at);
         for (proxy, session) in self.sessions.joined() {
-            let for_session = match &without_lines {
+            let for_session = match &without_tables {
                 Some(publication) if !session.has_table() => publication,
                 _ => &complete,
             };
@@ -75,7 +75,7 @@
         let touched: BTreeSet<SliceId> = change.lines.keys().map(|key| key.0).collect();
         for slice in touched {
             let epoch = self.tables.epoch(slice).unwrap_or(0);
-            environment.store_table(slice, epoch, self.tables.entries_of(slice));
+            environment.store_table(slice, epoch, self.tables.table_entries(slice));
         }
     }
 
@@ -83,7 +83,7 @@
     fn assign_table(&mut self, table: SliceId, proxy: ProxyId, decided_at: Seconds) {
         let Some(session) = self.sessions.joined_mut(proxy) else { return };
         session.state = SessionState::Joined { table: Some(table) };
-        let (change, version) = (self.tables.assignment_of(table), self.tables.version);
+        let (change, version) = (self.tables.table_assignment(table), self.tables.version);
         let publication = Publication::new(change, self.incarnation, version, decided_at, None);
         session.channel.push(Arc::new(publication));
         self.propagation.begin(decided_at);
@@ -99,7 +99,7 @@
     decided: &Change,
     binding_removal: bool,
 ) -> Change {
-    let mut change = tables.opening_change(&std::mem::take(&mut shared.opening));
+    let mut change = tables.takeover_change(&std::mem::take(&mut shared.opening));
     change.merge(decided);
     tables.stamp_epochs(&mut change);
     for (host, excluded) in &change.exclusions {
--- a/crates/railhub-controller/src/core/streams.rs
+++ b/crates/railhub-controller/src/core/streams.rs
@@ -111,7 +111,7 @@
         let lacking = is_ours.then(|| self.tables.changes_since(version)).flatten();
         let change = lacking.unwrap_or_else(|| self.tables.snapshot());
         let has_no_slices = self.settings.config.slice_count == 0;
-        let mut change = if has_no_slices { change.without_lines() } else { change };
+        let mut change = if has_no_slices { change.without_tables() } else { change };
         if self.shared.is_some() {
             self.tables.stamp_epochs(&mut change);
         }
--- a/crates/railhub-controller/src/delta_builder.rs
+++ b/crates/railhub-controller/src/delta_builder.rs
@@ -18,7 +18,7 @@
     /// Timers, each after so many seconds.
     pub timers: Vec<(Seconds, TimerId)>,
     /// The decisions with their causes, for the log.
-    pub notes: Vec<String>,
+    pub decision_log: Vec<String>,
 }
 
 impl CommandSink for DeltaBuilder {
@@ -47,6 +47,6 @@
         self.timers.push((after, timer));
     }
     fn report(&mut self, event: DecisionEvent) {
-        self.notes.push(event.to_string());
+        self.decision_log.push(event.to_string());
     }
 }
--- a/crates/railhub-controller/src/delta_queue.rs
+++ b/crates/railhub-controller/src/delta_queue.rs
@@ -47,7 +47,7 @@
     /// The quota allows the next message then; until then what comes is merged.
     WaitUntil(Seconds),
     /// Wait for a push or a response.
-    Nothing,
+    Wait,
 }
 
 /// A proxy's response to a delta.
@@ -119,14 +119,14 @@
     /// What the writer is to do now. A delta to be written counts as in flight.
     pub fn next_action(&mut self, now: Seconds) -> WriterAction {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
-            return WriterAction::Nothing;
+            return WriterAction::Wait;
         }
         let quota = self.quota;
         // The same sum as in `quota_allows_at`: a writer that waits until then finds the message expired.
         while self.sent_at.front().is_some_and(|at| at + quota.window + QUOTA_WINDOW_SLACK <= now) {
             self.sent_at.pop_front();
         }
-        let Some(publication) = self.pending.take() else { return WriterAction::Nothing };
+        let Some(publication) = self.pending.take() else { return WriterAction::Wait };
         if let Some(at) = self.quota_allows_at(&publication) {
             self.pending = Some(publication);
             return WriterAction::WaitUntil(at);
--- a/crates/railhub-controller/src/delta_queue/tests.rs
+++ b/crates/railhub-controller/src/delta_queue/tests.rs
@@ -5,7 +5,7 @@
 fn take(queue: &mut DeltaQueue, now: Seconds) -> Option<Arc<Publication>> {
     match queue.next_action(now) {
         WriterAction::Write(publication) => Some(publication),
-        WriterAction::WaitUntil(_) | WriterAction::Nothing => None,
+        WriterAction::WaitUntil(_) | WriterAction::Wait => None,
     }
 }
 
--- a/crates/railhub-controller/src/lease_clock.rs
+++ b/crates/railhub-controller/src/lease_clock.rs
@@ -12,14 +12,14 @@
     /// Seconds by which it jumps; 0: it does not.
     pub jumps_by: f64,
     /// The machine's clock at the start.
-    pub began: f64,
+    pub started_at: f64,
 }
 
 impl LeaseClock {
     /// Seconds on this clock.
     pub fn now(&self) -> f64 {
-        let elapsed = now() - self.began;
+        let elapsed = now() - self.started_at;
         let jump = if elapsed >= self.jumps_after { self.jumps_by } else { 0.0 };
-        self.began + elapsed * self.speed + jump
+        self.started_at + elapsed * self.speed + jump
     }
 }
--- a/crates/railhub-controller/src/lease_table/tests.rs
+++ b/crates/railhub-controller/src/lease_table/tests.rs
@@ -3,7 +3,7 @@
 /// What was decided under a lease must not be written when that is over, or when the slice came back under another.
 #[test]
 fn what_is_written_goes_by_the_lease_of_that_moment() {
-    let clock = LeaseClock { speed: 1.0, jumps_after: 0.0, jumps_by: 0.0, began: 0.0 };
+    let clock = LeaseClock { speed: 1.0, jumps_after: 0.0, jumps_by: 0.0, started_at: 0.0 };
     let (table, now) = (LeaseTable::new(clock, false), clock.now());
     let epochs = |epoch| BTreeMap::from([(SliceId(4), epoch)]);
     assert_eq!(table.expired(&epochs(2)), BTreeSet::from([SliceId(4)]), "never held");
--- a/crates/railhub-controller/src/membership/settings.rs
+++ b/crates/railhub-controller/src/membership/settings.rs
@@ -114,7 +114,7 @@
         speed: fleet.in_range("clock_speed", 1.0, 0.5, 2.0)?,
         jumps_after: fleet.in_range("clock_jumps_after", 0.0, 0.0, 1e6)?,
         jumps_by: fleet.in_range("clock_jumps_by", 0.0, -1e4, 1e4)?,
-        began: now(),
+        started_at: now(),
     })
 }
 
--- a/crates/railhub-controller/src/stream_server.rs
+++ b/crates/railhub-controller/src/stream_server.rs
@@ -178,7 +178,7 @@
             StreamAction::Continue(action) => action,
         };
         match action {
-            WriterAction::Nothing => handle.wait(),
+            WriterAction::Wait => handle.wait(),
             WriterAction::WaitUntil(until) => {
                 let waiting = handle.clone();
                 run_after(until - now(), move || waiting.wake());
--- a/crates/railhub-controller/src/tables.rs
+++ b/crates/railhub-controller/src/tables.rs
@@ -33,7 +33,7 @@
     }
 
     /// Adds a slice under a lease, with its table as the store has it. Proxies follow the previous holder's table
-    /// until they are sent [`Tables::opening_change`].
+    /// until they are sent [`Tables::takeover_change`].
     pub fn acquire(&mut self, slice: SliceId, epoch: u64, entries: &[WeightedHost]) {
         self.load_table(slice, entries);
         self.epochs.insert(slice, epoch);
@@ -51,10 +51,10 @@
     }
 
     /// The complete tables of some slices, for proxies that hold the previous holder's.
-    pub fn opening_change(&self, slices: &BTreeSet<SliceId>) -> Change {
+    pub fn takeover_change(&self, slices: &BTreeSet<SliceId>) -> Change {
         let mut change = Change { cleared: slices.clone(), ..Change::default() };
         for slice in slices {
-            for entry in self.entries_of(*slice) {
+            for entry in self.table_entries(*slice) {
                 change.lines.insert((*slice, entry.host), entry.weight);
             }
         }
@@ -100,7 +100,7 @@
     }
 
     /// The entries of a slice's table, by host.
-    pub fn entries_of(&self, slice: SliceId) -> Vec<WeightedHost> {
+    pub fn table_entries(&self, slice: SliceId) -> Vec<WeightedHost> {
         let table = self.tables.get(&slice);
         table.into_iter().flatten().map(|(host, weight)| (*host, *weight).into()).collect()
     }
@@ -124,8 +124,8 @@
     }
 
     /// One complete table, for a proxy that is assigned it.
-    pub fn assignment_of(&self, table: SliceId) -> Change {
-        let entries = self.entries_of(table);
+    pub fn table_assignment(&self, table: SliceId) -> Change {
+        let entries = self.table_entries(table);
         let lines = entries.into_iter().map(|entry| ((table, entry.host), entry.weight));
         Change {
             cleared: BTreeSet::from([table]),
--- a/crates/railhub-external-engine/src/wire/reply.rs
+++ b/crates/railhub-external-engine/src/wire/reply.rs
@@ -122,7 +122,7 @@
         "BARRIER" => delta.set_barrier(BarrierId(action.get("rev")?)),
         "INSPECT" => delta.check_health(action.host()?),
         "AFTER" => apply_timer(&action, delta)?,
-        "TRACE" => delta.notes.push(note(line).to_owned()),
+        "TRACE" => delta.decision_log.push(note(line).to_owned()),
         "DIE" => return Err(WireError::GaveUp(line.to_owned())),
         other => {
             return Err(WireError::UnknownAction { action: other.to_owned(), line: line.to_owned() });
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -64,7 +64,7 @@
     assert_eq!(draft.change.lines.len(), 1);
     assert_eq!(draft.change.admission_rates.len(), 1);
     assert_eq!(draft.timers, [(0.5, TimerId(9)), (TICK_US as f64 / 1e6, TimerId(9))]);
-    assert_eq!(draft.notes, ["two hosts known"]);
+    assert_eq!(draft.decision_log, ["two hosts known"]);
 }
 
 proptest! {
--- a/crates/railhub-simulator/src/baseline.rs
+++ b/crates/railhub-simulator/src/baseline.rs
@@ -140,7 +140,7 @@
     let mut change = Change::default();
     for (slice, lines) in wanted.iter().enumerate() {
         let slice = SliceId(slice as u16);
-        let held = tables.entries_of(slice);
+        let held = tables.table_entries(slice);
         for (host, weight) in lines {
             if !held.contains(&WeightedHost { host: HostId::from(*host), weight: *weight }) {
                 change.lines.insert((slice, HostId::from(*host)), *weight);
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -339,7 +339,7 @@
         loop {
             let next = gate.0.borrow_mut().outbox.next_action(now);
             match next {
-                WriterAction::Nothing => return,
+                WriterAction::Wait => return,
                 WriterAction::WaitUntil(until) => return self.agenda.at(until, Due::Mail(proxy)),
                 WriterAction::Write(publication) => {
                     let lines = publication.change.cost() as f64 + self.day.limits.message_cost;
