--- a/crates/railhub-controller/src/change.rs
+++ b/crates/railhub-controller/src/change.rs
@@ -1,48 +1,48 @@
-//! A change of what proxies hold, before it is encoded. Free of I/O and of clocks.
+//! A change of the routing state that proxies hold, before it is encoded. Does no I/O and reads no clock.
 use railhub::{ClassId, HostId, RetryPolicy, Seconds, SliceId};
 use railhub_proto::{AdmissionRate, Delta, HostExclusion, RetryCondition, SliceEpoch, TableLine};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of a class that proxies admit, and when they retry its attempts.
+/// The fraction of a class's operations that proxies admit, and when they retry its attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassAdmission {
-    /// Share admitted, 0 to 1.
+    /// Fraction admitted, 0 to 1.
     pub rate: f64,
     /// When an attempt of the class is retried.
     pub retry: RetryPolicy,
 }
 
-/// The latest value of each resource that it names. Cleared tables come before lines.
+/// The latest value of each changed resource. Proxies clear tables before they apply lines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
     /// Admission rates and exclusions held so far are discarded.
     pub reset: bool,
-    /// Slices whose lines are all removed first.
+    /// Slices whose lines are all removed before `lines` are applied.
     pub cleared: BTreeSet<SliceId>,
-    /// Endpoint weights; 0 removes the line.
+    /// Host weights by slice; 0 removes the line.
     pub lines: BTreeMap<(SliceId, HostId), f64>,
     /// Admission by class.
     pub admission_rates: BTreeMap<ClassId, ClassAdmission>,
     /// Hosts excluded from every table (`true`) or readmitted (`false`).
     pub exclusions: BTreeMap<HostId, bool>,
-    /// Where there are no slices: the table that the proxy is assigned.
+    /// The table that the proxy is assigned, in a configuration without slices.
     pub assigned_table: Option<SliceId>,
-    /// Where controllers share the slices: the epoch that each slice named is published under.
+    /// The lease epoch of each slice in the change, if controllers share the slices.
     pub epochs: BTreeMap<SliceId, u64>,
 }
 
 impl Change {
-    /// Whether the change names nothing.
+    /// Whether the change has no effect.
     pub fn is_empty(&self) -> bool {
         !self.reset && self.assigned_table.is_none() && self.cost() == 0
     }
 
-    /// Lines that the change costs, without those of the message itself.
+    /// Size of the change in lines, without the overhead of a message.
     pub fn cost(&self) -> usize {
         self.cleared.len() + self.lines.len() + self.admission_rates.len() + self.exclusions.len()
     }
 
-    /// Whether something in it must not wait: a line is removed, a host is excluded, or a proxy gets its first tables.
+    /// Whether the change must not be delayed: a line is removed, a host is excluded, or a proxy gets its first tables.
     pub fn is_urgent(&self) -> bool {
         self.reset
             || self.assigned_table.is_some()
@@ -50,7 +50,7 @@
             || self.exclusions.values().any(|excluded| *excluded)
     }
 
-    /// Adds a later change, so that this one stands for both.
+    /// Adds a later change, so that this one has the effect of both.
     pub fn merge(&mut self, later: &Change) {
         if later.reset {
             self.reset = true;
@@ -66,19 +66,19 @@
         self.epochs.extend(&later.epochs);
     }
 
-    /// Removes everything about slices that `keep` rejects.
+    /// Removes lines, clears and epochs of slices that `keep` rejects.
     pub fn retain_slices(&mut self, keep: impl Fn(SliceId) -> bool) {
         self.lines.retain(|(slice, _), _| keep(*slice));
         self.cleared.retain(|slice| keep(*slice));
         self.epochs.retain(|slice, _| keep(*slice));
     }
 
-    /// The slices that the change names.
+    /// The slices that the change modifies.
     pub fn slices(&self) -> BTreeSet<SliceId> {
         self.lines.keys().map(|key| key.0).chain(self.cleared.iter().copied()).collect()
     }
 
-    /// Removes what a later change, which the proxy applies by itself, supersedes.
+    /// Removes values that are superseded by a later change, which the proxy applies separately.
     pub fn remove_superseded(&mut self, later: &Change) {
         self.lines.retain(|key, _| !later.lines.contains_key(key) && !later.cleared.contains(&key.0));
         self.cleared.retain(|slice| !later.cleared.contains(slice));
@@ -88,13 +88,13 @@
         self.epochs.retain(|slice, _| !later.epochs.contains_key(slice));
     }
 
-    /// The same change without tables, for a proxy that is assigned none yet.
+    /// The same change without tables, for a proxy that is not assigned a table yet.
     pub fn without_tables(&self) -> Change {
         let (cleared, lines, epochs) = Default::default();
         Change { cleared, lines, epochs, ..self.clone() }
     }
 
-    /// The change as a message; the version is its nonce.
+    /// Converts the change to a message whose nonce is the version.
     pub fn to_delta(&self, incarnation: u64, version: u64, ordered_at: Seconds) -> Delta {
         Delta {
             nonce: version,
--- a/crates/railhub-controller/src/decision_engine.rs
+++ b/crates/railhub-controller/src/decision_engine.rs
@@ -1,19 +1,19 @@
-//! What decides: the controller of the package `railhub`, or another version of it that runs elsewhere.
+//! The interface of decision engines: the controller of the package `railhub`, or an external engine.
 use crate::delta_builder::DeltaBuilder;
 use railhub::{Controller, EventBatch, Seconds, SliceHandoff, SliceId};
 
-/// Takes what happened since the last batch and gives the commands that follow.
+/// Turns the events since the last batch into commands.
 pub trait DecisionEngine {
-    /// Decides on a batch of events.
+    /// Processes a batch of events and writes the resulting commands.
     fn handle_batch(&mut self, batch: &EventBatch, commands: &mut DeltaBuilder);
 
-    /// What the next holder of a slice is given, if this engine gives anything.
+    /// The state of a slice for the next holder of its lease, if the engine supports handoffs.
     fn export_handoff(&self, _now: Seconds, _slice: SliceId) -> Option<SliceHandoff> {
         None
     }
 
-    /// Applies the handoff that the previous holder of a slice wrote `age` seconds ago; called after the batch that
-    /// brought the slice.
+    /// Applies the handoff that the previous holder of a slice wrote `age` seconds ago. Called after the batch in which
+    /// the slice was acquired.
     fn import_handoff(&mut self, _now: Seconds, _slice: SliceId, _handoff: &SliceHandoff, _age: Seconds) {}
 }
 
--- a/crates/railhub-controller/src/delta_builder.rs
+++ b/crates/railhub-controller/src/delta_builder.rs
@@ -1,21 +1,21 @@
-//! Collects the commands of one batch.
+//! Collects the commands of one batch of the decision engine.
 use crate::change::{Change, ClassAdmission};
 use railhub::{
     BarrierId, ClassId, CommandSink, DecisionEvent, HostId, ProxyId, RetryPolicy, Seconds, SliceId, TimerId,
 };
 
-/// What the decisions ordered in one batch.
+/// The commands of one batch.
 #[derive(Default)]
 pub struct DeltaBuilder {
-    /// What proxies are to hold.
+    /// The change to the routing state of proxies.
     pub change: Change,
-    /// The barrier that a proxy passes once it has acknowledged the change.
+    /// The barrier that a proxy passes when it acknowledges the change.
     pub barrier: Option<BarrierId>,
-    /// Proxies that are assigned a table, where there are no slices.
+    /// Tables assigned to proxies, in a configuration without slices.
     pub assigned_tables: Vec<(SliceId, ProxyId)>,
-    /// Hosts whose health is to be checked.
+    /// Hosts to run a health check on.
     pub health_checks: Vec<HostId>,
-    /// Timers, each after so many seconds.
+    /// Timers, each with its delay in seconds.
     pub timers: Vec<(Seconds, TimerId)>,
     /// The decisions with their causes, for the log.
     pub decision_log: Vec<String>,
--- a/crates/railhub-controller/src/delta_queue.rs
+++ b/crates/railhub-controller/src/delta_queue.rs
@@ -1,35 +1,37 @@
-//! The deltas of one proxy: at most one that is pending, and a few in flight. While the proxy does not read, all that
-//! comes is merged into the pending one, so its size is bounded by the number of resources. Free of I/O and of clocks.
+//! The deltas of one proxy: at most one pending, and a few in flight. While the proxy does not read, publications are
+//! merged into the pending delta, so that its size is bounded by the number of resources. Does no I/O and reads no
+//! clock.
 //!
-//! The way of one publication:
-//! 1. [`DeltaQueue::push`] makes it the pending delta, merged with one that is pending already.
-//! 2. [`DeltaQueue::next_action`] gives it to the writer once fewer than [`MAX_IN_FLIGHT`] are in flight and the
-//!    [`MessageQuota`] allows it.
-//! 3. An ACK removes it, and all sent before it. A NACK keeps its change back until something new is to be sent.
+//! How a publication is sent:
+//! 1. [`DeltaQueue::push`] makes it the pending delta, or merges it into the delta that is already pending.
+//! 2. [`DeltaQueue::next_action`] returns it to the writer once fewer than [`MAX_IN_FLIGHT`] deltas are in flight and
+//!    the [`MessageQuota`] allows it.
+//! 3. An ACK removes it, and all deltas sent before it. A NACK keeps its change back until there is a new one to send.
 use crate::change::Change;
 use crate::publication::Publication;
 use railhub::{BarrierId, Seconds};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Deltas that may be written and not acknowledged. Past it they merge, so that a slow proxy gets few large ones.
+/// Deltas sent and not acknowledged. At the limit later ones are merged, so that a slow proxy gets few large deltas.
 pub const MAX_IN_FLIGHT: usize = 4;
-/// Fraction of the quota that messages may use which only shift weights: removals and exclusions do not wait for them.
+/// Fraction of the quota for messages that only change weights: removals and exclusions must not wait for them.
 const ORDINARY_QUOTA_FRACTION: f64 = 0.5;
-/// Seconds added to the quota's window: a message that leaves late by so much must not meet one that does not.
+/// Seconds added to the quota's window: a message sent up to this much late must not share a window with a later
+/// message that is sent on time.
 const QUOTA_WINDOW_SLACK: Seconds = 0.2;
 
-/// How many messages a proxy may get within a window; 0: any number.
+/// How many messages may be sent to a proxy within a window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageQuota {
-    /// Messages within the window.
+    /// Messages within the window; 0 for no limit.
     pub max_messages: u32,
-    /// Seconds.
+    /// Length of the window in seconds.
     pub window: Seconds,
 }
 
 impl MessageQuota {
-    /// How many messages a change of such urgency may find in the window, itself included.
+    /// How many messages there may be in the window, including one of this urgency that is to be sent.
     fn limit(&self, is_urgent: bool) -> usize {
         if is_urgent {
             self.max_messages as usize
@@ -39,12 +41,12 @@
     }
 }
 
-/// What a stream writer is to do next.
+/// The next action of a stream writer.
 #[derive(Debug)]
 pub enum WriterAction {
-    /// Write this delta now.
+    /// Write this delta.
     Write(Arc<Publication>),
-    /// The quota allows the next message then; until then what comes is merged.
+    /// Wait until this time, when the quota allows the next message. Publications until then are merged.
     WaitUntil(Seconds),
     /// Wait for a push or a response.
     Wait,
@@ -53,20 +55,20 @@
 /// A proxy's response to a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaResponse {
-    /// Applied.
+    /// The proxy has applied the delta.
     Ack,
-    /// Rejected: the proxy keeps what it holds.
+    /// The proxy has rejected the delta and keeps its previous state.
     Nack,
 }
 
-/// What a response does to the deltas in flight.
+/// The effect of a response on the deltas in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseEffect {
-    /// The nonce is not in flight: nothing changes.
+    /// No delta with the nonce is in flight: the response is ignored.
     Stale,
-    /// Deltas have left the channel.
+    /// One or more deltas are no longer in flight.
     Settled {
-        /// The latest barrier among them.
+        /// The latest barrier of these deltas.
         barrier: Option<BarrierId>,
     },
 }
@@ -80,13 +82,13 @@
 #[derive(Default)]
 pub struct DeltaQueue {
     quota: MessageQuota,
-    /// When the latest messages were sent, as many as the quota counts.
+    /// When the messages within the quota's window were sent.
     sent_at: VecDeque<Seconds>,
     pending: Option<Arc<Publication>>,
     in_flight: VecDeque<InFlightDelta>,
-    /// What the proxy rejected: it goes along with the next change, not by itself.
+    /// The change that the proxy rejected. It is sent together with the next change, never alone.
     rejected: Option<Change>,
-    /// Publications that were merged into a pending one.
+    /// Publications that were merged into the pending delta.
     pub merged: u64,
     /// Deltas that the proxy rejected.
     pub nacks: u64,
@@ -98,7 +100,7 @@
         DeltaQueue { quota, ..DeltaQueue::default() }
     }
 
-    /// Adds a publication to what is pending.
+    /// Adds a publication to the pending delta.
     pub fn push(&mut self, publication: Arc<Publication>) {
         let publication = match self.rejected.take() {
             None => publication,
@@ -116,13 +118,13 @@
         });
     }
 
-    /// What the writer is to do now. A delta to be written counts as in flight.
+    /// Returns the writer's next action. A delta that is returned to be written counts as in flight.
     pub fn next_action(&mut self, now: Seconds) -> WriterAction {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             return WriterAction::Wait;
         }
         let quota = self.quota;
-        // The same sum as in `quota_allows_at`: a writer that waits until then finds the message expired.
+        // The same sum as in `quota_allows_at`, so that a writer that waited until that time finds the message expired.
         while self.sent_at.front().is_some_and(|at| at + quota.window + QUOTA_WINDOW_SLACK <= now) {
             self.sent_at.pop_front();
         }
@@ -138,7 +140,7 @@
         WriterAction::Write(publication)
     }
 
-    /// When the quota allows a publication that it does not allow now.
+    /// When the quota will allow a publication; `None` if it allows it now.
     fn quota_allows_at(&self, publication: &Publication) -> Option<Seconds> {
         let limit = self.quota.limit(publication.change.is_urgent());
         if self.quota.max_messages == 0 || self.sent_at.len() < limit {
@@ -147,7 +149,7 @@
         Some(self.sent_at[self.sent_at.len() - limit] + self.quota.window + QUOTA_WINDOW_SLACK)
     }
 
-    /// Takes the proxy's response to the delta of a nonce.
+    /// Processes the proxy's response to the delta with this nonce.
     pub fn on_response(&mut self, nonce: u64, response: DeltaResponse) -> ResponseEffect {
         match response {
             DeltaResponse::Ack => self.on_ack(nonce),
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The proxy has applied the delta of this nonce, and so all before it.
+    /// The proxy has applied the delta with this nonce, and with it all earlier ones.
     pub fn on_ack(&mut self, nonce: u64) -> ResponseEffect {
         let Some(place) = self.place_in_flight(nonce) else { return ResponseEffect::Stale };
         let acknowledged = self.in_flight.drain(..=place);
@@ -163,8 +165,8 @@
         ResponseEffect::Settled { barrier }
     }
 
-    /// The proxy has rejected the delta of this nonce. Its change is kept back until there is something new to send,
-    /// less what later deltas in flight supersede.
+    /// The proxy has rejected the delta with this nonce. Its change is kept back until there is a new change to send,
+    /// without the values that later deltas in flight supersede.
     pub fn on_nack(&mut self, nonce: u64) -> ResponseEffect {
         let Some(place) = self.place_in_flight(nonce) else { return ResponseEffect::Stale };
         let sent = self.in_flight.remove(place).expect("found above");
@@ -187,19 +189,19 @@
         self.in_flight.iter().position(|sent| sent.publication.version == nonce)
     }
 
-    /// Lines that are pending or in flight, `message_cost` for each message included.
+    /// Lines that are pending or in flight, plus `message_cost` for each message.
     pub fn backlog_lines(&self, message_cost: f64) -> f64 {
         let in_flight = self.in_flight.iter().map(|sent| &sent.publication);
         let publications = in_flight.chain(&self.pending);
         publications.map(|publication| publication.change.cost() as f64 + message_cost).sum()
     }
 
-    /// Whether a delta is pending, which may be sent after a response.
+    /// Whether a delta is pending; a response may allow it to be sent.
     pub fn has_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Whether the proxy has responded to all it was sent and nothing is pending.
+    /// Whether no delta is pending or in flight.
     pub fn is_idle(&self) -> bool {
         self.pending.is_none() && self.in_flight.is_empty()
     }
--- a/crates/railhub-controller/src/endpoint_list_poller.rs
+++ b/crates/railhub-controller/src/endpoint_list_poller.rs
@@ -1,8 +1,8 @@
-//! Follows the endpoint list by long polling: requests what is newer than the version it has.
+//! Follows the endpoint list by long polling: each request asks for changes since the last version received.
 //!
-//! The way of one update: the list responds with its changes since the version asked for, or with the complete list;
-//! each entry is checked, and the update goes to the owner of the core. While the list does not respond the last one
-//! holds.
+//! How an update is processed: the list server responds with the changes since that version, or with the complete list.
+//! Each entry is checked, and the update is sent to the owner of the core. While the server does not respond, the last
+//! list stays in use.
 use crate::inbox::{Inbox, OwnerEvent};
 use railhub::{EndpointEntry, EndpointList, HostId, KindId, Phase, Seconds};
 use railhub_net::http::{Client, HttpError};
@@ -12,28 +12,28 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Seconds that the list may take to respond: it holds a request without news for a second or so.
+/// Seconds that the list server may take to respond. It holds a request for about a second if nothing has changed.
 const RESPONSE_TIMEOUT: Seconds = 5.0;
-/// Seconds between requests while the list does not respond.
+/// Seconds between requests while the list server does not respond.
 const RETRY_INTERVAL: Seconds = 0.3;
-/// Seconds between requests while the list responds at once.
+/// Seconds between requests while the list server responds at once.
 const MIN_POLL_INTERVAL: Seconds = 0.01;
 
-/// The list's response. Its JSON names are the list's.
+/// A response of the list server. Its JSON names are fixed by the protocol.
 #[derive(Debug, Serialize, Deserialize)]
 struct Page {
     version: u64,
-    /// The list is complete; otherwise these are changes since the version asked for.
+    /// The list is complete; otherwise it has the changes since the requested version.
     #[serde(rename = "whole")]
     complete: bool,
     hosts: Vec<PageEntry>,
 }
 
-/// A host in the list's response. Times are on the machine's clock, weights without unit.
+/// A host in a response. Times are on the machine's clock, weights have no unit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PageEntry {
     host: SocketAddr,
-    /// ready, draining or gone.
+    /// `ready`, `draining` or `gone`.
     phase: String,
     started: Option<f64>,
     weight: f64,
@@ -45,19 +45,21 @@
 enum EndpointListError {
     #[error("endpoint list {address}: {source}")]
     Request { address: SocketAddr, source: HttpError },
-    #[error("endpoint list: host {host} has the unknown phase '{phase}'")]
+    #[error("endpoint list: host {host} has the unknown phase '{phase}', expected ready, draining or gone")]
     UnknownPhase { host: SocketAddr, phase: String },
-    #[error("endpoint list: host {host} has the impossible weight {weight}")]
+    #[error(
+        "endpoint list: host {host} has the invalid weight {weight}, expected a finite number of at least 0"
+    )]
     ImpossibleWeight { host: SocketAddr, weight: f64 },
 }
 
-/// An update and the version that it makes.
+/// An update and the version of the list after it.
 struct Update {
     version: u64,
     list: EndpointList,
 }
 
-/// Starts polling. Dropping the task ends it.
+/// Starts polling. Dropping the task stops it.
 pub fn start(endpoint_list: SocketAddr, inbox: Arc<Inbox>) -> Task {
     Task::spawn(move || run(endpoint_list, &inbox))
 }
@@ -77,7 +79,7 @@
             }
             Err(error) => {
                 if !std::mem::replace(&mut is_failing, true) {
-                    tracing::warn!(%error, "endpoint list request failed, the last list holds");
+                    tracing::warn!(%error, "endpoint list request failed, keeping the last list");
                 }
                 may::coroutine::sleep(seconds(RETRY_INTERVAL));
             }
--- a/crates/railhub-controller/src/expired_slices.rs
+++ b/crates/railhub-controller/src/expired_slices.rs
@@ -1,24 +1,24 @@
-//! Exclusions for tables whose leases have expired: the store does not respond, so nobody may publish them and they
-//! stand as they are; but a host that the endpoint list calls draining or gone must be left all the same, by each
-//! controller alone. It is excluded, which names no slice and no epoch: proxies apply that to the slices that they have
-//! from this controller and from no later holder. Free of I/O and of clocks.
+//! Exclusions of hosts while leases are expired because the store does not respond. No controller may publish the
+//! tables of expired slices, so they stay unchanged. A host that the endpoint list reports as draining or gone must
+//! still get no operations, so each controller excludes it on its own. An exclusion has no slice and no epoch: a proxy
+//! applies it to the slices that it has from this controller and from no later holder. Does no I/O and reads no clock.
 //!
-//! Owns the tables of the expired slices, the phases of hosts, and which hosts are excluded on this account.
+//! Owns the tables of the expired slices, the phases of hosts, and the set of hosts that are excluded for this reason.
 use railhub::{EndpointList, HostId, Phase, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Slices whose leases have expired, and what follows from that.
+/// Slices whose leases have expired, and the exclusions that this requires.
 #[derive(Clone, Debug, Default)]
 pub struct ExpiredSlices {
-    /// The slices with the hosts of their tables.
+    /// The expired slices with the hosts of their tables.
     slices: BTreeMap<SliceId, Vec<HostId>>,
     phases: BTreeMap<HostId, Phase>,
-    /// Hosts that are excluded on this account.
+    /// Hosts that are excluded because of expired slices.
     excluded: BTreeSet<HostId>,
 }
 
 impl ExpiredSlices {
-    /// Applies an update of the endpoint list. Hosts missing from a complete list are gone.
+    /// Applies an update of the endpoint list. A host that is missing from a complete list is gone.
     pub fn on_endpoint_list(&mut self, list: &EndpointList) {
         if list.complete {
             for phase in self.phases.values_mut() {
@@ -28,18 +28,19 @@
         self.phases.extend(list.entries.iter().map(|entry| (entry.host, entry.phase)));
     }
 
-    /// The lease of a slice has expired, and its next holder is not known.
+    /// Adds a slice whose lease has expired and whose next holder is not known, with the hosts of its table.
     pub fn add(&mut self, slice: SliceId, hosts: Vec<HostId>) {
         self.slices.insert(slice, hosts);
     }
 
-    /// The slice is under lease again, here or elsewhere.
+    /// Removes a slice that is under lease again, here or at another controller.
     pub fn remove(&mut self, slice: SliceId) {
         self.slices.remove(&slice);
     }
 
-    /// The exclusions to be published now: `true` excludes a host, `false` readmits it. Hosts that the decisions have
-    /// excluded themselves are left to them. `binding_removal`: hosts that are gone from the list must be left.
+    /// Returns the exclusions to publish: `true` excludes a host, `false` readmits it. Hosts in `by_decisions`, which
+    /// the decision engine has excluded, are omitted. `binding_removal`: hosts that are gone from the list must get no
+    /// operations.
     pub fn update_exclusions(
         &mut self,
         binding_removal: bool,
@@ -57,13 +58,13 @@
         exclusions
     }
 
-    /// Whether a host is excluded on this account, so that its readmission by the decisions must wait.
+    /// Whether a host is excluded because of expired slices, so that the decision engine's readmission must wait.
     pub fn excludes(&self, host: &HostId) -> bool {
         self.excluded.contains(host)
     }
 
-    /// Hosts that are to be excluded. Those that are excluded stay so; others follow as long as each table keeps one
-    /// that is not.
+    /// Hosts to exclude. Hosts that are excluded and still have to be stay excluded; another host is added only if each
+    /// table that has it keeps a host that is not excluded.
     fn required_exclusions(&self, binding_removal: bool) -> BTreeSet<HostId> {
         let named: BTreeSet<HostId> = self.slices.values().flatten().copied().collect();
         let leaves = |host: &HostId| self.must_be_left(host, binding_removal);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether a table has a host besides this one that is neither excluded nor gone.
+    /// Whether a table has another host that is neither excluded nor gone.
     fn keeps_another(&self, table: &[HostId], host: &HostId, excluded: &BTreeSet<HostId>) -> bool {
         let is_gone = |other: &HostId| self.phases.get(other) == Some(&Phase::Gone);
         table.iter().any(|other| other != host && !excluded.contains(other) && !is_gone(other))
--- a/crates/railhub-controller/src/inbox.rs
+++ b/crates/railhub-controller/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the owner of the core is sent.
+//! The queues of events and load reports that are sent to the owner of the core.
 use crate::core::{LeaseChanges, StreamId};
 use crate::delta_queue::DeltaResponse;
 use crate::session_error::SessionError;
@@ -7,28 +7,28 @@
 use railhub_proto::{LoadReport, Subscribe};
 use std::sync::Arc;
 
-/// Events that may wait: some seconds' worth from thousands of proxies. Past it the sender waits.
+/// Events that may be queued: those of some seconds from thousands of proxies. At the limit the sender waits.
 const MAX_PENDING_EVENTS: usize = 16 << 10;
-/// Load reports that may wait. Past it they are dropped and counted.
+/// Load reports that may be queued. At the limit further ones are dropped and counted.
 const MAX_PENDING_REPORTS: usize = 8 << 10;
 
-/// Something that happened to a part of the controller.
+/// An event for the owner of the core.
 pub enum OwnerEvent {
     /// The endpoint list was updated.
     EndpointList(EndpointList),
-    /// All slices with their tables, where this controller is alone.
+    /// All slices with their tables, read from the store by a controller that runs alone.
     Assignments(Vec<SliceAssignment>),
-    /// Leases were acquired and lost, where controllers share the slices.
+    /// Leases were acquired or lost, where controllers share the slices.
     LeaseChanges(LeaseChanges),
-    /// A health check ended.
+    /// A health check is complete.
     HealthCheck(HealthCheckResult),
     /// A proxy has subscribed.
     Subscribed {
         /// Its stream.
         stream: StreamId,
-        /// Who it is and what it holds.
+        /// The proxy's identity and the version that it holds.
         subscribe: Subscribe,
-        /// Takes its deltas.
+        /// The queue for its deltas.
         handle: Arc<StreamHandle>,
     },
     /// A proxy's stream has ended.
@@ -46,20 +46,20 @@
         stream: StreamId,
         /// The proxy.
         proxy: ProxyId,
-        /// The delta.
+        /// Nonce of the delta.
         nonce: u64,
         /// Whether it was applied.
         response: DeltaResponse,
         /// Why it was rejected; empty for an acknowledgement.
         reason: String,
     },
-    /// The owner is to end.
+    /// The owner must stop.
     Stop,
 }
 
-/// A load report that waits.
+/// A load report in the queue.
 pub struct ReceivedReport {
-    /// The stream that it came on.
+    /// The stream on which it was received.
     pub stream: StreamId,
     /// The proxy.
     pub proxy: ProxyId,
@@ -72,7 +72,7 @@
 /// The queues to the owner of the core.
 pub type Inbox = railhub_net::Inbox<OwnerEvent, ReceivedReport>;
 
-/// Empty queues.
+/// Creates an inbox with empty queues.
 pub fn inbox() -> Inbox {
     Inbox::new(MAX_PENDING_EVENTS, MAX_PENDING_REPORTS)
 }
--- a/crates/railhub-controller/src/lease_clock.rs
+++ b/crates/railhub-controller/src/lease_clock.rs
@@ -1,22 +1,22 @@
-//! The clock that leases go by.
+//! The clock by which leases expire.
 use railhub_net::now;
 
-/// A clock that may run fast or slow, and jump once, for tests. Leases, membership and what is written under leases go
-/// by it; nothing else in a controller does.
+/// A clock that tests can make run fast or slow, or jump once. It is used only for leases, the membership and writes
+/// under leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseClock {
-    /// Seconds of this clock in a second of the machine's.
+    /// Seconds of this clock per second of the machine's clock.
     pub speed: f64,
-    /// Seconds after the start at which the clock jumps.
+    /// Seconds from the start until the clock jumps.
     pub jumps_after: f64,
-    /// Seconds by which it jumps; 0: it does not.
+    /// Seconds by which the clock jumps; 0 for no jump.
     pub jumps_by: f64,
-    /// The machine's clock at the start.
+    /// Time of the machine's clock at the start.
     pub started_at: f64,
 }
 
 impl LeaseClock {
-    /// Seconds on this clock.
+    /// The time on this clock, in seconds.
     pub fn now(&self) -> f64 {
         let elapsed = now() - self.started_at;
         let jump = if elapsed >= self.jumps_after { self.jumps_by } else { 0.0 };
--- a/crates/railhub-controller/src/lease_table.rs
+++ b/crates/railhub-controller/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! Which slices this controller may publish at this moment, for every stream writer. The thread of the lease
+//! The slices that this controller may publish at this moment, shared by all stream writers. The thread of the lease
 //! coordinator owns the leases and copies them here after each change.
 use crate::lease_clock::LeaseClock;
 use railhub::SliceId;
@@ -7,27 +7,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
 
-/// A copy of the leases. A lease ends by the clock alone, even while no thread runs.
+/// A copy of the leases. Each lease expires by the clock, even if the lease coordinator's thread does not run.
 #[derive(Debug)]
 pub struct LeaseTable {
     leases: Mutex<HeldLeases>,
     clock: LeaseClock,
-    /// For tests of the invariant checker alone: leases never end.
+    /// Leases never expire; only for tests of the invariant checker.
     ignores_expiry: bool,
 }
 
 impl LeaseTable {
-    /// A table without leases.
+    /// Creates a table without leases.
     pub fn new(clock: LeaseClock, ignores_expiry: bool) -> LeaseTable {
         LeaseTable { leases: Mutex::default(), clock, ignores_expiry }
     }
 
-    /// Replaces the copy.
+    /// Replaces the copy of the leases.
     pub fn update(&self, leases: &HeldLeases) {
         *self.leases.lock().expect("no holder panics") = leases.clone();
     }
 
-    /// Those of the slices that are not under lease with these epochs now.
+    /// The slices in `epochs` that are not under a valid lease with that epoch now.
     pub fn expired(&self, epochs: &BTreeMap<SliceId, u64>) -> BTreeSet<SliceId> {
         if self.ignores_expiry || epochs.is_empty() {
             return BTreeSet::new();
--- a/crates/railhub-controller/src/lib.rs
+++ b/crates/railhub-controller/src/lib.rs
@@ -1,24 +1,26 @@
-//! The running controller: gives the decisions the events, and carries out what they order.
+//! The running controller: passes events to the decision engine and carries out its commands.
 //!
-//! Who owns what: the [`core`] holds the decisions' state, the published tables and the sessions of proxies, free of
-//! sockets and clocks. One thread, the owner, drives it, fed by the bounded queues of the [`inbox`]. Each proxy's stream
-//! has a reader and a writer coroutine; what waits for a proxy is in its [`delta_queue`]. The endpoint list, the store
-//! and the health checks have a coroutine or a few each. Where controllers know of each other, [`membership`] is a thread and a
-//! socket of its own.
+//! Structure: the [`core`] holds the state of the decision engine, the published tables and the sessions of proxies. It
+//! does no I/O and reads no clock. One thread, the owner, drives it and takes its events from the bounded queues of the
+//! [`inbox`]. Each proxy's stream has a reader and a writer coroutine; deltas that are pending for a proxy are in its
+//! [`delta_queue`]. The endpoint list, the store and the health checks have one or a few coroutines each. Where several
+//! controllers form a membership, [`membership`] has a thread and a socket of its own.
 //!
-//! The way of one delta:
-//! 1. An event or a timer that is due makes the owner run a batch; the decisions write their commands into a
+//! How a delta is published:
+//! 1. An event or a due timer makes the owner run a batch; the decision engine writes its commands into a
 //!    [`delta_builder`].
-//! 2. Its change is applied to the [`tables`], which makes the next version.
-//! 3. The change is encoded once and pushed to each joined proxy's queue; touched tables go to the store.
-//! 4. The proxy's writer takes it. While the last one has not left, both are merged into one later delta.
-//! 5. The proxy's response comes to the owner, which gives the decisions the barrier that was passed.
+//! 2. The change is applied to the [`tables`], which creates the next version.
+//! 3. The change is encoded once and pushed to the queue of each joined proxy; modified tables are written to the
+//!    store.
+//! 4. The proxy's writer sends it. Changes that come before a pending delta is sent are merged into it.
+//! 5. The proxy's response is passed to the owner, which reports the barrier that was passed to the decision engine.
 //!
-//! The way of one load report: it comes up a proxy's stream, is validated, waits in the inbox, is added up by the
-//! [`report_aggregator`] and given to the decisions each second, the oldest first, as many as the limit allows.
+//! How a load report is processed: it is received on a proxy's stream, validated, queued in the inbox and added up by
+//! the [`report_aggregator`]. Totals are passed to the decision engine each second, the oldest first, up to a limit.
 //!
-//! The way of one failure: a stream that breaks, is silent, sends an invalid message, or leaves a delta without a
-//! response for too long ends alone, with a reason sent and logged. The decisions get the disconnect with the next batch.
+//! How a failed stream is handled: a stream that breaks, is idle for too long, brings an invalid message, or leaves a
+//! delta without a response for too long is closed, with a reason that is sent and logged. Other streams are not
+//! affected. The decision engine gets the disconnect with the next batch.
 #![warn(missing_docs)]
 pub mod change;
 pub mod core;
--- a/crates/railhub-controller/src/message_rate_limiter.rs
+++ b/crates/railhub-controller/src/message_rate_limiter.rs
@@ -1,10 +1,10 @@
-//! A token bucket for the messages of one proxy. Free of I/O and of clocks.
+//! A token bucket for the messages of one proxy. Does no I/O and reads no clock.
 use railhub::Seconds;
 
-/// Messages per second that a proxy may send in the long run: a load report each second and a response to each delta,
-/// with room for both to come late together.
+/// Messages per second that a proxy may send on average: a load report each second and a response to each delta, with
+/// a margin for delayed messages that arrive together.
 const MESSAGES_PER_SECOND: f64 = 50.0;
-/// Messages that a proxy may send at once.
+/// Messages that a proxy may send in one burst.
 const MAX_MESSAGE_BURST: f64 = 500.0;
 
 /// Limits the messages of one proxy.
@@ -14,7 +14,7 @@
 }
 
 impl MessageRateLimiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(now: Seconds) -> MessageRateLimiter {
         MessageRateLimiter { tokens: MAX_MESSAGE_BURST, refilled_at: now }
     }
--- a/crates/railhub-controller/src/owner.rs
+++ b/crates/railhub-controller/src/owner.rs
@@ -1,7 +1,8 @@
-//! The thread that owns the core: takes events, lets the core process them, and passes on what it orders.
+//! The thread that owns the core: receives events, lets the core process them, and passes on its commands.
 //!
-//! The way of one event: it waits in the [`Inbox`], is taken with up to [`MAX_EVENTS_PER_BATCH`] others, and changes the
-//! core's state or its next batch; then sessions are admitted, timers that are due are taken, and the core decides.
+//! How an event is processed: it is queued in the [`Inbox`], received with up to [`MAX_EVENTS_PER_BATCH`] others, and
+//! changes the core's state or its next batch. Then sessions are admitted, due timers fire, and the core runs its
+//! batch.
 use crate::core::{ControllerCore, Figures, LeaseChanges};
 use crate::delta_queue::DeltaResponse;
 use crate::inbox::{Inbox, OwnerEvent};
@@ -13,17 +14,17 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
-/// Seconds that the owner sleeps at the longest, so that sessions that wait for room and stalled ones are seen.
+/// Maximum seconds that the owner sleeps, so that it sees stalled sessions and admits waiting ones in time.
 const MAX_SLEEP: Seconds = 0.01;
-/// Seconds for acknowledgements to gather before the owner looks again: they come by the hundred at once, and nothing
-/// hangs on one of them.
+/// Seconds that the owner sleeps after a batch of nothing but acknowledgements: they arrive by the hundred, and none of
+/// them is urgent.
 const ACK_GATHER_TIME: Seconds = 0.0001;
-/// Events taken for one batch: a batch must end.
+/// Maximum events received for one batch, so that a batch ends even while events keep coming.
 const MAX_EVENTS_PER_BATCH: usize = 4096;
-/// Incarnations in a second of the machine's clock.
+/// Incarnation numbers per second of the machine's clock.
 const INCARNATIONS_PER_SECOND: f64 = 1e9;
 
-/// What the owner took from its inbox.
+/// The kind of events received from the inbox.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Received {
     Nothing,
@@ -32,7 +33,7 @@
     Stop,
 }
 
-/// Owns the core.
+/// Runs the core on its own thread.
 pub(crate) struct Owner {
     core: ControllerCore<Arc<StreamHandle>>,
     environment: ProcessEnvironment,
@@ -41,7 +42,7 @@
 }
 
 impl Owner {
-    /// An owner with a new core. `incarnation`: of the core, where the clock does not give it.
+    /// Creates an owner with a new core. `incarnation`: the core's; `None` to derive it from the clock.
     pub(crate) fn new(
         settings: ControllerSettings,
         incarnation: Option<u64>,
@@ -81,7 +82,7 @@
         self.core.end_stalled_sessions(now(), &mut self.environment);
     }
 
-    /// Takes the events that wait.
+    /// Processes the queued events, up to [`MAX_EVENTS_PER_BATCH`].
     fn receive(&mut self) -> Received {
         let mut received = Received::Nothing;
         for _ in 0..MAX_EVENTS_PER_BATCH {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Takes the load reports that wait, and gives the decisions what their rate allows.
+    /// Passes the queued load reports to the core, which passes totals to the decision engine up to its rate limit.
     fn flush_load_reports(&mut self) {
         while let Some(received) = self.inbox.next_report() {
             let (proxy, zone) = (received.proxy, received.zone);
@@ -159,7 +160,7 @@
         *self.figures.lock().expect("no holder panics") = self.current_figures();
     }
 
-    /// The core's figures with those of the parts around it.
+    /// The core's figures, with the counters of the inbox, the health checker and the traffic writer.
     fn current_figures(&self) -> Figures {
         let targets = &self.environment.targets;
         let mut figures = self.core.figures();
--- a/crates/railhub-controller/src/process_environment.rs
+++ b/crates/railhub-controller/src/process_environment.rs
@@ -1,4 +1,4 @@
-//! Carries out in this process what the core orders: health checks, tables for the store, log lines.
+//! Carries out the core's commands in this process: health checks, writes to the store, log lines.
 use crate::change::Change;
 use crate::core::{Environment, SessionEvent};
 use crate::health_checker::HealthChecker;
@@ -7,21 +7,21 @@
 use railhub::{HostId, ProxyId, SliceHandoff, SliceId, WeightedHost};
 use std::sync::Arc;
 
-/// Where the core's orders go besides the proxies.
+/// The components that carry out the core's commands, besides the streams of proxies.
 pub(crate) struct CommandTargets {
-    /// Checks the health of hosts.
+    /// Runs health checks.
     pub(crate) health_checker: HealthChecker,
-    /// Writes tables; absent where there are no slices.
+    /// Writes tables to the store; absent in a configuration without slices.
     pub(crate) store: Option<Arc<StoreWriter>>,
-    /// Records traffic, where a file is named.
+    /// Records traffic; absent if the settings name no file.
     pub(crate) traffic: Option<TrafficWriter>,
 }
 
 /// The core's environment in a running controller.
 pub(crate) struct ProcessEnvironment {
-    /// Names of the classes, by their numbers.
+    /// Names of the classes, indexed by class number.
     pub(crate) class_names: Vec<String>,
-    /// Where orders go.
+    /// The components that carry out commands.
     pub(crate) targets: CommandTargets,
 }
 
@@ -52,7 +52,7 @@
         tracing::info!(cause, "decision");
     }
 
-    /// Admission rates and exclusions have no note of the decisions.
+    /// Logs admission rates and exclusions as decisions: the decision engine reports no events for them.
     fn published(&mut self, change: &Change, version: u64) {
         for (class, admission) in &change.admission_rates {
             let class = self.class_names.get(usize::from(class.0)).map_or("", String::as_str);
--- a/crates/railhub-controller/src/publication.rs
+++ b/crates/railhub-controller/src/publication.rs
@@ -1,23 +1,23 @@
-//! A change with its version, as it is sent.
+//! A change with its version, encoded for sending.
 use crate::change::Change;
 use railhub::{BarrierId, Seconds};
 use railhub_proto::{frame, from_controller, FromController};
 use std::sync::Arc;
 
-/// A change with its version, encoded once for all proxies that get it as it is.
+/// A change with its version, encoded once for all proxies that get it unmodified.
 #[derive(Debug)]
 pub struct Publication {
-    /// What changes.
+    /// The change.
     pub change: Arc<Change>,
-    /// The controller process that made the version.
+    /// The controller process that created the version.
     pub incarnation: u64,
-    /// The version that a proxy holds once it has applied the change; the nonce of its delta.
+    /// The version that a proxy holds after it has applied the change; also the nonce of the delta.
     pub version: u64,
     /// When the oldest part of the change was decided.
     pub ordered_at: Seconds,
-    /// The barrier that a proxy passes with its acknowledgement.
+    /// The barrier that a proxy passes when it acknowledges the delta.
     pub barrier: Option<BarrierId>,
-    /// The frame.
+    /// The encoded frame.
     pub bytes: Vec<u8>,
 }
 
@@ -41,7 +41,7 @@
         Publication::new(change, self.incarnation, self.version, self.ordered_at, self.barrier)
     }
 
-    /// This publication and a later one as one, ordered when this one was.
+    /// Merges a later publication into this one, whose decision time is kept.
     pub fn merge(&self, later: &Publication) -> Publication {
         let mut change = Change::clone(&self.change);
         change.merge(&later.change);
--- a/crates/railhub-controller/src/report_aggregator.rs
+++ b/crates/railhub-controller/src/report_aggregator.rs
@@ -1,20 +1,21 @@
-//! Adds up load reports by zone and host and by slice and class, and gives them on at a rate, the oldest first; the
-//! rest adds up. Free of I/O and of clocks.
+//! Adds up load reports by zone and host, and by slice and class. Totals are passed on at a limited rate, the oldest
+//! first; the others keep adding up. Does no I/O and reads no clock.
 //!
-//! Proxies report at their own moments, late and not always. What came is therefore spread over the time that the
-//! reports cover on average, whichever proxy sent them: a proxy that is late lowers both alike, so rates hold.
+//! Proxies report at different times, and some reports are late or missing. A total is therefore related to the time
+//! that the reports cover on average over all proxies: a late report lowers the count and the covered time alike, so
+//! that rates stay correct.
 use railhub::{ClassId, HostId, HostLoadReport, Seconds, SliceId, SliceLoadReport, ZoneId};
 use railhub_proto::LoadReport;
 use std::collections::BTreeMap;
 
-/// Seconds that a total covers at the least, so that rates stay finite.
+/// Minimum seconds that a total covers, so that rates stay finite.
 const MIN_SPAN: Seconds = 1e-3;
-/// Totals kept at once: a proxy can name hosts without end.
+/// Maximum totals kept at once: a proxy could report on an unlimited number of host names.
 const MAX_TOTALS: usize = 200_000;
-/// Seconds of the rate that may be given on at once after a pause.
+/// Unused allowance that is kept after a pause, in seconds of the permitted rate.
 const MAX_ALLOWANCE_SECONDS: Seconds = 2.0;
 
-/// What a total is of.
+/// The subject of a total.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum TotalKey {
     Host(ZoneId, HostId),
@@ -28,29 +29,29 @@
     failed: f64,
     success_time: Seconds,
     utilization: Option<f64>,
-    /// The aggregator's covered time at the flush before the first part came.
+    /// The aggregator's covered time at the last flush before the first report.
     covered_before: Seconds,
-    /// The flush before the first part came.
+    /// Number of flushes before the first report.
     since_flush: u64,
 }
 
-/// Totals that the decisions have not been given.
+/// Totals that have not been passed to the decision engine yet.
 #[derive(Default)]
 pub struct ReportAggregator {
     totals: BTreeMap<TotalKey, Total>,
-    /// Seconds that reports have covered for the mean proxy since the start.
+    /// Seconds that reports have covered since the start, averaged over the proxies.
     covered: Seconds,
-    /// The same at the last flush: a total that begins after it covers no earlier time.
+    /// `covered` at the last flush: a total that begins after it covers no earlier time.
     covered_at_flush: Seconds,
     flushes: u64,
-    /// Totals that may be given on.
+    /// Totals that may be passed on now.
     allowance: f64,
-    /// Parts of reports that were dropped because too many totals are kept.
+    /// Entries of reports that were dropped because the limit of totals was reached.
     pub dropped: u64,
 }
 
 impl ReportAggregator {
-    /// Adds a report of one of `proxies` joined proxies.
+    /// Adds a report from one of `proxies` joined proxies.
     pub fn add(&mut self, zone: ZoneId, report: &LoadReport, proxies: usize) {
         self.covered += report.span / proxies.max(1) as f64;
         for load in &report.hosts {
@@ -79,7 +80,8 @@
         Some(self.totals.entry(key).or_insert(empty))
     }
 
-    /// Removes the totals that `totals_per_second` allows, the oldest first. `elapsed`: seconds since the last call.
+    /// Removes and returns as many totals as `totals_per_second` allows, the oldest first. `elapsed`: seconds since the
+    /// last call.
     pub fn flush(
         &mut self,
         elapsed: Seconds,
--- a/crates/railhub-controller/src/report_validation.rs
+++ b/crates/railhub-controller/src/report_validation.rs
@@ -1,32 +1,32 @@
-//! Which load reports of a proxy are accepted. Free of I/O and of clocks.
+//! Checks the load reports of proxies. Does no I/O and reads no clock.
 use railhub::Seconds;
 use railhub_proto::{LoadReport, SliceLoad};
 use thiserror::Error;
 
-/// Seconds that one report may cover.
+/// Maximum seconds that one report may cover.
 const MAX_REPORT_SPAN: Seconds = 60.0;
 
-/// What is impossible in a load report; the text goes to the proxy.
+/// Why a load report is invalid; the text is sent to the proxy.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ReportError {
-    /// It covers a negative time, or one that is too long.
-    #[error("a span that cannot be")]
+    /// The report covers a negative time, or more than `MAX_REPORT_SPAN`.
+    #[error("span is not from 0 to {max} s", max = MAX_REPORT_SPAN)]
     Span,
-    /// A time is no number or negative, or more attempts failed than there were.
+    /// A time is negative or not finite, or more attempts failed than were made.
     #[error("times or counts that cannot be")]
     TimesOrCounts,
-    /// A utilization is no number or negative.
-    #[error("a load that cannot be")]
+    /// A utilization is negative or not finite.
+    #[error("utilization of a host is negative or not finite")]
     Utilization,
-    /// A slice or class has too large a number.
-    #[error("a slice or class that cannot be")]
+    /// The number of a slice or class is too large.
+    #[error("slice number is over {} or class number is over {}", u16::MAX, u8::MAX)]
     SliceOrClass,
 }
 
-/// Checks a report before it is added up.
+/// Checks a report before it is aggregated.
 ///
 /// # Errors
-/// The first impossible value that is found.
+/// The first kind of invalid value that is found.
 pub fn validate(report: &LoadReport) -> Result<(), ReportError> {
     if !(0.0..=MAX_REPORT_SPAN).contains(&report.span) {
         return Err(ReportError::Span);
--- a/crates/railhub-controller/src/service.rs
+++ b/crates/railhub-controller/src/service.rs
@@ -1,4 +1,4 @@
-//! Starts a controller's parts in their order, and stops them.
+//! Starts the components of a controller in order of their dependencies, and stops them.
 use crate::core::Figures;
 use crate::delta_queue::MessageQuota;
 use crate::endpoint_list_poller;
@@ -19,13 +19,13 @@
 use std::thread::JoinHandle;
 use thiserror::Error;
 
-/// Why a controller does not start.
+/// Why a controller cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address for proxies cannot be bound.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// The traffic file cannot be made.
+    /// The traffic file cannot be created.
     #[error("cannot write traffic: {0}")]
     Traffic(#[from] TraceError),
     /// The address for other controllers cannot be bound.
@@ -33,9 +33,9 @@
     Membership(SocketAddr, std::io::Error),
 }
 
-/// A controller that runs; dropping it stops it.
+/// A running controller; dropping it stops it.
 pub struct RunningController {
-    /// Where proxies connect.
+    /// Address on which proxies connect.
     pub address: SocketAddr,
     inbox: Arc<Inbox>,
     figures: Arc<Mutex<Figures>>,
@@ -49,7 +49,7 @@
     /// Starts a controller.
     ///
     /// # Errors
-    /// An address cannot be bound, or the traffic file cannot be made.
+    /// An address cannot be bound, or the traffic file cannot be created.
     pub fn start(settings: ControllerSettings) -> Result<RunningController, StartError> {
         let traffic = TrafficWriter::start(&settings, now())?;
         let inbox = Arc::new(inbox());
@@ -71,7 +71,7 @@
             &inbox,
         );
         let endpoint_list = endpoint_list_poller::start(settings.endpoint_list, inbox.clone());
-        // Where controllers share the slices, versions and leases are of the same process.
+        // Where controllers share the slices, versions carry the process number under which the leases are held.
         let shares_slices = settings.shares_slices();
         let incarnation = membership.as_ref().filter(|_| shares_slices).map(|service| service.process);
         let targets = CommandTargets { health_checker, store, traffic };
@@ -95,12 +95,12 @@
         self.figures.lock().expect("no holder panics").clone()
     }
 
-    /// Where other controllers reach this one, if it is in a membership.
+    /// Address on which other controllers reach this one, if it is in a membership.
     pub fn membership_address(&self) -> Option<SocketAddr> {
         self.membership.as_ref().map(|service| service.address)
     }
 
-    /// The number of this process, which differs for each process of the controller, if it is in a membership.
+    /// The process number, which differs for each process of the controller, if it is in a membership.
     pub fn membership_process(&self) -> Option<u64> {
         self.membership.as_ref().map(|service| service.process)
     }
@@ -110,7 +110,7 @@
         self.membership.as_ref().map(MembershipService::figures)
     }
 
-    /// Hands the slices over and announces to the other controllers that this one leaves.
+    /// Hands its slices over and announces to the other controllers that this one leaves.
     pub fn leave(&mut self) {
         if let Some(service) = &mut self.membership {
             service.leave();
@@ -136,7 +136,7 @@
     settings.membership.as_ref().is_some_and(|membership| membership.ignores_lease_expiry())
 }
 
-/// The leases that stream writers go by, where controllers share the slices.
+/// The leases that stream writers check before they publish, if controllers share the slices.
 fn lease_table(settings: &ControllerSettings) -> Option<Arc<LeaseTable>> {
     let membership = settings.membership.as_ref().filter(|membership| membership.share)?;
     Some(Arc::new(LeaseTable::new(membership.clock, membership.ignores_lease_expiry())))
--- a/crates/railhub-controller/src/session_error.rs
+++ b/crates/railhub-controller/src/session_error.rs
@@ -1,35 +1,35 @@
-//! Why a session with a proxy ends on the side of the stream.
+//! Errors of a proxy's stream that end its session.
 use crate::report_validation::ReportError;
 use railhub_net::StreamError;
 use thiserror::Error;
 
-/// What ended a stream; the text goes to the proxy and to the log.
+/// Why a stream was ended; the text is sent to the proxy and logged.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The connection ended, broke, was silent for too long, or brought no message.
+    /// The connection was closed, failed, was idle for too long, or brought a malformed message.
     #[error(transparent)]
     Connection(#[from] StreamError),
-    /// The stream was opened with another message than a subscription.
-    #[error("the first message is no subscription")]
+    /// The first message was not a subscription.
+    #[error("first message is not a subscription")]
     NoSubscription,
-    /// The subscription names a proxy or zone that cannot be.
-    #[error("proxy {proxy} or zone {zone} is too large a number")]
+    /// The number of the proxy or zone in the subscription is too large.
+    #[error("proxy number {proxy} or zone number {zone} is over {max}", max = u16::MAX)]
     NumberTooLarge {
         /// The proxy's number.
         proxy: u32,
         /// The zone's number.
         zone: u32,
     },
-    /// The proxy has subscribed already.
-    #[error("a second subscription on one stream")]
+    /// The proxy has already subscribed on this stream.
+    #[error("second subscription on one stream")]
     SecondSubscription,
-    /// A message of a kind that this program does not know.
-    #[error("a message without a word")]
+    /// A message has no payload of a kind known to this version.
+    #[error("message of an unknown kind")]
     UnknownMessage,
-    /// A load report has an impossible value.
+    /// A load report has an invalid value.
     #[error("sums with {0}")]
     Report(#[from] ReportError),
-    /// The proxy sends more messages than it may.
+    /// The proxy exceeds its message rate limit.
     #[error("too many messages")]
     TooManyMessages,
 }
--- a/crates/railhub-controller/src/settings.rs
+++ b/crates/railhub-controller/src/settings.rs
@@ -1,65 +1,66 @@
-//! A controller's INI file: where its peers are, what it may do, and its limits.
+//! The settings of a controller, read from its INI file: addresses of its peers, options of the decision engine,
+//! limits.
 use crate::membership::settings::MembershipSettings;
 use railhub::{ClassConfig, ControllerConfig, Idempotency, Seconds};
 use railhub_ini::{Diagnostic, Document, Section};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Streams open at once unless the file says otherwise.
+/// Default for the number of streams open at once.
 const DEFAULT_MAX_STREAMS: usize = 10_000;
-/// Classes that a file may have.
+/// Maximum number of classes in a file.
 const MAX_CLASSES: usize = 64;
-/// What the name of a class's section begins with.
+/// Prefix of the section name of a class.
 const CLASS_PREFIX: &str = "class ";
 
-/// What a controller knows when it starts.
+/// The settings that a controller starts with.
 #[derive(Clone, Debug)]
 pub struct ControllerSettings {
-    /// Where proxies connect.
+    /// Address on which proxies connect.
     pub listen: SocketAddr,
-    /// Where the endpoint list is.
+    /// Address of the endpoint list server.
     pub endpoint_list: SocketAddr,
-    /// Where the store is; absent where operations are not cut into slices.
+    /// Address of the store; absent in a configuration without slices.
     pub store: Option<SocketAddr>,
-    /// What the decisions know when they start.
+    /// Configuration of the decision engine.
     pub config: ControllerConfig,
-    /// Names of the classes, by their numbers.
+    /// Names of the classes, indexed by class number.
     pub class_names: Vec<String>,
-    /// Totals of load reports that the decisions are given in a second.
+    /// Totals of load reports passed to the decision engine per second.
     pub max_reports_per_second: f64,
     /// Seconds that a health check may take.
     pub health_check_timeout: Seconds,
-    /// Health checks at once.
+    /// Health checks run at once.
     pub max_concurrent_health_checks: usize,
     /// Seconds that a proxy may leave a delta without a response.
     pub response_timeout: Seconds,
-    /// Seconds until a stream's subscription must have come.
+    /// Seconds within which the subscription of a new stream must arrive.
     pub subscribe_timeout: Seconds,
-    /// Seconds until each later message of a stream must have come.
+    /// Seconds within which each further message of a stream must arrive.
     pub idle_timeout: Seconds,
     /// Streams open at once.
     pub max_streams: usize,
-    /// Where the operations that load reports tell of are recorded, if anywhere.
+    /// File in which the operations of load reports are recorded, if any.
     pub traffic: Option<PathBuf>,
-    /// How the controller takes part in the membership; absent where it is alone.
+    /// Settings of the membership; absent if the controller runs alone.
     pub membership: Option<MembershipSettings>,
 }
 
 impl ControllerSettings {
-    /// Whether controllers share the slices: they lease them from the store.
+    /// Whether controllers share the slices, by leases that the store grants.
     pub fn shares_slices(&self) -> bool {
         self.membership.as_ref().is_some_and(|settings| settings.share)
     }
 
-    /// Reads a file.
+    /// Reads the settings from a file.
     ///
     /// # Errors
-    /// The file cannot be read, or is no controller's; the error names the line.
+    /// The file cannot be read or is not a valid settings file; the error names the line.
     pub fn open(path: &Path) -> Result<ControllerSettings, Diagnostic> {
         ControllerSettings::read(&Document::open(path)?)
     }
 
-    /// Reads a document.
+    /// Reads the settings from a parsed document.
     ///
     /// # Errors
     /// A section or key is missing, unknown or has an invalid value; the error names its line.
@@ -77,7 +78,8 @@
         }
         let (steward, limits) = (document.section("steward"), document.section("limits"));
         if classes.is_empty() || classes.len() > MAX_CLASSES {
-            return Err(steward.diagnostic("", format!("has {} classes, 1 to 64 are needed", classes.len())));
+            return Err(steward
+                .diagnostic("", format!("has {} classes, 1 to {MAX_CLASSES} are needed", classes.len())));
         }
         let settings = ControllerSettings {
             listen: steward.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
@@ -101,17 +103,19 @@
         Ok(settings)
     }
 
-    /// Slices need a store, and sharing them needs slices.
+    /// Checks that slices and a store are configured together, and that only slices are shared.
     fn check_store(&self, document: &Document) -> Result<(), Diagnostic> {
         let has_slices = self.config.slice_count > 0;
         if has_slices != self.store.is_some() {
             let steward = document.section("steward");
-            return Err(steward.diagnostic("store", "is needed where there are slices, and only there"));
+            return Err(
+                steward.diagnostic("store", "is required with slices over 0, and not allowed without slices")
+            );
         }
         if self.shares_slices() && !has_slices {
             return Err(document
                 .section("fleet")
-                .diagnostic("share", "needs slices, and a store that leases them"));
+                .diagnostic("share", "requires slices over 0 and a store that grants leases"));
         }
         Ok(())
     }
--- a/crates/railhub-controller/src/settings/tests.rs
+++ b/crates/railhub-controller/src/settings/tests.rs
@@ -21,7 +21,7 @@
     let fault = |from: &str, to: &str| read(&TEXT.replace(from, to)).expect_err("wrong");
     assert_eq!(
         fault("slices = 40", "slice = 40"),
-        "s.ini:3: [steward] store is needed where there are slices, and only there"
+        "s.ini:3: [steward] store is required with slices over 0, and not allowed without slices"
     );
     assert_eq!(fault("backlog", "backlogs"), "s.ini:6: [limits] backlogs is not known");
     assert_eq!(
--- a/crates/railhub-controller/src/stream_handle.rs
+++ b/crates/railhub-controller/src/stream_handle.rs
@@ -1,4 +1,4 @@
-//! What the owner of the core and a stream's writer share.
+//! The state shared by the owner of the core and the reader and writer of a stream.
 use crate::change::Change;
 use crate::core::{CloseReason, ProxyChannel};
 use crate::delta_queue::{DeltaQueue, DeltaResponse, MessageQuota, ResponseEffect, WriterAction};
@@ -8,25 +8,25 @@
 use railhub::Seconds;
 use std::sync::Arc;
 
-/// The deltas of one stream, and what wakes its writer.
+/// The deltas of one stream, and the semaphore that wakes its writer.
 pub struct StreamHandle {
     state: Mutex<HandleState>,
     wake: Semphore,
-    /// Which slices may be published, where controllers share them.
+    /// The slices that may be published, if controllers share them.
     leases: Option<Arc<LeaseTable>>,
 }
 
 struct HandleState {
     queue: DeltaQueue,
-    /// The stream is to end, with this reason.
+    /// The reason to send before the stream is closed; `None` while it stays open.
     goodbye: Option<String>,
 }
 
-/// What a stream's writer is to do next.
+/// The next action of a stream's writer.
 pub(crate) enum StreamAction {
-    /// End the stream with this reason.
+    /// Send a goodbye with this reason and close the stream.
     Close(String),
-    /// Go on with what the queue gives.
+    /// Continue with the action of the delta queue.
     Continue(WriterAction),
 }
 
@@ -36,7 +36,7 @@
         StreamHandle { state: Mutex::new(state), wake: Semphore::new(0), leases }
     }
 
-    /// Ends the stream, with a reason if the proxy still reads. The first reason stays.
+    /// Makes the writer close the stream. The reason is sent if the proxy still reads; only the first one is kept.
     pub(crate) fn end(&self, reason: &str) {
         self.with_state(|state| {
             state.goodbye.get_or_insert_with(|| reason.to_owned());
@@ -44,7 +44,7 @@
         self.wake();
     }
 
-    /// What the writer is to do next.
+    /// The writer's next action.
     pub(crate) fn next_action(&self, now: Seconds) -> StreamAction {
         self.with_state(|state| match &state.goodbye {
             Some(reason) => StreamAction::Close(reason.clone()),
@@ -52,18 +52,19 @@
         })
     }
 
-    /// Waits until there is something to do.
+    /// Blocks the writer until the next [`StreamHandle::wake`].
     pub(crate) fn wait(&self) {
         self.wake.wait();
     }
 
-    /// Ends a [`StreamHandle::wait`].
+    /// Makes one [`StreamHandle::wait`] return.
     pub(crate) fn wake(&self) {
         self.wake.post();
     }
 
-    /// The bytes of a delta without slices whose leases have ended since it was decided, as the proxy reads slowly or
-    /// the process stood still; `None` if there are none. What is left out is the next holder's to publish.
+    /// Encodes a delta without the slices whose leases have expired since it was decided, because the proxy reads
+    /// slowly or the process was suspended; `None` if there are none. The next holder publishes the slices that are
+    /// left out.
     pub(crate) fn without_expired(&self, publication: &Publication) -> Option<Vec<u8>> {
         let leases = self.leases.as_ref()?;
         let expired = leases.expired(&publication.change.epochs);
--- a/crates/railhub-controller/src/stream_server.rs
+++ b/crates/railhub-controller/src/stream_server.rs
@@ -1,8 +1,9 @@
-//! The proxies' streams: a reader and a writer coroutine each.
+//! Serves the proxies' streams, with a reader and a writer coroutine each.
 //!
-//! The way of one stream: it is counted, its first message must be a subscription, then its writer starts and the owner
-//! of the core gets the subscription. The reader passes on each message until one is invalid, too many come, or the
-//! connection ends; then the writer sends a goodbye with the reason, and the owner gets the disconnect.
+//! How a stream is served: it is counted, and its first message must be a subscription. Then its writer starts, and the
+//! subscription is sent to the owner of the core. The reader passes on each message until one is invalid, the rate
+//! limit is exceeded, or the connection ends. Then the writer sends a goodbye with the reason, and the owner gets the
+//! disconnect.
 use crate::core::StreamId;
 use crate::delta_queue::{DeltaResponse, MessageQuota, WriterAction};
 use crate::inbox::{Inbox, OwnerEvent, ReceivedReport};
@@ -20,42 +21,42 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Seconds within which a goodbye must leave.
+/// Seconds within which a goodbye must be sent.
 const GOODBYE_TIMEOUT: Seconds = 0.2;
-/// The reason of a stream whose reader ended without one.
-const STREAM_ENDED: &str = "the stream ends";
+/// The reason for closing a stream whose reader stopped without giving one.
+const STREAM_ENDED: &str = "stream reader stopped";
 
-/// What streams are held to.
+/// Limits of streams.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamLimits {
-    /// Seconds until the subscription must have come.
+    /// Seconds within which the subscription must arrive.
     pub subscribe_timeout: Seconds,
-    /// Seconds until each later message must have come, and within which a message must be written.
+    /// Seconds within which each further message must arrive, and within which a message must be sent.
     pub idle_timeout: Seconds,
     /// Streams open at once.
     pub max_streams: usize,
-    /// Messages to one proxy.
+    /// Quota of messages to one proxy.
     pub quota: MessageQuota,
 }
 
-/// Takes new connections; it counts streams and numbers them.
+/// Serves new connections, and counts and numbers the streams.
 pub struct StreamServer {
     limits: StreamLimits,
     inbox: Arc<Inbox>,
-    /// Which slices may be published, where controllers share them.
+    /// The slices that may be published, if controllers share them.
     leases: Option<Arc<LeaseTable>>,
     last_stream: AtomicU64,
     open_streams: AtomicUsize,
 }
 
 impl StreamServer {
-    /// A server without streams.
+    /// Creates a server without streams.
     pub fn new(limits: StreamLimits, inbox: Arc<Inbox>, leases: Option<Arc<LeaseTable>>) -> StreamServer {
         let (last_stream, open_streams) = (AtomicU64::new(0), AtomicUsize::new(0));
         StreamServer { limits, inbox, leases, last_stream, open_streams }
     }
 
-    /// Serves a new connection in a coroutine of its own.
+    /// Serves a new connection in its own coroutine.
     pub fn serve(self: &Arc<StreamServer>, connection: TcpStream) {
         let limit = self.limits.max_streams;
         if self.open_streams.fetch_add(1, Ordering::Relaxed) >= limit {
@@ -73,7 +74,7 @@
         });
     }
 
-    /// Follows a stream from its first message to its end.
+    /// Serves a stream from its first message to its end.
     fn run_stream(&self, stream: StreamId, mut reader: FrameReader, mut writer: FrameWriter) {
         reader.set_idle_timeout(Some(self.limits.subscribe_timeout));
         writer.set_send_timeout(self.limits.idle_timeout);
@@ -99,7 +100,7 @@
     }
 }
 
-/// Ends the writer however the reader ends.
+/// Stops the writer when dropped, so that the reader stops it even by a panic.
 struct EndOfWriter(Arc<StreamHandle>);
 
 impl Drop for EndOfWriter {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Reads one message. It lives in a frame of its own, so that an idle stream's stack stays small.
+    /// Reads one message. Not inlined, so that the decoded message does not enlarge the stack of an idle stream.
     #[inline(never)]
     fn read_message(&self, reader: &mut FrameReader) -> Result<(), SessionError> {
         let message: FromProxy = reader.receive()?;
@@ -170,7 +171,7 @@
     }
 }
 
-/// Writes what the queue gives until the stream ends. It holds no lock while it writes.
+/// Sends the deltas of the queue until the stream ends. Holds no lock while it sends.
 fn write(mut writer: FrameWriter, handle: &Arc<StreamHandle>) {
     loop {
         let action = match handle.next_action(now()) {
--- a/crates/railhub-controller/src/tables.rs
+++ b/crates/railhub-controller/src/tables.rs
@@ -1,56 +1,56 @@
-//! What proxies are to hold: tables, admission rates and exclusions in versions, and the latest changes between the
-//! versions. Free of I/O and of clocks.
+//! The published state: versions of the tables, admission rates and exclusions, and a log of the latest changes between
+//! versions. Does no I/O and reads no clock.
 use crate::change::{Change, ClassAdmission};
 use railhub::{ClassId, HostId, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Changes kept for proxies that reconnect. A proxy that lacks more gets a snapshot.
+/// Changes kept for proxies that reconnect. A proxy that lacks older ones gets a snapshot.
 const MAX_LOGGED_CHANGES: usize = 256;
-/// Lines in all changes that are kept.
+/// Maximum lines in all changes that are kept.
 const MAX_LOGGED_LINES: usize = 50_000;
 
 /// The published state and the log of its latest changes.
 #[derive(Default)]
 pub struct Tables {
-    /// The version that the latest change made; 0 before the first.
+    /// The version after the latest change; 0 before the first.
     pub version: u64,
     tables: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
-    /// Slices under lease, where controllers share them.
+    /// Lease epochs of the slices held, if controllers share the slices.
     epochs: BTreeMap<SliceId, u64>,
     admission_rates: BTreeMap<ClassId, ClassAdmission>,
     exclusions: BTreeMap<HostId, bool>,
-    /// The latest changes, the oldest first; the last one made the present version.
+    /// The latest changes, the oldest first; the last one led to the current version.
     log: VecDeque<Arc<Change>>,
     logged_lines: usize,
 }
 
 impl Tables {
-    /// Sets a table as the store has it. Proxies that join get it; no version is made.
+    /// Sets a table to its entries in the store. Proxies that join get it; no version is created.
     pub fn load_table(&mut self, slice: SliceId, entries: &[WeightedHost]) {
         let table = entries.iter().map(|entry| (entry.host, entry.weight)).collect();
         self.tables.insert(slice, table);
     }
 
-    /// Adds a slice under a lease, with its table as the store has it. Proxies follow the previous holder's table
-    /// until they are sent [`Tables::takeover_change`].
+    /// Adds a slice under a lease, with its table in the store. Proxies use the previous holder's table until they
+    /// apply the [`Tables::takeover_change`].
     pub fn acquire(&mut self, slice: SliceId, epoch: u64, entries: &[WeightedHost]) {
         self.load_table(slice, entries);
         self.epochs.insert(slice, epoch);
     }
 
-    /// Removes a slice whose lease is gone: proxies keep what they hold of it, and nothing more is published.
+    /// Removes a slice whose lease has ended: nothing more is published for it, and proxies keep its table.
     pub fn release(&mut self, slice: SliceId) {
         self.tables.remove(&slice);
         self.epochs.remove(&slice);
     }
 
-    /// The epoch of a slice's lease, where controllers share the slices.
+    /// The epoch of a slice's lease, if controllers share the slices.
     pub fn epoch(&self, slice: SliceId) -> Option<u64> {
         self.epochs.get(&slice).copied()
     }
 
-    /// The complete tables of some slices, for proxies that hold the previous holder's.
+    /// The complete tables of some slices, which replace those of the previous holders.
     pub fn takeover_change(&self, slices: &BTreeSet<SliceId>) -> Change {
         let mut change = Change { cleared: slices.clone(), ..Change::default() };
         for slice in slices {
@@ -69,7 +69,7 @@
         change.epochs = of_named.map(|(slice, epoch)| (*slice, *epoch)).collect();
     }
 
-    /// Applies a change and returns the version that it makes.
+    /// Applies a change and returns the new version.
     pub fn apply(&mut self, change: Arc<Change>) -> u64 {
         for slice in &change.cleared {
             self.tables.entry(*slice).or_default().clear();
@@ -105,7 +105,7 @@
         table.into_iter().flatten().map(|(host, weight)| (*host, *weight).into()).collect()
     }
 
-    /// All that a proxy which holds nothing is to hold. It names every table that the proxy may have.
+    /// The complete state for a proxy that holds none, or an unknown one: every table is cleared first.
     pub fn snapshot(&self) -> Change {
         let mut lines = BTreeMap::new();
         for (slice, table) in &self.tables {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// One complete table, for a proxy that is assigned it.
+    /// One complete table, for a proxy to which it is assigned.
     pub fn table_assignment(&self, table: SliceId) -> Change {
         let entries = self.table_entries(table);
         let lines = entries.into_iter().map(|entry| ((table, entry.host), entry.weight));
@@ -135,7 +135,8 @@
         }
     }
 
-    /// What a proxy at a version lacks; `None` if the log does not reach back so far.
+    /// The changes that a proxy at this version lacks; `None` if the log does not go back that far or the version is in
+    /// the future.
     pub fn changes_since(&self, version: u64) -> Option<Change> {
         let lacking = usize::try_from(self.version.checked_sub(version)?).ok()?;
         let first = self.log.len().checked_sub(lacking)?;
--- a/crates/railhub-controller/src/traffic_writer.rs
+++ b/crates/railhub-controller/src/traffic_writer.rs
@@ -1,5 +1,5 @@
-//! Records the operations that load reports tell of. The owner of the core passes reports on and never waits for the
-//! disk: what does not fit the queue is counted and left out.
+//! Records the operations of load reports in a traffic file. The owner of the core queues reports and never waits for
+//! the disk: a report that does not fit the queue is dropped and counted.
 use crate::settings::ControllerSettings;
 use railhub::{ProxyId, Seconds, ZoneId};
 use railhub_proto::{LoadReport, SliceLoad};
@@ -12,18 +12,18 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Reports that may wait for the disk: some seconds of 300 proxies.
+/// Reports that may wait for the disk: those of some seconds from 300 proxies.
 const MAX_PENDING_REPORTS: usize = 2048;
-/// Time between flushes: a controller that is killed loses at most the rows of so long.
+/// Time between flushes, and thus the time whose rows are lost if the controller is killed.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
-/// Zones that a file can tell apart: a proxy names its own, whatever it is.
+/// Zones that a file can represent. Reports from higher zone numbers, which proxies choose freely, are dropped.
 const MAX_ZONES: usize = 256;
-/// Earlier files that are kept beside the present one.
+/// Limit for the numbers of the earlier files that are kept beside the current one.
 const MAX_EARLIER_FILES: u32 = 1000;
 
 type Rows = Vec<TraceRow>;
 
-/// Records traffic in a file; dropping it ends the file.
+/// Records traffic in a file; dropping it finishes the file.
 pub struct TrafficWriter {
     rows: Option<SyncSender<Rows>>,
     thread: Option<JoinHandle<()>>,
@@ -35,11 +35,11 @@
 }
 
 impl TrafficWriter {
-    /// Starts recording if the settings name a file. The file is made at once, so that one that cannot be made is
-    /// reported at the start.
+    /// Starts recording if the settings name a file. The file is created at once, so that a failure is reported at the
+    /// start.
     ///
     /// # Errors
-    /// The file cannot be made, or an earlier one cannot be moved.
+    /// The file cannot be created, or an earlier one cannot be renamed.
     pub fn start(settings: &ControllerSettings, now: Seconds) -> Result<Option<TrafficWriter>, TraceError> {
         let Some(path) = &settings.traffic else { return Ok(None) };
         let slices = u32::from(settings.config.slice_count);
@@ -47,7 +47,7 @@
             classes: settings.class_names.clone(),
             zones: (0..MAX_ZONES).map(|zone| format!("zone-{zone}")).collect(),
             slices,
-            // Which proxies join is not known yet.
+            // The number of proxies is not known yet.
             proxies: 0,
             length: 0.0,
         };
@@ -111,7 +111,7 @@
     TraceWriter::start(BufWriter::new(file), header)
 }
 
-/// Moves the file of an earlier process to the first name with a free number.
+/// Renames the file of an earlier process, with the first free number appended to its name.
 fn move_earlier_file(path: &Path) -> std::io::Result<()> {
     if !path.exists() {
         return Ok(());
@@ -127,7 +127,7 @@
     PathBuf::from(name)
 }
 
-/// Writes rows until their sender is dropped, then ends the file.
+/// Writes rows until their sender is dropped, then finishes the file.
 fn write(mut writer: TraceWriter<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
     let began = Instant::now();
     let mut flushed_at = began;
