--- a/crates/railhub-controller/src/delta_queue.rs
+++ b/crates/railhub-controller/src/delta_queue.rs
@@ -4,8 +4,8 @@
 //!
 //! How a publication is sent:
 //! 1. [`DeltaQueue::push`] makes it the pending delta, or merges it into the delta that is already pending.
-//! 2. [`DeltaQueue::next_action`] returns it to the writer once fewer than [`MAX_IN_FLIGHT`] deltas are in flight and
-//!    the [`MessageQuota`] allows it.
+//! 2. [`DeltaQueue::next_action`] returns it to the writer once fewer than [`MAX_DELTAS_IN_FLIGHT`] deltas are in
+//!    flight and the [`MessageQuota`] allows it.
 //! 3. An ACK removes it, and all deltas sent before it. A NACK keeps its change back until there is a new one to send.
 use crate::change::Change;
 use crate::publication::Publication;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// Deltas sent and not acknowledged. At the limit later ones are merged, so that a slow proxy gets few large deltas.
-pub const MAX_IN_FLIGHT: usize = 4;
+pub const MAX_DELTAS_IN_FLIGHT: usize = 4;
 /// Fraction of the quota for messages that only change weights: removals and exclusions must not wait for them.
 const ORDINARY_QUOTA_FRACTION: f64 = 0.5;
 /// Seconds added to the quota's window: a message sent up to this much late must not share a window with a later
@@ -120,7 +120,7 @@
 
     /// Returns the writer's next action. A delta that is returned to be written counts as in flight.
     pub fn next_action(&mut self, now: Seconds) -> WriterAction {
-        if self.in_flight.len() >= MAX_IN_FLIGHT {
+        if self.in_flight.len() >= MAX_DELTAS_IN_FLIGHT {
             return WriterAction::Wait;
         }
         let quota = self.quota;
@@ -159,8 +159,8 @@
 
     /// The proxy has applied the delta with this nonce, and with it all earlier ones.
     pub fn on_ack(&mut self, nonce: u64) -> ResponseEffect {
-        let Some(place) = self.place_in_flight(nonce) else { return ResponseEffect::Stale };
-        let acknowledged = self.in_flight.drain(..=place);
+        let Some(position) = self.position_in_flight(nonce) else { return ResponseEffect::Stale };
+        let acknowledged = self.in_flight.drain(..=position);
         let barrier = acknowledged.filter_map(|sent| sent.publication.barrier).next_back();
         ResponseEffect::Settled { barrier }
     }
@@ -168,11 +168,11 @@
     /// The proxy has rejected the delta with this nonce. Its change is kept back until there is a new change to send,
     /// without the values that later deltas in flight supersede.
     pub fn on_nack(&mut self, nonce: u64) -> ResponseEffect {
-        let Some(place) = self.place_in_flight(nonce) else { return ResponseEffect::Stale };
-        let sent = self.in_flight.remove(place).expect("found above");
+        let Some(position) = self.position_in_flight(nonce) else { return ResponseEffect::Stale };
+        let sent = self.in_flight.remove(position).expect("found above");
         let mut rejected = self.rejected.take().unwrap_or_default();
         rejected.merge(&sent.publication.change);
-        for later in self.in_flight.iter().skip(place) {
+        for later in self.in_flight.iter().skip(position) {
             rejected.remove_superseded(&later.publication.change);
         }
         self.nacks += 1;
@@ -185,7 +185,7 @@
         ResponseEffect::Settled { barrier: sent.publication.barrier }
     }
 
-    fn place_in_flight(&self, nonce: u64) -> Option<usize> {
+    fn position_in_flight(&self, nonce: u64) -> Option<usize> {
         self.in_flight.iter().position(|sent| sent.publication.version == nonce)
     }
 
--- a/crates/railhub-controller/src/expired_slices.rs
+++ b/crates/railhub-controller/src/expired_slices.rs
@@ -39,14 +39,14 @@
     }
 
     /// Returns the exclusions to publish: `true` excludes a host, `false` readmits it. Hosts in `by_decisions`, which
-    /// the decision engine has excluded, are omitted. `binding_removal`: hosts that are gone from the list must get no
+    /// the decision engine has excluded, are omitted. `exclude_gone`: hosts that are gone from the list must get no
     /// operations.
     pub fn update_exclusions(
         &mut self,
-        binding_removal: bool,
+        exclude_gone: bool,
         by_decisions: &BTreeSet<HostId>,
     ) -> BTreeMap<HostId, bool> {
-        let required = self.required_exclusions(binding_removal);
+        let required = self.required_exclusions(exclude_gone);
         let mut exclusions = BTreeMap::new();
         for host in required.difference(&self.excluded).filter(|host| !by_decisions.contains(host)) {
             exclusions.insert(*host, true);
@@ -65,30 +65,30 @@
 
     /// Hosts to exclude. Hosts that are excluded and still have to be stay excluded; another host is added only if each
     /// table that has it keeps a host that is not excluded.
-    fn required_exclusions(&self, binding_removal: bool) -> BTreeSet<HostId> {
-        let named: BTreeSet<HostId> = self.slices.values().flatten().copied().collect();
-        let leaves = |host: &HostId| self.must_be_left(host, binding_removal);
+    fn required_exclusions(&self, exclude_gone: bool) -> BTreeSet<HostId> {
+        let listed_hosts: BTreeSet<HostId> = self.slices.values().flatten().copied().collect();
+        let requires_exclusion = |host: &HostId| self.requires_exclusion(host, exclude_gone);
         let mut required: BTreeSet<HostId> = self.excluded.iter().copied().collect();
-        required.retain(|host| leaves(host) && named.contains(host));
-        for host in named.iter().filter(|host| leaves(host)) {
+        required.retain(|host| requires_exclusion(host) && listed_hosts.contains(host));
+        for host in listed_hosts.iter().filter(|host| requires_exclusion(host)) {
             let mut tables = self.slices.values().filter(|table| table.contains(host));
-            if tables.all(|table| self.keeps_another(table, host, &required)) {
+            if tables.all(|table| self.has_other_host(table, host, &required)) {
                 required.insert(*host);
             }
         }
         required
     }
 
-    fn must_be_left(&self, host: &HostId, binding_removal: bool) -> bool {
+    fn requires_exclusion(&self, host: &HostId, exclude_gone: bool) -> bool {
         match self.phases.get(host) {
             Some(Phase::Draining) => true,
-            Some(Phase::Gone) => binding_removal,
+            Some(Phase::Gone) => exclude_gone,
             _ => false,
         }
     }
 
     /// Whether a table has another host that is neither excluded nor gone.
-    fn keeps_another(&self, table: &[HostId], host: &HostId, excluded: &BTreeSet<HostId>) -> bool {
+    fn has_other_host(&self, table: &[HostId], host: &HostId, excluded: &BTreeSet<HostId>) -> bool {
         let is_gone = |other: &HostId| self.phases.get(other) == Some(&Phase::Gone);
         table.iter().any(|other| other != host && !excluded.contains(other) && !is_gone(other))
     }
--- a/crates/railhub-controller/src/report_aggregator.rs
+++ b/crates/railhub-controller/src/report_aggregator.rs
@@ -30,9 +30,9 @@
     success_time: Seconds,
     utilization: Option<f64>,
     /// The aggregator's covered time at the last flush before the first report.
-    covered_before: Seconds,
+    covered_time_before: Seconds,
     /// Number of flushes before the first report.
-    since_flush: u64,
+    flushes_before: u64,
 }
 
 /// Totals that have not been passed to the decision engine yet.
@@ -40,9 +40,9 @@
 pub struct ReportAggregator {
     totals: BTreeMap<TotalKey, Total>,
     /// Seconds that reports have covered since the start, averaged over the proxies.
-    covered: Seconds,
-    /// `covered` at the last flush: a total that begins after it covers no earlier time.
-    covered_at_flush: Seconds,
+    covered_time: Seconds,
+    /// `covered_time` at the last flush: a total that begins after it covers no earlier time.
+    covered_time_at_flush: Seconds,
     flushes: u64,
     /// Totals that may be passed on now.
     allowance: f64,
@@ -53,7 +53,7 @@
 impl ReportAggregator {
     /// Adds a report from one of `proxies` joined proxies.
     pub fn add(&mut self, zone: ZoneId, report: &LoadReport, proxies: usize) {
-        self.covered += report.span / proxies.max(1) as f64;
+        self.covered_time += report.span / proxies.max(1) as f64;
         for load in &report.hosts {
             let Some(host) = HostId::new(&load.host) else { continue };
             let Some(total) = self.total(TotalKey::Host(zone, host)) else { continue };
@@ -75,8 +75,11 @@
             self.dropped += 1;
             return None;
         }
-        let empty =
-            Total { since_flush: self.flushes, covered_before: self.covered_at_flush, ..Total::default() };
+        let empty = Total {
+            flushes_before: self.flushes,
+            covered_time_before: self.covered_time_at_flush,
+            ..Total::default()
+        };
         Some(self.totals.entry(key).or_insert(empty))
     }
 
@@ -96,7 +99,7 @@
             }
             self.allowance -= 1.0;
             let Some(total) = self.totals.remove(&key) else { continue };
-            let span = (self.covered - total.covered_before).max(MIN_SPAN);
+            let span = (self.covered_time - total.covered_time_before).max(MIN_SPAN);
             match key {
                 TotalKey::Host(zone, host) => hosts.push(host_report(zone, host, &total, span)),
                 TotalKey::Slice(slice, class) => {
@@ -105,13 +108,13 @@
             }
         }
         self.flushes += 1;
-        self.covered_at_flush = self.covered;
+        self.covered_time_at_flush = self.covered_time;
         (hosts, slices)
     }
 
     fn oldest_first(&self) -> Vec<TotalKey> {
         let mut order: Vec<(u64, TotalKey)> = Vec::with_capacity(self.totals.len());
-        order.extend(self.totals.iter().map(|(key, total)| (total.since_flush, *key)));
+        order.extend(self.totals.iter().map(|(key, total)| (total.flushes_before, *key)));
         order.sort();
         order.into_iter().map(|(_, key)| key).collect()
     }
--- a/crates/railhub-controller/src/service.rs
+++ b/crates/railhub-controller/src/service.rs
@@ -147,12 +147,12 @@
     inbox: &Arc<Inbox>,
     leases: Option<Arc<LeaseTable>>,
 ) -> Result<Listener, StartError> {
-    let terms = &settings.config;
+    let config = &settings.config;
     let limits = StreamLimits {
         subscribe_timeout: settings.subscribe_timeout,
         idle_timeout: settings.idle_timeout,
         max_streams: settings.max_streams,
-        quota: MessageQuota { max_messages: terms.message_quota, window: terms.message_quota_window },
+        quota: MessageQuota { max_messages: config.message_quota, window: config.message_quota_window },
     };
     let server = Arc::new(StreamServer::new(limits, inbox.clone(), leases));
     let listener = Listener::open(settings.listen, move |connection, _| server.serve(connection));
--- a/crates/railhub-controller/src/settings.rs
+++ b/crates/railhub-controller/src/settings.rs
@@ -76,16 +76,16 @@
             section.reject_unread_keys()?;
             class_names.push(name[CLASS_PREFIX.len()..].trim().to_owned());
         }
-        let (steward, limits) = (document.section("steward"), document.section("limits"));
+        let (controller, limits) = (document.section("steward"), document.section("limits"));
         if classes.is_empty() || classes.len() > MAX_CLASSES {
-            return Err(steward
+            return Err(controller
                 .diagnostic("", format!("has {} classes, 1 to {MAX_CLASSES} are needed", classes.len())));
         }
         let settings = ControllerSettings {
-            listen: steward.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
-            endpoint_list: steward.required("roster")?,
-            store: steward.text("store").map(|_| steward.required("store")).transpose()?,
-            config: controller_config(&steward, &limits, classes)?,
+            listen: controller.value_or("listen", SocketAddr::from(([127, 0, 0, 1], 0)))?,
+            endpoint_list: controller.required("roster")?,
+            store: controller.text("store").map(|_| controller.required("store")).transpose()?,
+            config: controller_config(&controller, &limits, classes)?,
             class_names,
             max_reports_per_second: limits.in_range("reports_a_second", 800.0, 1.0, 1e6)?,
             health_check_timeout: limits.in_range("probe_within", 0.4, 0.001, 60.0)?,
@@ -93,12 +93,12 @@
             response_timeout: limits.in_range("stuck_after", 10.0, 0.1, 3600.0)?,
             subscribe_timeout: limits.in_range("first_within", 5.0, 0.01, 3600.0)?,
             idle_timeout: limits.in_range("silent_after", 10.0, 0.1, 3600.0)?,
-            traffic: steward.text("traffic").map(PathBuf::from),
+            traffic: controller.text("traffic").map(PathBuf::from),
             membership: MembershipSettings::read(document)?,
             max_streams: limits.in_range("streams_most", DEFAULT_MAX_STREAMS as f64, 1.0, 65_535.0)? as usize,
         };
         settings.check_store(document)?;
-        steward.reject_unread_keys()?;
+        controller.reject_unread_keys()?;
         limits.reject_unread_keys()?;
         Ok(settings)
     }
@@ -107,10 +107,9 @@
     fn check_store(&self, document: &Document) -> Result<(), Diagnostic> {
         let has_slices = self.config.slice_count > 0;
         if has_slices != self.store.is_some() {
-            let steward = document.section("steward");
-            return Err(
-                steward.diagnostic("store", "is required with slices over 0, and not allowed without slices")
-            );
+            let controller = document.section("steward");
+            return Err(controller
+                .diagnostic("store", "is required with slices over 0, and not allowed without slices"));
         }
         if self.shares_slices() && !has_slices {
             return Err(document
@@ -122,19 +121,19 @@
 }
 
 fn controller_config(
-    steward: &Section,
+    controller: &Section,
     limits: &Section,
     classes: Vec<ClassConfig>,
 ) -> Result<ControllerConfig, Diagnostic> {
     Ok(ControllerConfig {
         classes,
-        slice_count: steward.in_range("slices", 0.0, 0.0, 65_534.0)? as u16,
-        single_owner: steward.flag("single_owner", false)?,
+        slice_count: controller.in_range("slices", 0.0, 0.0, 65_534.0)? as u16,
+        single_owner: controller.flag("single_owner", false)?,
         write_lease: limits.in_range("write_lease", 10.0, 0.0, 3600.0)?,
         max_write_duration: limits.in_range("write_life", 10.0, 0.0, 3600.0)?,
-        health_checks_allowed: steward.flag("probes", true)?,
-        delisted_may_serve: !steward.flag("removal_binds", true)?,
-        admission_by_fraction: steward.flag("levels", true)?,
+        health_checks_allowed: controller.flag("probes", true)?,
+        delisted_may_serve: !controller.flag("removal_binds", true)?,
+        admission_by_fraction: controller.flag("levels", true)?,
         cold_capacity_fraction: limits.in_range("cold_from", 1.0, 0.0, 1.0)?,
         warm_up_time: limits.in_range("warm_within", 0.0, 0.0, 86_400.0)?,
         overload_multiple: limits.in_range("fall_multiple", 2.5, 0.1, 1000.0)?,
--- a/crates/railhub-controller/src/snapshot_admission.rs
+++ b/crates/railhub-controller/src/snapshot_admission.rs
@@ -5,10 +5,10 @@
 /// share counts the same lines only once they are acknowledged.
 const SNAPSHOT_BACKLOG_FRACTION: f64 = 0.5;
 
-/// Whether a snapshot of `snapshot` lines may be sent while `waiting` lines are in the backlog. It always may if the
+/// Whether a snapshot of `snapshot_lines` may be sent while `waiting_lines` are in the backlog. It always may if the
 /// backlog is empty: a snapshot larger than the fraction must not keep a proxy from joining forever.
-pub fn snapshot_fits(waiting: f64, snapshot: f64, backlog: f64) -> bool {
-    waiting <= 0.0 || waiting + snapshot <= backlog * SNAPSHOT_BACKLOG_FRACTION
+pub fn snapshot_fits(waiting_lines: f64, snapshot_lines: f64, backlog_limit: f64) -> bool {
+    waiting_lines <= 0.0 || waiting_lines + snapshot_lines <= backlog_limit * SNAPSHOT_BACKLOG_FRACTION
 }
 
 #[cfg(test)]
--- a/crates/railhub-controller/src/stream_handle.rs
+++ b/crates/railhub-controller/src/stream_handle.rs
@@ -19,7 +19,7 @@
 struct HandleState {
     queue: DeltaQueue,
     /// The reason to send before the stream is closed; `None` while it stays open.
-    goodbye: Option<String>,
+    close_reason: Option<String>,
 }
 
 /// The next action of a stream's writer.
@@ -32,21 +32,21 @@
 
 impl StreamHandle {
     pub(crate) fn new(quota: MessageQuota, leases: Option<Arc<LeaseTable>>) -> StreamHandle {
-        let state = HandleState { queue: DeltaQueue::new(quota), goodbye: None };
+        let state = HandleState { queue: DeltaQueue::new(quota), close_reason: None };
         StreamHandle { state: Mutex::new(state), wake: Semphore::new(0), leases }
     }
 
     /// Makes the writer close the stream. The reason is sent if the proxy still reads; only the first one is kept.
-    pub(crate) fn end(&self, reason: &str) {
+    pub(crate) fn request_close(&self, reason: &str) {
         self.with_state(|state| {
-            state.goodbye.get_or_insert_with(|| reason.to_owned());
+            state.close_reason.get_or_insert_with(|| reason.to_owned());
         });
         self.wake();
     }
 
     /// The writer's next action.
     pub(crate) fn next_action(&self, now: Seconds) -> StreamAction {
-        self.with_state(|state| match &state.goodbye {
+        self.with_state(|state| match &state.close_reason {
             Some(reason) => StreamAction::Close(reason.clone()),
             None => StreamAction::Continue(state.queue.next_action(now)),
         })
@@ -115,6 +115,6 @@
     }
 
     fn close(&self, reason: CloseReason) {
-        self.end(&reason.to_string());
+        self.request_close(&reason.to_string());
     }
 }
--- a/crates/railhub-controller/src/stream_server.rs
+++ b/crates/railhub-controller/src/stream_server.rs
@@ -24,7 +24,7 @@
 /// Seconds within which a goodbye must be sent.
 const GOODBYE_TIMEOUT: Seconds = 0.2;
 /// The reason for closing a stream whose reader stopped without giving one.
-const STREAM_ENDED: &str = "stream reader stopped";
+const READER_STOPPED: &str = "stream reader stopped";
 
 /// Limits of streams.
 #[derive(Clone, Copy, Debug)]
@@ -88,24 +88,24 @@
         let proxy = ProxyId(subscribe.proxy as u16);
         let zone = ZoneId(subscribe.zone as u16);
         let handle = Arc::new(StreamHandle::new(self.limits.quota, self.leases.clone()));
-        let _end_of_writer = EndOfWriter(handle.clone());
-        let of_writer = handle.clone();
-        spawn(move || write(writer, &of_writer));
+        let _close_on_drop = CloseOnDrop(handle.clone());
+        let writer_handle = handle.clone();
+        spawn(move || run_writer(writer, &writer_handle));
         self.inbox.send(OwnerEvent::Subscribed { stream, subscribe, handle: handle.clone() });
         reader.set_idle_timeout(Some(self.limits.idle_timeout));
         let session = SessionReader { stream, proxy, zone, inbox: &self.inbox };
         let error = session.run(&mut reader);
-        handle.end(&error.to_string());
+        handle.request_close(&error.to_string());
         self.inbox.send(OwnerEvent::Disconnected { stream, proxy, error });
     }
 }
 
 /// Stops the writer when dropped, so that the reader stops it even by a panic.
-struct EndOfWriter(Arc<StreamHandle>);
+struct CloseOnDrop(Arc<StreamHandle>);
 
-impl Drop for EndOfWriter {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
-        self.0.end(STREAM_ENDED);
+        self.0.request_close(READER_STOPPED);
     }
 }
 
@@ -149,10 +149,10 @@
         let message: FromProxy = reader.receive()?;
         match message.payload {
             Some(from_proxy::Payload::Ack(ack)) => {
-                self.respond(ack.nonce, DeltaResponse::Ack, String::new());
+                self.forward_response(ack.nonce, DeltaResponse::Ack, String::new());
             }
             Some(from_proxy::Payload::Nack(nack)) => {
-                self.respond(nack.nonce, DeltaResponse::Nack, nack.reason);
+                self.forward_response(nack.nonce, DeltaResponse::Nack, nack.reason);
             }
             Some(from_proxy::Payload::LoadReport(report)) => {
                 validate(&report)?;
@@ -165,14 +165,14 @@
         Ok(())
     }
 
-    fn respond(&self, nonce: u64, response: DeltaResponse, reason: String) {
+    fn forward_response(&self, nonce: u64, response: DeltaResponse, reason: String) {
         let (stream, proxy) = (self.stream, self.proxy);
         self.inbox.send(OwnerEvent::DeltaResponse { stream, proxy, nonce, response, reason });
     }
 }
 
 /// Sends the deltas of the queue until the stream ends. Holds no lock while it sends.
-fn write(mut writer: FrameWriter, handle: &Arc<StreamHandle>) {
+fn run_writer(mut writer: FrameWriter, handle: &Arc<StreamHandle>) {
     loop {
         let action = match handle.next_action(now()) {
             StreamAction::Close(reason) => return send_goodbye(&mut writer, &reason),
--- a/crates/railhub-controller/src/tables.rs
+++ b/crates/railhub-controller/src/tables.rs
@@ -64,9 +64,9 @@
     /// Removes slices that are not under lease from a change, and sets the epochs of the others.
     pub fn stamp_epochs(&self, change: &mut Change) {
         change.retain_slices(|slice| self.epochs.contains_key(&slice));
-        let named = change.slices();
-        let of_named = self.epochs.iter().filter(|(slice, _)| named.contains(slice));
-        change.epochs = of_named.map(|(slice, epoch)| (*slice, *epoch)).collect();
+        let changed_slices = change.slices();
+        let lease_epochs = self.epochs.iter().filter(|(slice, _)| changed_slices.contains(slice));
+        change.epochs = lease_epochs.map(|(slice, epoch)| (*slice, *epoch)).collect();
     }
 
     /// Applies a change and returns the new version.
@@ -138,8 +138,8 @@
     /// The changes that a proxy at this version lacks; `None` if the log does not go back that far or the version is in
     /// the future.
     pub fn changes_since(&self, version: u64) -> Option<Change> {
-        let lacking = usize::try_from(self.version.checked_sub(version)?).ok()?;
-        let first = self.log.len().checked_sub(lacking)?;
+        let missing = usize::try_from(self.version.checked_sub(version)?).ok()?;
+        let first = self.log.len().checked_sub(missing)?;
         let mut merged = Change::default();
         for change in self.log.range(first..) {
             merged.merge(change);
--- a/crates/railhub-controller/src/traffic_writer.rs
+++ b/crates/railhub-controller/src/traffic_writer.rs
@@ -27,7 +27,7 @@
 pub struct TrafficWriter {
     rows: Option<SyncSender<Rows>>,
     thread: Option<JoinHandle<()>>,
-    began: Seconds,
+    started_at: Seconds,
     classes: usize,
     slices: u32,
     /// Reports that were not recorded.
@@ -53,15 +53,15 @@
         };
         let classes = header.classes.len();
         let file_error = |error| TraceError::Io { file: path.display().to_string(), error };
-        let writer = open(path, &header).map_err(file_error)?;
+        let writer = create_file(path, &header).map_err(file_error)?;
         let (sender, receiver) = sync_channel(MAX_PENDING_REPORTS);
         let thread = std::thread::spawn(move || {
-            if let Err(error) = write(writer, &receiver) {
+            if let Err(error) = write_rows(writer, &receiver) {
                 tracing::error!(%error, "traffic recording stopped");
             }
         });
         let (rows, thread) = (Some(sender), Some(thread));
-        Ok(Some(TrafficWriter { rows, thread, began: now, classes, slices, dropped: 0 }))
+        Ok(Some(TrafficWriter { rows, thread, started_at: now, classes, slices, dropped: 0 }))
     }
 
     /// Records a report.
@@ -70,7 +70,7 @@
             self.dropped += 1;
             return;
         }
-        let at = (now - self.began).max(0.0);
+        let at = (now - self.started_at).max(0.0);
         let span = report.span.clamp(0.0, at);
         let mut rows = Rows::new();
         for load in report.slices.iter().filter(|load| self.is_recorded(load)) {
@@ -86,8 +86,8 @@
                 span,
             });
         }
-        let is_lost = self.rows.as_ref().is_some_and(|sender| sender.try_send(rows).is_err());
-        self.dropped += u64::from(is_lost);
+        let is_dropped = self.rows.as_ref().is_some_and(|sender| sender.try_send(rows).is_err());
+        self.dropped += u64::from(is_dropped);
     }
 
     /// Whether the class and slice are known and there is something to record.
@@ -105,7 +105,7 @@
     }
 }
 
-fn open(path: &Path, header: &TraceHeader) -> std::io::Result<TraceWriter<BufWriter<File>>> {
+fn create_file(path: &Path, header: &TraceHeader) -> std::io::Result<TraceWriter<BufWriter<File>>> {
     move_earlier_file(path)?;
     let file = File::create(path)?;
     TraceWriter::start(BufWriter::new(file), header)
@@ -116,21 +116,21 @@
     if !path.exists() {
         return Ok(());
     }
-    let free = (1..MAX_EARLIER_FILES).map(|number| numbered(path, number)).find(|name| !name.exists());
+    let free = (1..MAX_EARLIER_FILES).map(|number| numbered_path(path, number)).find(|name| !name.exists());
     let too_many = format!("{MAX_EARLIER_FILES} earlier files are kept beside it: move some away");
     std::fs::rename(path, free.ok_or(std::io::Error::other(too_many))?)
 }
 
-fn numbered(path: &Path, number: u32) -> PathBuf {
+fn numbered_path(path: &Path, number: u32) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{number}"));
     PathBuf::from(name)
 }
 
 /// Writes rows until their sender is dropped, then finishes the file.
-fn write(mut writer: TraceWriter<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
-    let began = Instant::now();
-    let mut flushed_at = began;
+fn write_rows(mut writer: TraceWriter<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
+    let started_at = Instant::now();
+    let mut flushed_at = started_at;
     loop {
         match rows.recv_timeout(FLUSH_INTERVAL) {
             Ok(rows) => {
@@ -140,7 +140,7 @@
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => {
-                writer.finish(began.elapsed().as_secs_f64())?;
+                writer.finish(started_at.elapsed().as_secs_f64())?;
                 return Ok(());
             }
         }
