--- a/crates/railhub-controller/src/expired_slices/tests.rs
+++ b/crates/railhub-controller/src/expired_slices/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use railhub::{EndpointEntry, KindId};
 
-fn host(n: u16) -> HostId {
-    HostId::new(&format!("127.0.0.1:{}", 9000 + n)).expect("a name")
+fn host(number: u16) -> HostId {
+    HostId::new(&format!("127.0.0.1:{}", 9000 + number)).expect("valid host name")
 }
 
 fn list(phases: &[(u16, Phase)]) -> EndpointList {
-    let entry = |(n, phase): &(u16, Phase)| EndpointEntry {
-        host: host(*n),
+    let entry = |(number, phase): &(u16, Phase)| EndpointEntry {
+        host: host(*number),
         phase: *phase,
         started_at: None,
         weight: 1.0,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_host_that_drains_is_left_once_and_let_in_when_the_slice_is_settled() {
+fn excludes_a_draining_host_until_the_slice_is_leased_again() {
     let (mut expired, by_decisions) = (ExpiredSlices::default(), BTreeSet::new());
     expired.on_endpoint_list(&list(&[(1, Phase::Ready), (2, Phase::Ready)]));
     expired.add(SliceId(4), vec![host(1), host(2)]);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn of_two_that_drain_the_first_is_left_and_the_last_of_a_slice_is_not() {
+fn keeps_the_last_host_of_a_slice() {
     let (mut expired, by_decisions) = (ExpiredSlices::default(), BTreeSet::new());
     expired.on_endpoint_list(&list(&[(1, Phase::Draining), (2, Phase::Ready), (3, Phase::Ready)]));
     expired.add(SliceId(1), vec![host(1), host(2)]);
@@ -39,7 +39,7 @@
     expired.on_endpoint_list(&list(&[(2, Phase::Draining)]));
     assert!(
         expired.update_exclusions(false, &by_decisions).is_empty(),
-        "slice 1 would have none, and the first stays out"
+        "excluding host 2 would leave slice 1 without hosts; host 1 stays excluded"
     );
     expired.remove(SliceId(1));
     assert!(expired.update_exclusions(false, &by_decisions).is_empty() && expired.excludes(&host(1)));
--- a/crates/railhub-controller/src/report_aggregator/tests.rs
+++ b/crates/railhub-controller/src/report_aggregator/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
 use railhub_proto::{HostLoad, SliceLoad};
 
-fn report(span: f64, tries: u32) -> LoadReport {
+fn report(span: f64, attempts: u32) -> LoadReport {
     let host = "127.0.0.1:8000".to_owned();
     let hosts = vec![HostLoad {
         host,
-        attempts: tries,
+        attempts,
         failed: 0,
-        success_time: 0.1 * f64::from(tries),
+        success_time: 0.1 * f64::from(attempts),
         utilization: None,
     }];
-    LoadReport { span, hosts, slices: vec![SliceLoad { slice: 3, class: 0, operations: tries }] }
+    LoadReport { span, hosts, slices: vec![SliceLoad { slice: 3, class: 0, operations: attempts }] }
 }
 
 #[test]
-fn rates_hold_when_reports_come_late_and_in_heaps() {
-    // Ten proxies of 5 tries a second each; for a while nothing comes, then all at once.
+fn rates_stay_correct_when_reports_are_delayed() {
+    // Ten proxies with 5 attempts per second each. For 4 s no report arrives, then the next ones cover 5 s each.
     let mut aggregator = ReportAggregator::default();
     let (mut operations, mut span) = (0.0, 0.0);
     for second in 0..30 {
         let reports = if (10..14).contains(&second) { 0 } else { 10 };
-        let held = if second == 14 { 5.0 } else { 1.0 };
+        let covered = if second == 14 { 5.0 } else { 1.0 };
         for _ in 0..reports {
-            aggregator.add(ZoneId(0), &report(held, (5.0 * held) as u32), 10);
+            aggregator.add(ZoneId(0), &report(covered, (5.0 * covered) as u32), 10);
         }
-        for sum in aggregator.flush(1.0, 100.0).1 {
-            operations += sum.operations;
-            span += sum.span;
+        for total in aggregator.flush(1.0, 100.0).1 {
+            operations += total.operations;
+            span += total.span;
         }
     }
     let rate = operations / span;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn past_the_limit_the_oldest_go_first_and_nothing_is_lost() {
+fn passes_on_the_oldest_totals_first_and_loses_none() {
     let mut aggregator = ReportAggregator::default();
     for slice in 0..50u32 {
         let demand = vec![SliceLoad { slice, class: 0, operations: 2 }];
@@ -44,8 +44,8 @@
             assert!(aggregator.flush(0.0, 10.0).1.is_empty());
         }
     }
-    let first: Vec<u16> = aggregator.flush(1.0, 10.0).1.iter().map(|sum| sum.slice.0).collect();
+    let first: Vec<u16> = aggregator.flush(1.0, 10.0).1.iter().map(|total| total.slice.0).collect();
     assert_eq!(first, (0..10).collect::<Vec<_>>());
-    let rest: f64 = (0..10).flat_map(|_| aggregator.flush(1.0, 10.0).1).map(|sum| sum.operations).sum();
+    let rest: f64 = (0..10).flat_map(|_| aggregator.flush(1.0, 10.0).1).map(|total| total.operations).sum();
     assert_eq!(rest, 80.0);
 }
--- a/crates/railhub-controller/src/settings/tests.rs
+++ b/crates/railhub-controller/src/settings/tests.rs
@@ -5,36 +5,40 @@
     [class pay]\ncontract_time = 1.2\ngain = 2\n";
 
 fn read(text: &str) -> Result<ControllerSettings, String> {
-    ControllerSettings::read(&Document::parse("s.ini", text).expect("readable")).map_err(|e| e.to_string())
+    ControllerSettings::read(&Document::parse("s.ini", text).expect("valid syntax"))
+        .map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_file_becomes_terms_in_its_order_of_classes() {
-    let read = read(TEXT).expect("right");
-    assert_eq!(read.class_names, ["view", "pay"]);
-    assert_eq!((read.config.slice_count, read.config.backlog_limit), (40, 9000.0));
-    assert_eq!(read.config.classes[1].idempotency, Idempotency::Never);
+fn reads_settings_with_classes_in_file_order() {
+    let settings = read(TEXT).expect("valid settings");
+    assert_eq!(settings.class_names, ["view", "pay"]);
+    assert_eq!((settings.config.slice_count, settings.config.backlog_limit), (40, 9000.0));
+    assert_eq!(settings.config.classes[1].idempotency, Idempotency::Never);
 }
 
 #[test]
-fn what_is_wrong_is_named_with_its_line() {
-    let fault = |from: &str, to: &str| read(&TEXT.replace(from, to)).expect_err("wrong");
+fn errors_name_the_key_and_line() {
+    let error = |from: &str, to: &str| read(&TEXT.replace(from, to)).expect_err("invalid settings");
     assert_eq!(
-        fault("slices = 40", "slice = 40"),
+        error("slices = 40", "slice = 40"),
         "s.ini:3: [steward] store is required with slices over 0, and not allowed without slices"
     );
-    assert_eq!(fault("backlog", "backlogs"), "s.ini:6: [limits] backlogs is not known");
+    assert_eq!(error("backlog", "backlogs"), "s.ini:6: [limits] backlogs is not known");
     assert_eq!(
-        fault("repeats = safe", "repeats = often"),
+        error("repeats = safe", "repeats = often"),
         "s.ini:9: [class view] repeats cannot be 'often': safe, keyed, keyed nearby or never"
     );
-    let fleet = |keys: &str| read(&format!("{TEXT}[fleet]\n{keys}")).expect_err("wrong");
-    assert_eq!(fleet("id = 1\n"), "s.ini:13: [fleet] installation is missing");
-    let named = "id = 1\ninstallation = shop\n";
+    let fleet_error = |keys: &str| read(&format!("{TEXT}[fleet]\n{keys}")).expect_err("invalid settings");
+    assert_eq!(fleet_error("id = 1\n"), "s.ini:13: [fleet] installation is missing");
+    let required = "id = 1\ninstallation = shop\n";
     assert_eq!(
-        fleet(&format!("{named}join = here\n")),
+        fleet_error(&format!("{required}join = here\n")),
         "s.ini:16: [fleet] join cannot be 'here': addresses are needed"
     );
-    assert_eq!(fleet(&format!("{named}jion = 127.0.0.1:1\n")), "s.ini:16: [fleet] jion is not known");
-    assert!(fault("contract_time = 0.8\n", "").contains("[class view] contract_time is missing"));
+    assert_eq!(
+        fleet_error(&format!("{required}jion = 127.0.0.1:1\n")),
+        "s.ini:16: [fleet] jion is not known"
+    );
+    assert!(error("contract_time = 0.8\n", "").contains("[class view] contract_time is missing"));
 }
--- a/crates/railhub-controller/src/tables/tests.rs
+++ b/crates/railhub-controller/src/tables/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 use proptest::prelude::*;
 
-pub fn host(n: u16) -> HostId {
-    HostId::new(&format!("127.0.0.1:{}", 8000 + n)).expect("a name")
+pub fn host(number: u16) -> HostId {
+    HostId::new(&format!("127.0.0.1:{}", 8000 + number)).expect("valid host name")
 }
 
-fn change(lines: &[(u16, u16, u8)], clears: &[u16]) -> Change {
+fn change(lines: &[(u16, u16, u8)], cleared: &[u16]) -> Change {
     Change {
-        cleared: clears.iter().map(|slice| SliceId(*slice)).collect(),
+        cleared: cleared.iter().map(|slice| SliceId(*slice)).collect(),
         lines: (lines.iter())
-            .map(|(slice, at, weight)| ((SliceId(*slice), host(*at)), f64::from(*weight)))
+            .map(|(slice, number, weight)| ((SliceId(*slice), host(*number)), f64::from(*weight)))
             .collect(),
         ..Change::default()
     }
 }
 
-/// What a proxy does with a change.
-fn follow(held: &mut BTreeMap<(SliceId, HostId), f64>, change: &Change) {
+/// Applies a change as a proxy does.
+fn apply_as_proxy(held: &mut BTreeMap<(SliceId, HostId), f64>, change: &Change) {
     held.retain(|(slice, _), _| !change.cleared.contains(slice));
     for (key, weight) in &change.lines {
         if *weight > 0.0 {
@@ -27,6 +27,7 @@
     }
 }
 
+/// Lines of a change (slice, host, weight) and its cleared slices.
 type Step = (Vec<(u16, u16, u8)>, Vec<u16>);
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -36,52 +37,52 @@
 
 proptest! {
     #[test]
-    fn whole_since_and_one_by_one_end_alike(steps in steps(), left_at in 0..20usize) {
+    fn snapshot_changes_since_and_single_changes_agree(steps in steps(), disconnect_step in 0..20usize) {
         let mut tables = Tables::default();
-        let (mut by_one, mut away) = (BTreeMap::new(), BTreeMap::new());
-        let mut away_at = 0;
-        for (place, (lines, clears)) in steps.iter().enumerate() {
-            let change = change(lines, clears);
+        let (mut connected, mut reconnected) = (BTreeMap::new(), BTreeMap::new());
+        let mut version_at_disconnect = 0;
+        for (step, (lines, cleared)) in steps.iter().enumerate() {
+            let change = change(lines, cleared);
             tables.apply(Arc::new(change.clone()));
-            follow(&mut by_one, &change);
-            if place <= left_at {
-                follow(&mut away, &change);
-                away_at = tables.version;
+            apply_as_proxy(&mut connected, &change);
+            if step <= disconnect_step {
+                apply_as_proxy(&mut reconnected, &change);
+                version_at_disconnect = tables.version;
             }
         }
-        let mut fresh = BTreeMap::from([((SliceId(9), host(1)), 1.0)]);
-        follow(&mut fresh, &tables.snapshot());
-        fresh.remove(&(SliceId(9), host(1)));
-        prop_assert_eq!(&fresh, &by_one);
-        follow(&mut away, &tables.changes_since(away_at).expect("kept"));
-        prop_assert_eq!(&away, &by_one);
+        let mut joined = BTreeMap::from([((SliceId(9), host(1)), 1.0)]);
+        apply_as_proxy(&mut joined, &tables.snapshot());
+        joined.remove(&(SliceId(9), host(1)));
+        prop_assert_eq!(&joined, &connected);
+        apply_as_proxy(&mut reconnected, &tables.changes_since(version_at_disconnect).expect("in the log"));
+        prop_assert_eq!(&reconnected, &connected);
     }
 
     #[test]
-    fn a_change_held_back_does_not_undo_later_ones(steps in steps()) {
-        // The first change was refused, all others were taken in; then it is sent again without what
-        // they say.
-        let mut refused = change(&steps[0].0, &steps[0].1);
-        refused.cleared.clear();
+    fn resent_change_does_not_undo_later_ones(steps in steps()) {
+        // The first change was rejected and all others were applied; then it is sent again without the values that
+        // they supersede.
+        let mut rejected = change(&steps[0].0, &steps[0].1);
+        rejected.cleared.clear();
         let mut held = BTreeMap::new();
-        let mut right = BTreeMap::new();
-        follow(&mut right, &refused);
+        let mut expected = BTreeMap::new();
+        apply_as_proxy(&mut expected, &rejected);
         for (lines, _) in &steps[1..] {
             let later = change(lines, &[]);
-            refused.remove_superseded(&later);
-            follow(&mut held, &later);
-            follow(&mut right, &later);
+            rejected.remove_superseded(&later);
+            apply_as_proxy(&mut held, &later);
+            apply_as_proxy(&mut expected, &later);
         }
-        follow(&mut held, &refused);
-        prop_assert_eq!(held, right);
+        apply_as_proxy(&mut held, &rejected);
+        prop_assert_eq!(held, expected);
     }
 }
 
 #[test]
-fn a_version_that_is_too_old_or_not_ours_is_not_known() {
+fn changes_since_a_too_old_or_future_version_are_unknown() {
     let mut tables = Tables::default();
-    for n in 0..MAX_LOGGED_CHANGES as u16 + 5 {
-        tables.apply(Arc::new(change(&[(1, n % 4, 1)], &[])));
+    for step in 0..MAX_LOGGED_CHANGES as u16 + 5 {
+        tables.apply(Arc::new(change(&[(1, step % 4, 1)], &[])));
     }
     assert!(tables.changes_since(4).is_none());
     assert!(tables.changes_since(tables.version + 1).is_none());
