--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -1,6 +1,7 @@
-//! What streams cost, as ratios within one run: `cargo bench -p railhub-controller`.
+//! Benchmarks of the streams to proxies: fan-out of a delta, memory per proxy and timer delay. Run by
+//! `cargo bench -p railhub-controller`. The fan-out is given as ratios within one run.
 //!
-//! The controller runs as a process of its own (this binary, started anew); peers are coroutines here, which read
+//! The controller runs in a child process (this binary again). The proxies are coroutines in this process, which read
 //! frames and acknowledge them without applying them.
 use may::net::TcpStream;
 use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, DRAINING, READY};
@@ -22,30 +23,33 @@
 
 use bare_sockets::{run_bare_sockets, BareSockets};
 
-const CHILD: &str = "RAILHUB_BENCH_STEWARD";
-const BARE: &str = "RAILHUB_BENCH_BARE";
+/// Environment variable with the settings of the controller that a child process runs.
+const CONTROLLER_ENV: &str = "RAILHUB_BENCH_CONTROLLER";
+/// Environment variable with the number of bare sockets that a child process serves.
+const BARE_SOCKETS_ENV: &str = "RAILHUB_BENCH_BARE_SOCKETS";
+/// Slices in the benchmarks of fan-out and timer delay.
 const SLICES: u32 = 975;
 
 fn main() {
     railhub_net::start_runtime();
-    if let Ok(conf) = std::env::var(CHILD) {
-        return run_controller(&conf);
+    if let Ok(settings) = std::env::var(CONTROLLER_ENV) {
+        return run_controller(&settings);
     }
-    if let Ok(sockets) = std::env::var(BARE) {
-        return run_bare_sockets(sockets.parse().expect("a number"));
+    if let Ok(sockets) = std::env::var(BARE_SOCKETS_ENV) {
+        return run_bare_sockets(sockets.parse().expect("a number of sockets"));
     }
-    let cores = std::thread::available_parallelism().map_or(0, |n| n.get());
+    let cores = std::thread::available_parallelism().map_or(0, |cores| cores.get());
     println!("loopback, {cores} cores, both ends on one machine");
     fan_out();
-    memory();
-    lateness();
+    memory_per_proxy();
+    timer_delay();
 }
 
-/// The controller's process: prints its address, then its figures for each line that it reads.
-fn run_controller(conf: &str) {
-    let document = railhub_ini::Document::parse("bench", conf).expect("readable");
+/// Runs the controller in a child process: prints its address, then its figures as JSON for each line that it reads.
+fn run_controller(settings: &str) {
+    let document = railhub_ini::Document::parse("bench", settings).expect("valid syntax");
     let running = railhub_controller::RunningController::start(
-        railhub_controller::ControllerSettings::read(&document).expect("right"),
+        railhub_controller::ControllerSettings::read(&document).expect("valid settings"),
     )
     .expect("loopback");
     println!("{}", running.address);
@@ -57,20 +61,21 @@
     }
 }
 
+/// A controller in a child process, with its endpoint list, hosts and store in this one.
 struct Bench {
     hosts: Vec<ListeningHost>,
-    roster: EndpointList,
+    endpoint_list: EndpointList,
     _store: Store,
     child: Child,
-    asks: ChildStdin,
-    answers: BufReader<ChildStdout>,
+    requests: ChildStdin,
+    responses: BufReader<ChildStdout>,
     address: SocketAddr,
 }
 
 impl Bench {
-    fn start(hosts: usize, slices: u32, stuck_after: f64) -> Bench {
+    fn start(hosts: usize, slices: u32, response_timeout: f64) -> Bench {
         let recorder = railhub_record::Recorder::start(None).expect("in memory");
-        let facts = HostConfig {
+        let config = HostConfig {
             zone: 0,
             kind: 0,
             cores: 4,
@@ -87,7 +92,7 @@
         let open = |_| {
             let classes = Arc::new(Vec::new());
             let host = ListeningHost::open(
-                facts.clone(),
+                config.clone(),
                 classes,
                 SharedSeenOperations::default(),
                 recorder.clone(),
@@ -97,46 +102,51 @@
             host
         };
         let hosts: Vec<ListeningHost> = (0..hosts).map(open).collect();
-        let roster = EndpointList::open(recorder.clone()).expect("loopback");
-        roster.update(hosts.iter().map(|host| entry(host, READY)).collect());
+        let endpoint_list = EndpointList::open(recorder.clone()).expect("loopback");
+        endpoint_list.update(hosts.iter().map(|host| list_entry(host, READY)).collect());
         let owner = |slice: u32| hosts[slice as usize % hosts.len()].host.address;
         let store = Store::open((0..slices).map(|slice| (slice, vec![(owner(slice), 1.0)])).collect());
         let store = store.expect("loopback");
-        let conf = format!(
+        let settings = format!(
             "[steward]\nroster = {}\nstore = {}\nslices = {slices}\nremoval_binds = no\n[limits]\nbacklog = 1e7\n\
-             message_cap = 0\nstuck_after = {stuck_after}\nreports_a_second = 4000\n\
+             message_cap = 0\nstuck_after = {response_timeout}\nreports_a_second = 4000\n\
              [class a]\ncontract_time = 1\nrepeats = safe\n",
-            roster.address, store.address
+            endpoint_list.address, store.address
         );
-        let (child, asks, answers, address) = other_process(CHILD, &conf);
-        Bench { hosts, roster, _store: store, child, asks, answers, address }
+        let (child, requests, responses, address) = start_child(CONTROLLER_ENV, &settings);
+        Bench { hosts, endpoint_list, _store: store, child, requests, responses, address }
     }
 
+    /// The controller's present figures.
     fn figures(&mut self) -> Value {
-        writeln!(self.asks).expect("the steward lives");
+        writeln!(self.requests).expect("the controller runs");
         let mut line = String::new();
-        self.answers.read_line(&mut line).expect("the steward lives");
+        self.responses.read_line(&mut line).expect("the controller runs");
         serde_json::from_str(&line).expect("JSON")
     }
 
-    fn wait(&mut self, what: &str, least: u64) -> Value {
+    /// Waits until a counter of the figures has reached a value, and returns the figures.
+    fn wait_for(&mut self, counter: &str, minimum: u64) -> Value {
         loop {
             let figures = self.figures();
-            if figures[what].as_u64().unwrap_or(0) >= least {
+            if figures[counter].as_u64().unwrap_or(0) >= minimum {
                 return figures;
             }
             std::thread::sleep(seconds(0.02));
         }
     }
 
-    fn list(&self, place: usize, phase: &'static str) -> ListedEndpoint {
-        entry(&self.hosts[place], phase)
+    /// The entry of the endpoint list for the host of this index.
+    fn entry(&self, index: usize, phase: &'static str) -> ListedEndpoint {
+        list_entry(&self.hosts[index], phase)
     }
 
-    fn memory(&self) -> f64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it lives");
-        let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("there");
-        line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).expect("a number")
+    /// Resident memory of the controller's process in KiB.
+    fn resident_kib(&self) -> f64 {
+        let path = format!("/proc/{}/status", self.child.id());
+        let status = std::fs::read_to_string(path).expect("the controller runs");
+        let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS in the status file");
+        line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).expect("a number of KiB")
     }
 }
 
@@ -147,34 +157,36 @@
     }
 }
 
-fn entry(host: &ListeningHost, phase: &'static str) -> ListedEndpoint {
+fn list_entry(host: &ListeningHost, phase: &'static str) -> ListedEndpoint {
     ListedEndpoint { host: host.host.address, phase, started: None, weight: 4.0, kind: 0 }
 }
 
-/// Peers that acknowledge all they are sent.
+/// Proxies that acknowledge every delta without applying it.
 #[derive(Clone, Default)]
-struct Peers {
-    /// Bits of the moment when the last of them acknowledged.
-    last: Arc<AtomicU64>,
-    bytes: Arc<AtomicUsize>,
-    /// The latest frame, as one of them got it.
+struct Proxies {
+    /// Bits of the time of the latest acknowledgement.
+    last_ack_at: Arc<AtomicU64>,
+    /// Length of the latest frame that the proxy with number 1 received.
+    frame_bytes: Arc<AtomicUsize>,
+    /// Body of that frame.
     sample: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Peers {
-    fn join(&self, address: SocketAddr, from: u32, count: u32, report: Option<LoadReport>) -> Vec<Task> {
-        (from..from + count)
+impl Proxies {
+    /// Starts `count` proxies with numbers from `first`. Each sends the load report once per second, if there is one.
+    fn join(&self, address: SocketAddr, first: u32, count: u32, report: Option<LoadReport>) -> Vec<Task> {
+        (first..first + count)
             .map(|number| {
-                let (peers, report) = (self.clone(), report.clone());
-                Task::spawn(move || peers.follow(address, number, report))
+                let (proxies, report) = (self.clone(), report.clone());
+                Task::spawn(move || proxies.run_proxy(address, number, report))
             })
             .collect()
     }
 
-    fn follow(&self, address: SocketAddr, number: u32, report: Option<LoadReport>) {
+    fn run_proxy(&self, address: SocketAddr, number: u32, report: Option<LoadReport>) {
         let mut stream = subscribe(address, number);
         if let Some(report) = report {
-            let mut writer = stream.try_clone().expect("handles left");
+            let mut writer = stream.try_clone().expect("a free file descriptor");
             let report = frame(&FromProxy { payload: Some(from_proxy::Payload::LoadReport(report)) });
             spawn(move || loop {
                 may::coroutine::sleep(seconds(1.0));
@@ -193,14 +205,14 @@
             if stream.read_exact(&mut body).is_err() {
                 return;
             }
-            let Some(nonce) = nonce(&body) else { return };
+            let Some(nonce) = read_nonce(&body) else { return };
             let ack = frame(&FromProxy { payload: Some(from_proxy::Payload::Ack(Ack { nonce })) });
             if stream.write_all(&ack).is_err() {
                 return;
             }
-            self.last.fetch_max(now().to_bits(), Ordering::Relaxed);
+            self.last_ack_at.fetch_max(now().to_bits(), Ordering::Relaxed);
             if number == 1 {
-                self.bytes.store(body.len() + prefix.len(), Ordering::Relaxed);
+                self.frame_bytes.store(body.len() + prefix.len(), Ordering::Relaxed);
                 self.sample.lock().expect("no holder panics").clone_from(&body);
             }
         }
@@ -208,16 +220,16 @@
 }
 
 fn subscribe(address: SocketAddr, number: u32) -> TcpStream {
-    let mut stream = connect(address, seconds(5.0)).expect("it listens");
-    stream.set_nodelay(true).expect("open");
+    let mut stream = connect(address, seconds(5.0)).expect("the controller listens");
+    stream.set_nodelay(true).expect("open stream");
     let subscribe = Subscribe { proxy: number, zone: number % 3, process: 1, incarnation: 0, version: 0 };
     let subscribe = frame(&FromProxy { payload: Some(from_proxy::Payload::Subscribe(subscribe)) });
-    stream.write_all(&subscribe).expect("open");
+    stream.write_all(&subscribe).expect("open stream");
     stream
 }
 
-/// The nonce, first in a delta, without decoding the rest.
-fn nonce(body: &[u8]) -> Option<u64> {
+/// Reads the nonce, the first field of a delta, without decoding the rest. 0 if the message does not begin with one.
+fn read_nonce(body: &[u8]) -> Option<u64> {
     use prost::encoding::{decode_key, decode_varint};
     let mut rest = body;
     decode_key(&mut rest).ok()?;
@@ -235,90 +247,94 @@
     values[values.len() / 2]
 }
 
-/// A delta from decision to the last of 300 acknowledgements, over bare `may` sockets with the same bytes; then the same
-/// with one more proxy that never reads.
+/// Time from the decision on a delta to the last of 300 acknowledgements, as a ratio to bare `may` sockets with frames
+/// of the same length; then the same with one more proxy that never reads, as a ratio to the time without it.
 fn fan_out() {
     let mut ratios = Vec::new();
-    let mut plain = BareSockets::start(300);
-    let (mut free, mut lines) = (Vec::new(), 0);
-    let mut round = |stuck: bool, bare: bool| {
+    let mut bare_sockets = BareSockets::start(300);
+    let (mut times_without_stuck, mut lines) = (Vec::new(), 0);
+    let mut round = |has_stuck_proxy: bool, compares_bare_sockets: bool| {
         let mut bench = Bench::start(110, SLICES, 60.0);
-        let peers = Peers::default();
-        let _dead = stuck.then(|| subscribe(bench.address, 9999));
-        let _tasks = peers.join(bench.address, 0, 300, None);
-        bench.wait("joined", if stuck { 301 } else { 300 });
+        let proxies = Proxies::default();
+        let _stuck_stream = has_stuck_proxy.then(|| subscribe(bench.address, 9999));
+        let _tasks = proxies.join(bench.address, 0, 300, None);
+        bench.wait_for("joined", if has_stuck_proxy { 301 } else { 300 });
         std::thread::sleep(seconds(2.5));
         let mut times = Vec::new();
         for batch in 0..7 {
             let before = bench.figures()["versions"].as_u64().unwrap_or(0);
-            let drained = (batch * 8..(batch + 1) * 8).map(|place| bench.list(place, DRAINING)).collect();
-            bench.roster.update(drained);
-            let figures = bench.wait("versions", before + 1);
-            let sample = peers.sample.lock().expect("no holder panics").clone();
-            let message: FromController = prost::Message::decode(&sample[..]).expect("a message");
+            let draining = (batch * 8..(batch + 1) * 8).map(|index| bench.entry(index, DRAINING)).collect();
+            bench.endpoint_list.update(draining);
+            let figures = bench.wait_for("versions", before + 1);
+            let sample = proxies.sample.lock().expect("no holder panics").clone();
+            let message: FromController = prost::Message::decode(&sample[..]).expect("a valid message");
             let Some(railhub_proto::from_controller::Payload::Delta(delta)) = message.payload else {
                 continue;
             };
             lines = delta.cost();
-            times.push(f64::from_bits(peers.last.load(Ordering::Relaxed)) - delta.ordered_at);
-            if bare {
-                let ours = figures["spread_last"].as_f64().expect("a figure");
-                let theirs = plain.spread(peers.bytes.load(Ordering::Relaxed) - 4);
-                ratios.push(ours / theirs);
+            times.push(f64::from_bits(proxies.last_ack_at.load(Ordering::Relaxed)) - delta.ordered_at);
+            if compares_bare_sockets {
+                let controller_time = figures["spread_last"].as_f64().expect("a number of seconds");
+                let body_bytes = proxies.frame_bytes.load(Ordering::Relaxed) - 4;
+                let bare_time = bare_sockets.fan_out_time(body_bytes);
+                ratios.push(controller_time / bare_time);
             }
         }
         times
     };
-    free.extend(round(false, true));
-    let stuck = round(true, false);
-    free.extend(round(false, false));
-    let again = round(true, false);
-    let with = median(stuck.into_iter().chain(again).collect());
+    times_without_stuck.extend(round(false, true));
+    let mut times_with_stuck = round(true, false);
+    times_without_stuck.extend(round(false, false));
+    times_with_stuck.extend(round(true, false));
     println!(
-        "delta of {lines} lines to 300 proxies, decision to last word, over bare sockets: {:.2}",
+        "delta of {lines} lines to 300 proxies, decision to last acknowledgement, over bare sockets: {:.2}",
         median(ratios)
     );
-    println!("one proxy stuck, the others' last word, over none stuck: {:.2}", with / median(free));
+    println!(
+        "one proxy stuck, last acknowledgement of the others, over none stuck: {:.2}",
+        median(times_with_stuck) / median(times_without_stuck)
+    );
 }
 
-/// This binary once more, in the part that the variable names: the process, its pipes, and where it listens.
-fn other_process(part: &str, what: &str) -> (Child, ChildStdin, BufReader<ChildStdout>, SocketAddr) {
-    let mut child = Command::new(std::env::current_exe().expect("this binary"))
-        .env(part, what)
+/// Starts this binary again with an environment variable that selects its role. Returns the process, its pipes, and the
+/// address on which it listens.
+fn start_child(variable: &str, value: &str) -> (Child, ChildStdin, BufReader<ChildStdout>, SocketAddr) {
+    let mut child = Command::new(std::env::current_exe().expect("path of this binary"))
+        .env(variable, value)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .expect("this binary starts");
-    let asks = child.stdin.take().expect("piped");
-    let mut answers = BufReader::new(child.stdout.take().expect("piped"));
+    let requests = child.stdin.take().expect("piped");
+    let mut responses = BufReader::new(child.stdout.take().expect("piped"));
     let mut line = String::new();
-    answers.read_line(&mut line).expect("it says where it listens");
+    responses.read_line(&mut line).expect("the child prints its address");
     let address = line.trim().parse().expect("an address");
-    (child, asks, answers, address)
+    (child, requests, responses, address)
 }
 
-/// Resident memory of the controller's process for each joined idle proxy.
-fn memory() {
+/// Resident memory of the controller's process per joined idle proxy.
+fn memory_per_proxy() {
     let count = 3000;
     let mut bench = Bench::start(10, 100, 60.0);
-    let peers = Peers::default();
-    let _few = peers.join(bench.address, 0, 100, None);
-    bench.wait("joined", 100);
+    let proxies = Proxies::default();
+    let _first_tasks = proxies.join(bench.address, 0, 100, None);
+    bench.wait_for("joined", 100);
     std::thread::sleep(seconds(2.0));
-    let before = bench.memory();
-    let began = now();
-    let _tasks = peers.join(bench.address, 100, count, None);
-    bench.wait("joined", 100 + u64::from(count));
-    let joined = now() - began;
+    let kib_before = bench.resident_kib();
+    let started_at = now();
+    let _tasks = proxies.join(bench.address, 100, count, None);
+    bench.wait_for("joined", 100 + u64::from(count));
+    let join_time = now() - started_at;
     std::thread::sleep(seconds(2.0));
-    let each = (bench.memory() - before) / f64::from(count);
+    let kib_each = (bench.resident_kib() - kib_before) / f64::from(count);
     println!(
-        "{count} proxies joined at once in {joined:.2} s; {each:.1} KiB of the controller's memory each"
+        "{count} proxies joined at once in {join_time:.2} s; {kib_each:.1} KiB of the controller's memory each"
     );
 }
 
-/// How late ticks are with 150 hosts, 975 slices and 300 proxies that report each second while hosts drain.
-fn lateness() {
+/// Delay of timers with 150 hosts, 975 slices and 300 proxies that report each second while hosts drain.
+fn timer_delay() {
     let mut bench = Bench::start(150, SLICES, 60.0);
     let hosts = bench.hosts.iter().step_by(5).map(|host| HostLoad {
         host: host.host.address.to_string(),
@@ -329,19 +345,19 @@
     });
     let demand = (0..SLICES).step_by(9).map(|slice| SliceLoad { slice, class: 0, operations: 2 });
     let report = LoadReport { span: 1.0, hosts: hosts.collect(), slices: demand.collect() };
-    let peers = Peers::default();
-    let _tasks = peers.join(bench.address, 0, 300, Some(report));
-    bench.wait("joined", 300);
+    let proxies = Proxies::default();
+    let _tasks = proxies.join(bench.address, 0, 300, Some(report));
+    bench.wait_for("joined", 300);
     for batch in 0..10 {
         std::thread::sleep(seconds(3.0));
-        let drained = (batch * 8..(batch + 1) * 8).map(|place| bench.list(place, DRAINING)).collect();
-        bench.roster.update(drained);
+        let draining = (batch * 8..(batch + 1) * 8).map(|index| bench.entry(index, DRAINING)).collect();
+        bench.endpoint_list.update(draining);
     }
     let figures = bench.figures();
-    let ms = |what: &str| figures[what].as_f64().unwrap_or(f64::NAN) * 1000.0;
+    let ms = |figure: &str| figures[figure].as_f64().unwrap_or(f64::NAN) * 1000.0;
     println!(
-        "150 hosts, {SLICES} slices, 300 proxies, {} ticks: late by {:.2} ms (half), {:.2} ms (99 of 100), {:.2} ms \
-         (most); longest round {:.1} ms",
+        "150 hosts, {SLICES} slices, 300 proxies, {} timers: delay {:.2} ms (p50), {:.2} ms (p99), {:.2} ms \
+         (maximum); longest batch {:.1} ms",
         figures["turns"],
         ms("late_half"),
         ms("late_99"),
