--- a/crates/railhub-controller/src/lease_table/tests.rs
+++ b/crates/railhub-controller/src/lease_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A change decided under a lease must not be written after the lease has expired, or after the slice was acquired again
-/// with another epoch.
+/// A change decided under a lease must not be written after the lease has expired, or after the slice was acquired
+/// again with another epoch.
 #[test]
 fn checks_leases_at_the_time_of_writing() {
     let clock = LeaseClock { speed: 1.0, jumps_after: 0.0, jumps_by: 0.0, started_at: 0.0 };
