--- a/crates/railhub-controller/src/change.rs
+++ b/crates/railhub-controller/src/change.rs
@@ -66,7 +66,7 @@
         self.epochs.extend(&later.epochs);
     }
 
-    /// Removes lines, clears and epochs of slices that `keep` rejects.
+    /// Removes the lines, cleared slices and epochs of slices that `keep` rejects.
     pub fn retain_slices(&mut self, keep: impl Fn(SliceId) -> bool) {
         self.lines.retain(|(slice, _), _| keep(*slice));
         self.cleared.retain(|slice| keep(*slice));
--- a/crates/railhub-controller/src/delta_queue.rs
+++ b/crates/railhub-controller/src/delta_queue.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Deltas sent and not acknowledged. At the limit later ones are merged, so that a slow proxy gets few large deltas.
+/// Maximum deltas sent and not acknowledged. Later ones are merged, so that a slow proxy gets few large deltas.
 pub const MAX_DELTAS_IN_FLIGHT: usize = 4;
 /// Fraction of the quota for messages that only change weights: removals and exclusions must not wait for them.
 const ORDINARY_QUOTA_FRACTION: f64 = 0.5;
@@ -95,7 +95,7 @@
 }
 
 impl DeltaQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(quota: MessageQuota) -> DeltaQueue {
         DeltaQueue { quota, ..DeltaQueue::default() }
     }
--- a/crates/railhub-controller/src/expired_slices.rs
+++ b/crates/railhub-controller/src/expired_slices.rs
@@ -63,8 +63,8 @@
         self.excluded.contains(host)
     }
 
-    /// Hosts to exclude. Hosts that are excluded and still have to be stay excluded; another host is added only if each
-    /// table that has it keeps a host that is not excluded.
+    /// Hosts to exclude. An excluded host stays excluded while it requires exclusion. Another host is added only if each
+    /// table that contains it keeps a host that is neither excluded nor gone.
     fn required_exclusions(&self, exclude_gone: bool) -> BTreeSet<HostId> {
         let listed_hosts: BTreeSet<HostId> = self.slices.values().flatten().copied().collect();
         let requires_exclusion = |host: &HostId| self.requires_exclusion(host, exclude_gone);
--- a/crates/railhub-controller/src/report_validation.rs
+++ b/crates/railhub-controller/src/report_validation.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ReportError {
     /// The report covers a negative time, or more than `MAX_REPORT_SPAN`.
-    #[error("span is not from 0 to {max} s", max = MAX_REPORT_SPAN)]
+    #[error("load report with a span that is not from 0 to {max} s", max = MAX_REPORT_SPAN)]
     Span,
     /// A time is negative or not finite, or more attempts failed than were made.
-    #[error("times or counts that cannot be")]
+    #[error("sums with times or counts that cannot be")]
     TimesOrCounts,
     /// A utilization is negative or not finite.
-    #[error("utilization of a host is negative or not finite")]
+    #[error("load report with a utilization that is negative or not finite")]
     Utilization,
     /// The number of a slice or class is too large.
-    #[error("slice number is over {} or class number is over {}", u16::MAX, u8::MAX)]
+    #[error("load report with a slice number over {} or a class number over {}", u16::MAX, u8::MAX)]
     SliceOrClass,
 }
 
--- a/crates/railhub-controller/src/session_error.rs
+++ b/crates/railhub-controller/src/session_error.rs
@@ -27,7 +27,7 @@
     #[error("message of an unknown kind")]
     UnknownMessage,
     /// A load report has an invalid value.
-    #[error("sums with {0}")]
+    #[error("{0}")]
     Report(#[from] ReportError),
     /// The proxy exceeds its message rate limit.
     #[error("too many messages")]
--- a/crates/railhub-controller/src/stream_handle.rs
+++ b/crates/railhub-controller/src/stream_handle.rs
@@ -52,12 +52,12 @@
         })
     }
 
-    /// Blocks the writer until the next [`StreamHandle::wake`].
+    /// Waits for one [`StreamHandle::wake`], which may have been called before.
     pub(crate) fn wait(&self) {
         self.wake.wait();
     }
 
-    /// Makes one [`StreamHandle::wait`] return.
+    /// Ends the present or the next [`StreamHandle::wait`].
     pub(crate) fn wake(&self) {
         self.wake.post();
     }
--- a/crates/railhub-controller/src/stream_server.rs
+++ b/crates/railhub-controller/src/stream_server.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Stops the writer when dropped, so that the reader stops it even by a panic.
+/// Stops the writer when the reader ends, even by a panic.
 struct CloseOnDrop(Arc<StreamHandle>);
 
 impl Drop for CloseOnDrop {
