--- a/crates/railhub-controller/src/lib.rs
+++ b/crates/railhub-controller/src/lib.rs
@@ -29,6 +29,7 @@
 pub mod delta_queue;
 mod endpoint_list_poller;
 pub mod expired_slices;
+mod goodbye;
 mod health_checker;
 pub mod inbox;
 mod lease_clock;
--- a/crates/railhub-controller/src/report_validation.rs
+++ b/crates/railhub-controller/src/report_validation.rs
@@ -6,14 +6,16 @@
 /// Maximum seconds that one report may cover.
 const MAX_REPORT_SPAN: Seconds = 60.0;
 
-/// Why a load report is invalid; the text is sent to the proxy.
+/// Why a load report is invalid. The text is for the log; the proxy is sent a text of the `goodbye` module.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ReportError {
     /// The report covers a negative time, or more than `MAX_REPORT_SPAN`.
     #[error("load report with a span that is not from 0 to {max} s", max = MAX_REPORT_SPAN)]
     Span,
     /// A time is negative or not finite, or more attempts failed than were made.
-    #[error("sums with times or counts that cannot be")]
+    #[error(
+        "load report with a time that is negative or not finite, or with more failed attempts than attempts"
+    )]
     TimesOrCounts,
     /// A utilization is negative or not finite.
     #[error("load report with a utilization that is negative or not finite")]
--- a/crates/railhub-controller/src/session_error.rs
+++ b/crates/railhub-controller/src/session_error.rs
@@ -3,7 +3,8 @@
 use railhub_net::StreamError;
 use thiserror::Error;
 
-/// Why a stream was ended; the text is sent to the proxy and logged.
+/// Why a stream was ended. The text is for the log; the proxy is sent the text of
+/// [`goodbye_reason`](crate::goodbye::goodbye_reason).
 #[derive(Debug, Error)]
 pub enum SessionError {
     /// The connection was closed, failed, was idle for too long, or brought a malformed message.
--- a/crates/railhub-controller/src/stream_server.rs
+++ b/crates/railhub-controller/src/stream_server.rs
@@ -6,6 +6,7 @@
 //! disconnect.
 use crate::core::StreamId;
 use crate::delta_queue::{DeltaResponse, MessageQuota, WriterAction};
+use crate::goodbye::{goodbye_reason, READER_STOPPED};
 use crate::inbox::{Inbox, OwnerEvent, ReceivedReport};
 use crate::lease_table::LeaseTable;
 use crate::message_rate_limiter::MessageRateLimiter;
@@ -23,8 +24,6 @@
 
 /// Seconds within which a goodbye must be sent.
 const GOODBYE_TIMEOUT: Seconds = 0.2;
-/// The reason for closing a stream whose reader stopped without giving one.
-const READER_STOPPED: &str = "stream reader stopped";
 
 /// Limits of streams.
 #[derive(Clone, Copy, Debug)]
@@ -82,7 +81,7 @@
             Ok(subscribe) => subscribe,
             Err(error) => {
                 tracing::warn!(stream = stream.0, %error, "stream ended before it subscribed");
-                return send_goodbye(&mut writer, &error.to_string());
+                return send_goodbye(&mut writer, &goodbye_reason(&error));
             }
         };
         let proxy = ProxyId(subscribe.proxy as u16);
@@ -95,7 +94,7 @@
         reader.set_idle_timeout(Some(self.limits.idle_timeout));
         let session = SessionReader { stream, proxy, zone, inbox: &self.inbox };
         let error = session.run(&mut reader);
-        handle.request_close(&error.to_string());
+        handle.request_close(&goodbye_reason(&error));
         self.inbox.send(OwnerEvent::Disconnected { stream, proxy, error });
     }
 }
