--- a/crates/railhub-chaos/src/cluster_harness/link_tap.rs
+++ b/crates/railhub-chaos/src/cluster_harness/link_tap.rs
@@ -2,7 +2,7 @@
 use super::observer::Observations;
 use crate::fault::MAX_CAPTURED_DATAGRAMS;
 use crate::view::gossip_tap::{GossipTap, TappedGossip};
-use railhub_fault_links::Crossing;
+use railhub_fault_links::ObservedDatagram;
 use railhub_membership::packet::{decode, Packet};
 use std::sync::{Arc, Mutex};
 
@@ -29,22 +29,22 @@
     started_at: f64,
     record: Arc<Mutex<LinkRecord>>,
     observations: Observations,
-) -> Box<dyn Fn(&Crossing) + Send + Sync> {
-    Box::new(move |crossing| {
-        let Ok(Packet::Message(message)) = decode(&installation, crossing.bytes) else { return };
+) -> Box<dyn Fn(&ObservedDatagram) + Send + Sync> {
+    Box::new(move |datagram| {
+        let Ok(Packet::Message(message)) = decode(&installation, datagram.bytes) else { return };
         let mut record = record.lock().expect("no holder panics");
-        record.tap.on_datagram(crossing.bytes.len());
+        record.tap.on_datagram(datagram.bytes.len());
         if record.captured.len() < MAX_CAPTURED_DATAGRAMS {
             record.captured.push(CapturedDatagram {
-                from: crossing.from.to_owned(),
-                to: crossing.to.to_owned(),
-                bytes: crossing.bytes.to_vec(),
+                from: datagram.from.to_owned(),
+                to: datagram.to.to_owned(),
+                bytes: datagram.bytes.to_vec(),
             });
         }
         let gossip = TappedGossip {
-            at: crossing.at - started_at,
+            at: datagram.at - started_at,
             sender: message.sender.id.0,
-            receiver: controller_of(crossing.to),
+            receiver: controller_of(datagram.to),
             entries: &message.gossip,
         };
         let deaths = record.tap.on_gossip(&gossip);
--- a/crates/railhub-fault-links/src/lib.rs
+++ b/crates/railhub-fault-links/src/lib.rs
@@ -27,4 +27,4 @@
 pub use direction::Direction;
 pub use endpoint::Endpoint;
 pub use faults::{Counts, Faults};
-pub use link_controller::{Crossing, Delivery, LinkController};
+pub use link_controller::{Delivery, LinkController, ObservedDatagram};
--- a/crates/railhub-fault-links/src/link_controller.rs
+++ b/crates/railhub-fault-links/src/link_controller.rs
@@ -30,7 +30,7 @@
 
 /// A datagram that came to a relay.
 #[derive(Clone, Debug)]
-pub struct Crossing<'a> {
+pub struct ObservedDatagram<'a> {
     /// Seconds on the machine's monotonic clock.
     pub at: f64,
     /// The endpoint that sent it.
--- a/crates/railhub-fault-links/src/udp.rs
+++ b/crates/railhub-fault-links/src/udp.rs
@@ -1,7 +1,7 @@
 //! Datagrams between endpoints. Each endpoint has one public address, a socket of the relay; the sender of a datagram is
 //! known by its source address.
 use crate::endpoint::Endpoint;
-use crate::link_controller::{Crossing, Delivery, LinkController};
+use crate::link_controller::{Delivery, LinkController, ObservedDatagram};
 use crate::send_queue::{QueuedDatagram, SendQueue};
 use railhub_net::{now, seconds};
 use std::io;
@@ -21,7 +21,7 @@
 const MIN_WAIT: Duration = Duration::from_micros(50);
 
 /// Is called with every datagram that comes to the relay, whatever becomes of it.
-pub type Tap = Box<dyn Fn(&Crossing) + Send + Sync>;
+pub type Tap = Box<dyn Fn(&ObservedDatagram) + Send + Sync>;
 
 struct RelayedEndpoint {
     name: Endpoint,
@@ -133,7 +133,7 @@
         };
         let departures = self.controller.pass(&from_name, &to_name, bytes.len());
         let delivery = if departures.is_empty() { Delivery::Dropped } else { Delivery::Delivered };
-        (self.tap)(&Crossing { at: now(), from: &from_name, to: &to_name, bytes, delivery });
+        (self.tap)(&ObservedDatagram { at: now(), from: &from_name, to: &to_name, bytes, delivery });
         let mut queue = self.queue.lock().expect("no holder panics");
         for at in departures {
             queue.push(at, QueuedDatagram { from, to, bytes: bytes.to_vec() });
--- a/crates/railhub-fault-links/tests/relays.rs
+++ b/crates/railhub-fault-links/tests/relays.rs
@@ -20,8 +20,8 @@
 fn a_datagram_comes_from_its_senders_public_address_and_an_answer_finds_back() {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let tapped = seen.clone();
-    let tap = Box::new(move |crossing: &railhub_fault_links::Crossing| {
-        tapped.lock().expect("no holder panics").push((crossing.from.to_owned(), crossing.to.to_owned()));
+    let tap = Box::new(move |datagram: &railhub_fault_links::ObservedDatagram| {
+        tapped.lock().expect("no holder panics").push((datagram.from.to_owned(), datagram.to.to_owned()));
     });
     let link_controller = Arc::new(LinkController::new(1, None));
     let links = UdpLinks::open(link_controller.clone(), tap);
--- a/crates/railhub-invariants/src/verdict.rs
+++ b/crates/railhub-invariants/src/verdict.rs
@@ -23,12 +23,14 @@
     pub rule: u8,
     /// The invariant's name.
     pub name: &'static str,
-    /// No check failed. Proves nothing while `checked` is 0.
+    /// No check failed. Proves nothing while `check_count` is 0.
     pub kept: bool,
     /// The largest fraction of the limit that a check used; the invariant is violated above 1.
-    pub worst: f64,
+    #[serde(rename = "worst")]
+    pub max_limit_fraction: f64,
     /// Checks made.
-    pub checked: u64,
+    #[serde(rename = "checked")]
+    pub check_count: u64,
     /// Checks that failed.
     #[serde(rename = "broken")]
     pub violation_count: u64,
@@ -39,13 +41,21 @@
 
 impl Verdict {
     pub(crate) fn new(rule: u8, name: &'static str) -> Verdict {
-        Verdict { rule, name, kept: true, worst: 0.0, checked: 0, violation_count: 0, violations: Vec::new() }
+        Verdict {
+            rule,
+            name,
+            kept: true,
+            max_limit_fraction: 0.0,
+            check_count: 0,
+            violation_count: 0,
+            violations: Vec::new(),
+        }
     }
 
     /// Counts one check that used `limit_fraction` of its limit; above 1 it is a violation, which `describe` words.
     pub(crate) fn check(&mut self, at: f64, limit_fraction: f64, describe: impl FnOnce() -> String) {
-        self.checked += 1;
-        self.worst = self.worst.max(limit_fraction);
+        self.check_count += 1;
+        self.max_limit_fraction = self.max_limit_fraction.max(limit_fraction);
         if limit_fraction > 1.0 {
             self.kept = false;
             self.violation_count += 1;
@@ -63,6 +73,6 @@
 
     /// Counts one check that cannot fail.
     pub(crate) fn check_passed(&mut self) {
-        self.checked += 1;
+        self.check_count += 1;
     }
 }
--- a/crates/railhub-scenario/src/report/text.rs
+++ b/crates/railhub-scenario/src/report/text.rs
@@ -62,8 +62,8 @@
         verdict.rule,
         verdict.name,
         kept,
-        verdict.worst * 100.0,
-        verdict.checked
+        verdict.max_limit_fraction * 100.0,
+        verdict.check_count
     );
     for violation in &verdict.violations {
         let _ = writeln!(out, "    at {:.3}: {}", violation.at, violation.description);
--- a/crates/railhub-simulator/tests/days.rs
+++ b/crates/railhub-simulator/tests/days.rs
@@ -70,7 +70,7 @@
     for policy in [Baseline::Even, Baseline::Latency] {
         let events = play(&day, &Policy::Baseline(policy));
         let lost = check(&events).expect("a record").swap_remove(0);
-        assert!(lost.rule == 1 && lost.kept && lost.checked > 0, "{policy:?}: {lost:?}");
+        assert!(lost.rule == 1 && lost.kept && lost.check_count > 0, "{policy:?}: {lost:?}");
     }
 }
 
