--- a/crates/railhub-fault-links/src/direction.rs
+++ b/crates/railhub-fault-links/src/direction.rs
@@ -4,9 +4,9 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Seconds that a reordered packet is held back, at most.
-const MAX_REORDER_DELAY: f64 = 0.05;
+const MAX_REORDER_DELAY_SECONDS: f64 = 0.05;
 /// Seconds of traffic that the queue of a limited rate holds before it drops.
-const MAX_QUEUE_DELAY: f64 = 0.5;
+const MAX_QUEUE_DELAY_SECONDS: f64 = 0.5;
 
 /// The traffic from one endpoint to another.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     }
 
     /// The times at which a packet that comes now leaves: none if it is dropped, two if it is duplicated.
-    pub fn pass(&mut self, now: f64, bytes: usize) -> Vec<f64> {
+    pub fn schedule(&mut self, now: f64, bytes: usize) -> Vec<f64> {
         let faults = self.faults;
         if faults.cut {
             self.counts.cut += 1;
@@ -42,18 +42,18 @@
             self.counts.lost += 1;
             return Vec::new();
         }
-        let Some(queued_until) = self.enqueue(now, bytes) else {
+        let Some(transmitted_at) = self.enqueue(now, bytes) else {
             self.counts.queue_dropped += 1;
             return Vec::new();
         };
-        let mut departures = vec![self.departure(queued_until)];
+        let mut departures = vec![self.departure_time(transmitted_at)];
         if self.draw(faults.reordered) {
             self.counts.reordered += 1;
             departures[0] += self.reorder_delay();
         }
         if self.draw(faults.duplicated) {
             self.counts.duplicated += 1;
-            let duplicate = self.departure(queued_until) + self.reorder_delay();
+            let duplicate = self.departure_time(transmitted_at) + self.reorder_delay();
             departures.push(duplicate);
         }
         self.counts.passed += 1;
@@ -67,21 +67,21 @@
             return Some(now);
         }
         let free_at = self.free_at.max(now);
-        if free_at - now > MAX_QUEUE_DELAY {
+        if free_at - now > MAX_QUEUE_DELAY_SECONDS {
             return None;
         }
         self.free_at = free_at + bytes as f64 / self.faults.bytes_per_second;
         Some(self.free_at)
     }
 
-    fn departure(&mut self, queued_until: f64) -> f64 {
+    fn departure_time(&mut self, transmitted_at: f64) -> f64 {
         let max_jitter = self.faults.jitter;
         let jitter = if max_jitter > 0.0 { self.rng.random::<f64>() * max_jitter } else { 0.0 };
-        queued_until + self.faults.delay + jitter
+        transmitted_at + self.faults.delay + jitter
     }
 
     fn reorder_delay(&mut self) -> f64 {
-        self.rng.random::<f64>() * MAX_REORDER_DELAY
+        self.rng.random::<f64>() * MAX_REORDER_DELAY_SECONDS
     }
 }
 
--- a/crates/railhub-fault-links/src/endpoint.rs
+++ b/crates/railhub-fault-links/src/endpoint.rs
@@ -1,4 +1,4 @@
 //! The ends of links.
 
 /// The name of an endpoint.
-pub type Endpoint = String;
+pub type EndpointName = String;
--- a/crates/railhub-fault-links/src/lib.rs
+++ b/crates/railhub-fault-links/src/lib.rs
@@ -25,6 +25,6 @@
 pub mod udp;
 
 pub use direction::Direction;
-pub use endpoint::Endpoint;
+pub use endpoint::EndpointName;
 pub use faults::{Counts, Faults};
 pub use link_controller::{Delivery, LinkController, ObservedDatagram};
--- a/crates/railhub-fault-links/src/link_controller.rs
+++ b/crates/railhub-fault-links/src/link_controller.rs
@@ -1,6 +1,6 @@
 //! The control of all links of a run, in one place: faults are set by a schedule or by hand while traffic passes.
 use crate::direction::Direction;
-use crate::endpoint::Endpoint;
+use crate::endpoint::EndpointName;
 use crate::faults::{Counts, Faults};
 use crate::record::{Record, RecordLine};
 use rand::SeedableRng;
@@ -44,7 +44,7 @@
 }
 
 struct State {
-    directions: BTreeMap<(Endpoint, Endpoint), Direction>,
+    directions: BTreeMap<(EndpointName, EndpointName), Direction>,
     record: Record,
 }
 
@@ -99,8 +99,8 @@
             .unwrap_or_default()
     }
 
-    /// The times at which a packet that comes now leaves, as [`Direction::pass`].
-    pub fn pass(&self, from: &str, to: &str, bytes: usize) -> Vec<f64> {
+    /// The times at which a packet that comes now leaves, as [`Direction::schedule`].
+    pub fn schedule(&self, from: &str, to: &str, bytes: usize) -> Vec<f64> {
         let now = railhub_net::now();
         let key = (from.to_owned(), to.to_owned());
         self.with_state(|state| {
@@ -109,12 +109,12 @@
                 return vec![now];
             }
             let direction = state.directions.entry(key).or_insert_with(|| self.new_direction(from, to));
-            direction.pass(now, bytes)
+            direction.schedule(now, bytes)
         })
     }
 
     /// What each direction has done so far.
-    pub fn counts(&self) -> BTreeMap<(Endpoint, Endpoint), Counts> {
+    pub fn counts(&self) -> BTreeMap<(EndpointName, EndpointName), Counts> {
         self.with_state(|state| {
             let directions = state.directions.iter();
             directions.map(|(endpoints, direction)| (endpoints.clone(), direction.counts)).collect()
--- a/crates/railhub-fault-links/src/tcp.rs
+++ b/crates/railhub-fault-links/src/tcp.rs
@@ -1,6 +1,6 @@
 //! Connections between endpoints: the relay accepts each, connects to the other endpoint itself, and relays both
 //! directions.
-use crate::endpoint::Endpoint;
+use crate::endpoint::EndpointName;
 use crate::link_controller::LinkController;
 use railhub_net::{now, seconds};
 use socket2::SockRef;
@@ -13,32 +13,32 @@
 
 /// Bytes that are relayed at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Time between checks of whether the relay has ended, and of a direction that is cut.
-const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between checks of whether the relay has stopped, and of a direction that is cut.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between checks for a new connection.
-const ACCEPT_INTERVAL: Duration = Duration::from_millis(5);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Seconds after which a lost chunk is sent again: a common minimum of TCP's retransmission timeout.
-const RETRANSMISSION_TIMEOUT: f64 = 0.2;
+const RETRANSMISSION_TIMEOUT_SECONDS: f64 = 0.2;
 /// Connections at once; further ones are closed, as by a full host.
 const MAX_CONNECTIONS: usize = 512;
 /// How long connecting to the other endpoint may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Shared {
-    controller: Arc<LinkController>,
-    from: Endpoint,
-    to: Endpoint,
+    link_controller: Arc<LinkController>,
+    from: EndpointName,
+    to: EndpointName,
     target: Mutex<Option<SocketAddr>>,
     connections: Mutex<Vec<Connection>>,
     /// Connections that are being accepted or relayed.
     connection_count: AtomicUsize,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
 /// One connection through the relay.
 struct Connection {
-    near: TcpStream,
-    far: TcpStream,
+    client: TcpStream,
+    server: TcpStream,
     /// Both sides are to be reset.
     reset: Arc<AtomicBool>,
 }
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadSide {
     /// The endpoint that connected.
-    Near,
+    Client,
     /// The endpoint that was connected to.
-    Far,
+    Server,
 }
 
 /// A relay from one endpoint to another; dropping it ends its connections.
@@ -66,7 +66,7 @@
     /// # Errors
     /// No port can be opened.
     pub fn open(
-        controller: Arc<LinkController>,
+        link_controller: Arc<LinkController>,
         from: &str,
         to: &str,
         target: Option<SocketAddr>,
@@ -75,16 +75,16 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            controller,
+            link_controller,
             from: from.to_owned(),
             to: to.to_owned(),
             target: Mutex::new(target),
             connections: Mutex::default(),
             connection_count: AtomicUsize::new(0),
-            ended: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         });
-        let accepting = shared.clone();
-        let thread = std::thread::spawn(move || accepting.accept(&listener));
+        let acceptor_state = shared.clone();
+        let thread = std::thread::spawn(move || acceptor_state.accept(&listener));
         Ok(TcpLink { address, shared, thread: Some(thread) })
     }
 
@@ -99,19 +99,19 @@
         for connection in &connections {
             // A socket that lingers for no time is reset when the last of its holders, the relaying threads, drops it;
             // they end by the flag. Shutting it down first would end it in order instead.
-            for stream in [&connection.near, &connection.far] {
+            for stream in [&connection.client, &connection.server] {
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
             }
             connection.reset.store(true, Ordering::Release);
         }
-        self.shared.controller.record_resets(&self.shared.from, &self.shared.to, connections.len());
+        self.shared.link_controller.record_resets(&self.shared.from, &self.shared.to, connections.len());
         connections.len()
     }
 }
 
 impl Drop for TcpLink {
     fn drop(&mut self) {
-        self.shared.ended.store(true, Ordering::Release);
+        self.shared.stopped.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -120,73 +120,73 @@
 }
 
 impl Shared {
-    fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::Acquire)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Acquire)
     }
 
     fn accept(self: &Arc<Shared>, listener: &TcpListener) {
-        while !self.has_ended() {
+        while !self.is_stopped() {
             match listener.accept() {
                 Ok(_) if self.connection_count.load(Ordering::Acquire) >= MAX_CONNECTIONS => {}
-                Ok((near, _)) => {
+                Ok((client, _)) => {
                     self.connection_count.fetch_add(1, Ordering::AcqRel);
                     let shared = self.clone();
                     std::thread::spawn(move || {
-                        shared.connect_and_relay(near);
+                        shared.connect_and_relay(client);
                         shared.connection_count.fetch_sub(1, Ordering::AcqRel);
                     });
                 }
-                Err(_) => std::thread::sleep(ACCEPT_INTERVAL),
+                Err(_) => std::thread::sleep(ACCEPT_POLL_INTERVAL),
             }
         }
     }
 
     fn is_cut(&self) -> bool {
-        let controller = &self.controller;
-        controller.faults(&self.from, &self.to).cut || controller.faults(&self.to, &self.from).cut
+        let link_controller = &self.link_controller;
+        link_controller.faults(&self.from, &self.to).cut || link_controller.faults(&self.to, &self.from).cut
     }
 
     /// Connects to the other endpoint, once neither direction is cut, and relays until the connection ends.
-    fn connect_and_relay(self: &Arc<Shared>, near: TcpStream) {
-        let _ = near.set_nonblocking(false);
+    fn connect_and_relay(self: &Arc<Shared>, client: TcpStream) {
+        let _ = client.set_nonblocking(false);
         while self.is_cut() {
-            if self.has_ended() {
+            if self.is_stopped() {
                 return;
             }
-            std::thread::sleep(CHECK_INTERVAL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let target = *self.target.lock().expect("no holder panics");
-        let far = target.and_then(|target| TcpStream::connect_timeout(&target, CONNECT_TIMEOUT).ok());
-        let Some(far) = far else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
+        let server = target.and_then(|target| TcpStream::connect_timeout(&target, CONNECT_TIMEOUT).ok());
+        let Some(server) = server else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
         let reset = Arc::new(AtomicBool::new(false));
-        let (Ok(near_writer), Ok(far_reader)) = (near.try_clone(), far.try_clone()) else { return };
-        self.register(&near, &far, &reset);
-        let (shared, also_reset) = (self.clone(), reset.clone());
-        let back =
-            std::thread::spawn(move || shared.relay(far_reader, near_writer, ReadSide::Far, &also_reset));
-        self.relay(near, far, ReadSide::Near, &reset);
-        let _ = back.join();
+        let (Ok(client_writer), Ok(server_reader)) = (client.try_clone(), server.try_clone()) else { return };
+        self.register(&client, &server, &reset);
+        let (shared, response_reset) = (self.clone(), reset.clone());
+        let response_relay = std::thread::spawn(move || {
+            shared.relay(server_reader, client_writer, ReadSide::Server, &response_reset)
+        });
+        self.relay(client, server, ReadSide::Client, &reset);
+        let _ = response_relay.join();
     }
 
-    /// Keeps a connection, so that it can be reset; those that have ended are dropped.
-    fn register(&self, near: &TcpStream, far: &TcpStream, reset: &Arc<AtomicBool>) {
-        let (Ok(near), Ok(far)) = (near.try_clone(), far.try_clone()) else { return };
+    /// Keeps a connection, so that it can be reset; those that have stopped are dropped.
+    fn register(&self, client: &TcpStream, server: &TcpStream, reset: &Arc<AtomicBool>) {
+        let (Ok(client), Ok(server)) = (client.try_clone(), server.try_clone()) else { return };
         let mut connections = self.connections.lock().expect("no holder panics");
-        // The relaying threads of one that has ended hold its flag no more.
+        // The relaying threads of one that has stopped hold its flag no more.
         connections.retain(|connection| Arc::strong_count(&connection.reset) > 1);
-        connections.push(Connection { near, far, reset: reset.clone() });
+        connections.push(Connection { client, server, reset: reset.clone() });
     }
 
     fn relay(&self, mut reader: TcpStream, mut writer: TcpStream, side: ReadSide, reset: &AtomicBool) {
         let (from, to) = match side {
-            ReadSide::Near => (&self.from, &self.to),
-            ReadSide::Far => (&self.to, &self.from),
+            ReadSide::Client => (&self.from, &self.to),
+            ReadSide::Server => (&self.to, &self.from),
         };
-        let _ =
-            (reader.set_read_timeout(Some(CHECK_INTERVAL)), writer.set_write_timeout(Some(CHECK_INTERVAL)));
+        let _ = (reader.set_read_timeout(Some(POLL_INTERVAL)), writer.set_write_timeout(Some(POLL_INTERVAL)));
         let mut chunk = vec![0; CHUNK_BYTES];
-        while !self.has_ended() {
+        while !self.is_stopped() {
             if reset.load(Ordering::Acquire) {
                 return;
             }
@@ -207,11 +207,11 @@
         }
     }
 
-    /// Writes a complete chunk, however slowly it is read. Returns false if the relay or the connection has ended.
+    /// Writes a complete chunk, however slowly it is read. Returns false if the relay or the connection has stopped.
     fn write(&self, writer: &mut TcpStream, chunk: &[u8], reset: &AtomicBool) -> bool {
         let mut written = 0;
         while written < chunk.len() {
-            if self.has_ended() || reset.load(Ordering::Acquire) {
+            if self.is_stopped() || reset.load(Ordering::Acquire) {
                 return false;
             }
             match writer.write(&chunk[written..]) {
@@ -224,18 +224,18 @@
         true
     }
 
-    /// Holds a chunk until its direction lets it through. Returns false if the relay or the connection has ended.
+    /// Holds a chunk until its direction lets it through. Returns false if the relay or the connection has stopped.
     fn wait_for_departure(&self, from: &str, to: &str, bytes: usize, reset: &AtomicBool) -> bool {
         loop {
-            if self.has_ended() || reset.load(Ordering::Acquire) {
+            if self.is_stopped() || reset.load(Ordering::Acquire) {
                 return false;
             }
-            if let Some(at) = self.controller.pass(from, to, bytes).first() {
+            if let Some(at) = self.link_controller.schedule(from, to, bytes).first() {
                 std::thread::sleep(seconds(at - now()));
                 return true;
             }
-            let is_cut = self.controller.faults(from, to).cut;
-            std::thread::sleep(if is_cut { CHECK_INTERVAL } else { seconds(RETRANSMISSION_TIMEOUT) });
+            let is_cut = self.link_controller.faults(from, to).cut;
+            std::thread::sleep(if is_cut { POLL_INTERVAL } else { seconds(RETRANSMISSION_TIMEOUT_SECONDS) });
         }
     }
 }
--- a/crates/railhub-fault-links/src/udp.rs
+++ b/crates/railhub-fault-links/src/udp.rs
@@ -1,6 +1,6 @@
 //! Datagrams between endpoints. Each endpoint has one public address, a socket of the relay; the sender of a datagram is
 //! known by its source address.
-use crate::endpoint::Endpoint;
+use crate::endpoint::EndpointName;
 use crate::link_controller::{Delivery, LinkController, ObservedDatagram};
 use crate::send_queue::{QueuedDatagram, SendQueue};
 use railhub_net::{now, seconds};
@@ -15,8 +15,8 @@
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 /// Endpoints, those included that nobody named (observers, strangers): further strangers get no answer.
 const MAX_ENDPOINTS: usize = 256;
-/// Time between checks of whether the relay has ended.
-const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between checks of whether the relay has stopped.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Shortest wait for the next datagram.
 const MIN_WAIT: Duration = Duration::from_micros(50);
 
@@ -24,19 +24,19 @@
 pub type Tap = Box<dyn Fn(&ObservedDatagram) + Send + Sync>;
 
 struct RelayedEndpoint {
-    name: Endpoint,
+    name: EndpointName,
     socket: Arc<UdpSocket>,
     /// Where its process listens, once that is known.
     real_address: Option<SocketAddr>,
 }
 
 struct Shared {
-    controller: Arc<LinkController>,
+    link_controller: Arc<LinkController>,
     endpoints: Mutex<Vec<RelayedEndpoint>>,
     queue: Mutex<SendQueue>,
     queue_changed: Condvar,
     tap: Tap,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
 /// The relay of all datagrams; dropping it ends its threads.
@@ -47,18 +47,18 @@
 
 impl UdpLinks {
     /// A relay without endpoints.
-    pub fn open(controller: Arc<LinkController>, tap: Tap) -> UdpLinks {
+    pub fn open(link_controller: Arc<LinkController>, tap: Tap) -> UdpLinks {
         let shared = Arc::new(Shared {
-            controller,
+            link_controller,
             endpoints: Mutex::default(),
             queue: Mutex::default(),
             queue_changed: Condvar::new(),
             tap,
-            ended: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         });
-        let sending = shared.clone();
-        let sender = std::thread::spawn(move || sending.send_when_due());
-        UdpLinks { shared, threads: Mutex::new(vec![sender]) }
+        let sender_state = shared.clone();
+        let sender_thread = std::thread::spawn(move || sender_state.send_due_datagrams());
+        UdpLinks { shared, threads: Mutex::new(vec![sender_thread]) }
     }
 
     /// Adds an endpoint. Returns its public address, which stays the same while its process comes and goes.
@@ -66,11 +66,11 @@
     /// # Errors
     /// No socket can be opened.
     pub fn add(&self, name: &str) -> io::Result<SocketAddr> {
-        let (place, public) = self.shared.add(name, None)?;
+        let (index, public_address) = self.shared.add(name, None)?;
         let shared = self.shared.clone();
-        let thread = std::thread::spawn(move || shared.receive(place));
+        let thread = std::thread::spawn(move || shared.receive(index));
         self.threads.lock().expect("no holder panics").push(thread);
-        Ok(public)
+        Ok(public_address)
     }
 
     /// Sets where an endpoint's process listens; `None`: nowhere.
@@ -83,16 +83,16 @@
 
     /// Sends a datagram as if it came from an endpoint, past all faults: an old one again, or a corrupt one.
     pub fn inject(&self, from: &str, to: &str, bytes: &[u8]) {
-        let (from, to) = (self.shared.place_of(from), self.shared.place_of(to));
+        let (from, to) = (self.shared.endpoint_index(from), self.shared.endpoint_index(to));
         if let (Some(from), Some(to)) = (from, to) {
-            self.shared.emit(&QueuedDatagram { from, to, bytes: bytes.to_vec() });
+            self.shared.send(&QueuedDatagram { from, to, bytes: bytes.to_vec() });
         }
     }
 }
 
 impl Drop for UdpLinks {
     fn drop(&mut self) {
-        self.shared.ended.store(true, Ordering::Release);
+        self.shared.stopped.store(true, Ordering::Release);
         self.shared.queue_changed.notify_all();
         for thread in self.threads.lock().expect("no holder panics").drain(..) {
             let _ = thread.join();
@@ -103,14 +103,14 @@
 impl Shared {
     fn add(&self, name: &str, real_address: Option<SocketAddr>) -> io::Result<(usize, SocketAddr)> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-        socket.set_read_timeout(Some(END_CHECK_INTERVAL))?;
-        let public = socket.local_addr()?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
+        let public_address = socket.local_addr()?;
         let mut endpoints = self.endpoints.lock().expect("no holder panics");
         endpoints.push(RelayedEndpoint { name: name.to_owned(), socket: Arc::new(socket), real_address });
-        Ok((endpoints.len() - 1, public))
+        Ok((endpoints.len() - 1, public_address))
     }
 
-    fn place_of(&self, name: &str) -> Option<usize> {
+    fn endpoint_index(&self, name: &str) -> Option<usize> {
         let endpoints = self.endpoints.lock().expect("no holder panics");
         endpoints.iter().position(|endpoint| endpoint.name == name)
     }
@@ -118,7 +118,7 @@
     fn receive(self: &Arc<Shared>, to: usize) {
         let socket = self.endpoints.lock().expect("no holder panics")[to].socket.clone();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        while !self.ended.load(Ordering::Acquire) {
+        while !self.stopped.load(Ordering::Acquire) {
             if let Ok((length, source)) = socket.recv_from(&mut buffer) {
                 self.relay(source, to, &buffer[..length]);
             }
@@ -126,12 +126,12 @@
     }
 
     fn relay(self: &Arc<Shared>, source: SocketAddr, to: usize, bytes: &[u8]) {
-        let Some(from) = self.sender(source) else { return };
+        let Some(from) = self.sender_index(source) else { return };
         let (from_name, to_name) = {
             let endpoints = self.endpoints.lock().expect("no holder panics");
             (endpoints[from].name.clone(), endpoints[to].name.clone())
         };
-        let departures = self.controller.pass(&from_name, &to_name, bytes.len());
+        let departures = self.link_controller.schedule(&from_name, &to_name, bytes.len());
         let delivery = if departures.is_empty() { Delivery::Dropped } else { Delivery::Delivered };
         (self.tap)(&ObservedDatagram { at: now(), from: &from_name, to: &to_name, bytes, delivery });
         let mut queue = self.queue.lock().expect("no holder panics");
@@ -142,7 +142,7 @@
     }
 
     /// The endpoint that sends from an address. A stranger becomes an endpoint, so that it can be answered.
-    fn sender(self: &Arc<Shared>, source: SocketAddr) -> Option<usize> {
+    fn sender_index(self: &Arc<Shared>, source: SocketAddr) -> Option<usize> {
         let count = {
             let endpoints = self.endpoints.lock().expect("no holder panics");
             let known = endpoints.iter().position(|endpoint| endpoint.real_address == Some(source));
@@ -154,23 +154,23 @@
         if count >= MAX_ENDPOINTS {
             return None;
         }
-        let (place, _) = self.add(&format!("stranger {count}"), Some(source)).ok()?;
+        let (index, _) = self.add(&format!("stranger {count}"), Some(source)).ok()?;
         // Answers come to its public address, which is read like any other until the relay ends.
         let shared = self.clone();
-        std::thread::spawn(move || shared.receive(place));
-        Some(place)
+        std::thread::spawn(move || shared.receive(index));
+        Some(index)
     }
 
-    fn send_when_due(&self) {
-        while !self.ended.load(Ordering::Acquire) {
+    fn send_due_datagrams(&self) {
+        while !self.stopped.load(Ordering::Acquire) {
             let mut queue = self.queue.lock().expect("no holder panics");
             let next_at = queue.next_at();
-            let wait = next_at.map_or(END_CHECK_INTERVAL, |at| seconds(at - now()).min(END_CHECK_INTERVAL));
+            let wait = next_at.map_or(STOP_CHECK_INTERVAL, |at| seconds(at - now()).min(STOP_CHECK_INTERVAL));
             if next_at.is_some_and(|at| at <= now()) {
                 let datagram = queue.pop();
                 drop(queue);
                 if let Some(datagram) = datagram {
-                    self.emit(&datagram);
+                    self.send(&datagram);
                 }
             } else {
                 let _ = self.queue_changed.wait_timeout(queue, wait.max(MIN_WAIT));
@@ -179,7 +179,7 @@
     }
 
     /// Sends a datagram to its endpoint's process. Where that is not there, the datagram is lost.
-    fn emit(&self, datagram: &QueuedDatagram) {
+    fn send(&self, datagram: &QueuedDatagram) {
         let route = {
             let endpoints = self.endpoints.lock().expect("no holder panics");
             let real_address = endpoints[datagram.to].real_address;
--- a/crates/railhub-fault-links/tests/record.rs
+++ b/crates/railhub-fault-links/tests/record.rs
@@ -6,9 +6,9 @@
 
 /// Keeps what is written.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("no holder panics").write(bytes)
     }
@@ -19,8 +19,8 @@
 }
 
 /// The lines without their times.
-fn lines(kept: &Kept) -> Vec<String> {
-    let text = String::from_utf8(kept.0.lock().expect("no holder panics").clone()).expect("text");
+fn lines(buffer: &SharedBuffer) -> Vec<String> {
+    let text = String::from_utf8(buffer.0.lock().expect("no holder panics").clone()).expect("text");
     let without_time = |line: &str| {
         let (before, after) = line.split_once(r#""at":"#).expect("each line has a time");
         let (_, after) = after.split_once(',').expect("a time is not the last field");
@@ -31,8 +31,8 @@
 
 #[test]
 fn record_lines() {
-    let kept = Kept::default();
-    let link_controller = Arc::new(LinkController::new(7, Some(Box::new(kept.clone()))));
+    let buffer = SharedBuffer::default();
+    let link_controller = Arc::new(LinkController::new(7, Some(Box::new(buffer.clone()))));
     let faults = Faults {
         lost: 0.25,
         reordered: 0.5,
@@ -44,10 +44,10 @@
     };
     link_controller.set("a", "b", faults);
     for _ in 0..20 {
-        link_controller.pass("a", "b", 100);
+        link_controller.schedule("a", "b", 100);
     }
     link_controller.set("b", "a", Faults { cut: true, ..Faults::default() });
-    link_controller.pass("b", "a", 100);
+    link_controller.schedule("b", "a", 100);
     let link = TcpLink::open(link_controller.clone(), "a", "b", None).expect("a port");
     assert_eq!(link.reset(), 0);
     link_controller.finish();
@@ -58,11 +58,11 @@
         r#"{"what":"counts","from":"a","to":"b","counts":{"passed":13,"lost":7,"cut":0,"overrun":0,"reordered":8,"doubled":13,"bytes":1300}}"#,
         r#"{"what":"counts","from":"b","to":"a","counts":{"passed":0,"lost":0,"cut":1,"overrun":0,"reordered":0,"doubled":0,"bytes":0}}"#,
     ];
-    assert_eq!(lines(&kept), expected);
+    assert_eq!(lines(&buffer), expected);
 }
 
 #[test]
-fn fates_json() {
+fn delivery_json() {
     let json = serde_json::to_string(&[Delivery::Delivered, Delivery::Dropped]).expect("it can be written");
     assert_eq!(json, r#"["passes","lost"]"#);
 }
--- a/crates/railhub-fault-links/tests/relays.rs
+++ b/crates/railhub-fault-links/tests/relays.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_datagram_comes_from_its_senders_public_address_and_an_answer_finds_back() {
+fn udp_relay_keeps_public_addresses_and_cuts_one_direction() {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let tapped = seen.clone();
     let tap = Box::new(move |datagram: &railhub_fault_links::ObservedDatagram| {
@@ -54,28 +54,28 @@
 }
 
 #[test]
-fn a_connection_falls_silent_and_stays_open_goes_on_and_is_reset() {
+fn cut_tcp_connection_stays_open_resumes_and_can_be_reset() {
     let link_controller = Arc::new(LinkController::new(1, None));
-    let server = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let link = TcpLink::open(link_controller.clone(), "proxy", "steward", server.local_addr().ok())
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let link = TcpLink::open(link_controller.clone(), "proxy", "steward", listener.local_addr().ok())
         .expect("a relay");
-    let mut near = TcpStream::connect(link.address).expect("connected");
-    let (mut far, _) = server.accept().expect("taken");
-    near.set_read_timeout(Some(Duration::from_millis(200))).expect("settable");
+    let mut client = TcpStream::connect(link.address).expect("connected");
+    let (mut server, _) = listener.accept().expect("taken");
+    client.set_read_timeout(Some(Duration::from_millis(200))).expect("settable");
     let mut bytes = [0; 5];
-    near.write_all(b"hello").expect("sent");
-    far.read_exact(&mut bytes).expect("it comes");
+    client.write_all(b"hello").expect("sent");
+    server.read_exact(&mut bytes).expect("it comes");
     link_controller.set_both("proxy", "steward", Faults { cut: true, ..Faults::default() });
-    far.write_all(b"world").expect("taken by the relay");
-    assert!(near.read_exact(&mut bytes).is_err(), "silent, and open");
+    server.write_all(b"world").expect("taken by the relay");
+    assert!(client.read_exact(&mut bytes).is_err(), "silent, and open");
     link_controller.set_both("proxy", "steward", Faults::default());
-    near.set_read_timeout(Some(TIMEOUT)).expect("settable");
-    near.read_exact(&mut bytes).expect("it comes after all");
+    client.set_read_timeout(Some(TIMEOUT)).expect("settable");
+    client.read_exact(&mut bytes).expect("it comes after all");
     assert_eq!(&bytes, b"world");
     assert_eq!(link.reset(), 1);
-    let ended = near.read(&mut bytes).expect_err("no proper end");
+    let ended = client.read(&mut bytes).expect_err("no proper end");
     assert_eq!(ended.kind(), std::io::ErrorKind::ConnectionReset);
-    far.set_read_timeout(Some(TIMEOUT)).expect("settable");
-    let ended = far.read(&mut bytes).expect_err("no proper end");
+    server.set_read_timeout(Some(TIMEOUT)).expect("settable");
+    let ended = server.read(&mut bytes).expect_err("no proper end");
     assert_eq!(ended.kind(), std::io::ErrorKind::ConnectionReset);
 }
