--- a/crates/railhub-fault-links/src/direction.rs
+++ b/crates/railhub-fault-links/src/direction.rs
@@ -1,21 +1,21 @@
-//! One direction between two endpoints: when each packet leaves, if it does. Free of sockets and of clocks.
+//! One direction between two endpoints: decides whether and when each packet leaves, without sockets or clocks.
 use crate::faults::{Counts, Faults};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Seconds that a reordered packet is held back, at most.
+/// Longest time that a reordered packet is held back.
 const MAX_REORDER_DELAY_SECONDS: f64 = 0.05;
-/// Seconds of traffic that the queue of a limited rate holds before it drops.
+/// Traffic that the queue of a rate-limited direction holds; packets beyond it are dropped.
 const MAX_QUEUE_DELAY_SECONDS: f64 = 0.5;
 
 /// The traffic from one endpoint to another.
 #[derive(Clone, Debug)]
 pub struct Direction {
-    /// What is wrong with it now.
+    /// The faults in effect.
     pub faults: Faults,
-    /// What it has done so far.
+    /// Packets so far, by their delivery.
     pub counts: Counts,
-    /// When the limited rate lets the next packet leave.
+    /// When the rate limit lets the next packet leave, in seconds.
     free_at: f64,
     rng: ChaCha8Rng,
 }
@@ -26,12 +26,13 @@
         Direction { faults: Faults::default(), counts: Counts::default(), free_at: 0.0, rng }
     }
 
-    /// Draws nothing for a fraction of 0.
-    fn draw(&mut self, fraction: f64) -> bool {
-        fraction > 0.0 && self.rng.random::<f64>() < fraction
+    /// Whether an event of this probability occurs. A probability of 0 takes no number from the random stream.
+    fn draw(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.random::<f64>() < probability
     }
 
-    /// The times at which a packet that comes now leaves: none if it is dropped, two if it is duplicated.
+    /// Counts a packet that arrives `now`. Returns the times at which it leaves, in seconds: none if it is dropped, two if
+    /// it is duplicated.
     pub fn schedule(&mut self, now: f64, bytes: usize) -> Vec<f64> {
         let faults = self.faults;
         if faults.cut {
@@ -61,7 +62,7 @@
         departures
     }
 
-    /// When the limited rate has sent a packet; `None`: the queue is full.
+    /// When the rate limit lets a packet leave; `None` if the queue is full.
     fn enqueue(&mut self, now: f64, bytes: usize) -> Option<f64> {
         if self.faults.bytes_per_second <= 0.0 {
             return Some(now);
--- a/crates/railhub-fault-links/src/faults.rs
+++ b/crates/railhub-fault-links/src/faults.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with one direction of a link, and what it has done.
+//! The faults and the packet counts of one direction of a link.
 use serde::{Deserialize, Serialize};
 
 /// The faults of one direction; by default there are none.
@@ -12,21 +12,21 @@
     /// Fraction of packets that are delivered twice.
     #[serde(rename = "doubled")]
     pub duplicated: f64,
-    /// Seconds that each packet takes.
+    /// Seconds by which each packet is delayed.
     pub delay: f64,
-    /// Seconds that a packet takes more, at most.
+    /// Largest random delay of a packet on top of `delay`, in seconds.
     pub jitter: f64,
-    /// Bytes in a second; 0: no limit.
+    /// Rate limit in bytes per second; 0: no limit.
     #[serde(rename = "rate")]
     pub bytes_per_second: f64,
-    /// Nothing passes.
+    /// Every packet is dropped; the chunks of a connection are held back.
     pub cut: bool,
 }
 
-/// What one direction has done so far, in packets.
+/// Packets of one direction so far, by their delivery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Delivered; one that was delivered twice counts once.
+    /// Delivered; a duplicated packet counts once.
     pub passed: u64,
     /// Lost at random.
     pub lost: u64,
@@ -35,11 +35,11 @@
     /// Dropped because the queue of a limited rate was full.
     #[serde(rename = "overrun")]
     pub queue_dropped: u64,
-    /// Held back.
+    /// Held back, so that later ones overtake them.
     pub reordered: u64,
     /// Delivered twice.
     #[serde(rename = "doubled")]
     pub duplicated: u64,
-    /// Bytes of those that were delivered.
+    /// Bytes of the delivered packets; a duplicated packet counts once.
     pub bytes: u64,
 }
--- a/crates/railhub-fault-links/src/lib.rs
+++ b/crates/railhub-fault-links/src/lib.rs
@@ -1,18 +1,20 @@
-//! Links between processes that inject faults: a relay for each pair of named endpoints, for datagrams ([`udp`]) and for
-//! connections ([`tcp`]). The processes are given the relays' addresses; nothing in them knows of it.
+//! Relays that inject faults into the traffic between processes: one for datagrams ([`udp`]), and one for the
+//! connections from one named endpoint to another ([`tcp`]). The processes are configured with the relays' addresses
+//! and need no change.
 //!
-//! Who owns what: a [`direction`] owns what happens to the traffic from one endpoint to another, free of sockets and
-//! clocks; the [`link_controller`] owns all directions, the seed they draw from, and the record of changes and counts;
-//! the relays own sockets and threads.
+//! A [`direction`] decides when the packets from one endpoint to another leave, without sockets or clocks. The
+//! [`link_controller`] owns all directions, the seed of their random streams, and the record of changes and counts. The
+//! relays own the sockets and threads.
 //!
-//! The numbered way of one datagram:
-//! 1. Controller 1 sends to the public address of controller 2, which is a socket of the relay.
-//! 2. The relay knows controller 1 by its source address, and asks the link controller when the datagram leaves.
-//! 3. It is dropped and counted, or waits for its time, once or twice over, in the order of those times.
-//! 4. It leaves for controller 2's real address from controller 1's public one, so an answer takes the same path back.
+//! The path of one datagram:
+//! 1. Controller 1 sends it to the public address of controller 2, which is a socket of the relay.
+//! 2. The relay identifies controller 1 by its source address, and asks the link controller when the datagram leaves.
+//! 3. The datagram is dropped and counted, or it is queued once (twice if it is duplicated), ordered by departure time.
+//! 4. It is sent to controller 2's real address from controller 1's public address, so that a reply takes the same path
+//!    back.
 //!
-//! A connection is relayed in both directions, chunk by chunk: what a direction would drop comes late instead, as if TCP
-//! had sent it again; a direction that is cut holds up what passes and leaves the connection open.
+//! A connection is relayed in both directions, chunk by chunk. A chunk that a direction would drop is delayed instead,
+//! as by a TCP retransmission. A direction that is cut holds its chunks and leaves the connection open.
 #![warn(missing_docs)]
 
 pub mod direction;
--- a/crates/railhub-fault-links/src/link_controller.rs
+++ b/crates/railhub-fault-links/src/link_controller.rs
@@ -1,4 +1,4 @@
-//! The control of all links of a run, in one place: faults are set by a schedule or by hand while traffic passes.
+//! Controls all links of a run: faults are set by a schedule or by hand while traffic passes.
 use crate::direction::Direction;
 use crate::endpoint::EndpointName;
 use crate::faults::{Counts, Faults};
@@ -10,36 +10,36 @@
 use std::io::Write;
 use std::sync::Mutex;
 
-/// Directions that are controlled; past it a new one lets everything through and is not counted.
+/// Directions that are controlled; the packets of any further one pass without faults and are not counted.
 const MAX_DIRECTIONS: usize = 4096;
-/// Offset basis and prime of the FNV-1a hash, which makes a direction's seed from its endpoints' names.
+/// Offset basis and prime of the FNV-1a hash, which derives a direction's seed from its endpoints' names.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What became of a packet.
+/// Whether a packet is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Delivery {
-    /// It is delivered, once or twice.
+    /// Delivered, once or twice.
     #[serde(rename = "passes")]
     Delivered,
-    /// It is dropped, by whatever fault.
+    /// Dropped by any fault.
     #[serde(rename = "lost")]
     Dropped,
 }
 
-/// A datagram that came to a relay.
+/// A datagram that arrived at the relay.
 #[derive(Clone, Debug)]
 pub struct ObservedDatagram<'a> {
-    /// Seconds on the machine's monotonic clock.
+    /// When it arrived, in seconds on the machine's monotonic clock.
     pub at: f64,
     /// The endpoint that sent it.
     pub from: &'a str,
-    /// The endpoint that it goes to.
+    /// The endpoint that it is addressed to.
     pub to: &'a str,
     /// Its contents.
     pub bytes: &'a [u8],
-    /// What becomes of it.
+    /// Whether it is delivered.
     pub delivery: Delivery,
 }
 
@@ -48,15 +48,16 @@
     record: Record,
 }
 
-/// Controls all directions. Each draws from a random stream of its own, made of the seed and the names of its endpoints,
-/// so that the traffic of one direction changes nothing in another.
+/// Controls all directions. Each draws from a random stream of its own, seeded with the run's seed and the names of its
+/// endpoints, so that the traffic of one direction does not affect the faults of another.
 pub struct LinkController {
     seed: u64,
     state: Mutex<State>,
 }
 
 impl LinkController {
-    /// Changes and counts are written to `record`, a JSON object a line.
+    /// A controller without faults. Changes of faults, resets and counts are written to `record`, one JSON object a
+    /// line.
     pub fn new(seed: u64, record: Option<Box<dyn Write + Send>>) -> LinkController {
         let state = State { directions: BTreeMap::new(), record: Record::new(record) };
         LinkController { seed, state: Mutex::new(state) }
@@ -92,14 +93,14 @@
         self.set(b, a, faults);
     }
 
-    /// The faults of a direction now.
+    /// The faults of a direction in effect.
     pub fn faults(&self, from: &str, to: &str) -> Faults {
         let key = (from.to_owned(), to.to_owned());
         self.with_state(|state| state.directions.get(&key).map(|direction| direction.faults))
             .unwrap_or_default()
     }
 
-    /// The times at which a packet that comes now leaves, as [`Direction::schedule`].
+    /// The times at which a packet that arrives now leaves, as in [`Direction::schedule`].
     pub fn schedule(&self, from: &str, to: &str, bytes: usize) -> Vec<f64> {
         let now = railhub_net::now();
         let key = (from.to_owned(), to.to_owned());
@@ -113,7 +114,7 @@
         })
     }
 
-    /// What each direction has done so far.
+    /// The packets of each direction so far.
     pub fn counts(&self) -> BTreeMap<(EndpointName, EndpointName), Counts> {
         self.with_state(|state| {
             let directions = state.directions.iter();
--- a/crates/railhub-fault-links/src/record.rs
+++ b/crates/railhub-fault-links/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of a run's links: a JSON object a line.
+//! The record of a run's links: one JSON object a line.
 use crate::faults::{Counts, Faults};
 use serde::Serialize;
 use std::io::Write;
@@ -13,11 +13,11 @@
     /// Connections were reset.
     #[serde(rename = "resets")]
     ConnectionsReset { at: f64, a: &'a str, b: &'a str, connections: usize },
-    /// What a direction has done in the run.
+    /// The packets of a direction in the run.
     Counts { at: f64, from: &'a str, to: &'a str, counts: Counts },
 }
 
-/// Writes the lines, if they are to be written anywhere.
+/// Writes the lines; without a writer they are discarded.
 pub(crate) struct Record {
     writer: Option<Box<dyn Write + Send>>,
 }
@@ -27,7 +27,7 @@
         Record { writer }
     }
 
-    /// Writes a line. Errors are ignored: a record that cannot be written must not hold up the traffic.
+    /// Writes a line. Errors are ignored: a record that cannot be written must not stop the traffic.
     pub(crate) fn write(&mut self, line: &RecordLine) {
         if let Some(writer) = &mut self.writer {
             let _ = serde_json::to_writer(&mut *writer, line).map(|()| writer.write_all(b"\n"));
--- a/crates/railhub-fault-links/src/send_queue.rs
+++ b/crates/railhub-fault-links/src/send_queue.rs
@@ -1,21 +1,21 @@
-//! Datagrams that wait for their time, the earliest first.
+//! Datagrams that wait for their departure time, the earliest first.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Datagrams that wait at once; further ones are dropped, as by a full switch.
+/// Datagrams that may wait at once; further ones are dropped, as by a network switch with a full queue.
 const MAX_QUEUED_DATAGRAMS: usize = 100_000;
 
-/// A datagram that waits. Endpoints are given by their places in the relay's list.
+/// A datagram that waits to be sent. Endpoints are given by their index in the relay's list.
 pub(crate) struct QueuedDatagram {
     pub(crate) from: usize,
     pub(crate) to: usize,
     pub(crate) bytes: Vec<u8>,
 }
 
-/// When a datagram leaves, in microseconds, and its number: those of one time leave in the order in which they came.
+/// When a datagram leaves, in microseconds, and its number: those of the same time leave in the order of their arrival.
 type Departure = (u64, u64);
 
-/// The queue of a relay.
+/// The datagrams that a relay has yet to send.
 #[derive(Default)]
 pub(crate) struct SendQueue {
     departures: BinaryHeap<Reverse<Departure>>,
@@ -39,7 +39,7 @@
         self.departures.peek().map(|Reverse((micros, _))| *micros as f64 / 1e6)
     }
 
-    /// Takes the next datagram out, due or not.
+    /// Removes the next datagram, whether or not it is due.
     pub(crate) fn pop(&mut self) -> Option<QueuedDatagram> {
         let Reverse((_, number)) = self.departures.pop()?;
         self.datagrams.remove(&number)
--- a/crates/railhub-fault-links/src/tcp.rs
+++ b/crates/railhub-fault-links/src/tcp.rs
@@ -11,23 +11,24 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Bytes that are relayed at once.
+/// Size of the chunks that are relayed, at most.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Time between checks of whether the relay has stopped, and of a direction that is cut.
+/// Time between checks of whether the relay has stopped, a connection was reset, or a direction is still cut.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between checks for a new connection.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Seconds after which a lost chunk is sent again: a common minimum of TCP's retransmission timeout.
+/// Time after which a lost chunk is sent again: a common minimum of TCP's retransmission timeout.
 const RETRANSMISSION_TIMEOUT_SECONDS: f64 = 0.2;
-/// Connections at once; further ones are closed, as by a full host.
+/// Connections that may be open at once; further ones are closed, as by an overloaded host.
 const MAX_CONNECTIONS: usize = 512;
-/// How long connecting to the other endpoint may take.
+/// Time limit for connecting to the other endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Shared {
     link_controller: Arc<LinkController>,
     from: EndpointName,
     to: EndpointName,
+    /// Where the endpoint `to` listens, if it does.
     target: Mutex<Option<SocketAddr>>,
     connections: Mutex<Vec<Connection>>,
     /// Connections that are being accepted or relayed.
@@ -39,7 +40,7 @@
 struct Connection {
     client: TcpStream,
     server: TcpStream,
-    /// Both sides are to be reset.
+    /// Tells the relaying threads to end, so that both sides are reset.
     reset: Arc<AtomicBool>,
 }
 
@@ -52,7 +53,7 @@
     Server,
 }
 
-/// A relay from one endpoint to another; dropping it ends its connections.
+/// A relay of connections from one endpoint to another. Dropping it resets its connections.
 pub struct TcpLink {
     /// Where the relay listens.
     pub address: SocketAddr,
@@ -61,7 +62,7 @@
 }
 
 impl TcpLink {
-    /// Relays connections of `from` to `to`, which listens at `target`; `None`: nowhere yet.
+    /// Relays connections of `from` to `to`, which listens at `target`; `None` if it does not listen yet.
     ///
     /// # Errors
     /// No port can be opened.
@@ -88,7 +89,7 @@
         Ok(TcpLink { address, shared, thread: Some(thread) })
     }
 
-    /// Sets where the other endpoint listens; `None`: nowhere.
+    /// Sets where the other endpoint listens; `None` if it does not listen.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.shared.target.lock().expect("no holder panics") = target;
     }
@@ -97,8 +98,8 @@
     pub fn reset(&self) -> usize {
         let connections = std::mem::take(&mut *self.shared.connections.lock().expect("no holder panics"));
         for connection in &connections {
-            // A socket that lingers for no time is reset when the last of its holders, the relaying threads, drops it;
-            // they end by the flag. Shutting it down first would end it in order instead.
+            // With a linger time of 0 a socket is reset when its last handle is closed, here by the relaying threads,
+            // which end on the flag. A shutdown before that would close the connection in order instead.
             for stream in [&connection.client, &connection.server] {
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
             }
@@ -170,15 +171,16 @@
         let _ = response_relay.join();
     }
 
-    /// Keeps a connection, so that it can be reset; those that have stopped are dropped.
+    /// Registers a connection, so that it can be reset, and removes those that have ended.
     fn register(&self, client: &TcpStream, server: &TcpStream, reset: &Arc<AtomicBool>) {
         let (Ok(client), Ok(server)) = (client.try_clone(), server.try_clone()) else { return };
         let mut connections = self.connections.lock().expect("no holder panics");
-        // The relaying threads of one that has stopped hold its flag no more.
+        // The relaying threads hold the flag until their connection ends.
         connections.retain(|connection| Arc::strong_count(&connection.reset) > 1);
         connections.push(Connection { client, server, reset: reset.clone() });
     }
 
+    /// Relays one direction of a connection until it ends, is reset, or the relay stops.
     fn relay(&self, mut reader: TcpStream, mut writer: TcpStream, side: ReadSide, reset: &AtomicBool) {
         let (from, to) = match side {
             ReadSide::Client => (&self.from, &self.to),
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Writes a complete chunk, however slowly it is read. Returns false if the relay or the connection has stopped.
+    /// Writes a complete chunk, however slowly the peer reads it. Returns false if the relay has stopped or the
+    /// connection has ended.
     fn write(&self, writer: &mut TcpStream, chunk: &[u8], reset: &AtomicBool) -> bool {
         let mut written = 0;
         while written < chunk.len() {
@@ -224,7 +227,8 @@
         true
     }
 
-    /// Holds a chunk until its direction lets it through. Returns false if the relay or the connection has stopped.
+    /// Holds a chunk until its direction lets it leave. Returns false if the relay has stopped or the connection is
+    /// reset.
     fn wait_for_departure(&self, from: &str, to: &str, bytes: usize, reset: &AtomicBool) -> bool {
         loop {
             if self.is_stopped() || reset.load(Ordering::Acquire) {
--- a/crates/railhub-fault-links/src/udp.rs
+++ b/crates/railhub-fault-links/src/udp.rs
@@ -1,5 +1,5 @@
-//! Datagrams between endpoints. Each endpoint has one public address, a socket of the relay; the sender of a datagram is
-//! known by its source address.
+//! Relays datagrams between endpoints. Each endpoint has one public address, a socket of the relay. The relay
+//! identifies the sender of a datagram by its source address.
 use crate::endpoint::EndpointName;
 use crate::link_controller::{Delivery, LinkController, ObservedDatagram};
 use crate::send_queue::{QueuedDatagram, SendQueue};
@@ -11,22 +11,23 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Bytes of a datagram: the most that UDP carries.
+/// Largest payload of a UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
-/// Endpoints, those included that nobody named (observers, strangers): further strangers get no answer.
+/// Endpoints, including unknown senders that were added on their first datagram (such as observers). The datagrams of
+/// further unknown senders are dropped.
 const MAX_ENDPOINTS: usize = 256;
 /// Time between checks of whether the relay has stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Shortest wait for the next datagram.
+/// Shortest wait of the sending thread for the next departure time.
 const MIN_WAIT: Duration = Duration::from_micros(50);
 
-/// Is called with every datagram that comes to the relay, whatever becomes of it.
+/// Called with every datagram that arrives at the relay, delivered or not.
 pub type Tap = Box<dyn Fn(&ObservedDatagram) + Send + Sync>;
 
 struct RelayedEndpoint {
     name: EndpointName,
     socket: Arc<UdpSocket>,
-    /// Where its process listens, once that is known.
+    /// Where its process listens; `None` while it does not run.
     real_address: Option<SocketAddr>,
 }
 
@@ -39,7 +40,7 @@
     stopped: AtomicBool,
 }
 
-/// The relay of all datagrams; dropping it ends its threads.
+/// The relay of all datagrams. Dropping it stops its threads.
 pub struct UdpLinks {
     shared: Arc<Shared>,
     threads: Mutex<Vec<JoinHandle<()>>>,
@@ -61,7 +62,7 @@
         UdpLinks { shared, threads: Mutex::new(vec![sender_thread]) }
     }
 
-    /// Adds an endpoint. Returns its public address, which stays the same while its process comes and goes.
+    /// Adds an endpoint. Returns its public address, which stays the same when its process restarts.
     ///
     /// # Errors
     /// No socket can be opened.
@@ -73,7 +74,7 @@
         Ok(public_address)
     }
 
-    /// Sets where an endpoint's process listens; `None`: nowhere.
+    /// Sets where an endpoint's process listens; `None` if it does not run.
     pub fn set_real_address(&self, name: &str, real_address: Option<SocketAddr>) {
         let mut endpoints = self.shared.endpoints.lock().expect("no holder panics");
         for endpoint in endpoints.iter_mut().filter(|endpoint| endpoint.name == name) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Sends a datagram as if it came from an endpoint, past all faults: an old one again, or a corrupt one.
+    /// Sends a datagram as if it came from an endpoint, bypassing all faults: an old one again, or a corrupt one.
     pub fn inject(&self, from: &str, to: &str, bytes: &[u8]) {
         let (from, to) = (self.shared.endpoint_index(from), self.shared.endpoint_index(to));
         if let (Some(from), Some(to)) = (from, to) {
@@ -141,7 +142,8 @@
         self.queue_changed.notify_one();
     }
 
-    /// The endpoint that sends from an address. A stranger becomes an endpoint, so that it can be answered.
+    /// The endpoint that sends from an address. An unknown sender is added as an endpoint, so that replies reach it;
+    /// `None` if there are too many endpoints.
     fn sender_index(self: &Arc<Shared>, source: SocketAddr) -> Option<usize> {
         let count = {
             let endpoints = self.endpoints.lock().expect("no holder panics");
@@ -155,7 +157,8 @@
             return None;
         }
         let (index, _) = self.add(&format!("stranger {count}"), Some(source)).ok()?;
-        // Answers come to its public address, which is read like any other until the relay ends.
+        // Replies arrive at its public address, which is read like any other until the relay stops. The thread is not
+        // joined.
         let shared = self.clone();
         std::thread::spawn(move || shared.receive(index));
         Some(index)
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Sends a datagram to its endpoint's process. Where that is not there, the datagram is lost.
+    /// Sends a datagram to its endpoint's process. The datagram is lost if that process does not run.
     fn send(&self, datagram: &QueuedDatagram) {
         let route = {
             let endpoints = self.endpoints.lock().expect("no holder panics");
--- a/crates/railhub-fault-links/tests/record.rs
+++ b/crates/railhub-fault-links/tests/record.rs
@@ -1,10 +1,10 @@
-//! The lines of the record as literals: scripts read them, so they must not change while the names in the code do.
+//! The lines of the record as literals: scripts read them, so they must stay when names in the code change.
 use railhub_fault_links::tcp::TcpLink;
 use railhub_fault_links::{Delivery, Faults, LinkController};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-/// Keeps what is written.
+/// A writer that keeps the bytes in memory.
 #[derive(Clone, Default)]
 struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// The lines without their times.
+/// The written lines without their times.
 fn lines(buffer: &SharedBuffer) -> Vec<String> {
     let text = String::from_utf8(buffer.0.lock().expect("no holder panics").clone()).expect("text");
     let without_time = |line: &str| {
@@ -63,14 +63,14 @@
 
 #[test]
 fn delivery_json() {
-    let json = serde_json::to_string(&[Delivery::Delivered, Delivery::Dropped]).expect("it can be written");
+    let json = serde_json::to_string(&[Delivery::Delivered, Delivery::Dropped]).expect("serializes");
     assert_eq!(json, r#"["passes","lost"]"#);
 }
 
 #[test]
 fn faults_are_read_with_defaults() {
     let text = r#"{"lost":0.1,"reordered":0.2,"doubled":0.3,"delay":0.4,"jitter":0.5,"rate":6.0,"cut":true}"#;
-    let faults: Faults = serde_json::from_str(text).expect("it can be read");
-    assert_eq!(serde_json::to_string(&faults).expect("it can be written"), text);
-    assert_eq!(serde_json::from_str::<Faults>("{}").expect("it can be read"), Faults::default());
+    let faults: Faults = serde_json::from_str(text).expect("parses");
+    assert_eq!(serde_json::to_string(&faults).expect("serializes"), text);
+    assert_eq!(serde_json::from_str::<Faults>("{}").expect("parses"), Faults::default());
 }
