--- a/crates/railhub-record/src/error.rs
+++ b/crates/railhub-record/src/error.rs
@@ -56,7 +56,7 @@
     TooLong,
     /// Its bytes do not match its checksum.
     #[error("its checksum differs")]
-    Checksum,
+    ChecksumMismatch,
     /// Its bytes are no event.
     #[error("{0}")]
     Decode(DecodeError),
--- a/crates/railhub-record/src/format.rs
+++ b/crates/railhub-record/src/format.rs
@@ -84,7 +84,7 @@
     }
     let (body, after) = after.split_at(length);
     if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
-        return Err(EventDamage::Checksum);
+        return Err(EventDamage::ChecksumMismatch);
     }
     let event = Event::decode(body).map_err(EventDamage::Decode)?;
     Ok((event, after))
--- a/crates/railhub-record/src/recorder.rs
+++ b/crates/railhub-record/src/recorder.rs
@@ -15,7 +15,7 @@
 /// Events that may wait for the writer; further ones are dropped, and the recording is in error.
 const MAX_QUEUED_EVENTS: usize = 1 << 20;
 /// Without events for so long, what was written is flushed, for readers that follow the file.
-const FLUSH_INTERVAL: Duration = Duration::from_millis(200);
+const IDLE_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 type WriterThread = JoinHandle<Result<Vec<Event>, RecordError>>;
 
@@ -130,7 +130,7 @@
     mut sink: Sink,
 ) -> Result<Vec<Event>, RecordError> {
     loop {
-        match receiver.recv_timeout(FLUSH_INTERVAL) {
+        match receiver.recv_timeout(IDLE_FLUSH_TIMEOUT) {
             Ok(Some(event)) => {
                 queued.fetch_sub(1, Ordering::Relaxed);
                 sink.write(event)?;
--- a/crates/railhub-record/src/tests.rs
+++ b/crates/railhub-record/src/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_file_reads_back_in_the_order_of_times_and_tells_of_damage() {
+fn read_sorts_by_time_and_reports_damage() {
     let path = std::env::temp_dir().join(format!("railhub-record-{}", std::process::id()));
     let recorder = Recorder::start(Some(&path)).expect("a file");
     recorder.record(2.0, fault("b"));
@@ -21,12 +21,12 @@
     std::fs::remove_file(&path).expect("there");
     let events = read_bytes("r", &bytes).expect("whole");
     assert_eq!(events.iter().map(|event| event.at).collect::<Vec<_>>(), [1.0, 2.0]);
-    let cut = complete_bytes("r", &bytes[..bytes.len() - 1]).expect("ours");
-    assert_eq!(read_bytes("r", &bytes[..cut]).expect("whole blocks").len(), 1);
+    let complete = complete_bytes("r", &bytes[..bytes.len() - 1]).expect("ours");
+    assert_eq!(read_bytes("r", &bytes[..complete]).expect("whole blocks").len(), 1);
     assert_eq!(complete_bytes("r", &bytes).expect("ours"), bytes.len());
-    let mut long = bytes.clone();
-    long[MAGIC.len() + 3] = 0xff;
-    assert!(matches!(complete_bytes("r", &long), Err(RecordError::Damaged { number: 1, .. })));
+    let mut too_long = bytes.clone();
+    too_long[MAGIC.len() + 3] = 0xff;
+    assert!(matches!(complete_bytes("r", &too_long), Err(RecordError::Damaged { number: 1, .. })));
     let last = bytes.len() - 1;
     assert!(matches!(read_bytes("r", &bytes[..last]), Err(RecordError::Damaged { number: 2, .. })));
     bytes[last] ^= 1;
--- a/crates/railhub-record/tests/file_format.rs
+++ b/crates/railhub-record/tests/file_format.rs
@@ -41,7 +41,7 @@
 
 fn host_events() -> Vec<EventKind> {
     let host = "127.0.0.1:8001".to_owned();
-    let up = HostStarted {
+    let host_started = HostStarted {
         host: host.clone(),
         zone: 1,
         cores: 4.0,
@@ -53,7 +53,7 @@
     let entry =
         EndpointStatus { host: host.clone(), phase: EndpointPhase::Gone.into(), started_at: Some(1.75) };
     vec![
-        EventKind::HostStarted(up),
+        EventKind::HostStarted(host_started),
         EventKind::HostStopped(HostStopped { host }),
         EventKind::EndpointsReceived(EndpointsReceived {
             complete: true,
@@ -144,38 +144,38 @@
     kinds.extend(operation_events());
     kinds.extend(controller_events());
     let numbered = kinds.into_iter().enumerate();
-    numbered.map(|(number, what)| Event { at: number as f64 + 0.5, kind: Some(what) }).collect()
+    numbered.map(|(number, kind)| Event { at: number as f64 + 0.5, kind: Some(kind) }).collect()
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn scratch_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("railhub-format-{name}-{}", std::process::id()))
 }
 
-fn bytes_and_remove(path: &Path) -> Vec<u8> {
+fn read_and_remove(path: &Path) -> Vec<u8> {
     let bytes = std::fs::read(path).expect("written");
     std::fs::remove_file(path).expect("there");
     bytes
 }
 
 #[test]
-fn saved_events_have_the_pinned_bytes() {
-    let path = scratch("saved");
+fn saved_events_match_the_fixture() {
+    let path = scratch_path("saved");
     save(&path, &every_event()).expect("saved");
-    assert_eq!(bytes_and_remove(&path), std::fs::read(fixture()).expect("a fixture"));
+    assert_eq!(read_and_remove(&path), std::fs::read(fixture()).expect("a fixture"));
 }
 
 #[test]
-fn recorded_events_have_the_pinned_bytes() {
-    let path = scratch("recorded");
+fn recorded_events_match_the_fixture() {
+    let path = scratch_path("recorded");
     let recorder = Recorder::start(Some(&path)).expect("a file");
     for event in every_event() {
         recorder.record(event.at, event.kind.expect("a kind"));
     }
     recorder.finish().expect("written");
-    assert_eq!(bytes_and_remove(&path), std::fs::read(fixture()).expect("a fixture"));
+    assert_eq!(read_and_remove(&path), std::fs::read(fixture()).expect("a fixture"));
 }
 
 #[test]
-fn the_pinned_bytes_read_back_as_the_events() {
+fn fixture_reads_back_as_the_events() {
     assert_eq!(read(&fixture()).expect("a recording"), every_event());
 }
