--- a/crates/railhub-record/src/error.rs
+++ b/crates/railhub-record/src/error.rs
@@ -1,4 +1,6 @@
-//! Why a recording cannot be written or read.
+//! The errors of writing and reading recordings.
+use crate::format::{MAGIC, MAX_EVENT_BYTES};
+use crate::recorder::MAX_QUEUED_EVENTS;
 use prost::DecodeError;
 use std::io;
 use std::path::Path;
@@ -15,26 +17,28 @@
         /// The cause.
         source: io::Error,
     },
-    /// The file is no recording, or one of another version.
-    #[error("{file}: not a record of this version")]
+    /// The file is not a recording, or one of another version.
+    #[error("{file}: does not begin with \"{}\": not a record of this version", MAGIC.escape_ascii())]
     NotARecording {
         /// The file's name.
         file: String,
     },
-    /// An event of the file cannot be read.
+    /// An event in the file cannot be read.
     #[error("{file}: event {number} is damaged: {damage}")]
     Damaged {
         /// The file's name.
         file: String,
-        /// The event's place in the file, from 1.
+        /// The event's position in the file, from 1.
         number: usize,
         /// What is wrong with it.
         damage: EventDamage,
     },
-    /// Events did not fit the recorder's queue.
-    #[error("{events} events did not fit the queue: the record has gaps")]
+    /// The recorder dropped events, as its queue was full.
+    #[error(
+        "recording incomplete: {events} events dropped, the queue of {MAX_QUEUED_EVENTS} events was full"
+    )]
     QueueOverflow {
-        /// Events that are missing.
+        /// The number of dropped events.
         events: usize,
     },
 }
@@ -49,15 +53,15 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EventDamage {
     /// The file ends within the event.
-    #[error("cut off")]
+    #[error("truncated: the file ends within the event")]
     Truncated,
-    /// Its length is over the limit.
-    #[error("longer than any event")]
+    /// Its length is above the limit.
+    #[error("its length is above the limit of {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// Its bytes do not match its checksum.
-    #[error("its checksum differs")]
+    #[error("CRC-32 checksum mismatch")]
     ChecksumMismatch,
-    /// Its bytes are no event.
-    #[error("{0}")]
+    /// Its body is not an encoded event.
+    #[error("not an encoded event: {0}")]
     Decode(DecodeError),
 }
--- a/crates/railhub-record/src/events.rs
+++ b/crates/railhub-record/src/events.rs
@@ -1,6 +1,5 @@
-//! What a recording holds: one [`Event`] for each thing that crossed a socket or happened to a process. Times are
-//! seconds on the machine's monotonic clock. Field names are free to change; the numbers after `tag` are the file
-//! format.
+//! The events of a recording: one [`Event`] for each message on a socket and for each change of a process. Times are
+//! seconds on the machine's monotonic clock. Field names may change; the numbers after `tag` are the file format.
 mod controllers;
 mod endpoints;
 mod hosts;
@@ -23,7 +22,7 @@
     /// When it happened, in seconds.
     #[prost(double, tag = "1")]
     pub at: f64,
-    /// What happened; none if a later version recorded a kind that this one does not know.
+    /// What happened; `None` if a later version recorded a kind of event that this one does not know.
     #[prost(oneof = "EventKind", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16")]
     pub kind: Option<EventKind>,
 }
@@ -58,7 +57,7 @@
     /// An attempt ended for its proxy.
     #[prost(message, tag = "10")]
     AttemptEnd(AttemptEnd),
-    /// A host did an operation's work.
+    /// A host executed an operation.
     #[prost(message, tag = "11")]
     Effect(Effect),
     /// An operation ended for its client.
--- a/crates/railhub-record/src/events/controllers.rs
+++ b/crates/railhub-record/src/events/controllers.rs
@@ -1,4 +1,4 @@
-//! Events of the scenario, of the controllers' processes and of the store that they share.
+//! Events of the scenario's faults, of the controllers' processes and of the store that they share.
 use prost::Message;
 
 /// A fault of the scenario began or ended.
@@ -7,13 +7,13 @@
     /// Its name and kind in the scenario.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// It began; else it ended.
+    /// True if it began, false if it ended.
     #[prost(bool, tag = "2")]
     pub active: bool,
     /// Its settings in the scenario.
     #[prost(string, tag = "3")]
     pub note: String,
-    /// How many times slower it makes the update channel; 0: not at all.
+    /// Factor by which it slows down the update channel; 0 if it does not.
     #[prost(double, tag = "4")]
     pub channel_slowdown: f64,
 }
@@ -30,7 +30,7 @@
     /// The process exists and is paused; when it resumes, it is recorded as running again.
     #[prost(bool, tag = "3")]
     pub paused: bool,
-    /// Its clock is set back while it runs: its leases cannot expire in time, and epochs alone protect the slices.
+    /// Its clock is set back while it runs: its leases do not expire in time, and only epochs protect the slices.
     #[prost(bool, tag = "4")]
     pub clock_set_back: bool,
 }
@@ -55,10 +55,10 @@
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
-    /// The epoch that it was sent under.
+    /// The epoch under which it was sent.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// The store wrote it; else it refused it.
+    /// True if the store wrote it, false if the store refused it.
     #[prost(bool, tag = "3")]
     pub written: bool,
 }
--- a/crates/railhub-record/src/events/endpoints.rs
+++ b/crates/railhub-record/src/events/endpoints.rs
@@ -4,7 +4,7 @@
 /// A controller received an update of the endpoint list.
 #[derive(Clone, PartialEq, Message)]
 pub struct EndpointsReceived {
-    /// The update holds the complete list: a host that is missing is gone.
+    /// The update holds the complete list: a host that is missing from it is gone.
     #[prost(bool, tag = "1")]
     pub complete: bool,
     /// The hosts in the update.
@@ -24,7 +24,7 @@
     /// Its phase.
     #[prost(enumeration = "EndpointPhase", tag = "2")]
     pub phase: i32,
-    /// When its process started, in seconds, if the list has it.
+    /// When its process started, in seconds, if the list states it.
     #[prost(double, optional, tag = "3")]
     pub started_at: Option<f64>,
 }
@@ -33,10 +33,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum EndpointPhase {
-    /// It takes operations.
+    /// It accepts operations.
     Ready = 0,
-    /// It takes no new operations.
+    /// It is to receive no new operations.
     Draining = 1,
-    /// It is no longer there.
+    /// It was removed from the list.
     Gone = 2,
 }
--- a/crates/railhub-record/src/events/hosts.rs
+++ b/crates/railhub-record/src/events/hosts.rs
@@ -10,19 +10,19 @@
     /// Its zone's number.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// Operations that it can work on at a time.
+    /// Operations that it can execute at the same time.
     #[prost(double, tag = "3")]
     pub cores: f64,
-    /// Core seconds at speed 1 that a core does in a second.
+    /// Speed of each core: core seconds at speed 1 that it executes per second.
     #[prost(double, tag = "4")]
     pub speed: f64,
-    /// It starts cold.
+    /// It starts cold, with a part of its capacity.
     #[prost(bool, tag = "5")]
     pub cold: bool,
     /// Fraction of its capacity that it has when it starts cold.
     #[prost(double, tag = "6")]
     pub cold_capacity_fraction: f64,
-    /// Seconds until it has all of its capacity.
+    /// Seconds until it has its full capacity.
     #[prost(double, tag = "7")]
     pub warm_up_time: f64,
 }
--- a/crates/railhub-record/src/events/limits.rs
+++ b/crates/railhub-record/src/events/limits.rs
@@ -19,10 +19,10 @@
     /// Seconds in which a controller's update must take effect.
     #[prost(double, tag = "5")]
     pub grace: f64,
-    /// A host that is removed from the list without draining may still be sent to.
+    /// A host that is removed from the endpoint list without draining may still receive operations.
     #[prost(bool, tag = "6")]
     pub removed_hosts_exempt: bool,
-    /// A host in slow start is overloaded by this many times the work that it can do.
+    /// A host in slow start is overloaded by work above this multiple of its capacity.
     #[prost(double, tag = "7")]
     pub overload_multiple: f64,
     /// Seconds over which that work is summed.
@@ -31,16 +31,16 @@
     /// Fraction of its capacity that a host has when it starts cold.
     #[prost(double, tag = "9")]
     pub cold_capacity_fraction: f64,
-    /// Seconds within which every host is warm.
+    /// Seconds after its start within which every host is warm.
     #[prost(double, tag = "10")]
     pub max_warm_up: f64,
     /// Lines that may wait in the update channel.
     #[prost(double, tag = "11")]
     pub max_backlog: f64,
-    /// Lines that a message costs on top of those it carries.
+    /// Lines that a message counts as, on top of those that it carries.
     #[prost(double, tag = "12")]
     pub message_cost: f64,
-    /// Messages that a controller may send a proxy within the span; 0: no limit.
+    /// Messages that a controller may send a proxy within `message_span`; 0: no limit.
     #[prost(uint32, tag = "13")]
     pub max_messages: u32,
     /// Seconds over which messages are counted.
@@ -66,19 +66,19 @@
     /// The class's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Seconds within which an operation is in time.
+    /// Seconds within which an operation must complete to be in time.
     #[prost(double, tag = "2")]
     pub contract_time: f64,
     /// Seconds after which a client gives up.
     #[prost(double, tag = "3")]
     pub hard_stop: f64,
-    /// What an operation that completes in time counts for.
+    /// Weight of an operation that completes in time.
     #[prost(double, tag = "4")]
     pub priority_weight: f64,
     /// Whether a retry can take effect twice.
     #[prost(enumeration = "OperationIdempotency", tag = "5")]
     pub idempotency: i32,
-    /// Seconds in which a repeated idempotency key is recognised.
+    /// Seconds for which hosts recognise a repeated idempotency key.
     #[prost(double, tag = "6")]
     pub key_window: f64,
     /// Its operations write.
@@ -90,12 +90,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum OperationIdempotency {
-    /// A retry never does harm.
+    /// A retry is always harmless.
     Safe = 0,
-    /// Every host recognises a retry by its key.
+    /// Every host recognises a retry by its idempotency key.
     IdempotencyKeyGlobal = 1,
-    /// The hosts of the same zone recognise a retry by its key.
+    /// The hosts of the same zone recognise a retry by its idempotency key.
     IdempotencyKeyLocal = 2,
-    /// Nothing recognises a retry.
+    /// A retry is never recognised, and may take effect again.
     Never = 3,
 }
--- a/crates/railhub-record/src/events/operations.rs
+++ b/crates/railhub-record/src/events/operations.rs
@@ -1,17 +1,17 @@
 //! Events of the operations that clients send through proxies to hosts.
 use prost::Message;
 
-/// A proxy sent an operation to a host. All attempts for one request of a client, from the second on, are retries of
-/// the proxy.
+/// A proxy sent an operation to a host. From the second on, the attempts for one request of a client are retries of the
+/// proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct Attempt {
     /// The operation's number.
     #[prost(uint64, tag = "1")]
     pub operation: u64,
-    /// Which request of the client for this operation, from 1.
+    /// Number of the client's request for this operation, from 1.
     #[prost(uint32, tag = "2")]
     pub request: u32,
-    /// Which attempt of the proxy for this request, from 1.
+    /// Number of the proxy's attempt for this request, from 1.
     #[prost(uint32, tag = "3")]
     pub number: u32,
     /// The proxy's number.
@@ -26,7 +26,7 @@
     /// The operation's slice.
     #[prost(uint32, tag = "7")]
     pub slice: u32,
-    /// Core seconds at speed 1.
+    /// Work of the operation, in core seconds at speed 1.
     #[prost(double, tag = "8")]
     pub work: f64,
 }
@@ -37,21 +37,21 @@
     /// The operation's number.
     #[prost(uint64, tag = "1")]
     pub operation: u64,
-    /// Which request of the client for this operation, from 1.
+    /// Number of the client's request for this operation, from 1.
     #[prost(uint32, tag = "2")]
     pub request: u32,
-    /// Which attempt of the proxy for this request, from 1.
+    /// Number of the proxy's attempt for this request, from 1.
     #[prost(uint32, tag = "3")]
     pub number: u32,
     /// The host completed the operation.
     #[prost(bool, tag = "4")]
     pub completed: bool,
-    /// The proxy has proof that the host never ran the operation.
+    /// The proxy has proof that the host never executed the operation.
     #[prost(bool, tag = "5")]
     pub not_executed: bool,
 }
 
-/// A host did an operation's work.
+/// A host executed an operation.
 #[derive(Clone, PartialEq, Message)]
 pub struct Effect {
     /// The operation's number.
@@ -69,7 +69,7 @@
     /// When the host received the operation, in seconds.
     #[prost(double, tag = "5")]
     pub began: f64,
-    /// The host recognised a duplicate by its key, and dropped it.
+    /// The host recognised a duplicate by its idempotency key, and dropped it.
     #[prost(bool, tag = "6")]
     pub dropped: bool,
 }
@@ -98,10 +98,10 @@
     /// Requests that the client made.
     #[prost(uint32, tag = "7")]
     pub requests: u32,
-    /// The key that it was for.
+    /// The key that it addressed.
     #[prost(uint64, tag = "8")]
     pub key: u64,
-    /// Core seconds at speed 1.
+    /// Work of the operation, in core seconds at speed 1.
     #[prost(double, tag = "9")]
     pub work: f64,
     /// The proxy's number.
@@ -117,9 +117,9 @@
     Completed = 0,
     /// Completed after its contract time.
     Late = 1,
-    /// Refused, and never run.
+    /// Refused, and never executed.
     Refused = 2,
-    /// Failed, and possibly run.
+    /// Failed, and possibly executed.
     Failed = 3,
     /// The client stopped waiting.
     GaveUp = 4,
--- a/crates/railhub-record/src/events/proxies.rs
+++ b/crates/railhub-record/src/events/proxies.rs
@@ -8,7 +8,7 @@
     /// The proxy's number.
     #[prost(uint32, tag = "1")]
     pub proxy: u32,
-    /// The stream opened; else it closed.
+    /// True if the stream opened, false if it closed.
     #[prost(bool, tag = "2")]
     pub open: bool,
     /// The controller's number.
@@ -39,7 +39,7 @@
     /// The delta's nonce.
     #[prost(uint64, tag = "2")]
     pub nonce: u64,
-    /// The proxy rejected the delta; else it accepted it.
+    /// True if the proxy rejected the delta, false if it accepted it.
     #[prost(bool, tag = "3")]
     pub rejected: bool,
     /// The number of the controller that sent the delta.
--- a/crates/railhub-record/src/file.rs
+++ b/crates/railhub-record/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads and writes complete files.
+//! Reads and writes whole files.
 use crate::error::RecordError;
 use crate::events::Event;
 use crate::format::{complete_bytes, read_bytes, write_event, MAGIC};
@@ -6,12 +6,12 @@
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// Events of a file that may be cut off.
+/// Events of a file that may be truncated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartialRecording {
-    /// The events before the cut, in the order of their times.
+    /// The complete events, in the order of their times.
     pub events: Vec<Event>,
-    /// Bytes after these events were ignored.
+    /// The file ends within a further event, whose bytes were ignored.
     pub is_truncated: bool,
 }
 
@@ -41,7 +41,7 @@
     read_bytes(&path.display().to_string(), &bytes)
 }
 
-/// The events of a file that may be cut off.
+/// The complete events of a file that may be truncated.
 ///
 /// # Errors
 /// As [`read`], except for a file that ends within an event.
--- a/crates/railhub-record/src/format.rs
+++ b/crates/railhub-record/src/format.rs
@@ -1,5 +1,5 @@
-//! The file format: a magic line, then one block for each event: length and CRC-32 of the body, both little-endian
-//! with 4 bytes, and the body, an encoded [`Event`].
+//! The file format: [`MAGIC`], then one block for each event: length and CRC-32 of the body, each in 4 bytes,
+//! little-endian, and the body, an encoded [`Event`].
 use crate::error::{EventDamage, RecordError};
 use crate::events::Event;
 use prost::Message;
@@ -7,10 +7,10 @@
 
 /// The first bytes of a recording.
 pub const MAGIC: &[u8; 16] = b"railhub record 1";
-/// Bytes of a block before its body.
+/// Size of the length and the checksum before a block's body.
 const BLOCK_HEADER_BYTES: usize = 8;
-/// Bytes that one event may have: a delta of the largest size, and the fields around it.
-const MAX_EVENT_BYTES: usize = 8 << 20;
+/// Largest body of a block: a delta of the largest size, and the fields around it.
+pub const MAX_EVENT_BYTES: usize = 8 << 20;
 
 /// Writes one block.
 pub fn write_event(file: &mut impl Write, event: &Event) -> io::Result<()> {
@@ -20,10 +20,12 @@
     file.write_all(&body)
 }
 
-/// How many bytes of a recording that may still grow are complete blocks. `name` is the file's, for errors.
+/// How many of the first bytes of a recording that may still grow are complete blocks. `name` is the file's name, for
+/// errors.
 ///
 /// # Errors
-/// [`RecordError::NotARecording`] without the magic line, [`RecordError::Damaged`] if an event is over the size limit.
+/// [`RecordError::NotARecording`] if the magic bytes are missing, [`RecordError::Damaged`] if an event is above the
+/// size limit.
 pub fn complete_bytes(name: &str, bytes: &[u8]) -> Result<usize, RecordError> {
     let mut rest = strip_magic(name, bytes)?;
     let mut complete = MAGIC.len();
@@ -45,10 +47,10 @@
     Ok(complete)
 }
 
-/// All events of a recording, in the order of their times. `name` is the file's, for errors.
+/// All events of a recording, in the order of their times. `name` is the file's name, for errors.
 ///
 /// # Errors
-/// [`RecordError::NotARecording`] without the magic line, [`RecordError::Damaged`] if an event cannot be read.
+/// [`RecordError::NotARecording`] if the magic bytes are missing, [`RecordError::Damaged`] if an event cannot be read.
 pub fn read_bytes(name: &str, bytes: &[u8]) -> Result<Vec<Event>, RecordError> {
     let mut rest = strip_magic(name, bytes)?;
     let mut events = Vec::new();
@@ -65,7 +67,7 @@
     Ok(events)
 }
 
-/// Orders events by time; those of the same time stay as they are.
+/// Sorts events by time; those of the same time keep their order.
 pub fn sort_by_time(events: &mut [Event]) {
     events.sort_by(|a, b| a.at.total_cmp(&b.at));
 }
@@ -74,7 +76,7 @@
     bytes.strip_prefix(MAGIC).ok_or_else(|| RecordError::NotARecording { file: name.to_owned() })
 }
 
-/// The first event, and the bytes after its block.
+/// Reads the first event. Returns it and the bytes after its block.
 fn read_event(bytes: &[u8]) -> Result<(Event, &[u8]), EventDamage> {
     let (length, after) = bytes.split_first_chunk::<4>().ok_or(EventDamage::Truncated)?;
     let (checksum, after) = after.split_first_chunk::<4>().ok_or(EventDamage::Truncated)?;
--- a/crates/railhub-record/src/recorder.rs
+++ b/crates/railhub-record/src/recorder.rs
@@ -1,5 +1,5 @@
-//! The recorder: takes events from any coroutine or thread, and hands them through a bounded queue to the one thread
-//! that owns the file.
+//! The recorder: takes events from any coroutine or thread, and passes them through a bounded queue to the thread that
+//! owns the file.
 use crate::error::RecordError;
 use crate::events::{Event, EventKind};
 use crate::format::{sort_by_time, write_event, MAGIC};
@@ -12,9 +12,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Events that may wait for the writer; further ones are dropped, and the recording is in error.
-const MAX_QUEUED_EVENTS: usize = 1 << 20;
-/// Without events for so long, what was written is flushed, for readers that follow the file.
+/// Events that may wait for the writer thread. Further ones are dropped, and [`Recorder::finish`] fails.
+pub(crate) const MAX_QUEUED_EVENTS: usize = 1 << 20;
+/// Time without events after which the written ones are flushed, for readers that follow the file.
 const IDLE_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 type WriterThread = JoinHandle<Result<Vec<Event>, RecordError>>;
@@ -22,7 +22,7 @@
 /// Takes events from any coroutine or thread. Clones record into the same recording.
 #[derive(Clone)]
 pub struct Recorder {
-    /// None ends the recording.
+    /// `None` ends the recording.
     sender: Sender<Option<Event>>,
     queued: Arc<AtomicUsize>,
     dropped: Arc<AtomicUsize>,
@@ -30,7 +30,7 @@
 }
 
 impl Recorder {
-    /// Starts a recording into a file, or into memory without one.
+    /// Starts a recording into a file, or into memory without a path.
     ///
     /// # Errors
     /// [`RecordError::Io`] if the file cannot be created.
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Ends the recording. One that was kept in memory is returned, in the order of its times.
+    /// Ends the recording. Returns the events of a recording in memory, in the order of their times.
     ///
     /// # Errors
     /// [`RecordError::Io`] if the file could not be written, [`RecordError::QueueOverflow`] if events were dropped.
@@ -123,7 +123,7 @@
     }
 }
 
-/// The writer thread: writes events until the recording ends, and flushes when none come.
+/// The writer thread: writes events until the recording ends, and flushes them when none arrive.
 fn write_queue(
     receiver: &Receiver<Option<Event>>,
     queued: &AtomicUsize,
--- a/crates/railhub-record/tests/file_format.rs
+++ b/crates/railhub-record/tests/file_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of a recorded file: the fixture holds one event of each kind with every field set.
+//! The bytes of a recorded file. The fixture holds one event of each kind, with every field set.
 use railhub_proto::{Delta, TableLine};
 use railhub_record::*;
 use std::path::{Path, PathBuf};
@@ -152,8 +152,8 @@
 }
 
 fn read_and_remove(path: &Path) -> Vec<u8> {
-    let bytes = std::fs::read(path).expect("written");
-    std::fs::remove_file(path).expect("there");
+    let bytes = std::fs::read(path).expect("readable");
+    std::fs::remove_file(path).expect("removable");
     bytes
 }
 
@@ -167,7 +167,7 @@
 #[test]
 fn recorded_events_match_the_fixture() {
     let path = scratch_path("recorded");
-    let recorder = Recorder::start(Some(&path)).expect("a file");
+    let recorder = Recorder::start(Some(&path)).expect("created");
     for event in every_event() {
         recorder.record(event.at, event.kind.expect("a kind"));
     }
