--- a/crates/railhub-invariants/src/draining.rs
+++ b/crates/railhub-invariants/src/draining.rs
@@ -23,7 +23,7 @@
     for event in events {
         match &event.kind {
             Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
-            Some(EventKind::ControllerLifecycle(life)) => state.on_process_event(event.at, life),
+            Some(EventKind::ControllerLifecycle(lifecycle)) => state.on_process_event(event.at, lifecycle),
             Some(EventKind::ProxyStream(stream)) => state.on_stream(event.at, stream),
             Some(EventKind::DeltaReceived(received)) => _ = state.ownership.on_delta(event.at, received),
             Some(EventKind::Attempt(attempt)) => state.on_attempt(event.at, attempt),
@@ -45,9 +45,9 @@
     /// Applies an endpoint-list update. Returns how many drains it begins.
     fn on_update(&mut self, at: f64, update: &EndpointsReceived, limits: &Limits) -> u64 {
         self.endpoints.on_update(at, update);
-        let mut begun = 0;
+        let mut started_drains = 0;
         for (host, endpoint) in &self.endpoints.hosts {
-            let must_drain = match endpoint.listed {
+            let must_drain = match endpoint.phase {
                 EndpointPhase::Ready => false,
                 EndpointPhase::Draining => true,
                 EndpointPhase::Gone => !limits.removed_hosts_exempt || self.since.contains_key(host),
@@ -56,10 +56,10 @@
                 self.since.remove(host);
             } else if !self.since.contains_key(host) {
                 self.since.insert(host.clone(), endpoint.since);
-                begun += 1;
+                started_drains += 1;
             }
         }
-        begun
+        started_drains
     }
 }
 
@@ -82,10 +82,10 @@
         }
     }
 
-    fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
-        self.ownership.on_process_event(at, life);
-        if !life.running {
-            self.drains.remove(&life.controller);
+    fn on_process_event(&mut self, at: f64, lifecycle: &ControllerLifecycle) {
+        self.ownership.on_process_event(at, lifecycle);
+        if !lifecycle.running {
+            self.drains.remove(&lifecycle.controller);
         }
     }
 
@@ -106,23 +106,23 @@
         let accountable_since = self.ownership.accountable_since(proxy, slice);
         let from = draining_since.max(*connected_at).max(accountable_since);
         let grace = self.limits.grace * self.slowdown.max_factor(from, at);
-        let late = at - from;
-        self.verdict.check(at, late / grace, || {
-            format!("proxy {proxy} sent to {} {late:.2} s after it was to be left", attempt.host)
+        let seconds_late = at - from;
+        self.verdict.check(at, seconds_late / grace, || {
+            format!("proxy {proxy} sent to {} {seconds_late:.2} s after it was to be left", attempt.host)
         });
     }
 
     /// Since when the attempt's host has been draining for the owner of its slice, if it is and the owner can publish.
     /// After a takeover, the first of the controllers that knew of it counts.
     fn draining_since(&self, owner: u32, attempt: &Attempt) -> Option<f64> {
-        let known_to = |drains: &KnownDrains| drains.since.get(&attempt.host).copied();
-        let known_to_owner = self.drains.get(&owner).and_then(known_to)?;
+        let drain_start = |drains: &KnownDrains| drains.since.get(&attempt.host).copied();
+        let owner_drain_start = self.drains.get(&owner).and_then(drain_start)?;
         if !self.ownership.can_publish(owner) {
             return None;
         }
         if !self.ownership.took_over(attempt.proxy, attempt.slice) {
-            return Some(known_to_owner);
+            return Some(owner_drain_start);
         }
-        Some(self.drains.values().filter_map(known_to).fold(known_to_owner, f64::min))
+        Some(self.drains.values().filter_map(drain_start).fold(owner_drain_start, f64::min))
     }
 }
--- a/crates/railhub-invariants/src/duplicate_effect.rs
+++ b/crates/railhub-invariants/src/duplicate_effect.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// A window shorter than this many seconds counts as this long.
-const MIN_KEY_WINDOW: f64 = 1e-9;
+const MIN_KEY_WINDOW_SECONDS: f64 = 1e-9;
 
 /// One request of a client, with all attempts that a proxy made for it.
 #[derive(Default)]
@@ -53,7 +53,7 @@
         let mut operations = Operations::default();
         for event in events {
             match &event.kind {
-                Some(EventKind::HostStarted(up)) => _ = operations.zones.insert(&up.host, up.zone),
+                Some(EventKind::HostStarted(start)) => _ = operations.zones.insert(&start.host, start.zone),
                 Some(EventKind::Attempt(attempt)) => {
                     let request = operations.request(attempt.operation, attempt.request);
                     request.attempts.push((event.at, attempt));
@@ -106,7 +106,7 @@
                 retry.host, first.host
             )
         };
-        let window_fraction = (at - first_at) / class.key_window.max(MIN_KEY_WINDOW);
+        let window_fraction = (at - first_at) / class.key_window.max(MIN_KEY_WINDOW_SECONDS);
         let same_zone = zones.get(first.host.as_str()) == zones.get(retry.host.as_str());
         match class.idempotency() {
             OperationIdempotency::Safe => verdict.check_passed(),
@@ -132,16 +132,16 @@
 fn check_single_owner(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
     for (slice, mut writes) in writes_by_slice(events, limits) {
         writes.sort_by(|a, b| a.began.total_cmp(&b.began));
-        let mut former: Vec<&str> = Vec::new();
+        let mut former_owners: Vec<&str> = Vec::new();
         let mut owner: Option<(&str, f64)> = None;
         for Write { began, ended, host } in writes {
             let mut violated = false;
             let mut until = ended;
             match owner {
-                Some((present, present_until)) if present == host => until = present_until.max(ended),
-                Some((present, present_until)) => {
-                    former.push(present);
-                    violated = began < present_until || former.contains(&host);
+                Some((owner_host, owner_until)) if owner_host == host => until = owner_until.max(ended),
+                Some((owner_host, owner_until)) => {
+                    former_owners.push(owner_host);
+                    violated = began < owner_until || former_owners.contains(&host);
                 }
                 None => {}
             }
--- a/crates/railhub-invariants/src/endpoint_view.rs
+++ b/crates/railhub-invariants/src/endpoint_view.rs
@@ -5,9 +5,9 @@
 /// The latest state received for one host.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedEndpoint {
-    pub listed: EndpointPhase,
+    pub phase: EndpointPhase,
     /// When its process started, in seconds, where the list has it.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
     /// When this state was first received, in seconds.
     pub since: f64,
 }
@@ -25,18 +25,18 @@
             self.mark_missing_as_gone(at, update);
         }
         for entry in &update.entries {
-            let (listed, started) = (entry.phase(), entry.started_at);
-            let unchanged = self.hosts.get(&entry.host).filter(|known| known.listed == listed);
+            let (phase, started_at) = (entry.phase(), entry.started_at);
+            let unchanged = self.hosts.get(&entry.host).filter(|known| known.phase == phase);
             let since = unchanged.map_or(at, |known| known.since);
-            self.hosts.insert(entry.host.clone(), ReceivedEndpoint { listed, started, since });
+            self.hosts.insert(entry.host.clone(), ReceivedEndpoint { phase, started_at, since });
         }
     }
 
     fn mark_missing_as_gone(&mut self, at: f64, update: &EndpointsReceived) {
         for (host, known) in &mut self.hosts {
             let is_listed = update.entries.iter().any(|entry| entry.host == *host);
-            if !is_listed && known.listed != EndpointPhase::Gone {
-                *known = ReceivedEndpoint { listed: EndpointPhase::Gone, started: None, since: at };
+            if !is_listed && known.phase != EndpointPhase::Gone {
+                *known = ReceivedEndpoint { phase: EndpointPhase::Gone, started_at: None, since: at };
             }
         }
     }
--- a/crates/railhub-invariants/src/limits.rs
+++ b/crates/railhub-invariants/src/limits.rs
@@ -2,7 +2,7 @@
 use railhub_record::{Event, EventKind, Limits};
 
 /// Seconds of a run that are believed; a scenario has 3600 at the most.
-const MAX_RUN_DURATION: f64 = 86_400.0;
+const MAX_RUN_SECONDS: f64 = 86_400.0;
 /// Slices that are believed; a scenario has 60,000 at the most.
 const MAX_SLICES: u32 = 1 << 16;
 
@@ -18,6 +18,6 @@
 /// Whether a check of all slices over the whole run ends in reasonable time.
 fn is_plausible(limits: &Limits) -> bool {
     limits.from >= 0.0
-        && (0.0..=MAX_RUN_DURATION).contains(&(limits.until - limits.from))
+        && (0.0..=MAX_RUN_SECONDS).contains(&(limits.until - limits.from))
         && limits.slices <= MAX_SLICES
 }
--- a/crates/railhub-invariants/src/proxy_tables.rs
+++ b/crates/railhub-invariants/src/proxy_tables.rs
@@ -25,9 +25,9 @@
         if slices == 0 || any_slice_may_change {
             return self.update_unserved(at, slices);
         }
-        let named = delta.lines.iter().map(|line| line.slice).chain(delta.cleared.iter().copied());
-        let named: BTreeSet<u32> = named.filter(|slice| *slice < slices).collect();
-        for slice in named {
+        let changed_slices = delta.lines.iter().map(|line| line.slice).chain(delta.cleared.iter().copied());
+        let changed_slices: BTreeSet<u32> = changed_slices.filter(|slice| *slice < slices).collect();
+        for slice in changed_slices {
             self.update_unserved_slice(at, slice);
         }
     }
--- a/crates/railhub-invariants/src/shared_slices/accepted.rs
+++ b/crates/railhub-invariants/src/shared_slices/accepted.rs
@@ -7,7 +7,7 @@
     /// When it reached the proxy, in seconds.
     pub at: f64,
     pub received: &'a DeltaReceived,
-    pub ack: &'a DeltaAcknowledged,
+    pub acknowledgement: &'a DeltaAcknowledged,
 }
 
 /// Deltas and when they arrived, by proxy, controller and nonce.
@@ -23,10 +23,10 @@
                 let key = (received.proxy, received.controller, received.delta.nonce);
                 unacknowledged.entry(key).or_default().push((event.at, received));
             }
-            Some(EventKind::DeltaAcknowledged(ack)) if !ack.rejected => {
-                let key = (ack.proxy, ack.controller, ack.nonce);
+            Some(EventKind::DeltaAcknowledged(acknowledgement)) if !acknowledgement.rejected => {
+                let key = (acknowledgement.proxy, acknowledgement.controller, acknowledgement.nonce);
                 for (at, received) in unacknowledged.remove(&key).unwrap_or_default() {
-                    accepted.push(AcceptedDelta { at, received, ack });
+                    accepted.push(AcceptedDelta { at, received, acknowledgement });
                 }
             }
             _ => {}
--- a/crates/railhub-invariants/src/shared_slices/epochs.rs
+++ b/crates/railhub-invariants/src/shared_slices/epochs.rs
@@ -32,7 +32,7 @@
         let proxy = accepted.received.proxy;
         for assignment in &accepted.received.delta.epochs {
             let (slice, epoch) = (assignment.slice, assignment.epoch);
-            if accepted.ack.stale_slices.contains(&slice) {
+            if accepted.acknowledgement.stale_slices.contains(&slice) {
                 continue;
             }
             let known = newest.entry((proxy, slice)).or_default();
--- a/crates/railhub-invariants/src/shared_slices/leases.rs
+++ b/crates/railhub-invariants/src/shared_slices/leases.rs
@@ -5,7 +5,7 @@
 
 /// Seconds that a grant's answer may be under way on loopback, and a batch of a busy process take: until then a
 /// controller cannot know that its lease has expired.
-const EXPIRY_TOLERANCE: f64 = 0.05;
+const EXPIRY_TOLERANCE_SECONDS: f64 = 0.05;
 
 /// Rule 8: nothing is published for a slice once the store has granted it to another process, except by a controller
 /// whose clock is set back.
@@ -15,8 +15,8 @@
     let mut clock_set_back: BTreeSet<u32> = BTreeSet::new();
     for event in events {
         match &event.kind {
-            Some(EventKind::ControllerLifecycle(life)) if life.clock_set_back => {
-                _ = clock_set_back.insert(life.controller)
+            Some(EventKind::ControllerLifecycle(lifecycle)) if lifecycle.clock_set_back => {
+                _ = clock_set_back.insert(lifecycle.controller)
             }
             Some(EventKind::DeltaReceived(received)) if !clock_set_back.contains(&received.controller) => {
                 check_delta(&mut verdict, event.at, received, &grants);
@@ -46,11 +46,11 @@
 fn check_delta(verdict: &mut Verdict, at: f64, received: &DeltaReceived, grants: &BTreeMap<u32, Vec<Grant>>) {
     for assignment in &received.delta.epochs {
         let (slice, epoch) = (assignment.slice, assignment.epoch);
-        let mut of_slice = grants.get(&slice).into_iter().flatten();
-        let newer = of_slice.find(|grant| grant.epoch > epoch);
-        let late = newer.map_or(0.0, |grant| received.delta.ordered_at - grant.at);
-        verdict.check(at, (late / EXPIRY_TOLERANCE).max(0.0), || {
-            format!("slice {slice}: decided under epoch {epoch} {late:.2} s after a newer one was granted")
+        let mut slice_grants = grants.get(&slice).into_iter().flatten();
+        let newer_grant = slice_grants.find(|grant| grant.epoch > epoch);
+        let seconds_late = newer_grant.map_or(0.0, |grant| received.delta.ordered_at - grant.at);
+        verdict.check(at, (seconds_late / EXPIRY_TOLERANCE_SECONDS).max(0.0), || {
+            format!("slice {slice}: decided under epoch {epoch} {seconds_late:.2} s after a newer one was granted")
         });
     }
 }
@@ -66,7 +66,7 @@
     for event in events {
         match &event.kind {
             Some(EventKind::SliceGranted(granted)) => state.on_grant(event.at, granted),
-            Some(EventKind::TableWrite(stored)) if stored.written => state.on_write(event.at, stored),
+            Some(EventKind::TableWrite(write)) if write.written => state.on_write(event.at, write),
             Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
             _ => {}
         }
@@ -85,14 +85,15 @@
 impl GrantCheck {
     fn on_grant(&mut self, at: f64, granted: &SliceGranted) {
         let (slice, epoch) = (granted.slice, granted.epoch);
-        let before = self.newest.insert(slice, epoch).unwrap_or(0);
-        self.verdict
-            .check_condition(at, epoch <= before, || format!("slice {slice}: epoch {epoch} after {before}"));
+        let previous = self.newest.insert(slice, epoch).unwrap_or(0);
+        self.verdict.check_condition(at, epoch <= previous, || {
+            format!("slice {slice}: epoch {epoch} after {previous}")
+        });
         self.holders.insert((slice, epoch), granted.process);
     }
 
-    fn on_write(&mut self, at: f64, stored: &TableWrite) {
-        let (slice, epoch) = (stored.slice, stored.epoch);
+    fn on_write(&mut self, at: f64, write: &TableWrite) {
+        let (slice, epoch) = (write.slice, write.epoch);
         let newest = self.newest.get(&slice).copied().unwrap_or(0);
         self.verdict.check_condition(at, epoch < newest, || {
             format!("slice {slice}: a table of epoch {epoch} is written after {newest}")
--- a/crates/railhub-invariants/src/shared_slices/takeover.rs
+++ b/crates/railhub-invariants/src/shared_slices/takeover.rs
@@ -23,8 +23,8 @@
     let mut takeovers = Takeovers::default();
     for event in events {
         match &event.kind {
-            Some(EventKind::ControllerLifecycle(life)) if !life.running => {
-                takeovers.on_process_end(event.at, life.controller)
+            Some(EventKind::ControllerLifecycle(lifecycle)) if !lifecycle.running => {
+                takeovers.on_process_end(event.at, lifecycle.controller)
             }
             Some(EventKind::DeltaReceived(received)) => takeovers.on_delta(event.at, received),
             _ => {}
--- a/crates/railhub-invariants/src/slice_ownership.rs
+++ b/crates/railhub-invariants/src/slice_ownership.rs
@@ -45,8 +45,8 @@
                 if known.epoch >= assignment.epoch {
                     continue;
                 }
-                let planned = self.can_publish(known.controller);
-                owner.accountable_since = if planned { known.accountable_since } else { at };
+                let is_planned = self.can_publish(known.controller);
+                owner.accountable_since = if is_planned { known.accountable_since } else { at };
                 owner.took_over = true;
             }
             self.owners.insert(key, owner);
@@ -55,17 +55,17 @@
     }
 
     /// Applies a start, pause, resumption or end of a controller's process.
-    pub fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
-        match (life.running, life.paused) {
-            (true, true) => _ = self.paused.insert(life.controller),
+    pub fn on_process_event(&mut self, at: f64, lifecycle: &ControllerLifecycle) {
+        match (lifecycle.running, lifecycle.paused) {
+            (true, true) => _ = self.paused.insert(lifecycle.controller),
             (true, false) => {
-                self.running.insert(life.controller);
-                self.paused.remove(&life.controller);
-                self.resumed_at.insert(life.controller, at);
+                self.running.insert(lifecycle.controller);
+                self.paused.remove(&lifecycle.controller);
+                self.resumed_at.insert(lifecycle.controller, at);
             }
             (false, _) => {
-                self.running.remove(&life.controller);
-                self.paused.remove(&life.controller);
+                self.running.remove(&lifecycle.controller);
+                self.paused.remove(&lifecycle.controller);
             }
         }
     }
--- a/crates/railhub-invariants/src/slow_start.rs
+++ b/crates/railhub-invariants/src/slow_start.rs
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Factor on the budget for chance, on top of one operation's work.
-const BUDGET_SLACK: f64 = 1.1;
+const BUDGET_TOLERANCE_FACTOR: f64 = 1.1;
 /// Fraction of the work that must come from proxies that were informed of the start, for a check to be made.
 const MIN_INFORMED_FRACTION: f64 = 2.0 / 3.0;
 /// Seconds that a listed start may lie before the recorded one.
-const START_TOLERANCE: f64 = 0.001;
+const START_TOLERANCE_SECONDS: f64 = 0.001;
 /// A slow start shorter than this many seconds counts as this long.
-const MIN_WARM_UP: f64 = 1e-9;
+const MIN_WARM_UP_SECONDS: f64 = 1e-9;
 /// Points at which the growing capacity is sampled; it grows evenly, so that a few are close enough.
 const CAPACITY_SAMPLES: u32 = 20;
 
@@ -29,8 +29,8 @@
     };
     for event in events {
         match &event.kind {
-            Some(EventKind::HostStarted(up)) => state.on_host_start(event.at, up),
-            Some(EventKind::HostStopped(down)) => _ = state.warming.remove(down.host.as_str()),
+            Some(EventKind::HostStarted(start)) => state.on_host_start(event.at, start),
+            Some(EventKind::HostStopped(stop)) => _ = state.warming.remove(stop.host.as_str()),
             Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
             Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
             Some(EventKind::Attempt(attempt)) => state.on_attempt(event.at, attempt),
@@ -51,11 +51,11 @@
 
 /// A host that started cold.
 struct WarmingHost<'a> {
-    up: &'a HostStarted,
+    start: &'a HostStarted,
     started_at: f64,
     /// When a controller received the start from the endpoint list, in seconds.
     listed_at: Option<f64>,
-    sent: VecDeque<SentWork>,
+    recent_work: VecDeque<SentWork>,
     /// The largest single attempt so far, in core seconds.
     largest_work: f64,
 }
@@ -67,20 +67,21 @@
         let fraction_of_sample =
             |index: u32| self.capacity_fraction(from + span * (f64::from(index) + 0.5) / samples);
         let mean = (0..CAPACITY_SAMPLES).map(fraction_of_sample).sum::<f64>() / samples;
-        self.up.cores * self.up.speed * mean * span
+        self.start.cores * self.start.speed * mean * span
     }
 
     fn capacity_fraction(&self, at: f64) -> f64 {
-        let progress = (at - self.started_at) / self.up.warm_up_time.max(MIN_WARM_UP);
-        (self.up.cold_capacity_fraction + (1.0 - self.up.cold_capacity_fraction) * progress).clamp(0.0, 1.0)
+        let progress = (at - self.started_at) / self.start.warm_up_time.max(MIN_WARM_UP_SECONDS);
+        (self.start.cold_capacity_fraction + (1.0 - self.start.cold_capacity_fraction) * progress)
+            .clamp(0.0, 1.0)
     }
 
     fn push(&mut self, sent: SentWork, span: f64) {
         let at = sent.at;
         self.largest_work = self.largest_work.max(sent.work);
-        self.sent.push_back(sent);
-        while self.sent.front().is_some_and(|sent| sent.at <= at - span) {
-            self.sent.pop_front();
+        self.recent_work.push_back(sent);
+        while self.recent_work.front().is_some_and(|sent| sent.at <= at - span) {
+            self.recent_work.pop_front();
         }
     }
 }
@@ -96,13 +97,18 @@
 }
 
 impl<'a> CheckState<'a> {
-    fn on_host_start(&mut self, at: f64, up: &'a HostStarted) {
-        if up.cold {
-            let host =
-                WarmingHost { up, started_at: at, listed_at: None, sent: VecDeque::new(), largest_work: 0.0 };
-            self.warming.insert(&up.host, host);
+    fn on_host_start(&mut self, at: f64, start: &'a HostStarted) {
+        if start.cold {
+            let host = WarmingHost {
+                start,
+                started_at: at,
+                listed_at: None,
+                recent_work: VecDeque::new(),
+                largest_work: 0.0,
+            };
+            self.warming.insert(&start.host, host);
         } else {
-            self.warming.remove(up.host.as_str());
+            self.warming.remove(start.host.as_str());
         }
     }
 
@@ -110,7 +116,7 @@
         for entry in &update.entries {
             let Some(host) = self.warming.get_mut(entry.host.as_str()) else { continue };
             let has_start =
-                entry.started_at.is_some_and(|started| started >= host.started_at - START_TOLERANCE);
+                entry.started_at.is_some_and(|started| started >= host.started_at - START_TOLERANCE_SECONDS);
             if has_start && host.listed_at.is_none() {
                 host.listed_at = Some(at);
             }
@@ -123,19 +129,20 @@
     }
 
     fn on_attempt(&mut self, at: f64, attempt: &Attempt) {
-        let informed = self.is_informed(at, attempt);
+        let informed = self.is_proxy_informed(at, attempt);
         let Some(host) = self.warming.get_mut(attempt.host.as_str()) else { return };
-        if at - host.started_at > host.up.warm_up_time {
+        if at - host.started_at > host.start.warm_up_time {
             return;
         }
         let span = self.limits.overload_span;
         host.push(SentWork { at, work: attempt.work, informed }, span);
-        let total: f64 = host.sent.iter().map(|sent| sent.work).sum();
-        let by_informed: f64 = host.sent.iter().filter(|sent| sent.informed).map(|sent| sent.work).sum();
+        let total: f64 = host.recent_work.iter().map(|sent| sent.work).sum();
+        let informed_total: f64 =
+            host.recent_work.iter().filter(|sent| sent.informed).map(|sent| sent.work).sum();
         let from = (at - span).max(host.started_at);
         let budget = self.limits.overload_multiple * host.capacity(from, span);
-        let limit_fraction = (total - host.largest_work) / (budget * BUDGET_SLACK);
-        if by_informed >= MIN_INFORMED_FRACTION * total {
+        let limit_fraction = (total - host.largest_work) / (budget * BUDGET_TOLERANCE_FACTOR);
+        if informed_total >= MIN_INFORMED_FRACTION * total {
             self.verdict.check(at, limit_fraction, || {
                 format!("{} was sent {total:.2} core seconds, {budget:.2} were its budget", attempt.host)
             });
@@ -144,7 +151,7 @@
 
     /// Whether the attempt's proxy could know of the host's start: the slice's owner published after it received the
     /// start, or had the grace to.
-    fn is_informed(&self, at: f64, attempt: &Attempt) -> bool {
+    fn is_proxy_informed(&self, at: f64, attempt: &Attempt) -> bool {
         let host = self.warming.get(attempt.host.as_str());
         let Some(listed_at) = host.and_then(|host| host.listed_at) else { return false };
         let owner = self.ownership.owner(attempt.proxy, attempt.slice);
--- a/crates/railhub-invariants/src/usable_host.rs
+++ b/crates/railhub-invariants/src/usable_host.rs
@@ -29,7 +29,7 @@
             Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
             Some(EventKind::ProxyStream(stream)) => state.on_stream(event.at, stream),
             Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
-            Some(EventKind::ControllerLifecycle(life)) => state.on_process_event(event.at, life),
+            Some(EventKind::ControllerLifecycle(lifecycle)) => state.on_process_event(event.at, lifecycle),
             _ => {}
         }
     }
@@ -61,8 +61,8 @@
     /// When the first of the hosts that are listed ready is warm; may lie in the future.
     fn first_warm_at(&self) -> Option<f64> {
         let warm_within = self.spans.limits.max_warm_up;
-        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.listed == EndpointPhase::Ready);
-        let warm_at = ready.map(|endpoint| endpoint.started.map_or(0.0, |started| started + warm_within));
+        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.phase == EndpointPhase::Ready);
+        let warm_at = ready.map(|endpoint| endpoint.started_at.map_or(0.0, |started| started + warm_within));
         warm_at.min_by(f64::total_cmp)
     }
 
@@ -87,8 +87,8 @@
         self.spans.check(received.proxy, &ended, at);
     }
 
-    fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
-        self.spans.ownership.on_process_event(at, life);
+    fn on_process_event(&mut self, at: f64, lifecycle: &ControllerLifecycle) {
+        self.spans.ownership.on_process_event(at, lifecycle);
         if self.spans.ownership.none_running() {
             self.check_open_spans(at);
             self.endpoints.clear();
--- a/crates/railhub-invariants/src/verdict.rs
+++ b/crates/railhub-invariants/src/verdict.rs
@@ -4,7 +4,7 @@
 /// Violations that a verdict describes; further ones are only counted.
 const MAX_DESCRIBED_VIOLATIONS: usize = 5;
 /// Fraction of the limit that a violated yes-or-no condition counts as having used.
-const VIOLATED_FRACTION: f64 = 2.0;
+const VIOLATED_LIMIT_FRACTION: f64 = 2.0;
 
 /// One violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
@@ -67,7 +67,7 @@
 
     /// Counts one check of a condition that either holds or is violated.
     pub(crate) fn check_condition(&mut self, at: f64, violated: bool, describe: impl FnOnce() -> String) {
-        let limit_fraction = if violated { VIOLATED_FRACTION } else { 0.0 };
+        let limit_fraction = if violated { VIOLATED_LIMIT_FRACTION } else { 0.0 };
         self.check(at, limit_fraction, describe);
     }
 
