--- a/crates/railhub-fault-links/src/tcp.rs
+++ b/crates/railhub-fault-links/src/tcp.rs
@@ -53,7 +53,7 @@
     Server,
 }
 
-/// A relay of connections from one endpoint to another. Dropping it resets its connections.
+/// A relay of connections from one endpoint to another. Dropping it ends its connections.
 pub struct TcpLink {
     /// Where the relay listens.
     pub address: SocketAddr,
--- a/crates/railhub-invariants/src/channel_slowdown.rs
+++ b/crates/railhub-invariants/src/channel_slowdown.rs
@@ -1,4 +1,5 @@
-//! How much slower the scenario makes the controllers' update channel, and when. Time limits grow by the same factor.
+//! The factor by which the scenario slows down the controllers' update channel, over time. Time limits are multiplied
+//! by it.
 use railhub_record::{Event, EventKind};
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
 }
 
 impl ChannelSlowdown {
-    /// Reads the factor's changes from the recorded faults; faults that overlap multiply.
+    /// Reads the factor's changes from the recorded faults. The factors of overlapping faults multiply.
     pub fn from_events(events: &[Event]) -> ChannelSlowdown {
         let mut active: BTreeMap<&str, f64> = BTreeMap::new();
         let mut changes = Vec::new();
@@ -32,7 +33,7 @@
         ChannelSlowdown { changes }
     }
 
-    /// The largest factor at any time from one moment to another; at least 1.
+    /// The largest factor at any time between `from` and `to`; at least 1.
     pub fn max_factor(&self, from: f64, to: f64) -> f64 {
         let mut largest = 1.0f64;
         for (index, change) in self.changes.iter().enumerate() {
--- a/crates/railhub-invariants/src/draining.rs
+++ b/crates/railhub-invariants/src/draining.rs
@@ -1,6 +1,7 @@
-//! Rule 3: nothing is sent to a draining or gone host past the grace (draining only, where removal does not
-//! bind). Where controllers share the slices, the owner of the slice at the proxy is held to it; a drain that its
-//! predecessor knew of, and could still publish, counts from then.
+//! Rule 3: no operation is sent to a draining or gone host after the grace period. If the limits exempt removed hosts,
+//! a gone host counts only if it was draining before. Where controllers share the slices, the slice's owner at the
+//! proxy is accountable. After a takeover, a drain counts from the time at which the first controller knew of it,
+//! unless the former owner could not publish any more.
 use crate::channel_slowdown::ChannelSlowdown;
 use crate::endpoint_view::EndpointView;
 use crate::slice_ownership::SliceOwnership;
@@ -33,16 +34,16 @@
     state.verdict
 }
 
-/// The hosts that one controller has to drain.
+/// The hosts that one controller must drain.
 #[derive(Default)]
 struct KnownDrains {
     endpoints: EndpointView,
-    /// Since when, in seconds. A host that was listed as draining stays here when it is then listed as gone.
+    /// Since when each host must drain, in seconds. A host that is gone after draining stays in it.
     since: BTreeMap<String, f64>,
 }
 
 impl KnownDrains {
-    /// Applies an endpoint-list update. Returns how many drains it begins.
+    /// Applies an endpoint-list update. Returns the number of drains that it starts.
     fn on_update(&mut self, at: f64, update: &EndpointsReceived, limits: &Limits) -> u64 {
         self.endpoints.on_update(at, update);
         let mut started_drains = 0;
@@ -112,8 +113,8 @@
         });
     }
 
-    /// Since when the attempt's host has been draining for the owner of its slice, if it is and the owner can publish.
-    /// After a takeover, the first of the controllers that knew of it counts.
+    /// Since when the owner of the attempt's slice has known that the host must drain; `None` if it does not know or
+    /// cannot publish. After a takeover, the first controller that knew counts.
     fn draining_since(&self, owner: u32, attempt: &Attempt) -> Option<f64> {
         let drain_start = |drains: &KnownDrains| drains.since.get(&attempt.host).copied();
         let owner_drain_start = self.drains.get(&owner).and_then(drain_start)?;
--- a/crates/railhub-invariants/src/duplicate_effect.rs
+++ b/crates/railhub-invariants/src/duplicate_effect.rs
@@ -1,17 +1,17 @@
-//! Rule 2: a retry that the controllers allowed never takes effect twice; with a single owner, writes of a slice are
-//! never with two hosts at a time, nor with a former owner after a later one.
+//! Rule 2: a retry that the controllers allowed never takes effect twice. With a single owner, a slice is never written
+//! at two hosts at a time, nor at a former owner after a later one.
 use crate::verdict::Verdict;
 use railhub_record::{Attempt, ClassLimits, Effect, Event, EventKind, Limits, OperationIdempotency};
 use std::collections::BTreeMap;
 
-/// A window shorter than this many seconds counts as this long.
+/// Shorter key windows count as this long, to avoid a division by zero.
 const MIN_KEY_WINDOW_SECONDS: f64 = 1e-9;
 
 /// One request of a client, with all attempts that a proxy made for it.
 #[derive(Default)]
 struct Request<'a> {
     attempts: Vec<(f64, &'a Attempt)>,
-    /// Numbers of the attempts that are proved never to have run.
+    /// Numbers of the attempts that provably were never executed.
     not_executed: Vec<u32>,
 }
 
@@ -21,12 +21,14 @@
     }
 }
 
-/// What the recording holds on the operations.
+/// The operations of a recording.
 #[derive(Default)]
 struct Operations<'a> {
     /// By operation and number of the request.
     requests: BTreeMap<(u64, u32), Request<'a>>,
+    /// Effects and their times, by operation.
     effects: BTreeMap<u64, Vec<(f64, &'a Effect)>>,
+    /// By host.
     zones: BTreeMap<&'a str, u32>,
 }
 
@@ -74,14 +76,14 @@
         self.requests.entry((operation, number)).or_default()
     }
 
-    /// Checks that an operation without idempotency took effect once, at the hosts that its only request reached.
+    /// Checks that a non-idempotent operation took effect at most once, at the hosts that its only request reached.
     fn check_effects(&self, verdict: &mut Verdict, operation: u64, request: &Request, first_at: f64) {
         let reached =
             |effect: &Effect| request.attempts.iter().any(|(_, attempt)| attempt.host == effect.host);
         let effects = self.effects.get(&operation).into_iter().flatten();
         let count = effects.filter(|(at, effect)| reached(effect) && *at >= first_at).count();
         let requests = self.requests.range((operation, 0)..=(operation, u32::MAX)).count();
-        // Where the client sent the operation again, that request may be the second effect.
+        // If the client sent the operation again, the second effect may come from that request instead of a retry.
         if requests == 1 && count > 0 {
             verdict.check_condition(first_at, count > 1, || {
                 format!("operation {operation} took effect {count} times")
@@ -90,7 +92,7 @@
     }
 }
 
-/// Checks each retry against the first attempt before it that may have run.
+/// Checks each retry against the first earlier attempt that may have been executed.
 fn check_retries(verdict: &mut Verdict, class: &ClassLimits, request: &Request, zones: &BTreeMap<&str, u32>) {
     for (index, (at, retry)) in request.attempts.iter().enumerate().skip(1) {
         let earlier = &request.attempts[..index];
@@ -121,14 +123,14 @@
     }
 }
 
-/// One write of a slice at a host, from its start to its end, in seconds.
+/// One write of a slice at a host; times in seconds.
 struct Write<'a> {
     began: f64,
     ended: f64,
     host: &'a str,
 }
 
-/// Checks that the writes of a slice are with one host at a time, and never return to a former owner.
+/// Checks that a slice is written at one host at a time, and never again at a former owner.
 fn check_single_owner(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
     for (slice, mut writes) in writes_by_slice(events, limits) {
         writes.sort_by(|a, b| a.began.total_cmp(&b.began));
--- a/crates/railhub-invariants/src/endpoint_view.rs
+++ b/crates/railhub-invariants/src/endpoint_view.rs
@@ -2,17 +2,17 @@
 use railhub_record::{EndpointPhase, EndpointsReceived};
 use std::collections::BTreeMap;
 
-/// The latest state received for one host.
+/// The latest state that a controller received for one host.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedEndpoint {
     pub phase: EndpointPhase,
-    /// When its process started, in seconds, where the list has it.
+    /// When its process started, in seconds, if the list states it.
     pub started_at: Option<f64>,
-    /// When this state was first received, in seconds.
+    /// When this phase was first received, in seconds.
     pub since: f64,
 }
 
-/// All hosts that a controller has received, by name.
+/// All hosts that a controller has received, by address.
 #[derive(Default)]
 pub struct EndpointView {
     pub hosts: BTreeMap<String, ReceivedEndpoint>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Forgets everything: the controller's process ended, and the next one receives the list afresh.
+    /// Removes all hosts: the controller's process ended, and the next one receives the whole list again.
     pub fn clear(&mut self) {
         self.hosts.clear();
     }
--- a/crates/railhub-invariants/src/limits.rs
+++ b/crates/railhub-invariants/src/limits.rs
@@ -1,12 +1,12 @@
 //! The limits that a recording states for its run.
 use railhub_record::{Event, EventKind, Limits};
 
-/// Seconds of a run that are believed; a scenario has 3600 at the most.
-const MAX_RUN_SECONDS: f64 = 86_400.0;
-/// Slices that are believed; a scenario has 60,000 at the most.
-const MAX_SLICES: u32 = 1 << 16;
+/// Longest plausible run; a scenario lasts at most 3600 s.
+pub(crate) const MAX_RUN_SECONDS: f64 = 86_400.0;
+/// Largest plausible number of slices; a scenario has at most 60,000.
+pub(crate) const MAX_SLICES: u32 = 1 << 16;
 
-/// The limits of a run: the first that the recording states, or none if those are out of range.
+/// The limits of a run: the first that the recording states, or `None` if those are implausible.
 pub fn limits(events: &[Event]) -> Option<&Limits> {
     let found = events.iter().find_map(|event| match &event.kind {
         Some(EventKind::Limits(limits)) => Some(limits),
@@ -15,7 +15,7 @@
     found.filter(|limits| is_plausible(limits))
 }
 
-/// Whether a check of all slices over the whole run ends in reasonable time.
+/// Whether the limits are plausible, so that a check of all slices over the whole run ends in reasonable time.
 fn is_plausible(limits: &Limits) -> bool {
     limits.from >= 0.0
         && (0.0..=MAX_RUN_SECONDS).contains(&(limits.until - limits.from))
--- a/crates/railhub-invariants/src/proxy_tables.rs
+++ b/crates/railhub-invariants/src/proxy_tables.rs
@@ -2,20 +2,21 @@
 use railhub_proto::Delta;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One proxy's tables, and since when a slice has had no usable host in them.
+/// One proxy's tables, and since when slices have had no usable host in them.
 #[derive(Default)]
 pub struct ProxyTables {
     /// Weights above 0, by slice and host.
     weights: BTreeMap<u32, BTreeMap<String, f64>>,
+    /// Hosts that are excluded.
     excluded: BTreeSet<String>,
-    /// The one table that the proxy uses for every slice, if it was assigned one.
+    /// The table that the proxy uses for every slice, if it was assigned one.
     assigned_table: Option<u32>,
     /// Slices without a usable host, and since when, in seconds.
     pub unserved: BTreeMap<u32, f64>,
 }
 
 impl ProxyTables {
-    /// Applies a delta, but for its `stale` slices.
+    /// Applies a delta, except for its `stale` slices.
     pub fn apply(&mut self, at: f64, delta: &Delta, stale: &BTreeSet<u32>, slices: u32) {
         self.apply_lines(delta, stale);
         self.apply_exclusions(delta);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Finds the slices without a usable host now.
+    /// Updates for all slices since when they have had no usable host.
     pub fn update_unserved(&mut self, at: f64, slices: u32) {
         let used_tables: Vec<u32> = match self.assigned_table {
             Some(table) => vec![table],
--- a/crates/railhub-invariants/src/shared_slices.rs
+++ b/crates/railhub-invariants/src/shared_slices.rs
@@ -1,5 +1,5 @@
-//! Rules 6 to 10: what controllers that share slices promise, checked against what the store granted and wrote, and
-//! what reached the proxies. The promises are on epochs; no lease or clock of a controller is trusted.
+//! Rules 6 to 10: the guarantees of controllers that share slices, checked against the store's grants and writes and
+//! the deltas that reached the proxies. The guarantees are on epochs; no lease or clock of a controller is trusted.
 mod accepted;
 mod epochs;
 mod leases;
--- a/crates/railhub-invariants/src/shared_slices/accepted.rs
+++ b/crates/railhub-invariants/src/shared_slices/accepted.rs
@@ -1,4 +1,4 @@
-//! The deltas that a proxy accepted, matched with its acknowledgements.
+//! The deltas that proxies accepted, matched with their acknowledgements.
 use railhub_record::{DeltaAcknowledged, DeltaReceived, Event, EventKind};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     pub acknowledgement: &'a DeltaAcknowledged,
 }
 
-/// Deltas and when they arrived, by proxy, controller and nonce.
+/// Deltas and their arrival times, by proxy, controller and nonce.
 type Unacknowledged<'a> = BTreeMap<(u32, u32, u64), Vec<(f64, &'a DeltaReceived)>>;
 
 /// The accepted deltas in the order of their acknowledgements.
--- a/crates/railhub-invariants/src/shared_slices/epochs.rs
+++ b/crates/railhub-invariants/src/shared_slices/epochs.rs
@@ -1,10 +1,10 @@
-//! Rules 6, 7 and 10: epochs and versions as the proxies see them.
+//! Rules 6, 7 and 10: the epochs and versions of the deltas at the proxies.
 use super::accepted::accepted_deltas;
 use crate::verdict::Verdict;
 use railhub_record::{Event, EventKind};
 use std::collections::BTreeMap;
 
-/// Rule 6: no two processes publish a slice under one epoch.
+/// Rule 6: no two processes publish a slice under the same epoch.
 pub fn check_one_publisher(events: &[Event]) -> Verdict {
     let mut verdict = Verdict::new(6, "one steward a slice and epoch");
     // The first process that published, by slice and epoch.
@@ -53,7 +53,8 @@
     at: f64,
 }
 
-/// Rule 10: no proxy accepts a delta of a process after a later one of it, nor the same twice on one stream.
+/// Rule 10: no proxy accepts a delta of a process after a later one of the same process, nor the same delta twice on one
+/// stream.
 pub fn check_no_repeated_delta(events: &[Event]) -> Verdict {
     let mut verdict = Verdict::new(10, "no order is taken twice");
     // By proxy and process.
@@ -61,7 +62,7 @@
     for accepted in accepted_deltas(events) {
         let (proxy, delta) = (accepted.received.proxy, &accepted.received.delta);
         let known = latest.entry((proxy, delta.incarnation)).or_default();
-        // A stream that is opened again may first get its position: the same version with nothing in it.
+        // A reopened stream may begin with an empty delta of the same version, which states its position.
         let repeated = delta.version == known.version && delta.cost() > 0 && !delta.reset;
         let violated = repeated || delta.version < known.version;
         verdict.check_condition(accepted.at, violated, || {
--- a/crates/railhub-invariants/src/shared_slices/leases.rs
+++ b/crates/railhub-invariants/src/shared_slices/leases.rs
@@ -1,14 +1,14 @@
-//! Rules 8 and 9: what controllers publish and the store writes, against the leases that the store granted.
+//! Rules 8 and 9: the deltas of controllers and the writes of the store, checked against the store's grants.
 use crate::verdict::Verdict;
 use railhub_record::{DeltaReceived, Event, EventKind, SliceGranted, TableWrite};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds that a grant's answer may be under way on loopback, and a batch of a busy process take: until then a
+/// Time for a grant's response to travel over loopback and for a busy process to handle a batch: until then a
 /// controller cannot know that its lease has expired.
 const EXPIRY_TOLERANCE_SECONDS: f64 = 0.05;
 
-/// Rule 8: nothing is published for a slice once the store has granted it to another process, except by a controller
-/// whose clock is set back.
+/// Rule 8: nothing is published for a slice once the store has granted it to another process under a newer epoch,
+/// except by a controller whose clock is set back.
 pub fn check_lease_expiry(events: &[Event]) -> Verdict {
     let mut verdict = Verdict::new(8, "nothing decided past the lease");
     let grants = grants_by_slice(events);
@@ -55,8 +55,8 @@
     }
 }
 
-/// Rule 9: each epoch that is published was granted to that very process; granted epochs rise; tables are written
-/// under the newest epoch alone.
+/// Rule 9: each published epoch was granted to the publishing process; granted epochs rise; tables are written only
+/// under the newest epoch.
 pub fn check_grants(events: &[Event]) -> Verdict {
     let mut state = GrantCheck {
         verdict: Verdict::new(9, "the store's grants are kept to"),
--- a/crates/railhub-invariants/src/shared_slices/takeover.rs
+++ b/crates/railhub-invariants/src/shared_slices/takeover.rs
@@ -1,4 +1,4 @@
-//! How long a proxy waits for the next owner of a slice after a controller's end.
+//! How long a proxy waits for the next owner of a slice after a controller's process ended.
 use railhub_record::{DeltaReceived, Event, EventKind};
 use std::collections::BTreeMap;
 
@@ -8,17 +8,18 @@
     epoch: u64,
 }
 
-/// What is known so far; both maps by proxy and slice.
+/// The owners and the open waits; both maps by proxy and slice.
 #[derive(Default)]
 struct Takeovers {
     owners: BTreeMap<(u32, u32), Owner>,
     /// When the owner's process ended, in seconds.
     waiting_since: BTreeMap<(u32, u32), f64>,
+    /// The finished waits, in seconds.
     times: Vec<f64>,
 }
 
-/// Seconds from a controller's end until each proxy received a newer epoch of each slice that the controller owned
-/// there; one value a proxy and slice, in no order.
+/// Seconds from the end of a controller's process until each proxy received a newer epoch of each slice that the
+/// controller owned there. One value for each proxy and slice, in no particular order.
 pub fn takeover_times(events: &[Event]) -> Vec<f64> {
     let mut takeovers = Takeovers::default();
     for event in events {
--- a/crates/railhub-invariants/src/slice_ownership.rs
+++ b/crates/railhub-invariants/src/slice_ownership.rs
@@ -1,5 +1,5 @@
-//! Which controller owns a slice as seen by a proxy: the one of the newest epoch that reached this proxy. Also which
-//! controllers can publish at all.
+//! The controller that owns a slice as seen by a proxy: the sender of the newest epoch that reached this proxy. Also
+//! the controllers that can publish at all.
 use railhub_record::{ControllerLifecycle, DeltaReceived, Event, EventKind};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,9 +7,9 @@
 struct Owner {
     epoch: u64,
     controller: u32,
-    /// When it took the slice over from a controller that could not publish any more; else 0, the start.
+    /// When the slice was last taken over from a controller that could not publish any more, in seconds; 0 if never.
     accountable_since: f64,
-    /// Another controller owned the slice before.
+    /// The slice was taken over: an older epoch of it had reached the proxy.
     took_over: bool,
 }
 
@@ -20,14 +20,15 @@
     owners: BTreeMap<(u32, u32), Owner>,
     /// Controllers whose process exists.
     running: BTreeSet<u32>,
-    /// Those of them that are paused.
+    /// Running controllers whose process is paused.
     paused: BTreeSet<u32>,
     /// When a controller was last started or resumed, in seconds.
     resumed_at: BTreeMap<u32, f64>,
 }
 
 impl SliceOwnership {
-    /// Applies a delta that reached a proxy. Returns its slices that carry an older epoch than the proxy has seen.
+    /// Applies a delta that reached a proxy. Returns its slices whose epoch is older than one that reached the proxy
+    /// before.
     pub fn on_delta(&mut self, at: f64, received: &DeltaReceived) -> BTreeSet<u32> {
         let mut stale = BTreeSet::new();
         for assignment in &received.delta.epochs {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether no controller's process is left.
+    /// Whether no controller's process exists.
     pub fn none_running(&self) -> bool {
         self.running.is_empty()
     }
@@ -80,18 +81,18 @@
         self.running.contains(&controller) && !self.paused.contains(&controller)
     }
 
-    /// The controller that owns a slice at a proxy; 0 until an epoch has reached it.
+    /// The controller that owns a slice at a proxy; 0 until an epoch has reached the proxy.
     pub fn owner(&self, proxy: u32, slice: u32) -> u32 {
         self.owners.get(&(proxy, slice)).map_or(0, |owner| owner.controller)
     }
 
-    /// Whether another controller owned the slice before, at this proxy.
+    /// Whether the slice was taken over at this proxy: an older epoch of it had reached the proxy.
     pub fn took_over(&self, proxy: u32, slice: u32) -> bool {
         self.owners.get(&(proxy, slice)).is_some_and(|owner| owner.took_over)
     }
 
-    /// Since when a slice's owner can be held to an update: since it took over from a controller that could not
-    /// publish, and since its own process was last resumed.
+    /// Since when the owner of a slice is accountable for publishing an update to a proxy: since the slice was taken
+    /// over from a controller that could not publish, and since the owner's process last started or resumed.
     pub fn accountable_since(&self, proxy: u32, slice: u32) -> f64 {
         let owner = self.owners.get(&(proxy, slice));
         let controller = owner.map_or(0, |owner| owner.controller);
@@ -100,7 +101,7 @@
     }
 }
 
-/// Whether the slices of a run are shared between several controllers.
+/// Whether controllers of the run share the slices through a store.
 pub fn is_shared(events: &[Event]) -> bool {
     events
         .iter()
--- a/crates/railhub-invariants/src/slow_start.rs
+++ b/crates/railhub-invariants/src/slow_start.rs
@@ -1,20 +1,20 @@
-//! Rule 4: no host in slow start is overloaded: the work sent to it within any span of the stated length stays under
-//! a multiple of its capacity in that time, over all proxies.
+//! Rule 4: no host in slow start is overloaded: the work that all proxies send to it within any span of the stated
+//! length stays within a multiple of its capacity in that span.
 use crate::channel_slowdown::ChannelSlowdown;
 use crate::slice_ownership::SliceOwnership;
 use crate::verdict::Verdict;
 use railhub_record::{Attempt, DeltaReceived, EndpointsReceived, Event, EventKind, HostStarted, Limits};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Factor on the budget for chance, on top of one operation's work.
+/// Factor on the budget that allows for random variation, on top of the largest operation's work.
 const BUDGET_TOLERANCE_FACTOR: f64 = 1.1;
-/// Fraction of the work that must come from proxies that were informed of the start, for a check to be made.
+/// Fraction of the work that must come from proxies that were informed of the start; with less there is no check.
 const MIN_INFORMED_FRACTION: f64 = 2.0 / 3.0;
-/// Seconds that a listed start may lie before the recorded one.
+/// A start in the endpoint list may be earlier than the recorded one by this much.
 const START_TOLERANCE_SECONDS: f64 = 0.001;
-/// A slow start shorter than this many seconds counts as this long.
+/// Shorter slow starts count as this long, to avoid a division by zero.
 const MIN_WARM_UP_SECONDS: f64 = 1e-9;
-/// Points at which the growing capacity is sampled; it grows evenly, so that a few are close enough.
+/// Points at which the capacity is sampled over a span; it grows linearly, so a few points are accurate enough.
 const CAPACITY_SAMPLES: u32 = 20;
 
 /// The verdict on rule 4.
@@ -53,15 +53,16 @@
 struct WarmingHost<'a> {
     start: &'a HostStarted,
     started_at: f64,
-    /// When a controller received the start from the endpoint list, in seconds.
+    /// When a controller first received the start from the endpoint list, in seconds.
     listed_at: Option<f64>,
+    /// The attempts within the span under check.
     recent_work: VecDeque<SentWork>,
-    /// The largest single attempt so far, in core seconds.
+    /// The work of the largest attempt so far, in core seconds at speed 1.
     largest_work: f64,
 }
 
 impl WarmingHost<'_> {
-    /// Core seconds at speed 1 that the host can do over a span in seconds.
+    /// Core seconds at speed 1 that the host can execute in the `span` seconds from `from`.
     fn capacity(&self, from: f64, span: f64) -> f64 {
         let samples = f64::from(CAPACITY_SAMPLES);
         let fraction_of_sample =
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Whether the attempt's proxy could know of the host's start: the slice's owner published after it received the
-    /// start, or had the grace to.
+    /// Whether the attempt's proxy could know of the host's start: the slice's owner has published to it since a
+    /// controller received the start, or the grace period for that has passed.
     fn is_proxy_informed(&self, at: f64, attempt: &Attempt) -> bool {
         let host = self.warming.get(attempt.host.as_str());
         let Some(listed_at) = host.and_then(|host| host.listed_at) else { return false };
--- a/crates/railhub-invariants/src/tests.rs
+++ b/crates/railhub-invariants/src/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use railhub_record::{EventKind, Limits};
 
+/// With such limits a check of all slices over the whole run would not end.
 #[test]
-fn limits_out_of_range_are_an_error() {
+fn implausible_limits_are_an_error() {
     let is_valid = |from: f64, until: f64, slices: u32| {
         let limits = Limits { from, until, slices, ..Limits::default() };
         check(&[Event { at: 0.0, kind: Some(EventKind::Limits(limits)) }]).is_ok()
--- a/crates/railhub-invariants/src/update_channel.rs
+++ b/crates/railhub-invariants/src/update_channel.rs
@@ -1,4 +1,4 @@
-//! Rule 5: the update channel's backlog and the messages to each proxy stay within limits.
+//! Rule 5: the update channel's backlog and the rate of messages to each proxy stay within limits.
 use crate::verdict::Verdict;
 use railhub_record::{Event, EventKind, Limits};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,12 +11,12 @@
     verdict
 }
 
-/// Checks the messages to each proxy within the span; each of several controllers keeps to the limit by itself.
+/// Checks the number of messages to each proxy within the span. The limit applies to each controller separately.
 fn check_message_rate(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
     if limits.max_messages == 0 {
         return;
     }
-    // When messages within the span arrived, by proxy and controller.
+    // The arrival times of the messages within the span, by proxy and controller.
     let mut recent: BTreeMap<(u32, u32), VecDeque<f64>> = BTreeMap::new();
     for event in events {
         match &event.kind {
@@ -39,13 +39,13 @@
     }
 }
 
-/// Lines that enter (above 0) or leave (below 0) the backlog.
+/// Lines that enter the backlog (above 0) or leave it (below 0).
 struct BacklogChange {
     at: f64,
     lines: f64,
 }
 
-/// Checks the lines that are published and have not reached their proxy.
+/// Checks the backlog: the lines that were published and have not reached their proxy yet.
 fn check_backlog(verdict: &mut Verdict, events: &[Event], limits: &Limits) {
     let mut changes = Vec::new();
     for event in events {
--- a/crates/railhub-invariants/src/usable_host.rs
+++ b/crates/railhub-invariants/src/usable_host.rs
@@ -1,4 +1,5 @@
-//! Rule 1: no connected proxy is without a usable host for a slice beyond the limit, while a warm host is listed ready.
+//! Rule 1: while a warm host is listed as ready, a connected proxy has a usable host for each slice, except for spans
+//! within the limit.
 use crate::channel_slowdown::ChannelSlowdown;
 use crate::endpoint_view::EndpointView;
 use crate::proxy_tables::ProxyTables;
@@ -58,7 +59,7 @@
         self.spans.warm_since = next;
     }
 
-    /// When the first of the hosts that are listed ready is warm; may lie in the future.
+    /// When the first of the hosts listed as ready is warm; may lie in the future.
     fn first_warm_at(&self) -> Option<f64> {
         let warm_within = self.spans.limits.max_warm_up;
         let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.phase == EndpointPhase::Ready);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Checks all spans that are still open, and restarts them.
+    /// Checks all open spans, and restarts them at `at`.
     fn check_open_spans(&mut self, at: f64) {
         for (number, proxy) in &mut self.proxies {
             self.spans.check(*number, &proxy.unserved, at);
@@ -107,20 +108,21 @@
     }
 }
 
-/// Checks spans in which a slice had no usable host at a proxy.
+/// Checks the spans in which a slice had no usable host at a proxy.
 struct UnservedSpans<'a> {
     verdict: Verdict,
     /// When a stream opened, in seconds, by proxy and controller.
     streams: BTreeMap<(u32, u32), f64>,
     ownership: SliceOwnership,
-    /// Since when a warm host has been listed ready without interruption; may lie in the future.
+    /// Since when a warm host has been listed as ready without interruption; may lie in the future.
     warm_since: Option<f64>,
     limits: &'a Limits,
     slowdown: ChannelSlowdown,
 }
 
 impl UnservedSpans<'_> {
-    /// Checks spans that last until `at`. A proxy counts as connected for a slice while it has a stream to the owner.
+    /// Checks the spans of a proxy up to `at`. The proxy counts as connected for a slice while it has a stream to the
+    /// slice's owner.
     fn check(&mut self, proxy: u32, unserved: &BTreeMap<u32, f64>, at: f64) {
         let Some(warm_since) = self.warm_since else { return };
         for (slice, since) in unserved {
--- a/crates/railhub-invariants/src/verdict.rs
+++ b/crates/railhub-invariants/src/verdict.rs
@@ -1,9 +1,9 @@
-//! The verdict on one invariant: what was checked, how near it came to its limit, and where it was violated.
+//! The verdict on one invariant: the number of checks, how close they came to the limit, and the violations.
 use serde::Serialize;
 
 /// Violations that a verdict describes; further ones are only counted.
 const MAX_DESCRIBED_VIOLATIONS: usize = 5;
-/// Fraction of the limit that a violated yes-or-no condition counts as having used.
+/// Fraction of the limit that a violated condition counts as having used; a condition has no limit of its own.
 const VIOLATED_LIMIT_FRACTION: f64 = 2.0;
 
 /// One violation of an invariant.
@@ -11,7 +11,7 @@
 pub struct Violation {
     /// Seconds on the recording's clock.
     pub at: f64,
-    /// What was seen, in a sentence.
+    /// What was observed, in a sentence.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -28,13 +28,13 @@
     /// The largest fraction of the limit that a check used; the invariant is violated above 1.
     #[serde(rename = "worst")]
     pub max_limit_fraction: f64,
-    /// Checks made.
+    /// The number of checks.
     #[serde(rename = "checked")]
     pub check_count: u64,
-    /// Checks that failed.
+    /// The number of checks that failed.
     #[serde(rename = "broken")]
     pub violation_count: u64,
-    /// The first of the violations.
+    /// The first violations; further ones are only counted.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Counts one check that used `limit_fraction` of its limit; above 1 it is a violation, which `describe` words.
+    /// Counts one check that used `limit_fraction` of its limit. Above 1 it is a violation, described by `describe`.
     pub(crate) fn check(&mut self, at: f64, limit_fraction: f64, describe: impl FnOnce() -> String) {
         self.check_count += 1;
         self.max_limit_fraction = self.max_limit_fraction.max(limit_fraction);
