--- a/crates/railhub-invariants/src/duplicate_effect.rs
+++ b/crates/railhub-invariants/src/duplicate_effect.rs
@@ -138,16 +138,16 @@
         let mut owner: Option<(&str, f64)> = None;
         for Write { began, ended, host } in writes {
             let mut violated = false;
-            let mut until = ended;
+            let mut owned_until = ended;
             match owner {
-                Some((owner_host, owner_until)) if owner_host == host => until = owner_until.max(ended),
+                Some((owner_host, owner_until)) if owner_host == host => owned_until = owner_until.max(ended),
                 Some((owner_host, owner_until)) => {
                     former_owners.push(owner_host);
                     violated = began < owner_until || former_owners.contains(&host);
                 }
                 None => {}
             }
-            owner = Some((host, until));
+            owner = Some((host, owned_until));
             verdict.check_condition(began, violated, || {
                 format!("a write of slice {slice} was with {host}, which does not own it alone")
             });
--- a/crates/railhub-invariants/src/usable_host.rs
+++ b/crates/railhub-invariants/src/usable_host.rs
@@ -47,23 +47,23 @@
 impl CheckState<'_> {
     fn on_endpoints(&mut self, at: f64, update: &EndpointsReceived) {
         self.endpoints.on_update(at, update);
-        let before = self.spans.warm_since.filter(|since| *since <= at);
-        let next = self.first_warm_at().map(|first| match before {
+        let previous_warm_since = self.spans.warm_since.filter(|since| *since <= at);
+        let new_warm_since = self.first_warm_at().map(|first| match previous_warm_since {
             Some(since) if first <= at => since,
             _ => first.max(at),
         });
-        let interrupted = before.is_some() && next != before;
-        if next.is_none() || interrupted {
+        let interrupted = previous_warm_since.is_some() && new_warm_since != previous_warm_since;
+        if new_warm_since.is_none() || interrupted {
             self.check_open_spans(at);
         }
-        self.spans.warm_since = next;
+        self.spans.warm_since = new_warm_since;
     }
 
     /// When the first of the hosts listed as ready is warm; may lie in the future.
     fn first_warm_at(&self) -> Option<f64> {
-        let warm_within = self.spans.limits.max_warm_up;
+        let max_warm_up = self.spans.limits.max_warm_up;
         let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.phase == EndpointPhase::Ready);
-        let warm_at = ready.map(|endpoint| endpoint.started_at.map_or(0.0, |started| started + warm_within));
+        let warm_at = ready.map(|endpoint| endpoint.started_at.map_or(0.0, |started| started + max_warm_up));
         warm_at.min_by(f64::total_cmp)
     }
 
@@ -82,10 +82,10 @@
     fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         let stale = self.spans.ownership.on_delta(at, received);
         let proxy = self.proxies.entry(received.proxy).or_default();
-        let mut ended = proxy.unserved.clone();
+        let mut ended_spans = proxy.unserved.clone();
         proxy.apply(at, &received.delta, &stale, self.spans.limits.slices);
-        ended.retain(|slice, _| !proxy.unserved.contains_key(slice));
-        self.spans.check(received.proxy, &ended, at);
+        ended_spans.retain(|slice, _| !proxy.unserved.contains_key(slice));
+        self.spans.check(received.proxy, &ended_spans, at);
     }
 
     fn on_process_event(&mut self, at: f64, lifecycle: &ControllerLifecycle) {
@@ -99,8 +99,8 @@
 
     /// Checks all open spans, and restarts them at `at`.
     fn check_open_spans(&mut self, at: f64) {
-        for (number, proxy) in &mut self.proxies {
-            self.spans.check(*number, &proxy.unserved, at);
+        for (proxy_number, proxy) in &mut self.proxies {
+            self.spans.check(*proxy_number, &proxy.unserved, at);
             for since in proxy.unserved.values_mut() {
                 *since = at;
             }
