--- a/crates/railhub-fault-links/src/direction.rs
+++ b/crates/railhub-fault-links/src/direction.rs
@@ -13,7 +13,7 @@
 pub struct Direction {
     /// The faults in effect.
     pub faults: Faults,
-    /// Packets so far, by their delivery.
+    /// The packet counts so far.
     pub counts: Counts,
     /// When the rate limit lets the next packet leave, in seconds.
     free_at: f64,
--- a/crates/railhub-fault-links/src/faults.rs
+++ b/crates/railhub-fault-links/src/faults.rs
@@ -23,7 +23,7 @@
     pub cut: bool,
 }
 
-/// Packets of one direction so far, by their delivery.
+/// The packet counts of one direction so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Delivered; a duplicated packet counts once.
--- a/crates/railhub-fault-links/src/link_controller.rs
+++ b/crates/railhub-fault-links/src/link_controller.rs
@@ -63,8 +63,8 @@
         LinkController { seed, state: Mutex::new(state) }
     }
 
-    fn with_state<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
-        act(&mut self.state.lock().expect("no holder panics"))
+    fn with_state<T>(&self, operate: impl FnOnce(&mut State) -> T) -> T {
+        operate(&mut self.state.lock().expect("no holder panics"))
     }
 
     fn new_direction(&self, from: &str, to: &str) -> Direction {
@@ -93,7 +93,7 @@
         self.set(b, a, faults);
     }
 
-    /// The faults of a direction in effect.
+    /// The faults in effect for a direction.
     pub fn faults(&self, from: &str, to: &str) -> Faults {
         let key = (from.to_owned(), to.to_owned());
         self.with_state(|state| state.directions.get(&key).map(|direction| direction.faults))
@@ -114,7 +114,7 @@
         })
     }
 
-    /// The packets of each direction so far.
+    /// The packet counts of each direction so far.
     pub fn counts(&self) -> BTreeMap<(EndpointName, EndpointName), Counts> {
         self.with_state(|state| {
             let directions = state.directions.iter();
--- a/crates/railhub-fault-links/src/record.rs
+++ b/crates/railhub-fault-links/src/record.rs
@@ -13,7 +13,7 @@
     /// Connections were reset.
     #[serde(rename = "resets")]
     ConnectionsReset { at: f64, a: &'a str, b: &'a str, connections: usize },
-    /// The packets of a direction in the run.
+    /// The packet counts of a direction in the run.
     Counts { at: f64, from: &'a str, to: &'a str, counts: Counts },
 }
 
--- a/crates/railhub-invariants/src/duplicate_effect.rs
+++ b/crates/railhub-invariants/src/duplicate_effect.rs
@@ -10,6 +10,7 @@
 /// One request of a client, with all attempts that a proxy made for it.
 #[derive(Default)]
 struct Request<'a> {
+    /// The attempts and their times, in seconds.
     attempts: Vec<(f64, &'a Attempt)>,
     /// Numbers of the attempts that provably were never executed.
     not_executed: Vec<u32>,
@@ -26,9 +27,9 @@
 struct Operations<'a> {
     /// By operation and number of the request.
     requests: BTreeMap<(u64, u32), Request<'a>>,
-    /// Effects and their times, by operation.
+    /// The effects and their times in seconds, by operation.
     effects: BTreeMap<u64, Vec<(f64, &'a Effect)>>,
-    /// By host.
+    /// The zones of the hosts, by address.
     zones: BTreeMap<&'a str, u32>,
 }
 
--- a/crates/railhub-invariants/src/usable_host.rs
+++ b/crates/railhub-invariants/src/usable_host.rs
@@ -39,6 +39,7 @@
 }
 
 struct CheckState<'a> {
+    /// The tables of the proxies, by the proxy's number.
     proxies: BTreeMap<u32, ProxyTables>,
     endpoints: EndpointView,
     spans: UnservedSpans<'a>,
--- a/crates/railhub-record/src/events/operations.rs
+++ b/crates/railhub-record/src/events/operations.rs
@@ -89,7 +89,7 @@
     /// The number of the client's zone.
     #[prost(uint32, tag = "4")]
     pub zone: u32,
-    /// When the client began, in seconds.
+    /// When the client began the operation, in seconds.
     #[prost(double, tag = "5")]
     pub began: f64,
     /// How it ended.
