--- a/crates/railhub-invariants/src/slow_start.rs
+++ b/crates/railhub-invariants/src/slow_start.rs
@@ -91,6 +91,7 @@
     verdict: Verdict,
     limits: &'a Limits,
     slowdown: ChannelSlowdown,
+    /// Hosts that started cold, by address.
     warming: BTreeMap<&'a str, WarmingHost<'a>>,
     /// When the latest delta that reached a proxy was published, in seconds, by proxy and controller.
     last_published: BTreeMap<(u32, u32), f64>,
@@ -116,9 +117,9 @@
     fn on_endpoints(&mut self, at: f64, update: &EndpointsReceived) {
         for entry in &update.entries {
             let Some(host) = self.warming.get_mut(entry.host.as_str()) else { continue };
-            let has_start =
+            let states_this_start =
                 entry.started_at.is_some_and(|started| started >= host.started_at - START_TOLERANCE_SECONDS);
-            if has_start && host.listed_at.is_none() {
+            if states_this_start && host.listed_at.is_none() {
                 host.listed_at = Some(at);
             }
         }
