--- a/crates/railhub-fault-links/src/direction.rs
+++ b/crates/railhub-fault-links/src/direction.rs
@@ -1,21 +1,21 @@
-//! One direction between two endpoints: when each packet leaves, if it does. Free of sockets and of clocks.
+//! One direction between two endpoints: decides whether and when each packet leaves, without sockets or clocks.
 use crate::faults::{Counts, Faults};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Seconds that a reordered packet is held back, at most.
-const MAX_REORDER_DELAY: f64 = 0.05;
-/// Seconds of traffic that the queue of a limited rate holds before it drops.
-const MAX_QUEUE_DELAY: f64 = 0.5;
+/// Longest time that a reordered packet is held back.
+const MAX_REORDER_DELAY_SECONDS: f64 = 0.05;
+/// Traffic that the queue of a rate-limited direction holds; packets beyond it are dropped.
+const MAX_QUEUE_DELAY_SECONDS: f64 = 0.5;
 
 /// The traffic from one endpoint to another.
 #[derive(Clone, Debug)]
 pub struct Direction {
-    /// What is wrong with it now.
+    /// The faults in effect.
     pub faults: Faults,
-    /// What it has done so far.
+    /// The packet counts so far.
     pub counts: Counts,
-    /// When the limited rate lets the next packet leave.
+    /// When the rate limit lets the next packet leave, in seconds.
     free_at: f64,
     rng: ChaCha8Rng,
 }
@@ -26,13 +26,14 @@
         Direction { faults: Faults::default(), counts: Counts::default(), free_at: 0.0, rng }
     }
 
-    /// Draws nothing for a fraction of 0.
-    fn draw(&mut self, fraction: f64) -> bool {
-        fraction > 0.0 && self.rng.random::<f64>() < fraction
+    /// Whether an event of this probability occurs. A probability of 0 takes no number from the random stream.
+    fn draw(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.random::<f64>() < probability
     }
 
-    /// The times at which a packet that comes now leaves: none if it is dropped, two if it is duplicated.
-    pub fn pass(&mut self, now: f64, bytes: usize) -> Vec<f64> {
+    /// Counts a packet that arrives `now`. Returns the times at which it leaves, in seconds: none if it is dropped, two if
+    /// it is duplicated.
+    pub fn schedule(&mut self, now: f64, bytes: usize) -> Vec<f64> {
         let faults = self.faults;
         if faults.cut {
             self.counts.cut += 1;
@@ -42,18 +43,18 @@
             self.counts.lost += 1;
             return Vec::new();
         }
-        let Some(queued_until) = self.enqueue(now, bytes) else {
+        let Some(transmitted_at) = self.enqueue(now, bytes) else {
             self.counts.queue_dropped += 1;
             return Vec::new();
         };
-        let mut departures = vec![self.departure(queued_until)];
+        let mut departures = vec![self.departure_time(transmitted_at)];
         if self.draw(faults.reordered) {
             self.counts.reordered += 1;
             departures[0] += self.reorder_delay();
         }
         if self.draw(faults.duplicated) {
             self.counts.duplicated += 1;
-            let duplicate = self.departure(queued_until) + self.reorder_delay();
+            let duplicate = self.departure_time(transmitted_at) + self.reorder_delay();
             departures.push(duplicate);
         }
         self.counts.passed += 1;
@@ -61,27 +62,27 @@
         departures
     }
 
-    /// When the limited rate has sent a packet; `None`: the queue is full.
+    /// When the rate limit lets a packet leave; `None` if the queue is full.
     fn enqueue(&mut self, now: f64, bytes: usize) -> Option<f64> {
         if self.faults.bytes_per_second <= 0.0 {
             return Some(now);
         }
         let free_at = self.free_at.max(now);
-        if free_at - now > MAX_QUEUE_DELAY {
+        if free_at - now > MAX_QUEUE_DELAY_SECONDS {
             return None;
         }
         self.free_at = free_at + bytes as f64 / self.faults.bytes_per_second;
         Some(self.free_at)
     }
 
-    fn departure(&mut self, queued_until: f64) -> f64 {
+    fn departure_time(&mut self, transmitted_at: f64) -> f64 {
         let max_jitter = self.faults.jitter;
         let jitter = if max_jitter > 0.0 { self.rng.random::<f64>() * max_jitter } else { 0.0 };
-        queued_until + self.faults.delay + jitter
+        transmitted_at + self.faults.delay + jitter
     }
 
     fn reorder_delay(&mut self) -> f64 {
-        self.rng.random::<f64>() * MAX_REORDER_DELAY
+        self.rng.random::<f64>() * MAX_REORDER_DELAY_SECONDS
     }
 }
 
--- a/crates/railhub-invariants/src/shared_slices/accepted.rs
+++ b/crates/railhub-invariants/src/shared_slices/accepted.rs
@@ -1,4 +1,4 @@
-//! The deltas that a proxy accepted, matched with its acknowledgements.
+//! The deltas that proxies accepted, matched with their acknowledgements.
 use railhub_record::{DeltaAcknowledged, DeltaReceived, Event, EventKind};
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
     /// When it reached the proxy, in seconds.
     pub at: f64,
     pub received: &'a DeltaReceived,
-    pub ack: &'a DeltaAcknowledged,
+    pub acknowledgement: &'a DeltaAcknowledged,
 }
 
-/// Deltas and when they arrived, by proxy, controller and nonce.
+/// Deltas and their arrival times, by proxy, controller and nonce.
 type Unacknowledged<'a> = BTreeMap<(u32, u32, u64), Vec<(f64, &'a DeltaReceived)>>;
 
 /// The accepted deltas in the order of their acknowledgements.
@@ -23,10 +23,10 @@
                 let key = (received.proxy, received.controller, received.delta.nonce);
                 unacknowledged.entry(key).or_default().push((event.at, received));
             }
-            Some(EventKind::DeltaAcknowledged(ack)) if !ack.rejected => {
-                let key = (ack.proxy, ack.controller, ack.nonce);
+            Some(EventKind::DeltaAcknowledged(acknowledgement)) if !acknowledgement.rejected => {
+                let key = (acknowledgement.proxy, acknowledgement.controller, acknowledgement.nonce);
                 for (at, received) in unacknowledged.remove(&key).unwrap_or_default() {
-                    accepted.push(AcceptedDelta { at, received, ack });
+                    accepted.push(AcceptedDelta { at, received, acknowledgement });
                 }
             }
             _ => {}
--- a/crates/railhub-invariants/src/usable_host.rs
+++ b/crates/railhub-invariants/src/usable_host.rs
@@ -1,4 +1,5 @@
-//! Rule 1: no connected proxy is without a usable host for a slice beyond the limit, while a warm host is listed ready.
+//! Rule 1: while a warm host is listed as ready, a connected proxy has a usable host for each slice, except for spans
+//! within the limit.
 use crate::channel_slowdown::ChannelSlowdown;
 use crate::endpoint_view::EndpointView;
 use crate::proxy_tables::ProxyTables;
@@ -29,7 +30,7 @@
             Some(EventKind::EndpointsReceived(update)) => state.on_endpoints(event.at, update),
             Some(EventKind::ProxyStream(stream)) => state.on_stream(event.at, stream),
             Some(EventKind::DeltaReceived(received)) => state.on_delta(event.at, received),
-            Some(EventKind::ControllerLifecycle(life)) => state.on_process_event(event.at, life),
+            Some(EventKind::ControllerLifecycle(lifecycle)) => state.on_process_event(event.at, lifecycle),
             _ => {}
         }
     }
@@ -38,6 +39,7 @@
 }
 
 struct CheckState<'a> {
+    /// The tables of the proxies, by the proxy's number.
     proxies: BTreeMap<u32, ProxyTables>,
     endpoints: EndpointView,
     spans: UnservedSpans<'a>,
@@ -46,23 +48,23 @@
 impl CheckState<'_> {
     fn on_endpoints(&mut self, at: f64, update: &EndpointsReceived) {
         self.endpoints.on_update(at, update);
-        let before = self.spans.warm_since.filter(|since| *since <= at);
-        let next = self.first_warm_at().map(|first| match before {
+        let previous_warm_since = self.spans.warm_since.filter(|since| *since <= at);
+        let new_warm_since = self.first_warm_at().map(|first| match previous_warm_since {
             Some(since) if first <= at => since,
             _ => first.max(at),
         });
-        let interrupted = before.is_some() && next != before;
-        if next.is_none() || interrupted {
+        let interrupted = previous_warm_since.is_some() && new_warm_since != previous_warm_since;
+        if new_warm_since.is_none() || interrupted {
             self.check_open_spans(at);
         }
-        self.spans.warm_since = next;
+        self.spans.warm_since = new_warm_since;
     }
 
-    /// When the first of the hosts that are listed ready is warm; may lie in the future.
+    /// When the first of the hosts listed as ready is warm; may lie in the future.
     fn first_warm_at(&self) -> Option<f64> {
-        let warm_within = self.spans.limits.max_warm_up;
-        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.listed == EndpointPhase::Ready);
-        let warm_at = ready.map(|endpoint| endpoint.started.map_or(0.0, |started| started + warm_within));
+        let max_warm_up = self.spans.limits.max_warm_up;
+        let ready = self.endpoints.hosts.values().filter(|endpoint| endpoint.phase == EndpointPhase::Ready);
+        let warm_at = ready.map(|endpoint| endpoint.started_at.map_or(0.0, |started| started + max_warm_up));
         warm_at.min_by(f64::total_cmp)
     }
 
@@ -81,14 +83,14 @@
     fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         let stale = self.spans.ownership.on_delta(at, received);
         let proxy = self.proxies.entry(received.proxy).or_default();
-        let mut ended = proxy.unserved.clone();
+        let mut ended_spans = proxy.unserved.clone();
         proxy.apply(at, &received.delta, &stale, self.spans.limits.slices);
-        ended.retain(|slice, _| !proxy.unserved.contains_key(slice));
-        self.spans.check(received.proxy, &ended, at);
+        ended_spans.retain(|slice, _| !proxy.unserved.contains_key(slice));
+        self.spans.check(received.proxy, &ended_spans, at);
     }
 
-    fn on_process_event(&mut self, at: f64, life: &ControllerLifecycle) {
-        self.spans.ownership.on_process_event(at, life);
+    fn on_process_event(&mut self, at: f64, lifecycle: &ControllerLifecycle) {
+        self.spans.ownership.on_process_event(at, lifecycle);
         if self.spans.ownership.none_running() {
             self.check_open_spans(at);
             self.endpoints.clear();
@@ -96,10 +98,10 @@
         }
     }
 
-    /// Checks all spans that are still open, and restarts them.
+    /// Checks all open spans, and restarts them at `at`.
     fn check_open_spans(&mut self, at: f64) {
-        for (number, proxy) in &mut self.proxies {
-            self.spans.check(*number, &proxy.unserved, at);
+        for (proxy_number, proxy) in &mut self.proxies {
+            self.spans.check(*proxy_number, &proxy.unserved, at);
             for since in proxy.unserved.values_mut() {
                 *since = at;
             }
@@ -107,20 +109,21 @@
     }
 }
 
-/// Checks spans in which a slice had no usable host at a proxy.
+/// Checks the spans in which a slice had no usable host at a proxy.
 struct UnservedSpans<'a> {
     verdict: Verdict,
     /// When a stream opened, in seconds, by proxy and controller.
     streams: BTreeMap<(u32, u32), f64>,
     ownership: SliceOwnership,
-    /// Since when a warm host has been listed ready without interruption; may lie in the future.
+    /// Since when a warm host has been listed as ready without interruption; may lie in the future.
     warm_since: Option<f64>,
     limits: &'a Limits,
     slowdown: ChannelSlowdown,
 }
 
 impl UnservedSpans<'_> {
-    /// Checks spans that last until `at`. A proxy counts as connected for a slice while it has a stream to the owner.
+    /// Checks the spans of a proxy up to `at`. The proxy counts as connected for a slice while it has a stream to the
+    /// slice's owner.
     fn check(&mut self, proxy: u32, unserved: &BTreeMap<u32, f64>, at: f64) {
         let Some(warm_since) = self.warm_since else { return };
         for (slice, since) in unserved {
