--- a/crates/railhub-cli/src/main.rs
+++ b/crates/railhub-cli/src/main.rs
@@ -94,7 +94,7 @@
 }
 
 fn main() -> ExitCode {
-    let signals = controller::is_for_platform().then(railhub_platform_net::Signals::take).transpose();
+    let signals = controller::is_for_platform().then(railhub_platform_net::Signals::register).transpose();
     let arguments = Arguments::parse();
     let runs = matches!(arguments.command, Command::Controller(_) | Command::Standin(_));
     let signals = match signals {
--- a/crates/railhub-controller/src/service.rs
+++ b/crates/railhub-controller/src/service.rs
@@ -119,7 +119,7 @@
 
     /// Connections that could not be accepted.
     pub fn failed_connections(&self) -> u64 {
-        self.listener.failed()
+        self.listener.failed_accepts()
     }
 }
 
--- a/crates/railhub-net/src/listener.rs
+++ b/crates/railhub-net/src/listener.rs
@@ -37,7 +37,7 @@
     }
 
     /// Connections that could not be accepted, for want of file descriptors mostly.
-    pub fn failed(&self) -> u64 {
+    pub fn failed_accepts(&self) -> u64 {
         self.failed_accepts.load(Ordering::Relaxed)
     }
 }
--- a/crates/railhub-platform-net/src/signals.rs
+++ b/crates/railhub-platform-net/src/signals.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// If the system refuses a handler.
-    pub fn take() -> std::io::Result<Signals> {
+    pub fn register() -> std::io::Result<Signals> {
         signal_hook::iterator::Signals::new([SIGHUP, SIGTERM]).map(Signals)
     }
 
