--- a/crates/railhub-net/src/clock.rs
+++ b/crates/railhub-net/src/clock.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 /// Seconds that can be waited for at most.
-const MAX_WAIT: f64 = 1e6;
+const MAX_WAIT_SECONDS: f64 = 1e6;
 
 /// Seconds since an arbitrary moment, the same for each process, never set back.
 ///
@@ -18,6 +18,6 @@
 
 /// The duration of so many seconds. A span that is too short, too long or no number becomes the nearest that can be
 /// waited for.
-pub fn seconds(span: f64) -> Duration {
-    Duration::from_secs_f64(span.clamp(0.0, MAX_WAIT).max(0.0))
+pub fn seconds(count: f64) -> Duration {
+    Duration::from_secs_f64(count.clamp(0.0, MAX_WAIT_SECONDS).max(0.0))
 }
--- a/crates/railhub-net/src/dial/tests.rs
+++ b/crates/railhub-net/src/dial/tests.rs
@@ -2,24 +2,24 @@
 use crate::clock::now;
 
 #[test]
-fn a_peer_that_listens_refuses_or_says_nothing() {
+fn connects_reports_refusal_and_times_out() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let open = listener.local_addr().expect("bound");
-    let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let listening = listener.local_addr().expect("bound");
+    let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     // A backlog that is full drops what comes, as a machine that is cut off does.
-    let deaf = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    deaf.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
-    deaf.listen(0).expect("listens");
-    let cut_off = deaf.local_addr().expect("bound").as_socket().expect("an address");
-    let _fill: Vec<_> = (0..3)
-        .map(|_| std::net::TcpStream::connect_timeout(&cut_off, std::time::Duration::from_millis(50)))
+    let full_backlog = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    full_backlog.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
+    full_backlog.listen(0).expect("listens");
+    let unresponsive = full_backlog.local_addr().expect("bound").as_socket().expect("an address");
+    let _pending: Vec<_> = (0..3)
+        .map(|_| std::net::TcpStream::connect_timeout(&unresponsive, std::time::Duration::from_millis(50)))
         .collect();
     crate::spawn(move || {
-        assert!(dial(open, 1.0).is_ok());
-        assert_eq!(dial(free, 1.0).expect_err("nobody listens").kind(), io::ErrorKind::ConnectionRefused);
-        let began = now();
-        assert_eq!(dial(cut_off, 0.2).expect_err("silent").kind(), io::ErrorKind::TimedOut);
-        assert!((0.2..2.0).contains(&(now() - began)));
+        assert!(dial(listening, 1.0).is_ok());
+        assert_eq!(dial(closed, 1.0).expect_err("nobody listens").kind(), io::ErrorKind::ConnectionRefused);
+        let started_at = now();
+        assert_eq!(dial(unresponsive, 0.2).expect_err("silent").kind(), io::ErrorKind::TimedOut);
+        assert!((0.2..2.0).contains(&(now() - started_at)));
     })
     .join()
     .expect("all hold");
--- a/crates/railhub-net/src/framed.rs
+++ b/crates/railhub-net/src/framed.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// Bytes read at once: on the coroutine's stack, so small.
-const READ_BUFFER_SIZE: usize = 2048;
+const READ_BUFFER_BYTES: usize = 2048;
 
 /// Why a stream ended.
 #[derive(Debug, Error)]
@@ -21,7 +21,7 @@
     Closed,
     /// The idle time-out expired.
     #[error("silent for too long")]
-    Silent,
+    IdleTimeout,
     /// The peer sent what is not a message, or closed in the middle of one.
     #[error(transparent)]
     Frame(#[from] FrameError),
@@ -45,15 +45,15 @@
     socket: SplitWriter<TcpStream>,
 }
 
-/// The two halves of a connection whose peer may send messages of at most `max_message_size` bytes.
+/// The two halves of a connection whose peer may send messages of at most `max_message_bytes` bytes.
 ///
 /// # Errors
 /// The error of the system if it cannot be split.
-pub fn split_framed(stream: TcpStream, max_message_size: usize) -> io::Result<(FrameReader, FrameWriter)> {
+pub fn split_framed(stream: TcpStream, max_message_bytes: usize) -> io::Result<(FrameReader, FrameWriter)> {
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.split()?;
     Ok((
-        FrameReader { idle_timeout: None, socket: reader, deframer: Deframer::new(max_message_size) },
+        FrameReader { idle_timeout: None, socket: reader, deframer: Deframer::new(max_message_bytes) },
         FrameWriter { send_timeout: None, socket: writer },
     ))
 }
@@ -97,10 +97,10 @@
     }
 
     fn read(&mut self) -> Result<(), StreamError> {
-        let mut bytes = [0; READ_BUFFER_SIZE];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         let read = self.socket.read(&mut bytes);
         if self.idle_timeout.as_ref().is_some_and(IdleTimeout::has_expired) {
-            return Err(StreamError::Silent);
+            return Err(StreamError::IdleTimeout);
         }
         match read {
             Ok(0) => {
@@ -120,9 +120,9 @@
     }
 
     /// Sets for how many seconds the peer may be silent, from now on; reading ends past it.
-    pub fn set_idle_timeout(&mut self, span: Option<f64>) {
+    pub fn set_idle_timeout(&mut self, timeout: Option<f64>) {
         self.idle_timeout = None;
-        self.idle_timeout = span.map(|span| IdleTimeout::read_half(self.socket.inner_mut(), span));
+        self.idle_timeout = timeout.map(|timeout| IdleTimeout::read_half(self.socket.inner_mut(), timeout));
     }
 }
 
@@ -152,9 +152,9 @@
 
     /// Sets how many seconds one message may take, from now on, before both halves are shut down. Not by the
     /// runtime's own time-out: its timers can fail when they are cancelled while others run out.
-    pub fn set_send_timeout(&mut self, span: f64) {
+    pub fn set_send_timeout(&mut self, timeout: f64) {
         self.send_timeout = None;
-        let timeout = IdleTimeout::both_halves(self.socket.inner_mut(), span);
+        let timeout = IdleTimeout::both_halves(self.socket.inner_mut(), timeout);
         timeout.suspend();
         self.send_timeout = Some(timeout);
     }
--- a/crates/railhub-net/src/http/chunked.rs
+++ b/crates/railhub-net/src/http/chunked.rs
@@ -5,9 +5,9 @@
 use crate::http::error::HttpError;
 
 /// Bytes of a chunk's size line at most: a number and perhaps an extension.
-const MAX_SIZE_LINE: usize = 256;
+const MAX_SIZE_LINE_BYTES: usize = 256;
 /// Bytes of the line end behind a chunk's data.
-const LINE_END_SIZE: usize = 2;
+const LINE_END_BYTES: usize = 2;
 
 #[derive(Debug, PartialEq, Eq)]
 enum DecoderState {
@@ -54,7 +54,7 @@
         match &mut self.state {
             DecoderState::SizeLine(line) => {
                 line.push(bytes[0]);
-                if let Some(size) = read_size(line)? {
+                if let Some(size) = parse_size_line(line)? {
                     self.state = if size == 0 { DecoderState::Ended } else { DecoderState::Data(size) };
                 }
                 Ok(1)
@@ -64,7 +64,7 @@
                 on_data(&bytes[..count]);
                 *left -= count as u64;
                 if *left == 0 {
-                    self.state = DecoderState::LineEnd(LINE_END_SIZE);
+                    self.state = DecoderState::LineEnd(LINE_END_BYTES);
                 }
                 Ok(count)
             }
@@ -82,9 +82,9 @@
 }
 
 /// The size that the line states; `None` if the line is not complete.
-fn read_size(line: &[u8]) -> Result<Option<u64>, HttpError> {
+fn parse_size_line(line: &[u8]) -> Result<Option<u64>, HttpError> {
     if !line.ends_with(b"\n") {
-        if line.len() >= MAX_SIZE_LINE {
+        if line.len() >= MAX_SIZE_LINE_BYTES {
             return Err(HttpError::malformed("a chunk without size"));
         }
         return Ok(None);
--- a/crates/railhub-net/src/http/client.rs
+++ b/crates/railhub-net/src/http/client.rs
@@ -1,7 +1,7 @@
 //! The asking side, for bodies of a stated length.
 use crate::dial::dial;
 use crate::http::error::HttpError;
-use crate::http::message::{body_length, read_body, read_head, MAX_HEADERS};
+use crate::http::message::{body_length, read_body, read_more_head, MAX_HEADERS};
 use crate::idle_timeout::IdleTimeout;
 use may::net::TcpStream;
 use serde::{de::DeserializeOwned, Serialize};
@@ -96,17 +96,17 @@
 }
 
 fn read_response(stream: &mut TcpStream) -> Result<Response, HttpError> {
-    let mut read = Vec::new();
+    let mut buffer = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(&read).map_err(HttpError::malformed)?;
-        if let httparse::Status::Complete(head_size) = parsed {
+        let parsed = response.parse(&buffer).map_err(HttpError::malformed)?;
+        if let httparse::Status::Complete(head_length) = parsed {
             let status = response.code.unwrap_or_default();
             let length = body_length(response.headers)?;
-            let body = read_body(stream, &mut read, head_size, length)?;
+            let body = read_body(stream, &mut buffer, head_length, length)?;
             return Ok(Response { status, body });
         }
-        read_head(stream, &mut read)?;
+        read_more_head(stream, &mut buffer)?;
     }
 }
--- a/crates/railhub-net/src/http/error.rs
+++ b/crates/railhub-net/src/http/error.rs
@@ -27,7 +27,7 @@
 
 impl HttpError {
     /// Something is wrong with the bytes that the peer sent.
-    pub(super) fn malformed(what: impl ToString) -> HttpError {
-        HttpError::Malformed(what.to_string())
+    pub(super) fn malformed(reason: impl ToString) -> HttpError {
+        HttpError::Malformed(reason.to_string())
     }
 }
--- a/crates/railhub-net/src/http/line_stream.rs
+++ b/crates/railhub-net/src/http/line_stream.rs
@@ -4,15 +4,15 @@
 use crate::dial::dial;
 use crate::http::chunked::ChunkedDecoder;
 use crate::http::error::HttpError;
-use crate::http::message::{read_head, MAX_HEADERS, READ_BUFFER_SIZE};
+use crate::http::message::{read_more_head, MAX_HEADERS, READ_BUFFER_BYTES};
 use crate::idle_timeout::{Closer, IdleTimeout};
 use may::net::TcpStream;
-use railhub_proto::Lines;
+use railhub_proto::LineSplitter;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
 /// Bytes of one line at most: a complete list of some ten thousand hosts.
-const MAX_LINE_SIZE: usize = 4 << 20;
+const MAX_LINE_BYTES: usize = 4 << 20;
 const STATUS_OK: u16 = 200;
 
 /// The lines of one response.
@@ -21,7 +21,7 @@
     idle_timeout: IdleTimeout,
     stream: TcpStream,
     decoder: ChunkedDecoder,
-    lines: Lines,
+    lines: LineSplitter,
 }
 
 impl LineStream {
@@ -41,7 +41,7 @@
         let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         stream.write_all(request.as_bytes()).map_err(HttpError::Io)?;
         let body_start = read_response_head(&mut stream, &idle_timeout)?;
-        let (mut decoder, mut lines) = (ChunkedDecoder::default(), Lines::new(MAX_LINE_SIZE));
+        let (mut decoder, mut lines) = (ChunkedDecoder::default(), LineSplitter::new(MAX_LINE_BYTES));
         decoder.push(&body_start, |data| lines.push(data))?;
         Ok(LineStream { idle_timeout, stream, decoder, lines })
     }
@@ -64,11 +64,11 @@
             self.read()?;
         }
         self.idle_timeout.restart();
-        Ok(self.lines.line(parse))
+        Ok(self.lines.next_line(parse))
     }
 
     fn read(&mut self) -> Result<(), HttpError> {
-        let mut bytes = [0; READ_BUFFER_SIZE];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         match self.stream.read(&mut bytes) {
             Ok(count) if count > 0 => {
                 let lines = &mut self.lines;
@@ -83,18 +83,18 @@
 
 /// Reads the head of a response of status 200; gives the bytes behind it that were read with it.
 fn read_response_head(stream: &mut TcpStream, idle_timeout: &IdleTimeout) -> Result<Vec<u8>, HttpError> {
-    let mut read = Vec::new();
+    let mut buffer = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(&read).map_err(HttpError::malformed)?;
-        if let httparse::Status::Complete(head_size) = parsed {
+        let parsed = response.parse(&buffer).map_err(HttpError::malformed)?;
+        if let httparse::Status::Complete(head_length) = parsed {
             return match response.code {
-                Some(STATUS_OK) => Ok(read.split_off(head_size)),
+                Some(STATUS_OK) => Ok(buffer.split_off(head_length)),
                 status => Err(HttpError::Status(status.unwrap_or_default())),
             };
         }
-        let more = read_head(stream, &mut read);
+        let more = read_more_head(stream, &mut buffer);
         if idle_timeout.has_expired() {
             return Err(HttpError::Timeout);
         }
--- a/crates/railhub-net/src/http/server.rs
+++ b/crates/railhub-net/src/http/server.rs
@@ -1,6 +1,6 @@
 //! The serving side: requests in, responses out.
 use crate::http::error::HttpError;
-use crate::http::message::{body_length, read_body, read_head, MAX_HEADERS};
+use crate::http::message::{body_length, read_body, read_more_head, MAX_HEADERS};
 use may::net::TcpStream;
 use serde::Serialize;
 use std::io::{self, Write};
@@ -22,24 +22,24 @@
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-/// Reads one request; `None` when the peer closes between two. `read` are bytes taken from the stream already.
+/// Reads one request; `None` when the peer closes between two. `buffer` holds bytes taken from the stream already.
 ///
 /// # Errors
 /// Why the connection is to be closed.
-pub fn read_request(stream: &mut TcpStream, read: &mut Vec<u8>) -> Result<Option<Request>, HttpError> {
+pub fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Result<Option<Request>, HttpError> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let status = request.parse(read).map_err(HttpError::malformed)?;
-        if let httparse::Status::Complete(head_size) = status {
+        let status = request.parse(buffer).map_err(HttpError::malformed)?;
+        if let httparse::Status::Complete(head_length) = status {
             let method = request.method.unwrap_or_default().to_owned();
             let path = request.path.unwrap_or_default().to_owned();
             let length = body_length(request.headers)?;
-            let body = read_body(stream, read, head_size, length)?;
+            let body = read_body(stream, buffer, head_length, length)?;
             return Ok(Some(Request { method, path, body }));
         }
-        let was_empty = read.is_empty();
-        match read_head(stream, read) {
+        let was_empty = buffer.is_empty();
+        match read_more_head(stream, buffer) {
             Err(HttpError::Closed) if was_empty => return Ok(None),
             other => other?,
         }
--- a/crates/railhub-net/src/idle_timeout.rs
+++ b/crates/railhub-net/src/idle_timeout.rs
@@ -18,7 +18,7 @@
     /// Bits of the moment of the last restart.
     restarted_at: AtomicU64,
     /// Seconds from a restart to the expiry.
-    span: f64,
+    timeout: f64,
     /// The halves to shut down, as the system names them.
     shutdown_how: libc::c_int,
     has_expired: AtomicBool,
@@ -29,24 +29,24 @@
 
 impl IdleTimeout {
     /// Shuts down reading only: where a reason is still to be written.
-    pub fn read_half(socket: &TcpStream, span: f64) -> IdleTimeout {
-        IdleTimeout::start(socket, span, libc::SHUT_RD)
+    pub fn read_half(socket: &TcpStream, timeout: f64) -> IdleTimeout {
+        IdleTimeout::start(socket, timeout, libc::SHUT_RD)
     }
 
     /// Shuts down writing too: a peer that stops reading must not hold the one that writes to it.
-    pub fn both_halves(socket: &TcpStream, span: f64) -> IdleTimeout {
-        IdleTimeout::start(socket, span, libc::SHUT_RDWR)
+    pub fn both_halves(socket: &TcpStream, timeout: f64) -> IdleTimeout {
+        IdleTimeout::start(socket, timeout, libc::SHUT_RDWR)
     }
 
-    fn start(socket: &TcpStream, span: f64, shutdown_how: libc::c_int) -> IdleTimeout {
+    fn start(socket: &TcpStream, timeout: f64, shutdown_how: libc::c_int) -> IdleTimeout {
         let watched = Arc::new(WatchedSocket {
             descriptor: Mutex::new(Some(socket.inner().as_raw_fd())),
             restarted_at: AtomicU64::new(now().to_bits()),
-            span,
+            timeout,
             shutdown_how,
             has_expired: AtomicBool::new(false),
         });
-        check_after(watched.clone(), span);
+        check_after(watched.clone(), timeout);
         IdleTimeout(watched)
     }
 
@@ -68,7 +68,7 @@
     /// Lets the socket go. Returns whether it can be used further: one that expires just before this has shut it
     /// down, and one that is looked at before it is released may still expire between the two.
     pub fn release(self) -> bool {
-        self.0.forget_socket();
+        self.0.release_socket();
         !self.has_expired()
     }
 
@@ -80,7 +80,7 @@
 
 impl Drop for IdleTimeout {
     fn drop(&mut self) {
-        self.0.forget_socket();
+        self.0.release_socket();
     }
 }
 
@@ -101,12 +101,12 @@
 }
 
 impl WatchedSocket {
-    fn forget_socket(&self) {
+    fn release_socket(&self) {
         *self.descriptor.lock().expect("no holder panics") = None;
     }
 
     fn seconds_left(&self) -> f64 {
-        f64::from_bits(self.restarted_at.load(Ordering::Relaxed)) + self.span - now()
+        f64::from_bits(self.restarted_at.load(Ordering::Relaxed)) + self.timeout - now()
     }
 
     /// Expires if the span has passed. Returns the seconds to the next check, if one is needed.
@@ -116,7 +116,7 @@
         let descriptor = (*descriptor)?;
         if left > 0.0 {
             // A suspended one may be restarted at any moment, and expires a span after that.
-            return Some(left.min(self.span));
+            return Some(left.min(self.timeout));
         }
         self.has_expired.store(true, Ordering::Release);
         // SAFETY: the time-out is dropped, and takes the descriptor away under this lock, before the socket is closed.
@@ -125,8 +125,8 @@
     }
 }
 
-fn check_after(watched: Arc<WatchedSocket>, span: f64) {
-    run_after(span, move || {
+fn check_after(watched: Arc<WatchedSocket>, delay: f64) {
+    run_after(delay, move || {
         let next_check = watched.check();
         if let Some(next_check) = next_check {
             check_after(watched, next_check);
--- a/crates/railhub-net/src/idle_timeout/tests.rs
+++ b/crates/railhub-net/src/idle_timeout/tests.rs
@@ -3,33 +3,34 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn a_peer_that_never_reads_does_not_hold_a_writer() {
+fn interrupts_a_write_to_a_peer_that_never_reads() {
     use std::io::Write;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (sender, receiver) = channel();
     crate::spawn(move || {
         let mut stream = crate::dial(address, 1.0).expect("it listens");
-        let guard = IdleTimeout::both_halves(&stream, 0.1);
-        let ended = std::iter::repeat_with(|| stream.write_all(&[0; 1 << 16])).find_map(Result::err);
-        sender.send((ended.is_some(), guard.has_expired())).expect("still read");
+        let timeout = IdleTimeout::both_halves(&stream, 0.1);
+        let error = std::iter::repeat_with(|| stream.write_all(&[0; 1 << 16])).find_map(Result::err);
+        sender.send((error.is_some(), timeout.has_expired())).expect("still read");
     });
-    let ended = receiver.recv_timeout(seconds(10.0));
-    assert_eq!(ended, Ok((true, true)));
+    let result = receiver.recv_timeout(seconds(10.0));
+    assert_eq!(result, Ok((true, true)));
 }
 
 #[test]
-fn a_socket_whose_guard_fired_before_it_was_let_go_is_not_whole() {
+fn release_reports_whether_the_timeout_expired() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (sender, receiver) = channel();
     crate::spawn(move || {
         let stream = crate::dial(address, 1.0).expect("it listens");
-        let (late, early) = (IdleTimeout::both_halves(&stream, 0.0), IdleTimeout::both_halves(&stream, 60.0));
-        while !late.has_expired() {
+        let (expired, pending) =
+            (IdleTimeout::both_halves(&stream, 0.0), IdleTimeout::both_halves(&stream, 60.0));
+        while !expired.has_expired() {
             may::coroutine::sleep(seconds(0.001));
         }
-        sender.send((late.release(), early.release())).expect("still read");
+        sender.send((expired.release(), pending.release())).expect("still read");
     });
     assert_eq!(receiver.recv_timeout(seconds(10.0)), Ok((false, true)));
 }
--- a/crates/railhub-net/src/runtime.rs
+++ b/crates/railhub-net/src/runtime.rs
@@ -4,7 +4,7 @@
 /// touched cost nothing.
 const STACK_WORDS: usize = 0x2000;
 /// Stacks kept for the next coroutine.
-const KEPT_STACKS: usize = 2000;
+const STACK_POOL_CAPACITY: usize = 2000;
 /// Worker threads at most, however many cores there are.
 const MAX_WORKERS: usize = 8;
 /// Cores assumed where the system does not show them.
@@ -15,15 +15,15 @@
 pub fn start_runtime() {
     let cores = std::thread::available_parallelism().map_or(DEFAULT_CORES, |cores| cores.get());
     let workers = (cores - 1).clamp(1, MAX_WORKERS);
-    configure(workers, KEPT_STACKS);
+    configure(workers, STACK_POOL_CAPACITY);
 }
 
 /// Sets up one worker, which shares its core with the thread that owns the state, and keeps so many stacks: for a
 /// machine of one core and little memory.
-pub fn start_runtime_single_worker(kept_stacks: usize) {
-    configure(1, kept_stacks);
+pub fn start_runtime_single_worker(stack_pool_capacity: usize) {
+    configure(1, stack_pool_capacity);
 }
 
-fn configure(workers: usize, kept_stacks: usize) {
-    may::config().set_workers(workers).set_stack_size(STACK_WORDS).set_pool_capacity(kept_stacks);
+fn configure(workers: usize, stack_pool_capacity: usize) {
+    may::config().set_workers(workers).set_stack_size(STACK_WORDS).set_pool_capacity(stack_pool_capacity);
 }
--- a/crates/railhub-net/src/task.rs
+++ b/crates/railhub-net/src/task.rs
@@ -5,22 +5,22 @@
 
 /// Handles kept of coroutines that have ended, some 200 bytes each: more than can end while one thread of the runtime
 /// stands still between two instructions.
-const MAX_ENDED_KEPT: usize = 4096;
+const MAX_RETAINED_HANDLES: usize = 4096;
 
 /// Handles of the coroutines that ended last.
-static ENDED: Mutex<VecDeque<Coroutine>> = Mutex::new(VecDeque::new());
+static RETAINED_HANDLES: Mutex<VecDeque<Coroutine>> = Mutex::new(VecDeque::new());
 
 /// Keeps a coroutine's handle past its end. The runtime (`may` 0.3) hands a coroutine that waits to whoever wakes
 /// it first and only then notes in its handle how it may be cancelled. One that is woken at once can have run to
 /// its end by then on another core, and the note goes into memory that was given back: heaps were corrupted so,
 /// on busy cores, by sleeps of next to nothing (tests/churn.rs).
-struct KeptHandle(Coroutine);
+struct RetainedHandle(Coroutine);
 
-impl Drop for KeptHandle {
+impl Drop for RetainedHandle {
     fn drop(&mut self) {
-        let mut ended = ENDED.lock().expect("no holder panics");
+        let mut ended = RETAINED_HANDLES.lock().expect("no holder panics");
         ended.push_back(self.0.clone());
-        let oldest = if ended.len() > MAX_ENDED_KEPT { ended.pop_front() } else { None };
+        let oldest = if ended.len() > MAX_RETAINED_HANDLES { ended.pop_front() } else { None };
         drop(ended);
         drop(oldest);
     }
@@ -31,12 +31,12 @@
 /// # Panics
 /// If the system has no memory for its stack.
 pub fn spawn(work: impl FnOnce() + Send + 'static) -> JoinHandle<()> {
-    let with_kept_handle = move || {
-        let _kept = KeptHandle(current());
+    let with_retained_handle = move || {
+        let _kept = RetainedHandle(current());
         work();
     };
     // SAFETY: the work touches no thread-local across a wait, and its stack is far above its need.
-    unsafe { Builder::new().spawn(with_kept_handle) }.expect("a coroutine can be made")
+    unsafe { Builder::new().spawn(with_retained_handle) }.expect("a coroutine can be made")
 }
 
 /// A coroutine that is cancelled when this is dropped.
--- a/crates/railhub-net/tests/churn.rs
+++ b/crates/railhub-net/tests/churn.rs
@@ -7,35 +7,35 @@
 
 /// Coroutines in all, and threads that keep the cores busy.
 const COROUTINES: u64 = 100_000;
-const AT_ONCE: u64 = 200;
-const BUSY: usize = 8;
+const MAX_CONCURRENT: u64 = 200;
+const BUSY_THREADS: usize = 8;
 
 #[test]
-fn coroutines_that_wait_for_next_to_nothing_and_end_leave_the_heap_whole() {
+fn short_lived_coroutines_do_not_corrupt_the_heap() {
     railhub_net::start_runtime();
     let ended = Arc::new(AtomicU64::new(0));
     let stop = Arc::new(AtomicBool::new(false));
-    let busy = (0..BUSY).map(|_| {
+    let busy_threads = (0..BUSY_THREADS).map(|_| {
         let stop = stop.clone();
         std::thread::spawn(move || while !stop.load(Ordering::Relaxed) {})
     });
-    let busy: Vec<_> = busy.collect();
-    let until = Instant::now() + Duration::from_secs(60);
-    for n in 0..COROUTINES {
-        while n - ended.load(Ordering::Relaxed) > AT_ONCE {
-            assert!(Instant::now() < until, "{} ended", ended.load(Ordering::Relaxed));
+    let busy_threads: Vec<_> = busy_threads.collect();
+    let deadline = Instant::now() + Duration::from_secs(60);
+    for index in 0..COROUTINES {
+        while index - ended.load(Ordering::Relaxed) > MAX_CONCURRENT {
+            assert!(Instant::now() < deadline, "{} ended", ended.load(Ordering::Relaxed));
             std::thread::yield_now();
         }
-        let counted = ended.clone();
+        let ended_count = ended.clone();
         spawn(move || {
-            may::coroutine::sleep(Duration::from_nanos(n % 3));
-            counted.fetch_add(1, Ordering::Relaxed);
+            may::coroutine::sleep(Duration::from_nanos(index % 3));
+            ended_count.fetch_add(1, Ordering::Relaxed);
         });
     }
     while ended.load(Ordering::Relaxed) < COROUTINES {
-        assert!(Instant::now() < until, "{} ended", ended.load(Ordering::Relaxed));
+        assert!(Instant::now() < deadline, "{} ended", ended.load(Ordering::Relaxed));
         std::thread::sleep(Duration::from_millis(10));
     }
     stop.store(true, Ordering::Relaxed);
-    busy.into_iter().for_each(|thread| thread.join().expect("it only counts"));
+    busy_threads.into_iter().for_each(|thread| thread.join().expect("it only counts"));
 }
--- a/crates/railhub-platform-net/src/active_connection.rs
+++ b/crates/railhub-platform-net/src/active_connection.rs
@@ -5,7 +5,7 @@
 /// The connection in use, with the version of the configuration that named its peer.
 ///
 /// States: none, active. A connection of the same or a newer version replaces and closes the active one. One of an
-/// older version is refused, however late its follower comes between two connections of a newer one.
+/// older version is refused, even if it comes between two connections of a newer one.
 #[derive(Default)]
 pub struct ActiveConnection(Mutex<Option<VersionedConnection>>);
 
@@ -33,7 +33,7 @@
         active.as_ref().is_none_or(|active| active.version <= version)
     }
 
-    /// Shuts down the active connection; its follower then reconnects.
+    /// Shuts down the active connection; the reconnect loop then connects again.
     pub fn close(&self) {
         let active = self.0.lock().expect("no holder panics");
         if let Some(active) = active.as_ref() {
--- a/crates/railhub-platform-net/src/call_timing.rs
+++ b/crates/railhub-platform-net/src/call_timing.rs
@@ -37,7 +37,7 @@
     }
 
     /// A call leaves.
-    pub fn on_call(&mut self, now: Seconds) {
+    pub fn on_call_sent(&mut self, now: Seconds) {
         self.sent_at = now;
         self.in_flight_report_at = self.in_flight_report_at.or(self.oldest_report_at.take());
     }
@@ -55,7 +55,7 @@
         }
     }
     /// The call in flight was rejected, or its outcome is unknown.
-    pub fn on_no_answer(&mut self, now: Seconds) {
+    pub fn on_call_failed(&mut self, now: Seconds) {
         self.not_before = now + CALL_RETRY_INTERVAL;
     }
 
--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -19,7 +19,7 @@
 /// Seconds the thread sleeps at most: load reports wake nobody and must not wait long.
 const MAX_SLEEP: Seconds = 0.2;
 /// Events applied in one pass: a pass must end.
-const EVENT_BATCH_LIMIT: usize = 2048;
+const MAX_EVENTS_PER_PASS: usize = 2048;
 
 /// The owner of the controller.
 pub struct ControllerThread {
@@ -84,7 +84,7 @@
     }
 
     fn apply_events(&mut self) {
-        for _ in 0..EVENT_BATCH_LIMIT {
+        for _ in 0..MAX_EVENTS_PER_PASS {
             let Some(event) = self.shared.inbox.next_event() else { return };
             self.on_event(event);
         }
@@ -126,11 +126,11 @@
             Some(CallResponse::Accepted(_) | CallResponse::Malformed) => self.timing.on_answer(now()),
             Some(CallResponse::Rejected) => {
                 counters.calls_rejected.fetch_add(1, Ordering::Relaxed);
-                self.timing.on_no_answer(now());
+                self.timing.on_call_failed(now());
             }
             None => {
                 counters.calls_unknown.fetch_add(1, Ordering::Relaxed);
-                self.timing.on_no_answer(now());
+                self.timing.on_call_failed(now());
             }
         }
         if let Some(dropped) = self.controller.on_call_ended(answer) {
@@ -181,7 +181,7 @@
         if let Some(call) = self.controller.next_call() {
             self.shared.relay_counters.calls.fetch_add(1, Ordering::Relaxed);
             log_call(&call);
-            self.timing.on_call(now());
+            self.timing.on_call_sent(now());
             self.calls.send(call);
         }
     }
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -6,14 +6,14 @@
 //!
 //! States of a watch: opened (until its first line), active (each line is a page, or empty as a sign of life), ended.
 use crate::addresses::Addresses;
-use crate::connect_backoff::CONNECT_TIMEOUT;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
-use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
-use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
+use crate::fairness::{ReadLimiter, KNOWN_PEER_MAX_READ_TIME};
 use crate::peer_health::UsableConnection;
+use crate::reconnect::{keep_connected, ConnectionAttempts, ReconnectTimeouts};
 use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
+use crate::timeouts::CONNECT_TIMEOUT;
 use railhub::Seconds;
 use railhub_net::http::{HttpError, LineStream};
 use railhub_net::spawn;
@@ -31,7 +31,7 @@
 /// Seconds between attempts while discovery is out of reach.
 const RETRY_INTERVAL: Seconds = 0.3;
 
-const TIMEOUTS: FollowerTimeouts = FollowerTimeouts {
+const TIMEOUTS: ReconnectTimeouts = ReconnectTimeouts {
     silence: SILENCE_TIMEOUT,
     max_first_answer: MAX_FIRST_LINE_TIMEOUT,
     retry_interval: RETRY_INTERVAL,
@@ -57,8 +57,8 @@
     StalePage,
 }
 
-/// Starts a follower of the discovery whose address is in force now; an earlier follower ends by itself.
-pub fn follow(shared: &Arc<SharedState>) {
+/// Starts a reconnect loop for the discovery address in force now; an earlier loop ends by itself.
+pub fn start(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
     spawn(move || {
@@ -69,7 +69,7 @@
         let log_failure = |error: &WatchError| {
             tracing::warn!(discovery = %addresses.discovery, %error, "discovery watch ended");
         };
-        follow_peer(&shared, addresses.version, &shared.discovery_health, &TIMEOUTS, connect, log_failure);
+        keep_connected(&shared, addresses.version, &shared.discovery_health, &TIMEOUTS, connect, log_failure);
     });
 }
 
@@ -83,14 +83,14 @@
     let generation = shared.endpoint_generation();
     let path = discovery::watch_path(generation);
     let feed = LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
-    let feed = feed.map_err(|error| unanswered(error, attempts))?;
+    let feed = feed.map_err(|error| first_line_error(error, attempts))?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.discovery);
     if !shared.discovery_watch.activate(addresses.version, feed.closer()) {
         return Err(WatchError::Superseded);
     }
     tracing::info!(discovery = %addresses.discovery, after_generation = generation, "discovery watch open");
     let mut watch = Watch { shared, version: addresses.version, generation, state: WatchState::Opened, feed };
-    let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
+    let mut limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
     loop {
         watch.receive(attempts)?;
         limiter.pause_if_due();
@@ -122,7 +122,7 @@
         let line = match self.feed.next_line(parse) {
             Ok(line) => line,
             Err(error) if matches!(self.state, WatchState::Opened) => {
-                return Err(unanswered(error, attempts));
+                return Err(first_line_error(error, attempts));
             }
             Err(error) => return Err(WatchError::LineStream(error)),
         };
@@ -179,7 +179,7 @@
 }
 
 /// A connection that ended before its first line.
-fn unanswered(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
+fn first_line_error(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
     if matches!(error, HttpError::Timeout) {
         attempts.on_first_answer_timeout();
     }
--- a/crates/railhub-platform-net/src/fairness.rs
+++ b/crates/railhub-platform-net/src/fairness.rs
@@ -4,9 +4,9 @@
 use railhub_net::{now, seconds};
 
 /// Seconds of reading after which others run, of the relay, discovery or a collector.
-pub const KNOWN_PEER_READ_LIMIT: Seconds = 0.004;
+pub const KNOWN_PEER_MAX_READ_TIME: Seconds = 0.004;
 /// Seconds of reading after which others run, of a peer that has not joined: many of those may send at once.
-pub const UNIDENTIFIED_PEER_READ_LIMIT: Seconds = 0.000_25;
+pub const UNIDENTIFIED_PEER_MAX_READ_TIME: Seconds = 0.000_25;
 /// Seconds that others run. Yielding alone would not let the worker look at its sockets.
 const READ_PAUSE: Seconds = 0.001;
 
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -1,6 +1,6 @@
 //! The controller's own address: collectors that report, pings, and unidentified peers, who cost little and go soon.
 //!
-//! A connection: [`connection_table`] gives it a place, or rejects it; [`session`] reads its messages until it ends.
+//! A connection: [`connection_table`] gives it a slot, or rejects it; [`session`] reads its messages until it ends.
 //!
 //! A load report: read in the collector's session, checked, and put into the inbox of the controller thread; if the
 //! inbox is full it is dropped and counted.
@@ -33,8 +33,8 @@
     let shared = shared.clone();
     let on_connection = move |stream: TcpStream| {
         let (shared, table) = (shared.clone(), table.clone());
-        let Some(place) = table.admit(&stream, &shared.rejections) else { return };
-        spawn(move || session::serve(&shared, stream, place));
+        let Some(slot) = table.admit(&stream, &shared.rejections) else { return };
+        spawn(move || session::serve(&shared, stream, slot));
     };
     Listener::open(config.listen, move |stream, _| on_connection(stream))
         .map_err(|source| RunError::Listen { address: config.listen, source })
--- a/crates/railhub-platform-net/src/listener/connection_table.rs
+++ b/crates/railhub-platform-net/src/listener/connection_table.rs
@@ -35,8 +35,8 @@
     open: Mutex<OpenConnections>,
 }
 
-/// One connection's place in the table, left when this is dropped.
-pub struct ConnectionPlace {
+/// One connection's slot in the table, left when this is dropped.
+pub struct ConnectionSlot {
     id: u64,
     table: Arc<ConnectionTable>,
     idle_timeout: IdleTimeout,
@@ -48,13 +48,13 @@
         ConnectionTable { max_connections, open: Mutex::default() }
     }
 
-    /// Gives a connection a place. When there is none, the oldest that has not joined is closed for it; `None` if all
+    /// Gives a connection a slot. When there is none, the oldest that has not joined is closed for it; `None` if all
     /// have joined.
     pub fn admit(
         self: &Arc<ConnectionTable>,
         stream: &TcpStream,
         rejections: &Rejections,
-    ) -> Option<ConnectionPlace> {
+    ) -> Option<ConnectionSlot> {
         // Nothing that it sends before it has joined puts this off.
         let idle_timeout = IdleTimeout::both_halves(stream, JOIN_TIMEOUT);
         let mut open = self.open.lock().expect("no holder panics");
@@ -66,7 +66,7 @@
         open.next_id += 1;
         open.by_id.insert(id, Connection { closer: idle_timeout.closer(), zone: None });
         drop(open);
-        Some(ConnectionPlace { id, table: self.clone(), idle_timeout })
+        Some(ConnectionSlot { id, table: self.clone(), idle_timeout })
     }
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-impl ConnectionPlace {
+impl ConnectionSlot {
     /// The connection is that of the zone's collector. Closes the zone's oldest ones beyond the limit.
     pub fn join(&mut self, zone: ZoneId, stream: &TcpStream) {
         self.idle_timeout = IdleTimeout::both_halves(stream, COLLECTOR_SILENCE_TIMEOUT);
@@ -106,7 +106,7 @@
     }
 }
 
-impl Drop for ConnectionPlace {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.table.open.lock().expect("no holder panics").by_id.remove(&self.id);
     }
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -4,8 +4,8 @@
 //! and report). Anything else ends the connection, but an invalid report costs only itself.
 use crate::descriptors::DescriptorGuard;
 use crate::events::LoadReport;
-use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT, UNIDENTIFIED_PEER_READ_LIMIT};
-use crate::listener::connection_table::ConnectionPlace;
+use crate::fairness::{ReadLimiter, KNOWN_PEER_MAX_READ_TIME, UNIDENTIFIED_PEER_MAX_READ_TIME};
+use crate::listener::connection_table::ConnectionSlot;
 use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
 use may::net::TcpStream;
@@ -17,12 +17,12 @@
 use std::io::{Read, Write};
 
 /// Bytes read at once: on the coroutine's stack, so small.
-const READ_BUFFER_SIZE: usize = 2048;
+const READ_BUFFER_BYTES: usize = 2048;
 /// Bytes of room for answers that a peer has not read: the kernel doubles it for its own bookkeeping. What the peer's
 /// own kernel has taken does not count.
-const SEND_BUFFER_SIZE: usize = 32 << 10;
+const SEND_BUFFER_BYTES: usize = 32 << 10;
 /// Bytes of a rejected message that the log shows.
-const MAX_MESSAGE_SHOWN: usize = 160;
+const MAX_SAMPLE_BYTES: usize = 160;
 
 enum Peer<'a> {
     Unidentified,
@@ -34,7 +34,7 @@
 
 /// Whether the session goes on.
 #[derive(PartialEq, Eq)]
-enum Next {
+enum NextStep {
     Continue,
     Close,
 }
@@ -42,12 +42,12 @@
 /// The first message that is not handled yet.
 enum Received {
     /// It has not come completely.
-    Nothing,
+    Incomplete,
     Message(CollectorMessage),
-    /// It is invalid; `shown` is its start.
+    /// It is invalid; `sample` is its start.
     Invalid {
         reason: InvalidEntry,
-        shown: String,
+        sample: String,
     },
     /// The length of a message is over the limit.
     TooLong,
@@ -59,34 +59,34 @@
     deframer: Deframer,
     limiter: ReadLimiter,
     /// Before the stream, so that its time-out is dropped first.
-    place: ConnectionPlace,
+    slot: ConnectionSlot,
     stream: TcpStream,
 }
 
 /// Serves the connection until the peer ends it, or must be closed.
-pub fn serve(shared: &SharedState, stream: TcpStream, place: ConnectionPlace) {
+pub fn serve(shared: &SharedState, stream: TcpStream, slot: ConnectionSlot) {
     let _descriptor = DescriptorGuard::count(&shared.descriptors.inbound);
     // Where the system refuses, a write that does not fit ends the session all the same, only later.
-    let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER_SIZE);
+    let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER_BYTES);
     let mut session = Session {
         shared,
         peer: Peer::Unidentified,
         deframer: Deframer::new(collector::MAX_FIRST_MESSAGE_BYTES),
-        limiter: ReadLimiter::start(UNIDENTIFIED_PEER_READ_LIMIT),
-        place,
+        limiter: ReadLimiter::start(UNIDENTIFIED_PEER_MAX_READ_TIME),
+        slot,
         stream,
     };
-    while session.step() == Next::Continue {}
+    while session.step() == NextStep::Continue {}
 }
 
 impl<'a> Session<'a> {
     /// Handles the next message, or reads more bytes if it has not come completely.
-    fn step(&mut self) -> Next {
+    fn step(&mut self) -> NextStep {
         match self.next_message() {
-            Received::Nothing => self.read(),
+            Received::Incomplete => self.read(),
             Received::Message(message) => self.on_message(message),
-            Received::Invalid { reason, shown } => self.on_invalid(reason, shown),
-            Received::TooLong => self.close_with(InvalidEntry::Unreadable, String::new()),
+            Received::Invalid { reason, sample } => self.on_invalid(reason, sample),
+            Received::TooLong => self.reject_and_close(InvalidEntry::Unreadable, String::new()),
         }
     }
 
@@ -96,31 +96,31 @@
             self.deframer.body(|body| match collector::decode(body, &shared.names, shared.slices) {
                 Ok(message) => Received::Message(message),
                 Err(reason) => {
-                    let start = &body[..body.len().min(MAX_MESSAGE_SHOWN)];
-                    Received::Invalid { reason, shown: String::from_utf8_lossy(start).into_owned() }
+                    let start = &body[..body.len().min(MAX_SAMPLE_BYTES)];
+                    Received::Invalid { reason, sample: String::from_utf8_lossy(start).into_owned() }
                 }
             });
         match message {
             Ok(Some(received)) => received,
-            Ok(None) => Received::Nothing,
+            Ok(None) => Received::Incomplete,
             Err(_) => Received::TooLong,
         }
     }
 
-    fn read(&mut self) -> Next {
-        let mut bytes = [0; READ_BUFFER_SIZE];
+    fn read(&mut self) -> NextStep {
+        let mut bytes = [0; READ_BUFFER_BYTES];
         match self.stream.read(&mut bytes) {
             Ok(count) if count > 0 => self.deframer.push(&bytes[..count]),
-            _ => return Next::Close,
+            _ => return NextStep::Close,
         }
         self.limiter.pause_if_due();
         if self.has_joined() {
-            self.place.on_bytes();
+            self.slot.on_bytes();
         }
-        Next::Continue
+        NextStep::Continue
     }
 
-    fn on_message(&mut self, message: CollectorMessage) -> Next {
+    fn on_message(&mut self, message: CollectorMessage) -> NextStep {
         match message {
             CollectorMessage::Ping => self.answer_ping(),
             CollectorMessage::Join(zone) if !self.has_joined() => self.join(zone),
@@ -128,50 +128,50 @@
             CollectorMessage::SliceLoad(report) if self.has_joined() => {
                 self.report(LoadReport::Slice(report))
             }
-            _ => self.close_with(InvalidEntry::Kind, String::new()),
+            _ => self.reject_and_close(InvalidEntry::Kind, String::new()),
         }
     }
 
-    fn answer_ping(&self) -> Next {
+    fn answer_ping(&self) -> NextStep {
         let is_written = self.write(&collector::encode_pong());
         if is_written {
-            Next::Continue
+            NextStep::Continue
         } else {
-            Next::Close
+            NextStep::Close
         }
     }
 
-    fn join(&mut self, zone: ZoneId) -> Next {
-        self.place.join(zone, &self.stream);
-        self.deframer.set_limit(collector::MAX_MESSAGE_BYTES);
-        self.limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
+    fn join(&mut self, zone: ZoneId) -> NextStep {
+        self.slot.join(zone, &self.stream);
+        self.deframer.set_max_message_bytes(collector::MAX_MESSAGE_BYTES);
+        self.limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
         self.peer =
             Peer::Collector { _descriptor: DescriptorGuard::count(&self.shared.descriptors.collectors) };
-        Next::Continue
+        NextStep::Continue
     }
 
-    fn report(&self, report: LoadReport) -> Next {
+    fn report(&self, report: LoadReport) -> NextStep {
         self.shared.inbox.push_report(report);
-        Next::Continue
+        NextStep::Continue
     }
 
     /// An invalid report of a collector is dropped alone, unless nothing that follows can be trusted.
-    fn on_invalid(&self, reason: InvalidEntry, shown: String) -> Next {
+    fn on_invalid(&self, reason: InvalidEntry, sample: String) -> NextStep {
         if self.has_joined() && reason != InvalidEntry::Unreadable {
-            self.shared.rejections.record_with_sample(RejectionCause::Report(reason), || shown);
-            return Next::Continue;
+            self.shared.rejections.record_with_sample(RejectionCause::Report(reason), || sample);
+            return NextStep::Continue;
         }
-        self.close_with(reason, shown)
+        self.reject_and_close(reason, sample)
     }
 
-    fn close_with(&self, reason: InvalidEntry, shown: String) -> Next {
+    fn reject_and_close(&self, reason: InvalidEntry, sample: String) -> NextStep {
         let cause = match self.peer {
             Peer::Unidentified => RejectionCause::UnidentifiedPeer,
             Peer::Collector { .. } => RejectionCause::CollectorStream,
         };
-        self.shared.rejections.record_with_sample(cause, || format!("{reason}: {shown}"));
+        self.shared.rejections.record_with_sample(cause, || format!("{reason}: {sample}"));
         self.write(&collector::encode_refusal(reason));
-        Next::Close
+        NextStep::Close
     }
 
     fn has_joined(&self) -> bool {
--- a/crates/railhub-platform-net/src/outage_log.rs
+++ b/crates/railhub-platform-net/src/outage_log.rs
@@ -9,7 +9,7 @@
 /// Seconds between lines about an outage whose causes are all logged.
 pub const REMINDER_INTERVAL: Seconds = 60.0;
 /// Causes of one outage that are logged at once; further ones wait for the reminder.
-const MAX_CAUSES: usize = 4;
+const MAX_LOGGED_CAUSES: usize = 4;
 
 /// What is to be logged of an outage.
 #[derive(Debug, PartialEq)]
@@ -43,7 +43,7 @@
         let Some(outage) = outage else { return self.on_no_outage(now) };
         let elapsed = now - outage.since;
         let is_new_cause =
-            !self.logged_causes.contains(&outage.cause) && self.logged_causes.len() < MAX_CAUSES;
+            !self.logged_causes.contains(&outage.cause) && self.logged_causes.len() < MAX_LOGGED_CAUSES;
         let is_due = is_new_cause || now >= self.reminder_at;
         if elapsed < GRACE_PERIOD || !is_due {
             return None;
--- a/crates/railhub-platform-net/src/outage_monitor.rs
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -8,19 +8,19 @@
 #[derive(Default)]
 pub struct OutageMonitor {
     subscription: OutageLog,
-    proxies: PopulationOutage,
+    proxies: EmptinessTracker,
     discovery: OutageLog,
-    hosts: PopulationOutage,
+    hosts: EmptinessTracker,
 }
 
 /// The outage that a population is empty, found by looking.
 #[derive(Default)]
-struct PopulationOutage {
+struct EmptinessTracker {
     empty_since: Option<Seconds>,
     log: OutageLog,
 }
 
-impl PopulationOutage {
+impl EmptinessTracker {
     fn check(&mut self, now: Seconds, is_empty: bool) -> Option<OutageNotice> {
         let outage = self.outage(now, is_empty);
         self.log.check(now, outage)
--- a/crates/railhub-platform-net/src/process.rs
+++ b/crates/railhub-platform-net/src/process.rs
@@ -22,7 +22,7 @@
 }
 
 /// Makes all threads share one heap: memory is short, and a heap for each would keep its own free pages.
-pub fn use_one_heap() {
+pub fn use_single_malloc_arena() {
     // SAFETY: sets a number of the allocator's.
     unsafe { libc::mallopt(libc::M_ARENA_MAX, 1) };
 }
--- a/crates/railhub-platform-net/src/follower.rs
+++ b/crates/railhub-platform-net/src/reconnect.rs
@@ -2,14 +2,14 @@
 //!
 //! States: following (the last connection brought an answer) and failing (it has ended since, which is logged once). A
 //! reload starts new followers; those of an older configuration end by themselves.
-use crate::connect_backoff::ConnectBackoff;
 use crate::peer_health::PeerHealth;
 use crate::shared_state::SharedState;
+use crate::timeouts::AdaptiveTimeout;
 use railhub::Seconds;
 use railhub_net::seconds;
 
-/// The time-outs of a follower's connections.
-pub struct FollowerTimeouts {
+/// The time-outs of a reconnect loop's connections.
+pub struct ReconnectTimeouts {
     /// Seconds of silence that end a connection, and at first the wait for a connection's first answer.
     pub silence: Seconds,
     /// Seconds that the wait for a first answer grows to.
@@ -19,52 +19,52 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum FollowerState {
-    Following,
+enum PeerState {
+    Answering,
     Failing,
 }
 
-/// The connection attempts of one follower.
+/// The connection attempts of one reconnect loop.
 pub struct ConnectionAttempts {
-    backoff: ConnectBackoff,
-    state: FollowerState,
+    first_answer_timeout: AdaptiveTimeout,
+    state: PeerState,
 }
 
 impl ConnectionAttempts {
-    fn new(timeouts: &FollowerTimeouts) -> ConnectionAttempts {
-        let backoff = ConnectBackoff::new(timeouts.silence, timeouts.max_first_answer);
-        ConnectionAttempts { backoff, state: FollowerState::Following }
+    fn new(timeouts: &ReconnectTimeouts) -> ConnectionAttempts {
+        let first_answer_timeout = AdaptiveTimeout::new(timeouts.silence, timeouts.max_first_answer);
+        ConnectionAttempts { first_answer_timeout, state: PeerState::Answering }
     }
 
     /// Seconds to wait for the first answer of this connection.
     pub fn first_answer_timeout(&self) -> Seconds {
-        self.backoff.timeout()
+        self.first_answer_timeout.current()
     }
 
     /// The peer answered on this connection.
     pub fn on_answer(&mut self) {
-        self.backoff.reset();
-        self.state = FollowerState::Following;
+        self.first_answer_timeout.reset();
+        self.state = PeerState::Answering;
     }
 
     /// The connection timed out before the peer's first answer.
     pub fn on_first_answer_timeout(&mut self) {
-        self.backoff.lengthen();
+        self.first_answer_timeout.double();
     }
 
     /// The connection ended. Returns whether it is the first to fail since the last answer.
     fn on_failure(&mut self) -> bool {
-        std::mem::replace(&mut self.state, FollowerState::Failing) == FollowerState::Following
+        std::mem::replace(&mut self.state, PeerState::Failing) == PeerState::Answering
     }
 }
 
 /// Runs one connection after another by `connect`, which returns why the connection ended, as long as the configuration
 /// of this version is in force. `log_failure` gets the first failure since the last answer.
-pub fn follow_peer<E: ToString>(
+pub fn keep_connected<E: ToString>(
     shared: &SharedState,
     version: u64,
     health: &PeerHealth,
-    timeouts: &FollowerTimeouts,
+    timeouts: &ReconnectTimeouts,
     mut connect: impl FnMut(&mut ConnectionAttempts) -> E,
     log_failure: impl Fn(&E),
 ) {
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -12,4 +12,4 @@
 mod subscription;
 
 pub use calls::CallSender;
-pub use subscription::follow;
+pub use subscription::start_subscription;
--- a/crates/railhub-platform-net/src/relay/calls.rs
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -1,17 +1,17 @@
 //! Calls to the relay, one at a time.
-use crate::connect_backoff::CONNECT_TIMEOUT;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
 use crate::relay::error::RelayError;
-use crate::relay::line_reader::{new_lines, next_line};
+use crate::relay::line_reader::{new_line_splitter, next_line};
 use crate::shared_state::SharedState;
+use crate::timeouts::CONNECT_TIMEOUT;
 use may::net::TcpStream;
 use may::sync::Semphore;
 use railhub::Seconds;
 use railhub_net::{dial, now, spawn, IdleTimeout};
 use railhub_platform::wire::relay as wire;
 use railhub_platform::{Call, CallResponse};
-use railhub_proto::Lines;
+use railhub_proto::LineSplitter;
 use std::io::{ErrorKind, Write};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -21,9 +21,9 @@
 const CALL_TIMEOUT: Seconds = 0.25;
 /// Seconds a connection for calls may be idle and be used again: the relay closes idle ones by and by, and a call that
 /// meets a closed one would have an unknown outcome.
-const MAX_IDLE: Seconds = 1.0;
+const MAX_IDLE_TIME: Seconds = 1.0;
 /// Bytes of an invalid answer that the error shows.
-const MAX_ANSWER_SHOWN: usize = 200;
+const MAX_LINE_START_BYTES: usize = 200;
 
 /// Hands calls to the coroutine that makes them.
 pub struct CallSender {
@@ -52,7 +52,7 @@
     /// Starts the coroutine that makes calls.
     pub fn start(shared: &Arc<SharedState>) -> CallSender {
         let slot = Arc::new(CallSlot { next: Mutex::new(None), filled: Semphore::new(0) });
-        let mut caller = RelayCaller { shared: shared.clone(), kept: None };
+        let mut caller = RelayCaller { shared: shared.clone(), idle_connection: None };
         let calls = slot.clone();
         spawn(move || loop {
             if let Some(call) = calls.wait() {
@@ -70,14 +70,14 @@
 
 struct RelayCaller {
     shared: Arc<SharedState>,
-    kept: Option<CallConnection>,
+    idle_connection: Option<CallConnection>,
 }
 
 struct CallConnection {
     address: SocketAddr,
     last_used_at: Seconds,
     stream: TcpStream,
-    lines: Lines,
+    lines: LineSplitter,
 }
 
 impl RelayCaller {
@@ -93,25 +93,25 @@
     }
 
     fn exchange(&mut self, call: &Call) -> Result<CallResponse, RelayError> {
-        let mut connection = self.connection()?;
+        let mut connection = self.take_or_open_connection()?;
         let _descriptor = DescriptorGuard::count(&self.shared.descriptors.relay);
         let timeout = IdleTimeout::both_halves(&connection.stream, CALL_TIMEOUT);
         connection.stream.write_all(&call.bytes).map_err(RelayError::Io)?;
         let parse = |line: &[u8]| parse_answer(line, call);
         let answer = next_line(&mut connection.stream, &timeout, &mut connection.lines, parse)??;
         connection.last_used_at = now();
-        self.kept = timeout.release().then_some(connection);
+        self.idle_connection = timeout.release().then_some(connection);
         Ok(answer)
     }
 
     /// The kept connection if it can be used, or a new one.
-    fn connection(&mut self) -> Result<CallConnection, RelayError> {
+    fn take_or_open_connection(&mut self) -> Result<CallConnection, RelayError> {
         let address = self.shared.addresses.get().relay;
-        if let Some(kept) = self.kept.take().filter(|kept| kept.is_reusable(address)) {
-            return Ok(kept);
+        if let Some(idle) = self.idle_connection.take().filter(|idle| idle.is_reusable(address)) {
+            return Ok(idle);
         }
         let stream = dial(address, CONNECT_TIMEOUT).map_err(RelayError::Connect)?;
-        Ok(CallConnection { address, last_used_at: now(), stream, lines: new_lines() })
+        Ok(CallConnection { address, last_used_at: now(), stream, lines: new_line_splitter() })
     }
 }
 
@@ -119,7 +119,7 @@
     /// Whether it leads to this address, was used lately, is open, and brought nothing since its last answer: a call on
     /// one that the relay has closed would have an unknown outcome, and what came unasked would pass for its answer.
     fn is_reusable(&self, address: SocketAddr) -> bool {
-        self.address == address && now() - self.last_used_at < MAX_IDLE && self.has_nothing_to_read()
+        self.address == address && now() - self.last_used_at < MAX_IDLE_TIME && self.has_nothing_to_read()
     }
 
     fn has_nothing_to_read(&self) -> bool {
@@ -130,7 +130,7 @@
 
 fn parse_answer(line: &[u8], call: &Call) -> Result<CallResponse, RelayError> {
     wire::decode_response(line, call.id, call.commands).map_err(|reason| {
-        let shown = &line[..line.len().min(MAX_ANSWER_SHOWN)];
+        let shown = &line[..line.len().min(MAX_LINE_START_BYTES)];
         RelayError::InvalidAnswer { reason, line_start: String::from_utf8_lossy(shown).into_owned() }
     })
 }
--- a/crates/railhub-platform-net/src/relay/error.rs
+++ b/crates/railhub-platform-net/src/relay/error.rs
@@ -21,7 +21,7 @@
     Superseded,
     /// No line came within the time-out.
     #[error("relay silent for too long")]
-    Silent,
+    IdleTimeout,
     /// The relay closed the connection.
     #[error("connection closed by the relay")]
     Closed,
--- a/crates/railhub-platform-net/src/relay/line_reader/tests.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader/tests.rs
@@ -5,10 +5,10 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn an_answer_that_came_whole_before_its_guard_fired_counts_and_one_in_part_does_not() {
+fn accepts_only_a_complete_line_once_the_timeout_has_expired() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    for (sent, wanted) in [("whole\n", Ok("whole")), ("part", Err("relay silent for too long"))] {
+    for (sent, expected) in [("whole\n", Ok("whole")), ("part", Err("relay silent for too long"))] {
         let (sender, receiver) = channel();
         spawn(move || {
             let mut stream = dial(address, 1.0).expect("it listens");
@@ -21,14 +21,14 @@
             while !timeout.has_expired() {
                 may::coroutine::sleep(seconds(0.001));
             }
-            let read = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
-            let mut lines = new_lines();
-            sender.send(next_line(&mut stream, &timeout, &mut lines, read)).expect("still read");
+            let parse = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
+            let mut lines = new_line_splitter();
+            sender.send(next_line(&mut stream, &timeout, &mut lines, parse)).expect("still read");
         });
         let (mut peer, _) = listener.accept().expect("it dials");
         peer.write_all(sent.as_bytes()).expect("open");
-        let got = receiver.recv_timeout(seconds(10.0)).expect("in time");
-        let got = got.map_err(|fault| fault.to_string());
-        assert_eq!(got.as_deref().map_err(String::as_str), wanted);
+        let result = receiver.recv_timeout(seconds(10.0)).expect("in time");
+        let result = result.map_err(|error| error.to_string());
+        assert_eq!(result.as_deref().map_err(String::as_str), expected);
     }
 }
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -3,22 +3,22 @@
 //! States of a connection: requested (until the relay confirms), active (each line is an event; it may be silent only
 //! for a while), ended.
 use crate::addresses::Addresses;
-use crate::connect_backoff::CONNECT_TIMEOUT;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
-use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
-use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
+use crate::fairness::{ReadLimiter, KNOWN_PEER_MAX_READ_TIME};
 use crate::peer_health::UsableConnection;
+use crate::reconnect::{keep_connected, ConnectionAttempts, ReconnectTimeouts};
 use crate::rejections::RejectionCause;
 use crate::relay::error::RelayError;
-use crate::relay::line_reader::{new_lines, next_line};
+use crate::relay::line_reader::{new_line_splitter, next_line};
 use crate::shared_state::SharedState;
+use crate::timeouts::CONNECT_TIMEOUT;
 use may::net::TcpStream;
 use railhub::Seconds;
 use railhub_net::{dial, spawn, IdleTimeout};
 use railhub_platform::wire::relay as wire;
 use railhub_platform::{InvalidEntry, RelayEvent, SubscriptionId};
-use railhub_proto::Lines;
+use railhub_proto::LineSplitter;
 use std::io::Write;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -31,27 +31,31 @@
 /// Seconds between attempts while the relay is out of reach.
 const RETRY_INTERVAL: Seconds = 0.15;
 
-const TIMEOUTS: FollowerTimeouts = FollowerTimeouts {
+const TIMEOUTS: ReconnectTimeouts = ReconnectTimeouts {
     silence: SILENCE_TIMEOUT,
     max_first_answer: MAX_SUBSCRIPTION_TIMEOUT,
     retry_interval: RETRY_INTERVAL,
 };
 
-/// Starts a follower of the relay whose address is in force now; an earlier follower ends by itself.
-pub fn follow(shared: &Arc<SharedState>) {
+/// Starts a reconnect loop for the relay address in force now; an earlier loop ends by itself.
+pub fn start_subscription(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
     spawn(move || {
-        let connect = |attempts: &mut ConnectionAttempts| follow_once(&shared, addresses, attempts);
+        let connect = |attempts: &mut ConnectionAttempts| run_subscription(&shared, addresses, attempts);
         let log_failure = |error: &RelayError| {
             tracing::warn!(relay = %addresses.relay, %error, "relay subscription ended");
         };
-        follow_peer(&shared, addresses.version, &shared.relay_health, &TIMEOUTS, connect, log_failure);
+        keep_connected(&shared, addresses.version, &shared.relay_health, &TIMEOUTS, connect, log_failure);
     });
 }
 
 /// One subscription, from its announcement to its end.
-fn follow_once(shared: &SharedState, addresses: Addresses, attempts: &mut ConnectionAttempts) -> RelayError {
+fn run_subscription(
+    shared: &SharedState,
+    addresses: Addresses,
+    attempts: &mut ConnectionAttempts,
+) -> RelayError {
     let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
     let id = SubscriptionId { config_version: addresses.version, sequence: count };
     // The controller thread knows before the relay can.
@@ -77,12 +81,12 @@
         shared,
         addresses,
         id,
-        lines: new_lines(),
+        lines: new_line_splitter(),
         state: SubscriptionState::Requested,
         idle_timeout,
         stream,
     };
-    let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
+    let mut limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
     loop {
         connection.receive(attempts)?;
         limiter.pause_if_due();
@@ -100,7 +104,7 @@
     shared: &'a SharedState,
     addresses: Addresses,
     id: SubscriptionId,
-    lines: Lines,
+    lines: LineSplitter,
     state: SubscriptionState<'a>,
     /// Before the stream, so that it is dropped first.
     idle_timeout: IdleTimeout,
@@ -144,7 +148,7 @@
 
     fn on_read_error(&self, error: RelayError, attempts: &mut ConnectionAttempts) -> RelayError {
         let unanswered = matches!(self.state, SubscriptionState::Requested);
-        if unanswered && matches!(error, RelayError::Silent) {
+        if unanswered && matches!(error, RelayError::IdleTimeout) {
             attempts.on_first_answer_timeout();
             return RelayError::SubscriptionTimeout;
         }
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -2,7 +2,7 @@
 use crate::config_file::read_config;
 use crate::controller_thread::ControllerThread;
 use crate::error::RunError;
-use crate::process::{exit_on_panic, use_one_heap};
+use crate::process::{exit_on_panic, use_single_malloc_arena};
 use crate::relay::CallSender;
 use crate::shared_state::SharedState;
 use crate::signals::Signals;
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 /// Coroutine stacks kept for reuse: a controller here has some hundred connections at most.
-const KEPT_STACKS: usize = 64;
+const STACK_POOL_CAPACITY: usize = 64;
 
 /// Runs the controller that the configuration file describes, until a signal or a panic ends the process.
 ///
@@ -21,16 +21,16 @@
     exit_on_panic();
     let config = read_config(path)?;
     log_invalid_entries(&config);
-    railhub_net::start_runtime_single_worker(KEPT_STACKS);
-    use_one_heap();
+    railhub_net::start_runtime_single_worker(STACK_POOL_CAPACITY);
+    use_single_malloc_arena();
     let shared = SharedState::new(&config);
     let calls = CallSender::start(&shared);
     let health_checker = health_checks::start(&shared);
     let controller = ControllerThread::new(&config, &shared, calls, health_checker);
     let _listener = listener::open(&config, &shared)?;
     tracing::info!(name = config.name, address = %config.listen, "controller listening");
-    relay::follow(&shared);
-    discovery_watch::follow(&shared);
+    relay::start_subscription(&shared);
+    discovery_watch::start(&shared);
     signals.handle(path.to_owned(), shared.clone()).map_err(RunError::StartThread)?;
     let thread = std::thread::Builder::new().name("owner".into());
     thread.spawn(move || controller.run()).map_err(RunError::StartThread)?;
--- a/crates/railhub-platform-net/src/signals.rs
+++ b/crates/railhub-platform-net/src/signals.rs
@@ -46,6 +46,6 @@
 fn apply_addresses(config: &NodeConfig, shared: &Arc<SharedState>) {
     let addresses = shared.addresses.replace(config.relay, config.discovery);
     tracing::info!(relay = %addresses.relay, discovery = %addresses.discovery, "configuration reloaded");
-    relay::follow(shared);
-    discovery_watch::follow(shared);
+    relay::start_subscription(shared);
+    discovery_watch::start(shared);
 }
--- a/crates/railhub-platform-net/src/status_log.rs
+++ b/crates/railhub-platform-net/src/status_log.rs
@@ -12,7 +12,7 @@
 /// Looks for outages for each status line.
 const CHECKS_PER_STATUS: u64 = 5;
 /// Bytes of a memory page.
-const PAGE_SIZE: usize = 4096;
+const PAGE_BYTES: usize = 4096;
 
 /// Runs until the process ends, on the calling thread.
 pub fn run(shared: &SharedState, memory_limit_mb: usize) -> ! {
@@ -77,5 +77,5 @@
 fn resident_memory_mb() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident_pages: usize = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
-    (resident_pages * PAGE_SIZE) >> 20
+    (resident_pages * PAGE_BYTES) >> 20
 }
--- a/crates/railhub-platform-net/src/connect_backoff.rs
+++ b/crates/railhub-platform-net/src/timeouts.rs
@@ -7,25 +7,25 @@
 
 /// A time-out for the first answer on a connection. It doubles with each connection that it ended, up to a maximum, so
 /// that a peer that is slow, but not away, answers at last.
-pub struct ConnectBackoff {
+pub struct AdaptiveTimeout {
     initial: Seconds,
     max: Seconds,
     current: Seconds,
 }
 
-impl ConnectBackoff {
+impl AdaptiveTimeout {
     /// A time-out that starts at `initial` seconds and is `max` seconds at most.
-    pub fn new(initial: Seconds, max: Seconds) -> ConnectBackoff {
-        ConnectBackoff { initial, max, current: initial }
+    pub fn new(initial: Seconds, max: Seconds) -> AdaptiveTimeout {
+        AdaptiveTimeout { initial, max, current: initial }
     }
 
     /// Seconds to wait for the first answer on the next connection.
-    pub fn timeout(&self) -> Seconds {
+    pub fn current(&self) -> Seconds {
         self.current
     }
 
     /// A connection timed out before its first answer.
-    pub fn lengthen(&mut self) {
+    pub fn double(&mut self) {
         self.current = (2.0 * self.current).min(self.max);
     }
 
--- a/crates/railhub-platform-net/tests/outage_log.rs
+++ b/crates/railhub-platform-net/tests/outage_log.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn logs_a_lasting_outage_once_reminds_seldom_and_logs_its_end() {
+fn logs_start_reminders_and_end_of_a_lasting_outage() {
     let mut log = OutageLog::default();
     let logged: Vec<f64> = (0..=200)
         .map(|second| 100.0 + f64::from(second))
@@ -21,18 +21,18 @@
 }
 
 #[test]
-fn logs_nothing_of_an_outage_that_ends_soon() {
+fn ignores_an_outage_shorter_than_the_grace_period() {
     let mut log = OutageLog::default();
     assert_eq!(log.check(100.0 + GRACE_PERIOD - 0.1, refused()), None);
     assert_eq!(log.check(100.0 + GRACE_PERIOD, None), None);
 }
 
 #[test]
-fn logs_each_of_few_causes_once_however_they_flap() {
+fn logs_each_alternating_cause_once_up_to_the_limit() {
     let mut log = OutageLog::default();
     let outage = |second: u32| Some(Outage { since: 100.0, cause: format!("cause {}", second % 100) });
     let logged = (0..60).filter_map(|second| log.check(110.0 + f64::from(second), outage(second)));
     assert_eq!(logged.count(), 4);
-    let twice = (0..60).filter_map(|second| log.check(110.0 + f64::from(second), outage(second % 4)));
-    assert_eq!(twice.count(), 0);
+    let repeated = (0..60).filter_map(|second| log.check(110.0 + f64::from(second), outage(second % 4)));
+    assert_eq!(repeated.count(), 0);
 }
--- a/crates/railhub-proto/src/error.rs
+++ b/crates/railhub-proto/src/error.rs
@@ -20,5 +20,5 @@
     Malformed(String),
     /// The stream ended within a frame.
     #[error("the stream ended inside a frame")]
-    CutOff,
+    Truncated,
 }
--- a/crates/railhub-proto/src/frame.rs
+++ b/crates/railhub-proto/src/frame.rs
@@ -22,13 +22,13 @@
     bytes: Vec<u8>,
     /// Where the bytes that are not consumed begin.
     start: usize,
-    limit: usize,
+    max_message_bytes: usize,
 }
 
 impl Deframer {
-    /// A deframer for messages of at most `limit` bytes.
-    pub fn new(limit: usize) -> Deframer {
-        Deframer { bytes: Vec::new(), start: 0, limit }
+    /// A deframer for messages of at most `max_message_bytes` bytes.
+    pub fn new(max_message_bytes: usize) -> Deframer {
+        Deframer { bytes: Vec::new(), start: 0, max_message_bytes }
     }
 
     /// Appends bytes read from the stream.
@@ -40,30 +40,30 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Sets the limit in bytes for the messages that follow.
-    pub fn set_limit(&mut self, limit: usize) {
-        self.limit = limit;
+    /// Sets the limit for the messages that follow.
+    pub fn set_max_message_bytes(&mut self, max_message_bytes: usize) {
+        self.max_message_bytes = max_message_bytes;
     }
 
     /// The next message, if all of its bytes are there.
     ///
     /// # Errors
-    /// The next frame breaks the limit, is empty or is no such message.
+    /// The next frame exceeds the limit, is empty or is no such message.
     pub fn message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
-        let decode = |body: &[u8]| M::decode(body).map_err(|e| FrameError::Malformed(e.to_string()));
+        let decode = |body: &[u8]| M::decode(body).map_err(|error| FrameError::Malformed(error.to_string()));
         self.body(decode)?.transpose()
     }
 
     /// The result of `read` for the body of the next frame, if all of its bytes are there.
     ///
     /// # Errors
-    /// The next frame breaks the limit or is empty.
+    /// The next frame exceeds the limit or is empty.
     pub fn body<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<Option<T>, FrameError> {
         let pending = &self.bytes[self.start..];
         let Some(prefix) = pending.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*prefix) as usize;
-        if length > self.limit {
-            return Err(FrameError::TooLong { length, limit: self.limit });
+        if length > self.max_message_bytes {
+            return Err(FrameError::TooLong { length, limit: self.max_message_bytes });
         }
         if length == 0 {
             return Err(FrameError::Empty);
@@ -89,7 +89,7 @@
         if self.start == self.bytes.len() {
             Ok(())
         } else {
-            Err(FrameError::CutOff)
+            Err(FrameError::Truncated)
         }
     }
 }
--- a/crates/railhub-proto/src/frame/tests.rs
+++ b/crates/railhub-proto/src/frame/tests.rs
@@ -6,34 +6,34 @@
 }
 
 #[test]
-fn messages_come_out_however_the_bytes_are_cut() {
-    let bytes: Vec<u8> = (0..50).flat_map(|n| frame(&ack(n * 1000))).collect();
-    for step in [1, 3, 7, 1000] {
+fn decodes_messages_from_chunks_of_any_size() {
+    let bytes: Vec<u8> = (0..50).flat_map(|index| frame(&ack(index * 1000))).collect();
+    for chunk_size in [1, 3, 7, 1000] {
         let mut deframer = Deframer::new(100);
-        let mut got = Vec::new();
-        for part in bytes.chunks(step) {
-            deframer.push(part);
+        let mut decoded = Vec::new();
+        for chunk in bytes.chunks(chunk_size) {
+            deframer.push(chunk);
             while let Some(message) = deframer.message::<FromProxy>().expect("whole frames") {
-                got.push(message);
+                decoded.push(message);
             }
         }
-        assert_eq!(got, (0..50).map(|n| ack(n * 1000)).collect::<Vec<_>>());
+        assert_eq!(decoded, (0..50).map(|index| ack(index * 1000)).collect::<Vec<_>>());
         assert_eq!(deframer.finish(), Ok(()));
     }
 }
 
 #[test]
-fn a_length_over_the_limit_is_refused_before_its_bytes_come() {
+fn rejects_oversized_length_before_the_body_arrives() {
     let mut deframer = Deframer::new(100);
     deframer.push(&101u32.to_be_bytes());
-    let fault = deframer.message::<FromProxy>().expect_err("too long");
-    assert_eq!(fault, FrameError::TooLong { length: 101, limit: 100 });
+    let error = deframer.message::<FromProxy>().expect_err("too long");
+    assert_eq!(error, FrameError::TooLong { length: 101, limit: 100 });
 }
 
 #[test]
-fn a_stream_that_ends_inside_a_frame_is_cut_off() {
+fn reports_stream_end_inside_a_frame_as_truncated() {
     let mut deframer = Deframer::new(100);
     deframer.push(&frame(&ack(77))[..5]);
     assert_eq!(deframer.message::<FromProxy>(), Ok(None));
-    assert_eq!(deframer.finish(), Err(FrameError::CutOff));
+    assert_eq!(deframer.finish(), Err(FrameError::Truncated));
 }
--- a/crates/railhub-proto/src/lib.rs
+++ b/crates/railhub-proto/src/lib.rs
@@ -33,4 +33,4 @@
     from_host, to_host, AttemptOutcome, Cancel, FromHost, HostHello, Operation, ProxyHello, Response, ToHost,
     MAX_HOST_MESSAGE_BYTES,
 };
-pub use lines::Lines;
+pub use lines::LineSplitter;
--- a/crates/railhub-proto/src/lines.rs
+++ b/crates/railhub-proto/src/lines.rs
@@ -1,22 +1,22 @@
-//! Line splitting. A [`Lines`] owns the bytes of one stream that are not consumed yet: never more than one line and
+//! Line splitting. A [`LineSplitter`] owns the bytes of one stream that are not consumed yet: never more than one line and
 //! one read.
 use crate::error::FrameError;
 use crate::frame::IDLE_BUFFER_BYTES;
 
 /// Splits a stream of bytes into lines, without their ends.
-pub struct Lines {
+pub struct LineSplitter {
     bytes: Vec<u8>,
     /// Where the bytes that are not consumed begin.
     start: usize,
     /// Up to where no line end was found.
     scanned: usize,
-    limit: usize,
+    max_line_bytes: usize,
 }
 
-impl Lines {
-    /// A splitter for lines of at most `limit` bytes.
-    pub fn new(limit: usize) -> Lines {
-        Lines { bytes: Vec::new(), start: 0, scanned: 0, limit }
+impl LineSplitter {
+    /// A splitter for lines of at most `max_line_bytes` bytes.
+    pub fn new(max_line_bytes: usize) -> LineSplitter {
+        LineSplitter { bytes: Vec::new(), start: 0, scanned: 0, max_line_bytes }
     }
 
     /// Appends bytes read from the stream.
@@ -31,19 +31,19 @@
     /// Whether a complete line is there.
     ///
     /// # Errors
-    /// The line breaks the limit.
+    /// The line exceeds the limit.
     pub fn has_line(&mut self) -> Result<bool, FrameError> {
         let end = self.bytes[self.scanned..].iter().position(|byte| *byte == b'\n');
         self.scanned = end.map_or(self.bytes.len(), |end| self.scanned + end);
         let length = self.scanned - self.start;
-        if length > self.limit {
-            return Err(FrameError::TooLong { length, limit: self.limit });
+        if length > self.max_line_bytes {
+            return Err(FrameError::TooLong { length, limit: self.max_line_bytes });
         }
         Ok(end.is_some())
     }
 
-    /// The result of `read` for the line that [`Lines::has_line`] found; for an empty line if it found none.
-    pub fn line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> T {
+    /// The result of `read` for the line that [`LineSplitter::has_line`] found; for an empty line if it found none.
+    pub fn next_line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> T {
         let line = &self.bytes[self.start..self.scanned];
         let result = read(line.strip_suffix(b"\r").unwrap_or(line));
         self.start = (self.scanned + 1).min(self.bytes.len());
--- a/crates/railhub-proto/src/lines/tests.rs
+++ b/crates/railhub-proto/src/lines/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn lines_in_pieces_of_any_size_come_whole_and_too_long_ones_not_at_all() {
+fn splits_lines_from_chunks_of_any_size_and_rejects_long_ones() {
     let text = b"first\n\nthe third\r\nlast\nunended";
-    for piece in 1..=text.len() {
-        let (mut lines, mut got) = (Lines::new(20), Vec::new());
-        for part in text.chunks(piece) {
-            lines.push(part);
+    for chunk_size in 1..=text.len() {
+        let (mut lines, mut split) = (LineSplitter::new(20), Vec::new());
+        for chunk in text.chunks(chunk_size) {
+            lines.push(chunk);
             while lines.has_line().expect("short") {
-                got.push(lines.line(|line| String::from_utf8(line.to_vec()).expect("text")));
+                split.push(lines.next_line(|line| String::from_utf8(line.to_vec()).expect("text")));
             }
         }
-        assert_eq!(got, ["first", "", "the third", "last"]);
+        assert_eq!(split, ["first", "", "the third", "last"]);
     }
-    let mut lines = Lines::new(20);
+    let mut lines = LineSplitter::new(20);
     lines.push(&[b'x'; 20]);
     assert_eq!(lines.has_line(), Ok(false));
     lines.push(b"y");
