--- a/crates/railhub-proto/src/controller_messages.rs
+++ b/crates/railhub-proto/src/controller_messages.rs
@@ -1,16 +1,16 @@
-//! The messages between controllers and proxies. Times are seconds with fractions on one monotonic clock of the
-//! machine; hosts are written as address:port; slices, zones and classes are numbers.
+//! The messages between controllers and proxies. Times are fractional seconds of the machine's monotonic clock, which
+//! all processes share; hosts are written as address:port; slices, zones and classes are numbers.
 use prost::{Message, Oneof};
 
-/// Bytes that a proxy's message to a controller may have: a load report of some thousands of hosts and slices.
+/// Maximum size of a message from a proxy to a controller: a load report of some thousands of hosts and slices.
 pub const MAX_FROM_PROXY_BYTES: usize = 256 << 10;
-/// Bytes that a controller's message may have: the complete tables of some ten thousand slices.
+/// Maximum size of a message from a controller: the complete tables of some ten thousand slices.
 pub const MAX_FROM_CONTROLLER_BYTES: usize = 4 << 20;
 
 /// A message from a proxy to a controller.
 #[derive(Clone, PartialEq, Message)]
 pub struct FromProxy {
-    /// The message; absent only where a peer sends a kind that this program does not know.
+    /// The message; absent only if the peer sends a kind that this program does not know.
     #[prost(oneof = "from_proxy::Payload", tags = "1, 2, 3, 4")]
     pub payload: Option<from_proxy::Payload>,
 }
@@ -18,7 +18,7 @@
 /// The kinds of [`FromProxy`].
 pub mod from_proxy {
     use super::*;
-    /// What a proxy sends.
+    /// A message that a proxy sends.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Payload {
         /// Opens the stream; sent once, first.
@@ -30,13 +30,13 @@
         /// A delta was rejected.
         #[prost(message, tag = "3")]
         Nack(Nack),
-        /// What the proxy's attempts met.
+        /// Results of the proxy's attempts.
         #[prost(message, tag = "4")]
         LoadReport(LoadReport),
     }
 }
 
-/// Opens a stream: who the proxy is, and which version it holds.
+/// Opens a stream: identifies the proxy and the version that it holds.
 #[derive(Clone, PartialEq, Message)]
 pub struct Subscribe {
     /// The proxy's number.
@@ -45,18 +45,18 @@
     /// The zone that the proxy runs in.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// Differs for each process that runs as this proxy.
+    /// Identifies the process; a restarted proxy has another one.
     #[prost(uint64, tag = "3")]
     pub process: u64,
-    /// The controller process whose version the proxy holds.
+    /// The controller process that made the version that the proxy holds.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// The version that the proxy holds; 0: none.
+    /// The version that the proxy holds; 0 if it holds none.
     #[prost(uint64, tag = "5")]
     pub version: u64,
 }
 
-/// A delta was applied, and with it all that were sent before.
+/// Acknowledges that a delta was applied, and with it all that were sent before it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ack {
     /// The nonce of the delta.
@@ -64,18 +64,18 @@
     pub nonce: u64,
 }
 
-/// A delta was rejected. The proxy keeps its last good tables.
+/// Rejects a delta. The proxy keeps its last valid tables.
 #[derive(Clone, PartialEq, Message)]
 pub struct Nack {
     /// The nonce of the delta.
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
-    /// Which part of the delta is invalid, for the log.
+    /// The part of the delta that is invalid, for the log.
     #[prost(string, tag = "2")]
     pub reason: String,
 }
 
-/// What a proxy's attempts met since its last report.
+/// Results of a proxy's attempts since its last report.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadReport {
     /// Seconds that the report covers.
@@ -95,16 +95,16 @@
     /// The host, as address:port.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Attempts that ended.
+    /// Completed attempts, failed ones included.
     #[prost(uint32, tag = "2")]
     pub attempts: u32,
-    /// Those of them that failed.
+    /// Attempts that failed.
     #[prost(uint32, tag = "3")]
     pub failed: u32,
-    /// Total seconds of those that succeeded.
+    /// Total duration in seconds of the attempts that succeeded.
     #[prost(double, tag = "4")]
     pub success_time: f64,
-    /// The newest utilization among the host's responses: the busy share of its cores.
+    /// The most recent utilization in the host's responses: the busy share of its cores.
     #[prost(double, optional, tag = "5")]
     pub utilization: Option<f64>,
 }
@@ -118,7 +118,7 @@
     /// The class of operations.
     #[prost(uint32, tag = "2")]
     pub class: u32,
-    /// Operations that came, admitted or not.
+    /// Operations that arrived, whether admitted or not.
     #[prost(uint32, tag = "3")]
     pub operations: u32,
 }
@@ -126,7 +126,7 @@
 /// A message from a controller to a proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct FromController {
-    /// The message; absent only where a peer sends a kind that this program does not know.
+    /// The message; absent only if the peer sends a kind that this program does not know.
     #[prost(oneof = "from_controller::Payload", tags = "1, 2")]
     pub payload: Option<from_controller::Payload>,
 }
@@ -134,68 +134,68 @@
 /// The kinds of [`FromController`].
 pub mod from_controller {
     use super::*;
-    /// What a controller sends.
+    /// A message that a controller sends.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Payload {
-        /// A change of what the proxy holds.
+        /// A change of the tables, admission rates and exclusions that the proxy holds.
         #[prost(message, tag = "1")]
         Delta(Delta),
-        /// The controller ends the stream.
+        /// The controller closes the stream.
         #[prost(message, tag = "2")]
         Goodbye(Goodbye),
     }
 }
 
-/// The last message of a stream that the controller ends.
+/// The last message of a stream that the controller closes.
 #[derive(Clone, PartialEq, Message)]
 pub struct Goodbye {
-    /// Why the stream ends, for the proxy's log.
+    /// Why the stream is closed, for the proxy's log.
     #[prost(string, tag = "1")]
     pub reason: String,
 }
 
-/// A change of what a proxy holds, applied completely or not at all, in this order: the reset, the cleared tables,
-/// the lines, the admission rates and the exclusions.
+/// A change of the tables, admission rates and exclusions that a proxy holds. It is applied completely or not at all,
+/// in this order: the reset, the cleared tables, the lines, the admission rates and the exclusions.
 #[derive(Clone, PartialEq, Message)]
 pub struct Delta {
-    /// Names the delta in its [`Ack`] or [`Nack`].
+    /// Identifies the delta in its [`Ack`] or [`Nack`].
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
     /// The controller process that made the version.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The version that a proxy holds once the delta is applied.
+    /// The version that the proxy holds after it has applied the delta.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// When the oldest part of the delta was published.
+    /// When the oldest change in the delta was published.
     #[prost(double, tag = "4")]
     pub ordered_at: f64,
-    /// The admission rates and exclusions held so far are discarded.
+    /// Whether the proxy discards the admission rates and exclusions that it holds.
     #[prost(bool, tag = "5")]
     pub reset: bool,
-    /// Tables whose lines are all removed before those below are set.
+    /// Tables whose lines are all removed before `lines` are set.
     #[prost(uint32, repeated, tag = "6")]
     pub cleared: Vec<u32>,
-    /// Endpoint weights to be set or removed.
+    /// Endpoint weights to set or remove.
     #[prost(message, repeated, tag = "7")]
     pub lines: Vec<TableLine>,
     /// Admission rates by class.
     #[prost(message, repeated, tag = "8")]
     pub admission_rates: Vec<AdmissionRate>,
-    /// Hosts excluded from every table, or readmitted.
+    /// Hosts to exclude from every table, or to readmit.
     #[prost(message, repeated, tag = "9")]
     pub exclusions: Vec<HostExclusion>,
-    /// Where there are no slices: the table that the proxy is assigned.
+    /// The table that the proxy is assigned, in a deployment without slices.
     #[prost(uint32, optional, tag = "10")]
     pub assigned_table: Option<u32>,
-    /// Where controllers share the slices: the epoch that each slice named above is published under. A proxy that
-    /// has applied a newer epoch of a slice ignores its part of the delta.
+    /// The epoch that each slice of the delta is published under, if several controllers share the slices. A proxy that
+    /// has applied a newer epoch of a slice ignores the part of the delta about that slice.
     #[prost(message, repeated, tag = "11")]
     pub epochs: Vec<SliceEpoch>,
 }
 
 impl Delta {
-    /// Lines that the delta costs, without those of the message itself.
+    /// Cost of the delta in lines of the update channel, without the cost per message.
     pub fn cost(&self) -> usize {
         self.cleared.len() + self.lines.len() + self.admission_rates.len() + self.exclusions.len()
     }
@@ -215,7 +215,7 @@
 /// One line of a slice's table: the weight of a host.
 #[derive(Clone, PartialEq, Message)]
 pub struct TableLine {
-    /// The slice, or the table where there are no slices.
+    /// The slice, or the table in a deployment without slices.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
     /// The host, as address:port.
@@ -232,10 +232,10 @@
     /// The class of operations.
     #[prost(uint32, tag = "1")]
     pub class: u32,
-    /// Share admitted, 0 to 1.
+    /// Share of the operations that is admitted, 0 to 1.
     #[prost(double, tag = "2")]
     pub rate: f64,
-    /// When an attempt of this class is retried.
+    /// When an operation of this class is retried.
     #[prost(enumeration = "RetryCondition", tag = "3")]
     pub retry: i32,
 }
@@ -246,19 +246,19 @@
 pub enum RetryCondition {
     /// Never.
     Never = 0,
-    /// Only when the host has certainly not executed it.
+    /// Only if the host has certainly not executed the operation.
     IfNotExecuted = 1,
     /// After any failure.
     AfterFailure = 2,
 }
 
-/// A host is excluded from every table that the proxy holds, or readmitted.
+/// Excludes a host from every table that the proxy holds, or readmits it.
 #[derive(Clone, PartialEq, Message)]
 pub struct HostExclusion {
     /// The host, as address:port.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Whether it is excluded.
+    /// Whether the host is excluded.
     #[prost(bool, tag = "2")]
     pub excluded: bool,
 }
--- a/crates/railhub-proto/src/error.rs
+++ b/crates/railhub-proto/src/error.rs
@@ -1,21 +1,22 @@
-//! What a peer did wrong on its side of a framed stream.
+//! Violations of the framing by a peer.
 use thiserror::Error;
 
-/// A violation of the framing by the peer. The stream cannot be read any further.
+/// A violation of the framing by the peer. The stream cannot be read any further. A controller sends the text to the
+/// proxy as the reason of its goodbye.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The peer announced a frame, or sent a line, longer than the reader allows.
+    /// A frame announced by the peer, or a line it sent, is longer than the reader allows.
     #[error("a frame of {length} bytes, {limit} are allowed")]
     TooLong {
-        /// Bytes announced.
+        /// Bytes of the frame, as announced, or of the line so far.
         length: usize,
         /// Bytes allowed.
         limit: usize,
     },
-    /// The peer announced a frame without bytes.
+    /// The peer announced a frame of length 0.
     #[error("an empty frame")]
     Empty,
-    /// The bytes of a frame are not the message expected.
+    /// The body of a frame cannot be decoded as the expected message. Holds the decoder's error.
     #[error("a frame that is no message: {0}")]
     Malformed(String),
     /// The stream ended within a frame.
--- a/crates/railhub-proto/src/frame.rs
+++ b/crates/railhub-proto/src/frame.rs
@@ -1,11 +1,10 @@
-//! Length-prefixed frames. A [`Deframer`] owns the bytes of one stream that are not consumed yet: never more than one
-//! frame and one read.
+//! Length-prefixed frames. A [`Deframer`] buffers the unconsumed bytes of one stream: at most one frame and one read.
 use crate::error::FrameError;
 use prost::Message;
 
-/// Bytes of the length before each message.
+/// Bytes of the length prefix of each message.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Capacity in bytes that an empty buffer keeps: idle streams are many and should cost little.
+/// Capacity in bytes that an empty buffer keeps, so that the many idle streams use little memory.
 pub(crate) const IDLE_BUFFER_BYTES: usize = 512;
 
 /// Encodes a message as one frame.
@@ -13,14 +12,14 @@
     let length = message.encoded_len();
     let mut bytes = Vec::with_capacity(LENGTH_PREFIX_BYTES + length);
     bytes.extend_from_slice(&(length as u32).to_be_bytes());
-    message.encode(&mut bytes).expect("a vector grows as needed");
+    message.encode(&mut bytes).expect("writing to a vector does not fail");
     bytes
 }
 
 /// Splits a stream of bytes into messages.
 pub struct Deframer {
     bytes: Vec<u8>,
-    /// Where the bytes that are not consumed begin.
+    /// Offset of the first unconsumed byte.
     start: usize,
     max_message_bytes: usize,
 }
@@ -45,20 +44,21 @@
         self.max_message_bytes = max_message_bytes;
     }
 
-    /// The next message, if all of its bytes are there.
+    /// Decodes the next message, or returns `None` until all of its bytes have arrived.
     ///
     /// # Errors
-    /// The next frame exceeds the limit, is empty or is no such message.
+    /// The next frame exceeds the limit, is empty or cannot be decoded as an `M`.
     pub fn message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let decode = |body: &[u8]| M::decode(body).map_err(|error| FrameError::Malformed(error.to_string()));
         self.body(decode)?.transpose()
     }
 
-    /// The result of `read` for the body of the next frame, if all of its bytes are there.
+    /// Consumes the next frame and returns the result of `parse` for its body, or `None` until all of its bytes have
+    /// arrived.
     ///
     /// # Errors
     /// The next frame exceeds the limit or is empty.
-    pub fn body<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> Result<Option<T>, FrameError> {
+    pub fn body<T>(&mut self, parse: impl FnOnce(&[u8]) -> T) -> Result<Option<T>, FrameError> {
         let pending = &self.bytes[self.start..];
         let Some(prefix) = pending.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*prefix) as usize;
@@ -71,7 +71,7 @@
         let Some(body) = pending.get(LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length) else {
             return Ok(None);
         };
-        let result = read(body);
+        let result = parse(body);
         self.start += LENGTH_PREFIX_BYTES + length;
         if self.start == self.bytes.len() {
             self.start = 0;
@@ -84,7 +84,7 @@
     /// Checks that the stream may end here.
     ///
     /// # Errors
-    /// Bytes of an incomplete frame are left.
+    /// [`FrameError::Truncated`] if an incomplete frame is left in the buffer.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.start == self.bytes.len() {
             Ok(())
--- a/crates/railhub-proto/src/frame/tests.rs
+++ b/crates/railhub-proto/src/frame/tests.rs
@@ -13,7 +13,7 @@
         let mut decoded = Vec::new();
         for chunk in bytes.chunks(chunk_size) {
             deframer.push(chunk);
-            while let Some(message) = deframer.message::<FromProxy>().expect("whole frames") {
+            while let Some(message) = deframer.message::<FromProxy>().expect("valid frames") {
                 decoded.push(message);
             }
         }
--- a/crates/railhub-proto/src/host_messages.rs
+++ b/crates/railhub-proto/src/host_messages.rs
@@ -1,13 +1,14 @@
-//! The messages between proxies and hosts. Times are seconds with fractions on one monotonic clock of the machine.
+//! The messages between proxies and hosts. Times are fractional seconds of the machine's monotonic clock, which all
+//! processes share.
 use prost::{Message, Oneof};
 
-/// Bytes that a message between a proxy and a host may have: an operation or its response.
+/// Maximum size of a message between a proxy and a host: an operation or its response.
 pub const MAX_HOST_MESSAGE_BYTES: usize = 4 << 10;
 
 /// A message from a proxy to a host.
 #[derive(Clone, PartialEq, Message)]
 pub struct ToHost {
-    /// The message; absent only where a peer sends a kind that this program does not know.
+    /// The message; absent only if the peer sends a kind that this program does not know.
     #[prost(oneof = "to_host::Payload", tags = "1, 2, 3")]
     pub payload: Option<to_host::Payload>,
 }
@@ -15,7 +16,7 @@
 /// The kinds of [`ToHost`].
 pub mod to_host {
     use super::*;
-    /// What a proxy sends.
+    /// A message that a proxy sends to a host.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Payload {
         /// Opens the connection; sent once, first.
@@ -24,7 +25,7 @@
         /// An attempt at an operation.
         #[prost(message, tag = "2")]
         Operation(Operation),
-        /// The proxy has given an attempt up.
+        /// Cancels an attempt.
         #[prost(message, tag = "3")]
         Cancel(Cancel),
     }
@@ -38,10 +39,10 @@
     pub proxy: u32,
 }
 
-/// An attempt is no longer waited for: the host drops it unless it has begun.
+/// Cancels an attempt whose response is no longer needed: the host drops it unless its execution has begun.
 #[derive(Clone, PartialEq, Message)]
 pub struct Cancel {
-    /// The attempt on this connection.
+    /// The attempt's number, unique on this connection.
     #[prost(uint64, tag = "1")]
     pub attempt_id: u64,
 }
@@ -49,22 +50,22 @@
 /// An attempt at an operation.
 #[derive(Clone, PartialEq, Message)]
 pub struct Operation {
-    /// The attempt on this connection.
+    /// The attempt's number, unique on this connection.
     #[prost(uint64, tag = "6")]
     pub attempt_id: u64,
-    /// The operation, the same for each of its attempts.
+    /// The operation's number, the same for each of its attempts.
     #[prost(uint64, tag = "1")]
     pub operation_id: u64,
-    /// The key that it touches.
+    /// The key that the operation accesses.
     #[prost(uint64, tag = "2")]
     pub key: u64,
-    /// Its class.
+    /// The class of the operation.
     #[prost(uint32, tag = "3")]
     pub class: u32,
-    /// The slice that its key is in.
+    /// The slice that contains the key.
     #[prost(uint32, tag = "4")]
     pub slice: u32,
-    /// Core seconds that it takes at speed 1; an emulated host sleeps for them.
+    /// Work in core seconds at speed 1; an emulated host sleeps for that time.
     #[prost(double, tag = "5")]
     pub work: f64,
 }
@@ -72,7 +73,7 @@
 /// A message from a host to a proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct FromHost {
-    /// The message; absent only where a peer sends a kind that this program does not know.
+    /// The message; absent only if the peer sends a kind that this program does not know.
     #[prost(oneof = "from_host::Payload", tags = "1, 2")]
     pub payload: Option<from_host::Payload>,
 }
@@ -80,19 +81,19 @@
 /// The kinds of [`FromHost`].
 pub mod from_host {
     use super::*;
-    /// What a host sends.
+    /// A message that a host sends.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Payload {
         /// Accepts the connection.
         #[prost(message, tag = "1")]
         Hello(HostHello),
-        /// The end of an attempt.
+        /// The result of an attempt.
         #[prost(message, tag = "2")]
         Response(Response),
     }
 }
 
-/// The host accepts operations on this connection; none may be sent before it.
+/// Accepts the connection: the proxy may send operations once it has received this.
 #[derive(Clone, PartialEq, Message)]
 pub struct HostHello {
     /// When the host started.
@@ -100,16 +101,16 @@
     pub started: f64,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, PartialEq, Message)]
 pub struct Response {
-    /// The attempt on this connection.
+    /// The attempt's number, unique on this connection.
     #[prost(uint64, tag = "1")]
     pub attempt_id: u64,
-    /// How it ended.
+    /// How the attempt ended.
     #[prost(enumeration = "AttemptOutcome", tag = "2")]
     pub outcome: i32,
-    /// The busy share of the host's cores, where it reports load.
+    /// The busy share of the host's cores, if the host reports load.
     #[prost(double, optional, tag = "3")]
     pub utilization: Option<f64>,
 }
@@ -120,8 +121,8 @@
 pub enum AttemptOutcome {
     /// The operation was executed.
     Completed = 0,
-    /// The host rejected it: it was not executed.
+    /// The host rejected the operation without executing it.
     Refused = 1,
-    /// It failed.
+    /// The operation failed.
     Failed = 2,
 }
--- a/crates/railhub-proto/src/lib.rs
+++ b/crates/railhub-proto/src/lib.rs
@@ -1,20 +1,21 @@
 //! The messages between controllers and proxies, and between proxies and hosts, and their framing.
 //!
-//! A frame is the length of a message as four bytes in network order, then the message in protobuf encoding. This
-//! package owns no socket and no clock: a [`Deframer`] takes bytes and returns messages, and bounds what a peer can
-//! make it hold.
+//! A frame is the length of a message as four bytes in network byte order, then the message in protobuf encoding. This
+//! package owns no socket and no clock: a [`Deframer`] takes bytes, returns messages, and limits the memory that a peer
+//! can make it use.
 //!
-//! The way of one delta:
+//! Flow of a delta:
 //! 1. A proxy opens its stream with a [`Subscribe`], which names the version that it holds.
 //! 2. The controller sends a [`Delta`] with a version and a nonce: each endpoint weight, admission rate and exclusion
-//!    in it is a resource with a name of its own, as in a delta discovery response, and the latest value holds.
-//! 3. The proxy applies all of it or nothing, and answers with an [`Ack`] or a [`Nack`] of that nonce.
+//!    in it is a separately named resource, as in the delta variant of xDS, and the latest value of a resource is
+//!    valid.
+//! 3. The proxy applies the whole delta or none of it, and answers with an [`Ack`] or a [`Nack`] of that nonce.
 //!
-//! The way of one load report: a proxy adds up what its attempts met, and sends the totals each second as a
+//! Flow of a load report: a proxy adds up the results of its attempts and sends the totals each second as a
 //! [`LoadReport`] on the same stream.
 //!
-//! The way of one failure: a frame that is too long, empty or no message is a [`FrameError`]. The reader ends the
-//! stream; a controller sends a [`Goodbye`] with the reason first.
+//! Flow of a failure: a frame that is too long, is empty or cannot be decoded gives a [`FrameError`]. The reader closes
+//! the stream; a controller sends a [`Goodbye`] with the reason first.
 #![warn(missing_docs)]
 mod controller_messages;
 mod error;
--- a/crates/railhub-proto/src/lines.rs
+++ b/crates/railhub-proto/src/lines.rs
@@ -1,14 +1,13 @@
-//! Line splitting. A [`LineSplitter`] owns the bytes of one stream that are not consumed yet: never more than one line and
-//! one read.
+//! Line splitting. A [`LineSplitter`] buffers the unconsumed bytes of one stream: at most one line and one read.
 use crate::error::FrameError;
 use crate::frame::IDLE_BUFFER_BYTES;
 
-/// Splits a stream of bytes into lines, without their ends.
+/// Splits a stream of bytes into lines, without their line ends.
 pub struct LineSplitter {
     bytes: Vec<u8>,
-    /// Where the bytes that are not consumed begin.
+    /// Offset of the first unconsumed byte.
     start: usize,
-    /// Up to where no line end was found.
+    /// Offset up to which the unconsumed bytes contain no line end.
     scanned: usize,
     max_line_bytes: usize,
 }
@@ -28,7 +27,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether a complete line is there.
+    /// Whether a complete line has arrived.
     ///
     /// # Errors
     /// The line exceeds the limit.
@@ -42,10 +41,11 @@
         Ok(end.is_some())
     }
 
-    /// The result of `read` for the line that [`LineSplitter::has_line`] found; for an empty line if it found none.
-    pub fn next_line<T>(&mut self, read: impl FnOnce(&[u8]) -> T) -> T {
+    /// Consumes the line that [`LineSplitter::has_line`] found and returns the result of `parse` for it. To be called
+    /// only after it has returned true.
+    pub fn next_line<T>(&mut self, parse: impl FnOnce(&[u8]) -> T) -> T {
         let line = &self.bytes[self.start..self.scanned];
-        let result = read(line.strip_suffix(b"\r").unwrap_or(line));
+        let result = parse(line.strip_suffix(b"\r").unwrap_or(line));
         self.start = (self.scanned + 1).min(self.bytes.len());
         self.scanned = self.start;
         if self.start == self.bytes.len() {
--- a/crates/railhub-proto/src/lines/tests.rs
+++ b/crates/railhub-proto/src/lines/tests.rs
@@ -7,8 +7,8 @@
         let (mut lines, mut split) = (LineSplitter::new(20), Vec::new());
         for chunk in text.chunks(chunk_size) {
             lines.push(chunk);
-            while lines.has_line().expect("short") {
-                split.push(lines.next_line(|line| String::from_utf8(line.to_vec()).expect("text")));
+            while lines.has_line().expect("below the limit") {
+                split.push(lines.next_line(|line| String::from_utf8(line.to_vec()).expect("UTF-8")));
             }
         }
         assert_eq!(split, ["first", "", "the third", "last"]);
--- a/crates/railhub-proto/tests/wire_format.rs
+++ b/crates/railhub-proto/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The protobuf bytes of every message, both ways: what peers of any version write and read.
+//! The protobuf encoding of every message, in both directions. It must not change, as peers of other versions use it.
 use prost::Message;
 use railhub_proto::{
     frame, from_controller, from_host, from_proxy, to_host, Ack, AdmissionRate, AttemptOutcome, Cancel,
@@ -14,20 +14,20 @@
 
 fn parse_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|byte| !byte.is_ascii_whitespace()).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16);
-    digits.chunks(2).map(|pair| byte(pair).expect("a pair of digits")).collect()
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII digits"), 16);
+    digits.chunks(2).map(|pair| byte(pair).expect("two hex digits")).collect()
 }
 
-/// The message is written as these bytes, alone and in a frame, and these bytes are read as the message.
+/// Asserts that the message is encoded as these bytes, given in hex, alone and in a frame, and is decoded from them.
 fn assert_encoding<M: Message + Default + PartialEq + Debug>(message: &M, wire: &str) {
     let wire = parse_hex(wire);
     assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&wire), "{message:?}");
-    assert_eq!(&M::decode(&wire[..]).expect("readable"), message);
+    assert_eq!(&M::decode(&wire[..]).expect("decodable"), message);
     let framed = [&(wire.len() as u32).to_be_bytes()[..], &wire].concat();
     assert_eq!(to_hex(&frame(message)), to_hex(&framed));
     let mut deframer = Deframer::new(MAX_FROM_CONTROLLER_BYTES);
     deframer.push(&framed);
-    assert_eq!(deframer.message::<M>().expect("a good frame").as_ref(), Some(message));
+    assert_eq!(deframer.message::<M>().expect("a valid frame").as_ref(), Some(message));
 }
 
 fn assert_from_proxy_encoding(payload: from_proxy::Payload, wire: &str) {
@@ -151,7 +151,7 @@
 #[test]
 fn empty_envelope_encodes_to_no_bytes() {
     assert_eq!(FromProxy { payload: None }.encode_to_vec(), []);
-    assert_eq!(FromController::decode(&[][..]).expect("readable"), FromController { payload: None });
+    assert_eq!(FromController::decode(&[][..]).expect("decodable"), FromController { payload: None });
     assert_eq!(ToHost { payload: None }.encode_to_vec(), []);
-    assert_eq!(FromHost::decode(&[][..]).expect("readable"), FromHost { payload: None });
+    assert_eq!(FromHost::decode(&[][..]).expect("decodable"), FromHost { payload: None });
 }
