--- a/crates/railhub-net/src/dial.rs
+++ b/crates/railhub-net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connections made without the runtime's timers, which can fail when many are cancelled (see `timer`).
+//! Outbound connections that do without the runtime's timers, which can fail when many are cancelled (see `timer`).
 use crate::idle_timeout::IdleTimeout;
 use may::io::WaitIo;
 use may::net::TcpStream;
@@ -7,15 +7,15 @@
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, IntoRawFd};
 
-/// Connects within so many seconds: a machine that is cut off answers nothing at all.
+/// Connects within `timeout` seconds: a machine that is cut off from the network does not even refuse.
 ///
 /// # Errors
-/// `TimedOut` when the time has passed, otherwise the error of the system.
+/// `TimedOut` when the time-out has expired, otherwise the error of the system.
 pub fn dial(address: SocketAddr, timeout: f64) -> io::Result<TcpStream> {
     let stream = begin_connecting(address)?;
     let timeout = IdleTimeout::both_halves(&stream, timeout);
     loop {
-        // The shutdown leaves an error of its own on the socket, so the expiry is looked at first.
+        // The expiry is checked first, as the shutdown by the time-out leaves an error on the socket.
         if timeout.has_expired() {
             return Err(io::ErrorKind::TimedOut.into());
         }
--- a/crates/railhub-net/src/framed.rs
+++ b/crates/railhub-net/src/framed.rs
@@ -10,29 +10,29 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes read at once: on the coroutine's stack, so small.
+/// Size of the read buffer: small, as it is on the coroutine's stack.
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// Why a stream ended.
+/// Why a stream ended. A controller sends the text to the proxy as the reason of its goodbye.
 #[derive(Debug, Error)]
 pub enum StreamError {
-    /// The peer closed it between two messages.
+    /// The peer closed the connection between two messages.
     #[error("closed by the peer")]
     Closed,
     /// The idle time-out expired.
     #[error("silent for too long")]
     IdleTimeout,
-    /// The peer sent what is not a message, or closed in the middle of one.
+    /// The peer violated the framing, or closed the connection in the middle of a message.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// Reading failed.
+    /// Reading from the connection failed.
     #[error("broken: {0}")]
     Io(io::Error),
 }
 
 /// The reading half of a connection.
 pub struct FrameReader {
-    /// Before the socket, so that it is dropped first.
+    /// Declared before the socket, so that it is dropped first.
     idle_timeout: Option<IdleTimeout>,
     socket: SplitReader<TcpStream>,
     deframer: Deframer,
@@ -40,15 +40,15 @@
 
 /// The writing half of a connection.
 pub struct FrameWriter {
-    /// Before the socket, so that it is dropped first.
+    /// Declared before the socket, so that it is dropped first.
     send_timeout: Option<IdleTimeout>,
     socket: SplitWriter<TcpStream>,
 }
 
-/// The two halves of a connection whose peer may send messages of at most `max_message_bytes` bytes.
+/// Splits a connection into its two halves. The peer may send messages of at most `max_message_bytes` bytes.
 ///
 /// # Errors
-/// The error of the system if it cannot be split.
+/// The error of the system if the connection cannot be split.
 pub fn split_framed(stream: TcpStream, max_message_bytes: usize) -> io::Result<(FrameReader, FrameWriter)> {
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.split()?;
@@ -58,7 +58,7 @@
     ))
 }
 
-/// Connects by the runtime's own time-out; for emulated peers, which do so seldom (otherwise [`crate::dial`]).
+/// Connects with the runtime's own time-out, for emulated peers, which connect rarely; elsewhere use [`crate::dial`].
 ///
 /// # Errors
 /// The error of the system, or `TimedOut`.
@@ -66,11 +66,11 @@
     TcpStream::connect_timeout(&address, timeout)
 }
 
-/// Makes the connection end with a reset when it is closed, as when a process dies with unread bytes.
+/// Makes closing the connection send a reset, as when a process dies with unread bytes.
 pub fn reset_on_close(stream: &TcpStream) {
     let linger = libc::linger { l_onoff: 1, l_linger: 0 };
     let size = std::mem::size_of::<libc::linger>() as libc::socklen_t;
-    // SAFETY: the descriptor is open while the stream lives, and the option is of the size given.
+    // SAFETY: the descriptor is open while `stream` exists, and the size is that of the option's value.
     unsafe {
         libc::setsockopt(
             stream.inner().as_raw_fd(),
@@ -83,10 +83,10 @@
 }
 
 impl FrameReader {
-    /// The next message; waits as long as [`FrameReader::set_idle_timeout`] allows.
+    /// Receives the next message; waits until the idle time-out set by [`FrameReader::set_idle_timeout`] expires.
     ///
     /// # Errors
-    /// Why the stream ended; it is not to be read further.
+    /// Why the stream ended. The reader must not be used after an error.
     pub fn receive<M: Message + Default>(&mut self) -> Result<M, StreamError> {
         loop {
             if let Some(message) = self.deframer.message()? {
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Sets for how many seconds the peer may be silent, from now on; reading ends past it.
+    /// Sets the idle time-out in seconds, which starts now, or removes it. After so long a silence of the peer, reading
+    /// fails with [`StreamError::IdleTimeout`].
     pub fn set_idle_timeout(&mut self, timeout: Option<f64>) {
         self.idle_timeout = None;
         self.idle_timeout = timeout.map(|timeout| IdleTimeout::read_half(self.socket.inner_mut(), timeout));
@@ -135,10 +136,10 @@
         self.send_bytes(&frame(message))
     }
 
-    /// Writes bytes that are frames already.
+    /// Writes bytes that are encoded frames.
     ///
     /// # Errors
-    /// As [`FrameWriter::send`].
+    /// As for [`FrameWriter::send`].
     pub fn send_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
         if let Some(timeout) = &self.send_timeout {
             timeout.restart();
@@ -150,8 +151,8 @@
         sent
     }
 
-    /// Sets how many seconds one message may take, from now on, before both halves are shut down. Not by the
-    /// runtime's own time-out: its timers can fail when they are cancelled while others run out.
+    /// Sets the time-out in seconds for sending one message; both halves are shut down when it expires. The runtime's
+    /// own write time-out is not used, as its timers can fail when they are cancelled while others expire.
     pub fn set_send_timeout(&mut self, timeout: f64) {
         self.send_timeout = None;
         let timeout = IdleTimeout::both_halves(self.socket.inner_mut(), timeout);
@@ -159,7 +160,7 @@
         self.send_timeout = Some(timeout);
     }
 
-    /// Shuts down both halves, so that the peer and our own reader see it.
+    /// Shuts down both halves, so that the peer and the reader of this connection see the end of the stream.
     pub fn close(&mut self) {
         let _ = self.socket.inner_mut().shutdown(Shutdown::Both);
     }
--- a/crates/railhub-net/src/http.rs
+++ b/crates/railhub-net/src/http.rs
@@ -1,8 +1,8 @@
-//! As much HTTP/1.1 as list, store and health checks need: one exchange after another on a connection, bodies of a
-//! stated length or in chunks, everything bounded. Parsed by `httparse`.
+//! The part of HTTP/1.1 that the endpoint list, the store and health checks need: sequential exchanges on a connection,
+//! bodies with a content length or in chunks, everything of bounded size. Parsed by `httparse`.
 //!
-//! [`Client`] makes requests and reads complete bodies; [`LineStream`] makes one and reads a body without end, line
-//! by line; [`read_request`] and [`write_response`] are the serving side.
+//! [`Client`] makes requests and reads complete bodies; [`LineStream`] makes one request and reads an endless body line
+//! by line; [`read_request`] and [`write_response`] are the server side.
 mod chunked;
 mod client;
 mod error;
--- a/crates/railhub-net/src/http/chunked.rs
+++ b/crates/railhub-net/src/http/chunked.rs
@@ -1,21 +1,21 @@
-//! Takes the chunks of a body apart, whatever pieces they come in.
+//! Incremental decoder of chunked bodies; the bytes may arrive in pieces of any size.
 //!
-//! States: in a size line, in a chunk's data, in the line end behind the data, ended (the last chunk came; what follows
-//! is not read).
+//! States: in a size line, in a chunk's data, in the line end after the data, ended (the last chunk has arrived; bytes
+//! after it are ignored).
 use crate::http::error::HttpError;
 
-/// Bytes of a chunk's size line at most: a number and perhaps an extension.
+/// Maximum size of a chunk's size line: a number and possibly an extension.
 const MAX_SIZE_LINE_BYTES: usize = 256;
-/// Bytes of the line end behind a chunk's data.
+/// Size of the line end after a chunk's data.
 const LINE_END_BYTES: usize = 2;
 
 #[derive(Debug, PartialEq, Eq)]
 enum DecoderState {
-    /// The bytes of the line that have come.
+    /// The bytes of the line so far.
     SizeLine(Vec<u8>),
-    /// Bytes of data to come.
+    /// Bytes of data that remain.
     Data(u64),
-    /// Bytes of the line end to come.
+    /// Bytes of the line end that remain.
     LineEnd(usize),
     Ended,
 }
@@ -32,15 +32,15 @@
 }
 
 impl ChunkedDecoder {
-    /// Whether the last chunk has come.
+    /// Whether the last chunk has arrived.
     pub fn has_ended(&self) -> bool {
         self.state == DecoderState::Ended
     }
 
-    /// Takes in bytes; `on_data` gets the body's bytes among them, piece by piece.
+    /// Decodes bytes; calls `on_data` with each piece of the body in them.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`] at a size that cannot be.
+    /// [`HttpError::Malformed`] if a chunk size is invalid.
     pub fn push(&mut self, mut bytes: &[u8], mut on_data: impl FnMut(&[u8])) -> Result<(), HttpError> {
         while !bytes.is_empty() && !self.has_ended() {
             let used = self.step(bytes, &mut on_data)?;
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Takes in the first bytes, at least one. Returns how many.
+    /// Decodes the first part of the bytes, at least one byte. Returns the number of bytes consumed.
     fn step(&mut self, bytes: &[u8], on_data: &mut impl FnMut(&[u8])) -> Result<usize, HttpError> {
         match &mut self.state {
             DecoderState::SizeLine(line) => {
@@ -81,18 +81,23 @@
     }
 }
 
-/// The size that the line states; `None` if the line is not complete.
+/// The chunk size in a size line; `None` if the line is not complete.
 fn parse_size_line(line: &[u8]) -> Result<Option<u64>, HttpError> {
     if !line.ends_with(b"\n") {
         if line.len() >= MAX_SIZE_LINE_BYTES {
-            return Err(HttpError::malformed("a chunk without size"));
+            return Err(HttpError::malformed(format!(
+                "a chunk's size line of more than {MAX_SIZE_LINE_BYTES} bytes"
+            )));
         }
         return Ok(None);
     }
     match httparse::parse_chunk_size(line) {
-        // The parser takes a line without a digit for the last chunk.
+        // The parser accepts a line without a digit as a size of 0, which would be the last chunk.
         Ok(httparse::Status::Complete((_, size))) if line[0].is_ascii_hexdigit() => Ok(Some(size)),
-        _ => Err(HttpError::malformed("a chunk's size that cannot be")),
+        _ => Err(HttpError::malformed(format!(
+            "invalid chunk size line {:?}",
+            String::from_utf8_lossy(line).trim_end()
+        ))),
     }
 }
 
--- a/crates/railhub-net/src/http/chunked/tests.rs
+++ b/crates/railhub-net/src/http/chunked/tests.rs
@@ -12,9 +12,9 @@
 fn decodes_chunked_body_from_pieces_of_any_size() {
     let encoded = b"5\r\nhosts\r\n1;note=x\r\n\n\r\n13\r\n in chunks of bytes\r\n0\r\n\r\nmore";
     for piece_size in 1..=encoded.len() {
-        let (body, ended) = decode(encoded, piece_size).expect("chunks");
+        let (body, ended) = decode(encoded, piece_size).expect("valid chunks");
         assert_eq!(body, b"hosts\n in chunks of bytes");
-        assert!(ended, "what follows the last chunk is not read");
+        assert!(ended, "bytes after the last chunk are ignored");
     }
 }
 
--- a/crates/railhub-net/src/http/client.rs
+++ b/crates/railhub-net/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The asking side, for bodies of a stated length.
+//! The client side, for responses with a content length.
 use crate::dial::dial;
 use crate::http::error::HttpError;
 use crate::http::message::{body_length, read_body, read_more_head, MAX_HEADERS};
@@ -11,7 +11,7 @@
 
 const STATUS_OK: u16 = 200;
 
-/// Makes requests to one address, on a connection that is kept between them and replaced when it broke.
+/// Makes requests to one address, on a connection that is reused, and replaced after an error.
 pub struct Client {
     address: SocketAddr,
     timeout: Duration,
@@ -24,12 +24,13 @@
 }
 
 impl Client {
-    /// `timeout`: for the connection, and for each exchange on it.
+    /// A client that connects at the first request. `timeout` limits the connection attempt and, separately, each
+    /// exchange.
     pub fn new(address: SocketAddr, timeout: Duration) -> Client {
         Client { address, timeout, connection: None }
     }
 
-    /// Makes a request; gives the body of the response.
+    /// Makes a request and returns the body of the response.
     ///
     /// # Errors
     /// [`HttpError::Status`] if the status is not 200; otherwise why there is no response.
@@ -42,7 +43,8 @@
         let timeout = IdleTimeout::both_halves(&stream, timeout);
         stream.write_all(&self.request_bytes(method, path, body)).map_err(HttpError::Io)?;
         let response = read_response(&mut stream);
-        // What was read completely counts, though the time-out expired just then; the stream is not used again.
+        // A response that was read completely is valid even if the time-out expired just afterwards, but the connection
+        // is not reused.
         let is_intact = timeout.release();
         let response = response.map_err(|error| if is_intact { error } else { HttpError::Timeout })?;
         self.connection = is_intact.then_some(stream);
@@ -61,19 +63,19 @@
         bytes
     }
 
-    /// Gets a JSON body.
+    /// Makes a GET request and decodes the JSON body of the response.
     ///
     /// # Errors
-    /// As [`Client::request`]; [`HttpError::Malformed`] if the body is not as expected.
+    /// As for [`Client::request`]; [`HttpError::Malformed`] if the body cannot be decoded as a `T`.
     pub fn get_json<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, HttpError> {
         let body = self.request("GET", path, &[])?;
         serde_json::from_slice(&body).map_err(HttpError::malformed)
     }
 
-    /// Sends a JSON body and reads one.
+    /// Makes a request with a JSON body and decodes the JSON body of the response.
     ///
     /// # Errors
-    /// As [`Client::get_json`].
+    /// As for [`Client::get_json`].
     pub fn exchange_json<T: DeserializeOwned>(
         &mut self,
         method: &str,
@@ -85,10 +87,10 @@
         serde_json::from_slice(&body).map_err(HttpError::malformed)
     }
 
-    /// Puts a JSON body.
+    /// Makes a PUT request with a JSON body; the body of the response is ignored.
     ///
     /// # Errors
-    /// As [`Client::request`].
+    /// As for [`Client::request`].
     pub fn put_json(&mut self, path: &str, body: &impl Serialize) -> Result<(), HttpError> {
         let bytes = serde_json::to_vec(body).map_err(HttpError::malformed)?;
         self.request("PUT", path, &bytes).map(drop)
--- a/crates/railhub-net/src/http/line_stream.rs
+++ b/crates/railhub-net/src/http/line_stream.rs
@@ -1,6 +1,7 @@
-//! A response that is kept open and brings a line now and then, in chunks.
+//! A chunked response that the server keeps open and sends lines on.
 //!
-//! States: opened (head read), active (lines come), ended (by the last chunk, silence or an error).
+//! States: opened (the head has been read), active (a line has arrived), ended (by the last chunk, a time-out or an
+//! error).
 use crate::dial::dial;
 use crate::http::chunked::ChunkedDecoder;
 use crate::http::error::HttpError;
@@ -11,13 +12,13 @@
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
-/// Bytes of one line at most: a complete list of some ten thousand hosts.
+/// Maximum size of a line: a complete list of some ten thousand hosts.
 const MAX_LINE_BYTES: usize = 4 << 20;
 const STATUS_OK: u16 = 200;
 
 /// The lines of one response.
 pub struct LineStream {
-    /// Before the socket, so that it is dropped first.
+    /// Declared before the socket, so that it is dropped first.
     idle_timeout: IdleTimeout,
     stream: TcpStream,
     decoder: ChunkedDecoder,
@@ -25,11 +26,11 @@
 }
 
 impl LineStream {
-    /// Gets the path. Seconds: `connect_timeout` for the connection, `idle_timeout` from then on to the first line, and
-    /// between two lines.
+    /// Makes a GET request for the path. `connect_timeout` limits the connection attempt, `idle_timeout` the time from
+    /// then to the first line, and between two lines; both in seconds.
     ///
     /// # Errors
-    /// Why there is no response of status 200.
+    /// Why there is no response with status 200.
     pub fn open(
         address: SocketAddr,
         path: &str,
@@ -51,11 +52,11 @@
         self.idle_timeout.closer()
     }
 
-    /// What `parse` makes of the next line. A complete line restarts the idle time-out: bytes that never make a line
-    /// are no sign of life.
+    /// Waits for the next line and returns the result of `parse` for it. Only a complete line restarts the idle
+    /// time-out, so a peer that sends bytes without ever completing a line times out.
     ///
     /// # Errors
-    /// Why the response ended; [`HttpError::Timeout`] after silence.
+    /// Why the response ended; [`HttpError::Timeout`] if no line arrived within the idle time-out.
     pub fn next_line<T>(&mut self, parse: impl FnOnce(&[u8]) -> T) -> Result<T, HttpError> {
         while !self.lines.has_line().map_err(HttpError::malformed)? {
             if self.decoder.has_ended() {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Reads the head of a response of status 200; gives the bytes behind it that were read with it.
+/// Reads the head of a response with status 200; returns the bytes of the body that were read with it.
 fn read_response_head(stream: &mut TcpStream, idle_timeout: &IdleTimeout) -> Result<Vec<u8>, HttpError> {
     let mut buffer = Vec::new();
     loop {
--- a/crates/railhub-net/src/http/message.rs
+++ b/crates/railhub-net/src/http/message.rs
@@ -1,37 +1,39 @@
-//! What requests and responses have in common: a head, and a body of a stated length.
+//! Reading of heads and of bodies with a content length, for requests and responses.
 use crate::http::error::HttpError;
 use may::net::TcpStream;
 use std::io::Read;
 
-/// Headers of a message at most.
+/// Maximum number of headers of a message.
 pub const MAX_HEADERS: usize = 32;
-/// Bytes read at once: on the coroutine's stack, so small.
+/// Size of the read buffer: small, as it is on the coroutine's stack.
 pub const READ_BUFFER_BYTES: usize = 2048;
-/// Bytes of a request or status line with its headers at most.
+/// Maximum size of a head: the request or status line and the headers.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Bytes of a body at most: a complete list or store of some ten thousand entries.
+/// Maximum size of a body: a complete endpoint list or store of some ten thousand entries.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The length that the headers state; 0 if they state none.
+/// The content length of a message; 0 if there is no such header.
 pub fn body_length(headers: &[httparse::Header]) -> Result<usize, HttpError> {
     let is_length = |header: &&httparse::Header| header.name.eq_ignore_ascii_case("content-length");
     let Some(header) = headers.iter().find(is_length) else { return Ok(0) };
     let text = std::str::from_utf8(header.value).unwrap_or_default();
     match text.trim().parse() {
         Ok(length) if length <= MAX_BODY_BYTES => Ok(length),
-        _ => Err(HttpError::malformed(format!("a body of {text} bytes"))),
+        _ => Err(HttpError::malformed(format!(
+            "content-length {text:?}, expected a number up to {MAX_BODY_BYTES}"
+        ))),
     }
 }
 
-/// Reads more of a head that is not complete.
+/// Reads more bytes of an incomplete head into the buffer.
 pub fn read_more_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Result<(), HttpError> {
     if buffer.len() > MAX_HEAD_BYTES {
-        return Err(HttpError::malformed("a head too long"));
+        return Err(HttpError::malformed(format!("a head of more than {MAX_HEAD_BYTES} bytes")));
     }
     read_more(stream, buffer)
 }
 
-/// Reads a body of `length` bytes behind a head of `head_length`; takes both out of the bytes that were read.
+/// Reads a body of `length` bytes after a head of `head_length` bytes; removes both from the buffer.
 pub fn read_body(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
--- a/crates/railhub-net/src/http/server.rs
+++ b/crates/railhub-net/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The serving side: requests in, responses out.
+//! The server side: reads requests and writes responses.
 use crate::http::error::HttpError;
 use crate::http::message::{body_length, read_body, read_more_head, MAX_HEADERS};
 use may::net::TcpStream;
@@ -7,25 +7,26 @@
 
 /// A complete request.
 pub struct Request {
-    /// As in `GET`.
+    /// The method, such as `GET`.
     pub method: String,
-    /// With the query, as in `/hosts?after=7`.
+    /// The path with the query, such as `/hosts?after=7`.
     pub path: String,
-    /// Empty if there is none.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// A number in the query of a path: 7 for `after` of `/hosts?after=7`.
+/// The number that the query of a path gives for a name: 7 for `after` in `/hosts?after=7`.
 pub fn query_number(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-/// Reads one request; `None` when the peer closes between two. `buffer` holds bytes taken from the stream already.
+/// Reads one request; returns `None` if the peer closes the connection between two requests. `buffer` keeps bytes that
+/// were read beyond a request for the next call.
 ///
 /// # Errors
-/// Why the connection is to be closed.
+/// Why no request could be read; the connection must be closed.
 pub fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Result<Option<Request>, HttpError> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -59,7 +60,7 @@
 /// Writes a response of status 200 with a JSON body.
 ///
 /// # Errors
-/// The error of the system, or that the body cannot be written as JSON.
+/// The error of the system, or an error of kind `Other` if the body cannot be encoded as JSON.
 pub fn write_json_response(stream: &mut TcpStream, body: &impl Serialize) -> io::Result<()> {
     write_response(stream, 200, &serde_json::to_vec(body).map_err(io::Error::other)?)
 }
--- a/crates/railhub-net/src/idle_timeout.rs
+++ b/crates/railhub-net/src/idle_timeout.rs
@@ -1,7 +1,7 @@
-//! Shuts a socket down when its peer is silent for too long.
+//! Shuts down a socket whose peer is silent for too long.
 //!
-//! States: armed (from the start, and from each restart, for the span), suspended (until the next restart), expired (it
-//! has shut the socket down), released (its owner has let the socket go; nothing happens any more).
+//! States: armed (after creation and after each restart), suspended (until the next restart), expired (the socket has
+//! been shut down), released (the time-out no longer touches the socket).
 use crate::clock::now;
 use crate::timer::run_after;
 use may::net::TcpStream;
@@ -9,31 +9,31 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 
-/// When a suspended time-out was last restarted: later than any moment.
+/// Restart time of a suspended time-out: it is later than any moment, so the time-out never expires.
 const SUSPENDED: f64 = f64::INFINITY;
 
 struct WatchedSocket {
-    /// The socket, until it is released.
+    /// The socket's descriptor; `None` once released.
     descriptor: Mutex<Option<RawFd>>,
-    /// Bits of the moment of the last restart.
+    /// When the time-out was last restarted, as the bits of an `f64`.
     restarted_at: AtomicU64,
-    /// Seconds from a restart to the expiry.
+    /// Seconds from a restart to expiry.
     timeout: f64,
-    /// The halves to shut down, as the system names them.
+    /// The halves to shut down: the second argument of `shutdown`.
     shutdown_how: libc::c_int,
     has_expired: AtomicBool,
 }
 
-/// Shuts a socket down once a span has passed since the last restart. It must be dropped before its socket is.
+/// Shuts down a socket `timeout` seconds after the last restart. It must be dropped before its socket.
 pub struct IdleTimeout(Arc<WatchedSocket>);
 
 impl IdleTimeout {
-    /// Shuts down reading only: where a reason is still to be written.
+    /// Shuts down reading only, so that the reason can still be written to the peer.
     pub fn read_half(socket: &TcpStream, timeout: f64) -> IdleTimeout {
         IdleTimeout::start(socket, timeout, libc::SHUT_RD)
     }
 
-    /// Shuts down writing too: a peer that stops reading must not hold the one that writes to it.
+    /// Shuts down reading and writing, so that a peer that stops reading cannot block the writer.
     pub fn both_halves(socket: &TcpStream, timeout: f64) -> IdleTimeout {
         IdleTimeout::start(socket, timeout, libc::SHUT_RDWR)
     }
@@ -50,12 +50,12 @@
         IdleTimeout(watched)
     }
 
-    /// The peer gave a sign of life, or a new wait begins: the span is counted from now.
+    /// Restarts the time-out: the peer has sent something, or a new wait begins.
     pub fn restart(&self) {
         self.0.restarted_at.store(now().to_bits(), Ordering::Relaxed);
     }
 
-    /// Nothing is waited for until the next restart.
+    /// Suspends the time-out until the next restart.
     pub fn suspend(&self) {
         self.0.restarted_at.store(SUSPENDED.to_bits(), Ordering::Relaxed);
     }
@@ -65,14 +65,15 @@
         Closer(Arc::downgrade(&self.0))
     }
 
-    /// Lets the socket go. Returns whether it can be used further: one that expires just before this has shut it
-    /// down, and one that is looked at before it is released may still expire between the two.
+    /// Releases the socket. Returns whether the socket can still be used, that is, whether the time-out had not expired
+    /// before. To check [`IdleTimeout::has_expired`] before the release would not do: the time-out may expire between
+    /// the two.
     pub fn release(self) -> bool {
         self.0.release_socket();
         !self.has_expired()
     }
 
-    /// Whether it has shut the socket down.
+    /// Whether the time-out has expired and shut down the socket.
     pub fn has_expired(&self) -> bool {
         self.0.has_expired.load(Ordering::Acquire)
     }
@@ -89,12 +90,13 @@
 pub struct Closer(Weak<WatchedSocket>);
 
 impl Closer {
-    /// Shuts down both halves, which the socket's owner sees as its end.
+    /// Shuts down both halves; the socket's owner sees the end of the stream.
     pub fn close(&self) {
         let Some(watched) = self.0.upgrade() else { return };
         let descriptor = watched.descriptor.lock().expect("no holder panics");
         if let Some(descriptor) = *descriptor {
-            // SAFETY: the time-out takes the descriptor away under this lock before the socket is closed.
+            // SAFETY: the descriptor is open: the time-out is dropped before the socket, and then removes the descriptor
+            // under this lock.
             unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
         }
     }
@@ -109,17 +111,18 @@
         f64::from_bits(self.restarted_at.load(Ordering::Relaxed)) + self.timeout - now()
     }
 
-    /// Expires if the span has passed. Returns the seconds to the next check, if one is needed.
+    /// Shuts down the socket if the time-out has expired. Returns the seconds to the next check, if one is needed.
     fn check(&self) -> Option<f64> {
         let left = self.seconds_left();
         let descriptor = self.descriptor.lock().expect("no holder panics");
         let descriptor = (*descriptor)?;
         if left > 0.0 {
-            // A suspended one may be restarted at any moment, and expires a span after that.
+            // A suspended time-out may be restarted at any moment, and then expires after `timeout` seconds.
             return Some(left.min(self.timeout));
         }
         self.has_expired.store(true, Ordering::Release);
-        // SAFETY: the time-out is dropped, and takes the descriptor away under this lock, before the socket is closed.
+        // SAFETY: the descriptor is open: the time-out is dropped before the socket, and then removes the descriptor
+        // under this lock.
         unsafe { libc::shutdown(descriptor, self.shutdown_how) };
         None
     }
--- a/crates/railhub-net/src/inbox.rs
+++ b/crates/railhub-net/src/inbox.rs
@@ -1,15 +1,15 @@
-//! The queues of a thread that owns a state: events, which must not be lost, make their sender wait when the queue is
-//! full; reports are dropped and counted, since the next ones say more.
+//! The input queues of a thread that owns a state. Events must not be lost: their sender waits while the queue is full.
+//! Reports are dropped and counted if their queue is full, as the reports that follow carry newer information.
 use crossbeam_queue::ArrayQueue;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 use std::thread::Thread;
 use std::time::Duration;
 
-/// Time between attempts of a sender that found the queue full.
+/// Time between attempts of a sender while the event queue is full.
 const FULL_QUEUE_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Events in order, and reports beside them, for one thread.
+/// A queue of events and a separate queue of reports, for one thread. Each keeps its order.
 pub struct Inbox<E, R> {
     events: ArrayQueue<E>,
     reports: ArrayQueue<R>,
@@ -19,7 +19,7 @@
 }
 
 impl<E, R> Inbox<E, R> {
-    /// Empty queues of these capacities.
+    /// Empty queues that hold at most `max_events` events and `max_reports` reports.
     pub fn new(max_events: usize, max_reports: usize) -> Inbox<E, R> {
         Inbox {
             events: ArrayQueue::new(max_events),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Makes the calling thread the owner, which events wake from now on. To be called once.
+    /// Makes the calling thread the owner, which each event wakes from now on. To be called once.
     pub fn bind_owner(&self) {
         let _ = self.owner.set(std::thread::current());
     }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends an event and wakes the owner; waits while the queue is full. From a coroutine or a thread.
+    /// Sends an event and wakes the owner; waits while the queue is full. May be called from a coroutine or a thread.
     pub fn send(&self, mut event: E) {
         while let Err(rejected) = self.events.push(event) {
             event = rejected;
@@ -50,24 +50,24 @@
         self.wake_owner();
     }
 
-    /// Queues a report, which wakes nobody; drops and counts it if the queue is full.
+    /// Queues a report without waking the owner; drops and counts it if the queue is full.
     pub fn push_report(&self, report: R) {
         if self.reports.push(report).is_err() {
             self.reports_dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Takes the oldest event.
+    /// Removes and returns the oldest event.
     pub fn next_event(&self) -> Option<E> {
         self.events.pop()
     }
 
-    /// Takes the oldest report.
+    /// Removes and returns the oldest report.
     pub fn next_report(&self) -> Option<R> {
         self.reports.pop()
     }
 
-    /// Whether no event waits; reports may.
+    /// Whether no event is queued; reports may be.
     pub fn has_no_events(&self) -> bool {
         self.events.is_empty()
     }
--- a/crates/railhub-net/src/lib.rs
+++ b/crates/railhub-net/src/lib.rs
@@ -1,15 +1,15 @@
-//! Sockets on `may` coroutines: framed streams, a little HTTP, tasks that end with their owner, time-outs and the
-//! clock.
+//! Sockets on `may` coroutines: framed streams, the part of HTTP/1.1 that the program needs, tasks that are cancelled
+//! with their owner, time-outs and the clock.
 //!
-//! Owns no state of the program. Every queue and message is bounded; a peer that sends what is not a message ends its
-//! own connection and nothing else.
+//! Owns no state of the program. Every queue and message is bounded; a peer that sends invalid bytes loses its own
+//! connection and affects no other.
 //!
-//! The way of one message:
-//! 1. [`Listener`] accepts a connection and hands it to a coroutine of its own;
-//! 2. [`split_framed`] gives its two halves; [`FrameReader`] gives complete messages under a size limit and an
-//!    [`IdleTimeout`];
-//! 3. the message goes through an [`Inbox`] to the thread that owns the state;
-//! 4. [`FrameWriter`] writes the answer under a time-out.
+//! Flow of a message:
+//! 1. [`Listener`] accepts a connection, whose handler starts a coroutine for it;
+//! 2. [`split_framed`] splits the connection; [`FrameReader`] returns complete messages and enforces a size limit and
+//!    an [`IdleTimeout`];
+//! 3. the message is sent through an [`Inbox`] to the thread that owns the state;
+//! 4. [`FrameWriter`] writes the answer and enforces a time-out.
 #![warn(missing_docs)]
 mod clock;
 mod dial;
--- a/crates/railhub-net/src/listener.rs
+++ b/crates/railhub-net/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections until dropped.
+//! Accepts inbound connections.
 use crate::task::Task;
 use may::net::{TcpListener, TcpStream};
 use std::io;
@@ -7,20 +7,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between attempts while the process has no file descriptor left: the connections it has go on being served.
+/// Delay after a failed accept, as when the process has no file descriptor left: meanwhile the open connections are
+/// served.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Accepts connections at one address until it is dropped.
 pub struct Listener {
-    /// The address, with the port that the system picked for port 0.
+    /// The address that it listens on, with the actual port if it was opened with port 0.
     pub address: SocketAddr,
     failed_accepts: Arc<AtomicU64>,
     _accepting: Task,
 }
 
 impl Listener {
-    /// Listens on an address, port 0 for one that the system picks. `on_connection` gets every connection and must not
-    /// wait: it starts a coroutine of its own.
+    /// Listens on an address; with port 0 the system chooses the port. `on_connection` gets every connection and must
+    /// not block: it starts a coroutine to serve the connection.
     ///
     /// # Errors
     /// The error of the system if the address cannot be opened.
@@ -36,7 +37,7 @@
         Ok(Listener { address, failed_accepts, _accepting: accepting })
     }
 
-    /// Connections that could not be accepted, for want of file descriptors mostly.
+    /// Number of failed accepts, mostly for lack of file descriptors.
     pub fn failed_accepts(&self) -> u64 {
         self.failed_accepts.load(Ordering::Relaxed)
     }
@@ -52,8 +53,8 @@
         match listener.accept() {
             Ok((stream, peer)) => {
                 on_connection(stream, peer);
-                // Those accepted are served before the next is: a crowd must not fill the process with connections that
-                // nobody has looked at.
+                // Accepted connections are served before the next is accepted, so that a burst cannot fill the process
+                // with unserved connections.
                 may::coroutine::yield_now();
             }
             Err(_) => {
--- a/crates/railhub-net/src/runtime.rs
+++ b/crates/railhub-net/src/runtime.rs
@@ -1,25 +1,25 @@
-//! Set-up of the coroutine runtime; once a process, before the first coroutine.
+//! Configuration of the coroutine runtime, to be done once per process, before the first coroutine is started.
 
-/// Words of stack a coroutine gets: decoding a message and writing a log line need some ten KiB. Pages that are never
-/// touched cost nothing.
+/// Stack size of a coroutine in words: decoding a message and writing a log line need some ten KiB. Pages of the stack
+/// that are never touched use no memory.
 const STACK_WORDS: usize = 0x2000;
-/// Stacks kept for the next coroutine.
+/// Free stacks kept for reuse by later coroutines.
 const STACK_POOL_CAPACITY: usize = 2000;
-/// Worker threads at most, however many cores there are.
+/// Maximum number of worker threads, however many cores there are.
 const MAX_WORKERS: usize = 8;
-/// Cores assumed where the system does not show them.
+/// Number of cores assumed if the system does not report it.
 const DEFAULT_CORES: usize = 2;
 
-/// Sets up one worker a core but one, which is left for the thread that owns the state: coroutines must not crowd it
-/// out.
+/// Configures one worker for each core but one, which is left for the thread that owns the state, so that coroutines
+/// cannot starve it.
 pub fn start_runtime() {
     let cores = std::thread::available_parallelism().map_or(DEFAULT_CORES, |cores| cores.get());
     let workers = (cores - 1).clamp(1, MAX_WORKERS);
     configure(workers, STACK_POOL_CAPACITY);
 }
 
-/// Sets up one worker, which shares its core with the thread that owns the state, and keeps so many stacks: for a
-/// machine of one core and little memory.
+/// Configures a single worker, which shares its core with the thread that owns the state, and keeps at most
+/// `stack_pool_capacity` free stacks: for a machine with one core and little memory.
 pub fn start_runtime_single_worker(stack_pool_capacity: usize) {
     configure(1, stack_pool_capacity);
 }
--- a/crates/railhub-net/src/task.rs
+++ b/crates/railhub-net/src/task.rs
@@ -1,19 +1,19 @@
-//! Coroutines, on their own or cancelled with their owner.
+//! Coroutines, detached or cancelled when their owner is dropped.
 use may::coroutine::{current, Builder, Coroutine, JoinHandle};
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// Handles kept of coroutines that have ended, some 200 bytes each: more than can end while one thread of the runtime
-/// stands still between two instructions.
+/// Handles of ended coroutines that are retained, some 200 bytes each: more coroutines than can end while one thread of
+/// the runtime is preempted between two instructions.
 const MAX_RETAINED_HANDLES: usize = 4096;
 
-/// Handles of the coroutines that ended last.
+/// Handles of the coroutines that ended most recently.
 static RETAINED_HANDLES: Mutex<VecDeque<Coroutine>> = Mutex::new(VecDeque::new());
 
-/// Keeps a coroutine's handle past its end. The runtime (`may` 0.3) hands a coroutine that waits to whoever wakes
-/// it first and only then notes in its handle how it may be cancelled. One that is woken at once can have run to
-/// its end by then on another core, and the note goes into memory that was given back: heaps were corrupted so,
-/// on busy cores, by sleeps of next to nothing (tests/churn.rs).
+/// Retains a coroutine's handle after the coroutine has ended, to work around a use after free in the runtime (`may`
+/// 0.3). The runtime makes a waiting coroutine available to its waker first and only then writes to its handle how it
+/// can be cancelled. A coroutine that is woken immediately may have ended on another core by then, so that the write
+/// hits freed memory. On busy cores, sleeps of a few nanoseconds corrupted the heap this way (tests/churn.rs).
 struct RetainedHandle(Coroutine);
 
 impl Drop for RetainedHandle {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Starts a coroutine that nothing cancels.
+/// Starts a detached coroutine: dropping the handle does not cancel it.
 ///
 /// # Panics
 /// If the system has no memory for its stack.
@@ -35,8 +35,8 @@
         let _kept = RetainedHandle(current());
         work();
     };
-    // SAFETY: the work touches no thread-local across a wait, and its stack is far above its need.
-    unsafe { Builder::new().spawn(with_retained_handle) }.expect("a coroutine can be made")
+    // SAFETY: the work uses no thread-local across a wait, and needs far less stack than it has.
+    unsafe { Builder::new().spawn(with_retained_handle) }.expect("memory for the stack of a coroutine")
 }
 
 /// A coroutine that is cancelled when this is dropped.
@@ -48,7 +48,7 @@
         Task(Some(spawn(work)))
     }
 
-    /// Whether it has ended.
+    /// Whether the coroutine has ended.
     pub fn is_done(&self) -> bool {
         self.0.as_ref().is_none_or(JoinHandle::is_done)
     }
@@ -57,8 +57,8 @@
 impl Drop for Task {
     fn drop(&mut self) {
         if let Some(handle) = self.0.take() {
-            // SAFETY: a cancelled coroutine unwinds from its next wait; ours hold nothing across one that
-            // unwinding does not give back.
+            // SAFETY: a cancelled coroutine unwinds from its next wait; the coroutines of this program hold no resource
+            // across a wait that unwinding does not release.
             unsafe { handle.coroutine().cancel() };
         }
     }
--- a/crates/railhub-net/src/timer.rs
+++ b/crates/railhub-net/src/timer.rs
@@ -1,13 +1,14 @@
-//! Timers by a thread of our own. The runtime's timer list can fail an assertion when many timers are cancelled while
-//! others run out (seen under load with `may` 0.3: the timer thread panicked and every sleep of the process hung), so
-//! nothing here cancels one: a wait that ended early leaves an entry that does nothing.
+//! Timers on a separate thread, in place of the runtime's timers. The runtime's timer list can fail an assertion when
+//! many timers are cancelled while others expire: under load with `may` 0.3 the timer thread panicked and every sleep
+//! of the process hung. Therefore timers here cannot be cancelled; the action of one that is no longer needed must do
+//! nothing.
 use crate::clock::{now, seconds};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::OnceLock;
 
-/// Seconds the thread sleeps when nothing is due.
+/// Sleep of the timer thread while there is no timer.
 const IDLE_SLEEP_SECONDS: f64 = 3600.0;
 
 struct Entry {
@@ -30,13 +31,13 @@
 }
 
 impl Ord for Entry {
-    /// The earlier entry is the greater, so that the heap gives it first.
+    /// Reversed: the entry that is due first is the greatest, as the heap returns the greatest first.
     fn cmp(&self, other: &Entry) -> Ordering {
         other.due_at.total_cmp(&self.due_at)
     }
 }
 
-/// Runs the action after a span of seconds, on the timers' thread; it must not wait.
+/// Runs the action on the timer thread after `delay` seconds. The action must not block.
 pub fn run_after(delay: f64, action: impl FnOnce() + Send + 'static) {
     static ENTRIES: OnceLock<Sender<Entry>> = OnceLock::new();
     let entries = ENTRIES.get_or_init(start_thread);
@@ -49,7 +50,7 @@
     sender
 }
 
-/// Runs until no sender is left.
+/// Runs the actions that are due, until the sender is dropped.
 fn run_timers(receiver: &Receiver<Entry>) {
     let mut entries: BinaryHeap<Entry> = BinaryHeap::new();
     loop {
--- a/crates/railhub-net/src/worker_pool.rs
+++ b/crates/railhub-net/src/worker_pool.rs
@@ -1,11 +1,11 @@
-//! A fixed number of coroutines that take work from a bounded queue.
+//! A fixed number of worker coroutines that take items from a bounded queue.
 use crate::task::Task;
 use crossbeam_queue::ArrayQueue;
 use may::sync::Semphore;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The workers, which are cancelled when it is dropped.
+/// A pool of workers, which are cancelled when the pool is dropped.
 pub struct WorkerPool<T> {
     queue: Arc<WorkQueue<T>>,
     _workers: Vec<Task>,
@@ -13,20 +13,20 @@
 
 struct WorkQueue<T> {
     items: ArrayQueue<T>,
-    /// One permit an item.
+    /// One permit for each queued item.
     available: Semphore,
     dropped: AtomicU64,
 }
 
 impl<T> WorkQueue<T> {
-    fn wait(&self) -> Option<T> {
+    fn take(&self) -> Option<T> {
         self.available.wait();
         self.items.pop()
     }
 }
 
 impl<T: Send + 'static> WorkerPool<T> {
-    /// Starts so many workers; at most `max_queued` items wait for a free one.
+    /// Starts `workers` workers, which call `work` for each item; at most `max_queued` items wait for a free worker.
     pub fn start(
         workers: usize,
         max_queued: usize,
@@ -41,7 +41,7 @@
         let start_worker = |_| {
             let (queue, work) = (queue.clone(), work.clone());
             Task::spawn(move || loop {
-                if let Some(item) = queue.wait() {
+                if let Some(item) = queue.take() {
                     work(item);
                 }
             })
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Items dropped because the queue was full.
+    /// Number of items dropped because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.queue.dropped.load(Ordering::Relaxed)
     }
--- a/crates/railhub-net/tests/churn.rs
+++ b/crates/railhub-net/tests/churn.rs
@@ -1,13 +1,16 @@
-//! Coroutines that wait for next to nothing and end, on busy cores: what the runtime still holds of one that another
-//! thread ends must stay there. Without that this test ends with a corrupted heap.
+//! Guards against heap corruption by short-lived coroutines on busy cores: the runtime may write to the handle of a
+//! coroutine that has already ended on another thread, so the handle must be retained (see `RetainedHandle` in
+//! src/task.rs). Without that, this test aborts with a corrupted heap.
 use railhub_net::spawn;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Coroutines in all, and threads that keep the cores busy.
+/// Coroutines started in total.
 const COROUTINES: u64 = 100_000;
+/// Coroutines that may run at once.
 const MAX_CONCURRENT: u64 = 200;
+/// Threads that keep the cores busy.
 const BUSY_THREADS: usize = 8;
 
 #[test]
@@ -23,7 +26,11 @@
     let deadline = Instant::now() + Duration::from_secs(60);
     for index in 0..COROUTINES {
         while index - ended.load(Ordering::Relaxed) > MAX_CONCURRENT {
-            assert!(Instant::now() < deadline, "{} ended", ended.load(Ordering::Relaxed));
+            assert!(
+                Instant::now() < deadline,
+                "only {} coroutines ended in time",
+                ended.load(Ordering::Relaxed)
+            );
             std::thread::yield_now();
         }
         let ended_count = ended.clone();
@@ -33,9 +40,9 @@
         });
     }
     while ended.load(Ordering::Relaxed) < COROUTINES {
-        assert!(Instant::now() < deadline, "{} ended", ended.load(Ordering::Relaxed));
+        assert!(Instant::now() < deadline, "only {} coroutines ended in time", ended.load(Ordering::Relaxed));
         std::thread::sleep(Duration::from_millis(10));
     }
     stop.store(true, Ordering::Relaxed);
-    busy_threads.into_iter().for_each(|thread| thread.join().expect("it only counts"));
+    busy_threads.into_iter().for_each(|thread| thread.join().expect("a busy thread does not panic"));
 }
