--- a/crates/railhub-net/src/idle_timeout.rs
+++ b/crates/railhub-net/src/idle_timeout.rs
@@ -95,8 +95,8 @@
         let Some(watched) = self.0.upgrade() else { return };
         let descriptor = watched.descriptor.lock().expect("no holder panics");
         if let Some(descriptor) = *descriptor {
-            // SAFETY: the descriptor is open: the time-out is dropped before the socket, and then removes the descriptor
-            // under this lock.
+            // SAFETY: the descriptor is open: the time-out is dropped before the socket, and then removes the
+            // descriptor under this lock.
             unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
         }
     }
--- a/crates/railhub-platform-net/src/active_connection.rs
+++ b/crates/railhub-platform-net/src/active_connection.rs
@@ -1,11 +1,11 @@
-//! The one connection to a peer that is in use, while a reload moves the peer to another address.
+//! The connection to a peer that is in use. A configuration reload may replace it by a connection to another address.
 use railhub_net::Closer;
 use std::sync::Mutex;
 
-/// The connection in use, with the version of the configuration that named its peer.
+/// The connection in use, with the version of the configuration that has the peer's address.
 ///
-/// States: none, active. A connection of the same or a newer version replaces and closes the active one. One of an
-/// older version is refused, even if it comes between two connections of a newer one.
+/// States: none, active. A connection of the same or a newer version replaces and closes the active one. A connection
+/// of an older version is rejected, even if it is established after the newer one was lost.
 #[derive(Default)]
 pub struct ActiveConnection(Mutex<Option<VersionedConnection>>);
 
@@ -15,7 +15,8 @@
 }
 
 impl ActiveConnection {
-    /// Makes this connection the active one. Returns whether it is: false if a newer configuration's is active.
+    /// Makes this connection the active one and closes the previous one. Returns false, and changes nothing, if a
+    /// connection of a newer configuration has been active.
     pub fn activate(&self, version: u64, closer: Closer) -> bool {
         let mut active = self.0.lock().expect("no holder panics");
         if active.as_ref().is_some_and(|active| active.version > version) {
@@ -27,7 +28,7 @@
         true
     }
 
-    /// Whether no newer configuration's connection is or was active.
+    /// Whether no connection of a newer configuration is or was active.
     pub fn is_current(&self, version: u64) -> bool {
         let active = self.0.lock().expect("no holder panics");
         active.as_ref().is_none_or(|active| active.version <= version)
--- a/crates/railhub-platform-net/src/call_timing.rs
+++ b/crates/railhub-platform-net/src/call_timing.rs
@@ -1,28 +1,28 @@
-//! When calls to the relay were and may be made, and how long they took.
+//! Timing of calls to the relay: when the next call may be made, and how long calls take.
 use crate::clock::now;
 use crate::status::{DurationRecorder, DurationSummary};
 use railhub::Seconds;
 
-/// Seconds before the next call after one that was rejected, or whose outcome is unknown.
+/// Seconds to the next call after a call that was rejected or whose outcome is unknown.
 const CALL_RETRY_INTERVAL: Seconds = 0.1;
 
-/// When calls were and may be made, and how long they took.
+/// Tracks when the next call may be made, and measures how long calls and load reports take.
 pub struct CallTiming {
     started_at: Seconds,
     not_before: Seconds,
     sent_at: Seconds,
-    /// When the oldest load report came that no call has followed.
+    /// When the oldest load report arrived since the last call.
     oldest_report_at: Option<Seconds>,
-    /// The same, of the call in flight.
+    /// When the oldest load report arrived that the call in flight follows.
     in_flight_report_at: Option<Seconds>,
-    /// The relay has answered a call.
+    /// Whether the relay has answered any call.
     any_answered: bool,
     call_latency: DurationRecorder,
     report_latency: DurationRecorder,
 }
 
 impl CallTiming {
-    /// No call has been made; the next may be made at once.
+    /// The state before the first call, which may be made immediately.
     pub fn start(now: Seconds) -> CallTiming {
         CallTiming {
             started_at: now,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// A call leaves.
+    /// Records that a call is being sent.
     pub fn on_call_sent(&mut self, now: Seconds) {
         self.sent_at = now;
         self.in_flight_report_at = self.in_flight_report_at.or(self.oldest_report_at.take());
     }
 
-    /// The relay has answered the call in flight, and not rejected it.
+    /// Records that the relay has answered the call in flight without rejecting it.
     pub fn on_answer(&mut self, now: Seconds) {
         if !self.any_answered {
             self.any_answered = true;
@@ -54,27 +54,28 @@
             self.report_latency.record(now - report_at);
         }
     }
-    /// The call in flight was rejected, or its outcome is unknown.
+
+    /// Records that the call in flight was rejected, or that its outcome is unknown; delays the next call.
     pub fn on_call_failed(&mut self, now: Seconds) {
         self.not_before = now + CALL_RETRY_INTERVAL;
     }
 
-    /// A load report is applied now.
+    /// Records that a load report is being applied.
     pub fn on_report(&mut self) {
         self.oldest_report_at.get_or_insert_with(now);
     }
 
-    /// When the next call may be made.
+    /// The earliest time of the next call.
     pub fn call_not_before(&self) -> Seconds {
         self.not_before
     }
 
-    /// Time of a call.
+    /// Time from sending a call to its answer.
     pub fn call_latency(&self) -> DurationSummary {
         self.call_latency.summary()
     }
 
-    /// Time from the first load report that no call had followed to the answer of the next call.
+    /// Time from the oldest load report since the previous call to the answer to the next call.
     pub fn report_latency(&self) -> DurationSummary {
         self.report_latency.summary()
     }
--- a/crates/railhub-platform-net/src/clock.rs
+++ b/crates/railhub-platform-net/src/clock.rs
@@ -1,10 +1,10 @@
-//! The controller's clock: wall time as it was at the start, moved on by the monotonic clock. It compares with the
-//! times at which hosts started and is never set back.
+//! The controller's clock: the wall time of the process start, advanced by the monotonic clock. Its times are
+//! comparable with the start times of hosts, and it never goes backwards.
 use railhub::Seconds;
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds of Unix time, by the wall clock of the process's start.
+/// Unix time in seconds, by the wall clock at the first call and the monotonic clock since then.
 pub fn now() -> Seconds {
     static OFFSET: OnceLock<Seconds> = OnceLock::new();
     let offset = OFFSET.get_or_init(|| {
--- a/crates/railhub-platform-net/src/controller_thread.rs
+++ b/crates/railhub-platform-net/src/controller_thread.rs
@@ -1,6 +1,6 @@
-//! The thread that owns the [`PlatformController`]: nothing else reads or changes it.
+//! The thread that owns the [`PlatformController`]: no other thread accesses it.
 //!
-//! One pass: sleep until an event comes or something is due; apply the events and load reports that wait; let the
+//! One pass of the loop: sleep until an event arrives or a deadline; apply the queued events and load reports; let the
 //! controller handle a batch if one is due; send the next call if none is in flight; publish the status.
 use crate::call_timing::CallTiming;
 use crate::clock::now;
@@ -11,17 +11,16 @@
 use crate::status::{ControllerStatus, DurationRecorder};
 use railhub::{HealthCheckOutcome, Seconds};
 use railhub_net::seconds;
-
 use railhub_platform::{Call, CallResponse, EndpointPage, NodeConfig, PlatformController, Probe};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Seconds the thread sleeps at most: load reports wake nobody and must not wait long.
+/// Maximum sleep of the thread in seconds: load reports do not wake it, and should not wait longer than this.
 const MAX_SLEEP: Seconds = 0.2;
-/// Events applied in one pass: a pass must end.
+/// Maximum number of events applied in one pass, so that a steady stream of events cannot hold up the rest of the pass.
 const MAX_EVENTS_PER_PASS: usize = 2048;
 
-/// The owner of the controller.
+/// The state of the thread that owns the controller.
 pub struct ControllerThread {
     controller: PlatformController,
     shared: Arc<SharedState>,
@@ -34,8 +33,8 @@
 }
 
 impl ControllerThread {
-    /// Prepares the controller and publishes its first status, by which the discovery watch resumes after the known
-    /// list.
+    /// Creates the controller and publishes its first status, so that the discovery watch resumes from the generation
+    /// of the known list.
     pub fn new(
         config: &NodeConfig,
         shared: &Arc<SharedState>,
@@ -107,8 +106,8 @@
             let (entries, complete) = (page.entries.len(), page.complete);
             tracing::info!(generation, entries, complete, "endpoint list updated");
         } else if generation < self.controller.generation() {
-            // An older configuration's watch overtook it: its next page would build on a page that was not
-            // applied.
+            // The watch of an older configuration sent a newer list first. The next page of the current watch would be
+            // a change relative to this page, which was not applied.
             tracing::info!(generation, "stale endpoint page, restarting the discovery watch");
             self.shared.discovery_watch.close();
         }
--- a/crates/railhub-platform-net/src/descriptors.rs
+++ b/crates/railhub-platform-net/src/descriptors.rs
@@ -1,18 +1,18 @@
-//! Open file descriptors, counted by what holds them.
+//! Counters of open file descriptors by use.
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Open descriptors by holder.
+/// Numbers of open descriptors by use.
 #[derive(Default)]
 pub struct OpenDescriptors {
-    /// Connections to the controller's own address, of collectors and of unidentified peers.
+    /// Inbound connections to the controller's listen address, from collectors and unidentified peers.
     pub inbound: AtomicUsize,
-    /// Those of `inbound` that joined as a zone's collector.
+    /// Inbound connections that joined as the collector of a zone; also counted in `inbound`.
     pub collectors: AtomicUsize,
-    /// Connections to the relay: subscription and calls.
+    /// Connections to the relay, for the subscription and for calls.
     pub relay: AtomicUsize,
     /// Discovery watches.
     pub discovery: AtomicUsize,
-    /// Health checks under way.
+    /// Health checks in progress.
     pub health_checks: AtomicUsize,
 }
 
@@ -20,10 +20,10 @@
 pub struct DescriptorGuard<'a>(&'a AtomicUsize);
 
 impl<'a> DescriptorGuard<'a> {
-    /// Adds one to the holder's count.
-    pub fn count(holder: &'a AtomicUsize) -> DescriptorGuard<'a> {
-        holder.fetch_add(1, Ordering::Relaxed);
-        DescriptorGuard(holder)
+    /// Increments the counter until the guard is dropped.
+    pub fn count(counter: &'a AtomicUsize) -> DescriptorGuard<'a> {
+        counter.fetch_add(1, Ordering::Relaxed);
+        DescriptorGuard(counter)
     }
 }
 
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -1,10 +1,11 @@
-//! The discovery watch: the endpoint list as it changes, resumed from the generation that the controller has.
+//! The discovery watch, which receives changes of the endpoint list, starting from the generation that the controller
+//! has.
 //!
-//! A page: the watch reads a line, takes a page permit, sends the page to the controller thread, which applies it and
-//! returns the permit. A page with an invalid entry, or older than the one before, ends the watch: the next
-//! one requests it again. The last list stays in force while no watch is open.
+//! Flow of a page: the watch reads a line, takes a page permit and sends the page to the controller thread, which
+//! applies it and returns the permit. A page that has an invalid entry, or is older than the previous page, ends the
+//! watch; the next watch requests the page again. The last list stays in use while no watch is open.
 //!
-//! States of a watch: opened (until its first line), active (each line is a page, or empty as a sign of life), ended.
+//! States of a watch: opened (until its first line), active (each line is a page, or empty as a heartbeat), ended.
 use crate::addresses::Addresses;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
@@ -23,12 +24,13 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Seconds a watch may be silent: an empty line comes every 2.
+/// Seconds that a watch may be silent: discovery sends an empty line every 2 s.
 const SILENCE_TIMEOUT: Seconds = 4.5;
-/// Seconds at most for a slow discovery's first line: with the retry interval below the 6 after which the platform
-/// counts the list as received, should a discovery that is back not answer a request that came while it was down.
+/// Maximum time-out in seconds for the first line of a slow discovery. Discovery may never answer a request that
+/// reached it while it was down; this time-out plus the retry interval is below the 6 s after which the platform counts
+/// the list as received.
 const MAX_FIRST_LINE_TIMEOUT: Seconds = 5.5;
-/// Seconds between attempts while discovery is out of reach.
+/// Seconds between connection attempts while discovery is unreachable.
 const RETRY_INTERVAL: Seconds = 0.3;
 
 const TIMEOUTS: ReconnectTimeouts = ReconnectTimeouts {
@@ -37,27 +39,27 @@
     retry_interval: RETRY_INTERVAL,
 };
 
-/// Why a watch ended, or could not be opened.
+/// Why a watch could not be opened, or ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// The connection could not be opened, broke or was silent for too long.
+    /// The connection could not be established, failed, or was silent for too long.
     #[error("discovery: {0}")]
     LineStream(#[source] HttpError),
-    /// A newer configuration's watch is active.
+    /// The watch of a newer configuration is active.
     #[error("superseded by the watch of a newer configuration")]
     Superseded,
     /// A page is invalid.
     #[error("discovery sent an invalid page: {0}")]
     InvalidPage(#[source] InvalidEntry),
-    /// A page has an invalid entry.
+    /// An entry of a page is invalid.
     #[error("discovery sent an invalid entry")]
     InvalidEntry,
-    /// A page is older than the one before, or than the list that the watch resumed from.
+    /// A page is older than the previous page, or than the list that the watch resumed from.
     #[error("discovery sent an older list than the known one")]
     StalePage,
 }
 
-/// Starts a reconnect loop for the discovery address in force now; an earlier loop ends by itself.
+/// Starts a reconnect loop for the current discovery address. A loop of an earlier configuration ends by itself.
 pub fn start(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
@@ -73,8 +75,8 @@
     });
 }
 
-/// Runs one watch until it fails. It resumes from what the controller has applied: a page that it did not apply is
-/// sent again.
+/// Runs one watch until it fails. It resumes from the generation that the controller has applied, so that discovery
+/// sends again any page that was not applied.
 fn watch(
     shared: &SharedState,
     addresses: Addresses,
@@ -98,24 +100,24 @@
 }
 
 enum WatchState<'a> {
-    /// No line has come.
+    /// No line has arrived.
     Opened,
-    /// A line has come: it counts as usable until this is dropped.
+    /// A line has arrived. The connection counts as usable until the guard is dropped.
     Active { _usable: UsableConnection<'a> },
 }
 
 struct Watch<'a> {
     shared: &'a SharedState,
-    /// Of the configuration that named discovery.
+    /// Version of the configuration that has the address of discovery.
     version: u64,
-    /// Of the last page, or of the list that the watch resumes from.
+    /// Generation of the last page, or at first of the list that the watch resumes from.
     generation: u64,
     state: WatchState<'a>,
     feed: LineStream,
 }
 
 impl Watch<'_> {
-    /// Receives one line and sends its page on, if it has one.
+    /// Receives one line and forwards its page, if it has one.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), WatchError> {
         let names = &self.shared.names;
         let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::decode_page(line, names));
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Sends a page on; ends the watch if the page is to be requested again, as the next copy may be valid, or
-    /// be applied by then.
+    /// Forwards a page. Returns an error, which ends the watch, if the page must be requested again: the next copy may
+    /// be valid, or may no longer be older than the list in use.
     fn on_page(&mut self, page: EndpointPage) -> Result<(), WatchError> {
         for _ in &page.invalid {
             self.shared.rejections.record(RejectionCause::EndpointEntry);
@@ -158,9 +160,9 @@
         Ok(())
     }
 
-    /// Sends a page to the controller thread, once there is room: a page may be a complete list. A page that was read
-    /// before a newer configuration's watch closed this one is older than what that one brings: it is dropped. Returns
-    /// whether this watch is still current.
+    /// Sends a page to the controller thread, after waiting for a page permit, as a page may be a complete list. Drops
+    /// the page if the watch of a newer configuration has replaced this one meanwhile, as that watch brings newer
+    /// pages. Returns whether this watch is still current.
     fn send(&self, page: EndpointPage) -> bool {
         self.shared.page_permits.wait();
         let is_current = self.shared.discovery_watch.is_current(self.version);
@@ -178,7 +180,7 @@
     }
 }
 
-/// A connection that ended before its first line.
+/// The error of a watch that failed before its first line; a time-out lengthens the next one.
 fn first_line_error(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
     if matches!(error, HttpError::Timeout) {
         attempts.on_first_answer_timeout();
--- a/crates/railhub-platform-net/src/events.rs
+++ b/crates/railhub-platform-net/src/events.rs
@@ -1,42 +1,42 @@
-//! What sockets send to the controller thread: events, which must not be lost, and load reports, which may be.
+//! The inputs of the controller thread: events, which must not be lost, and load reports, which may be dropped.
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::Inbox;
 use railhub_platform::{CallResponse, RelayEvent, SubscriptionId};
 use railhub_platform::{EndpointPage, Probe};
 
-/// Events that may wait for the controller thread; senders wait while the queue is full.
+/// Capacity of the event queue of the controller thread; senders wait while it is full.
 const MAX_QUEUED_EVENTS: usize = 4096;
-/// Load reports that may wait for the controller thread; further ones are dropped and counted.
+/// Capacity of the report queue of the controller thread; reports beyond it are dropped and counted.
 const MAX_QUEUED_REPORTS: usize = 4096;
 
-/// Something that changes the controller's state.
+/// An event for the controller thread.
 pub enum ControllerEvent {
-    /// A page of the endpoint list; the sender holds one of the page permits, which the receiver returns.
+    /// A page of the endpoint list. The sender has taken a page permit, which the receiver returns.
     EndpointPage(EndpointPage),
-    /// A subscription to the relay is about to be requested.
+    /// A subscription is about to be requested from the relay.
     SubscriptionRequested(SubscriptionId),
-    /// A subscription brought an event.
+    /// An event arrived on a subscription.
     RelayEvent(SubscriptionId, RelayEvent),
-    /// A subscription's connection ended, or never came up.
+    /// The connection of a subscription ended, or could not be established.
     SubscriptionEnded(SubscriptionId),
-    /// A health check ended.
+    /// A health check was completed.
     HealthCheckCompleted(Probe, HealthCheckOutcome),
-    /// The call in flight ended. `None`: without a readable answer, so its outcome is unknown.
+    /// The call in flight was completed; `None` if there was no valid answer, so that its outcome is unknown.
     CallCompleted(Option<CallResponse>),
 }
 
-/// A load report of a collector, over some span of its proxies' traffic.
+/// A load report of a collector about the traffic of its zone's proxies over some period.
 pub enum LoadReport {
-    /// Attempts at one host.
+    /// The attempts at one host.
     Host(HostLoadReport),
-    /// Attempts for one slice.
+    /// The demand for one slice.
     Slice(SliceLoadReport),
 }
 
 /// The bounded queues of the controller thread.
 pub type ControllerInbox = Inbox<ControllerEvent, LoadReport>;
 
-/// Empty queues.
+/// Creates the empty queues.
 pub fn new_inbox() -> ControllerInbox {
     Inbox::new(MAX_QUEUED_EVENTS, MAX_QUEUED_REPORTS)
 }
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -1,7 +1,8 @@
-//! Active health checks: `GET /alive` at a host, each on a connection of its own, as whether a host can be reached is
-//! half of the question.
+//! Active health checks: `GET /alive` at a host. Each check uses a new connection, as it also tests whether the host
+//! can be reached.
 //!
-//! What does not fit the queue is dropped and counted; the decisions request it again at each periodic evaluation.
+//! Checks that do not fit in the queue are dropped and counted; the decisions request them again at each periodic
+//! evaluation.
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
 use crate::rejections::RejectionCause;
@@ -15,19 +16,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Health checks at once.
+/// Maximum number of concurrent health checks.
 pub const MAX_CONCURRENT: usize = 24;
-/// Health checks that may wait for one that ends: as many as a large deployment has hosts.
+/// Maximum number of queued health checks: as many as a large deployment has hosts.
 const MAX_QUEUED: usize = 512;
-/// Seconds for a host to answer, each for the connection and for the answer.
+/// Time-out in seconds, for the connection attempt and for the answer each.
 const HEALTH_CHECK_TIMEOUT: Seconds = 0.4;
-/// Errors of this process, which ran out of something: they prove nothing of the host.
+/// Error codes that mean that this process lacks a resource; they say nothing about the host.
 const LOCAL_ERRORS: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
 
-/// Runs health checks from a bounded queue.
+/// The workers that run health checks, with their bounded queue.
 pub type HealthChecker = WorkerPool<Probe>;
 
-/// Starts the coroutines that run health checks; outcomes come back as [`ControllerEvent::HealthCheckCompleted`].
+/// Starts the coroutines that run health checks; each outcome is sent as a [`ControllerEvent::HealthCheckCompleted`].
 pub fn start(shared: &Arc<SharedState>) -> HealthChecker {
     let shared = shared.clone();
     WorkerPool::start(MAX_CONCURRENT, MAX_QUEUED, move |probe: Probe| {
@@ -39,7 +40,7 @@
     })
 }
 
-/// `None`: what happened proves nothing of the host.
+/// Checks one host. Returns `None` if the result says nothing about the host's health.
 fn check(address: SocketAddr) -> Option<HealthCheckOutcome> {
     match Client::new(address, seconds(HEALTH_CHECK_TIMEOUT)).request("GET", HEALTH_CHECK_PATH, &[]) {
         Ok(_) => Some(HealthCheckOutcome::Passed),
--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -1,25 +1,28 @@
-//! The controller on the operators' platform: sockets, signals, the run.
+//! The controller on the operators' platform: sockets, signals and process start.
 //!
-//! Owns: one thread ([`controller_thread`]) owns the [`railhub_platform::PlatformController`], fed by a bounded inbox
-//! ([`events`]). Every connection is one coroutine on the one worker: inbound ones ([`listener`]), the relay's
-//! subscription and calls ([`relay`]), the discovery watch ([`discovery_watch`]), health checks ([`health_checks`]).
-//! [`signals`] reloads the configuration. What they share is in [`shared_state`].
+//! One thread ([`controller_thread`]) owns the [`railhub_platform::PlatformController`] and is fed by a bounded inbox
+//! ([`events`]). Every connection is served by one coroutine, all on one worker thread: inbound connections
+//! ([`listener`]), the subscription and the calls to the relay ([`relay`]), the discovery watch ([`discovery_watch`])
+//! and health checks ([`health_checks`]). [`signals`] reloads the configuration. All of them use [`shared_state`].
 //!
-//! The way of a load report:
-//! 1. a collector's session ([`listener`]) reads, checks and queues it;
-//! 2. the controller thread wakes within 0.2 s and gives it to the controller;
-//! 3. the next batch of the decisions takes it into account; the commands that they decide wait at the controller.
+//! Flow of a load report:
+//! 1. the session of a collector ([`listener`]) reads, validates and queues the report;
+//! 2. the controller thread wakes within 0.2 s and passes it to the controller;
+//! 3. the next batch of decisions takes it into account; the resulting commands are queued at the controller.
 //!
-//! The way of a page of the endpoint list:
-//! 1. the [`discovery_watch`] reads a line, takes one of the page permits and queues the page, which wakes the thread;
-//! 2. the controller applies it, or ignores it as older than the list it has, in which case the watch is restarted;
-//! 3. the thread returns the permit and publishes the list's generation, from which the next watch resumes.
+//! Flow of a page of the endpoint list:
+//! 1. the [`discovery_watch`] reads a line, takes one of the page permits and queues the page, which wakes the
+//!    controller thread;
+//! 2. the controller applies the page, or ignores it if it is older than the list in use, and then the watch is
+//!    restarted;
+//! 3. the thread returns the permit and publishes the generation of the list, from which the next watch resumes.
 //!
-//! The way of a call to the relay:
-//! 1. the controller puts commands that wait into one call; no other is in flight;
-//! 2. the call's coroutine ([`relay`]) writes it and reads the answer against a time-out;
-//! 3. the outcome comes back as an event: accepted commands are settled, rejected ones wait for the next call, and after
-//!    an unknown outcome the subscription is closed, so that a new snapshot shows what was carried out.
+//! Flow of a call to the relay:
+//! 1. the controller puts pending commands into one call; at most one call is in flight;
+//! 2. the coroutine for calls ([`relay`]) writes the call and reads the answer, subject to a time-out;
+//! 3. the outcome returns as an event: accepted commands are done, rejected commands stay pending for the next call,
+//!    and after an unknown outcome the subscription is closed, so that a new snapshot shows which commands were
+//!    executed.
 #![warn(missing_docs)]
 mod active_connection;
 mod addresses;
--- a/crates/railhub-platform-net/src/listener.rs
+++ b/crates/railhub-platform-net/src/listener.rs
@@ -1,9 +1,11 @@
-//! The controller's own address: collectors that report, pings, and unidentified peers, who cost little and go soon.
+//! Inbound connections to the controller's listen address: from collectors, which send load reports, and from
+//! unidentified peers, which may ping. The latter are limited in memory and time.
 //!
-//! A connection: [`connection_table`] gives it a slot, or rejects it; [`session`] reads its messages until it ends.
+//! Flow of a connection: [`connection_table`] assigns it a slot or rejects it; [`session`] reads its messages until it
+//! ends.
 //!
-//! A load report: read in the collector's session, checked, and put into the inbox of the controller thread; if the
-//! inbox is full it is dropped and counted.
+//! Flow of a load report: the session of the collector reads and validates it and puts it into the inbox of the
+//! controller thread; if the inbox is full, the report is dropped and counted.
 mod connection_table;
 mod session;
 
@@ -16,18 +18,18 @@
 use railhub_platform::NodeConfig;
 use std::sync::Arc;
 
-/// Descriptors kept from inbound connections: the process's own (logs, event queue, listener), the relay's and
-/// discovery's connections, twice over during a reload.
+/// Descriptors that are not available to inbound connections: those of the process (logs, event queue, listener) and of
+/// the connections to the relay and to discovery, which are doubled during a reload.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Inbound connections allowed, however few descriptors there are.
+/// Lower bound of the connection limit, however low the descriptor limit is.
 const MIN_CONNECTIONS: usize = 8;
-/// Inbound connections allowed, however many descriptors there are: each costs some pages of stack.
+/// Upper bound of the connection limit, however high the descriptor limit is: each connection uses some pages of stack.
 const MAX_CONNECTIONS: usize = 400;
 
 /// Listens on the controller's address until the listener is dropped.
 ///
 /// # Errors
-/// [`RunError::Listen`] if the address cannot be opened.
+/// [`RunError::Listen`] if the controller cannot listen on the address.
 pub fn open(config: &NodeConfig, shared: &Arc<SharedState>) -> Result<Listener, RunError> {
     let table = Arc::new(ConnectionTable::new(max_connections(config.sockets)));
     let shared = shared.clone();
--- a/crates/railhub-platform-net/src/listener/connection_table.rs
+++ b/crates/railhub-platform-net/src/listener/connection_table.rs
@@ -1,7 +1,7 @@
-//! The inbound connections that are open, bounded in all and for each zone's collector.
+//! The open inbound connections. Their number is limited in total and per zone of a collector.
 //!
-//! States of a connection: unidentified (closed after a while, or for want of room) and joined as a zone's collector
-//! (closed when silent for long, or when too many newer ones of its zone have joined).
+//! States of a connection: unidentified (closed after a time-out, or to make room) and joined as the collector of a
+//! zone (closed after a long silence, or when too many newer connections of its zone have joined).
 use crate::rejections::{RejectionCause, Rejections};
 use may::net::TcpStream;
 use railhub::{Seconds, ZoneId};
@@ -11,31 +11,33 @@
 
 /// Seconds within which a connection must join.
 const JOIN_TIMEOUT: Seconds = 1.0;
-/// Seconds a collector may be silent: it reports each second or so, and comes back when it is cut off.
+/// Seconds that a collector may be silent: it reports about once a second, and reconnects after its connection is
+/// closed.
 const COLLECTOR_SILENCE_TIMEOUT: Seconds = 20.0;
-/// Connections of one zone's collector that may be open; older ones are closed, as cut off unnoticed.
+/// Maximum number of connections per zone of a collector. Older ones are closed, on the assumption that they were lost
+/// without notice.
 const MAX_COLLECTORS_PER_ZONE: usize = 4;
 
 struct Connection {
     closer: Closer,
-    /// The zone of the collector, once joined.
+    /// The zone of the collector; `None` until it has joined.
     zone: Option<ZoneId>,
 }
 
 #[derive(Default)]
 struct OpenConnections {
     next_id: u64,
-    /// By id, so in the order in which they came.
+    /// By id, which is the order in which they were opened.
     by_id: BTreeMap<u64, Connection>,
 }
 
-/// The open connections.
+/// The table of open connections.
 pub struct ConnectionTable {
     max_connections: usize,
     open: Mutex<OpenConnections>,
 }
 
-/// One connection's slot in the table, left when this is dropped.
+/// The slot of a connection in the table, which is released when this is dropped.
 pub struct ConnectionSlot {
     id: u64,
     table: Arc<ConnectionTable>,
@@ -43,19 +45,19 @@
 }
 
 impl ConnectionTable {
-    /// An empty table of `max_connections` places.
+    /// An empty table with `max_connections` slots.
     pub fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable { max_connections, open: Mutex::default() }
     }
 
-    /// Gives a connection a slot. When there is none, the oldest that has not joined is closed for it; `None` if all
-    /// have joined.
+    /// Assigns a connection a slot. If none is free, the oldest connection that has not joined is closed; returns
+    /// `None` if all have joined.
     pub fn admit(
         self: &Arc<ConnectionTable>,
         stream: &TcpStream,
         rejections: &Rejections,
     ) -> Option<ConnectionSlot> {
-        // Nothing that it sends before it has joined puts this off.
+        // Not restarted by anything that the peer sends before it has joined.
         let idle_timeout = IdleTimeout::both_halves(stream, JOIN_TIMEOUT);
         let mut open = self.open.lock().expect("no holder panics");
         if open.by_id.len() >= self.max_connections {
@@ -71,7 +73,7 @@
 }
 
 impl OpenConnections {
-    /// `None` if there is none.
+    /// Returns `None` if all connections have joined.
     fn close_oldest_unidentified(&mut self) -> Option<()> {
         let (&id, _) = self.by_id.iter().find(|(_, connection)| connection.zone.is_none())?;
         self.by_id.remove(&id)?.closer.close();
@@ -89,18 +91,19 @@
 }
 
 impl ConnectionSlot {
-    /// The connection is that of the zone's collector. Closes the zone's oldest ones beyond the limit.
+    /// Marks the connection as that of the zone's collector. Closes the oldest connections of the zone beyond the
+    /// limit.
     pub fn join(&mut self, zone: ZoneId, stream: &TcpStream) {
         self.idle_timeout = IdleTimeout::both_halves(stream, COLLECTOR_SILENCE_TIMEOUT);
         let mut open = self.table.open.lock().expect("no holder panics");
-        // Absent if it was closed for want of room just before.
+        // Absent if the connection has just been closed to make room.
         if let Some(connection) = open.by_id.get_mut(&self.id) {
             *connection = Connection { closer: self.idle_timeout.closer(), zone: Some(zone) };
         }
         open.close_oldest_collectors_beyond(MAX_COLLECTORS_PER_ZONE, zone);
     }
 
-    /// The collector sent something: its silence is counted from now.
+    /// Restarts the idle time-out, as the collector has sent something.
     pub fn on_bytes(&self) {
         self.idle_timeout.restart();
     }
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -1,7 +1,7 @@
-//! One inbound connection's messages, from the first to its end.
+//! Handles the messages of one inbound connection.
 //!
 //! States of the peer: unidentified (may ping, or join by naming the zone that it collects for) and collector (may ping
-//! and report). Anything else ends the connection, but an invalid report costs only itself.
+//! and report). Any other message closes the connection, except an invalid report, which is only dropped.
 use crate::descriptors::DescriptorGuard;
 use crate::events::LoadReport;
 use crate::fairness::{ReadLimiter, KNOWN_PEER_MAX_READ_TIME, UNIDENTIFIED_PEER_MAX_READ_TIME};
@@ -16,40 +16,40 @@
 use socket2::SockRef;
 use std::io::{Read, Write};
 
-/// Bytes read at once: on the coroutine's stack, so small.
+/// Size of the read buffer: small, as it is on the coroutine's stack.
 const READ_BUFFER_BYTES: usize = 2048;
-/// Bytes of room for answers that a peer has not read: the kernel doubles it for its own bookkeeping. What the peer's
-/// own kernel has taken does not count.
+/// Size of the socket's send buffer, which holds answers that the peer's kernel has not received yet. The kernel
+/// doubles the size for its own bookkeeping.
 const SEND_BUFFER_BYTES: usize = 32 << 10;
-/// Bytes of a rejected message that the log shows.
+/// Maximum size of the start of a rejected message that is logged.
 const MAX_SAMPLE_BYTES: usize = 160;
 
 enum Peer<'a> {
     Unidentified,
-    /// A zone's collector, whose descriptor is counted as one.
+    /// The collector of a zone. The guard counts its descriptor.
     Collector {
         _descriptor: DescriptorGuard<'a>,
     },
 }
 
-/// Whether the session goes on.
+/// Whether the session continues.
 #[derive(PartialEq, Eq)]
 enum NextStep {
     Continue,
     Close,
 }
 
-/// The first message that is not handled yet.
+/// The next unhandled message of the connection.
 enum Received {
-    /// It has not come completely.
+    /// The message has not arrived completely.
     Incomplete,
     Message(CollectorMessage),
-    /// It is invalid; `sample` is its start.
+    /// The message is invalid; `sample` is its start.
     Invalid {
         reason: InvalidEntry,
         sample: String,
     },
-    /// The length of a message is over the limit.
+    /// The length of the message exceeds the limit.
     TooLong,
 }
 
@@ -58,15 +58,15 @@
     peer: Peer<'a>,
     deframer: Deframer,
     limiter: ReadLimiter,
-    /// Before the stream, so that its time-out is dropped first.
+    /// Declared before the stream, so that its time-out is dropped first.
     slot: ConnectionSlot,
     stream: TcpStream,
 }
 
-/// Serves the connection until the peer ends it, or must be closed.
+/// Serves the connection until the peer closes it, or an error or a rejected message closes it.
 pub fn serve(shared: &SharedState, stream: TcpStream, slot: ConnectionSlot) {
     let _descriptor = DescriptorGuard::count(&shared.descriptors.inbound);
-    // Where the system refuses, a write that does not fit ends the session all the same, only later.
+    // An error is ignored: with the default buffer size, a write that does not fit ends the session too, only later.
     let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER_BYTES);
     let mut session = Session {
         shared,
@@ -80,7 +80,7 @@
 }
 
 impl<'a> Session<'a> {
-    /// Handles the next message, or reads more bytes if it has not come completely.
+    /// Handles the next message, or reads more bytes if it is not complete.
     fn step(&mut self) -> NextStep {
         match self.next_message() {
             Received::Incomplete => self.read(),
@@ -155,7 +155,8 @@
         NextStep::Continue
     }
 
-    /// An invalid report of a collector is dropped alone, unless nothing that follows can be trusted.
+    /// Drops an invalid report of a collector. In all other cases closes the connection: the peer has not joined, or
+    /// the start of the next message is unknown.
     fn on_invalid(&self, reason: InvalidEntry, sample: String) -> NextStep {
         if self.has_joined() && reason != InvalidEntry::Unreadable {
             self.shared.rejections.record_with_sample(RejectionCause::Report(reason), || sample);
@@ -178,8 +179,8 @@
         matches!(self.peer, Peer::Collector { .. })
     }
 
-    /// Writes without waiting: a peer that does not read what little is written must not hold a coroutine. Returns
-    /// whether all was written.
+    /// Writes without blocking, so that a peer that does not read its answers cannot hold up the coroutine. Returns
+    /// whether all bytes were written.
     fn write(&self, bytes: &[u8]) -> bool {
         self.stream.inner().write(bytes).is_ok_and(|written| written == bytes.len())
     }
--- a/crates/railhub-platform-net/src/outage_log.rs
+++ b/crates/railhub-platform-net/src/outage_log.rs
@@ -1,44 +1,44 @@
-//! When an outage is worth a log line: once it lasts, once for each cause, then seldom.
+//! Decides when an outage is logged: after a grace period, once for each cause, then as occasional reminders.
 //!
-//! States: no outage; unlogged (it has not lasted long); logged (each new cause, up to a few, and reminders follow).
+//! States: no outage; unlogged (within the grace period); logged (each new cause up to a limit, then reminders).
 use crate::peer_health::Outage;
 use railhub::Seconds;
 
-/// Seconds an outage lasts before it is logged.
+/// Seconds that an outage must last before it is logged.
 pub const GRACE_PERIOD: Seconds = 5.0;
-/// Seconds between lines about an outage whose causes are all logged.
+/// Seconds between log lines about an outage without a new cause.
 pub const REMINDER_INTERVAL: Seconds = 60.0;
-/// Causes of one outage that are logged at once; further ones wait for the reminder.
+/// Maximum number of causes of one outage that are logged immediately; further causes are logged with the reminders.
 const MAX_LOGGED_CAUSES: usize = 4;
 
-/// What is to be logged of an outage.
+/// A log line about an outage.
 #[derive(Debug, PartialEq)]
 pub enum OutageNotice {
-    /// It lasts.
+    /// The outage is ongoing.
     Ongoing {
-        /// Seconds since it began.
+        /// Seconds since the outage began.
         elapsed: Seconds,
-        /// The last error; empty where there is none.
+        /// The last error; empty if there is none.
         cause: String,
     },
-    /// One that was logged has ended.
+    /// An outage that was logged has ended.
     Ended {
-        /// Seconds that it lasted.
+        /// Seconds that the outage lasted.
         elapsed: Seconds,
     },
 }
 
-/// Decides on the log lines of one kind of outage.
+/// Decides on the log lines about one kind of outage.
 #[derive(Default)]
 pub struct OutageLog {
-    /// When the outage began that was logged.
+    /// When the logged outage began; `None` if none is logged.
     logged_since: Option<Seconds>,
     logged_causes: Vec<String>,
     reminder_at: Seconds,
 }
 
 impl OutageLog {
-    /// What to log now, given the outage that lasts, if one does.
+    /// Returns what to log now, given the current outage, if there is one.
     pub fn check(&mut self, now: Seconds, outage: Option<Outage>) -> Option<OutageNotice> {
         let Some(outage) = outage else { return self.on_no_outage(now) };
         let elapsed = now - outage.since;
--- a/crates/railhub-platform-net/src/outage_monitor.rs
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -1,10 +1,10 @@
-//! Checks periodically whether the controller can serve, and logs why it cannot.
+//! Checks periodically whether the controller can do its work, and logs outages that prevent it.
 use crate::outage_log::{OutageLog, OutageNotice};
 use crate::peer_health::Outage;
 use crate::shared_state::SharedState;
 use railhub::Seconds;
 
-/// The outages that are logged.
+/// The logs of all kinds of outage.
 #[derive(Default)]
 pub struct OutageMonitor {
     subscription: OutageLog,
@@ -13,7 +13,7 @@
     hosts: EmptinessTracker,
 }
 
-/// The outage that a population is empty, found by looking.
+/// Detects since when a group, the joined proxies or the listed hosts, is empty, and logs it as an outage.
 #[derive(Default)]
 struct EmptinessTracker {
     empty_since: Option<Seconds>,
@@ -52,7 +52,8 @@
     OutageMessages { ongoing: "endpoint list empty", ended: "endpoint list has hosts again" };
 
 impl OutageMonitor {
-    /// Looks at all of them. The relay's outage explains that no proxy is joined, which is not logged meanwhile.
+    /// Checks all kinds of outage. During an outage of the relay, the lack of proxies is not logged, as it is a
+    /// consequence.
     pub fn check(&mut self, now: Seconds, shared: &SharedState) {
         let relay_outage = shared.relay_health.outage();
         let status = shared.status();
@@ -67,7 +68,7 @@
 fn log(messages: &OutageMessages, notice: Option<OutageNotice>) {
     match notice {
         Some(OutageNotice::Ongoing { elapsed, cause }) => {
-            // Where there is no cause, there is no field.
+            // Without a cause, the field is omitted.
             let cause = Some(cause.as_str()).filter(|cause| !cause.is_empty());
             tracing::warn!(elapsed_s = whole_seconds(elapsed), cause, "{}", messages.ongoing);
         }
--- a/crates/railhub-platform-net/src/process/tests.rs
+++ b/crates/railhub-platform-net/src/process/tests.rs
@@ -1,5 +1,6 @@
-//! The end of the process after a panic.
-/// Set for the process that the test below starts.
+//! Termination of the process after a panic.
+
+/// Environment variable that marks the child process started by the test.
 const CHILD_ENV_VAR: &str = "RAILHUB_TEST_PANICS";
 
 #[test]
@@ -10,12 +11,13 @@
         std::thread::sleep(std::time::Duration::from_secs(10));
         return;
     }
-    let mut child = std::process::Command::new(std::env::current_exe().expect("this one"));
+    let mut child =
+        std::process::Command::new(std::env::current_exe().expect("the path of the test program"));
     let output = child
         .args(["panic_in_a_coroutine", "--nocapture"])
         .env(CHILD_ENV_VAR, "1")
         .output()
-        .expect("it runs");
+        .expect("the child runs");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(101), "{stderr}");
     assert!(stderr.contains("controller aborted") && stderr.contains("a coroutine is lost"), "{stderr}");
--- a/crates/railhub-platform-net/src/reconnect.rs
+++ b/crates/railhub-platform-net/src/reconnect.rs
@@ -1,18 +1,19 @@
-//! Keeps a long-lived connection to a peer: connects, follows it until it ends, waits, connects again.
+//! Keeps a long-lived connection to a peer: connects, serves the connection until it ends, waits, connects again.
 //!
-//! States: following (the last connection brought an answer) and failing (it has ended since, which is logged once). A
-//! reload starts new followers; those of an older configuration end by themselves.
+//! States: answering (initially, and once a connection has received an answer) and failing (a connection has ended
+//! since the last answer; only the first one is logged). A reload starts new reconnect loops; those of an older
+//! configuration end by themselves.
 use crate::peer_health::PeerHealth;
 use crate::shared_state::SharedState;
 use crate::timeouts::AdaptiveTimeout;
 use railhub::Seconds;
 use railhub_net::seconds;
 
-/// The time-outs of a reconnect loop's connections.
+/// The time-outs of the connections of a reconnect loop.
 pub struct ReconnectTimeouts {
-    /// Seconds of silence that end a connection, and at first the wait for a connection's first answer.
+    /// Seconds of silence after which a connection is closed; also the initial time-out for the first answer.
     pub silence: Seconds,
-    /// Seconds that the wait for a first answer grows to.
+    /// Maximum time-out in seconds for the first answer.
     pub max_first_answer: Seconds,
     /// Seconds between the end of a connection and the next attempt.
     pub retry_interval: Seconds,
@@ -36,30 +37,31 @@
         ConnectionAttempts { first_answer_timeout, state: PeerState::Answering }
     }
 
-    /// Seconds to wait for the first answer of this connection.
+    /// Time-out in seconds for the first answer on this connection.
     pub fn first_answer_timeout(&self) -> Seconds {
         self.first_answer_timeout.current()
     }
 
-    /// The peer answered on this connection.
+    /// Records that the peer has answered on this connection.
     pub fn on_answer(&mut self) {
         self.first_answer_timeout.reset();
         self.state = PeerState::Answering;
     }
 
-    /// The connection timed out before the peer's first answer.
+    /// Records that the connection timed out before the first answer; lengthens the time-out.
     pub fn on_first_answer_timeout(&mut self) {
         self.first_answer_timeout.double();
     }
 
-    /// The connection ended. Returns whether it is the first to fail since the last answer.
+    /// Records that the connection ended. Returns whether it is the first one to end since the last answer.
     fn on_failure(&mut self) -> bool {
         std::mem::replace(&mut self.state, PeerState::Failing) == PeerState::Answering
     }
 }
 
-/// Runs one connection after another by `connect`, which returns why the connection ended, as long as the configuration
-/// of this version is in force. `log_failure` gets the first failure since the last answer.
+/// Runs connections one after another as long as `version` is the current version of the configuration. `connect`
+/// establishes and serves one connection and returns why it ended. `log_failure` is called for the first failure since
+/// the last answer.
 pub fn keep_connected<E: ToString>(
     shared: &SharedState,
     version: u64,
--- a/crates/railhub-platform-net/src/rejections.rs
+++ b/crates/railhub-platform-net/src/rejections.rs
@@ -1,18 +1,19 @@
-//! Counts messages and connections that were rejected, by cause, and logs few of them: floods cost the log little.
+//! Counts rejected messages and connections by cause, and logs only some of them, so that a flood does not fill the
+//! log.
 use railhub_platform::InvalidEntry;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// What was rejected.
+/// What was rejected, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionCause {
-    /// An inbound connection beyond the limit: it, or the oldest unidentified one, was closed.
+    /// An inbound connection exceeded the limit: it, or the oldest unidentified connection, was closed.
     ConnectionLimit,
-    /// A peer that had not joined sent something else than a ping or a join: its connection was closed.
+    /// A peer that had not joined sent a message other than a ping or a join: its connection was closed.
     UnidentifiedPeer,
-    /// A collector sent something after which nothing can be trusted: its connection was closed.
+    /// A collector sent an unreadable or unexpected message: its connection was closed.
     CollectorStream,
-    /// A collector's report was invalid for this reason, and was dropped.
+    /// A report of a collector was invalid for this reason, and was dropped.
     Report(InvalidEntry),
     /// An event of the relay was invalid: the subscription was closed.
     RelayEvent,
@@ -20,12 +21,12 @@
     EndpointPage,
     /// An entry of the endpoint list was invalid, and was dropped.
     EndpointEntry,
-    /// A health check proved nothing: its response was no HTTP, or this process ran out of something.
+    /// A health check had no result: the response was not HTTP, or this process lacked a resource.
     HealthCheckResponse,
 }
 
 impl RejectionCause {
-    /// The cause's name in the log.
+    /// The name of the cause in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectionCause::ConnectionLimit => "connection_limit",
@@ -44,7 +45,7 @@
     }
 }
 
-/// Rejections by cause since the start.
+/// Numbers of rejections by cause since the start of the process.
 #[derive(Default)]
 pub struct Rejections(Mutex<BTreeMap<RejectionCause, u64>>);
 
@@ -54,7 +55,7 @@
         self.record_with_sample(cause, String::new);
     }
 
-    /// Counts one rejection; the first, second, fourth, eighth and so on of a cause is logged with the sample.
+    /// Counts one rejection. Logs the first, second, fourth, eighth and so on of a cause, with the sample.
     pub fn record_with_sample(&self, cause: RejectionCause, sample: impl FnOnce() -> String) {
         let count = self.increment(cause);
         if count.is_power_of_two() {
@@ -69,7 +70,7 @@
         *count
     }
 
-    /// The counts by the name of their cause.
+    /// The numbers of rejections by the name of the cause.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         let counts = self.0.lock().expect("no holder panics");
         counts.iter().map(|(cause, count)| (cause.as_str(), *count)).collect()
--- a/crates/railhub-platform-net/src/relay.rs
+++ b/crates/railhub-platform-net/src/relay.rs
@@ -1,11 +1,13 @@
-//! The relay: its events on one connection, our calls on another, one call at a time and in order.
+//! The connections to the relay: one for the subscription to its events, one for calls, which are made one at a time
+//! and in order.
 //!
-//! A subscription: [`subscription`] announces itself to the controller thread, connects, subscribes and sends each
-//! event on, until the connection ends, a line is invalid or a newer configuration's subscription takes its place.
+//! Flow of a subscription: [`subscription`] announces itself to the controller thread, connects, subscribes and
+//! forwards each event, until the connection ends, a line is invalid or the subscription of a newer configuration
+//! replaces it.
 //!
-//! A call: the controller thread gives it to the [`CallSender`]; [`calls`] writes it on the kept connection, or on a
-//! new one, reads the one line that answers it and sends the outcome back. Without a readable answer in time the
-//! outcome is unknown and the connection is closed.
+//! Flow of a call: the controller thread passes it to the [`CallSender`]; [`calls`] writes it to the idle connection,
+//! or to a new one, reads the answer, which is one line, and sends the outcome to the controller thread. Without a
+//! valid answer in time, the outcome is unknown and the connection is closed.
 mod calls;
 mod error;
 mod line_reader;
--- a/crates/railhub-platform-net/src/relay/calls.rs
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -16,21 +16,21 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Seconds for the answer to a call: the relay gives it within 0.05 s or never; the rest is for our own lateness on
-/// part of a core.
+/// Time-out in seconds for the answer to a call. The relay answers within 0.05 s or never; the rest allows for delays
+/// of this process, which has only part of a core.
 const CALL_TIMEOUT: Seconds = 0.25;
-/// Seconds a connection for calls may be idle and be used again: the relay closes idle ones by and by, and a call that
-/// meets a closed one would have an unknown outcome.
+/// Seconds that a connection for calls may be idle and still be reused. The relay closes connections that are idle for
+/// longer, and a call on a closed connection would have an unknown outcome.
 const MAX_IDLE_TIME: Seconds = 1.0;
-/// Bytes of an invalid answer that the error shows.
+/// Maximum size of the start of an invalid answer that the error contains.
 const MAX_LINE_START_BYTES: usize = 200;
 
-/// Hands calls to the coroutine that makes them.
+/// Passes calls to the coroutine that makes them.
 pub struct CallSender {
     slot: Arc<CallSlot>,
 }
 
-/// Holds the call that is to be made next: the controller thread has one in flight at most.
+/// Holds the next call. One slot is enough, as the controller thread has at most one call in flight.
 struct CallSlot {
     next: Mutex<Option<Call>>,
     filled: Semphore,
@@ -62,7 +62,7 @@
         CallSender { slot }
     }
 
-    /// Sends a call; its outcome comes back as [`ControllerEvent::CallCompleted`].
+    /// Sends a call; its outcome is reported as a [`ControllerEvent::CallCompleted`].
     pub fn send(&self, call: Call) {
         self.slot.put(call);
     }
@@ -104,7 +104,7 @@
         Ok(answer)
     }
 
-    /// The kept connection if it can be used, or a new one.
+    /// Takes the idle connection if it can be reused, otherwise opens a new one.
     fn take_or_open_connection(&mut self) -> Result<CallConnection, RelayError> {
         let address = self.shared.addresses.get().relay;
         if let Some(idle) = self.idle_connection.take().filter(|idle| idle.is_reusable(address)) {
@@ -116,8 +116,9 @@
 }
 
 impl CallConnection {
-    /// Whether it leads to this address, was used lately, is open, and brought nothing since its last answer: a call on
-    /// one that the relay has closed would have an unknown outcome, and what came unasked would pass for its answer.
+    /// Whether the connection is to this address, was used recently, is open, and has received nothing since its last
+    /// answer. A call on a connection that the relay has closed would have an unknown outcome, and unsolicited bytes
+    /// would be taken for its answer.
     fn is_reusable(&self, address: SocketAddr) -> bool {
         self.address == address && now() - self.last_used_at < MAX_IDLE_TIME && self.has_nothing_to_read()
     }
--- a/crates/railhub-platform-net/src/relay/error.rs
+++ b/crates/railhub-platform-net/src/relay/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection to the relay ended.
+//! Errors of connections to the relay.
 use railhub_platform::InvalidEntry;
 use railhub_proto::FrameError;
 use std::io;
@@ -7,26 +7,26 @@
 /// Why a connection to the relay, or a call on it, failed.
 #[derive(Debug, Error)]
 pub enum RelayError {
-    /// No connection came up.
+    /// No connection could be established.
     #[error("cannot connect to the relay: {0}")]
     Connect(#[source] io::Error),
-    /// The subscription could not be written.
+    /// The subscription request could not be sent.
     #[error("cannot send the subscription to the relay: {0}")]
     Subscribe(#[source] io::Error),
     /// The relay did not answer the subscription in time.
     #[error("no answer from the relay to the subscription")]
     SubscriptionTimeout,
-    /// A newer configuration's subscription is active.
+    /// The subscription of a newer configuration is active.
     #[error("superseded by the subscription of a newer configuration")]
     Superseded,
-    /// No line came within the time-out.
+    /// No complete line arrived within the time-out.
     #[error("relay silent for too long")]
     IdleTimeout,
     /// The relay closed the connection.
     #[error("connection closed by the relay")]
     Closed,
-    /// A line is longer than the limit.
-    #[error("line of the relay too long: {0}")]
+    /// A line exceeds the limit.
+    #[error("line from the relay too long: {0}")]
     LineTooLong(#[source] FrameError),
     /// Reading or writing failed.
     #[error("connection to the relay failed: {0}")]
@@ -35,7 +35,7 @@
     #[error("invalid event from the relay: {0}")]
     InvalidEvent(#[source] InvalidEntry),
     /// The answer to a call is invalid.
-    #[error("invalid answer from the relay: {reason}: {line_start}")]
+    #[error("invalid answer from the relay ({reason}): {line_start}")]
     InvalidAnswer {
         /// What is wrong with it.
         reason: InvalidEntry,
--- a/crates/railhub-platform-net/src/relay/line_reader/tests.rs
+++ b/crates/railhub-platform-net/src/relay/line_reader/tests.rs
@@ -1,4 +1,4 @@
-//! Reading a line against its time-out.
+//! Reading of a line whose time-out has expired.
 use super::*;
 use railhub_net::{dial, seconds, spawn};
 use std::io::Write;
@@ -13,7 +13,7 @@
         spawn(move || {
             let mut stream = dial(address, 1.0).expect("the listener is open");
             stream.write_all(b"ask\n").expect("writable");
-            // Read only once the time-out has expired, with the bytes in the socket.
+            // Reads only after the bytes have arrived in the socket and the time-out has expired.
             while stream.inner().peek(&mut [0; 8]).unwrap_or(0) < sent.len() {
                 may::coroutine::sleep(seconds(0.001));
             }
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -1,7 +1,7 @@
 //! The subscription to the relay's events.
 //!
-//! States of a connection: requested (until the relay confirms), active (each line is an event; it may be silent only
-//! for a while), ended.
+//! States of a connection: requested (until the relay confirms the subscription), active (each line is an event; an
+//! idle time-out applies), ended.
 use crate::addresses::Addresses;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
@@ -23,12 +23,12 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Seconds an active subscription may be silent: a sign of life comes each second.
+/// Seconds that an active subscription may be silent: the relay sends a heartbeat each second.
 const SILENCE_TIMEOUT: Seconds = 2.5;
-/// Seconds at most for a slow relay's answer to the subscription: short, as one that was cut off and is back may never
-/// answer a request that came meanwhile.
+/// Maximum time-out in seconds for a slow relay's answer to the subscription. It is short, as a relay that was cut off
+/// may never answer a request that it received during that time.
 const MAX_SUBSCRIPTION_TIMEOUT: Seconds = 5.0;
-/// Seconds between attempts while the relay is out of reach.
+/// Seconds between connection attempts while the relay is unreachable.
 const RETRY_INTERVAL: Seconds = 0.15;
 
 const TIMEOUTS: ReconnectTimeouts = ReconnectTimeouts {
@@ -37,7 +37,7 @@
     retry_interval: RETRY_INTERVAL,
 };
 
-/// Starts a reconnect loop for the relay address in force now; an earlier loop ends by itself.
+/// Starts a reconnect loop for the current relay address. A loop of an earlier configuration ends by itself.
 pub fn start_subscription(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
@@ -50,7 +50,7 @@
     });
 }
 
-/// One subscription, from its announcement to its end.
+/// Runs one subscription, from its announcement to the controller thread to its end.
 fn run_subscription(
     shared: &SharedState,
     addresses: Addresses,
@@ -58,7 +58,7 @@
 ) -> RelayError {
     let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
     let id = SubscriptionId { config_version: addresses.version, sequence: count };
-    // The controller thread knows before the relay can.
+    // The controller thread is notified before the relay can receive the request.
     shared.inbox.send(ControllerEvent::SubscriptionRequested(id));
     let Err(error) = subscribe(shared, addresses, id, attempts);
     shared.inbox.send(ControllerEvent::SubscriptionEnded(id));
@@ -96,7 +96,7 @@
 enum SubscriptionState<'a> {
     /// The relay has not confirmed it.
     Requested,
-    /// The relay has confirmed it: it counts as usable until this is dropped.
+    /// The relay has confirmed it. The connection counts as usable until the guard is dropped.
     Active { _usable: UsableConnection<'a> },
 }
 
@@ -106,13 +106,13 @@
     id: SubscriptionId,
     lines: LineSplitter,
     state: SubscriptionState<'a>,
-    /// Before the stream, so that it is dropped first.
+    /// Declared before the stream, so that it is dropped first.
     idle_timeout: IdleTimeout,
     stream: TcpStream,
 }
 
 impl Subscription<'_> {
-    /// Receives one event and sends it on.
+    /// Receives one event and forwards it.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
         let read = next_line(&mut self.stream, &self.idle_timeout, &mut self.lines, wire::decode_event);
         let event = match read {
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// The relay has confirmed the subscription: it takes the place of an earlier one.
+    /// Handles the confirmation of the relay: the subscription replaces an earlier one.
     fn activate(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
         self.idle_timeout = IdleTimeout::both_halves(&self.stream, SILENCE_TIMEOUT);
         if !self.shared.subscription.activate(self.addresses.version, self.idle_timeout.closer()) {
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the controller in their order.
+//! Starts the parts of the controller in order.
 use crate::config_file::read_config;
 use crate::controller_thread::ControllerThread;
 use crate::error::RunError;
@@ -10,13 +10,13 @@
 use railhub_platform::NodeConfig;
 use std::path::Path;
 
-/// Coroutine stacks kept for reuse: a controller here has some hundred connections at most.
+/// Maximum number of free coroutine stacks kept for reuse: a controller here has at most some hundred connections.
 const STACK_POOL_CAPACITY: usize = 64;
 
-/// Runs the controller that the configuration file describes, until a signal or a panic ends the process.
+/// Runs the controller with this configuration file until a signal or a panic ends the process.
 ///
 /// # Errors
-/// [`RunError`] if the start fails; it does not return otherwise.
+/// [`RunError`] if the start fails. Does not return otherwise.
 pub fn run(path: &Path, signals: Signals) -> Result<(), RunError> {
     exit_on_panic();
     let config = read_config(path)?;
@@ -37,7 +37,7 @@
     status_log::run(&shared, config.memory_mb)
 }
 
-/// An invalid entry of the known list does not end the start, which would leave nobody in control.
+/// Logs invalid entries of the known list. They do not prevent the start, as there would be no controller then.
 fn log_invalid_entries(config: &NodeConfig) {
     let invalid_entries = config.known_endpoints.invalid.len();
     if invalid_entries > 0 {
--- a/crates/railhub-platform-net/src/shared_state.rs
+++ b/crates/railhub-platform-net/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! What the threads and coroutines of one process share, each part with its own lock or atomics.
+//! The state that the threads and coroutines of the process share. Each part has its own lock or atomics.
 use crate::active_connection::ActiveConnection;
 use crate::addresses::CurrentAddresses;
 use crate::descriptors::OpenDescriptors;
@@ -11,19 +11,19 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
 
-/// Pages of the endpoint list that may wait for the controller thread: each may be a complete list.
+/// Maximum number of queued pages of the endpoint list: low, as each may be a complete list.
 const MAX_QUEUED_PAGES: usize = 4;
 
-/// Calls to the relay and subscriptions, counted since the start.
+/// Numbers of calls to the relay and of subscriptions since the start of the process.
 #[derive(Default)]
 pub struct RelayCounters {
-    /// Subscriptions requested on a connection that came up.
+    /// Subscriptions requested on an established connection.
     pub subscriptions: AtomicU64,
     /// Calls sent.
     pub calls: AtomicU64,
-    /// Calls that ended without a readable answer.
+    /// Calls without a valid answer, whose outcome is unknown.
     pub calls_unknown: AtomicU64,
-    /// Calls that the relay rejected, as before the run begins.
+    /// Calls that the relay rejected, as it does before the run begins.
     pub calls_rejected: AtomicU64,
 }
 
@@ -33,33 +33,33 @@
     pub inbox: ControllerInbox,
     /// Names of zones, classes and machine types.
     pub names: Names,
-    /// Slices of the deployment; a report of another is rejected.
+    /// Number of slices of the deployment; a report about another slice is rejected.
     pub slices: u16,
-    /// The relay's and discovery's addresses in force.
+    /// The current addresses of the relay and of discovery.
     pub addresses: CurrentAddresses,
-    /// Subscriptions attempted, whether the relay could be reached or not; numbers the next one.
+    /// Number of subscription attempts, including those without a connection. Gives each attempt its sequence number.
     pub subscription_attempts: AtomicU64,
     /// The subscription in use.
     pub subscription: ActiveConnection,
     /// The discovery watch in use.
     pub discovery_watch: ActiveConnection,
-    /// Whether the relay's subscription is up.
+    /// Health of the subscription to the relay.
     pub relay_health: PeerHealth,
-    /// Whether the discovery watch is up.
+    /// Health of the discovery watch.
     pub discovery_health: PeerHealth,
-    /// One permit a queued page: taken by the watch before it sends a page, returned by the controller thread.
+    /// One permit for each queued page: taken by the watch before it sends a page, returned by the controller thread.
     pub page_permits: Semphore,
-    /// Open descriptors by holder.
+    /// Numbers of open descriptors by use.
     pub descriptors: OpenDescriptors,
     /// Counters of calls and subscriptions.
     pub relay_counters: RelayCounters,
-    /// Counters of what was rejected.
+    /// Counters of rejected messages and connections.
     pub rejections: Rejections,
     status: Mutex<ControllerStatus>,
 }
 
 impl SharedState {
-    /// The state at the start, with no connection up.
+    /// The state at the start of the process, without connections.
     pub fn new(config: &NodeConfig) -> Arc<SharedState> {
         Arc::new(SharedState {
             inbox: new_inbox(),
@@ -79,7 +79,7 @@
         })
     }
 
-    /// The controller's status as last published.
+    /// The last published status of the controller.
     pub fn status(&self) -> ControllerStatus {
         self.status.lock().expect("no holder panics").clone()
     }
--- a/crates/railhub-platform-net/src/signals.rs
+++ b/crates/railhub-platform-net/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM ends the process at once; SIGHUP reloads the configuration.
+//! Signal handling: SIGTERM ends the process immediately; SIGHUP reloads the configuration.
 use crate::config_file::read_config;
 use crate::process::exit_now;
 use crate::shared_state::SharedState;
@@ -8,19 +8,20 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The signals, held from when this is made until they are handled.
+/// The registered signals. Signals that arrive before they are handled are kept.
 pub struct Signals(signal_hook::iterator::Signals);
 
 impl Signals {
-    /// Starts to hold the signals. To be called first in the process: before it, a signal ends it the system's way.
+    /// Registers the signals. To be called first in the process: until then, a signal has its default effect and ends
+    /// the process.
     ///
     /// # Errors
-    /// If the system refuses a handler.
+    /// The error of the system if a handler cannot be registered.
     pub fn register() -> std::io::Result<Signals> {
         signal_hook::iterator::Signals::new([SIGHUP, SIGTERM]).map(Signals)
     }
 
-    /// Handles the signals, those held first, on a thread of its own.
+    /// Handles the signals on a separate thread, beginning with those that have arrived already.
     pub(crate) fn handle(mut self, path: PathBuf, shared: Arc<SharedState>) -> std::io::Result<()> {
         let handle_each = move || {
             for signal in self.0.forever() {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Reads the configuration again and puts its addresses in force. An invalid file changes nothing.
+/// Reads the configuration again and applies its addresses. An invalid file changes nothing.
 fn reload(path: &Path, shared: &Arc<SharedState>) {
     match read_config(path) {
         Ok(config) => apply_addresses(&config, shared),
@@ -42,7 +43,7 @@
     }
 }
 
-/// The new addresses count at once; the old connections are closed when the new ones are active.
+/// Applies the new addresses immediately. The old connections stay open until the new ones are active.
 fn apply_addresses(config: &NodeConfig, shared: &Arc<SharedState>) {
     let addresses = shared.addresses.replace(config.relay, config.discovery);
     tracing::info!(relay = %addresses.relay, discovery = %addresses.discovery, "configuration reloaded");
--- a/crates/railhub-platform-net/src/status.rs
+++ b/crates/railhub-platform-net/src/status.rs
@@ -1,63 +1,64 @@
-//! The controller's status, as the controller thread publishes it for the log, the outage monitor and the watch.
+//! The status of the controller, which the controller thread publishes for the log, the outage monitor and the
+//! discovery watch.
 use hdrhistogram::Histogram;
 use railhub::Seconds;
 
-/// Seconds past which a duration is recorded as this one.
+/// Upper limit of a recorded duration in seconds; longer ones are recorded as this.
 const MAX_RECORDED_DURATION: Seconds = 60.0;
-/// Significant decimal digits of a recorded duration.
+/// Number of significant decimal digits of a recorded duration.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Percentiles of one kind of duration.
+/// The 99th percentile and the maximum of one kind of duration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DurationSummary {
-    /// Seconds that 99 of 100 stayed within.
+    /// 99th percentile in seconds.
     pub p99: Seconds,
-    /// Seconds of the longest.
+    /// Maximum in seconds.
     pub max: Seconds,
 }
 
-/// What is logged of the controller, since the start of the process unless it is a current value.
+/// The status of the controller. Counts are since the start of the process, unless they are described as current.
 #[derive(Clone, Debug, Default)]
 pub struct ControllerStatus {
-    /// Generation of the endpoint list now.
+    /// Generation of the current endpoint list.
     pub generation: u64,
-    /// Proxies joined now.
+    /// Current number of joined proxies.
     pub proxies: usize,
-    /// Hosts listed now.
+    /// Current number of listed hosts.
     pub hosts: usize,
-    /// Commands that the relay has not accepted yet.
+    /// Current number of commands that the relay has not accepted yet.
     pub pending_commands: usize,
-    /// Batches handled by the decisions.
+    /// Number of batches handled by the decisions.
     pub batches: u64,
-    /// The relay's first snapshot has been applied: commands may be decided.
+    /// Whether the first snapshot of the relay has been applied, so that commands may be decided.
     pub snapshot_applied: bool,
-    /// Load reports dropped for want of room.
+    /// Load reports dropped because a queue was full.
     pub reports_dropped: u64,
-    /// Health checks dropped for want of room.
+    /// Health checks dropped because their queue was full.
     pub health_checks_dropped: u64,
-    /// Health checks whose host had moved, restarted or left by the time they ended.
+    /// Health checks whose host had moved, restarted or left before they were completed.
     pub health_checks_stale: u64,
-    /// Commands that a later one about the same thing replaced.
+    /// Commands that were replaced by a later command about the same target.
     pub commands_coalesced: u64,
-    /// Admission rates left out, as the configuration does not name their class.
+    /// Admission rates that were omitted because the configuration has no name for their class.
     pub unnamed_classes: u64,
-    /// By how much timers ran late.
+    /// Delay of timers after their due time.
     pub timer_lateness: DurationSummary,
-    /// Time of a call to the relay.
+    /// Time from sending a call to the relay to its answer.
     pub call_latency: DurationSummary,
-    /// From the first load report that no call had followed to the answer of the next call.
+    /// Time from the oldest load report since the previous call to the answer to the next call.
     pub report_latency: DurationSummary,
-    /// Seconds of the longest batch.
+    /// Duration of the longest batch in seconds.
     pub longest_batch: Seconds,
 }
 
-/// Records durations of one kind.
+/// Records durations of one kind in a histogram.
 pub struct DurationRecorder(Histogram<u64>);
 
 impl Default for DurationRecorder {
     fn default() -> DurationRecorder {
         let histogram = Histogram::new_with_max(micros(MAX_RECORDED_DURATION), SIGNIFICANT_DIGITS);
-        DurationRecorder(histogram.expect("the digits are in the histogram's range"))
+        DurationRecorder(histogram.expect("valid bounds of the histogram"))
     }
 }
 
@@ -67,7 +68,7 @@
         self.0.saturating_record(micros(duration));
     }
 
-    /// The percentiles so far.
+    /// The percentile and the maximum of all durations so far.
     pub fn summary(&self) -> DurationSummary {
         DurationSummary { p99: seconds(self.0.value_at_quantile(0.99)), max: seconds(self.0.max()) }
     }
--- a/crates/railhub-platform-net/src/status_log.rs
+++ b/crates/railhub-platform-net/src/status_log.rs
@@ -1,5 +1,5 @@
-//! Logs the status every few seconds: what holds descriptors and memory, what was rejected, how late things are.
-//! Between the lines it looks for outages.
+//! Logs the status every few seconds: the use of descriptors and memory, rejections and latencies. Checks for outages
+//! once a second.
 use crate::clock::now;
 use crate::outage_monitor::OutageMonitor;
 use crate::shared_state::SharedState;
@@ -7,14 +7,14 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// Seconds between looks for outages.
+/// Time between checks for outages.
 const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Looks for outages for each status line.
+/// Number of outage checks per status line.
 const CHECKS_PER_STATUS: u64 = 5;
-/// Bytes of a memory page.
+/// Size of a memory page.
 const PAGE_BYTES: usize = 4096;
 
-/// Runs until the process ends, on the calling thread.
+/// Runs on the calling thread until the process ends.
 pub fn run(shared: &SharedState, memory_limit_mb: usize) -> ! {
     let mut outages = OutageMonitor::default();
     let mut checks: u64 = 0;
@@ -73,7 +73,7 @@
     );
 }
 
-/// Megabytes that the process has in memory; 0 if the system does not show it.
+/// Resident memory of the process in MiB; 0 if the system does not report it.
 fn resident_memory_mb() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident_pages: usize = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
--- a/crates/railhub-platform-net/src/timeouts.rs
+++ b/crates/railhub-platform-net/src/timeouts.rs
@@ -1,12 +1,12 @@
-//! How long to wait for a connection, and for a slow peer's first answer on it.
+//! Time-outs for establishing a connection, and for the first answer of a slow peer on it.
 use railhub::Seconds;
 
-/// Seconds a connection to the relay or to discovery may take to come up: both are on a near network, and another
-/// attempt follows.
+/// Seconds that establishing a connection to the relay or to discovery may take: both are on a nearby network, and
+/// another attempt follows.
 pub const CONNECT_TIMEOUT: Seconds = 0.5;
 
-/// A time-out for the first answer on a connection. It doubles with each connection that it ended, up to a maximum, so
-/// that a peer that is slow, but not away, answers at last.
+/// A time-out for the first answer on a connection. It is doubled each time it expires, up to a maximum, so that a peer
+/// that is slow but available can eventually answer.
 pub struct AdaptiveTimeout {
     initial: Seconds,
     max: Seconds,
@@ -14,22 +14,22 @@
 }
 
 impl AdaptiveTimeout {
-    /// A time-out that starts at `initial` seconds and is `max` seconds at most.
+    /// A time-out that starts at `initial` seconds and grows to at most `max` seconds.
     pub fn new(initial: Seconds, max: Seconds) -> AdaptiveTimeout {
         AdaptiveTimeout { initial, max, current: initial }
     }
 
-    /// Seconds to wait for the first answer on the next connection.
+    /// The current time-out in seconds, for the next connection.
     pub fn current(&self) -> Seconds {
         self.current
     }
 
-    /// A connection timed out before its first answer.
+    /// Doubles the time-out, up to the maximum, after it has expired.
     pub fn double(&mut self) {
         self.current = (2.0 * self.current).min(self.max);
     }
 
-    /// The peer answered.
+    /// Resets the time-out after an answer.
     pub fn reset(&mut self) {
         self.current = self.initial;
     }
--- a/crates/railhub-platform-net/tests/outage_log.rs
+++ b/crates/railhub-platform-net/tests/outage_log.rs
@@ -1,4 +1,4 @@
-//! When an outage is logged: not at once, once for each cause, then seldom, whatever it flaps between.
+//! When an outage is logged: after the grace period, once for each cause, then as reminders, even if causes alternate.
 use railhub_platform_net::outage_log::{OutageLog, OutageNotice, GRACE_PERIOD, REMINDER_INTERVAL};
 use railhub_platform_net::peer_health::Outage;
 
