--- a/crates/railhub-net/src/http/chunked.rs
+++ b/crates/railhub-net/src/http/chunked.rs
@@ -43,8 +43,8 @@
     /// [`HttpError::Malformed`] if a chunk size is invalid.
     pub fn push(&mut self, mut bytes: &[u8], mut on_data: impl FnMut(&[u8])) -> Result<(), HttpError> {
         while !bytes.is_empty() && !self.has_ended() {
-            let used = self.step(bytes, &mut on_data)?;
-            bytes = &bytes[used..];
+            let consumed = self.step(bytes, &mut on_data)?;
+            bytes = &bytes[consumed..];
         }
         Ok(())
     }
@@ -59,19 +59,19 @@
                 }
                 Ok(1)
             }
-            DecoderState::Data(left) => {
-                let count = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
+            DecoderState::Data(remaining) => {
+                let count = usize::try_from(*remaining).unwrap_or(usize::MAX).min(bytes.len());
                 on_data(&bytes[..count]);
-                *left -= count as u64;
-                if *left == 0 {
+                *remaining -= count as u64;
+                if *remaining == 0 {
                     self.state = DecoderState::LineEnd(LINE_END_BYTES);
                 }
                 Ok(count)
             }
-            DecoderState::LineEnd(left) => {
-                let count = (*left).min(bytes.len());
-                *left -= count;
-                if *left == 0 {
+            DecoderState::LineEnd(remaining) => {
+                let count = (*remaining).min(bytes.len());
+                *remaining -= count;
+                if *remaining == 0 {
                     self.state = DecoderState::SizeLine(Vec::new());
                 }
                 Ok(count)
--- a/crates/railhub-net/src/idle_timeout.rs
+++ b/crates/railhub-net/src/idle_timeout.rs
@@ -107,18 +107,18 @@
         *self.descriptor.lock().expect("no holder panics") = None;
     }
 
-    fn seconds_left(&self) -> f64 {
+    fn seconds_remaining(&self) -> f64 {
         f64::from_bits(self.restarted_at.load(Ordering::Relaxed)) + self.timeout - now()
     }
 
     /// Shuts down the socket if the time-out has expired. Returns the seconds to the next check, if one is needed.
     fn check(&self) -> Option<f64> {
-        let left = self.seconds_left();
+        let remaining = self.seconds_remaining();
         let descriptor = self.descriptor.lock().expect("no holder panics");
         let descriptor = (*descriptor)?;
-        if left > 0.0 {
+        if remaining > 0.0 {
             // A suspended time-out may be restarted at any moment, and then expires after `timeout` seconds.
-            return Some(left.min(self.timeout));
+            return Some(remaining.min(self.timeout));
         }
         self.has_expired.store(true, Ordering::Release);
         // SAFETY: the descriptor is open: the time-out is dropped before the socket, and then removes the descriptor
--- a/crates/railhub-net/src/timer.rs
+++ b/crates/railhub-net/src/timer.rs
@@ -11,58 +11,58 @@
 /// Sleep of the timer thread while there is no timer.
 const IDLE_SLEEP_SECONDS: f64 = 3600.0;
 
-struct Entry {
+struct Timer {
     due_at: f64,
     action: Box<dyn FnOnce() + Send>,
 }
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
+impl PartialEq for Timer {
+    fn eq(&self, other: &Timer) -> bool {
         self.due_at == other.due_at
     }
 }
 
-impl Eq for Entry {}
+impl Eq for Timer {}
 
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<Ordering> {
+impl PartialOrd for Timer {
+    fn partial_cmp(&self, other: &Timer) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for Timer {
     /// Reversed: the entry that is due first is the greatest, as the heap returns the greatest first.
-    fn cmp(&self, other: &Entry) -> Ordering {
+    fn cmp(&self, other: &Timer) -> Ordering {
         other.due_at.total_cmp(&self.due_at)
     }
 }
 
 /// Runs the action on the timer thread after `delay` seconds. The action must not block.
 pub fn run_after(delay: f64, action: impl FnOnce() + Send + 'static) {
-    static ENTRIES: OnceLock<Sender<Entry>> = OnceLock::new();
-    let entries = ENTRIES.get_or_init(start_thread);
-    let _ = entries.send(Entry { due_at: now() + delay, action: Box::new(action) });
+    static TIMERS: OnceLock<Sender<Timer>> = OnceLock::new();
+    let timers = TIMERS.get_or_init(start_thread);
+    let _ = timers.send(Timer { due_at: now() + delay, action: Box::new(action) });
 }
 
-fn start_thread() -> Sender<Entry> {
+fn start_thread() -> Sender<Timer> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || run_timers(&receiver));
     sender
 }
 
 /// Runs the actions that are due, until the sender is dropped.
-fn run_timers(receiver: &Receiver<Entry>) {
-    let mut entries: BinaryHeap<Entry> = BinaryHeap::new();
+fn run_timers(receiver: &Receiver<Timer>) {
+    let mut timers: BinaryHeap<Timer> = BinaryHeap::new();
     loop {
-        let wait = entries.peek().map_or(IDLE_SLEEP_SECONDS, |entry| entry.due_at - now());
+        let wait = timers.peek().map_or(IDLE_SLEEP_SECONDS, |timer| timer.due_at - now());
         match receiver.recv_timeout(seconds(wait)) {
-            Ok(entry) => entries.push(entry),
+            Ok(timer) => timers.push(timer),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        while entries.peek().is_some_and(|entry| entry.due_at <= now()) {
-            if let Some(entry) = entries.pop() {
-                (entry.action)();
+        while timers.peek().is_some_and(|timer| timer.due_at <= now()) {
+            if let Some(timer) = timers.pop() {
+                (timer.action)();
             }
         }
     }
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -84,14 +84,21 @@
 ) -> Result<Infallible, WatchError> {
     let generation = shared.endpoint_generation();
     let path = discovery::watch_path(generation);
-    let feed = LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
-    let feed = feed.map_err(|error| first_line_error(error, attempts))?;
+    let line_stream =
+        LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
+    let line_stream = line_stream.map_err(|error| first_line_error(error, attempts))?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.discovery);
-    if !shared.discovery_watch.activate(addresses.version, feed.closer()) {
+    if !shared.discovery_watch.activate(addresses.version, line_stream.closer()) {
         return Err(WatchError::Superseded);
     }
     tracing::info!(discovery = %addresses.discovery, after_generation = generation, "discovery watch open");
-    let mut watch = Watch { shared, version: addresses.version, generation, state: WatchState::Opened, feed };
+    let mut watch = Watch {
+        shared,
+        config_version: addresses.version,
+        generation,
+        state: WatchState::Opened,
+        line_stream,
+    };
     let mut limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
     loop {
         watch.receive(attempts)?;
@@ -109,11 +116,11 @@
 struct Watch<'a> {
     shared: &'a SharedState,
     /// Version of the configuration that has the address of discovery.
-    version: u64,
+    config_version: u64,
     /// Generation of the last page, or at first of the list that the watch resumes from.
     generation: u64,
     state: WatchState<'a>,
-    feed: LineStream,
+    line_stream: LineStream,
 }
 
 impl Watch<'_> {
@@ -121,7 +128,7 @@
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), WatchError> {
         let names = &self.shared.names;
         let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::decode_page(line, names));
-        let line = match self.feed.next_line(parse) {
+        let line = match self.line_stream.next_line(parse) {
             Ok(line) => line,
             Err(error) if matches!(self.state, WatchState::Opened) => {
                 return Err(first_line_error(error, attempts));
@@ -165,7 +172,7 @@
     /// pages. Returns whether this watch is still current.
     fn send(&self, page: EndpointPage) -> bool {
         self.shared.page_permits.wait();
-        let is_current = self.shared.discovery_watch.is_current(self.version);
+        let is_current = self.shared.discovery_watch.is_current(self.config_version);
         if is_current {
             self.shared.inbox.send(ControllerEvent::EndpointPage(page));
         } else {
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -23,7 +23,8 @@
 /// Time-out in seconds, for the connection attempt and for the answer each.
 const HEALTH_CHECK_TIMEOUT: Seconds = 0.4;
 /// Error codes that mean that this process lacks a resource; they say nothing about the host.
-const LOCAL_ERRORS: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
+const LOCAL_ERROR_CODES: [i32; 5] =
+    [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
 
 /// The workers that run health checks, with their bounded queue.
 pub type HealthChecker = WorkerPool<Probe>;
@@ -46,7 +47,7 @@
         Ok(_) => Some(HealthCheckOutcome::Passed),
         Err(HttpError::Status(NOT_SERVING_STATUS)) => Some(HealthCheckOutcome::Rejected),
         Err(HttpError::Timeout | HttpError::Status(_)) => Some(HealthCheckOutcome::Failed),
-        Err(HttpError::Connect(error)) if is_local(&error) => None,
+        Err(HttpError::Connect(error)) if is_local_error(&error) => None,
         Err(HttpError::Connect(_) | HttpError::Io(_) | HttpError::Closed) => {
             Some(HealthCheckOutcome::Unreachable)
         }
@@ -54,6 +55,6 @@
     }
 }
 
-fn is_local(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
+fn is_local_error(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|code| LOCAL_ERROR_CODES.contains(&code))
 }
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -93,7 +93,7 @@
     fn next_message(&mut self) -> Received {
         let shared = self.shared;
         let message =
-            self.deframer.body(|body| match collector::decode(body, &shared.names, shared.slices) {
+            self.deframer.body(|body| match collector::decode(body, &shared.names, shared.slice_count) {
                 Ok(message) => Received::Message(message),
                 Err(reason) => {
                     let start = &body[..body.len().min(MAX_SAMPLE_BYTES)];
@@ -124,9 +124,11 @@
         match message {
             CollectorMessage::Ping => self.answer_ping(),
             CollectorMessage::Join(zone) if !self.has_joined() => self.join(zone),
-            CollectorMessage::HostLoad(report) if self.has_joined() => self.report(LoadReport::Host(report)),
+            CollectorMessage::HostLoad(report) if self.has_joined() => {
+                self.queue_report(LoadReport::Host(report))
+            }
             CollectorMessage::SliceLoad(report) if self.has_joined() => {
-                self.report(LoadReport::Slice(report))
+                self.queue_report(LoadReport::Slice(report))
             }
             _ => self.reject_and_close(InvalidEntry::Kind, String::new()),
         }
@@ -150,7 +152,7 @@
         NextStep::Continue
     }
 
-    fn report(&self, report: LoadReport) -> NextStep {
+    fn queue_report(&self, report: LoadReport) -> NextStep {
         self.shared.inbox.push_report(report);
         NextStep::Continue
     }
--- a/crates/railhub-platform-net/src/outage_monitor.rs
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -42,13 +42,13 @@
     ended: &'static str,
 }
 
-const SUBSCRIPTION: OutageMessages =
+const SUBSCRIPTION_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "relay subscription down", ended: "relay subscription restored" };
-const PROXIES: OutageMessages =
+const PROXIES_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "no proxy joined", ended: "proxies joined or relay subscription ended" };
-const DISCOVERY: OutageMessages =
+const DISCOVERY_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "discovery watch down", ended: "discovery watch restored" };
-const HOSTS: OutageMessages =
+const HOSTS_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "endpoint list empty", ended: "endpoint list has hosts again" };
 
 impl OutageMonitor {
@@ -58,10 +58,10 @@
         let relay_outage = shared.relay_health.outage();
         let status = shared.status();
         let no_proxy = relay_outage.is_none() && status.proxies == 0;
-        log(&SUBSCRIPTION, self.subscription.check(now, relay_outage));
-        log(&PROXIES, self.proxies.check(now, no_proxy));
-        log(&DISCOVERY, self.discovery.check(now, shared.discovery_health.outage()));
-        log(&HOSTS, self.hosts.check(now, status.hosts == 0));
+        log(&SUBSCRIPTION_MESSAGES, self.subscription.check(now, relay_outage));
+        log(&PROXIES_MESSAGES, self.proxies.check(now, no_proxy));
+        log(&DISCOVERY_MESSAGES, self.discovery.check(now, shared.discovery_health.outage()));
+        log(&HOSTS_MESSAGES, self.hosts.check(now, status.hosts == 0));
     }
 }
 
--- a/crates/railhub-platform-net/src/relay/calls.rs
+++ b/crates/railhub-platform-net/src/relay/calls.rs
@@ -42,7 +42,7 @@
         self.filled.post();
     }
 
-    fn wait(&self) -> Option<Call> {
+    fn take(&self) -> Option<Call> {
         self.filled.wait();
         self.next.lock().expect("no holder panics").take()
     }
@@ -55,8 +55,8 @@
         let mut caller = RelayCaller { shared: shared.clone(), idle_connection: None };
         let calls = slot.clone();
         spawn(move || loop {
-            if let Some(call) = calls.wait() {
-                caller.make(&call);
+            if let Some(call) = calls.take() {
+                caller.make_call(&call);
             }
         });
         CallSender { slot }
@@ -81,7 +81,7 @@
 }
 
 impl RelayCaller {
-    fn make(&mut self, call: &Call) {
+    fn make_call(&mut self, call: &Call) {
         let answer = match self.exchange(call) {
             Ok(answer) => Some(answer),
             Err(error) => {
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -56,8 +56,8 @@
     addresses: Addresses,
     attempts: &mut ConnectionAttempts,
 ) -> RelayError {
-    let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
-    let id = SubscriptionId { config_version: addresses.version, sequence: count };
+    let sequence = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
+    let id = SubscriptionId { config_version: addresses.version, sequence };
     // The controller thread is notified before the relay can receive the request.
     shared.inbox.send(ControllerEvent::SubscriptionRequested(id));
     let Err(error) = subscribe(shared, addresses, id, attempts);
@@ -77,7 +77,7 @@
     let idle_timeout = IdleTimeout::both_halves(&stream, attempts.first_answer_timeout());
     shared.relay_counters.subscriptions.fetch_add(1, Ordering::Relaxed);
     stream.write_all(&wire::encode_subscribe(id.sequence)).map_err(RelayError::Subscribe)?;
-    let mut connection = Subscription {
+    let mut subscription = Subscription {
         shared,
         addresses,
         id,
@@ -88,7 +88,7 @@
     };
     let mut limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
     loop {
-        connection.receive(attempts)?;
+        subscription.receive(attempts)?;
         limiter.pause_if_due();
     }
 }
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -32,8 +32,8 @@
     relay::start_subscription(&shared);
     discovery_watch::start(&shared);
     signals.handle(path.to_owned(), shared.clone()).map_err(RunError::StartThread)?;
-    let thread = std::thread::Builder::new().name("owner".into());
-    thread.spawn(move || controller.run()).map_err(RunError::StartThread)?;
+    let builder = std::thread::Builder::new().name("owner".into());
+    builder.spawn(move || controller.run()).map_err(RunError::StartThread)?;
     status_log::run(&shared, config.memory_mb)
 }
 
--- a/crates/railhub-platform-net/src/shared_state.rs
+++ b/crates/railhub-platform-net/src/shared_state.rs
@@ -34,7 +34,7 @@
     /// Names of zones, classes and machine types.
     pub names: Names,
     /// Number of slices of the deployment; a report about another slice is rejected.
-    pub slices: u16,
+    pub slice_count: u16,
     /// The current addresses of the relay and of discovery.
     pub addresses: CurrentAddresses,
     /// Number of subscription attempts, including those without a connection. Gives each attempt its sequence number.
@@ -64,7 +64,7 @@
         Arc::new(SharedState {
             inbox: new_inbox(),
             names: config.names.clone(),
-            slices: config.controller.slice_count,
+            slice_count: config.controller.slice_count,
             addresses: CurrentAddresses::new(config.relay, config.discovery),
             subscription_attempts: AtomicU64::new(0),
             subscription: ActiveConnection::default(),
--- a/crates/railhub-platform-net/src/signals.rs
+++ b/crates/railhub-platform-net/src/signals.rs
@@ -23,7 +23,7 @@
 
     /// Handles the signals on a separate thread, beginning with those that have arrived already.
     pub(crate) fn handle(mut self, path: PathBuf, shared: Arc<SharedState>) -> std::io::Result<()> {
-        let handle_each = move || {
+        let handle_signals = move || {
             for signal in self.0.forever() {
                 if signal == SIGTERM {
                     exit_now();
@@ -31,7 +31,7 @@
                 reload(&path, &shared);
             }
         };
-        std::thread::Builder::new().name("signals".into()).spawn(handle_each).map(drop)
+        std::thread::Builder::new().name("signals".into()).spawn(handle_signals).map(drop)
     }
 }
 
