--- a/crates/railhub-net/src/http/line_stream.rs
+++ b/crates/railhub-net/src/http/line_stream.rs
@@ -47,7 +47,7 @@
         Ok(LineStream { idle_timeout, stream, decoder, lines })
     }
 
-    /// A handle that closes the connection from elsewhere.
+    /// A handle to close the connection from another coroutine or thread.
     pub fn closer(&self) -> Closer {
         self.idle_timeout.closer()
     }
--- a/crates/railhub-net/src/idle_timeout.rs
+++ b/crates/railhub-net/src/idle_timeout.rs
@@ -60,7 +60,7 @@
         self.0.restarted_at.store(SUSPENDED.to_bits(), Ordering::Relaxed);
     }
 
-    /// A handle that closes the socket from elsewhere.
+    /// A handle to close the socket from another coroutine or thread.
     pub fn closer(&self) -> Closer {
         Closer(Arc::downgrade(&self.0))
     }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Closes a socket from elsewhere; does nothing once the socket is released.
+/// A handle to close a socket from another coroutine or thread. It does nothing once the socket is released.
 #[derive(Clone)]
 pub struct Closer(Weak<WatchedSocket>);
 
--- a/crates/railhub-net/src/task.rs
+++ b/crates/railhub-net/src/task.rs
@@ -32,7 +32,7 @@
 /// If the system has no memory for its stack.
 pub fn spawn(work: impl FnOnce() + Send + 'static) -> JoinHandle<()> {
     let with_retained_handle = move || {
-        let _kept = RetainedHandle(current());
+        let _retained = RetainedHandle(current());
         work();
     };
     // SAFETY: the work uses no thread-local across a wait, and needs far less stack than it has.
--- a/crates/railhub-net/src/timer.rs
+++ b/crates/railhub-net/src/timer.rs
@@ -31,7 +31,7 @@
 }
 
 impl Ord for Timer {
-    /// Reversed: the entry that is due first is the greatest, as the heap returns the greatest first.
+    /// Reversed: the timer that is due first is the greatest, as the heap returns the greatest first.
     fn cmp(&self, other: &Timer) -> Ordering {
         other.due_at.total_cmp(&self.due_at)
     }
--- a/crates/railhub-platform-net/src/call_timing.rs
+++ b/crates/railhub-platform-net/src/call_timing.rs
@@ -11,9 +11,9 @@
     started_at: Seconds,
     not_before: Seconds,
     sent_at: Seconds,
-    /// When the oldest load report arrived since the last call.
+    /// When the oldest load report since the last call arrived.
     oldest_report_at: Option<Seconds>,
-    /// When the oldest load report arrived that the call in flight follows.
+    /// When the oldest load report before the call in flight arrived; kept for the next call if that call fails.
     in_flight_report_at: Option<Seconds>,
     /// Whether the relay has answered any call.
     any_answered: bool,
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -147,7 +147,7 @@
     }
 
     /// Forwards a page. Returns an error, which ends the watch, if the page must be requested again: the next copy may
-    /// be valid, or may no longer be older than the list in use.
+    /// be valid, or the controller may be able to apply it by then.
     fn on_page(&mut self, page: EndpointPage) -> Result<(), WatchError> {
         for _ in &page.invalid {
             self.shared.rejections.record(RejectionCause::EndpointEntry);
@@ -187,7 +187,8 @@
     }
 }
 
-/// The error of a watch that failed before its first line; a time-out lengthens the next one.
+/// The error of a watch that failed before its first line. If it timed out, also lengthens the time-out of the next
+/// watch.
 fn first_line_error(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
     if matches!(error, HttpError::Timeout) {
         attempts.on_first_answer_timeout();
--- a/crates/railhub-platform-net/src/outage_monitor.rs
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -44,11 +44,11 @@
 
 const SUBSCRIPTION_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "relay subscription down", ended: "relay subscription restored" };
-const PROXIES_MESSAGES: OutageMessages =
+const PROXY_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "no proxy joined", ended: "proxies joined or relay subscription ended" };
 const DISCOVERY_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "discovery watch down", ended: "discovery watch restored" };
-const HOSTS_MESSAGES: OutageMessages =
+const HOST_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "endpoint list empty", ended: "endpoint list has hosts again" };
 
 impl OutageMonitor {
@@ -59,9 +59,9 @@
         let status = shared.status();
         let no_proxy = relay_outage.is_none() && status.proxies == 0;
         log(&SUBSCRIPTION_MESSAGES, self.subscription.check(now, relay_outage));
-        log(&PROXIES_MESSAGES, self.proxies.check(now, no_proxy));
+        log(&PROXY_MESSAGES, self.proxies.check(now, no_proxy));
         log(&DISCOVERY_MESSAGES, self.discovery.check(now, shared.discovery_health.outage()));
-        log(&HOSTS_MESSAGES, self.hosts.check(now, status.hosts == 0));
+        log(&HOST_MESSAGES, self.hosts.check(now, status.hosts == 0));
     }
 }
 
