--- a/crates/railhub-membership/src/packet/encode.rs
+++ b/crates/railhub-membership/src/packet/encode.rs
@@ -1,4 +1,4 @@
-//! From packets to datagrams.
+//! Encodes packets as datagrams.
 use super::limits::{HEADER_BYTES, MAGIC, MAX_INSTALLATION_BYTES, MAX_PROGRAM_VERSION_BYTES, VERSION};
 use super::types::{Packet, View};
 use super::wire::{
@@ -11,18 +11,18 @@
 use crate::NodeId;
 use prost::Message as _;
 
-/// Writes a packet as a datagram. It comes out longer than [`super::MAX_DATAGRAM_BYTES`] only if its
-/// [`crate::member::NodeMetadata`] are longer than those that are read from a file or from other datagrams.
+/// Encodes a packet as a datagram. The datagram exceeds [`super::MAX_DATAGRAM_BYTES`] only if its
+/// [`crate::member::NodeMetadata`] are longer than a configuration file or another datagram can make them.
 pub fn encode(installation: &str, packet: &Packet) -> Vec<u8> {
     let name = &installation.as_bytes()[..installation.len().min(MAX_INSTALLATION_BYTES)];
-    let mut checked = vec![name.len() as u8];
-    checked.extend_from_slice(name);
-    checked.extend(WirePacket { body: Some(body(packet)) }.encode_to_vec());
-    let mut datagram = Vec::with_capacity(HEADER_BYTES + checked.len());
+    let mut checksummed = vec![name.len() as u8];
+    checksummed.extend_from_slice(name);
+    checksummed.extend(WirePacket { body: Some(body(packet)) }.encode_to_vec());
+    let mut datagram = Vec::with_capacity(HEADER_BYTES + checksummed.len());
     datagram.extend_from_slice(MAGIC);
     datagram.push(VERSION);
-    datagram.extend_from_slice(&crc32fast::hash(&checked).to_be_bytes());
-    datagram.extend(checked);
+    datagram.extend_from_slice(&crc32fast::hash(&checksummed).to_be_bytes());
+    datagram.extend(checksummed);
     datagram
 }
 
--- a/crates/railhub-membership/src/swim/tick.rs
+++ b/crates/railhub-membership/src/swim/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic part: what is due by time alone.
+//! The periodic work of membership, driven by time alone.
 use super::membership::{Membership, MembershipOutput};
 use super::pending_probe::{PendingProbe, PROBE_TIMEOUT};
 use crate::safeguard::Safeguard;
@@ -10,7 +10,7 @@
 const MIN_TICK_INTERVAL: Seconds = 0.01;
 
 impl Membership {
-    /// When [`Membership::tick`] is to be called next.
+    /// When [`Membership::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Seconds {
         let checks = self.pending.iter().map(PendingProbe::next_check_at);
         checks
@@ -19,8 +19,8 @@
             .max(self.last_tick_at + MIN_TICK_INTERVAL)
     }
 
-    /// Does what is due: ends probes and suspicions, forgets members that are long gone, and, in each probe interval,
-    /// probes a member, a suspect and a dead member and tries to join.
+    /// Does all work that is due: handles late and failed probes, expires suspicions and forgets members that are long
+    /// gone. Once per probe interval it also probes a member, a suspect and a dead member, and sends join probes.
     pub fn tick(&mut self, now: Seconds) -> MembershipOutput {
         let mut output = MembershipOutput::default();
         if self.superseded {
@@ -31,26 +31,26 @@
         self.resume_after_pause(now);
         self.health.on_tick(now - self.last_tick_at - PROBE_INTERVAL);
         self.last_tick_at = now;
-        self.end_probes(now, &mut output);
-        self.end_suspicions(now, &mut output);
+        self.process_pending_probes(now, &mut output);
+        self.expire_suspicions(now, &mut output);
         self.update_ejections(now, &mut output);
         self.forget_gone_members(now);
-        self.end_identity_conflict(now, &mut output);
+        self.expire_identity_conflict(now, &mut output);
         if now >= self.next_probe_at {
             self.next_probe_at = now + PROBE_INTERVAL;
             if let Some(target) = self.next_probe_target() {
                 self.send_probe(now, target, None, Vec::new(), &mut output);
             }
-            self.probe_a_suspect(now, &mut output);
-            self.probe_a_dead_member(now, &mut output);
-            self.try_to_join(now, &mut output);
+            self.probe_random_suspect(now, &mut output);
+            self.probe_due_dead_member(now, &mut output);
+            self.send_join_probes(now, &mut output);
             self.probe_conflicting_process(&mut output);
         }
         output
     }
 
-    /// Draws no conclusions from a time in which this node stood still, or over which its clock jumped: probes of
-    /// before are dropped, and all times are counted from now on.
+    /// Detects that this node was paused or that its clock jumped. No conclusions may be drawn from such a time, so
+    /// pending probes are dropped and all timers restart from `now`.
     pub(super) fn resume_after_pause(&mut self, now: Seconds) {
         let elapsed = now - self.last_tick_at;
         if (0.0..=PROBE_TIMEOUT).contains(&elapsed) {
@@ -64,10 +64,10 @@
         for peer in self.peers.values_mut() {
             peer.resume(now);
         }
-        let soon = now + PROBE_INTERVAL;
+        let next_interval_at = now + PROBE_INTERVAL;
         self.last_tick_at = now;
-        self.next_probe_at = self.next_probe_at.min(soon);
-        self.next_sync_at = self.next_sync_at.min(soon);
+        self.next_probe_at = self.next_probe_at.min(next_interval_at);
+        self.next_sync_at = self.next_sync_at.min(next_interval_at);
         self.join.resume(now);
         if let Some(conflict) = &mut self.conflict {
             conflict.reported_at = conflict.reported_at.min(now);
@@ -75,12 +75,12 @@
     }
 
     fn forget_gone_members(&mut self, now: Seconds) {
-        let is_over = |id: &NodeId| match self.peers.get(id) {
+        let is_forgettable = |id: &NodeId| match self.peers.get(id) {
             Some(peer) => now - peer.status_since > self.config.forget_after,
             None => true,
         };
         let gone = self.table.others().filter(|member| !member.status.is_live()).map(|member| member.id);
-        let forgotten: Vec<NodeId> = gone.filter(is_over).collect();
+        let forgotten: Vec<NodeId> = gone.filter(is_forgettable).collect();
         for id in forgotten {
             self.table.forget(id);
             self.gossip.remove(id);
