--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -259,7 +259,7 @@
                 continue;
             };
             lines = delta.cost();
-            times.push(f64::from_bits(peers.last.load(Ordering::Relaxed)) - delta.ordered_at);
+            times.push(f64::from_bits(peers.last.load(Ordering::Relaxed)) - delta.published_at);
             if bare {
                 let ours = figures["spread_last"].as_f64().expect("a figure");
                 let theirs = plain.spread(peers.bytes.load(Ordering::Relaxed) - 4);
--- a/crates/railhub-controller/src/change.rs
+++ b/crates/railhub-controller/src/change.rs
@@ -95,12 +95,12 @@
     }
 
     /// The change as a message; the version is its nonce.
-    pub fn to_delta(&self, incarnation: u64, version: u64, ordered_at: Seconds) -> Delta {
+    pub fn to_delta(&self, incarnation: u64, version: u64, published_at: Seconds) -> Delta {
         Delta {
             nonce: version,
             incarnation,
             version,
-            ordered_at,
+            published_at,
             reset: self.reset,
             cleared: self.cleared.iter().map(|slice| slice.0.into()).collect(),
             lines: self.lines.iter().map(to_table_line).collect(),
--- a/crates/railhub-controller/src/delta_queue/tests.rs
+++ b/crates/railhub-controller/src/delta_queue/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(queue.backlog_lines(0.0), 4.0 + 7.0, "four in flight, the rest folded");
     assert_eq!(queue.on_ack(4), ResponseEffect::Settled { barrier: Some(BarrierId(4)) });
     let last = take(&mut queue, 0.0).expect("waiting");
-    assert_eq!((last.version, last.ordered_at, last.barrier), (1000, 5.0, Some(BarrierId(1000))));
+    assert_eq!((last.version, last.published_at, last.barrier), (1000, 5.0, Some(BarrierId(1000))));
 }
 
 #[test]
--- a/crates/railhub-controller/src/publication.rs
+++ b/crates/railhub-controller/src/publication.rs
@@ -14,7 +14,7 @@
     /// The version that a proxy holds once it has applied the change; the nonce of its delta.
     pub version: u64,
     /// When the oldest part of the change was decided.
-    pub ordered_at: Seconds,
+    pub published_at: Seconds,
     /// The barrier that a proxy passes with its acknowledgement.
     pub barrier: Option<BarrierId>,
     /// The frame.
@@ -27,18 +27,18 @@
         change: impl Into<Arc<Change>>,
         incarnation: u64,
         version: u64,
-        ordered_at: Seconds,
+        published_at: Seconds,
         barrier: Option<BarrierId>,
     ) -> Publication {
         let change = change.into();
-        let delta = change.to_delta(incarnation, version, ordered_at);
+        let delta = change.to_delta(incarnation, version, published_at);
         let bytes = frame(&FromController { payload: Some(from_controller::Payload::Delta(delta)) });
-        Publication { change, incarnation, version, ordered_at, barrier, bytes }
+        Publication { change, incarnation, version, published_at, barrier, bytes }
     }
 
     /// The same version with another change.
     pub fn with_change(&self, change: Change) -> Publication {
-        Publication::new(change, self.incarnation, self.version, self.ordered_at, self.barrier)
+        Publication::new(change, self.incarnation, self.version, self.published_at, self.barrier)
     }
 
     /// This publication and a later one as one, ordered when this one was.
@@ -46,6 +46,6 @@
         let mut change = Change::clone(&self.change);
         change.merge(&later.change);
         let barrier = later.barrier.or(self.barrier);
-        Publication::new(change, later.incarnation, later.version, self.ordered_at, barrier)
+        Publication::new(change, later.incarnation, later.version, self.published_at, barrier)
     }
 }
--- a/crates/railhub-invariants/src/shared_slices/leases.rs
+++ b/crates/railhub-invariants/src/shared_slices/leases.rs
@@ -48,7 +48,7 @@
         let (slice, epoch) = (assignment.slice, assignment.epoch);
         let mut of_slice = grants.get(&slice).into_iter().flatten();
         let newer = of_slice.find(|grant| grant.epoch > epoch);
-        let late = newer.map_or(0.0, |grant| received.delta.ordered_at - grant.at);
+        let late = newer.map_or(0.0, |grant| received.delta.published_at - grant.at);
         verdict.check(at, (late / EXPIRY_TOLERANCE).max(0.0), || {
             format!("slice {slice}: decided under epoch {epoch} {late:.2} s after a newer one was granted")
         });
--- a/crates/railhub-invariants/src/slow_start.rs
+++ b/crates/railhub-invariants/src/slow_start.rs
@@ -119,7 +119,7 @@
 
     fn on_delta(&mut self, at: f64, received: &DeltaReceived) {
         self.ownership.on_delta(at, received);
-        self.last_published.insert((received.proxy, received.controller), received.delta.ordered_at);
+        self.last_published.insert((received.proxy, received.controller), received.delta.published_at);
     }
 
     fn on_attempt(&mut self, at: f64, attempt: &Attempt) {
--- a/crates/railhub-invariants/src/update_channel.rs
+++ b/crates/railhub-invariants/src/update_channel.rs
@@ -51,7 +51,7 @@
     for event in events {
         if let Some(EventKind::DeltaReceived(received)) = &event.kind {
             let lines = received.delta.cost() as f64 + limits.message_cost;
-            changes.push(BacklogChange { at: received.delta.ordered_at.min(event.at), lines });
+            changes.push(BacklogChange { at: received.delta.published_at.min(event.at), lines });
             changes.push(BacklogChange { at: event.at, lines: -lines });
         }
     }
--- a/crates/railhub-proto/src/controller_messages.rs
+++ b/crates/railhub-proto/src/controller_messages.rs
@@ -169,7 +169,7 @@
     pub version: u64,
     /// When the oldest change in the delta was published.
     #[prost(double, tag = "4")]
-    pub ordered_at: f64,
+    pub published_at: f64,
     /// Whether the proxy discards the admission rates and exclusions that it holds.
     #[prost(bool, tag = "5")]
     pub reset: bool,
--- a/crates/railhub-proto/tests/wire_format.rs
+++ b/crates/railhub-proto/tests/wire_format.rs
@@ -83,7 +83,7 @@
         nonce: 1,
         incarnation: 2,
         version: 3,
-        ordered_at: 4.5,
+        published_at: 4.5,
         reset: true,
         cleared: vec![5, 600],
         lines: vec![line(5, 1.0), line(600, 0.0)],
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -419,8 +419,8 @@
         if self.proxies[proxy].stream != Some(stream) {
             return;
         }
-        let Publication { change, incarnation, version, ordered_at, .. } = publication;
-        let delta = change.to_delta(*incarnation, *version, *ordered_at);
+        let Publication { change, incarnation, version, published_at, .. } = publication;
+        let delta = change.to_delta(*incarnation, *version, *published_at);
         self.note(EventKind::DeltaReceived(DeltaReceived {
             proxy: proxy as u32,
             delta: delta.clone(),
