--- a/crates/railhub-proto/src/controller_messages.rs
+++ b/crates/railhub-proto/src/controller_messages.rs
@@ -45,7 +45,7 @@
     /// The zone that the proxy runs in.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// Identifies the process; a restarted proxy has another one.
+    /// Identifies the process: each process that runs as this proxy has a different value.
     #[prost(uint64, tag = "3")]
     pub process: u64,
     /// The controller process that made the version that the proxy holds.
@@ -226,7 +226,7 @@
     pub weight: f64,
 }
 
-/// The share of a class that a proxy admits.
+/// The share of the operations of a class that a proxy admits, and when they are retried.
 #[derive(Clone, PartialEq, Message)]
 pub struct AdmissionRate {
     /// The class of operations.
