--- a/crates/railhub-platform-net/src/events.rs
+++ b/crates/railhub-platform-net/src/events.rs
@@ -2,7 +2,7 @@
 use railhub::{HealthCheckOutcome, HostLoadReport, SliceLoadReport};
 use railhub_net::Inbox;
 use railhub_platform::{CallResponse, RelayEvent, SubscriptionId};
-use railhub_platform::{EndpointPage, Probe};
+use railhub_platform::{EndpointPage, HealthCheck};
 
 /// Capacity of the event queue of the controller thread; senders wait while it is full.
 const MAX_QUEUED_EVENTS: usize = 4096;
@@ -20,7 +20,7 @@
     /// The connection of a subscription ended, or could not be established.
     SubscriptionEnded(SubscriptionId),
     /// A health check was completed.
-    HealthCheckCompleted(Probe, HealthCheckOutcome),
+    HealthCheckCompleted(HealthCheck, HealthCheckOutcome),
     /// The call in flight was completed; `None` if there was no valid answer, so that its outcome is unknown.
     CallCompleted(Option<CallResponse>),
 }
--- a/crates/railhub-platform-net/src/health_checks.rs
+++ b/crates/railhub-platform-net/src/health_checks.rs
@@ -11,7 +11,7 @@
 use railhub_net::http::{Client, HttpError};
 use railhub_net::{seconds, WorkerPool};
 use railhub_platform::wire::hosts::{HEALTH_CHECK_PATH, NOT_SERVING_STATUS};
-use railhub_platform::Probe;
+use railhub_platform::HealthCheck;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,15 +27,15 @@
     [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL];
 
 /// The workers that run health checks, with their bounded queue.
-pub type HealthChecker = WorkerPool<Probe>;
+pub type HealthChecker = WorkerPool<HealthCheck>;
 
 /// Starts the coroutines that run health checks; each outcome is sent as a [`ControllerEvent::HealthCheckCompleted`].
 pub fn start(shared: &Arc<SharedState>) -> HealthChecker {
     let shared = shared.clone();
-    WorkerPool::start(MAX_CONCURRENT, MAX_QUEUED, move |probe: Probe| {
+    WorkerPool::start(MAX_CONCURRENT, MAX_QUEUED, move |health_check: HealthCheck| {
         let _descriptor = DescriptorGuard::count(&shared.descriptors.health_checks);
-        match check(probe.address) {
-            Some(outcome) => shared.inbox.send(ControllerEvent::HealthCheckCompleted(probe, outcome)),
+        match check(health_check.address) {
+            Some(outcome) => shared.inbox.send(ControllerEvent::HealthCheckCompleted(health_check, outcome)),
             None => shared.rejections.record(RejectionCause::HealthCheckResponse),
         }
     })
--- a/crates/railhub-platform-net/src/listener/session.rs
+++ b/crates/railhub-platform-net/src/listener/session.rs
@@ -11,7 +11,7 @@
 use may::net::TcpStream;
 use railhub::ZoneId;
 use railhub_platform::wire::collector;
-use railhub_platform::{CollectorMessage, InvalidEntry};
+use railhub_platform::{CollectorMessage, DecodeError};
 use railhub_proto::Deframer;
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -46,7 +46,7 @@
     Message(CollectorMessage),
     /// The message is invalid; `sample` is its start.
     Invalid {
-        reason: InvalidEntry,
+        reason: DecodeError,
         sample: String,
     },
     /// The length of the message exceeds the limit.
@@ -86,7 +86,7 @@
             Received::Incomplete => self.read(),
             Received::Message(message) => self.on_message(message),
             Received::Invalid { reason, sample } => self.on_invalid(reason, sample),
-            Received::TooLong => self.reject_and_close(InvalidEntry::Unreadable, String::new()),
+            Received::TooLong => self.reject_and_close(DecodeError::Unreadable, String::new()),
         }
     }
 
@@ -130,7 +130,7 @@
             CollectorMessage::SliceLoad(report) if self.has_joined() => {
                 self.queue_report(LoadReport::Slice(report))
             }
-            _ => self.reject_and_close(InvalidEntry::Kind, String::new()),
+            _ => self.reject_and_close(DecodeError::UnexpectedType, String::new()),
         }
     }
 
@@ -159,15 +159,15 @@
 
     /// Drops an invalid report of a collector. In all other cases closes the connection: the peer has not joined, or
     /// the start of the next message is unknown.
-    fn on_invalid(&self, reason: InvalidEntry, sample: String) -> NextStep {
-        if self.has_joined() && reason != InvalidEntry::Unreadable {
+    fn on_invalid(&self, reason: DecodeError, sample: String) -> NextStep {
+        if self.has_joined() && reason != DecodeError::Unreadable {
             self.shared.rejections.record_with_sample(RejectionCause::Report(reason), || sample);
             return NextStep::Continue;
         }
         self.reject_and_close(reason, sample)
     }
 
-    fn reject_and_close(&self, reason: InvalidEntry, sample: String) -> NextStep {
+    fn reject_and_close(&self, reason: DecodeError, sample: String) -> NextStep {
         let cause = match self.peer {
             Peer::Unidentified => RejectionCause::UnidentifiedPeer,
             Peer::Collector { .. } => RejectionCause::CollectorStream,
--- a/crates/railhub-platform-net/src/rejections.rs
+++ b/crates/railhub-platform-net/src/rejections.rs
@@ -1,6 +1,6 @@
 //! Counts rejected messages and connections by cause, and logs only some of them, so that a flood does not fill the
 //! log.
-use railhub_platform::InvalidEntry;
+use railhub_platform::DecodeError;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
@@ -14,7 +14,7 @@
     /// A collector sent an unreadable or unexpected message: its connection was closed.
     CollectorStream,
     /// A report of a collector was invalid for this reason, and was dropped.
-    Report(InvalidEntry),
+    Report(DecodeError),
     /// An event of the relay was invalid: the subscription was closed.
     RelayEvent,
     /// A page of the endpoint list was invalid: the watch was closed.
@@ -32,11 +32,11 @@
             RejectionCause::ConnectionLimit => "connection_limit",
             RejectionCause::UnidentifiedPeer => "unidentified_peer",
             RejectionCause::CollectorStream => "collector_stream",
-            RejectionCause::Report(InvalidEntry::Unreadable) => "unreadable",
-            RejectionCause::Report(InvalidEntry::Fields) => "fields",
-            RejectionCause::Report(InvalidEntry::Range) => "range",
-            RejectionCause::Report(InvalidEntry::Unknown) => "unknown",
-            RejectionCause::Report(InvalidEntry::Kind) => "kind",
+            RejectionCause::Report(DecodeError::Unreadable) => "unreadable",
+            RejectionCause::Report(DecodeError::InvalidField) => "fields",
+            RejectionCause::Report(DecodeError::OutOfRange) => "range",
+            RejectionCause::Report(DecodeError::UnknownName) => "unknown",
+            RejectionCause::Report(DecodeError::UnexpectedType) => "kind",
             RejectionCause::RelayEvent => "relay_event",
             RejectionCause::EndpointPage => "endpoint_page",
             RejectionCause::EndpointEntry => "endpoint_entry",
--- a/crates/railhub-platform-net/src/run.rs
+++ b/crates/railhub-platform-net/src/run.rs
@@ -34,7 +34,7 @@
     signals.handle(path.to_owned(), shared.clone()).map_err(RunError::StartThread)?;
     let builder = std::thread::Builder::new().name("owner".into());
     builder.spawn(move || controller.run()).map_err(RunError::StartThread)?;
-    status_log::run(&shared, config.memory_mb)
+    status_log::run(&shared, config.memory_limit_mb)
 }
 
 /// Logs invalid entries of the known list. They do not prevent the start, as there would be no controller then.
--- a/crates/railhub-platform/src/controller/tests.rs
+++ b/crates/railhub-platform/src/controller/tests.rs
@@ -2,8 +2,8 @@
 use crate::command::Command;
 use railhub::{HostId, SliceAssignment, WeightedHost};
 
-/// The current subscription before any is confirmed.
-const NONE: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
+/// The id of the current subscription before any is confirmed.
+const NO_SUBSCRIPTION: SubscriptionId = SubscriptionId { config_version: 0, sequence: 0 };
 
 fn controller() -> PlatformController {
     PlatformController::new(
@@ -11,7 +11,7 @@
     )
 }
 
-/// The assignments whose lines may still come.
+/// The assignments whose entries may not all have arrived yet.
 fn pending_assignments(controller: &PlatformController) -> Vec<SliceAssignment> {
     let mut assignments = Vec::new();
     controller.pending_assignments.clone().move_into(&mut assignments);
@@ -22,8 +22,8 @@
 fn reports_a_proxy_that_left_just_before_a_new_subscription() {
     let mut controller = controller();
     let (proxy, now) = (ProxyId(5), 1.0);
-    controller.on_relay_event(now, NONE, RelayEvent::ProxyJoined { proxy, first: true });
-    controller.on_relay_event(now, NONE, RelayEvent::ProxyLeft(proxy));
+    controller.on_relay_event(now, NO_SUBSCRIPTION, RelayEvent::ProxyJoined { proxy, first: true });
+    controller.on_relay_event(now, NO_SUBSCRIPTION, RelayEvent::ProxyLeft(proxy));
     let first = SubscriptionId { config_version: 0, sequence: 1 };
     [RelayEvent::Subscribed, RelayEvent::Heartbeat]
         .into_iter()
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn merges_waiting_lists_into_one_with_each_host_once() {
+fn merges_pending_lists_into_one_with_each_host_once() {
     let mut controller = controller();
     let names = NodeConfig::parse(include_str!("../../tests/node_config.json")).expect("a valid file").names;
     for generation in 42..500 {
@@ -53,18 +53,18 @@
 }
 
 #[test]
-fn a_single_owners_table_never_has_two_lines() {
+fn single_owner_table_never_has_two_entries() {
     let file = include_str!("../../tests/node_config.json").replace(
         "\"exclusive\": false",
         "\"exclusive\": true, \"write_lease_us\": 4000000, \"write_life_us\": 3000000",
     );
     let mut controller = PlatformController::new(&NodeConfig::parse(&file).expect("a valid file"));
     let slice = SliceId(3);
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
+    controller.on_relay_event(1.0, NO_SUBSCRIPTION, RelayEvent::SliceAssigned { slice, assigned: true });
     for name in ["s-1", "s-2"] {
         controller.on_relay_event(
             1.0,
-            NONE,
+            NO_SUBSCRIPTION,
             RelayEvent::StoredEntry {
                 slice,
                 line: WeightedHost { host: HostId::new(name).expect("a name"), weight: 1.0 },
@@ -78,21 +78,21 @@
     );
     controller.commands.push(Command::SetWeight {
         slice,
-        line: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
+        entry: WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 },
     });
     let table = controller.commands.table_when_accepted(slice, &[stored]);
     assert_eq!(table, [WeightedHost { host: HostId::new("s-9").expect("a name"), weight: 1.0 }]);
 }
 
 #[test]
-fn a_line_joins_the_latest_assignment_of_its_slice() {
+fn stored_entry_joins_the_latest_assignment_of_its_slice() {
     let mut controller = controller();
     let (slice, host) = (SliceId(3), HostId::new("s-1").expect("a name"));
     controller.batch.events.assignments.push(SliceAssignment::Assigned { slice, entries: Vec::new() });
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: false });
+    controller.on_relay_event(1.0, NO_SUBSCRIPTION, RelayEvent::SliceAssigned { slice, assigned: false });
     controller.on_relay_event(
         1.0,
-        NONE,
+        NO_SUBSCRIPTION,
         RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
     );
     assert_eq!(pending_assignments(&controller), [SliceAssignment::Revoked { slice }]);
@@ -100,10 +100,10 @@
         controller.batch.events.assignments,
         [SliceAssignment::Assigned { slice, entries: Vec::new() }]
     );
-    controller.on_relay_event(1.0, NONE, RelayEvent::SliceAssigned { slice, assigned: true });
+    controller.on_relay_event(1.0, NO_SUBSCRIPTION, RelayEvent::SliceAssigned { slice, assigned: true });
     controller.on_relay_event(
         1.0,
-        NONE,
+        NO_SUBSCRIPTION,
         RelayEvent::StoredEntry { slice, line: WeightedHost { host, weight: 1.0 } },
     );
     let entries = vec![WeightedHost { host, weight: 1.0 }];
--- a/crates/railhub-platform/tests/wire_bytes.rs
+++ b/crates/railhub-platform/tests/wire_bytes.rs
@@ -1,10 +1,10 @@
-//! The bytes of each message, both ways: what is sent byte for byte, what is read from literal bytes to typed values.
+//! The bytes of each message: encoding is compared byte for byte, decoding starts from literal bytes.
 use railhub::{
     BarrierAck, BarrierId, ClassId, EndpointEntry, HostId, HostLoadReport, Idempotency, Phase, ProxyId,
     RetryPolicy, SliceId, SliceLoadReport, WeightedHost, ZoneId,
 };
 use railhub_platform::{
-    wire, CallResponse, CollectorMessage, Command, EndpointPage, InvalidEntry, Names, NodeConfig,
+    wire, CallResponse, CollectorMessage, Command, DecodeError, EndpointPage, Names, NodeConfig,
     PendingCommands, RelayEvent,
 };
 
@@ -16,7 +16,7 @@
     HostId::new(name).expect("a valid name")
 }
 
-fn framed(body: &str) -> Vec<u8> {
+fn frame(body: &str) -> Vec<u8> {
     [&(body.len() as u32).to_be_bytes(), body.as_bytes()].concat()
 }
 
@@ -31,43 +31,43 @@
     pending.next_call(&["view".to_owned(), "deposit".to_owned()]).expect("a call").bytes
 }
 
-fn relay_event(line: &str) -> Result<RelayEvent, InvalidEntry> {
+fn decode_relay_event(line: &str) -> Result<RelayEvent, DecodeError> {
     wire::relay::decode_event(line.as_bytes())
 }
 
-fn response(line: &str) -> Result<CallResponse, InvalidEntry> {
+fn decode_response(line: &str) -> Result<CallResponse, DecodeError> {
     wire::relay::decode_response(line.as_bytes(), 8, 2)
 }
 
-fn collector_message(body: &str) -> Result<CollectorMessage, InvalidEntry> {
+fn decode_collector_message(body: &str) -> Result<CollectorMessage, DecodeError> {
     wire::collector::decode(body.as_bytes(), &names(), 40)
 }
 
-fn page(line: &str) -> Result<EndpointPage, InvalidEntry> {
+fn decode_page(line: &str) -> Result<EndpointPage, DecodeError> {
     wire::discovery::decode_page(line.as_bytes(), &names())
 }
 
 #[test]
-fn sends_each_command_in_these_bytes() {
-    for (command, order) in [
+fn encodes_each_command() {
+    for (command, encoded) in [
         (
             Command::SetWeight {
                 slice: SliceId(4),
-                line: WeightedHost { host: host("s-5be2a07c"), weight: 1.5 },
+                entry: WeightedHost { host: host("s-5be2a07c"), weight: 1.5 },
             },
             r#"{"op":"share","table":4,"server":"s-5be2a07c","weight":1.5}"#,
         ),
         (
             Command::SetWeight {
                 slice: SliceId(65535),
-                line: WeightedHost { host: host("s-1"), weight: 0.0 },
+                entry: WeightedHost { host: host("s-1"), weight: 0.0 },
             },
             r#"{"op":"share","table":65535,"server":"s-1","weight":0.0}"#,
         ),
         (
             Command::SetWeight {
                 slice: SliceId(0),
-                line: WeightedHost { host: host("s-1"), weight: 0.0001 },
+                entry: WeightedHost { host: host("s-1"), weight: 0.0001 },
             },
             r#"{"op":"share","table":0,"server":"s-1","weight":0.0001}"#,
         ),
@@ -88,7 +88,7 @@
         (Command::Barrier(BarrierId(905)), r#"{"op":"mark","ticket":905,"on":1}"#),
     ] {
         let expected = format!(
-            "{}{order}{}",
+            "{}{encoded}{}",
             r#"{"jsonrpc":"2.0","id":1,"method":"commit","params":{"orders":["#, "]}}\n"
         );
         assert_eq!(text(&call(&[command])), expected);
@@ -96,11 +96,11 @@
 }
 
 #[test]
-fn sends_commands_in_order_in_one_call_and_a_retry_in_the_same_bytes_under_the_next_id() {
+fn encodes_commands_in_order_and_a_retry_under_the_next_id() {
     let mut pending = PendingCommands::default();
     pending.push(Command::SetWeight {
         slice: SliceId(4),
-        line: WeightedHost { host: host("s-1"), weight: 1.0 },
+        entry: WeightedHost { host: host("s-1"), weight: 1.0 },
     });
     pending.push(Command::Exclude(host("s-2")));
     pending.push(Command::Barrier(BarrierId(7)));
@@ -120,29 +120,29 @@
 }
 
 #[test]
-fn sends_these_bytes_to_subscribe_and_to_answer_a_visitor() {
+fn encodes_subscribe_pong_and_refusal() {
     assert_eq!(
         text(&wire::relay::encode_subscribe(10)),
         "{\"jsonrpc\":\"2.0\",\"id\":10,\"method\":\"subscribe\"}\n"
     );
-    assert_eq!(wire::collector::encode_pong(), framed(r#"{"t":"pong"}"#));
+    assert_eq!(wire::collector::encode_pong(), frame(r#"{"t":"pong"}"#));
     assert_eq!(wire::collector::encode_pong()[..4], [0, 0, 0, 12]);
     for (cause, why) in [
-        (InvalidEntry::Unreadable, "it cannot be read"),
-        (InvalidEntry::Fields, "a field is missing or of another type"),
-        (InvalidEntry::Range, "a figure is out of range"),
-        (InvalidEntry::Unknown, "it names what does not exist"),
-        (InvalidEntry::Kind, "it is of a kind that is not taken here"),
+        (DecodeError::Unreadable, "it cannot be read"),
+        (DecodeError::InvalidField, "a field is missing or of another type"),
+        (DecodeError::OutOfRange, "a figure is out of range"),
+        (DecodeError::UnknownName, "it names what does not exist"),
+        (DecodeError::UnexpectedType, "it is of a kind that is not taken here"),
     ] {
         assert_eq!(
             wire::collector::encode_refusal(cause),
-            framed(&format!(r#"{{"t":"refused","why":"{why}"}}"#))
+            frame(&format!(r#"{{"t":"refused","why":"{why}"}}"#))
         );
     }
 }
 
 #[test]
-fn reads_each_event_of_the_relay_from_these_bytes() {
+fn decodes_each_relay_event_from_literal_bytes() {
     let slice = SliceId(88);
     for (line, event) in [
         (r#"{"jsonrpc":"2.0","id":10,"result":true}"#, RelayEvent::Subscribed),
@@ -169,41 +169,41 @@
             RelayEvent::StoredEntry { slice, line: WeightedHost { host: host("s-5be2a07c"), weight: 1.0 } },
         ),
     ] {
-        assert_eq!(relay_event(line), Ok(event), "{line}");
+        assert_eq!(decode_relay_event(line), Ok(event), "{line}");
     }
     for (line, cause) in [
-        ("", InvalidEntry::Unreadable),
-        (r#"{"jsonrpc":"2.0","id":10,"result":false}"#, InvalidEntry::Kind),
-        (r#"{"jsonrpc":"2.0","id":10}"#, InvalidEntry::Kind),
-        (r#"{"jsonrpc":"2.0","method":"joined"}"#, InvalidEntry::Fields),
-        (r#"{"jsonrpc":"2.0","method":"moved","params":{}}"#, InvalidEntry::Kind),
-        (r#"{"method":"held","params":{"slice":88,"server":"","weight":1.0}}"#, InvalidEntry::Unknown),
+        ("", DecodeError::Unreadable),
+        (r#"{"jsonrpc":"2.0","id":10,"result":false}"#, DecodeError::UnexpectedType),
+        (r#"{"jsonrpc":"2.0","id":10}"#, DecodeError::UnexpectedType),
+        (r#"{"jsonrpc":"2.0","method":"joined"}"#, DecodeError::InvalidField),
+        (r#"{"jsonrpc":"2.0","method":"moved","params":{}}"#, DecodeError::UnexpectedType),
+        (r#"{"method":"held","params":{"slice":88,"server":"","weight":1.0}}"#, DecodeError::UnknownName),
     ] {
-        assert_eq!(relay_event(line), Err(cause), "{line}");
+        assert_eq!(decode_relay_event(line), Err(cause), "{line}");
     }
 }
 
 #[test]
-fn reads_each_answer_to_a_call_from_these_bytes() {
-    for (line, answer) in [
+fn decodes_each_call_response_from_literal_bytes() {
+    for (line, expected) in [
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2}}"#, Ok(CallResponse::Accepted(2))),
         (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":0}}"#, Ok(CallResponse::Accepted(0))),
         (r#"{"jsonrpc":"2.0","id":8,"error":{"code":-1,"message":"limit"}}"#, Ok(CallResponse::Rejected)),
         (r#"{"jsonrpc":"2.0","id":8,"error":"malformed"}"#, Ok(CallResponse::Malformed)),
-        (r#"{"jsonrpc":"2.0","id":8,"error":"limit malformed"}"#, Err(InvalidEntry::Fields)),
-        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2},"error":{}}"#, Err(InvalidEntry::Fields)),
-        (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(InvalidEntry::Unknown)),
-        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(InvalidEntry::Range)),
+        (r#"{"jsonrpc":"2.0","id":8,"error":"limit malformed"}"#, Err(DecodeError::InvalidField)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":2},"error":{}}"#, Err(DecodeError::InvalidField)),
+        (r#"{"jsonrpc":"2.0","id":7,"result":{"taken":2}}"#, Err(DecodeError::UnknownName)),
+        (r#"{"jsonrpc":"2.0","id":8,"result":{"taken":3}}"#, Err(DecodeError::OutOfRange)),
     ] {
-        assert_eq!(response(line), answer, "{line}");
+        assert_eq!(decode_response(line), expected, "{line}");
     }
 }
 
 #[test]
-fn reads_each_collector_message_from_these_bytes() {
-    assert!(matches!(collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
+fn decodes_each_collector_message_from_literal_bytes() {
+    assert!(matches!(decode_collector_message(r#"{"t":"ping"}"#), Ok(CollectorMessage::Ping)));
     assert!(matches!(
-        collector_message(r#"{"t":"collector","zone":"a"}"#),
+        decode_collector_message(r#"{"t":"collector","zone":"a"}"#),
         Ok(CollectorMessage::Join(ZoneId(0)))
     ));
     let body = r#"{"t":"heard","zone":"a","server":"s-5be2a07c","tries":212,"failed":3,"mean_ms":41.5,"span_ms":1000.0,"load":{"inflight":7,"util":0.61}}"#;
@@ -222,18 +222,20 @@
         (body.replace("inflight", "rif").replace("util", "busy"), expected.clone()),
         (body.replace(r#","load":{"inflight":7,"util":0.61}"#, ""), without_load),
     ] {
-        let Ok(CollectorMessage::HostLoad(report)) = collector_message(&body) else { panic!("{body}") };
+        let Ok(CollectorMessage::HostLoad(report)) = decode_collector_message(&body) else {
+            panic!("{body}")
+        };
         assert_eq!(format!("{report:?}"), format!("{expected:?}"), "{body}");
     }
     let body = r#"{"t":"heat","slice":38,"class":"view","tries":40,"failed":1,"span_ms":1000.0}"#;
-    let Ok(CollectorMessage::SliceLoad(report)) = collector_message(body) else { panic!("{body}") };
+    let Ok(CollectorMessage::SliceLoad(report)) = decode_collector_message(body) else { panic!("{body}") };
     let expected = SliceLoadReport { slice: SliceId(38), class: ClassId(0), operations: 40.0, span: 1.0 };
     assert_eq!(format!("{report:?}"), format!("{expected:?}"));
 }
 
 #[test]
-fn reads_a_page_of_discovery_from_these_bytes() {
-    let list = page(concat!(
+fn decodes_a_discovery_page_from_literal_bytes() {
+    let list = decode_page(concat!(
         r#"{"generation":41,"reset":true,"instances":["#,
         r#"{"instanceId":"s-1","hostPort":"10.1.0.18:7070","zone":"a","machineType":"m","cell":3,"lifecycle":"ready","weight":1.0,"startedAtMs":0},"#,
         r#"{"instanceId":"s-2","hostPort":"10.1.0.19:7070","zone":"a","machineType":"m2","cell":3,"lifecycle":"draining","weight":2.5,"startedAtMs":1700000000250},"#,
@@ -256,36 +258,57 @@
     assert!(list.list().complete && list.generation == 41);
     let addresses: Vec<String> = list.entries.iter().map(|entry| entry.address.to_string()).collect();
     assert_eq!(addresses, ["10.1.0.18:7070", "10.1.0.19:7070", "10.1.0.20:7070"]);
-    let changes = page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
+    let changes = decode_page(r#"{"generation":43,"reset":false,"instances":[]}"#).expect("a page");
     assert!(!changes.list().complete && changes.generation == 43 && changes.entries.is_empty());
 }
 
 #[test]
-fn reads_the_configuration_from_these_bytes() {
-    let read = NodeConfig::parse(include_str!("node_config.json")).expect("a valid file");
+fn decodes_the_configuration_from_literal_bytes() {
+    let config = NodeConfig::parse(include_str!("node_config.json")).expect("a valid file");
     assert_eq!(
-        [read.listen, read.discovery, read.relay].map(|address| address.to_string()),
+        [config.listen, config.discovery, config.relay].map(|address| address.to_string()),
         ["127.0.0.1:7070", "127.0.0.1:8500", "127.0.0.1:6400"]
     );
     assert_eq!(
-        (read.sockets, read.memory_mb, read.tick_interval, read.known_endpoints.generation),
+        (
+            config.descriptor_limit,
+            config.memory_limit_mb,
+            config.min_batch_interval,
+            config.known_endpoints.generation
+        ),
         (256, 32, 0.001, 41)
     );
-    assert_eq!(read.names.classes, ["view", "deposit"]);
-    assert_eq!((read.names.zones, read.names.kinds), (vec!["a".into(), "b".into()], vec!["m".to_owned()]));
-    let terms = read.controller;
-    assert_eq!((terms.slice_count, terms.single_owner, terms.health_checks_allowed), (40, false, true));
+    assert_eq!(config.names.classes, ["view", "deposit"]);
+    assert_eq!(
+        (config.names.zones, config.names.kinds),
+        (vec!["a".into(), "b".into()], vec!["m".to_owned()])
+    );
+    let controller = config.controller;
+    assert_eq!(
+        (controller.slice_count, controller.single_owner, controller.health_checks_allowed),
+        (40, false, true)
+    );
     assert_eq!(
-        (terms.admission_by_fraction, terms.cold_capacity_fraction, terms.warm_up_time),
+        (controller.admission_by_fraction, controller.cold_capacity_fraction, controller.warm_up_time),
         (true, 0.16, 18.0)
     );
-    assert_eq!((terms.overload_multiple, terms.backlog_limit, terms.message_overhead), (2.5, 900.5, 12.0));
     assert_eq!(
-        (terms.message_quota, terms.message_quota_window, terms.first_attempt_timeout_multiple),
+        (controller.overload_multiple, controller.backlog_limit, controller.message_overhead),
+        (2.5, 900.5, 12.0)
+    );
+    assert_eq!(
+        (
+            controller.message_quota,
+            controller.message_quota_window,
+            controller.first_attempt_timeout_multiple
+        ),
         (20, 10.0, 1.2)
     );
-    assert_eq!((terms.write_lease, terms.max_write_duration, terms.delisted_may_serve), (0.0, 0.0, false));
-    let classes: Vec<_> = terms
+    assert_eq!(
+        (controller.write_lease, controller.max_write_duration, controller.delisted_may_serve),
+        (0.0, 0.0, false)
+    );
+    let classes: Vec<_> = controller
         .classes
         .iter()
         .map(|class| (class.contract_time, class.priority_weight, class.idempotency))
@@ -294,7 +317,7 @@
 }
 
 #[test]
-fn requests_these_paths_of_discovery_and_hosts() {
+fn request_paths_of_discovery_and_health_checks() {
     assert_eq!(wire::discovery::watch_path(41), "/discovery/hosts?watch=1&after=41");
     assert_eq!((wire::hosts::HEALTH_CHECK_PATH, wire::hosts::NOT_SERVING_STATUS), ("/alive", 503));
 }
