--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -272,7 +272,7 @@
                 continue;
             };
             lines = delta.cost();
-            times.push(f64::from_bits(proxies.last_ack_at.load(Ordering::Relaxed)) - delta.ordered_at);
+            times.push(f64::from_bits(proxies.last_ack_at.load(Ordering::Relaxed)) - delta.published_at);
             if compares_bare_sockets {
                 let controller_time = figures["spread_last"].as_f64().expect("a number of seconds");
                 let body_bytes = proxies.frame_bytes.load(Ordering::Relaxed) - 4;
--- a/crates/railhub-controller/src/delta_queue/tests.rs
+++ b/crates/railhub-controller/src/delta_queue/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(queue.backlog_lines(0.0), 4.0 + 7.0, "four in flight, the others merged into one of 7 lines");
     assert_eq!(queue.on_ack(4), ResponseEffect::Settled { barrier: Some(BarrierId(4)) });
     let last = take(&mut queue, 0.0).expect("a pending delta");
-    assert_eq!((last.version, last.ordered_at, last.barrier), (1000, 5.0, Some(BarrierId(1000))));
+    assert_eq!((last.version, last.published_at, last.barrier), (1000, 5.0, Some(BarrierId(1000))));
 }
 
 #[test]
--- a/crates/railhub-controller/src/goodbye/tests.rs
+++ b/crates/railhub-controller/src/goodbye/tests.rs
@@ -29,7 +29,7 @@
 #[test]
 fn connection_errors_keep_their_reasons() {
     assert_reason(StreamError::Closed, "closed by the peer");
-    assert_reason(StreamError::Silent, "silent for too long");
+    assert_reason(StreamError::IdleTimeout, "silent for too long");
     assert_reason(StreamError::Io(io::Error::other("reset")), "broken: reset");
 }
 
@@ -42,7 +42,7 @@
     assert_frame_reason(FrameError::Empty, "an empty frame");
     let malformed = FrameError::Malformed("invalid tag".to_owned());
     assert_frame_reason(malformed, "a frame that is no message: invalid tag");
-    assert_frame_reason(FrameError::CutOff, "the stream ended inside a frame");
+    assert_frame_reason(FrameError::Truncated, "the stream ended inside a frame");
 }
 
 #[test]
--- a/crates/railhub-invariants/src/shared_slices/leases.rs
+++ b/crates/railhub-invariants/src/shared_slices/leases.rs
@@ -48,7 +48,7 @@
         let (slice, epoch) = (assignment.slice, assignment.epoch);
         let mut slice_grants = grants.get(&slice).into_iter().flatten();
         let newer_grant = slice_grants.find(|grant| grant.epoch > epoch);
-        let seconds_late = newer_grant.map_or(0.0, |grant| received.delta.ordered_at - grant.at);
+        let seconds_late = newer_grant.map_or(0.0, |grant| received.delta.published_at - grant.at);
         verdict.check(at, (seconds_late / EXPIRY_TOLERANCE_SECONDS).max(0.0), || {
             format!("slice {slice}: decided under epoch {epoch} {seconds_late:.2} s after a newer one was granted")
         });
--- a/crates/railhub-net/src/http/line_stream.rs
+++ b/crates/railhub-net/src/http/line_stream.rs
@@ -1,35 +1,36 @@
-//! A response that is kept open and brings a line now and then, in chunks.
+//! A chunked response that the server keeps open and sends lines on.
 //!
-//! States: opened (head read), active (lines come), ended (by the last chunk, silence or an error).
+//! States: opened (the head has been read), active (a line has arrived), ended (by the last chunk, a time-out or an
+//! error).
 use crate::dial::dial;
 use crate::http::chunked::ChunkedDecoder;
 use crate::http::error::HttpError;
-use crate::http::message::{read_head, MAX_HEADERS, READ_BUFFER_SIZE};
+use crate::http::message::{read_more_head, MAX_HEADERS, READ_BUFFER_BYTES};
 use crate::idle_timeout::{Closer, IdleTimeout};
 use may::net::TcpStream;
-use railhub_proto::Lines;
+use railhub_proto::LineSplitter;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
-/// Bytes of one line at most: a complete list of some ten thousand hosts.
-const MAX_LINE_SIZE: usize = 4 << 20;
+/// Maximum size of a line: a complete list of some ten thousand hosts.
+const MAX_LINE_BYTES: usize = 4 << 20;
 const STATUS_OK: u16 = 200;
 
 /// The lines of one response.
 pub struct LineStream {
-    /// Before the socket, so that it is dropped first.
+    /// Declared before the socket, so that it is dropped first.
     idle_timeout: IdleTimeout,
     stream: TcpStream,
     decoder: ChunkedDecoder,
-    lines: Lines,
+    lines: LineSplitter,
 }
 
 impl LineStream {
-    /// Gets the path. Seconds: `connect_timeout` for the connection, `idle_timeout` from then on to the first line, and
-    /// between two lines.
+    /// Makes a GET request for the path. `connect_timeout` limits the connection attempt, `idle_timeout` the time from
+    /// then to the first line, and between two lines; both in seconds.
     ///
     /// # Errors
-    /// Why there is no response of status 200.
+    /// Why there is no response with status 200.
     pub fn open(
         address: SocketAddr,
         path: &str,
@@ -41,21 +42,21 @@
         let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         stream.write_all(request.as_bytes()).map_err(HttpError::Io)?;
         let body_start = read_response_head(&mut stream, &idle_timeout)?;
-        let (mut decoder, mut lines) = (ChunkedDecoder::default(), Lines::new(MAX_LINE_SIZE));
+        let (mut decoder, mut lines) = (ChunkedDecoder::default(), LineSplitter::new(MAX_LINE_BYTES));
         decoder.push(&body_start, |data| lines.push(data))?;
         Ok(LineStream { idle_timeout, stream, decoder, lines })
     }
 
-    /// A handle that closes the connection from elsewhere.
+    /// A handle to close the connection from another coroutine or thread.
     pub fn closer(&self) -> Closer {
         self.idle_timeout.closer()
     }
 
-    /// What `parse` makes of the next line. A complete line restarts the idle time-out: bytes that never make a line
-    /// are no sign of life.
+    /// Waits for the next line and returns the result of `parse` for it. Only a complete line restarts the idle
+    /// time-out, so a peer that sends bytes without ever completing a line times out.
     ///
     /// # Errors
-    /// Why the response ended; [`HttpError::Timeout`] after silence.
+    /// Why the response ended; [`HttpError::Timeout`] if no line arrived within the idle time-out.
     pub fn next_line<T>(&mut self, parse: impl FnOnce(&[u8]) -> T) -> Result<T, HttpError> {
         while !self.lines.has_line().map_err(HttpError::malformed)? {
             if self.decoder.has_ended() {
@@ -64,11 +65,11 @@
             self.read()?;
         }
         self.idle_timeout.restart();
-        Ok(self.lines.line(parse))
+        Ok(self.lines.next_line(parse))
     }
 
     fn read(&mut self) -> Result<(), HttpError> {
-        let mut bytes = [0; READ_BUFFER_SIZE];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         match self.stream.read(&mut bytes) {
             Ok(count) if count > 0 => {
                 let lines = &mut self.lines;
@@ -81,20 +82,20 @@
     }
 }
 
-/// Reads the head of a response of status 200; gives the bytes behind it that were read with it.
+/// Reads the head of a response with status 200; returns the bytes of the body that were read with it.
 fn read_response_head(stream: &mut TcpStream, idle_timeout: &IdleTimeout) -> Result<Vec<u8>, HttpError> {
-    let mut read = Vec::new();
+    let mut buffer = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(&read).map_err(HttpError::malformed)?;
-        if let httparse::Status::Complete(head_size) = parsed {
+        let parsed = response.parse(&buffer).map_err(HttpError::malformed)?;
+        if let httparse::Status::Complete(head_length) = parsed {
             return match response.code {
-                Some(STATUS_OK) => Ok(read.split_off(head_size)),
+                Some(STATUS_OK) => Ok(buffer.split_off(head_length)),
                 status => Err(HttpError::Status(status.unwrap_or_default())),
             };
         }
-        let more = read_head(stream, &mut read);
+        let more = read_more_head(stream, &mut buffer);
         if idle_timeout.has_expired() {
             return Err(HttpError::Timeout);
         }
--- a/crates/railhub-net/src/timer.rs
+++ b/crates/railhub-net/src/timer.rs
@@ -1,67 +1,68 @@
-//! Timers by a thread of our own. The runtime's timer list can fail an assertion when many timers are cancelled while
-//! others run out (seen under load with `may` 0.3: the timer thread panicked and every sleep of the process hung), so
-//! nothing here cancels one: a wait that ended early leaves an entry that does nothing.
+//! Timers on a separate thread, in place of the runtime's timers. The runtime's timer list can fail an assertion when
+//! many timers are cancelled while others expire: under load with `may` 0.3 the timer thread panicked and every sleep
+//! of the process hung. Therefore timers here cannot be cancelled; the action of one that is no longer needed must do
+//! nothing.
 use crate::clock::{now, seconds};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::OnceLock;
 
-/// Seconds the thread sleeps when nothing is due.
-const IDLE_SLEEP: f64 = 3600.0;
+/// Sleep of the timer thread while there is no timer.
+const IDLE_SLEEP_SECONDS: f64 = 3600.0;
 
-struct Entry {
-    due: f64,
+struct Timer {
+    due_at: f64,
     action: Box<dyn FnOnce() + Send>,
 }
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
-        self.due == other.due
+impl PartialEq for Timer {
+    fn eq(&self, other: &Timer) -> bool {
+        self.due_at == other.due_at
     }
 }
 
-impl Eq for Entry {}
+impl Eq for Timer {}
 
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<Ordering> {
+impl PartialOrd for Timer {
+    fn partial_cmp(&self, other: &Timer) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
-    /// The earlier entry is the greater, so that the heap gives it first.
-    fn cmp(&self, other: &Entry) -> Ordering {
-        other.due.total_cmp(&self.due)
+impl Ord for Timer {
+    /// Reversed: the timer that is due first is the greatest, as the heap returns the greatest first.
+    fn cmp(&self, other: &Timer) -> Ordering {
+        other.due_at.total_cmp(&self.due_at)
     }
 }
 
-/// Runs the action after a span of seconds, on the timers' thread; it must not wait.
-pub fn run_after(span: f64, action: impl FnOnce() + Send + 'static) {
-    static ENTRIES: OnceLock<Sender<Entry>> = OnceLock::new();
-    let entries = ENTRIES.get_or_init(start_thread);
-    let _ = entries.send(Entry { due: now() + span, action: Box::new(action) });
+/// Runs the action on the timer thread after `delay` seconds. The action must not block.
+pub fn run_after(delay: f64, action: impl FnOnce() + Send + 'static) {
+    static TIMERS: OnceLock<Sender<Timer>> = OnceLock::new();
+    let timers = TIMERS.get_or_init(start_thread);
+    let _ = timers.send(Timer { due_at: now() + delay, action: Box::new(action) });
 }
 
-fn start_thread() -> Sender<Entry> {
+fn start_thread() -> Sender<Timer> {
     let (sender, receiver) = channel();
-    std::thread::spawn(move || run_entries(&receiver));
+    std::thread::spawn(move || run_timers(&receiver));
     sender
 }
 
-/// Runs until no sender is left.
-fn run_entries(receiver: &Receiver<Entry>) {
-    let mut entries: BinaryHeap<Entry> = BinaryHeap::new();
+/// Runs the actions that are due, until the sender is dropped.
+fn run_timers(receiver: &Receiver<Timer>) {
+    let mut timers: BinaryHeap<Timer> = BinaryHeap::new();
     loop {
-        let wait = entries.peek().map_or(IDLE_SLEEP, |entry| entry.due - now());
+        let wait = timers.peek().map_or(IDLE_SLEEP_SECONDS, |timer| timer.due_at - now());
         match receiver.recv_timeout(seconds(wait)) {
-            Ok(entry) => entries.push(entry),
+            Ok(timer) => timers.push(timer),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        while entries.peek().is_some_and(|entry| entry.due <= now()) {
-            if let Some(entry) = entries.pop() {
-                (entry.action)();
+        while timers.peek().is_some_and(|timer| timer.due_at <= now()) {
+            if let Some(timer) = timers.pop() {
+                (timer.action)();
             }
         }
     }
--- a/crates/railhub-platform-net/src/discovery_watch.rs
+++ b/crates/railhub-platform-net/src/discovery_watch.rs
@@ -1,19 +1,20 @@
-//! The discovery watch: the endpoint list as it changes, resumed from the generation that the controller has.
+//! The discovery watch, which receives changes of the endpoint list, starting from the generation that the controller
+//! has.
 //!
-//! A page: the watch reads a line, takes a page permit, sends the page to the controller thread, which applies it and
-//! returns the permit. A page with an invalid entry, or older than the one before, ends the watch: the next
-//! one requests it again. The last list stays in force while no watch is open.
+//! Flow of a page: the watch reads a line, takes a page permit and sends the page to the controller thread, which
+//! applies it and returns the permit. A page that has an invalid entry, or is older than the previous page, ends the
+//! watch; the next watch requests the page again. The last list stays in use while no watch is open.
 //!
-//! States of a watch: opened (until its first line), active (each line is a page, or empty as a sign of life), ended.
+//! States of a watch: opened (until its first line), active (each line is a page, or empty as a heartbeat), ended.
 use crate::addresses::Addresses;
-use crate::connect_backoff::CONNECT_TIMEOUT;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
-use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
-use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
+use crate::fairness::{ReadLimiter, KNOWN_PEER_MAX_READ_TIME};
 use crate::peer_health::UsableConnection;
+use crate::reconnect::{keep_connected, ConnectionAttempts, ReconnectTimeouts};
 use crate::rejections::RejectionCause;
 use crate::shared_state::SharedState;
+use crate::timeouts::CONNECT_TIMEOUT;
 use railhub::Seconds;
 use railhub_net::http::{HttpError, LineStream};
 use railhub_net::spawn;
@@ -23,42 +24,43 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Seconds a watch may be silent: an empty line comes every 2.
+/// Seconds that a watch may be silent: discovery sends an empty line every 2 s.
 const SILENCE_TIMEOUT: Seconds = 4.5;
-/// Seconds at most for a slow discovery's first line: with the retry interval below the 6 after which the platform
-/// counts the list as received, should a discovery that is back not answer a request that came while it was down.
+/// Maximum time-out in seconds for the first line of a slow discovery. Discovery may never answer a request that
+/// reached it while it was down; this time-out plus the retry interval is below the 6 s after which the platform counts
+/// the list as received.
 const MAX_FIRST_LINE_TIMEOUT: Seconds = 5.5;
-/// Seconds between attempts while discovery is out of reach.
+/// Seconds between connection attempts while discovery is unreachable.
 const RETRY_INTERVAL: Seconds = 0.3;
 
-const TIMEOUTS: FollowerTimeouts = FollowerTimeouts {
+const TIMEOUTS: ReconnectTimeouts = ReconnectTimeouts {
     silence: SILENCE_TIMEOUT,
     max_first_answer: MAX_FIRST_LINE_TIMEOUT,
     retry_interval: RETRY_INTERVAL,
 };
 
-/// Why a watch ended, or could not be opened.
+/// Why a watch could not be opened, or ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// The connection could not be opened, broke or was silent for too long.
+    /// The connection could not be established, failed, or was silent for too long.
     #[error("discovery: {0}")]
     LineStream(#[source] HttpError),
-    /// A newer configuration's watch is active.
+    /// The watch of a newer configuration is active.
     #[error("superseded by the watch of a newer configuration")]
     Superseded,
     /// A page is invalid.
     #[error("discovery sent an invalid page: {0}")]
     InvalidPage(#[source] DecodeError),
-    /// A page has an invalid entry.
+    /// An entry of a page is invalid.
     #[error("discovery sent an invalid entry")]
     InvalidEntry,
-    /// A page is older than the one before, or than the list that the watch resumed from.
+    /// A page is older than the previous page, or than the list that the watch resumed from.
     #[error("discovery sent an older list than the known one")]
     StalePage,
 }
 
-/// Starts a follower of the discovery whose address is in force now; an earlier follower ends by itself.
-pub fn follow(shared: &Arc<SharedState>) {
+/// Starts a reconnect loop for the current discovery address. A loop of an earlier configuration ends by itself.
+pub fn start(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
     spawn(move || {
@@ -69,12 +71,12 @@
         let log_failure = |error: &WatchError| {
             tracing::warn!(discovery = %addresses.discovery, %error, "discovery watch ended");
         };
-        follow_peer(&shared, addresses.version, &shared.discovery_health, &TIMEOUTS, connect, log_failure);
+        keep_connected(&shared, addresses.version, &shared.discovery_health, &TIMEOUTS, connect, log_failure);
     });
 }
 
-/// Runs one watch until it fails. It resumes from what the controller has applied: a page that it did not apply is
-/// sent again.
+/// Runs one watch until it fails. It resumes from the generation that the controller has applied, so that discovery
+/// sends again any page that was not applied.
 fn watch(
     shared: &SharedState,
     addresses: Addresses,
@@ -82,15 +84,22 @@
 ) -> Result<Infallible, WatchError> {
     let generation = shared.endpoint_generation();
     let path = discovery::watch_path(generation);
-    let feed = LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
-    let feed = feed.map_err(|error| unanswered(error, attempts))?;
+    let line_stream =
+        LineStream::open(addresses.discovery, &path, CONNECT_TIMEOUT, attempts.first_answer_timeout());
+    let line_stream = line_stream.map_err(|error| first_line_error(error, attempts))?;
     let _descriptor = DescriptorGuard::count(&shared.descriptors.discovery);
-    if !shared.discovery_watch.activate(addresses.version, feed.closer()) {
+    if !shared.discovery_watch.activate(addresses.version, line_stream.closer()) {
         return Err(WatchError::Superseded);
     }
     tracing::info!(discovery = %addresses.discovery, after_generation = generation, "discovery watch open");
-    let mut watch = Watch { shared, version: addresses.version, generation, state: WatchState::Opened, feed };
-    let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
+    let mut watch = Watch {
+        shared,
+        config_version: addresses.version,
+        generation,
+        state: WatchState::Opened,
+        line_stream,
+    };
+    let mut limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
     loop {
         watch.receive(attempts)?;
         limiter.pause_if_due();
@@ -98,31 +107,31 @@
 }
 
 enum WatchState<'a> {
-    /// No line has come.
+    /// No line has arrived.
     Opened,
-    /// A line has come: it counts as usable until this is dropped.
+    /// A line has arrived. The connection counts as usable until the guard is dropped.
     Active { _usable: UsableConnection<'a> },
 }
 
 struct Watch<'a> {
     shared: &'a SharedState,
-    /// Of the configuration that named discovery.
-    version: u64,
-    /// Of the last page, or of the list that the watch resumes from.
+    /// Version of the configuration that has the address of discovery.
+    config_version: u64,
+    /// Generation of the last page, or at first of the list that the watch resumes from.
     generation: u64,
     state: WatchState<'a>,
-    feed: LineStream,
+    line_stream: LineStream,
 }
 
 impl Watch<'_> {
-    /// Receives one line and sends its page on, if it has one.
+    /// Receives one line and forwards its page, if it has one.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), WatchError> {
         let names = &self.shared.names;
         let parse = |line: &[u8]| (!line.is_empty()).then(|| discovery::decode_page(line, names));
-        let line = match self.feed.next_line(parse) {
+        let line = match self.line_stream.next_line(parse) {
             Ok(line) => line,
             Err(error) if matches!(self.state, WatchState::Opened) => {
-                return Err(unanswered(error, attempts));
+                return Err(first_line_error(error, attempts));
             }
             Err(error) => return Err(WatchError::LineStream(error)),
         };
@@ -137,8 +146,8 @@
         }
     }
 
-    /// Sends a page on; ends the watch if the page is to be requested again, as the next copy may be valid, or
-    /// be applied by then.
+    /// Forwards a page. Returns an error, which ends the watch, if the page must be requested again: the next copy may
+    /// be valid, or the controller may be able to apply it by then.
     fn on_page(&mut self, page: EndpointPage) -> Result<(), WatchError> {
         for _ in &page.invalid {
             self.shared.rejections.record(RejectionCause::EndpointEntry);
@@ -158,12 +167,12 @@
         Ok(())
     }
 
-    /// Sends a page to the controller thread, once there is room: a page may be a complete list. A page that was read
-    /// before a newer configuration's watch closed this one is older than what that one brings: it is dropped. Returns
-    /// whether this watch is still current.
+    /// Sends a page to the controller thread, after waiting for a page permit, as a page may be a complete list. Drops
+    /// the page if the watch of a newer configuration has replaced this one meanwhile, as that watch brings newer
+    /// pages. Returns whether this watch is still current.
     fn send(&self, page: EndpointPage) -> bool {
         self.shared.page_permits.wait();
-        let is_current = self.shared.discovery_watch.is_current(self.version);
+        let is_current = self.shared.discovery_watch.is_current(self.config_version);
         if is_current {
             self.shared.inbox.send(ControllerEvent::EndpointPage(page));
         } else {
@@ -178,8 +187,9 @@
     }
 }
 
-/// A connection that ended before its first line.
-fn unanswered(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
+/// The error of a watch that failed before its first line. If it timed out, also lengthens the time-out of the next
+/// watch.
+fn first_line_error(error: HttpError, attempts: &mut ConnectionAttempts) -> WatchError {
     if matches!(error, HttpError::Timeout) {
         attempts.on_first_answer_timeout();
     }
--- a/crates/railhub-platform-net/src/outage_monitor.rs
+++ b/crates/railhub-platform-net/src/outage_monitor.rs
@@ -1,26 +1,26 @@
-//! Checks periodically whether the controller can serve, and logs why it cannot.
+//! Checks periodically whether the controller can do its work, and logs outages that prevent it.
 use crate::outage_log::{OutageLog, OutageNotice};
 use crate::peer_health::Outage;
 use crate::shared_state::SharedState;
 use railhub::Seconds;
 
-/// The outages that are logged.
+/// The logs of all kinds of outage.
 #[derive(Default)]
 pub struct OutageMonitor {
     subscription: OutageLog,
-    proxies: PopulationOutage,
+    proxies: EmptinessTracker,
     discovery: OutageLog,
-    hosts: PopulationOutage,
+    hosts: EmptinessTracker,
 }
 
-/// The outage that a population is empty, found by looking.
+/// Detects since when a group, the joined proxies or the listed hosts, is empty, and logs it as an outage.
 #[derive(Default)]
-struct PopulationOutage {
+struct EmptinessTracker {
     empty_since: Option<Seconds>,
     log: OutageLog,
 }
 
-impl PopulationOutage {
+impl EmptinessTracker {
     fn check(&mut self, now: Seconds, is_empty: bool) -> Option<OutageNotice> {
         let outage = self.outage(now, is_empty);
         self.log.check(now, outage)
@@ -42,32 +42,33 @@
     ended: &'static str,
 }
 
-const SUBSCRIPTION: OutageMessages =
+const SUBSCRIPTION_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "relay subscription down", ended: "relay subscription restored" };
-const PROXIES: OutageMessages =
+const PROXY_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "no proxy joined", ended: "proxies joined or relay subscription ended" };
-const DISCOVERY: OutageMessages =
+const DISCOVERY_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "discovery watch down", ended: "discovery watch restored" };
-const HOSTS: OutageMessages =
+const HOST_MESSAGES: OutageMessages =
     OutageMessages { ongoing: "endpoint list empty", ended: "endpoint list has hosts again" };
 
 impl OutageMonitor {
-    /// Looks at all of them. The relay's outage explains that no proxy is joined, which is not logged meanwhile.
+    /// Checks all kinds of outage. During an outage of the relay, the lack of proxies is not logged, as it is a
+    /// consequence.
     pub fn check(&mut self, now: Seconds, shared: &SharedState) {
         let relay_outage = shared.relay_health.outage();
         let status = shared.status();
         let no_proxy = relay_outage.is_none() && status.proxies == 0;
-        log(&SUBSCRIPTION, self.subscription.check(now, relay_outage));
-        log(&PROXIES, self.proxies.check(now, no_proxy));
-        log(&DISCOVERY, self.discovery.check(now, shared.discovery_health.outage()));
-        log(&HOSTS, self.hosts.check(now, status.hosts == 0));
+        log(&SUBSCRIPTION_MESSAGES, self.subscription.check(now, relay_outage));
+        log(&PROXY_MESSAGES, self.proxies.check(now, no_proxy));
+        log(&DISCOVERY_MESSAGES, self.discovery.check(now, shared.discovery_health.outage()));
+        log(&HOST_MESSAGES, self.hosts.check(now, status.hosts == 0));
     }
 }
 
 fn log(messages: &OutageMessages, notice: Option<OutageNotice>) {
     match notice {
         Some(OutageNotice::Ongoing { elapsed, cause }) => {
-            // Where there is no cause, there is no field.
+            // Without a cause, the field is omitted.
             let cause = Some(cause.as_str()).filter(|cause| !cause.is_empty());
             tracing::warn!(elapsed_s = whole_seconds(elapsed), cause, "{}", messages.ongoing);
         }
--- a/crates/railhub-platform-net/src/relay/subscription.rs
+++ b/crates/railhub-platform-net/src/relay/subscription.rs
@@ -1,60 +1,64 @@
 //! The subscription to the relay's events.
 //!
-//! States of a connection: requested (until the relay confirms), active (each line is an event; it may be silent only
-//! for a while), ended.
+//! States of a connection: requested (until the relay confirms the subscription), active (each line is an event; an
+//! idle time-out applies), ended.
 use crate::addresses::Addresses;
-use crate::connect_backoff::CONNECT_TIMEOUT;
 use crate::descriptors::DescriptorGuard;
 use crate::events::ControllerEvent;
-use crate::fairness::{ReadLimiter, KNOWN_PEER_READ_LIMIT};
-use crate::follower::{follow_peer, ConnectionAttempts, FollowerTimeouts};
+use crate::fairness::{ReadLimiter, KNOWN_PEER_MAX_READ_TIME};
 use crate::peer_health::UsableConnection;
+use crate::reconnect::{keep_connected, ConnectionAttempts, ReconnectTimeouts};
 use crate::rejections::RejectionCause;
 use crate::relay::error::RelayError;
-use crate::relay::line_reader::{new_lines, next_line};
+use crate::relay::line_reader::{new_line_splitter, next_line};
 use crate::shared_state::SharedState;
+use crate::timeouts::CONNECT_TIMEOUT;
 use may::net::TcpStream;
 use railhub::Seconds;
 use railhub_net::{dial, spawn, IdleTimeout};
 use railhub_platform::wire::relay as wire;
 use railhub_platform::{DecodeError, RelayEvent, SubscriptionId};
-use railhub_proto::Lines;
+use railhub_proto::LineSplitter;
 use std::io::Write;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Seconds an active subscription may be silent: a sign of life comes each second.
+/// Seconds that an active subscription may be silent: the relay sends a heartbeat each second.
 const SILENCE_TIMEOUT: Seconds = 2.5;
-/// Seconds at most for a slow relay's answer to the subscription: short, as one that was cut off and is back may never
-/// answer a request that came meanwhile.
+/// Maximum time-out in seconds for a slow relay's answer to the subscription. It is short, as a relay that was cut off
+/// may never answer a request that it received during that time.
 const MAX_SUBSCRIPTION_TIMEOUT: Seconds = 5.0;
-/// Seconds between attempts while the relay is out of reach.
+/// Seconds between connection attempts while the relay is unreachable.
 const RETRY_INTERVAL: Seconds = 0.15;
 
-const TIMEOUTS: FollowerTimeouts = FollowerTimeouts {
+const TIMEOUTS: ReconnectTimeouts = ReconnectTimeouts {
     silence: SILENCE_TIMEOUT,
     max_first_answer: MAX_SUBSCRIPTION_TIMEOUT,
     retry_interval: RETRY_INTERVAL,
 };
 
-/// Starts a follower of the relay whose address is in force now; an earlier follower ends by itself.
-pub fn follow(shared: &Arc<SharedState>) {
+/// Starts a reconnect loop for the current relay address. A loop of an earlier configuration ends by itself.
+pub fn start_subscription(shared: &Arc<SharedState>) {
     let shared = shared.clone();
     let addresses = shared.addresses.get();
     spawn(move || {
-        let connect = |attempts: &mut ConnectionAttempts| follow_once(&shared, addresses, attempts);
+        let connect = |attempts: &mut ConnectionAttempts| run_subscription(&shared, addresses, attempts);
         let log_failure = |error: &RelayError| {
             tracing::warn!(relay = %addresses.relay, %error, "relay subscription ended");
         };
-        follow_peer(&shared, addresses.version, &shared.relay_health, &TIMEOUTS, connect, log_failure);
+        keep_connected(&shared, addresses.version, &shared.relay_health, &TIMEOUTS, connect, log_failure);
     });
 }
 
-/// One subscription, from its announcement to its end.
-fn follow_once(shared: &SharedState, addresses: Addresses, attempts: &mut ConnectionAttempts) -> RelayError {
-    let count = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
-    let id = SubscriptionId { config_version: addresses.version, sequence: count };
-    // The controller thread knows before the relay can.
+/// Runs one subscription, from its announcement to the controller thread to its end.
+fn run_subscription(
+    shared: &SharedState,
+    addresses: Addresses,
+    attempts: &mut ConnectionAttempts,
+) -> RelayError {
+    let sequence = shared.subscription_attempts.fetch_add(1, Ordering::Relaxed) + 1;
+    let id = SubscriptionId { config_version: addresses.version, sequence };
+    // The controller thread is notified before the relay can receive the request.
     shared.inbox.send(ControllerEvent::SubscriptionRequested(id));
     let Err(error) = subscribe(shared, addresses, id, attempts);
     shared.inbox.send(ControllerEvent::SubscriptionEnded(id));
@@ -73,18 +77,18 @@
     let idle_timeout = IdleTimeout::both_halves(&stream, attempts.first_answer_timeout());
     shared.relay_counters.subscriptions.fetch_add(1, Ordering::Relaxed);
     stream.write_all(&wire::encode_subscribe(id.sequence)).map_err(RelayError::Subscribe)?;
-    let mut connection = Subscription {
+    let mut subscription = Subscription {
         shared,
         addresses,
         id,
-        lines: new_lines(),
+        lines: new_line_splitter(),
         state: SubscriptionState::Requested,
         idle_timeout,
         stream,
     };
-    let mut limiter = ReadLimiter::start(KNOWN_PEER_READ_LIMIT);
+    let mut limiter = ReadLimiter::start(KNOWN_PEER_MAX_READ_TIME);
     loop {
-        connection.receive(attempts)?;
+        subscription.receive(attempts)?;
         limiter.pause_if_due();
     }
 }
@@ -92,7 +96,7 @@
 enum SubscriptionState<'a> {
     /// The relay has not confirmed it.
     Requested,
-    /// The relay has confirmed it: it counts as usable until this is dropped.
+    /// The relay has confirmed it. The connection counts as usable until the guard is dropped.
     Active { _usable: UsableConnection<'a> },
 }
 
@@ -100,15 +104,15 @@
     shared: &'a SharedState,
     addresses: Addresses,
     id: SubscriptionId,
-    lines: Lines,
+    lines: LineSplitter,
     state: SubscriptionState<'a>,
-    /// Before the stream, so that it is dropped first.
+    /// Declared before the stream, so that it is dropped first.
     idle_timeout: IdleTimeout,
     stream: TcpStream,
 }
 
 impl Subscription<'_> {
-    /// Receives one event and sends it on.
+    /// Receives one event and forwards it.
     fn receive(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
         let read = next_line(&mut self.stream, &self.idle_timeout, &mut self.lines, wire::decode_event);
         let event = match read {
@@ -124,7 +128,7 @@
         Ok(())
     }
 
-    /// The relay has confirmed the subscription: it takes the place of an earlier one.
+    /// Handles the confirmation of the relay: the subscription replaces an earlier one.
     fn activate(&mut self, attempts: &mut ConnectionAttempts) -> Result<(), RelayError> {
         self.idle_timeout = IdleTimeout::both_halves(&self.stream, SILENCE_TIMEOUT);
         if !self.shared.subscription.activate(self.addresses.version, self.idle_timeout.closer()) {
@@ -144,7 +148,7 @@
 
     fn on_read_error(&self, error: RelayError, attempts: &mut ConnectionAttempts) -> RelayError {
         let unanswered = matches!(self.state, SubscriptionState::Requested);
-        if unanswered && matches!(error, RelayError::Silent) {
+        if unanswered && matches!(error, RelayError::IdleTimeout) {
             attempts.on_first_answer_timeout();
             return RelayError::SubscriptionTimeout;
         }
