--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -2,14 +2,14 @@
 use crate::logs::WHAT;
 use crate::LogForm;
 use railhub_chaos::cluster_harness::{ControllerProcess, ProcessLog};
-use railhub_scenario::{Launch, LaunchError, Launched};
+use railhub_scenario::{ControllerLauncher, LaunchError, LaunchedController};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
 /// Each call starts this binary as a controller with the settings given.
-pub fn as_process(log: LogForm) -> Launch {
+pub fn as_process(log: LogForm) -> ControllerLauncher {
     let form = match log {
         LogForm::Text => "text",
         LogForm::Json => "json",
@@ -22,7 +22,7 @@
 }
 
 /// The same with settings and logs kept in a folder.
-pub fn into_folder(folder: &Path) -> Launch {
+pub fn into_folder(folder: &Path) -> ControllerLauncher {
     starting(Some(folder.to_owned()), |conf| {
         let log = conf.with_extension("log");
         let file = std::fs::File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
@@ -33,7 +33,7 @@
 fn starting(
     folder: Option<PathBuf>,
     log: impl Fn(&Path) -> Result<ProcessLog, String> + Send + Sync + 'static,
-) -> Launch {
+) -> ControllerLauncher {
     let count = AtomicUsize::new(0);
     Arc::new(move |settings| {
         let number = count.fetch_add(1, Ordering::Relaxed);
@@ -51,10 +51,10 @@
 }
 
 /// What a scenario does with a process.
-pub fn launched(process: ControllerProcess) -> Launched {
+pub fn launched(process: ControllerProcess) -> LaunchedController {
     let process = Arc::new(process);
     let (stopping, ending) = (process.clone(), process.clone());
-    Launched {
+    LaunchedController {
         address: process.proxy_address,
         fleet: Some(process.cluster_address).filter(|address| address.port() != 0),
         process: process.number,
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -8,7 +8,7 @@
 use railhub_record::{read, read_partial, Event, PartialRecording};
 use railhub_scenario::report::text::{report_text, verdicts_text};
 use railhub_scenario::report::{service, Report, Service};
-use railhub_scenario::{import, play, Played, Scenario};
+use railhub_scenario::{import, play, Scenario, ScenarioRun};
 use railhub_timeseries::service_changes::format_changes;
 use railhub_timeseries::{service_changes, time_series};
 use std::io::IsTerminal;
@@ -119,7 +119,7 @@
 }
 
 /// The same scenario with the tables that it begins with.
-fn play_fixed(day: &Scenario) -> Result<Played, String> {
+fn play_fixed(day: &Scenario) -> Result<ScenarioRun, String> {
     play(day, None, None, None, &|_| {}).map_err(|error| error.to_string())
 }
 
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -2,7 +2,7 @@
 use crate::scenario::{finish, progress_bar, Run};
 use crate::Ending;
 use clap::Args;
-use railhub_scenario::{play, Launch, LaunchError, Launched, Scenario};
+use railhub_scenario::{play, ControllerLauncher, LaunchError, LaunchedController, Scenario};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     }
     let day = Scenario::open(&arguments.file)?;
     let (address, out) = (arguments.steward, arguments.conf_out.clone());
-    let launch: Launch = Arc::new(move |settings| {
+    let launch: ControllerLauncher = Arc::new(move |settings| {
         let settings = settings.replace("listen = 127.0.0.1:0", &format!("listen = {address}"));
         std::fs::write(&out, settings).map_err(|source| LaunchError::File { path: out.clone(), source })?;
         tracing::info!(conf = %out.display(), "start the steward now");
@@ -43,7 +43,7 @@
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        Ok(Launched { address, fleet: None, process: None, pause: None, kill: Box::new(|| {}) })
+        Ok(LaunchedController { address, fleet: None, process: None, pause: None, kill: Box::new(|| {}) })
     });
     let bar = progress_bar(&day);
     let played = play(&day, Some(launch), None, None, &|at| bar.set_position(at.max(0.0) as u64));
--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_invariants::limits;
 use railhub_record::{read_partial, PartialRecording};
-use railhub_scenario::replay::of_record;
+use railhub_scenario::replay::trace_from_recording;
 use railhub_trace::cut::{cut, Part};
 use railhub_trace::file::{open, save};
 use railhub_trace::fit::{fit, Candidate, Fitted};
@@ -93,7 +93,7 @@
                 );
             }
             let limits = limits(&events).ok_or(Ending::Input("the record has no limits".into()))?;
-            let mut traffic = of_record(&events, limits);
+            let mut traffic = trace_from_recording(&events, limits);
             if is_truncated {
                 // What came last has not ended: of the last seconds only a part is known.
                 let until = events.last().map_or(0.0, |event| event.at) - limits.from - longest_stop(limits);
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use railhub_membership::packet::{encode, Packet, MAX_DATAGRAM_BYTES};
 use railhub_membership::safeguard::Safeguard;
 use railhub_membership::NodeId;
-use railhub_scenario::{Launch, Launched};
+use railhub_scenario::{ControllerLauncher, LaunchedController};
 use serde_json::Value;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -292,7 +292,7 @@
     let bed = Arc::new(Mutex::new(Vec::<Arc<TcpLink>>::new()));
     let (links, at, home) = (bed.clone(), peer.cluster_address, folder.clone());
     let count = AtomicUsize::new(0);
-    let launch: Launch = Arc::new(move |settings| {
+    let launch: ControllerLauncher = Arc::new(move |settings| {
         let number = count.fetch_add(1, Ordering::Relaxed);
         let mut text = settings.to_owned();
         for key in ["roster", "store"] {
@@ -337,7 +337,7 @@
             process.kill();
             troubles.into_iter().for_each(|thread| thread.join().expect("the troubles were caused"));
         });
-        Ok(Launched { address, fleet: None, process: None, pause: None, kill })
+        Ok(LaunchedController { address, fleet: None, process: None, pause: None, kill })
     });
     let day = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
     let day = railhub_scenario::Scenario::open(Path::new(&day)).expect("a good day");
--- a/crates/railhub-experiment/src/plan.rs
+++ b/crates/railhub-experiment/src/plan.rs
@@ -201,7 +201,7 @@
             let name = path.display().to_string();
             let folder = path.parent().unwrap_or(Path::new("."));
             let day =
-                Document::parse(&name, text).and_then(|document| Scenario::read_beside(&document, folder));
+                Document::parse(&name, text).and_then(|document| Scenario::read_in_folder(&document, folder));
             day.map_err(|e| section.diagnostic("", format!("makes no good day: {e}")))
         });
         let days = days.collect::<Result<_, _>>()?;
--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -3,8 +3,8 @@
 use crate::controllers::Controllers;
 use crate::draw;
 use crate::fault::{FaultKind, ScheduledFault};
-use crate::initial_state::{first_tables, proxy_facts, Tables};
-use crate::launch::{Launch, LaunchError};
+use crate::initial_state::{initial_tables, proxy_config, Tables};
+use crate::launch::{ControllerLauncher, LaunchError};
 use crate::scenario::Scenario;
 use may::sync::Mutex;
 use railhub_emulator::endpoint_list::EndpointList;
@@ -35,7 +35,7 @@
     pub store: Store,
     pub proxies: Vec<Arc<Proxy>>,
     pub hosts: ClusterHosts,
-    launch: Option<Launch>,
+    launch: Option<ControllerLauncher>,
     controllers: Controllers,
     /// Held while a controller is started again: two faults may want to at once.
     restart: std::sync::Mutex<()>,
@@ -51,14 +51,14 @@
     pub fn open(
         scenario: &Scenario,
         recorder: &Recorder,
-        launch: Option<Launch>,
+        launch: Option<ControllerLauncher>,
         sabotage: Option<Sabotage>,
     ) -> io::Result<Arc<Cluster>> {
         let scenario = Arc::new(scenario.clone());
-        let classes = Arc::new(scenario.class_facts());
+        let classes = Arc::new(scenario.emulated_classes());
         let facts = draw::hosts(&scenario, scenario.hosts, "hosts");
         let hosts = InitialHosts::open(&facts, &classes, recorder)?;
-        let tables = first_tables(&scenario, &facts, &hosts.addresses());
+        let tables = initial_tables(&scenario, &facts, &hosts.addresses());
         let list = Arc::new(EndpointList::open(recorder.clone())?);
         list.update(hosts.entries());
         let surroundings = Environment {
@@ -234,7 +234,7 @@
         // Only many proxies can overload a cold host; a few can break everything else.
         let sabotage =
             sabotage.filter(|how| index % SABOTAGED_PROXY_STEP == 0 || *how == Sabotage::FloodsColdHosts);
-        let facts = proxy_facts(scenario, index);
+        let facts = proxy_config(scenario, index);
         proxies.push(Proxy::new(facts, surroundings.clone(), tables.clone(), sabotage));
     }
     proxies
--- a/crates/railhub-scenario/src/controller_links.rs
+++ b/crates/railhub-scenario/src/controller_links.rs
@@ -1,7 +1,7 @@
 //! The relays between several controllers, their endpoint list, store and proxies. A controller is given the relays'
 //! addresses and does not know of them.
 use crate::fault::FaultKind;
-use crate::launch::Launched;
+use crate::launch::LaunchedController;
 use crate::link_faults::{LinkEnds, LIST, PROXIES, STORE};
 use crate::scenario::Scenario;
 use railhub_emulator::endpoint_list::EndpointList;
@@ -77,7 +77,7 @@
     }
 
     /// Connects the relays to a controller's process, or to none.
-    pub fn connect(&self, controller: usize, launched: Option<&Launched>) {
+    pub fn connect(&self, controller: usize, launched: Option<&LaunchedController>) {
         let address = launched.map(|launched| launched.address);
         let fleet = launched.and_then(|launched| launched.fleet);
         self.relays[controller].proxies.set_target(address);
--- a/crates/railhub-scenario/src/controller_settings.rs
+++ b/crates/railhub-scenario/src/controller_settings.rs
@@ -41,7 +41,7 @@
         "[limits]\nfirst_wait = {}\ncold_from = {}\nwarm_within = {}\n\
          fall_multiple = {}\nbacklog = {}\nmessage_cost = {}\nmessage_cap = {}\nmessages_span = {}\n\
          reports_a_second = {}\n",
-        scenario.first_attempt_wait,
+        scenario.first_attempt_timeout_fraction,
         limits.cold_capacity_fraction,
         limits.max_warm_up,
         limits.overload_multiple,
--- a/crates/railhub-scenario/src/controllers.rs
+++ b/crates/railhub-scenario/src/controllers.rs
@@ -3,7 +3,7 @@
 use crate::controller_links::ControllerLinks;
 use crate::controller_settings::{controller_settings, fleet_section, installation, FleetAddresses};
 use crate::fault::FaultKind;
-use crate::launch::{Launch, LaunchError, Launched};
+use crate::launch::{ControllerLauncher, LaunchError, LaunchedController};
 use crate::scenario::Scenario;
 use railhub_emulator::endpoint_list::EndpointList;
 use railhub_membership::packet::{encode, Packet};
@@ -17,7 +17,7 @@
     /// None for a single controller.
     links: Option<ControllerLinks>,
     /// The processes that run.
-    running: Mutex<Vec<Option<Launched>>>,
+    running: Mutex<Vec<Option<LaunchedController>>>,
 }
 
 impl Controllers {
@@ -32,7 +32,7 @@
         Ok(Controllers { links, running: Mutex::new(running) })
     }
 
-    fn running(&self) -> MutexGuard<'_, Vec<Option<Launched>>> {
+    fn running(&self) -> MutexGuard<'_, Vec<Option<LaunchedController>>> {
         self.running.lock().expect("no holder panics")
     }
 
@@ -48,7 +48,7 @@
     pub fn launch(
         &self,
         scenario: &Scenario,
-        launch: &Launch,
+        launch: &ControllerLauncher,
         controller: usize,
         list: SocketAddr,
         store: SocketAddr,
--- a/crates/railhub-scenario/src/initial_state.rs
+++ b/crates/railhub-scenario/src/initial_state.rs
@@ -13,23 +13,23 @@
 const PROXY_SEED_SHIFT: u32 = 20;
 
 /// What the proxy with an index is.
-pub fn proxy_facts(scenario: &Scenario, index: usize) -> ProxyConfig {
+pub fn proxy_config(scenario: &Scenario, index: usize) -> ProxyConfig {
     ProxyConfig {
         number: index as u32,
         zone: (index % scenario.zones.len()) as u32,
         policy: scenario.pick,
-        no_host_timeout: scenario.hold_timeout,
-        first_attempt_timeout_fraction: scenario.first_attempt_wait,
+        no_host_timeout: scenario.no_host_timeout,
+        first_attempt_timeout_fraction: scenario.first_attempt_timeout_fraction,
         connect_timeout: scenario.connect_timeout,
         report_interval: scenario.report_interval,
         report_delay: scenario.report_delay,
-        max_reconnect_delay: scenario.reconnect_delay,
+        max_reconnect_delay: scenario.max_reconnect_delay,
         seed: scenario.seed ^ ((index as u64) << PROXY_SEED_SHIFT),
     }
 }
 
 /// The tables at the start; `facts` and `addresses` are of the same hosts in the same order.
-pub fn first_tables(scenario: &Scenario, facts: &[HostConfig], addresses: &[SocketAddr]) -> Tables {
+pub fn initial_tables(scenario: &Scenario, facts: &[HostConfig], addresses: &[SocketAddr]) -> Tables {
     if scenario.slices == 0 {
         let lines = addresses.iter().zip(facts).map(|(address, facts)| (*address, facts.cores as f64));
         return Tables::from([(0, lines.collect())]);
--- a/crates/railhub-scenario/src/launch.rs
+++ b/crates/railhub-scenario/src/launch.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// A controller that was launched from its settings.
-pub struct Launched {
+pub struct LaunchedController {
     /// Where it listens for proxies.
     pub address: SocketAddr,
     /// Where other controllers reach it, if it is one of several.
@@ -44,4 +44,4 @@
 }
 
 /// Starts a controller from the text of its settings and returns when it listens.
-pub type Launch = Arc<dyn Fn(&str) -> Result<Launched, LaunchError> + Send + Sync>;
+pub type ControllerLauncher = Arc<dyn Fn(&str) -> Result<LaunchedController, LaunchError> + Send + Sync>;
--- a/crates/railhub-scenario/src/lib.rs
+++ b/crates/railhub-scenario/src/lib.rs
@@ -38,6 +38,6 @@
 pub mod report;
 pub mod scenario;
 
-pub use launch::{Launch, LaunchError, Launched};
-pub use play::{play, PlayError, Played};
+pub use launch::{ControllerLauncher, LaunchError, LaunchedController};
+pub use play::{play, PlayError, ScenarioRun};
 pub use scenario::Scenario;
--- a/crates/railhub-scenario/src/play.rs
+++ b/crates/railhub-scenario/src/play.rs
@@ -2,7 +2,7 @@
 use crate::cluster::Cluster;
 use crate::draw::{self, Arrival};
 use crate::inject::inject;
-use crate::launch::{Launch, LaunchError};
+use crate::launch::{ControllerLauncher, LaunchError};
 use crate::scenario::Scenario;
 use may::sync::WaitGroup;
 use railhub_emulator::client;
@@ -22,7 +22,7 @@
 const PROGRESS_INTERVAL: f64 = 0.1;
 
 /// The result of a run.
-pub struct Played {
+pub struct ScenarioRun {
     /// In the order of their times; empty if they went into a file.
     pub events: Vec<Event>,
 }
@@ -54,11 +54,11 @@
 /// The cluster or a controller does not start in time, or the recording fails.
 pub fn play(
     scenario: &Scenario,
-    launch: Option<Launch>,
+    launch: Option<ControllerLauncher>,
     sabotage: Option<Sabotage>,
     record: Option<&Path>,
     progress: &(dyn Fn(f64) + Sync),
-) -> Result<Played, PlayError> {
+) -> Result<ScenarioRun, PlayError> {
     // Drawn before the clock starts: drawing takes long, and operations that it delays would begin all at once.
     let capacity = draw::capacity(&draw::hosts(scenario, scenario.hosts, "hosts"));
     let arrivals = draw::arrivals(scenario, capacity);
@@ -70,14 +70,14 @@
         std::thread::sleep(seconds(PROGRESS_INTERVAL));
     }
     cluster.close();
-    Ok(Played { events: recorder.finish()? })
+    Ok(ScenarioRun { events: recorder.finish()? })
 }
 
 /// Starts the cluster and waits for the scenario's start.
 fn start_cluster(
     scenario: &Scenario,
     recorder: &Recorder,
-    launch: Option<Launch>,
+    launch: Option<ControllerLauncher>,
     sabotage: Option<Sabotage>,
 ) -> Result<Arc<Cluster>, PlayError> {
     let cluster = Cluster::open(scenario, recorder, launch, sabotage).map_err(PlayError::Cluster)?;
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -30,7 +30,7 @@
     /// # Errors
     /// The file cannot be read, or a value in it is missing, unknown or out of range.
     pub fn open(path: &Path) -> Result<Scenario, Diagnostic> {
-        Scenario::read_beside(&Document::open(path)?, path.parent().unwrap_or(Path::new(".")))
+        Scenario::read_in_folder(&Document::open(path)?, path.parent().unwrap_or(Path::new(".")))
     }
 
     /// Reads a document whose files lie in the working directory.
@@ -38,14 +38,14 @@
     /// # Errors
     /// As [`Scenario::open`].
     pub fn read(document: &Document) -> Result<Scenario, Diagnostic> {
-        Scenario::read_beside(document, Path::new("."))
+        Scenario::read_in_folder(document, Path::new("."))
     }
 
     /// Reads a document; files that it names lie in `folder`.
     ///
     /// # Errors
     /// As [`Scenario::open`].
-    pub fn read_beside(document: &Document, folder: &Path) -> Result<Scenario, Diagnostic> {
+    pub fn read_in_folder(document: &Document, folder: &Path) -> Result<Scenario, Diagnostic> {
         reject_unknown_sections(document)?;
         let classes = read_classes(document)?;
         let host_kinds = read_host_kinds(document)?;
@@ -150,7 +150,7 @@
             zone_shares: load::zone_shares(load, &zones)?,
             hosts: fleet.required_in_range("hosts", 1.0, 2000.0)? as usize,
             connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
-            probe_work: fleet.in_range("probe_work", 0.002, 0.0, 10.0)?,
+            health_check_work: fleet.in_range("probe_work", 0.002, 0.0, 10.0)?,
             utilization_interval: fleet.in_range("busy_every", 0.0, 0.0, 60.0)?,
             affinity_gain: fleet.in_range("kept_gain", 0.0, 0.0, 0.95)?,
             affinity_duration: fleet.in_range("kept_for", 10.0, 0.0, 3600.0)?,
@@ -172,10 +172,10 @@
             report_delay: reports.in_range("late", 0.5, 0.0, 60.0)?,
             reports_per_second: reports.in_range("a_second", 800.0, 1.0, 1e6)?,
             update_lines_per_second: channel.in_range("lines_a_second", 40_000.0, 10.0, 1e9)?,
-            reconnect_delay: channel.in_range("redial", 1.0, 0.0, 60.0)?,
+            max_reconnect_delay: channel.in_range("redial", 1.0, 0.0, 60.0)?,
             connect_timeout: fleet.in_range("connect_within", 0.25, 0.01, 60.0)?,
-            hold_timeout: rules.in_range("hold", 0.2, 0.0, 60.0)?,
-            first_attempt_wait: rules.in_range("first_wait", 1.0, 0.0, 100.0)?,
+            no_host_timeout: rules.in_range("hold", 0.2, 0.0, 60.0)?,
+            first_attempt_timeout_fraction: rules.in_range("first_wait", 1.0, 0.0, 100.0)?,
             limits: self.limits(&zones, &classes, slices)?,
             faults: Vec::new(),
             controllers: stewards.in_range("count", 1.0, 1.0, MAX_CONTROLLERS)? as usize,
--- a/crates/railhub-scenario/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -112,7 +112,7 @@
 }
 
 /// The operations of a run, out of its record.
-pub fn of_record(events: &[Event], limits: &Limits) -> Trace {
+pub fn trace_from_recording(events: &[Event], limits: &Limits) -> Trace {
     let header = TraceHeader {
         classes: limits.classes.iter().map(|class| class.name.clone()).collect(),
         zones: zone_names(events, limits),
--- a/crates/railhub-scenario/src/replay/tests.rs
+++ b/crates/railhub-scenario/src/replay/tests.rs
@@ -22,7 +22,7 @@
     file::save(&file, traffic).expect("writable");
     let text = TEXT.replace("FILE", file.file_name().and_then(|n| n.to_str()).expect("a name"));
     let document = Document::parse("d.ini", &text.replace(change.0, change.1)).expect("readable");
-    let scenario = Scenario::read_beside(&document, &std::env::temp_dir());
+    let scenario = Scenario::read_in_folder(&document, &std::env::temp_dir());
     std::fs::remove_file(&file).expect("there");
     scenario.map_err(|e| e.to_string())
 }
@@ -87,7 +87,7 @@
     let scenario = scenario("record", &traffic(vec![row(0.5, 4)]), ("", "")).expect("a good day");
     let limits = Limits { from: 2.0, until: 7.0, ..scenario.limits.clone() };
     let events = [end(1, 2.25), end(2, 4.5), end(3, 7.0008)];
-    let recorded = of_record(&events, &limits);
+    let recorded = trace_from_recording(&events, &limits);
     assert_eq!(recorded.header.zones, ["a", "b"]);
     let again = Scenario { replay: Some(Arc::new(recorded)), ..scenario };
     let arrivals = draw::arrivals(&again, 1.0);
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -77,7 +77,7 @@
     /// Connections that a host accepts.
     pub connections: usize,
     /// Work of a health check, in core seconds.
-    pub probe_work: f64,
+    pub health_check_work: f64,
     /// Seconds between updates of the utilization that a host reports in responses; 0: it reports none.
     pub utilization_interval: f64,
     /// Fraction of an operation's work that is saved when its host has seen the key recently.
@@ -117,13 +117,13 @@
     /// Lines of updates that the channel to the proxies carries in a second.
     pub update_lines_per_second: f64,
     /// Longest wait of a proxy before it connects to a controller again.
-    pub reconnect_delay: f64,
+    pub max_reconnect_delay: f64,
     /// Seconds after which a proxy abandons an attempt to connect to a host.
     pub connect_timeout: f64,
     /// Longest wait of an operation that finds no host.
-    pub hold_timeout: f64,
+    pub no_host_timeout: f64,
     /// Wait of an attempt that may be followed by another, in multiples of the contract time.
-    pub first_attempt_wait: f64,
+    pub first_attempt_timeout_fraction: f64,
     /// The limits of the invariants.
     pub limits: Limits,
     /// Faults, in the order of the file.
@@ -142,7 +142,7 @@
 
 impl Scenario {
     /// What clients and hosts know of the classes, in the order of the file.
-    pub fn class_facts(&self) -> Vec<EmulatedClass> {
+    pub fn emulated_classes(&self) -> Vec<EmulatedClass> {
         self.classes.iter().map(|class| class.facts.clone()).collect()
     }
 }
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -72,7 +72,7 @@
     }
 
     pub fn comes_again(&mut self, id: OpId) {
-        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.hold_timeout);
+        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.no_host_timeout);
         let op = self.ops[id.0].as_mut().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
         let more =
@@ -127,7 +127,11 @@
                 .pick(op.drawn.slice, &op.tried, BalancingPolicy::Weighted, &mut chance, |_| 0)
                 .is_some()
         };
-        op.wait = if may_follow { left.min(self.day.first_attempt_wait * class.contract_time) } else { left };
+        op.wait = if may_follow {
+            left.min(self.day.first_attempt_timeout_fraction * class.contract_time)
+        } else {
+            left
+        };
         *proxy.out.entry(host).or_default() += 1;
         self.last_attempt += 1;
         op.attempt = self.last_attempt;
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -411,7 +411,7 @@
             return;
         }
         self.note(EventKind::ProxyStream(ProxyStream { proxy: proxy as u32, open: false, controller: 0 }));
-        let pause = self.proxies[proxy].random() * self.day.reconnect_delay;
+        let pause = self.proxies[proxy].random() * self.day.max_reconnect_delay;
         self.agenda.after(pause, Due::Dials(proxy));
     }
 
@@ -478,7 +478,7 @@
         let (now, within) = (self.agenda.now, self.installation.health_check_timeout);
         let host = &self.hosts[place];
         let still = (host.ailments.paused_until - now).max(0.0);
-        let took = still + self.day.probe_work * host.ailments.slowdown / host.facts.speed;
+        let took = still + self.day.health_check_work * host.ailments.slowdown / host.facts.speed;
         let (end, after) = if !host.alive {
             (HealthCheckOutcome::Unreachable, self.physics.way)
         } else if host.ailments.hangs || took > within {
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -18,7 +18,7 @@
 use railhub_scenario::controller_settings::controller_settings;
 use railhub_scenario::draw::{self, Arrival};
 use railhub_scenario::fault::FaultKind;
-use railhub_scenario::initial_state::{first_tables, proxy_facts, Tables};
+use railhub_scenario::initial_state::{initial_tables, proxy_config, Tables};
 use railhub_scenario::Scenario;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -160,7 +160,7 @@
     ) -> World<'_> {
         let facts = draw::hosts(day, day.hosts, "hosts");
         let proxies = (0..day.proxies).map(|n| {
-            let facts = proxy_facts(day, n);
+            let facts = proxy_config(day, n);
             Proxy {
                 zone: facts.zone,
                 held: RoutingState::default(),
@@ -178,7 +178,7 @@
             installation,
             began: JOIN_WITHIN,
             agenda: Agenda::default(),
-            classes: day.class_facts(),
+            classes: day.emulated_classes(),
             arrivals: draw::arrivals(day, draw::capacity(&facts)),
             ops: Vec::new(),
             under_way: 0,
@@ -210,7 +210,7 @@
             world.place_host(facts.clone());
         }
         let addresses: Vec<SocketAddr> = world.hosts.iter().map(|host| host.address).collect();
-        world.tables = first_tables(day, &facts, &addresses);
+        world.tables = initial_tables(day, &facts, &addresses);
         let held = RoutingState::with_tables(world.tables.clone());
         world.proxies.iter_mut().for_each(|proxy| proxy.held = held.clone());
         world
