--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 
 /// Seconds between the start of the cluster and the first operation, in which its members find each other.
-const JOIN_DURATION: f64 = 2.0;
+const JOIN_SECONDS: f64 = 2.0;
 /// Distance between the indexes of sabotaged proxies, where a few suffice to break an invariant.
 const SABOTAGED_PROXY_STEP: usize = 6;
 
@@ -30,7 +30,7 @@
     pub scenario: Arc<Scenario>,
     /// When the scenario's time is 0, on the clock of this process, in seconds.
     pub started_at: f64,
-    pub surroundings: Environment,
+    pub environment: Environment,
     pub list: Arc<EndpointList>,
     pub store: Store,
     pub proxies: Vec<Arc<Proxy>>,
@@ -38,7 +38,7 @@
     launch: Option<ControllerLauncher>,
     controllers: Controllers,
     /// Held while a controller is started again: two faults may want to at once.
-    restart: std::sync::Mutex<()>,
+    restart_lock: std::sync::Mutex<()>,
     tasks: Mutex<Vec<Task>>,
 }
 
@@ -56,12 +56,12 @@
     ) -> io::Result<Arc<Cluster>> {
         let scenario = Arc::new(scenario.clone());
         let classes = Arc::new(scenario.emulated_classes());
-        let facts = draw::hosts(&scenario, scenario.hosts, "hosts");
-        let hosts = InitialHosts::open(&facts, &classes, recorder)?;
-        let tables = initial_tables(&scenario, &facts, &hosts.addresses());
+        let host_configs = draw::hosts(&scenario, scenario.hosts, "hosts");
+        let hosts = InitialHosts::open(&host_configs, &classes, recorder)?;
+        let tables = initial_tables(&scenario, &host_configs, &hosts.addresses());
         let list = Arc::new(EndpointList::open(recorder.clone())?);
         list.update(hosts.entries());
-        let surroundings = Environment {
+        let environment = Environment {
             classes,
             controllers: Arc::new(Mutex::new(vec![None; scenario.controllers])),
             zones: Arc::new(Mutex::new(hosts.zones())),
@@ -71,26 +71,26 @@
             extra_report_delay_ms: Arc::default(),
             newest_host: Arc::default(),
         };
-        let proxies = open_proxies(&scenario, &surroundings, &tables, sabotage);
+        let proxies = open_proxies(&scenario, &environment, &tables, sabotage);
         let store = open_store(&scenario, tables, recorder)?;
         let controllers = Controllers::open(&scenario, &list, store.address)?;
         Ok(Arc::new(Cluster {
-            started_at: now() + JOIN_DURATION,
-            hosts: ClusterHosts::new(scenario.clone(), surroundings.clone(), list.clone(), hosts),
+            started_at: now() + JOIN_SECONDS,
+            hosts: ClusterHosts::new(scenario.clone(), environment.clone(), list.clone(), hosts),
             scenario,
-            surroundings,
+            environment,
             list,
             store,
             proxies,
             launch,
             controllers,
-            restart: std::sync::Mutex::default(),
+            restart_lock: std::sync::Mutex::default(),
             tasks: Mutex::default(),
         }))
     }
 
-    fn record(&self, at: f64, what: EventKind) {
-        self.surroundings.recorder.record(at, what);
+    fn record(&self, at: f64, kind: EventKind) {
+        self.environment.recorder.record(at, kind);
     }
 
     /// Records the limits of the invariants, as the first event.
@@ -101,10 +101,10 @@
 
     /// Records that a fault begins or ends. `channel_slowdown` is the factor by which updates are slower from now on,
     /// 0 where the fault does not change it.
-    pub fn record_fault(&self, fault: &ScheduledFault, on: bool, channel_slowdown: f64) {
+    pub fn record_fault(&self, fault: &ScheduledFault, active: bool, channel_slowdown: f64) {
         let event = railhub_record::InjectedFault {
             name: fault.recorded_name(),
-            active: on,
+            active,
             note: fault.kind.recorded_note(),
             channel_slowdown,
         };
@@ -112,18 +112,18 @@
     }
 
     /// Calls `act` with a fraction of the proxies, at least one, chosen for a fault.
-    pub fn with_some_proxies(&self, fraction: f64, fault: usize, act: impl Fn(&Proxy)) {
+    pub fn for_chosen_proxies(&self, fraction: f64, fault_index: usize, act: impl Fn(&Proxy)) {
         let all: Vec<usize> = (0..self.proxies.len()).collect();
         let count = (fraction * all.len() as f64).round() as usize;
-        for proxy in draw::choose_targets(&self.scenario, fault, &all, count.max(1)) {
+        for proxy in draw::choose_targets(&self.scenario, fault_index, &all, count.max(1)) {
             act(&self.proxies[proxy]);
         }
     }
 
-    /// Adds to the delay of load reports, in seconds; a negative number takes off again.
+    /// Adds to the delay of load reports, in seconds; a negative fault_index takes off again.
     pub fn add_report_delay(&self, delay: f64) {
         let milliseconds = (delay * 1000.0).round() as i64;
-        self.surroundings.extra_report_delay_ms.fetch_add(milliseconds, Ordering::Relaxed);
+        self.environment.extra_report_delay_ms.fetch_add(milliseconds, Ordering::Relaxed);
     }
 
     /// Launches a controller and connects the proxies to it. Blocks until it listens: not for coroutines.
@@ -140,7 +140,7 @@
     }
 
     fn set_controller_address(&self, controller: usize, address: Option<SocketAddr>) {
-        self.surroundings.controllers.lock().expect("no holder panics")[controller] = address;
+        self.environment.controllers.lock().expect("no holder panics")[controller] = address;
     }
 
     fn record_controller(&self, event: ControllerLifecycle) {
@@ -162,7 +162,7 @@
         let cluster = self.clone();
         std::thread::spawn(move || {
             // Another fault may have started it meanwhile.
-            let _one_at_a_time = cluster.restart.lock().expect("no holder panics");
+            let _restart_guard = cluster.restart_lock.lock().expect("no holder panics");
             if cluster.controllers.is_running(controller) {
                 return;
             }
@@ -181,12 +181,12 @@
     }
 
     /// Stops a controller's process, or lets it continue.
-    pub fn pause_controller(&self, controller: usize, stopped: bool) {
-        self.controllers.pause(controller, stopped);
+    pub fn pause_controller(&self, controller: usize, paused: bool) {
+        self.controllers.pause(controller, paused);
         self.record_controller(ControllerLifecycle {
             running: true,
             controller: controller as u32,
-            paused: stopped,
+            paused,
             clock_set_back: false,
         });
     }
@@ -197,8 +197,8 @@
     }
 
     /// A fault of the links between controllers, list, store and proxies begins (`kind`) or ends.
-    pub fn set_link_fault(&self, number: usize, kind: Option<&FaultKind>) {
-        self.controllers.set_link_fault(number, kind);
+    pub fn set_link_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
+        self.controllers.set_link_fault(fault_index, kind);
     }
 
     /// Connects the proxies to the controllers, if there are any.
@@ -225,7 +225,7 @@
 
 fn open_proxies(
     scenario: &Scenario,
-    surroundings: &Environment,
+    environment: &Environment,
     tables: &Tables,
     sabotage: Option<Sabotage>,
 ) -> Vec<Arc<Proxy>> {
@@ -233,9 +233,9 @@
     for index in 0..scenario.proxies {
         // Only many proxies can overload a cold host; a few can break everything else.
         let sabotage =
-            sabotage.filter(|how| index % SABOTAGED_PROXY_STEP == 0 || *how == Sabotage::FloodsColdHosts);
-        let facts = proxy_config(scenario, index);
-        proxies.push(Proxy::new(facts, surroundings.clone(), tables.clone(), sabotage));
+            sabotage.filter(|kind| index % SABOTAGED_PROXY_STEP == 0 || *kind == Sabotage::FloodsColdHosts);
+        let config = proxy_config(scenario, index);
+        proxies.push(Proxy::new(config, environment.clone(), tables.clone(), sabotage));
     }
     proxies
 }
--- a/crates/railhub-scenario/src/cluster_hosts.rs
+++ b/crates/railhub-scenario/src/cluster_hosts.rs
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 
 /// Seconds by which the list entry of a restart comes after that of the crash before it.
-const RESTART_ENTRY_DELAY: f64 = 0.05;
+const RESTART_ENTRY_DELAY_SECONDS: f64 = 0.05;
 
 struct HostSlot {
-    open: ListeningHost,
+    listening: ListeningHost,
     /// When its process last started cold.
     started: Option<f64>,
     weight: f64,
@@ -30,13 +30,13 @@
 }
 
 impl HostSlot {
-    fn new(open: ListeningHost, is_phantom: bool) -> HostSlot {
-        let weight = open.host.config.cores as f64;
-        HostSlot { open, started: None, weight, is_phantom, is_leaving: false }
+    fn new(listening: ListeningHost, is_phantom: bool) -> HostSlot {
+        let weight = listening.host.config.cores as f64;
+        HostSlot { listening, started: None, weight, is_phantom, is_leaving: false }
     }
 
     fn entry(&self, phase: &'static str) -> ListedEndpoint {
-        let (host, kind) = (self.open.host.address, self.open.host.config.kind);
+        let (host, kind) = (self.listening.host.address, self.listening.host.config.kind);
         ListedEndpoint { host, phase, started: self.started, weight: self.weight, kind }
     }
 
@@ -49,7 +49,7 @@
 /// Hosts that run before anything else does.
 pub(crate) struct InitialHosts {
     slots: Vec<HostSlot>,
-    seen_keys: SharedSeenOperations,
+    seen_operations: SharedSeenOperations,
 }
 
 impl InitialHosts {
@@ -58,24 +58,28 @@
     /// # Errors
     /// A host has no port.
     pub fn open(
-        facts: &[HostConfig],
+        configs: &[HostConfig],
         classes: &Arc<Vec<EmulatedClass>>,
         recorder: &Recorder,
     ) -> io::Result<InitialHosts> {
-        let seen_keys = SharedSeenOperations::default();
+        let seen_operations = SharedSeenOperations::default();
         let mut slots = Vec::new();
-        for facts in facts {
-            let open =
-                ListeningHost::open(facts.clone(), classes.clone(), seen_keys.clone(), recorder.clone())?;
-            open.host.start(false);
-            slots.push(HostSlot::new(open, false));
+        for config in configs {
+            let listening = ListeningHost::open(
+                config.clone(),
+                classes.clone(),
+                seen_operations.clone(),
+                recorder.clone(),
+            )?;
+            listening.host.start(false);
+            slots.push(HostSlot::new(listening, false));
         }
-        Ok(InitialHosts { slots, seen_keys })
+        Ok(InitialHosts { slots, seen_operations })
     }
 
     /// Their addresses, by index.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.slots.iter().map(|slot| slot.open.host.address).collect()
+        self.slots.iter().map(|slot| slot.listening.host.address).collect()
     }
 
     /// Their entries in the endpoint list.
@@ -85,7 +89,7 @@
 
     /// The zone of each address.
     pub fn zones(&self) -> BTreeMap<SocketAddr, u32> {
-        let hosts = self.slots.iter().map(|slot| &slot.open.host);
+        let hosts = self.slots.iter().map(|slot| &slot.listening.host);
         hosts.map(|host| (host.address, host.config.zone)).collect()
     }
 }
@@ -93,33 +97,33 @@
 /// All hosts of a running scenario.
 pub(crate) struct ClusterHosts {
     scenario: Arc<Scenario>,
-    surroundings: Environment,
+    environment: Environment,
     list: Arc<EndpointList>,
     slots: Mutex<Vec<HostSlot>>,
     /// Hosts that a fault holds already.
     reserved: Mutex<BTreeSet<usize>>,
-    seen_keys: SharedSeenOperations,
+    seen_operations: SharedSeenOperations,
 }
 
 impl ClusterHosts {
     pub fn new(
         scenario: Arc<Scenario>,
-        surroundings: Environment,
+        environment: Environment,
         list: Arc<EndpointList>,
         initial: InitialHosts,
     ) -> ClusterHosts {
         ClusterHosts {
             scenario,
-            surroundings,
+            environment,
             list,
             slots: Mutex::new(initial.slots),
             reserved: Mutex::default(),
-            seen_keys: initial.seen_keys,
+            seen_operations: initial.seen_operations,
         }
     }
 
-    fn with_slots<T>(&self, act: impl FnOnce(&mut Vec<HostSlot>) -> T) -> T {
-        act(&mut self.slots.lock().expect("no holder panics"))
+    fn with_slots<T>(&self, access: impl FnOnce(&mut Vec<HostSlot>) -> T) -> T {
+        access(&mut self.slots.lock().expect("no holder panics"))
     }
 
     fn matching(&self, matches: impl Fn(usize, &HostSlot) -> bool) -> Vec<usize> {
@@ -131,7 +135,7 @@
 
     /// A host by its index.
     pub fn host(&self, index: usize) -> Arc<Host> {
-        self.with_slots(|slots| slots[index].open.host.clone())
+        self.with_slots(|slots| slots[index].listening.host.clone())
     }
 
     /// The list entry of a host in a phase.
@@ -140,10 +144,10 @@
     }
 
     /// Chooses live hosts for a fault and reserves them; fewer than `count` if there are no more.
-    pub fn reserve(&self, count: usize, fault: usize) -> Vec<usize> {
+    pub fn reserve(&self, count: usize, fault_index: usize) -> Vec<usize> {
         let mut reserved = self.reserved.lock().expect("no holder panics");
         let free = self.matching(|index, slot| slot.is_regular() && !reserved.contains(&index));
-        let chosen = draw::choose_targets(&self.scenario, fault, &free, count);
+        let chosen = draw::choose_targets(&self.scenario, fault_index, &free, count);
         reserved.extend(&chosen);
         chosen
     }
@@ -158,7 +162,7 @@
 
     /// The live hosts of a zone.
     pub fn in_zone(&self, zone: u32) -> Vec<usize> {
-        self.matching(|_, slot| slot.open.host.config.zone == zone && slot.is_regular())
+        self.matching(|_, slot| slot.listening.host.config.zone == zone && slot.is_regular())
     }
 
     /// Kills a host's process; the list notices later.
@@ -172,14 +176,14 @@
         if self.with_slots(|slots| slots[index].is_leaving) || self.host(index).is_alive() {
             return;
         }
-        let after_removal = self.scenario.list_removal_delay + RESTART_ENTRY_DELAY;
+        let after_removal = self.scenario.list_removal_delay + RESTART_ENTRY_DELAY_SECONDS;
         self.start_cold(index, self.scenario.list_add_delay.max(after_removal));
     }
 
     /// Drains a host that is being replaced.
     pub fn drain(&self, index: usize) {
         self.with_slots(|slots| slots[index].is_leaving = true);
-        self.host(index).change_faults(|ailments| ailments.drains = true);
+        self.host(index).change_faults(|faults| faults.drains = true);
         self.list.update_after(self.scenario.list_add_delay, vec![self.entry(index, DRAINING)]);
     }
 
@@ -194,27 +198,27 @@
         let scenario = &self.scenario;
         let count = self.with_slots(|slots| slots.len());
         let drawn = draw::hosts(scenario, scenario.hosts, &format!("host {count}"));
-        let mut facts = drawn[count % scenario.hosts].clone();
-        facts.zone = (count % scenario.zones.len()) as u32;
-        if let Some(index) = self.open_host(facts, false) {
+        let mut config = drawn[count % scenario.hosts].clone();
+        config.zone = (count % scenario.zones.len()) as u32;
+        if let Some(index) = self.open_host(config, false) {
             self.start_cold(index, scenario.list_add_delay);
         }
     }
 
     /// Adds a phantom host: it will be listed and is none of the cluster's. None if it has no port.
     pub fn add_phantom(&self, behavior: &PhantomBehavior) -> Option<usize> {
-        let facts = draw::hosts(&self.scenario, 1, "ghost").swap_remove(0);
-        let index = self.open_host(facts, true)?;
+        let config = draw::hosts(&self.scenario, 1, "ghost").swap_remove(0);
+        let index = self.open_host(config, true)?;
         let host = self.host(index);
         match behavior {
             PhantomBehavior::Refuse => {}
             PhantomBehavior::Error => {
                 host.start(false);
-                host.change_faults(|ailments| ailments.fails = true);
+                host.change_faults(|faults| faults.fails = true);
             }
             PhantomBehavior::Silent => {
                 host.start(false);
-                host.change_faults(|ailments| ailments.hangs = true);
+                host.change_faults(|faults| faults.hangs = true);
             }
         }
         Some(index)
@@ -223,7 +227,7 @@
     /// Ends all hosts.
     pub fn close(&self) {
         let hosts: Vec<Arc<Host>> =
-            self.with_slots(|slots| slots.iter().map(|slot| slot.open.host.clone()).collect());
+            self.with_slots(|slots| slots.iter().map(|slot| slot.listening.host.clone()).collect());
         for host in hosts {
             host.kill();
         }
@@ -234,17 +238,17 @@
         let started = host.start(true);
         self.with_slots(|slots| slots[index].started = Some(started));
         self.list.update_after(list_delay, vec![self.entry(index, READY)]);
-        *self.surroundings.newest_host.lock().expect("no holder panics") = Some(host.address);
+        *self.environment.newest_host.lock().expect("no holder panics") = Some(host.address);
     }
 
-    fn open_host(&self, facts: HostConfig, is_phantom: bool) -> Option<usize> {
-        let zone = facts.zone;
-        let (classes, recorder) = (self.surroundings.classes.clone(), self.surroundings.recorder.clone());
-        let opened = ListeningHost::open(facts, classes, self.seen_keys.clone(), recorder);
-        let open = opened.inspect_err(|error| tracing::error!(%error, "a host cannot listen")).ok()?;
-        self.surroundings.zones.lock().expect("no holder panics").insert(open.host.address, zone);
+    fn open_host(&self, config: HostConfig, is_phantom: bool) -> Option<usize> {
+        let zone = config.zone;
+        let (classes, recorder) = (self.environment.classes.clone(), self.environment.recorder.clone());
+        let opened = ListeningHost::open(config, classes, self.seen_operations.clone(), recorder);
+        let listening = opened.inspect_err(|error| tracing::error!(%error, "a host cannot listen")).ok()?;
+        self.environment.zones.lock().expect("no holder panics").insert(listening.host.address, zone);
         Some(self.with_slots(|slots| {
-            slots.push(HostSlot::new(open, is_phantom));
+            slots.push(HostSlot::new(listening, is_phantom));
             slots.len() - 1
         }))
     }
--- a/crates/railhub-scenario/src/controller_links.rs
+++ b/crates/railhub-scenario/src/controller_links.rs
@@ -30,7 +30,7 @@
     link_controller: Arc<LinkController>,
     udp: UdpLinks,
     relays: Vec<ControllerRelays>,
-    /// Active faults of links, by their number in the scenario.
+    /// Active faults of links, by their fault_index in the scenario.
     active: Mutex<BTreeMap<usize, FaultKind>>,
 }
 
@@ -85,11 +85,11 @@
     }
 
     /// A fault of the links begins (`kind`) or ends.
-    pub fn set_fault(&self, number: usize, kind: Option<&FaultKind>) {
+    pub fn set_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
         let mut active = self.active.lock().expect("no holder panics");
         match kind {
-            Some(kind) => _ = active.insert(number, kind.clone()),
-            None => _ = active.remove(&number),
+            Some(kind) => _ = active.insert(fault_index, kind.clone()),
+            None => _ = active.remove(&fault_index),
         }
         self.apply(&active);
     }
--- a/crates/railhub-scenario/src/controllers.rs
+++ b/crates/railhub-scenario/src/controllers.rs
@@ -97,17 +97,17 @@
     }
 
     /// Stops a controller's process, or lets it continue.
-    pub fn pause(&self, controller: usize, stopped: bool) {
-        let pause = self.running()[controller].as_ref().and_then(|launched| launched.pause.clone());
-        if let Some(pause) = pause {
-            pause(stopped);
+    pub fn pause(&self, controller: usize, paused: bool) {
+        let set_paused = self.running()[controller].as_ref().and_then(|launched| launched.pause.clone());
+        if let Some(set_paused) = set_paused {
+            set_paused(paused);
         }
     }
 
     /// A fault of the links begins (`kind`) or ends.
-    pub fn set_link_fault(&self, number: usize, kind: Option<&FaultKind>) {
+    pub fn set_link_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
         if let Some(links) = &self.links {
-            links.set_fault(number, kind);
+            links.set_fault(fault_index, kind);
         }
     }
 }
--- a/crates/railhub-scenario/src/draw.rs
+++ b/crates/railhub-scenario/src/draw.rs
@@ -10,6 +10,6 @@
 pub(crate) mod random;
 
 pub use arrivals::arrivals;
-pub use fleet::{capacity, first_owners, hosts, slice_sizes};
+pub use fleet::{capacity, hosts, initial_owners, slice_sizes};
 pub use operation::Arrival;
 pub use random::choose_targets;
--- a/crates/railhub-scenario/src/draw/fleet.rs
+++ b/crates/railhub-scenario/src/draw/fleet.rs
@@ -13,7 +13,7 @@
         let kind = kind_index(&scenario.host_kinds, index, count);
         let (lowest, highest) = scenario.host_kinds[kind].speed;
         let speed = lowest + (highest - lowest) * random.random::<f64>();
-        hosts.push(host_facts(scenario, index, kind, speed));
+        hosts.push(host_config(scenario, index, kind, speed));
     }
     hosts
 }
@@ -21,17 +21,17 @@
 /// The kind of one of `count` hosts: kinds follow each other in proportion to their shares.
 fn kind_index(kinds: &[HostKind], index: usize, count: usize) -> usize {
     let total: f64 = kinds.iter().map(|kind| kind.share).sum();
-    let mut left = (index as f64 + 0.5) / count as f64 * total;
+    let mut remaining = (index as f64 + 0.5) / count as f64 * total;
     for (kind_index, kind) in kinds.iter().enumerate() {
-        left -= kind.share;
-        if left < 0.0 {
+        remaining -= kind.share;
+        if remaining < 0.0 {
             return kind_index;
         }
     }
     kinds.len() - 1
 }
 
-fn host_facts(scenario: &Scenario, index: usize, kind_index: usize, speed: f64) -> HostConfig {
+fn host_config(scenario: &Scenario, index: usize, kind_index: usize, speed: f64) -> HostConfig {
     let kind = &scenario.host_kinds[kind_index];
     HostConfig {
         zone: (index % scenario.zones.len()) as u32,
@@ -39,8 +39,8 @@
         cores: kind.cores,
         speed,
         max_queued: kind.queue,
-        cold_capacity_fraction: kind.cold_from,
-        warm_up_time: kind.warm_after,
+        cold_capacity_fraction: kind.cold_capacity_fraction,
+        warm_up_time: kind.warm_up_time,
         max_connections: scenario.connections,
         probe_work: scenario.health_check_work,
         utilization_interval: scenario.utilization_interval,
@@ -67,7 +67,7 @@
 }
 
 /// The index of each slice's first owner: the host with the lowest load a core after it has the slice.
-pub fn first_owners(scenario: &Scenario, hosts: &[HostConfig]) -> Vec<usize> {
+pub fn initial_owners(scenario: &Scenario, hosts: &[HostConfig]) -> Vec<usize> {
     let mut loads = vec![0.0; hosts.len()];
     let mut owners = Vec::new();
     for size in slice_sizes(scenario) {
--- a/crates/railhub-scenario/src/draw/load_curve.rs
+++ b/crates/railhub-scenario/src/draw/load_curve.rs
@@ -15,11 +15,11 @@
 
 /// Operations a second that offer the scenario's load to the hosts, when slices stay where they are and hosts remember
 /// the keys that such a rate repeats. `work` is the mean work of an operation, in core seconds.
-pub(crate) fn offered_rate(scenario: &Scenario, capacity: f64, work: f64, slice_sizes: &[f64]) -> f64 {
+pub(crate) fn offered_rate(scenario: &Scenario, capacity: f64, mean_work: f64, slice_sizes: &[f64]) -> f64 {
     let keys = 1..=scenario.keys_per_slice;
     let weights: Vec<f64> = keys.map(|key| (key as f64).powf(-KEY_EXPONENT)).collect();
     let total: f64 = weights.iter().sum();
-    let mut rate = scenario.load * capacity / work;
+    let mut rate = scenario.load * capacity / mean_work;
     for _ in 0..RATE_ITERATIONS {
         let remembered_in_slice = |size: &f64| -> f64 {
             let repeated =
@@ -27,7 +27,7 @@
             size * weights.iter().map(|weight| weight / total * repeated(weight)).sum::<f64>()
         };
         let remembered: f64 = slice_sizes.iter().map(remembered_in_slice).sum();
-        rate = scenario.load * capacity / (work * (1.0 - scenario.affinity_gain * remembered));
+        rate = scenario.load * capacity / (mean_work * (1.0 - scenario.affinity_gain * remembered));
     }
     rate
 }
@@ -41,7 +41,8 @@
 /// A bound above every multiple of the scenario.
 pub(crate) fn peak_rate_multiple(scenario: &Scenario) -> f64 {
     let samples = (scenario.length * PEAK_SAMPLES_PER_SECOND) as usize + 1;
-    let multiples = (0..=samples).map(|n| rate_multiple(scenario, n as f64 / PEAK_SAMPLES_PER_SECOND));
+    let multiples =
+        (0..=samples).map(|sample| rate_multiple(scenario, sample as f64 / PEAK_SAMPLES_PER_SECOND));
     multiples.fold(MIN_PEAK, f64::max) * PEAK_MARGIN
 }
 
--- a/crates/railhub-scenario/src/draw/operation.rs
+++ b/crates/railhub-scenario/src/draw/operation.rs
@@ -1,6 +1,6 @@
 //! One operation, and the faults that lie in operations themselves.
 use super::random::{log_normal, weighted_index};
-use crate::fault::{FaultKind, GiveUpResponse, ScheduledFault, ShiftTarget};
+use crate::fault::{FaultKind, GiveUpReaction, ScheduledFault, ShiftTarget};
 use crate::scenario::Scenario;
 use railhub_emulator::PlannedOperation;
 use rand::RngExt;
@@ -31,9 +31,9 @@
     /// Multiple of the work.
     pub work_factor: f64,
     /// Fraction of the hard stop that the client waits.
-    pub patience: f64,
+    pub wait_fraction: f64,
     /// The client returns after it has given up.
-    pub comes_back: bool,
+    pub client_returns: bool,
     /// Weights of the zones at which it can begin.
     pub zone_weights: Vec<f64>,
 }
@@ -46,8 +46,8 @@
             slice,
             key,
             work_factor: 1.0,
-            patience: 1.0,
-            comes_back: false,
+            wait_fraction: 1.0,
+            client_returns: false,
             zone_weights,
         }
     }
@@ -71,10 +71,11 @@
                 self.key = FIRST_HOT_KEY + hot_key as u64;
             }
             FaultKind::HeavyOperations { fraction, factor } if draw < *fraction => self.work_factor *= factor,
-            FaultKind::ClientsGiveUp { fraction, patience, response } if draw < *fraction => {
-                let facts = &scenario.classes[self.class].facts;
-                self.patience = (patience * facts.contract_time / facts.hard_stop).min(1.0);
-                self.comes_back = *response == GiveUpResponse::Leave;
+            FaultKind::ClientsGiveUp { fraction, contract_time_multiple, reaction } if draw < *fraction => {
+                let class = &scenario.classes[self.class].properties;
+                self.wait_fraction =
+                    (contract_time_multiple * class.contract_time / class.hard_stop).min(1.0);
+                self.client_returns = *reaction == GiveUpReaction::ReturnLater;
             }
             _ => {}
         }
@@ -117,8 +118,8 @@
             key: self.key,
             slice: self.slice as u32,
             work: self.work_factor * work,
-            patience: self.patience,
-            returns: self.comes_back,
+            patience: self.wait_fraction,
+            returns: self.client_returns,
         }
     }
 }
--- a/crates/railhub-scenario/src/draw/random.rs
+++ b/crates/railhub-scenario/src/draw/random.rs
@@ -32,10 +32,10 @@
 
 /// An index drawn by its weight.
 pub(crate) fn weighted_index(random: &mut ChaCha8Rng, weights: &[f64]) -> usize {
-    let mut left = random.random::<f64>() * weights.iter().sum::<f64>();
+    let mut remaining = random.random::<f64>() * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
@@ -69,8 +69,13 @@
 }
 
 /// Which of the candidates a fault strikes: the same choice for the same scenario and fault, on loopback and simulated.
-pub fn choose_targets(scenario: &Scenario, fault: usize, candidates: &[usize], count: usize) -> Vec<usize> {
-    let mut random = random_stream(scenario.seed, &format!("trouble {fault}"));
+pub fn choose_targets(
+    scenario: &Scenario,
+    fault_index: usize,
+    candidates: &[usize],
+    count: usize,
+) -> Vec<usize> {
+    let mut random = random_stream(scenario.seed, &format!("trouble {fault_index}"));
     let mut targets = candidates.to_vec();
     targets.shuffle(&mut random);
     targets.truncate(count);
--- a/crates/railhub-scenario/src/fault.rs
+++ b/crates/railhub-scenario/src/fault.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 /// Faults shorter than this count as this long where progress through a fault is computed, in seconds.
-const MIN_PROGRESS_DURATION: f64 = 0.001;
+const MIN_PROGRESS_SECONDS: f64 = 0.001;
 
 /// How a phantom host, one that is listed but is none of the cluster's, reacts to a connection.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,11 +42,11 @@
 
 /// What a client does after it has given up on an operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum GiveUpResponse {
+pub enum GiveUpReaction {
     /// It leaves and comes again later.
-    Leave,
+    ReturnLater,
     /// It drops the operation.
-    Short,
+    DropOperation,
 }
 
 /// What a fault does. Fractions are of 1, delays and intervals in seconds.
@@ -122,9 +122,9 @@
         /// Fraction of clients.
         fraction: f64,
         /// Multiple of the contract time after which they give up.
-        patience: f64,
+        contract_time_multiple: f64,
         /// What they do then.
-        response: GiveUpResponse,
+        reaction: GiveUpReaction,
     },
     /// A growing part of the traffic moves to one zone or one class.
     TrafficShift {
@@ -286,7 +286,7 @@
 
     /// The part of its duration that has passed at a time, 0 to 1.
     pub fn progress(&self, at: f64) -> f64 {
-        ((at - self.at) / self.duration.max(MIN_PROGRESS_DURATION)).clamp(0.0, 1.0)
+        ((at - self.at) / self.duration.max(MIN_PROGRESS_SECONDS)).clamp(0.0, 1.0)
     }
 
     /// The name that recordings carry.
--- a/crates/railhub-scenario/src/fault/recorded.rs
+++ b/crates/railhub-scenario/src/fault/recorded.rs
@@ -1,6 +1,6 @@
 //! The text by which recordings name a fault. It is part of the recorded format: the names stay as they are when
 //! the types here are renamed.
-use super::{CutDirection, FaultKind, GiveUpResponse, PhantomBehavior, ShiftTarget};
+use super::{CutDirection, FaultKind, GiveUpReaction, PhantomBehavior, ShiftTarget};
 
 impl FaultKind {
     /// The description that recordings carry, as `Slow { hosts: 2, times: 2.5 }`.
@@ -42,9 +42,9 @@
             FaultKind::HeavyOperations { fraction, factor } => {
                 format!("Heavy {{ share: {fraction:?}, times: {factor:?} }}")
             }
-            FaultKind::ClientsGiveUp { fraction, patience, response } => {
-                let how = recorded_response(*response);
-                format!("GiveUp {{ share: {fraction:?}, patience: {patience:?}, how: {how} }}")
+            FaultKind::ClientsGiveUp { fraction, contract_time_multiple, reaction } => {
+                let how = recorded_reaction(*reaction);
+                format!("GiveUp {{ share: {fraction:?}, patience: {contract_time_multiple:?}, how: {how} }}")
             }
             FaultKind::TrafficShift { fraction, target } => {
                 format!("Shift {{ share: {fraction:?}, how: {} }}", recorded_target(*target))
@@ -132,9 +132,9 @@
     }
 }
 
-fn recorded_response(response: GiveUpResponse) -> &'static str {
-    match response {
-        GiveUpResponse::Leave => "Leave",
-        GiveUpResponse::Short => "Short",
+fn recorded_reaction(reaction: GiveUpReaction) -> &'static str {
+    match reaction {
+        GiveUpReaction::ReturnLater => "Leave",
+        GiveUpReaction::DropOperation => "Short",
     }
 }
--- a/crates/railhub-scenario/src/import.rs
+++ b/crates/railhub-scenario/src/import.rs
@@ -77,18 +77,18 @@
     let (Some(tier), true) = (source.tiers.first(), !source.zones.is_empty()) else {
         return Err(ImportError::NoHosts { path });
     };
-    let (script, left_out) = translate(&source, tier, hosts);
-    let document = Document::parse(&to.display().to_string(), &script).map_err(ImportError::Syntax)?;
+    let (scenario_text, left_out) = translate(&source, tier, hosts);
+    let document = Document::parse(&to.display().to_string(), &scenario_text).map_err(ImportError::Syntax)?;
     Scenario::read(&document).map_err(|diagnostic| ImportError::Invalid { path, diagnostic })?;
-    std::fs::write(to, script).map_err(|source| ImportError::Write { path: to.to_owned(), source })?;
+    std::fs::write(to, scenario_text).map_err(|source| ImportError::Write { path: to.to_owned(), source })?;
     Ok(left_out)
 }
 
 /// The text of the scenario file, and what is missing in it.
 fn translate(source: &SourceScenario, tier: &Tier, hosts: Option<usize>) -> (String, Vec<String>) {
     let hosts_up = source.servers.iter().filter(|server| server.up).count().max(1);
-    let wanted = hosts.unwrap_or(hosts_up.min(DEFAULT_MAX_HOSTS)).max(1);
-    let scale = Scale { ratio: wanted as f64 / hosts_up as f64, hosts: wanted };
+    let host_count = hosts.unwrap_or(hosts_up.min(DEFAULT_MAX_HOSTS)).max(1);
+    let scale = Scale { ratio: host_count as f64 / hosts_up as f64, hosts: host_count };
     let mut left_out = features_left_out(source, tier, hosts_up);
     let mut out = String::new();
     cluster::write_header(&mut out, source);
--- a/crates/railhub-scenario/src/import/cluster.rs
+++ b/crates/railhub-scenario/src/import/cluster.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 /// Lines of a message beside its slices.
-const LINES_BESIDE_SLICES: f64 = 4.0;
+const MESSAGE_OVERHEAD_LINES: f64 = 4.0;
 /// Complete updates that the backlog holds at least.
 const MIN_BACKLOG_UPDATES: f64 = 2.0;
 /// Lines that the channel carries in a second at least.
@@ -24,8 +24,8 @@
 
 fn slices(source: &SourceScenario, scale: &Scale) -> f64 {
     let slices = source.control.slices;
-    let at_least = if slices > 0.0 { 1.0 } else { 0.0 };
-    (slices * scale.ratio).round().max(at_least)
+    let min_slices = if slices > 0.0 { 1.0 } else { 0.0 };
+    (slices * scale.ratio).round().max(min_slices)
 }
 
 pub(super) fn write_fleet(out: &mut String, source: &SourceScenario, tier: &Tier, scale: &Scale) {
@@ -38,8 +38,8 @@
     let _ = writeln!(out, "pick = {}", if control.pick == "two" { "two" } else { "weighted" });
     let (gain, duration) = (control.affinity_gain, control.affinity_duration);
     let _ = writeln!(out, "kept_gain = {gain:.3}\nkept_for = {duration:.3}");
-    let most_cores = tier.kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
-    let connections = tier.connections_per_core * most_cores;
+    let max_cores = tier.kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
+    let connections = tier.connections_per_core * max_cores;
     let probe_work = seconds(tier.probe_work);
     let _ = writeln!(out, "connections = {connections:.0}\nprobe_work = {probe_work:.4}");
     let _ = writeln!(out, "connect_within = {:.3}", seconds(tier.connect_timeout));
@@ -71,9 +71,9 @@
 /// Lines that may wait. A delta's lines and the proxies that get it both shrink, a message's own lines do not.
 fn backlog(source: &SourceScenario, scale: &Scale) -> f64 {
     let control = &source.control;
-    let update_lines = control.message_cost + LINES_BESIDE_SLICES + slices(source, scale);
-    let at_least = MIN_BACKLOG_UPDATES * proxies(source, scale) as f64 * update_lines;
-    (control.backlog * scale.ratio * scale.ratio).max(at_least).round()
+    let update_lines = control.message_cost + MESSAGE_OVERHEAD_LINES + slices(source, scale);
+    let min_backlog = MIN_BACKLOG_UPDATES * proxies(source, scale) as f64 * update_lines;
+    (control.backlog * scale.ratio * scale.ratio).max(min_backlog).round()
 }
 
 /// Endpoint list, load reports and the update channel.
@@ -85,10 +85,10 @@
     let _ = writeln!(out, "[reports]\nevery = {interval:.3}\nlate = {delay:.3}");
     let reports = (control.reports_per_second * scale.ratio).max(MIN_REPORTS_PER_SECOND);
     let _ = writeln!(out, "a_second = {reports:.0}\n");
-    let lines = backlog(source, scale) * control.rate / control.backlog.max(1.0);
-    let lines = lines.max(MIN_LINES_PER_SECOND).round();
+    let lines_per_second = backlog(source, scale) * control.rate / control.backlog.max(1.0);
+    let lines_per_second = lines_per_second.max(MIN_LINES_PER_SECOND).round();
     let reconnect = seconds(control.reconnect_delay);
-    let _ = writeln!(out, "[channel]\nlines_a_second = {lines}\nredial = {reconnect:.3}\n");
+    let _ = writeln!(out, "[channel]\nlines_a_second = {lines_per_second}\nredial = {reconnect:.3}\n");
 }
 
 pub(super) fn write_rules(out: &mut String, source: &SourceScenario, tier: &Tier, scale: &Scale) {
--- a/crates/railhub-scenario/src/initial_state.rs
+++ b/crates/railhub-scenario/src/initial_state.rs
@@ -29,13 +29,14 @@
 }
 
 /// The tables at the start; `facts` and `addresses` are of the same hosts in the same order.
-pub fn initial_tables(scenario: &Scenario, facts: &[HostConfig], addresses: &[SocketAddr]) -> Tables {
+pub fn initial_tables(scenario: &Scenario, host_configs: &[HostConfig], addresses: &[SocketAddr]) -> Tables {
     if scenario.slices == 0 {
-        let lines = addresses.iter().zip(facts).map(|(address, facts)| (*address, facts.cores as f64));
-        return Tables::from([(0, lines.collect())]);
+        let entries =
+            addresses.iter().zip(host_configs).map(|(address, config)| (*address, config.cores as f64));
+        return Tables::from([(0, entries.collect())]);
     }
     let mut tables = Tables::new();
-    for (slice, owner) in draw::first_owners(scenario, facts).into_iter().enumerate() {
+    for (slice, owner) in draw::initial_owners(scenario, host_configs).into_iter().enumerate() {
         tables.insert(slice as u32, vec![(addresses[owner], 1.0)]);
     }
     tables
--- a/crates/railhub-scenario/src/inject.rs
+++ b/crates/railhub-scenario/src/inject.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 
 /// Shortest phase of a noisy neighbor, in seconds.
-const MIN_NOISE_PHASE: f64 = 0.02;
+const MIN_NOISE_PHASE_SECONDS: f64 = 0.02;
 
 /// Plays one fault to its end. Waits: for a coroutine of its own.
-pub(crate) fn inject(fault: &ScheduledFault, number: usize, cluster: &Arc<Cluster>) {
-    let injection = Injection { fault, number, cluster };
+pub(crate) fn inject(fault: &ScheduledFault, fault_index: usize, cluster: &Arc<Cluster>) {
+    let injection = Injection { fault, fault_index, cluster };
     may::coroutine::sleep(seconds(cluster.started_at + fault.at - now()));
     let slowdown = injection.channel_slowdown();
     cluster.record_fault(fault, true, slowdown);
@@ -25,7 +25,7 @@
 
 struct Injection<'a> {
     fault: &'a ScheduledFault,
-    number: usize,
+    fault_index: usize,
     cluster: &'a Arc<Cluster>,
 }
 
@@ -98,18 +98,22 @@
                 self.cluster.hosts.release(&hosts);
             }
             FaultKind::Deploy { hosts, batch, drain } => self.deploy(*hosts, *batch, *drain),
-            FaultKind::Hang { hosts } => self.impair(*hosts, &|a| a.hangs = true, &|a| a.hangs = false),
+            FaultKind::Hang { hosts } => {
+                self.impair(*hosts, &|faults| faults.hangs = true, &|faults| faults.hangs = false)
+            }
             FaultKind::Slow { hosts, factor } => {
-                self.impair(*hosts, &|a| a.slowdown *= factor, &|a| a.slowdown /= factor);
+                self.impair(*hosts, &|faults| faults.slowdown *= factor, &|faults| faults.slowdown /= factor);
             }
             FaultKind::ResponsesLost { hosts, fraction } => {
-                self.impair(*hosts, &|a| a.response_loss = *fraction, &|a| a.response_loss = 0.0);
+                self.impair(*hosts, &|faults| faults.response_loss = *fraction, &|faults| {
+                    faults.response_loss = 0.0
+                });
             }
             FaultKind::Pauses { hosts, pause, interval } => self.pause_hosts(*hosts, *pause, *interval),
             FaultKind::NoisyNeighbor { hosts, cpu_fraction, interval } => {
                 self.add_noise(*hosts, *cpu_fraction, *interval);
             }
-            FaultKind::Growth { factor, .. } => self.grow(*factor),
+            FaultKind::Growth { factor, .. } => self.add_hosts_gradually(*factor),
             FaultKind::ZoneOutage { zone, silent } => self.fail_zone(*zone, *silent),
             _ => {}
         }
@@ -125,9 +129,11 @@
             }
             FaultKind::ListTruncated { hosts } => {
                 let hosts = self.reserve(*hosts);
-                self.falsify_list(hosts.iter().map(|host| self.cluster.hosts.entry(*host, GONE)).collect());
+                self.override_list_until_end(
+                    hosts.iter().map(|host| self.cluster.hosts.entry(*host, GONE)).collect(),
+                );
             }
-            FaultKind::PhantomHosts { hosts, behaviors } => self.list_phantoms(*hosts, behaviors),
+            FaultKind::PhantomHosts { hosts, behaviors } => self.add_phantoms(*hosts, behaviors),
             FaultKind::ListUnavailable => {
                 list.set_unavailable(true);
                 self.wait_for_end();
@@ -154,25 +160,25 @@
     }
 
     fn run_proxy_fault(&self) {
-        let (cluster, number) = (self.cluster, self.number);
+        let (cluster, fault_index) = (self.cluster, self.fault_index);
         match &self.fault.kind {
             FaultKind::StreamsReset { fraction } => {
-                cluster.with_some_proxies(*fraction, number, |proxy| proxy.break_streams());
+                cluster.for_chosen_proxies(*fraction, fault_index, |proxy| proxy.break_streams());
             }
             FaultKind::UpdateRejected { fraction } => {
-                cluster.with_some_proxies(*fraction, number, |proxy| proxy.reject_next_delta());
+                cluster.for_chosen_proxies(*fraction, fault_index, |proxy| proxy.reject_next_delta());
             }
             FaultKind::SlowUpdateChannel { factor } => {
-                let channel = &cluster.surroundings.channel;
+                let channel = &cluster.environment.channel;
                 channel.slow_down(*factor);
                 self.wait_for_end();
                 channel.slow_down(1.0 / factor);
             }
             FaultKind::SlowZoneLink { zone, other, delay, loss_fraction } => {
                 let link = DegradedLink { zone: *zone, other: *other, delay: *delay, loss: *loss_fraction };
-                cluster.surroundings.links.degrade(number, link);
+                cluster.environment.links.degrade(fault_index, link);
                 self.wait_for_end();
-                cluster.surroundings.links.restore(number);
+                cluster.environment.links.restore(fault_index);
             }
             _ => {}
         }
@@ -192,15 +198,15 @@
             }
             FaultKind::ControllerDrained { controller } => self.cluster.drain_controller(*controller),
             link_fault => {
-                self.cluster.set_link_fault(self.number, Some(link_fault));
+                self.cluster.set_link_fault(self.fault_index, Some(link_fault));
                 self.wait_for_end();
-                self.cluster.set_link_fault(self.number, None);
+                self.cluster.set_link_fault(self.fault_index, None);
             }
         }
     }
 
     fn reserve(&self, count: usize) -> Vec<usize> {
-        self.cluster.hosts.reserve(count, self.number)
+        self.cluster.hosts.reserve(count, self.fault_index)
     }
 
     fn change_each(&self, hosts: &[usize], change: &dyn Fn(&mut HostFaults)) {
@@ -233,15 +239,15 @@
         if !silent {
             return self.crash_until_end(&hosts);
         }
-        self.change_each(&hosts, &|a| a.hangs = true);
+        self.change_each(&hosts, &|faults| faults.hangs = true);
         self.wait_for_end();
-        self.change_each(&hosts, &|a| a.hangs = false);
+        self.change_each(&hosts, &|faults| faults.hangs = false);
     }
 
     fn pause_hosts(&self, count: usize, pause: f64, interval: f64) {
         let hosts = self.reserve(count);
         while now() < self.end() {
-            self.change_each(&hosts, &|a| a.paused_until = now() + pause);
+            self.change_each(&hosts, &|faults| faults.paused_until = now() + pause);
             may::coroutine::sleep(seconds(pause + interval));
         }
     }
@@ -250,19 +256,19 @@
         let hosts = self.reserve(count);
         let slowdown = 1.0 / (1.0 - cpu_fraction);
         while now() < self.end() {
-            self.change_each(&hosts, &|a| a.slowdown *= slowdown);
-            let phase = interval.min(self.end() - now()).max(MIN_NOISE_PHASE);
+            self.change_each(&hosts, &|faults| faults.slowdown *= slowdown);
+            let phase = interval.min(self.end() - now()).max(MIN_NOISE_PHASE_SECONDS);
             may::coroutine::sleep(seconds(phase));
-            self.change_each(&hosts, &|a| a.slowdown /= slowdown);
+            self.change_each(&hosts, &|faults| faults.slowdown /= slowdown);
             may::coroutine::sleep(seconds(interval));
         }
     }
 
-    fn grow(&self, factor: f64) {
-        let added = ((factor - 1.0) * self.cluster.scenario.hosts as f64).round() as usize;
-        for _ in 0..added {
+    fn add_hosts_gradually(&self, factor: f64) {
+        let added_hosts = ((factor - 1.0) * self.cluster.scenario.hosts as f64).round() as usize;
+        for _ in 0..added_hosts {
             self.cluster.hosts.add();
-            may::coroutine::sleep(seconds(self.fault.duration / added as f64));
+            may::coroutine::sleep(seconds(self.fault.duration / added_hosts as f64));
         }
     }
 
@@ -280,28 +286,30 @@
         }
     }
 
-    fn stop_after(&self, drain: f64, hosts: Vec<usize>) {
+    fn stop_after(&self, drain_duration: f64, hosts: Vec<usize>) {
         let cluster = self.cluster.clone();
         railhub_net::spawn(move || {
-            may::coroutine::sleep(seconds(drain));
+            may::coroutine::sleep(seconds(drain_duration));
             for host in hosts {
                 cluster.hosts.stop_drained(host);
             }
         });
     }
 
-    fn list_phantoms(&self, count: usize, behaviors: &[PhantomBehavior]) {
+    fn add_phantoms(&self, count: usize, behaviors: &[PhantomBehavior]) {
         let mut phantoms = Vec::new();
         for index in 0..count {
             phantoms.extend(self.cluster.hosts.add_phantom(&behaviors[index % behaviors.len()]));
         }
-        self.falsify_list(phantoms.iter().map(|host| self.cluster.hosts.entry(*host, READY)).collect());
+        self.override_list_until_end(
+            phantoms.iter().map(|host| self.cluster.hosts.entry(*host, READY)).collect(),
+        );
     }
 
     /// Replaces entries of the endpoint list until the fault ends.
-    fn falsify_list(&self, entries: Vec<ListedEndpoint>) {
-        self.cluster.list.set_override(self.number as u64, Some(entries));
+    fn override_list_until_end(&self, entries: Vec<ListedEndpoint>) {
+        self.cluster.list.set_override(self.fault_index as u64, Some(entries));
         self.wait_for_end();
-        self.cluster.list.set_override(self.number as u64, None);
+        self.cluster.list.set_override(self.fault_index as u64, None);
     }
 }
--- a/crates/railhub-scenario/src/play.rs
+++ b/crates/railhub-scenario/src/play.rs
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 
 /// Seconds that the cluster runs after the last operation has ended.
-const RUN_ON_DURATION: f64 = 1.0;
+const RUN_ON_SECONDS: f64 = 1.0;
 /// Seconds that a scenario may begin late: less than any operation waits.
-const MAX_START_DELAY: f64 = 0.05;
+const MAX_START_DELAY_SECONDS: f64 = 0.05;
 /// Seconds between reports of progress.
-const PROGRESS_INTERVAL: f64 = 0.1;
+const PROGRESS_INTERVAL_SECONDS: f64 = 0.1;
 
 /// The result of a run.
 pub struct ScenarioRun {
@@ -67,7 +67,7 @@
     let ended = spawn_run(&cluster, arrivals);
     while !ended.load(Ordering::Acquire) {
         progress(now() - cluster.started_at);
-        std::thread::sleep(seconds(PROGRESS_INTERVAL));
+        std::thread::sleep(seconds(PROGRESS_INTERVAL_SECONDS));
     }
     cluster.close();
     Ok(ScenarioRun { events: recorder.finish()? })
@@ -88,7 +88,7 @@
     std::thread::sleep(seconds(cluster.started_at - now()));
     cluster.record_limits();
     let delay = now() - cluster.started_at;
-    if delay > MAX_START_DELAY {
+    if delay > MAX_START_DELAY_SECONDS {
         cluster.close();
         return Err(PlayError::StartedLate { delay });
     }
@@ -104,7 +104,7 @@
         spawn_faults(&cluster, &running);
         spawn_operations(&cluster, arrivals, &running);
         running.wait();
-        may::coroutine::sleep(seconds(RUN_ON_DURATION));
+        may::coroutine::sleep(seconds(RUN_ON_SECONDS));
         run_ended.store(true, Ordering::Release);
     });
     ended
@@ -133,7 +133,7 @@
 }
 
 fn run_operation(cluster: &Cluster, arrival: &Arrival) {
-    let class = &cluster.surroundings.classes[arrival.drawn.class as usize];
+    let class = &cluster.environment.classes[arrival.drawn.class as usize];
     let proxy = &cluster.proxies[arrival.proxy];
-    client::run(arrival.drawn, cluster.scenario.clients, class, proxy, &cluster.surroundings.recorder);
+    client::run(arrival.drawn, cluster.scenario.clients, class, proxy, &cluster.environment.recorder);
 }
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -51,11 +51,13 @@
         let host_kinds = read_host_kinds(document)?;
         let sections = Sections::new(document);
         if classes.is_empty() || host_kinds.is_empty() {
-            return Err(sections.day.diagnostic("", "needs at least one [class NAME] and one [kind NAME]"));
+            return Err(sections
+                .general
+                .diagnostic("", "needs at least one [class NAME] and one [kind NAME]"));
         }
         let scenario = sections.scenario(folder, classes, host_kinds)?;
         if scenario.controllers > 1 && scenario.slices == 0 {
-            return Err(sections.stewards.diagnostic("count", "needs slices that stewards can share"));
+            return Err(sections.controllers.diagnostic("count", "needs slices that stewards can share"));
         }
         let faults = read_faults(document, &scenario)?;
         sections.reject_unread_keys()?;
@@ -91,12 +93,12 @@
 
 /// The sections that occur once, by their names in the file.
 struct Sections<'a> {
-    day: Section<'a>,
+    general: Section<'a>,
     fleet: Section<'a>,
-    stewards: Section<'a>,
+    controllers: Section<'a>,
     load: Section<'a>,
     clients: Section<'a>,
-    roster: Section<'a>,
+    endpoint_list: Section<'a>,
     reports: Section<'a>,
     channel: Section<'a>,
     rules: Section<'a>,
@@ -105,12 +107,12 @@
 impl<'a> Sections<'a> {
     fn new(document: &'a Document) -> Sections<'a> {
         Sections {
-            day: document.section("day"),
+            general: document.section("day"),
             fleet: document.section("fleet"),
-            stewards: document.section("stewards"),
+            controllers: document.section("stewards"),
             load: document.section("load"),
             clients: document.section("clients"),
-            roster: document.section("roster"),
+            endpoint_list: document.section("roster"),
             reports: document.section("reports"),
             channel: document.section("channel"),
             rules: document.section("rules"),
@@ -118,8 +120,9 @@
     }
 
     fn reject_unread_keys(self) -> Result<(), Diagnostic> {
-        let Sections { day, fleet, stewards, load, clients, roster, reports, channel, rules } = self;
-        for section in [day, fleet, stewards, load, clients, roster, reports, channel, rules] {
+        let Sections { general, fleet, controllers, load, clients, endpoint_list, reports, channel, rules } =
+            self;
+        for section in [general, fleet, controllers, load, clients, endpoint_list, reports, channel, rules] {
             section.reject_unread_keys()?;
         }
         Ok(())
@@ -139,14 +142,14 @@
         classes: Vec<OperationClass>,
         host_kinds: Vec<HostKind>,
     ) -> Result<Scenario, Diagnostic> {
-        let Sections { day, fleet, stewards, load, roster, reports, channel, rules, .. } = self;
+        let Sections { general, fleet, controllers, load, endpoint_list, reports, channel, rules, .. } = self;
         let zones = self.zones();
         let slices = fleet.in_range("slices", 0.0, 0.0, 60_000.0)? as u32;
         let replay = traffic::recorded_traffic(load, folder, &zones, &classes)?;
         Ok(Scenario {
-            name: day.value_or("name", "unnamed".to_owned())?,
-            seed: day.value_or("seed", 1)?,
-            length: day.required_in_range("length", 1.0, 3600.0)?,
+            name: general.value_or("name", "unnamed".to_owned())?,
+            seed: general.value_or("seed", 1)?,
+            length: general.required_in_range("length", 1.0, 3600.0)?,
             zone_shares: load::zone_shares(load, &zones)?,
             hosts: fleet.required_in_range("hosts", 1.0, 2000.0)? as usize,
             connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
@@ -166,8 +169,8 @@
             load_shape: load::load_shape(load)?,
             keys_per_slice: load.in_range("keys", 2000.0, 1.0, 1e6)? as usize,
             clients: self.clients()?,
-            list_add_delay: roster.in_range("add", 1.0, 0.0, 60.0)?,
-            list_removal_delay: roster.in_range("notice", 2.0, 0.0, 60.0)?,
+            list_add_delay: endpoint_list.in_range("add", 1.0, 0.0, 60.0)?,
+            list_removal_delay: endpoint_list.in_range("notice", 2.0, 0.0, 60.0)?,
             report_interval: reports.in_range("every", 1.0, 0.05, 60.0)?,
             report_delay: reports.in_range("late", 0.5, 0.0, 60.0)?,
             reports_per_second: reports.in_range("a_second", 800.0, 1.0, 1e6)?,
@@ -178,8 +181,8 @@
             first_attempt_timeout_fraction: rules.in_range("first_wait", 1.0, 0.0, 100.0)?,
             limits: self.limits(&zones, &classes, slices)?,
             faults: Vec::new(),
-            controllers: stewards.in_range("count", 1.0, 1.0, MAX_CONTROLLERS)? as usize,
-            lease_duration: stewards.in_range("lease", 3.0, 0.5, 60.0)?,
+            controllers: controllers.in_range("count", 1.0, 1.0, MAX_CONTROLLERS)? as usize,
+            lease_duration: controllers.in_range("lease", 3.0, 0.5, 60.0)?,
             clocks: Vec::new(),
             store_faults: StoreFaults::default(),
             disabled_safeguard: None,
--- a/crates/railhub-scenario/src/reader/cluster.rs
+++ b/crates/railhub-scenario/src/reader/cluster.rs
@@ -24,7 +24,7 @@
         OperationIdempotency::IdempotencyKeyGlobal | OperationIdempotency::IdempotencyKeyLocal
     );
     let class = OperationClass {
-        facts: EmulatedClass {
+        properties: EmulatedClass {
             name: section.name[CLASS_PREFIX.len()..].trim().to_owned(),
             contract_time: section.required_in_range("contract_time", 0.001, 3600.0)?,
             hard_stop: section.required_in_range("hard_stop", 0.001, 3600.0)?,
@@ -50,8 +50,8 @@
         cores: section.in_range("cores", 4.0, 1.0, 1024.0)? as usize,
         speed: (lowest_speed, section.in_range("speed_most", lowest_speed, lowest_speed, 100.0)?),
         queue: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
-        cold_from: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
-        warm_after: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
+        cold_capacity_fraction: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
+        warm_up_time: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
     };
     section.reject_unread_keys()?;
     Ok(kind)
@@ -83,12 +83,12 @@
 
 fn class_limits(class: &OperationClass) -> ClassLimits {
     ClassLimits {
-        name: class.facts.name.clone(),
-        contract_time: class.facts.contract_time,
-        hard_stop: class.facts.hard_stop,
-        priority_weight: class.facts.priority_weight,
-        idempotency: class.facts.idempotency.into(),
-        key_window: class.facts.key_window,
-        writes: class.facts.writes,
+        name: class.properties.name.clone(),
+        contract_time: class.properties.contract_time,
+        hard_stop: class.properties.hard_stop,
+        priority_weight: class.properties.priority_weight,
+        idempotency: class.properties.idempotency.into(),
+        key_window: class.properties.key_window,
+        writes: class.properties.writes,
     }
 }
--- a/crates/railhub-scenario/src/reader/faults.rs
+++ b/crates/railhub-scenario/src/reader/faults.rs
@@ -1,5 +1,5 @@
 //! `[trouble NAME]`: reads a fault. Its kind's name and its keys are mapped here alone.
-use crate::fault::{CutDirection, FaultKind, GiveUpResponse, PhantomBehavior, ScheduledFault, ShiftTarget};
+use crate::fault::{CutDirection, FaultKind, GiveUpReaction, PhantomBehavior, ScheduledFault, ShiftTarget};
 use crate::scenario::Scenario;
 use railhub_ini::{Diagnostic, Section};
 
@@ -83,8 +83,8 @@
             "heavy" => FaultKind::HeavyOperations { fraction: self.fraction()?, factor: self.factor()? },
             "give_up" => FaultKind::ClientsGiveUp {
                 fraction: self.fraction()?,
-                patience: section.required_in_range("patience", 0.01, 10.0)?,
-                response: self.give_up_response()?,
+                contract_time_multiple: section.required_in_range("patience", 0.01, 10.0)?,
+                reaction: self.give_up_reaction()?,
             },
             "shift" => FaultKind::TrafficShift { fraction: self.fraction()?, target: self.shift_target()? },
             "growth" => FaultKind::Growth {
@@ -151,10 +151,10 @@
 
     /// `hosts = 2`, or `part = 0.1` of the hosts at the start: at least one where the part is not 0.
     fn hosts(&self) -> Result<usize, Diagnostic> {
-        let part = self.section.in_range("part", 0.0, 0.0, 1.0)?;
-        let at_least = usize::from(part > 0.0);
-        let counted = ((part * self.scenario.hosts as f64).round() as usize).max(at_least);
-        let hosts = self.section.value_or("hosts", counted)?;
+        let fraction = self.section.in_range("part", 0.0, 0.0, 1.0)?;
+        let min_hosts = usize::from(fraction > 0.0);
+        let default_hosts = ((fraction * self.scenario.hosts as f64).round() as usize).max(min_hosts);
+        let hosts = self.section.value_or("hosts", default_hosts)?;
         if hosts == 0 {
             return Err(self.section.diagnostic("hosts", "is missing: hosts = 2, or part = 0.1"));
         }
@@ -185,8 +185,8 @@
         Ok(self.zone("zone")?.map_or(ShiftTarget::HeaviestClass, ShiftTarget::Zone))
     }
 
-    fn give_up_response(&self) -> Result<GiveUpResponse, Diagnostic> {
-        let choices = [("leave", GiveUpResponse::Leave), ("short", GiveUpResponse::Short)];
+    fn give_up_reaction(&self) -> Result<GiveUpReaction, Diagnostic> {
+        let choices = [("leave", GiveUpReaction::ReturnLater), ("short", GiveUpReaction::DropOperation)];
         self.section.choice("how", "short", &choices)
     }
 
--- a/crates/railhub-scenario/src/reader/traffic.rs
+++ b/crates/railhub-scenario/src/reader/traffic.rs
@@ -28,7 +28,7 @@
         let message = format!("has more than {MAX_OPERATIONS} operations: cut it, or scale it down");
         return Err(load.diagnostic("traffic", message));
     }
-    let class_names = classes.iter().map(|class| class.facts.name.clone()).collect();
+    let class_names = classes.iter().map(|class| class.properties.name.clone()).collect();
     map_names(&mut traffic, class_names, zones.to_vec())
         .map_err(|message| load.diagnostic("traffic", message))?;
     Ok(Some(Arc::new(scaling.apply(traffic))))
@@ -64,19 +64,19 @@
 
 /// A class or zone of recorded traffic that the scenario does not have.
 #[derive(Debug, thiserror::Error)]
-#[error("has the {what} '{name}', this day has not")]
+#[error("has the {item} '{name}', this day has not")]
 struct UnknownName {
-    what: &'static str,
+    item: &'static str,
     name: String,
 }
 
 /// Replaces the recording's class and zone indexes by the scenario's.
 fn map_names(traffic: &mut Trace, classes: Vec<String>, zones: Vec<String>) -> Result<(), UnknownName> {
-    let class_indexes = indexes(&traffic.header.classes, &classes, "class-");
-    let zone_indexes = indexes(&traffic.header.zones, &zones, "zone-");
+    let class_indexes = scenario_indexes(&traffic.header.classes, &classes, "class-");
+    let zone_indexes = scenario_indexes(&traffic.header.zones, &zones, "zone-");
     for row in &mut traffic.rows {
         let (class, zone) = (row.class as usize, row.zone as usize);
-        let unknown = |what, names: &[String], index: usize| UnknownName { what, name: names[index].clone() };
+        let unknown = |item, names: &[String], index: usize| UnknownName { item, name: names[index].clone() };
         row.class = class_indexes[class].ok_or_else(|| unknown("class", &traffic.header.classes, class))?;
         row.zone = zone_indexes[zone].ok_or_else(|| unknown("zone", &traffic.header.zones, zone))?;
     }
@@ -87,10 +87,10 @@
 
 /// The index of each recorded name in the scenario. A controller does not know zones by name: it records `zone-3` for
 /// the fourth.
-fn indexes(recorded: &[String], ours: &[String], numbered_prefix: &str) -> Vec<Option<u32>> {
+fn scenario_indexes(recorded: &[String], in_scenario: &[String], numbered_prefix: &str) -> Vec<Option<u32>> {
     let index_of = |name: &String| {
-        let index = ours.iter().position(|our| our == name);
-        index.or_else(|| numbered_index(name, numbered_prefix, ours.len())).map(|index| index as u32)
+        let index = in_scenario.iter().position(|known| known == name);
+        index.or_else(|| numbered_index(name, numbered_prefix, in_scenario.len())).map(|index| index as u32)
     };
     recorded.iter().map(index_of).collect()
 }
--- a/crates/railhub-scenario/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -13,7 +13,7 @@
 use rand_distr::{Distribution, Zipf};
 
 /// Seconds before the end of a recording at which its last operation begins at the latest.
-const LAST_START_MARGIN: f64 = 1e-3;
+const LAST_START_MARGIN_SECONDS: f64 = 1e-3;
 /// Multiplier of the Fibonacci hash by which keys are spread over another number of slices.
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
@@ -135,7 +135,7 @@
 
 fn recorded_row(end: &OperationEnd, start: f64, length: f64) -> TraceRow {
     // A client may begin some hundredths of a second late: the last of them are still of this run.
-    let latest = (length - LAST_START_MARGIN).max(0.0);
+    let latest = (length - LAST_START_MARGIN_SECONDS).max(0.0);
     TraceRow {
         at: (end.began - start).clamp(0.0, latest),
         class: end.class,
--- a/crates/railhub-scenario/src/report.rs
+++ b/crates/railhub-scenario/src/report.rs
@@ -6,9 +6,9 @@
 use serde::Serialize;
 
 /// Seconds of a window.
-const WINDOW_DURATION: f64 = 5.0;
+const WINDOW_SECONDS: f64 = 5.0;
 /// Seconds of the span of which the worst is reported.
-const WORST_SPAN_DURATION: f64 = 10.0;
+const WORST_SPAN_SECONDS: f64 = 10.0;
 
 /// Gain of the operations that completed within their contract time over the gain of all operations.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -70,16 +70,16 @@
 
 /// Computes the service of a run.
 pub fn service(events: &[Event], limits: &Limits) -> Service {
-    let operations = Operations::of(events, limits);
+    let operations = Operations::new(events, limits);
     let length = limits.until - limits.from;
     let (worst_10_s, worst_from) = operations.worst_span(length);
-    let windows = (0..(length / WINDOW_DURATION).ceil() as u32).map(f64::from);
+    let windows = (0..(length / WINDOW_SECONDS).ceil() as u32).map(f64::from);
     Service {
         overall: operations.service_between(0.0, f64::INFINITY),
         worst_10_s,
         worst_from,
         operations: operations.ends.len() as u64,
-        classes: operations.by_class(),
+        classes: operations.services_by_class(),
         windows: windows.map(|window| operations.window_service(window)).collect(),
     }
 }
@@ -90,7 +90,7 @@
 }
 
 impl Operations<'_> {
-    fn of<'a>(events: &'a [Event], limits: &'a Limits) -> Operations<'a> {
+    fn new<'a>(events: &'a [Event], limits: &'a Limits) -> Operations<'a> {
         let ends = events.iter().filter_map(|event| match &event.kind {
             Some(EventKind::OperationEnd(end)) => Some(end),
             _ => None,
@@ -122,23 +122,23 @@
     }
 
     fn window_service(&self, window: f64) -> f64 {
-        self.service_between(window * WINDOW_DURATION, (window + 1.0) * WINDOW_DURATION)
+        self.service_between(window * WINDOW_SECONDS, (window + 1.0) * WINDOW_SECONDS)
     }
 
     /// The lowest service of a span that begins at a full second, and where it begins.
     fn worst_span(&self, length: f64) -> (f64, f64) {
-        let last_end = length.max(WORST_SPAN_DURATION);
-        let starts = (0..).map(f64::from).take_while(|from| from + WORST_SPAN_DURATION <= last_end);
-        let spans = starts.map(|from| (self.service_between(from, from + WORST_SPAN_DURATION), from));
+        let last_end = length.max(WORST_SPAN_SECONDS);
+        let starts = (0..).map(f64::from).take_while(|from| from + WORST_SPAN_SECONDS <= last_end);
+        let spans = starts.map(|from| (self.service_between(from, from + WORST_SPAN_SECONDS), from));
         spans.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((1.0, 0.0))
     }
 
-    fn by_class(&self) -> Vec<ClassService> {
+    fn services_by_class(&self) -> Vec<ClassService> {
         let classes = self.limits.classes.iter().enumerate();
-        classes.map(|(index, class)| self.of_class(index, class)).collect()
+        classes.map(|(index, class)| self.class_service(index, class)).collect()
     }
 
-    fn of_class(&self, index: usize, class: &ClassLimits) -> ClassService {
+    fn class_service(&self, index: usize, class: &ClassLimits) -> ClassService {
         let mut service = ClassService { name: class.name.clone(), ..ClassService::default() };
         for end in self.ends.iter().filter(|end| end.class as usize == index) {
             service.operations += 1;
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct OperationClass {
     /// What clients and hosts know of the class.
-    pub facts: EmulatedClass,
+    pub properties: EmulatedClass,
     /// Weight of the class among all operations.
     pub share: f64,
     /// Mean work of an operation, in core seconds.
@@ -35,9 +35,9 @@
     /// Operations that a host queues.
     pub queue: usize,
     /// Fraction of its speed with which a cold host starts.
-    pub cold_from: f64,
+    pub cold_capacity_fraction: f64,
     /// Seconds until a cold host is warm.
-    pub warm_after: f64,
+    pub warm_up_time: f64,
 }
 
 /// What is wrong with a controller's lease clock, for tests: an ordinary user cannot set a real one.
@@ -143,6 +143,6 @@
 impl Scenario {
     /// What clients and hosts know of the classes, in the order of the file.
     pub fn emulated_classes(&self) -> Vec<EmulatedClass> {
-        self.classes.iter().map(|class| class.facts.clone()).collect()
+        self.classes.iter().map(|class| class.properties.clone()).collect()
     }
 }
