--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The running cluster of a scenario: hosts, endpoint list, store, proxies and controllers, and what faults do to them.
+//! The running cluster of a scenario: hosts, endpoint list, store, proxies and controllers, and the operations by which
+//! faults change them.
 use crate::cluster_hosts::{ClusterHosts, InitialHosts};
 use crate::controllers::Controllers;
 use crate::draw;
@@ -20,15 +21,15 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Seconds between the start of the cluster and the first operation, in which its members find each other.
+/// Seconds from the start of the cluster to scenario time 0, in which its members connect to each other.
 const JOIN_SECONDS: f64 = 2.0;
-/// Distance between the indexes of sabotaged proxies, where a few suffice to break an invariant.
+/// Distance between the indexes of sabotaged proxies where a few of them suffice to violate an invariant.
 const SABOTAGED_PROXY_STEP: usize = 6;
 
 /// A running cluster.
 pub(crate) struct Cluster {
     pub scenario: Arc<Scenario>,
-    /// When the scenario's time is 0, on the clock of this process, in seconds.
+    /// Scenario time 0 on the clock of this process, in seconds.
     pub started_at: f64,
     pub environment: Environment,
     pub list: Arc<EndpointList>,
@@ -37,7 +38,7 @@
     pub hosts: ClusterHosts,
     launch: Option<ControllerLauncher>,
     controllers: Controllers,
-    /// Held while a controller is started again: two faults may want to at once.
+    /// Held while a controller is restarted: two faults may restart one at the same time.
     restart_lock: std::sync::Mutex<()>,
     tasks: Mutex<Vec<Task>>,
 }
@@ -47,7 +48,7 @@
     /// proxies keep their first tables.
     ///
     /// # Errors
-    /// One of them has no port.
+    /// One of them cannot listen on a port.
     pub fn open(
         scenario: &Scenario,
         recorder: &Recorder,
@@ -99,8 +100,8 @@
         self.record(0.0, EventKind::Limits(Limits { from, until, ..self.scenario.limits.clone() }));
     }
 
-    /// Records that a fault begins or ends. `channel_slowdown` is the factor by which updates are slower from now on,
-    /// 0 where the fault does not change it.
+    /// Records that a fault begins or ends. `channel_slowdown` is the factor by which updates are slower from now on; 0
+    /// if the fault does not change it.
     pub fn record_fault(&self, fault: &ScheduledFault, active: bool, channel_slowdown: f64) {
         let event = railhub_record::InjectedFault {
             name: fault.recorded_name(),
@@ -120,16 +121,17 @@
         }
     }
 
-    /// Adds to the delay of load reports, in seconds; a negative fault_index takes off again.
+    /// Adds to the delay of load reports, in seconds; a negative value reduces it.
     pub fn add_report_delay(&self, delay: f64) {
         let milliseconds = (delay * 1000.0).round() as i64;
         self.environment.extra_report_delay_ms.fetch_add(milliseconds, Ordering::Relaxed);
     }
 
-    /// Launches a controller and connects the proxies to it. Blocks until it listens: not for coroutines.
+    /// Launches a controller and lets the proxies connect to it. Blocks the thread until it listens: must not be called in
+    /// a coroutine.
     ///
     /// # Errors
-    /// It does not start.
+    /// The controller does not start.
     pub fn launch_controller(&self, controller: usize) -> Result<(), LaunchError> {
         let Some(launch) = &self.launch else { return Ok(()) };
         let (list, store) = (self.list.address, self.store.address);
@@ -157,11 +159,11 @@
         });
     }
 
-    /// Starts a controller again, on a thread of its own as that blocks.
+    /// Restarts a controller, on a thread of its own because launching blocks.
     pub fn restart_controller(self: &Arc<Cluster>, controller: usize) {
         let cluster = self.clone();
         std::thread::spawn(move || {
-            // Another fault may have started it meanwhile.
+            // Another fault may have restarted it meanwhile.
             let _restart_guard = cluster.restart_lock.lock().expect("no holder panics");
             if cluster.controllers.is_running(controller) {
                 return;
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Stops a controller's process, or lets it continue.
+    /// Pauses or resumes a controller's process.
     pub fn pause_controller(&self, controller: usize, paused: bool) {
         self.controllers.pause(controller, paused);
         self.record_controller(ControllerLifecycle {
@@ -196,7 +198,7 @@
         self.controllers.drain(&self.scenario, controller);
     }
 
-    /// A fault of the links between controllers, list, store and proxies begins (`kind`) or ends.
+    /// Begins a fault of the links between controllers, list, store and proxies, or ends it (`None`).
     pub fn set_link_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
         self.controllers.set_link_fault(fault_index, kind);
     }
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Ends everything.
+    /// Stops the controllers, the proxies and the hosts.
     pub fn close(&self) {
         self.tasks.lock().expect("no holder panics").clear();
         for controller in 0..self.controllers.count() {
@@ -231,7 +233,7 @@
 ) -> Vec<Arc<Proxy>> {
     let mut proxies = Vec::new();
     for index in 0..scenario.proxies {
-        // Only many proxies can overload a cold host; a few can break everything else.
+        // Overloading a cold host takes all proxies; a few suffice to violate the other invariants.
         let sabotage =
             sabotage.filter(|kind| index % SABOTAGED_PROXY_STEP == 0 || *kind == Sabotage::FloodsColdHosts);
         let config = proxy_config(scenario, index);
@@ -240,7 +242,7 @@
     proxies
 }
 
-/// Opens the store; it records the writes of several controllers alone.
+/// Opens the store. It records writes only if there are several controllers.
 fn open_store(scenario: &Scenario, tables: Tables, recorder: &Recorder) -> io::Result<Store> {
     let recorder = (scenario.controllers > 1).then(|| recorder.clone());
     Store::open_with(tables, scenario.lease_duration, recorder, scenario.store_faults)
--- a/crates/railhub-scenario/src/cluster_hosts.rs
+++ b/crates/railhub-scenario/src/cluster_hosts.rs
@@ -1,7 +1,7 @@
 //! The emulated hosts of a running scenario, and their entries in the endpoint list.
 //!
-//! A host is listed as ready from its start, as draining while it is replaced, and as gone after its end. Fault
-//! injection addresses hosts by index; an index stays with its host.
+//! A host is listed as ready from its start, as draining while it is replaced, and as gone after it was stopped. Fault
+//! injection addresses hosts by index; the index of a host does not change.
 use crate::draw;
 use crate::fault::PhantomBehavior;
 use crate::scenario::Scenario;
@@ -16,16 +16,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Seconds by which the list entry of a restart comes after that of the crash before it.
+/// Seconds by which the list entry of a restarted host follows that of its crash.
 const RESTART_ENTRY_DELAY_SECONDS: f64 = 0.05;
 
 struct HostSlot {
     listening: ListeningHost,
-    /// When its process last started cold.
+    /// When its process last started cold; none if it never did.
     started: Option<f64>,
     weight: f64,
     is_phantom: bool,
-    /// It is being replaced, or has been.
+    /// Whether it is being replaced, or was.
     is_leaving: bool,
 }
 
@@ -40,13 +40,13 @@
         ListedEndpoint { host, phase, started: self.started, weight: self.weight, kind }
     }
 
-    /// Whether faults may strike it.
+    /// Whether faults may affect it.
     fn is_regular(&self) -> bool {
         !self.is_phantom && !self.is_leaving
     }
 }
 
-/// Hosts that run before anything else does.
+/// The hosts at the start. They run before the rest of the cluster is opened.
 pub(crate) struct InitialHosts {
     slots: Vec<HostSlot>,
     seen_operations: SharedSeenOperations,
@@ -56,7 +56,7 @@
     /// Opens and starts hosts, warm.
     ///
     /// # Errors
-    /// A host has no port.
+    /// A host cannot listen on a port.
     pub fn open(
         configs: &[HostConfig],
         classes: &Arc<Vec<EmulatedClass>>,
@@ -100,7 +100,7 @@
     environment: Environment,
     list: Arc<EndpointList>,
     slots: Mutex<Vec<HostSlot>>,
-    /// Hosts that a fault holds already.
+    /// Indexes of the hosts that a fault has reserved.
     reserved: Mutex<BTreeSet<usize>>,
     seen_operations: SharedSeenOperations,
 }
@@ -143,7 +143,8 @@
         self.with_slots(|slots| slots[index].entry(phase))
     }
 
-    /// Chooses live hosts for a fault and reserves them; fewer than `count` if there are no more.
+    /// Chooses hosts for a fault and reserves them; fewer than `count` if no more are free. Hosts that are phantoms, are
+    /// being replaced or are reserved by other faults are not free.
     pub fn reserve(&self, count: usize, fault_index: usize) -> Vec<usize> {
         let mut reserved = self.reserved.lock().expect("no holder panics");
         let free = self.matching(|index, slot| slot.is_regular() && !reserved.contains(&index));
@@ -152,7 +153,7 @@
         chosen
     }
 
-    /// Lets other faults strike these hosts.
+    /// Ends the reservation of these hosts, so that other faults may affect them.
     pub fn release(&self, hosts: &[usize]) {
         let mut reserved = self.reserved.lock().expect("no holder panics");
         for host in hosts {
@@ -160,18 +161,18 @@
         }
     }
 
-    /// The live hosts of a zone.
+    /// The hosts of a zone that faults may affect.
     pub fn in_zone(&self, zone: u32) -> Vec<usize> {
         self.matching(|_, slot| slot.listening.host.config.zone == zone && slot.is_regular())
     }
 
-    /// Kills a host's process; the list notices later.
+    /// Kills a host's process; the endpoint list shows it after the removal delay.
     pub fn crash(&self, index: usize) {
         self.host(index).kill();
         self.list.update_after(self.scenario.list_removal_delay, vec![self.entry(index, GONE)]);
     }
 
-    /// Starts a host's process again, cold, unless the host was replaced meanwhile.
+    /// Starts a host's process again, cold, unless the host runs already or is being replaced.
     pub fn restart(&self, index: usize) {
         if self.with_slots(|slots| slots[index].is_leaving) || self.host(index).is_alive() {
             return;
@@ -187,7 +188,7 @@
         self.list.update_after(self.scenario.list_add_delay, vec![self.entry(index, DRAINING)]);
     }
 
-    /// Ends a drained host.
+    /// Stops a drained host.
     pub fn stop_drained(&self, index: usize) {
         self.host(index).kill();
         self.list.update_after(self.scenario.list_add_delay, vec![self.entry(index, GONE)]);
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Adds a phantom host: it will be listed and is none of the cluster's. None if it has no port.
+    /// Opens a phantom host and returns its index, or none if it cannot listen on a port. The caller adds it to the
+    /// endpoint list.
     pub fn add_phantom(&self, behavior: &PhantomBehavior) -> Option<usize> {
         let config = draw::hosts(&self.scenario, 1, "ghost").swap_remove(0);
         let index = self.open_host(config, true)?;
@@ -224,7 +226,7 @@
         Some(index)
     }
 
-    /// Ends all hosts.
+    /// Stops all hosts.
     pub fn close(&self) {
         let hosts: Vec<Arc<Host>> =
             self.with_slots(|slots| slots.iter().map(|slot| slot.listening.host.clone()).collect());
@@ -245,7 +247,8 @@
         let zone = config.zone;
         let (classes, recorder) = (self.environment.classes.clone(), self.environment.recorder.clone());
         let opened = ListeningHost::open(config, classes, self.seen_operations.clone(), recorder);
-        let listening = opened.inspect_err(|error| tracing::error!(%error, "a host cannot listen")).ok()?;
+        let listening =
+            opened.inspect_err(|error| tracing::error!(%error, "host cannot listen on a port")).ok()?;
         self.environment.zones.lock().expect("no holder panics").insert(listening.host.address, zone);
         Some(self.with_slots(|slots| {
             slots.push(HostSlot::new(listening, is_phantom));
--- a/crates/railhub-scenario/src/controller_links.rs
+++ b/crates/railhub-scenario/src/controller_links.rs
@@ -1,5 +1,5 @@
-//! The relays between several controllers, their endpoint list, store and proxies. A controller is given the relays'
-//! addresses and does not know of them.
+//! The relays between several controllers, their endpoint list, store and proxies. The settings of a controller contain
+//! the addresses of relays in place of the real ones.
 use crate::fault::FaultKind;
 use crate::launch::LaunchedController;
 use crate::link_faults::{LinkEnds, LIST, PROXIES, STORE};
@@ -15,13 +15,13 @@
 
 /// The relays of one controller.
 struct ControllerRelays {
-    /// From the proxies to it.
+    /// From the proxies to the controller.
     proxies: TcpLink,
-    /// From it to the endpoint list.
+    /// From the controller to the endpoint list.
     list: TcpLink,
-    /// From it to the store.
+    /// From the controller to the store.
     store: TcpLink,
-    /// Where the other controllers reach it.
+    /// Address at which the other controllers reach it.
     advertised: SocketAddr,
 }
 
@@ -30,7 +30,7 @@
     link_controller: Arc<LinkController>,
     udp: UdpLinks,
     relays: Vec<ControllerRelays>,
-    /// Active faults of links, by their fault_index in the scenario.
+    /// Active faults of links, by their index in the scenario.
     active: Mutex<BTreeMap<usize, FaultKind>>,
 }
 
@@ -38,7 +38,7 @@
     /// Opens the relays.
     ///
     /// # Errors
-    /// A relay has no port.
+    /// A relay cannot listen on a port.
     pub fn open(scenario: &Scenario, list: &EndpointList, store: SocketAddr) -> io::Result<ControllerLinks> {
         let link_controller = Arc::new(LinkController::new(scenario.seed, None));
         let udp = UdpLinks::open(link_controller.clone(), Box::new(|_| {}));
@@ -56,27 +56,27 @@
         Ok(ControllerLinks { link_controller, udp, relays, active: Mutex::default() })
     }
 
-    /// Where proxies reach a controller.
+    /// Address at which proxies reach a controller.
     pub fn proxy_address(&self, controller: usize) -> SocketAddr {
         self.relays[controller].proxies.address
     }
 
-    /// Where a controller reaches the endpoint list.
+    /// Address at which a controller reaches the endpoint list.
     pub fn list_address(&self, controller: usize) -> SocketAddr {
         self.relays[controller].list.address
     }
 
-    /// Where a controller reaches the store.
+    /// Address at which a controller reaches the store.
     pub fn store_address(&self, controller: usize) -> SocketAddr {
         self.relays[controller].store.address
     }
 
-    /// Where each controller is reached by the others.
+    /// Addresses at which the controllers reach each other, by index.
     pub fn advertised(&self) -> Vec<SocketAddr> {
         self.relays.iter().map(|relays| relays.advertised).collect()
     }
 
-    /// Connects the relays to a controller's process, or to none.
+    /// Connects a controller's relays to its process, or to none.
     pub fn connect(&self, controller: usize, launched: Option<&LaunchedController>) {
         let address = launched.map(|launched| launched.address);
         let fleet = launched.and_then(|launched| launched.fleet);
@@ -84,7 +84,7 @@
         self.udp.set_real_address(&LinkEnds::controller_name(controller), fleet);
     }
 
-    /// A fault of the links begins (`kind`) or ends.
+    /// Begins a fault of the links, or ends it (`None`).
     pub fn set_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
         let mut active = self.active.lock().expect("no holder panics");
         match kind {
@@ -94,7 +94,7 @@
         self.apply(&active);
     }
 
-    /// Sets each direction of each link to what the active faults together make of it.
+    /// Sets each direction of each link to the combined effect of the active faults.
     fn apply(&self, active: &BTreeMap<usize, FaultKind>) {
         let ends = LinkEnds::new(self.relays.len());
         let names = ends.names();
--- a/crates/railhub-scenario/src/controller_settings.rs
+++ b/crates/railhub-scenario/src/controller_settings.rs
@@ -1,25 +1,25 @@
-//! The settings file (INI) of a scenario's controller.
+//! The settings files (INI) of a scenario's controllers.
 use crate::scenario::{Scenario, TestClock};
 use railhub_record::{ClassLimits, OperationIdempotency};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// How one of several controllers reaches the others.
+/// The addresses by which one of several controllers and the others reach each other.
 pub(crate) struct FleetAddresses {
     /// Index of the controller.
     pub controller: usize,
-    /// Where the others reach it.
+    /// Address at which the others reach it.
     pub advertise: SocketAddr,
-    /// Where all of them are reached.
+    /// Addresses of all controllers, by index.
     pub join: Vec<SocketAddr>,
 }
 
-/// The name under which a scenario's controllers recognise each other.
+/// The installation name by which a scenario's controllers recognize each other.
 pub(crate) fn installation(scenario: &Scenario) -> String {
     format!("day-{}", scenario.seed)
 }
 
-/// The settings of a scenario's only controller, and what those of several have in common.
+/// The settings of a scenario's single controller, or the part that the settings of several controllers have in common.
 pub fn controller_settings(scenario: &Scenario, list: SocketAddr, store: SocketAddr) -> String {
     let mut text =
         format!("[steward]\nlisten = 127.0.0.1:0\nroster = {list}\nslices = {}\n", scenario.slices);
@@ -66,7 +66,7 @@
     )
 }
 
-/// The section that makes a controller one of several.
+/// The `[fleet]` section in the settings of one of several controllers.
 pub(crate) fn fleet_section(scenario: &Scenario, addresses: &FleetAddresses) -> String {
     let join: Vec<String> = addresses.join.iter().map(SocketAddr::to_string).collect();
     let without =
--- a/crates/railhub-scenario/src/controllers.rs
+++ b/crates/railhub-scenario/src/controllers.rs
@@ -1,5 +1,5 @@
-//! The controllers of a scenario as processes. A single one is connected directly, several through relays that faults
-//! can break.
+//! The controllers of a scenario as processes. A single one is connected directly, several through relays to which link
+//! faults apply.
 use crate::controller_links::ControllerLinks;
 use crate::controller_settings::{controller_settings, fleet_section, installation, FleetAddresses};
 use crate::fault::FaultKind;
@@ -14,17 +14,17 @@
 
 /// All controllers of a scenario, by index.
 pub(crate) struct Controllers {
-    /// None for a single controller.
+    /// The relays; none for a single controller.
     links: Option<ControllerLinks>,
-    /// The processes that run.
+    /// The running process of each controller, if any.
     running: Mutex<Vec<Option<LaunchedController>>>,
 }
 
 impl Controllers {
-    /// Opens the relays; launches none.
+    /// Opens the relays; launches no controller.
     ///
     /// # Errors
-    /// A relay has no port.
+    /// A relay cannot listen on a port.
     pub fn open(scenario: &Scenario, list: &EndpointList, store: SocketAddr) -> io::Result<Controllers> {
         let has_links = scenario.controllers > 1;
         let links = has_links.then(|| ControllerLinks::open(scenario, list, store)).transpose()?;
@@ -36,15 +36,15 @@
         self.running.lock().expect("no holder panics")
     }
 
-    /// How many there are, running or not.
+    /// Number of controllers, running or not.
     pub fn count(&self) -> usize {
         self.running().len()
     }
 
-    /// Launches a controller, waits for it, and returns where proxies reach it.
+    /// Launches a controller, waits until it listens, and returns the address for proxies.
     ///
     /// # Errors
-    /// It does not start.
+    /// The controller does not start.
     pub fn launch(
         &self,
         scenario: &Scenario,
@@ -65,7 +65,7 @@
         Ok(links.proxy_address(controller))
     }
 
-    /// Kills a controller's process; returns whether there was one.
+    /// Kills a controller's process; returns whether one was running.
     pub fn kill(&self, controller: usize) -> bool {
         let launched = self.running()[controller].take();
         if let Some(links) = &self.links {
@@ -81,7 +81,7 @@
         let Some((address, process)) = self.fleet_process(controller) else { return };
         let request = Packet::Drain { node: NodeId(controller as u16), process };
         let bytes = encode(&installation(scenario), &request);
-        // A request that is lost is a drain that does not happen: the recording shows it.
+        // If the request is lost the controller does not drain; the recording shows that.
         let _ = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|socket| socket.send_to(&bytes, address));
     }
 
@@ -91,12 +91,12 @@
         Some((launched.fleet?, launched.process?))
     }
 
-    /// Whether a process of a controller runs.
+    /// Whether a controller's process is running.
     pub fn is_running(&self, controller: usize) -> bool {
         self.running()[controller].is_some()
     }
 
-    /// Stops a controller's process, or lets it continue.
+    /// Pauses or resumes a controller's process, if it can be paused.
     pub fn pause(&self, controller: usize, paused: bool) {
         let set_paused = self.running()[controller].as_ref().and_then(|launched| launched.pause.clone());
         if let Some(set_paused) = set_paused {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A fault of the links begins (`kind`) or ends.
+    /// Begins a fault of the links, or ends it (`None`). Without relays there is no effect.
     pub fn set_link_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
         if let Some(links) = &self.links {
             links.set_fault(fault_index, kind);
--- a/crates/railhub-scenario/src/draw.rs
+++ b/crates/railhub-scenario/src/draw.rs
@@ -1,8 +1,8 @@
-//! Draws hosts and operations from a scenario's seed, all in advance: the same scenario brings the same operations,
-//! whatever the controllers do with them.
+//! Draws hosts and operations from a scenario's seed, all in advance: the same scenario and seed give the same operations,
+//! whatever the controllers do.
 //!
-//! Each purpose has its own random stream. The number and the order of draws within a stream are part of what a seed
-//! means: a draw that is added or left out changes every run.
+//! Each purpose has its own random stream. Number and order of the draws within a stream must not change: a draw that is
+//! added or removed changes every run of every seed.
 mod arrivals;
 mod fleet;
 pub(crate) mod load_curve;
--- a/crates/railhub-scenario/src/draw/arrivals.rs
+++ b/crates/railhub-scenario/src/draw/arrivals.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
 
-/// All operations in the order of their times. `capacity` is that of the hosts at the start.
+/// All operations in the order of their times. `capacity` is the capacity of the hosts at the start.
 pub fn arrivals(scenario: &Scenario, capacity: f64) -> Vec<Arrival> {
     match &scenario.replay {
         Some(traffic) => replay::arrivals(scenario, traffic),
@@ -17,16 +17,16 @@
     }
 }
 
-/// Draws operations by thinning: candidates come at the peak rate, and each is kept with the probability of the
-/// current rate over the peak.
+/// Draws operations by thinning: candidates arrive at the peak rate, and each is kept with a probability of the current
+/// rate divided by the peak rate.
 struct ArrivalProcess<'a> {
     scenario: &'a Scenario,
     random: ChaCha8Rng,
     slice_sizes: Vec<f64>,
     class_shares: Vec<f64>,
-    /// Operations a second at a multiple of 1.
+    /// Operations per second at a rate multiple of 1.
     rate: f64,
-    /// Operations a second of the candidates.
+    /// Candidates per second.
     peak_rate: f64,
     /// Weights of the proxies, by zone.
     proxy_weights: Vec<Vec<f64>>,
--- a/crates/railhub-scenario/src/draw/fleet.rs
+++ b/crates/railhub-scenario/src/draw/fleet.rs
@@ -5,7 +5,8 @@
 use railhub_emulator::host::HostConfig;
 use rand::RngExt;
 
-/// Hosts as they are at the start, and as later ones will be.
+/// Draws the configurations of `count` hosts from the random stream of a purpose: one is for the hosts at the start,
+/// others are for hosts that are added later.
 pub fn hosts(scenario: &Scenario, count: usize, purpose: &str) -> Vec<HostConfig> {
     let mut random = random_stream(scenario.seed, purpose);
     let mut hosts = Vec::with_capacity(count);
@@ -18,7 +19,7 @@
     hosts
 }
 
-/// The kind of one of `count` hosts: kinds follow each other in proportion to their shares.
+/// The kind of one of `count` hosts. Kinds are assigned in the order of the file, in proportion to their shares.
 fn kind_index(kinds: &[HostKind], index: usize, count: usize) -> usize {
     let total: f64 = kinds.iter().map(|kind| kind.share).sum();
     let mut remaining = (index as f64 + 0.5) / count as f64 * total;
@@ -49,12 +50,12 @@
     }
 }
 
-/// Core seconds of work that hosts do in a second.
+/// Capacity of hosts, in core seconds of work per second.
 pub fn capacity(hosts: &[HostConfig]) -> f64 {
     hosts.iter().map(|host| host.cores as f64 * host.speed).sum()
 }
 
-/// The fraction of the traffic that is for each slice.
+/// The fraction of the traffic for each slice.
 pub fn slice_sizes(scenario: &Scenario) -> Vec<f64> {
     if let Some(traffic) = &scenario.replay {
         return replay::slice_sizes(traffic, scenario.slices);
@@ -66,7 +67,7 @@
     sizes.into_iter().map(|size| size / total).collect()
 }
 
-/// The index of each slice's first owner: the host with the lowest load a core after it has the slice.
+/// The index of each slice's initial owner: the host that has the lowest load per core once it owns the slice.
 pub fn initial_owners(scenario: &Scenario, hosts: &[HostConfig]) -> Vec<usize> {
     let mut loads = vec![0.0; hosts.len()];
     let mut owners = Vec::new();
--- a/crates/railhub-scenario/src/draw/load_curve.rs
+++ b/crates/railhub-scenario/src/draw/load_curve.rs
@@ -3,18 +3,18 @@
 use crate::fault::{FaultKind, ScheduledFault};
 use crate::scenario::Scenario;
 
-/// Iterations that bring the rate and the fraction of remembered keys into agreement; both change little after the
-/// first.
+/// Iterations by which the rate and the fraction of remembered keys, which depend on each other, converge. Both change
+/// little after the first.
 const RATE_ITERATIONS: usize = 4;
-/// Points a second at which the peak of the load is looked for.
+/// Samples per second of the load curve by which its peak is found.
 const PEAK_SAMPLES_PER_SECOND: f64 = 4.0;
-/// Room above the highest sample.
+/// Factor by which the bound of the peak exceeds the highest sample.
 const PEAK_MARGIN: f64 = 1.05;
-/// The lowest peak, in multiples of the rate.
+/// Lower limit of the peak, as a multiple of the rate.
 const MIN_PEAK: f64 = 0.01;
 
-/// Operations a second that offer the scenario's load to the hosts, when slices stay where they are and hosts remember
-/// the keys that such a rate repeats. `work` is the mean work of an operation, in core seconds.
+/// Operations per second that offer the scenario's load to the hosts. Slices are assumed to keep their owners, and hosts
+/// to remember the keys that repeat at this rate. `mean_work` is the mean work of an operation, in core seconds.
 pub(crate) fn offered_rate(scenario: &Scenario, capacity: f64, mean_work: f64, slice_sizes: &[f64]) -> f64 {
     let keys = 1..=scenario.keys_per_slice;
     let weights: Vec<f64> = keys.map(|key| (key as f64).powf(-KEY_EXPONENT)).collect();
@@ -32,13 +32,13 @@
     rate
 }
 
-/// The multiple of the offered rate at a time: the scenario's shape, and growth that the traffic follows.
+/// The multiple of the offered rate at a time: the load shape times the growth of the traffic.
 pub(crate) fn rate_multiple(scenario: &Scenario, at: f64) -> f64 {
     let growth = scenario.faults.iter().filter_map(|fault| traffic_growth(fault, at));
     shape_at(&scenario.load_shape, at) * growth.product::<f64>()
 }
 
-/// A bound above every multiple of the scenario.
+/// An upper bound of [`rate_multiple`] during the scenario.
 pub(crate) fn peak_rate_multiple(scenario: &Scenario) -> f64 {
     let samples = (scenario.length * PEAK_SAMPLES_PER_SECOND) as usize + 1;
     let multiples =
--- a/crates/railhub-scenario/src/draw/operation.rs
+++ b/crates/railhub-scenario/src/draw/operation.rs
@@ -1,4 +1,4 @@
-//! One operation, and the faults that lie in operations themselves.
+//! One operation, and the faults that change operations.
 use super::random::{log_normal, weighted_index};
 use crate::fault::{FaultKind, GiveUpReaction, ScheduledFault, ShiftTarget};
 use crate::scenario::Scenario;
@@ -6,13 +6,14 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Hot keys are above all drawn ones.
+/// Lowest hot key, above all drawn keys.
 const FIRST_HOT_KEY: u64 = u64::MAX / 2;
-/// Hot keys lie in slices this far apart, from this offset.
+/// Distance between the slices of successive hot keys.
 const HOT_KEY_SLICE_STEP: usize = 7;
+/// Slice of the first hot key.
 const HOT_KEY_SLICE_OFFSET: usize = 3;
 
-/// One operation, when it begins and at which proxy.
+/// An operation, the time at which it begins, and the proxy that receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     /// Seconds from the start of the scenario.
@@ -28,11 +29,11 @@
     pub class: usize,
     pub slice: usize,
     pub key: u64,
-    /// Multiple of the work.
+    /// Factor by which the drawn work is multiplied.
     pub work_factor: f64,
-    /// Fraction of the hard stop that the client waits.
+    /// Fraction of the hard stop after which the client stops waiting.
     pub wait_fraction: f64,
-    /// The client returns after it has given up.
+    /// The client sends one more request after it has stopped waiting.
     pub client_returns: bool,
     /// Weights of the zones at which it can begin.
     pub zone_weights: Vec<f64>,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Applies the faults that lie in operations. Each fault takes one draw, whether it applies or not.
+    /// Applies the faults that change operations. One number is drawn for each fault, whether it applies or not.
     pub fn apply_faults(&mut self, scenario: &Scenario, at: f64, slices: usize, random: &mut ChaCha8Rng) {
         for fault in &scenario.faults {
             let draw = random.random::<f64>();
@@ -75,13 +76,13 @@
                 let class = &scenario.classes[self.class].properties;
                 self.wait_fraction =
                     (contract_time_multiple * class.contract_time / class.hard_stop).min(1.0);
-                self.client_returns = *reaction == GiveUpReaction::ReturnLater;
+                self.client_returns = *reaction == GiveUpReaction::ExtraRequest;
             }
             _ => {}
         }
     }
 
-    /// A shift grows while its fault is active, and stays.
+    /// Applies a shift of traffic, which grows while its fault is active and remains afterwards.
     fn apply_shift(&mut self, scenario: &Scenario, fault: &ScheduledFault, at: f64, draw: f64) {
         let FaultKind::TrafficShift { fraction, target } = fault.kind else { return };
         let moved = fraction * fault.progress(at);
@@ -99,18 +100,18 @@
         }
     }
 
-    /// Work of the operation drawn by its class, in core seconds, without the factor.
+    /// Draws the work of the operation from the distribution of its class, in core seconds, without the factor.
     pub fn draw_work(&self, scenario: &Scenario, random: &mut ChaCha8Rng) -> f64 {
         let class = &scenario.classes[self.class];
         log_normal(random, class.work, class.work_cv)
     }
 
-    /// The zone at which it begins.
+    /// Draws the zone in which it begins.
     pub fn draw_zone(&self, random: &mut ChaCha8Rng) -> usize {
         weighted_index(random, &self.zone_weights)
     }
 
-    /// The operation as its client runs it. `work` is in core seconds, without the factor.
+    /// The operation for its client. `work` is in core seconds, without the factor.
     pub fn finish(&self, operation: u64, work: f64) -> PlannedOperation {
         PlannedOperation {
             operation,
--- a/crates/railhub-scenario/src/draw/random.rs
+++ b/crates/railhub-scenario/src/draw/random.rs
@@ -1,4 +1,4 @@
-//! Random streams, and the distributions that are drawn from them.
+//! Random streams, and draws from the distributions of a scenario.
 use crate::scenario::Scenario;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -47,13 +47,14 @@
     Zipf::new(scenario.keys_per_slice as f64, KEY_EXPONENT).expect("at least one key and a positive exponent")
 }
 
-/// Draws a weight for each proxy; for each zone, the weights of the proxies that take its traffic.
+/// Draws a weight for each proxy. Returns, for each zone, the weights of all proxies; 0 for those that do not take the
+/// zone's traffic.
 pub(crate) fn proxy_weights_by_zone(scenario: &Scenario, random: &mut ChaCha8Rng) -> Vec<Vec<f64>> {
     let weights: Vec<f64> = (0..scenario.proxies).map(|_| log_normal(random, 1.0, PROXY_WEIGHT_CV)).collect();
     (0..scenario.zones.len()).map(|zone| proxy_weights(scenario, &weights, zone)).collect()
 }
 
-/// A zone's traffic goes to its own proxies; to all where some zone has none.
+/// A zone's traffic is for the proxies in the zone, or for all proxies if some zone has none.
 fn proxy_weights(scenario: &Scenario, weights: &[f64], zone: usize) -> Vec<f64> {
     let zones = scenario.zones.len();
     let some_zone_has_no_proxy = scenario.proxies < zones;
@@ -68,7 +69,8 @@
     weights.iter().enumerate().map(weight_in_zone).collect()
 }
 
-/// Which of the candidates a fault strikes: the same choice for the same scenario and fault, on loopback and simulated.
+/// Chooses up to `count` of the candidates for a fault. The choice for a scenario and a fault is the same on loopback and
+/// in the simulator.
 pub fn choose_targets(
     scenario: &Scenario,
     fault_index: usize,
--- a/crates/railhub-scenario/src/fault.rs
+++ b/crates/railhub-scenario/src/fault.rs
@@ -1,15 +1,15 @@
 //! The faults that a scenario injects: what each one is and when it is active.
 //!
-//! Owns the description alone. [`crate::reader`] reads it from a `[trouble NAME]` section, `inject` causes it
-//! in a running cluster, and [`crate::draw`] applies the kinds that lie in the operations themselves.
+//! This module describes faults. [`crate::reader`] reads them from `[trouble NAME]` sections, `inject` injects them into a
+//! running cluster, and [`crate::draw`] applies the kinds that change operations.
 mod recorded;
 #[cfg(test)]
 mod tests;
 
-/// Faults shorter than this count as this long where progress through a fault is computed, in seconds.
+/// Shortest duration, in seconds, by which progress through a fault is computed: a fault may have the duration 0.
 const MIN_PROGRESS_SECONDS: f64 = 0.001;
 
-/// How a phantom host, one that is listed but is none of the cluster's, reacts to a connection.
+/// How a phantom host reacts to a connection. A phantom host is listed but does not belong to the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PhantomBehavior {
     /// It refuses connections.
@@ -20,12 +20,12 @@
     Silent,
 }
 
-/// Where shifted traffic goes.
+/// Destination of shifted traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ShiftTarget {
-    /// To the zone with this index.
+    /// The zone with this index.
     Zone(u32),
-    /// To the class with the most work an operation.
+    /// The class with the most work per operation.
     HeaviestClass,
 }
 
@@ -40,19 +40,19 @@
     Outbound,
 }
 
-/// What a client does after it has given up on an operation.
+/// What a client does after it has stopped waiting for a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GiveUpReaction {
-    /// It leaves and comes again later.
-    ReturnLater,
-    /// It drops the operation.
-    DropOperation,
+    /// It sends one request more than the configured retries.
+    ExtraRequest,
+    /// It sends no more than the configured retries.
+    NoExtraRequest,
 }
 
-/// What a fault does. Fractions are of 1, delays and intervals in seconds.
+/// What a fault does. Fractions are from 0 to 1; delays and intervals are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Host processes die, and start again cold when the fault ends.
+    /// Host processes are killed, and start again cold when the fault ends.
     Crash {
         /// How many hosts.
         hosts: usize,
@@ -61,12 +61,12 @@
     Deploy {
         /// How many hosts are replaced.
         hosts: usize,
-        /// Hosts a batch.
+        /// Hosts per batch.
         batch: usize,
-        /// Seconds between the start of a host's drain and its end.
+        /// Seconds from the start of a host's drain until it is stopped.
         drain: f64,
     },
-    /// Hosts accept connections and answer nothing.
+    /// Hosts accept connections and send no responses.
     Hang {
         /// How many hosts.
         hosts: usize,
@@ -78,7 +78,7 @@
         /// Service times are multiplied by this.
         factor: f64,
     },
-    /// Hosts stand still again and again.
+    /// Hosts pause repeatedly.
     Pauses {
         /// How many hosts.
         hosts: usize,
@@ -87,57 +87,57 @@
         /// Seconds between the end of a pause and the next.
         interval: f64,
     },
-    /// Another workload on the same machines takes a part of their cores, on and off.
+    /// Another workload on the same machines uses a part of their cores in alternate phases.
     NoisyNeighbor {
         /// How many hosts.
         hosts: usize,
         /// Fraction of the cores that is taken.
         cpu_fraction: f64,
-        /// Seconds of each phase, on and off.
+        /// Seconds of each phase, with and without the other workload.
         interval: f64,
     },
-    /// Hosts do the work and do not send the response.
+    /// Hosts do the work and do not send some of the responses.
     ResponsesLost {
         /// How many hosts.
         hosts: usize,
         /// Fraction of responses lost.
         fraction: f64,
     },
-    /// A part of the operations is for a few keys.
+    /// A fraction of the operations uses a few hot keys.
     HotKey {
         /// Fraction of operations.
         fraction: f64,
         /// How many keys.
         keys: usize,
     },
-    /// A part of the operations needs more work.
+    /// A fraction of the operations needs more work.
     HeavyOperations {
         /// Fraction of operations.
         fraction: f64,
         /// Their work is multiplied by this.
         factor: f64,
     },
-    /// A part of the clients gives up early.
+    /// A fraction of the clients gives up early.
     ClientsGiveUp {
         /// Fraction of clients.
         fraction: f64,
-        /// Multiple of the contract time after which they give up.
+        /// Multiple of the class's contract time after which they stop waiting.
         contract_time_multiple: f64,
         /// What they do then.
         reaction: GiveUpReaction,
     },
-    /// A growing part of the traffic moves to one zone or one class.
+    /// A growing fraction of the traffic moves to one zone or one class.
     TrafficShift {
         /// Fraction of the traffic moved at the end of the fault.
         fraction: f64,
-        /// Where it goes.
+        /// Its destination.
         target: ShiftTarget,
     },
     /// Hosts are added one after another.
     Growth {
-        /// Hosts at the end over those at the start.
+        /// Number of hosts at the end divided by that at the start.
         factor: f64,
-        /// Growth of the traffic over that of the hosts.
+        /// Growth of the traffic divided by that of the hosts.
         traffic_ratio: f64,
     },
     /// Load reports reach the controllers later.
@@ -150,9 +150,9 @@
         /// How many hosts.
         hosts: usize,
     },
-    /// The endpoint list contains hosts that are not of the cluster.
+    /// The endpoint list contains hosts that do not belong to the cluster.
     PhantomHosts {
-        /// How many.
+        /// How many hosts.
         hosts: usize,
         /// How they react, in turn.
         behaviors: Vec<PhantomBehavior>,
@@ -165,7 +165,7 @@
     ZoneOutage {
         /// Index of the zone.
         zone: u32,
-        /// They hang instead of dying.
+        /// Whether they hang instead of crashing.
         silent: bool,
     },
     /// Update streams of proxies are reset.
@@ -188,12 +188,12 @@
         /// Index of the controller.
         controller: usize,
     },
-    /// A controller's process is stopped, and continues when the fault ends.
+    /// A controller's process is paused, and resumed when the fault ends.
     ControllerPaused {
         /// Index of the controller.
         controller: usize,
     },
-    /// Nothing passes between a controller and the named peers.
+    /// The links between a controller and the named peers are cut.
     ControllerIsolated {
         /// Index of the controller.
         controller: usize,
@@ -202,7 +202,7 @@
         /// Which direction is cut.
         direction: CutDirection,
     },
-    /// Nothing passes from one controller to another.
+    /// The link from one controller to another is cut in this direction.
     ControllerOneWayCut {
         /// Index of the sender.
         from: usize,
@@ -221,35 +221,35 @@
         /// Additional seconds.
         delay: f64,
     },
-    /// Controllers on the two sides do not reach each other.
+    /// Controllers on the two sides of the partition cannot reach each other.
     ControllerPartition {
         /// Indexes of the controllers on one side.
         side: Vec<usize>,
     },
-    /// Messages between controllers are lost or late.
+    /// Messages between controllers are lost or delayed.
     ControllerLinksImpaired {
         /// Fraction lost.
         loss_fraction: f64,
         /// Seconds of delay.
         delay: f64,
     },
-    /// The store answers late.
+    /// The store delays its responses.
     StoreSlow {
         /// Additional seconds.
         delay: f64,
     },
-    /// The store applies requests and does not answer.
+    /// The store applies requests and sends no responses.
     StoreResponsesLost,
-    /// The store restarts from an earlier copy of its state.
+    /// The store restarts; if `age` is not 0, from an earlier copy of its state, so that later writes are lost.
     StoreRolledBack {
         /// Age of the copy, in seconds.
         age: f64,
     },
-    /// Connections between zones are slow or lose attempts.
+    /// Connections between zones are slow, or connection attempts are lost.
     SlowZoneLink {
         /// Index of one zone.
         zone: u32,
-        /// Index of the other; none: all others.
+        /// Index of the other zone; none: all other zones.
         other: Option<u32>,
         /// Seconds of delay.
         delay: f64,
@@ -258,7 +258,7 @@
     },
 }
 
-/// A fault and the time in which it is active.
+/// A fault and the period in which it is active.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// The name in the section's header.
@@ -267,7 +267,7 @@
     pub kind_name: String,
     /// Start, in seconds from the start of the scenario.
     pub at: f64,
-    /// Seconds that it is active.
+    /// Length of the active period, in seconds.
     pub duration: f64,
     /// What it does.
     pub kind: FaultKind,
@@ -284,12 +284,12 @@
         self.at <= at && at < self.end()
     }
 
-    /// The part of its duration that has passed at a time, 0 to 1.
+    /// The fraction of its duration that has passed at a time, 0 to 1.
     pub fn progress(&self, at: f64) -> f64 {
         ((at - self.at) / self.duration.max(MIN_PROGRESS_SECONDS)).clamp(0.0, 1.0)
     }
 
-    /// The name that recordings carry.
+    /// The fault's name in recordings.
     pub fn recorded_name(&self) -> String {
         format!("{} ({})", self.name, self.kind_name)
     }
--- a/crates/railhub-scenario/src/fault/recorded.rs
+++ b/crates/railhub-scenario/src/fault/recorded.rs
@@ -1,9 +1,9 @@
-//! The text by which recordings name a fault. It is part of the recorded format: the names stay as they are when
-//! the types here are renamed.
+//! The text that describes a fault in recordings. It is part of the recorded format, so it does not change when the types
+//! here are renamed.
 use super::{CutDirection, FaultKind, GiveUpReaction, PhantomBehavior, ShiftTarget};
 
 impl FaultKind {
-    /// The description that recordings carry, as `Slow { hosts: 2, times: 2.5 }`.
+    /// The fault's description in recordings, as in `Slow { hosts: 2, times: 2.5 }`.
     pub fn recorded_note(&self) -> String {
         self.host_note()
             .or_else(|| self.traffic_note())
@@ -134,7 +134,7 @@
 
 fn recorded_reaction(reaction: GiveUpReaction) -> &'static str {
     match reaction {
-        GiveUpReaction::ReturnLater => "Leave",
-        GiveUpReaction::DropOperation => "Short",
+        GiveUpReaction::ExtraRequest => "Leave",
+        GiveUpReaction::NoExtraRequest => "Short",
     }
 }
--- a/crates/railhub-scenario/src/fault/tests.rs
+++ b/crates/railhub-scenario/src/fault/tests.rs
@@ -29,7 +29,7 @@
 const CLUSTER: &str = "[day]\nlength = 5\n[fleet]\nhosts = 9\nproxies = 2\nslices = 6\nzones = a, b, c\n\
     [load]\nshare = 0.3\n[kind a]\n[class view]\nwork = 0.05\ncontract_time = 0.5\nhard_stop = 1\n";
 
-/// One fault of each form that a file can have, and the note that recordings carry for it.
+/// One fault of each form that a file can have, and its description in recordings.
 const NOTES: [(&str, &str); 39] = [
     ("kind = crash\npart = 0.1", "Crash { hosts: 1 }"),
     ("kind = deploy\nhosts = 2\nbatch = 1\ndrain = 2", "Deploy { hosts: 2, batch: 1, drain: 2.0 }"),
@@ -94,7 +94,7 @@
 fn every_kind_that_a_file_names_has_its_recorded_note() {
     for (keys, note) in NOTES {
         let text = format!("{CLUSTER}[trouble one]\nat = 1\n{keys}\n");
-        let document = Document::parse("notes.ini", &text).expect("an INI file");
+        let document = Document::parse("notes.ini", &text).expect("valid INI text");
         let scenario = Scenario::read(&document).expect(keys);
         assert_eq!(scenario.faults[0].kind.recorded_note(), note);
     }
--- a/crates/railhub-scenario/src/import.rs
+++ b/crates/railhub-scenario/src/import.rs
@@ -1,5 +1,5 @@
-//! Writes a scenario file from a scenario that was drawn for the users' bench (JSON): fewer hosts, the same kinds of
-//! faults in the same order at the same times. What cannot be carried over is returned.
+//! Converts a scenario that was drawn for the users' bench (JSON) into a scenario file: with fewer hosts, and the same kinds
+//! of faults in the same order at the same times. Descriptions of what cannot be converted are returned.
 mod cluster;
 mod faults;
 mod load;
@@ -14,7 +14,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Hosts at the start unless the caller says otherwise: what one machine plays with ease.
+/// Most hosts at the start if the caller gives no number; one machine runs as many without strain.
 const DEFAULT_MAX_HOSTS: usize = 24;
 
 /// Why a scenario was not imported.
@@ -25,7 +25,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the system.
         source: io::Error,
     },
     /// The source is not a scenario of the bench.
@@ -33,11 +33,11 @@
     Json {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The error of the parser.
         source: serde_json::Error,
     },
     /// The source has no hosts or no zones.
-    #[error("{}:1: no tier of hosts, or no zones", path.display())]
+    #[error("{}:1: needs at least one tier of hosts and one zone", path.display())]
     NoHosts {
         /// The file.
         path: PathBuf,
@@ -46,11 +46,11 @@
     #[error(transparent)]
     Syntax(Diagnostic),
     /// The file that would be written is not a valid scenario.
-    #[error("the script made of {} is wrong: {diagnostic}", path.display())]
+    #[error("the scenario converted from {} is invalid: {diagnostic}", path.display())]
     Invalid {
         /// The source file.
         path: PathBuf,
-        /// What is wrong in the result.
+        /// The first error in the result.
         diagnostic: Diagnostic,
     },
     /// The result cannot be written.
@@ -58,16 +58,16 @@
     Write {
         /// The file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// Reads one file, writes the other, and returns what was not carried over, one line each. `hosts` is the number of hosts
-/// at the start; by default that of the source, up to 24.
+/// Converts the file `from` into the file `to` and returns one line for each feature that was not converted. `hosts` is the
+/// number of hosts at the start; by default that of the source, up to 24.
 ///
 /// # Errors
-/// The source cannot be read or makes no valid scenario, or the result cannot be written.
+/// The source cannot be read or converted into a valid scenario, or the result cannot be written.
 pub fn import(from: &Path, to: &Path, hosts: Option<usize>) -> Result<Vec<String>, ImportError> {
     let path = from.to_owned();
     let text =
@@ -84,7 +84,7 @@
     Ok(left_out)
 }
 
-/// The text of the scenario file, and what is missing in it.
+/// The text of the scenario file, and descriptions of what was left out.
 fn translate(source: &SourceScenario, tier: &Tier, hosts: Option<usize>) -> (String, Vec<String>) {
     let hosts_up = source.servers.iter().filter(|server| server.up).count().max(1);
     let host_count = hosts.unwrap_or(hosts_up.min(DEFAULT_MAX_HOSTS)).max(1);
@@ -102,7 +102,8 @@
     for (index, fault) in source.faults.iter().enumerate() {
         let number = index + 1;
         let Some(keys) = faults::fault_keys(fault, source, &scale, &mut left_out) else {
-            left_out.push(format!("trouble {number} '{}' {}: no such kind here", fault.kind, fault.how));
+            left_out
+                .push(format!("fault {number} '{}' {}: this kind is not supported", fault.kind, fault.how));
             continue;
         };
         let (at, duration) = (seconds(fault.at), seconds(fault.duration));
@@ -111,23 +112,24 @@
     (out, left_out)
 }
 
-/// Features of the source that scenarios here do not have.
+/// Features of the source that scenario files do not support.
 fn features_left_out(source: &SourceScenario, tier: &Tier, hosts_up: usize) -> Vec<String> {
     let control = &source.control;
     let reports_utilization = tier.reports_utilization();
     let features = [
-        (control.controllers.len() > 1, "a second steward: one has all slices"),
+        (control.controllers.len() > 1, "more than one controller: a single one owns all slices"),
         (control.exclusive, "single ownership of slices"),
-        (control.tide > 0.0, "slices in demand for a while and then others"),
-        (source.discovery.polled, "a list that must be asked"),
+        (control.tide > 0.0, "demand that moves from some slices to others over time"),
+        (source.discovery.polled, "an endpoint list that is polled"),
         (source.traffic.burst_cv > 0.0, "bursts"),
         (source.clients.impatient > 0.0, "clients that give up at any time"),
-        (!reports_utilization, "load reports other than the busy share"),
-        (tier.kinds.iter().any(|kind| kind.thrash > 0.0), "hosts that slow down when they hold too much"),
-        (tier.kinds.iter().any(|kind| kind.error_rate > 0.0), "errors at random"),
-        (true, "times on the way between zones, prices, handshakes' work, noise in sums"),
+        (!reports_utilization, "load reports without utilization"),
+        (tier.kinds.iter().any(|kind| kind.thrash > 0.0), "hosts that slow down when they are overloaded"),
+        (tier.kinds.iter().any(|kind| kind.error_rate > 0.0), "random errors of hosts"),
+        (true, "latency between zones, prices, the work of handshakes, noise in load reports"),
     ];
-    let mut left_out = vec![format!("{hosts_up} hosts at the start; sizes scaled down, see the script")];
+    let mut left_out =
+        vec![format!("{hosts_up} hosts at the start: sizes are scaled, see the scenario file")];
     left_out.extend(features.iter().filter(|(present, _)| *present).map(|(_, name)| (*name).to_owned()));
     left_out
 }
--- a/crates/railhub-scenario/src/import/cluster.rs
+++ b/crates/railhub-scenario/src/import/cluster.rs
@@ -1,15 +1,15 @@
-//! The sections of hosts, proxies, controllers and invariants.
+//! Writes the sections of hosts, proxies, controllers and invariants.
 use super::scale::Scale;
 use super::source::{seconds, Kind, Server, SourceScenario, Tier};
 use std::fmt::Write;
 
-/// Lines of a message beside its slices.
+/// Lines of a message that are not those of slices.
 const MESSAGE_OVERHEAD_LINES: f64 = 4.0;
-/// Complete updates that the backlog holds at least.
+/// Complete updates of all proxies for which the backlog is large enough at least.
 const MIN_BACKLOG_UPDATES: f64 = 2.0;
-/// Lines that the channel carries in a second at least.
+/// Lower limit of the channel's lines per second.
 const MIN_LINES_PER_SECOND: f64 = 100.0;
-/// Load reports that a controller accepts in a second at least.
+/// Lower limit of the load reports that a controller accepts per second.
 const MIN_REPORTS_PER_SECOND: f64 = 20.0;
 
 pub(super) fn write_header(out: &mut String, source: &SourceScenario) {
@@ -47,7 +47,7 @@
     let _ = writeln!(out, "busy_every = {interval:.3}\n");
 }
 
-/// The kinds of which there is a host.
+/// Writes the kinds that at least one running host has.
 pub(super) fn write_host_kinds(out: &mut String, source: &SourceScenario, tier: &Tier) {
     for (index, kind) in tier.kinds.iter().enumerate() {
         let servers = source.servers.iter().filter(|server| server.up && server.kind == index);
@@ -68,7 +68,8 @@
     let _ = writeln!(out, "cold_from = {:.3}\nwarm_after = {warm_after:.3}\n", kind.cold_from);
 }
 
-/// Lines that may wait. A delta's lines and the proxies that get it both shrink, a message's own lines do not.
+/// Largest backlog, in lines. It is scaled by the ratio twice: a delta has fewer lines, and fewer proxies receive it. The
+/// lower limit accounts for the lines of each message that do not become fewer.
 fn backlog(source: &SourceScenario, scale: &Scale) -> f64 {
     let control = &source.control;
     let update_lines = control.message_cost + MESSAGE_OVERHEAD_LINES + slices(source, scale);
@@ -76,7 +77,7 @@
     (control.backlog * scale.ratio * scale.ratio).max(min_backlog).round()
 }
 
-/// Endpoint list, load reports and the update channel.
+/// Writes the sections of the endpoint list, the load reports and the update channel.
 pub(super) fn write_control(out: &mut String, source: &SourceScenario, scale: &Scale) {
     let (control, discovery) = (&source.control, &source.discovery);
     let (add, removal) = (seconds(discovery.add_delay), seconds(discovery.removal_delay));
--- a/crates/railhub-scenario/src/import/faults.rs
+++ b/crates/railhub-scenario/src/import/faults.rs
@@ -1,11 +1,11 @@
-//! The keys of a fault's section.
+//! Converts the faults of the source to the keys of fault sections.
 use super::scale::Scale;
 use super::source::{seconds, SourceFault, SourceScenario};
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// The keys of a fault's section, beside its times; none if there is no such kind here. What the section leaves out is
-/// added to `left_out`.
+/// The keys of a fault's section except for its times; none if scenario files do not support its kind. Descriptions of what
+/// the section leaves out are added to `left_out`.
 pub(super) fn fault_keys(
     fault: &SourceFault,
     source: &SourceScenario,
@@ -53,7 +53,7 @@
             }
             "answer_lost" => {
                 if self.fault.how == "reset" {
-                    self.leave_out("answers that end with a reset: they are lost in silence");
+                    self.leave_out("responses that end with a connection reset: they are lost without one");
                 }
                 format!("kind = answers_lost\nhosts = {hosts}\nshare = {size:.3}\n")
             }
@@ -72,7 +72,7 @@
 
     fn zone_outage(&mut self) -> String {
         if self.fault.size > 0.5 {
-            self.leave_out("proxies and stewards lost with their zone");
+            self.leave_out("loss of the proxies and controllers in a failed zone");
         }
         let first_server = self.fault.servers.first().and_then(|index| self.source.servers.get(*index));
         let zone = self.zone(first_server.map_or(0, |server| server.zone) as u64);
@@ -87,7 +87,7 @@
             "hot_key" => format!("kind = hot_key\nshare = {size:.4}\nkeys = {}\n", extra.max(1.0) as u32),
             "heavy_tail" => {
                 let share = extra / self.source.classes.len().max(1) as f64;
-                self.leave_out("costly operations of one class: drawn from all classes");
+                self.leave_out("heavy operations of one class: they are drawn from all classes");
                 format!("kind = heavy\nshare = {share:.5}\ntimes = {size:.3}\n")
             }
             "give_up" => {
@@ -114,7 +114,7 @@
         })
     }
 
-    /// The delay is in multiples of the shortest contract time.
+    /// The source gives the delay as a multiple of the shortest contract time.
     fn slow_link(&self) -> String {
         let contract_times = self.source.classes.iter().map(|class| class.contract_time);
         let shortest = seconds(contract_times.fold(f64::INFINITY, f64::min));
@@ -138,12 +138,12 @@
         }
     }
 
-    /// The source draws one of four behaviors, as a quarter of 1.
+    /// The source encodes one of four behaviors as a number from 0 to 1, a quarter of the range for each.
     fn phantom_behavior(&mut self) -> &'static str {
         match (self.fault.extra * 4.0) as u32 {
             0 => "refuse",
             1 => {
-                self.leave_out("ghosts that never answer an attempt to connect: they refuse");
+                self.leave_out("phantom hosts that never answer a connection attempt: they refuse it");
                 "refuse"
             }
             2 => "error",
--- a/crates/railhub-scenario/src/import/load.rs
+++ b/crates/railhub-scenario/src/import/load.rs
@@ -1,4 +1,4 @@
-//! The sections of the load, the classes and the clients.
+//! Writes the sections of the load, the classes and the clients.
 use super::source::{seconds, Class, SourceScenario};
 use std::fmt::Write;
 
--- a/crates/railhub-scenario/src/import/scale.rs
+++ b/crates/railhub-scenario/src/import/scale.rs
@@ -1,14 +1,14 @@
-//! How sizes are scaled down to what one machine plays.
+//! Scales the sizes of the source to those that one machine can run.
 
 pub(super) struct Scale {
-    /// Hosts of the scenario over those of the source.
+    /// Number of hosts of the scenario divided by that of the source.
     pub ratio: f64,
-    /// Hosts of the scenario.
+    /// Number of hosts of the scenario.
     pub hosts: usize,
 }
 
 impl Scale {
-    /// A scaled number; at least one where there was one.
+    /// Scales a number; the result is at least 1 unless the number is 0.
     pub fn count(&self, count: usize) -> usize {
         ((count as f64 * self.ratio).round() as usize).max(usize::from(count > 0))
     }
--- a/crates/railhub-scenario/src/import/source.rs
+++ b/crates/railhub-scenario/src/import/source.rs
@@ -1,10 +1,10 @@
-//! The scenario of the users' bench, as its JSON has it. Times are in microseconds unless a name or comment says
-//! otherwise.
+//! The JSON format of a scenario of the users' bench. Times are in microseconds unless a name or comment gives another
+//! unit.
 use serde::Deserialize;
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Converts a time of the source.
+/// Converts a time of the source to seconds.
 pub(super) fn seconds(microseconds: f64) -> f64 {
     microseconds / MICROSECONDS_PER_SECOND
 }
@@ -41,7 +41,7 @@
 #[derive(Deserialize)]
 pub(super) struct Traffic {
     pub load: f64,
-    /// Seconds and the multiple of the load.
+    /// Points of time, in seconds, and multiple of the load.
     pub shape: Vec<(f64, f64)>,
     #[serde(rename = "zone_share")]
     pub zone_shares: Vec<f64>,
@@ -141,7 +141,8 @@
     pub at: f64,
     #[serde(rename = "len")]
     pub duration: f64,
-    /// What these two are depends on the kind; times are in seconds.
+    /// The meaning of `size` and `extra` depends on the kind. Times in them are in seconds unless `faults`
+    /// converts them.
     pub size: f64,
     pub extra: f64,
     #[serde(default, rename = "on")]
@@ -159,13 +160,13 @@
     pub stop: Vec<usize>,
 }
 
-/// What concerns controllers and their channel to the proxies.
+/// Settings of the controllers and of their channel to the proxies.
 #[derive(Deserialize)]
 pub(super) struct Control {
     pub pick: String,
-    /// Lines.
+    /// Largest backlog, in lines.
     pub backlog: f64,
-    /// Times that the backlog is carried in a second.
+    /// Rate of the channel, in largest backlogs per second.
     pub rate: f64,
     #[serde(rename = "head")]
     pub message_cost: f64,
@@ -174,7 +175,7 @@
     pub hold: f64,
     #[serde(rename = "messages_most")]
     pub message_cap: f64,
-    /// In contract times.
+    /// A multiple of the contract time.
     #[serde(rename = "try_aims")]
     pub first_attempt_wait: f64,
     #[serde(rename = "intake")]
@@ -190,7 +191,7 @@
     pub slice_cv: f64,
     #[serde(default)]
     pub affinity_gain: f64,
-    /// Seconds.
+    /// In seconds.
     #[serde(default, rename = "affinity_s")]
     pub affinity_duration: f64,
     #[serde(default)]
--- a/crates/railhub-scenario/src/initial_state.rs
+++ b/crates/railhub-scenario/src/initial_state.rs
@@ -1,4 +1,4 @@
-//! What a scenario begins with: its proxies and their first tables. The simulator begins with the same.
+//! The initial state of a scenario: its proxies and their tables. The simulator uses the same.
 use crate::draw;
 use crate::scenario::Scenario;
 use railhub_emulator::host::HostConfig;
@@ -12,7 +12,7 @@
 /// Bits by which a proxy's index is shifted before it is mixed into the seed.
 const PROXY_SEED_SHIFT: u32 = 20;
 
-/// What the proxy with an index is.
+/// The configuration of the proxy with an index.
 pub fn proxy_config(scenario: &Scenario, index: usize) -> ProxyConfig {
     ProxyConfig {
         number: index as u32,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The tables at the start; `facts` and `addresses` are of the same hosts in the same order.
+/// The tables at the start. `host_configs` and `addresses` are those of the same hosts in the same order.
 pub fn initial_tables(scenario: &Scenario, host_configs: &[HostConfig], addresses: &[SocketAddr]) -> Tables {
     if scenario.slices == 0 {
         let entries =
--- a/crates/railhub-scenario/src/inject.rs
+++ b/crates/railhub-scenario/src/inject.rs
@@ -1,6 +1,6 @@
-//! Injects a scenario's faults into the running cluster: each in a coroutine of its own, from its start to its end.
+//! Injects a scenario's faults into the running cluster, each in a coroutine of its own from its start to its end.
 //!
-//! A fault that strikes hosts reserves them, so that no other fault strikes them meanwhile.
+//! A fault that affects a number of hosts reserves them, so that no other such fault affects them at the same time.
 use crate::cluster::Cluster;
 use crate::fault::{FaultKind, PhantomBehavior, ScheduledFault};
 use railhub_emulator::endpoint_list::{ListedEndpoint, GONE, READY};
@@ -12,7 +12,7 @@
 /// Shortest phase of a noisy neighbor, in seconds.
 const MIN_NOISE_PHASE_SECONDS: f64 = 0.02;
 
-/// Plays one fault to its end. Waits: for a coroutine of its own.
+/// Injects one fault at its time and returns at its end. It waits, so it needs a coroutine of its own.
 pub(crate) fn inject(fault: &ScheduledFault, fault_index: usize, cluster: &Arc<Cluster>) {
     let injection = Injection { fault, fault_index, cluster };
     may::coroutine::sleep(seconds(cluster.started_at + fault.at - now()));
@@ -34,7 +34,8 @@
     fn channel_slowdown(&self) -> f64 {
         match self.fault.kind {
             FaultKind::SlowUpdateChannel { factor } => factor,
-            // No proxy can be updated sooner: the shortest of the invariants' times grows by the delay, the others more.
+            // No proxy can be updated sooner than the delay. The factor extends the shortest time limit of the invariants
+            // by the delay, and the others by more.
             FaultKind::SlowUpdates { delay, .. } => {
                 let limits = &self.cluster.scenario.limits;
                 1.0 + delay / limits.grace.min(limits.max_unserved)
@@ -62,7 +63,7 @@
             | FaultKind::NoisyNeighbor { .. }
             | FaultKind::Growth { .. }
             | FaultKind::ZoneOutage { .. } => self.run_host_fault(),
-            // The operations were drawn with these.
+            // Applied when the operations were drawn.
             FaultKind::HotKey { .. }
             | FaultKind::HeavyOperations { .. }
             | FaultKind::ClientsGiveUp { .. }
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Impairs hosts until the fault ends.
+    /// Changes hosts by `begin`, and at the fault's end by `end`.
     fn impair(&self, count: usize, begin: &dyn Fn(&mut HostFaults), end: &dyn Fn(&mut HostFaults)) {
         let hosts = self.reserve(count);
         self.change_each(&hosts, begin);
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Batch after batch drains while its successors start cold.
+    /// Drains the hosts batch by batch while new ones start cold.
     fn deploy(&self, count: usize, batch: usize, drain: f64) {
         let replaced = self.reserve(count);
         let batches = replaced.len().div_ceil(batch).max(1);
@@ -306,7 +307,7 @@
         );
     }
 
-    /// Replaces entries of the endpoint list until the fault ends.
+    /// Overrides entries of the endpoint list until the fault ends.
     fn override_list_until_end(&self, entries: Vec<ListedEndpoint>) {
         self.cluster.list.set_override(self.fault_index as u64, Some(entries));
         self.wait_for_end();
--- a/crates/railhub-scenario/src/launch.rs
+++ b/crates/railhub-scenario/src/launch.rs
@@ -1,4 +1,4 @@
-//! How a scenario starts a controller: the caller supplies the process.
+//! How a scenario starts a controller: the caller provides a function that launches the process.
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,13 +6,13 @@
 
 /// A controller that was launched from its settings.
 pub struct LaunchedController {
-    /// Where it listens for proxies.
+    /// Address at which it listens for proxies.
     pub address: SocketAddr,
-    /// Where other controllers reach it, if it is one of several.
+    /// Address at which other controllers reach it, if it is one of several.
     pub fleet: Option<SocketAddr>,
-    /// The number of its process among the controllers, if it is one of several.
+    /// Its process number in the membership of the controllers, if it is one of several.
     pub process: Option<u64>,
-    /// Stops its process (`true`) or lets it continue (`false`); none where that cannot be done.
+    /// Pauses (`true`) or resumes (`false`) its process; none if that is not possible.
     pub pause: Option<Arc<dyn Fn(bool) + Send + Sync>>,
     /// Kills its process.
     pub kill: Box<dyn FnOnce() + Send>,
@@ -22,17 +22,17 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
     /// A file that the controller needs cannot be written.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot be written: {source}", path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the system.
         source: io::Error,
     },
-    /// Nothing accepts connections at the address in time.
-    #[error("no steward listens on {0}")]
+    /// The controller does not accept connections at the address in time.
+    #[error("no controller accepted a connection at {0} in time")]
     NotListening(SocketAddr),
-    /// The process does not start.
+    /// The process does not start, for the reason given.
     #[error("{0}")]
     Process(String),
 }
@@ -43,5 +43,5 @@
     }
 }
 
-/// Starts a controller from the text of its settings and returns when it listens.
+/// Starts a controller from the text of its settings (INI) and returns when it listens.
 pub type ControllerLauncher = Arc<dyn Fn(&str) -> Result<LaunchedController, LaunchError> + Send + Sync>;
--- a/crates/railhub-scenario/src/link_faults.rs
+++ b/crates/railhub-scenario/src/link_faults.rs
@@ -1,16 +1,16 @@
-//! What the active faults make of the links between controllers, endpoint list, store and proxies.
+//! Computes the effect of the active faults on the links between controllers, endpoint list, store and proxies.
 use crate::fault::{CutDirection, FaultKind};
 use railhub_fault_links::Faults;
 use std::collections::BTreeMap;
 
-/// Names of the link ends that are no controllers. A controller's is its index.
+/// Names of the link ends other than controllers. The name of a controller is its index.
 pub(crate) const PROXIES: &str = "proxies";
 pub(crate) const LIST: &str = "list";
 pub(crate) const STORE: &str = "store";
-/// The group of all controllers, as the peers of a fault name it.
+/// Name of the group of all controllers in the peers of a fault.
 const CONTROLLERS: &str = "stewards";
 
-/// The ends of a cluster's links, by number: first the controllers, then proxies, list and store.
+/// The numbered ends of a cluster's links: first the controllers, then proxies, list and store.
 pub(crate) struct LinkEnds {
     controllers: usize,
 }
@@ -49,7 +49,7 @@
         from.max(to) < self.controllers
     }
 
-    /// What the active faults together make of one direction of a link.
+    /// The combined effect of the active faults on one direction of a link.
     pub fn faults(&self, active: &BTreeMap<usize, FaultKind>, from: usize, to: usize) -> Faults {
         let mut faults = Faults::default();
         for kind in active.values() {
@@ -61,9 +61,9 @@
     fn add_fault(&self, faults: &mut Faults, kind: &FaultKind, from: usize, to: usize) {
         match kind {
             FaultKind::ControllerIsolated { controller, peers, direction } => {
-                let names = |end: usize| peers.iter().any(|name| name == self.group(end));
-                let outbound = from == *controller && names(to) && *direction != CutDirection::Inbound;
-                let inbound = to == *controller && names(from) && *direction != CutDirection::Outbound;
+                let is_peer = |end: usize| peers.iter().any(|name| name == self.group(end));
+                let outbound = from == *controller && is_peer(to) && *direction != CutDirection::Inbound;
+                let inbound = to == *controller && is_peer(from) && *direction != CutDirection::Outbound;
                 faults.cut |= outbound || inbound;
             }
             FaultKind::ControllerOneWayCut { from: sender, to: receiver } => {
--- a/crates/railhub-scenario/src/play.rs
+++ b/crates/railhub-scenario/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario on loopback: starts the cluster, lets operations begin and faults happen, and waits for the end.
+//! Plays a scenario on loopback: starts the cluster, runs operations, injects faults, and waits for the end.
 use crate::cluster::Cluster;
 use crate::draw::{self, Arrival};
 use crate::inject::inject;
@@ -14,16 +14,16 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Seconds that the cluster runs after the last operation has ended.
+/// Seconds that the cluster continues to run after the last operation and fault have ended.
 const RUN_ON_SECONDS: f64 = 1.0;
-/// Seconds that a scenario may begin late: less than any operation waits.
+/// Longest delay of a scenario's start, in seconds: shorter than the waiting time of any operation.
 const MAX_START_DELAY_SECONDS: f64 = 0.05;
-/// Seconds between reports of progress.
+/// Seconds between calls that report progress.
 const PROGRESS_INTERVAL_SECONDS: f64 = 0.1;
 
 /// The result of a run.
 pub struct ScenarioRun {
-    /// In the order of their times; empty if they went into a file.
+    /// The recorded events in the order of their times; empty if they were written to a file.
     pub events: Vec<Event>,
 }
 
@@ -33,22 +33,26 @@
     /// The recording cannot be written.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// A member of the cluster has no port.
-    #[error("the fleet: {0}")]
+    /// A part of the emulated cluster cannot listen on a port.
+    #[error("cannot start the emulated cluster: {0}")]
     Cluster(#[source] io::Error),
     /// A controller does not start.
     #[error(transparent)]
     Launch(#[from] LaunchError),
     /// The cluster took too long to start.
-    #[error("the day would begin {delay:.2} s late, and its first operations all at once")]
+    #[error(
+        "the scenario would begin {delay:.2} s late ({MAX_START_DELAY_SECONDS} s are allowed), and its first operations \
+         all at once: the cluster took too long to start"
+    )]
     StartedLate {
-        /// Seconds.
+        /// The delay of the scenario's start, in seconds.
         delay: f64,
     },
 }
 
 /// Plays a scenario in a cluster of its own and waits for its end. Without `launch` no controller runs and proxies keep
-/// their first tables. `record` is the file that events go into; `progress` is called with the seconds played.
+/// their initial tables. Events are written to the file `record` if it is given; `progress` is called with the seconds
+/// played.
 ///
 /// # Errors
 /// The cluster or a controller does not start in time, or the recording fails.
@@ -59,7 +63,7 @@
     record: Option<&Path>,
     progress: &(dyn Fn(f64) + Sync),
 ) -> Result<ScenarioRun, PlayError> {
-    // Drawn before the clock starts: drawing takes long, and operations that it delays would begin all at once.
+    // Drawn before scenario time starts: drawing takes long, and operations that it delayed would all begin at once.
     let capacity = draw::capacity(&draw::hosts(scenario, scenario.hosts, "hosts"));
     let arrivals = draw::arrivals(scenario, capacity);
     let recorder = Recorder::start(record)?;
@@ -73,7 +77,7 @@
     Ok(ScenarioRun { events: recorder.finish()? })
 }
 
-/// Starts the cluster and waits for the scenario's start.
+/// Starts the cluster and waits for scenario time 0.
 fn start_cluster(
     scenario: &Scenario,
     recorder: &Recorder,
@@ -95,7 +99,7 @@
     Ok(cluster)
 }
 
-/// Runs all faults and operations in coroutines; the flag is set after the last has ended.
+/// Runs all faults and operations in coroutines. The returned flag is set after the last one has ended.
 fn spawn_run(cluster: &Arc<Cluster>, arrivals: Vec<Arrival>) -> Arc<AtomicBool> {
     let ended = Arc::new(AtomicBool::new(false));
     let (cluster, run_ended) = (cluster.clone(), ended.clone());
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -16,12 +16,12 @@
 use railhub_record::Limits;
 use std::path::Path;
 
-/// Controllers of a scenario: each is a process.
+/// Most controllers of a scenario; each one is a process.
 const MAX_CONTROLLERS: f64 = 15.0;
-/// The zone of a scenario that names none.
+/// Name of the only zone of a scenario whose file names none.
 const DEFAULT_ZONE: &str = "here";
-/// Sections that occur once.
-const PLAIN_SECTIONS: [&str; 9] =
+/// Names of the sections that occur at most once.
+const SINGLE_SECTIONS: [&str; 9] =
     ["day", "fleet", "stewards", "load", "clients", "roster", "reports", "channel", "rules"];
 
 impl Scenario {
@@ -33,7 +33,7 @@
         Scenario::read_in_folder(&Document::open(path)?, path.parent().unwrap_or(Path::new(".")))
     }
 
-    /// Reads a document whose files lie in the working directory.
+    /// Reads a document. Paths in it are relative to the working directory.
     ///
     /// # Errors
     /// As [`Scenario::open`].
@@ -41,7 +41,7 @@
         Scenario::read_in_folder(document, Path::new("."))
     }
 
-    /// Reads a document; files that it names lie in `folder`.
+    /// Reads a document. Paths in it are relative to `folder`.
     ///
     /// # Errors
     /// As [`Scenario::open`].
@@ -57,7 +57,10 @@
         }
         let scenario = sections.scenario(folder, classes, host_kinds)?;
         if scenario.controllers > 1 && scenario.slices == 0 {
-            return Err(sections.controllers.diagnostic("count", "needs slices that stewards can share"));
+            return Err(sections.controllers.diagnostic(
+                "count",
+                "is more than 1, but [fleet] slices is 0: several controllers need slices to share",
+            ));
         }
         let faults = read_faults(document, &scenario)?;
         sections.reject_unread_keys()?;
@@ -68,7 +71,7 @@
 fn reject_unknown_sections(document: &Document) -> Result<(), Diagnostic> {
     let prefixes = [cluster::CLASS_PREFIX, cluster::KIND_PREFIX, faults::FAULT_PREFIX];
     document.reject_unknown_sections(|name| {
-        PLAIN_SECTIONS.contains(&name) || prefixes.iter().any(|prefix| name.starts_with(prefix))
+        SINGLE_SECTIONS.contains(&name) || prefixes.iter().any(|prefix| name.starts_with(prefix))
     })
 }
 
@@ -91,13 +94,16 @@
     sections.iter().map(|section| faults::scheduled_fault(section, scenario)).collect()
 }
 
-/// The sections that occur once, by their names in the file.
+/// The sections that occur at most once. Those without a comment have the name of the field.
 struct Sections<'a> {
+    /// `[day]`
     general: Section<'a>,
     fleet: Section<'a>,
+    /// `[stewards]`
     controllers: Section<'a>,
     load: Section<'a>,
     clients: Section<'a>,
+    /// `[roster]`
     endpoint_list: Section<'a>,
     reports: Section<'a>,
     channel: Section<'a>,
@@ -135,7 +141,7 @@
         }
     }
 
-    /// The scenario without its faults: these are validated against it.
+    /// The scenario without its faults, which are validated against it later.
     fn scenario(
         &self,
         folder: &Path,
--- a/crates/railhub-scenario/src/reader/cluster.rs
+++ b/crates/railhub-scenario/src/reader/cluster.rs
@@ -4,11 +4,11 @@
 use railhub_ini::{Diagnostic, Section};
 use railhub_record::{ClassLimits, Limits, OperationIdempotency};
 
-/// What headers of class sections begin with.
+/// Prefix of the headers of class sections.
 pub(super) const CLASS_PREFIX: &str = "class ";
-/// What headers of host kind sections begin with.
+/// Prefix of the headers of host kind sections.
 pub(super) const KIND_PREFIX: &str = "kind ";
-/// How the file names what may be repeated.
+/// Values of the key `repeats`: whether and how a request may be repeated.
 const REPEATS: [(&str, OperationIdempotency); 4] = [
     ("safe", OperationIdempotency::Safe),
     ("keyed", OperationIdempotency::IdempotencyKeyGlobal),
@@ -16,7 +16,7 @@
     ("never", OperationIdempotency::Never),
 ];
 
-/// A class of operations.
+/// Reads a class of operations.
 pub(super) fn operation_class(section: &Section) -> Result<OperationClass, Diagnostic> {
     let idempotency = section.choice("repeats", "never", &REPEATS)?;
     let keyed = matches!(
@@ -41,7 +41,7 @@
     Ok(class)
 }
 
-/// A kind of host.
+/// Reads a kind of host.
 pub(super) fn host_kind(section: &Section) -> Result<HostKind, Diagnostic> {
     let lowest_speed = section.in_range("speed_least", 1.0, 0.01, 100.0)?;
     let kind = HostKind {
@@ -57,7 +57,7 @@
     Ok(kind)
 }
 
-/// The limits of the invariants; times and counts of the cluster are filled in by the caller.
+/// The limits of the invariants. Zones and proxies are set by the caller, start and end when the scenario is played.
 pub(super) fn limits(rules: &Section, classes: &[OperationClass], slices: u32) -> Result<Limits, Diagnostic> {
     Ok(Limits {
         classes: classes.iter().map(class_limits).collect(),
--- a/crates/railhub-scenario/src/reader/faults.rs
+++ b/crates/railhub-scenario/src/reader/faults.rs
@@ -1,9 +1,9 @@
-//! `[trouble NAME]`: reads a fault. Its kind's name and its keys are mapped here alone.
+//! `[trouble NAME]`: a fault. The names of its kind and its keys are mapped to types only here.
 use crate::fault::{CutDirection, FaultKind, GiveUpReaction, PhantomBehavior, ScheduledFault, ShiftTarget};
 use crate::scenario::Scenario;
 use railhub_ini::{Diagnostic, Section};
 
-/// What headers of fault sections begin with.
+/// Prefix of the headers of fault sections.
 pub(super) const FAULT_PREFIX: &str = "trouble ";
 /// Groups of peers from which a controller can be isolated.
 const PEER_GROUPS: [&str; 4] = ["stewards", "store", "list", "proxies"];
@@ -149,14 +149,17 @@
         }))
     }
 
-    /// `hosts = 2`, or `part = 0.1` of the hosts at the start: at least one where the part is not 0.
+    /// `hosts = 2`, or `part = 0.1`: a fraction of the hosts at the start, at least one host if it is not 0.
     fn hosts(&self) -> Result<usize, Diagnostic> {
         let fraction = self.section.in_range("part", 0.0, 0.0, 1.0)?;
         let min_hosts = usize::from(fraction > 0.0);
         let default_hosts = ((fraction * self.scenario.hosts as f64).round() as usize).max(min_hosts);
         let hosts = self.section.value_or("hosts", default_hosts)?;
         if hosts == 0 {
-            return Err(self.section.diagnostic("hosts", "is missing: hosts = 2, or part = 0.1"));
+            return Err(self.section.diagnostic(
+                "hosts",
+                "is missing: give a number, as in hosts = 2, or a fraction of the hosts, as in part = 0.1",
+            ));
         }
         Ok(hosts)
     }
@@ -173,7 +176,10 @@
         let Some(name) = self.section.text(key) else { return Ok(None) };
         match self.scenario.zones.iter().position(|zone| zone == name) {
             Some(index) => Ok(Some(index as u32)),
-            None => Err(self.section.diagnostic(key, format!("'{name}' is no zone"))),
+            None => {
+                let zones = self.scenario.zones.join(", ");
+                Err(self.section.diagnostic(key, format!("'{name}' is not one of the zones {zones}")))
+            }
         }
     }
 
@@ -186,7 +192,7 @@
     }
 
     fn give_up_reaction(&self) -> Result<GiveUpReaction, Diagnostic> {
-        let choices = [("leave", GiveUpReaction::ReturnLater), ("short", GiveUpReaction::DropOperation)];
+        let choices = [("leave", GiveUpReaction::ExtraRequest), ("short", GiveUpReaction::NoExtraRequest)];
         self.section.choice("how", "short", &choices)
     }
 
@@ -222,7 +228,9 @@
         let names = self.section.list("from");
         let all_known = names.iter().all(|name| PEER_GROUPS.contains(&name.as_str()));
         if names.is_empty() || !all_known {
-            return Err(self.section.diagnostic("from", "names some of stewards, store, list, proxies"));
+            return Err(self
+                .section
+                .diagnostic("from", "must name one or more of stewards, store, list, proxies"));
         }
         Ok(names)
     }
@@ -238,7 +246,7 @@
         let names = self.section.list("side");
         let side: Option<Vec<usize>> = names.iter().map(|name| self.parse_controller(name)).collect();
         side.filter(|side| !side.is_empty())
-            .ok_or_else(|| self.section.diagnostic("side", "names stewards, as in 0, 1"))
+            .ok_or_else(|| self.section.diagnostic("side", "must list indexes of controllers, as in 0, 1"))
     }
 
     fn parse_controller(&self, name: &str) -> Option<usize> {
--- a/crates/railhub-scenario/src/reader/load.rs
+++ b/crates/railhub-scenario/src/reader/load.rs
@@ -1,7 +1,7 @@
 //! `[load]`: zone weights and the load over time.
 use railhub_ini::{Diagnostic, Section};
 
-/// Weights of the zones in the traffic; equal if the file names none.
+/// Weights of the zones in the traffic; equal if the file gives none.
 pub(super) fn zone_shares(load: &Section, zones: &[String]) -> Result<Vec<f64>, Diagnostic> {
     let texts = load.list("zone_shares");
     if texts.is_empty() {
@@ -11,7 +11,10 @@
     let complete = shares.len() == zones.len();
     let usable = shares.iter().all(|share| *share >= 0.0) && shares.iter().sum::<f64>() > 0.0;
     if !complete || !usable {
-        return Err(load.diagnostic("zone_shares", format!("needs {} shares, one a zone", zones.len())));
+        return Err(load.diagnostic(
+            "zone_shares",
+            format!("needs {} numbers of 0 or more, one per zone, and not all 0", zones.len()),
+        ));
     }
     Ok(shares)
 }
@@ -20,9 +23,9 @@
 pub(super) fn load_shape(load: &Section) -> Result<Vec<(f64, f64)>, Diagnostic> {
     let texts = load.list("shape");
     let points: Option<Vec<(f64, f64)>> = texts.iter().map(|text| shape_point(text)).collect();
-    points
-        .filter(|points| is_ordered(points))
-        .ok_or_else(|| load.diagnostic("shape", "needs points like 0:1.0, 20:1.3, in order"))
+    points.filter(|points| is_ordered(points)).ok_or_else(|| {
+        load.diagnostic("shape", "needs points SECONDS:MULTIPLE in the order of time, as in 0:1.0, 20:1.3")
+    })
 }
 
 fn shape_point(text: &str) -> Option<(f64, f64)> {
--- a/crates/railhub-scenario/src/reader/traffic.rs
+++ b/crates/railhub-scenario/src/reader/traffic.rs
@@ -6,10 +6,11 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Seed of what scaling draws: a recording scaled alike is the same traffic for all seeds of a scenario.
+/// Seed for scaling recorded traffic. It is fixed, so that a recording scaled by the same factors gives the same traffic for
+/// every seed of a scenario.
 const SCALE_SEED: u64 = 1;
 
-/// The traffic that the section names, if it names any.
+/// Reads and scales the recording that `[load] traffic` names, if any.
 pub(super) fn recorded_traffic(
     load: &Section,
     folder: &Path,
@@ -18,14 +19,18 @@
 ) -> Result<Option<Arc<Trace>>, Diagnostic> {
     let Some(name) = load.text("traffic") else { return Ok(None) };
     if load.text("share").is_some() || load.text("shape").is_some() {
-        let message = "says what comes: share and shape may not stand beside it";
+        let message = "cannot be combined with share or shape: the recording defines the load";
         return Err(load.diagnostic("traffic", message));
     }
     let opened = file::open(&folder.join(name)).map_err(|error| load.diagnostic("traffic", error))?;
     let scaling = Scaling::read(load)?;
     let mut traffic = opened.trace;
-    if (traffic.operations() as f64 * scaling.multiple) as u64 > MAX_OPERATIONS {
-        let message = format!("has more than {MAX_OPERATIONS} operations: cut it, or scale it down");
+    let operations = (traffic.operations() as f64 * scaling.multiple) as u64;
+    if operations > MAX_OPERATIONS {
+        let message = format!(
+            "has {operations} operations after scaling, the limit is {MAX_OPERATIONS}: shorten the recording, or lower \
+             traffic_times"
+        );
         return Err(load.diagnostic("traffic", message));
     }
     let class_names = classes.iter().map(|class| class.properties.name.clone()).collect();
@@ -36,11 +41,11 @@
 
 /// How recorded traffic is scaled.
 struct Scaling {
-    /// Operations for each recorded one.
+    /// Number of operations for each recorded one.
     multiple: f64,
-    /// Factor on the times.
+    /// Factor by which the times of operations are multiplied.
     stretch: f64,
-    /// Which keys copies have.
+    /// Which keys the copies of an operation have.
     copies: CopyKeys,
 }
 
@@ -62,9 +67,9 @@
     }
 }
 
-/// A class or zone of recorded traffic that the scenario does not have.
+/// A class or zone of recorded traffic that the scenario does not define.
 #[derive(Debug, thiserror::Error)]
-#[error("has the {item} '{name}', this day has not")]
+#[error("contains the {item} '{name}', which the scenario does not define")]
 struct UnknownName {
     item: &'static str,
     name: String,
@@ -85,8 +90,8 @@
     Ok(())
 }
 
-/// The index of each recorded name in the scenario. A controller does not know zones by name: it records `zone-3` for
-/// the fourth.
+/// The scenario's index of each recorded name. A name that the scenario does not have may be a prefix and an index:
+/// controllers do not know the names of zones and record `zone-3` for the fourth.
 fn scenario_indexes(recorded: &[String], in_scenario: &[String], numbered_prefix: &str) -> Vec<Option<u32>> {
     let index_of = |name: &String| {
         let index = in_scenario.iter().position(|known| known == name);
--- a/crates/railhub-scenario/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -1,8 +1,8 @@
-//! Operations of a recording: as the traffic of a scenario, and out of the record of a run.
+//! Replays recorded operations as the traffic of a scenario, and extracts the operations of a run from its recording.
 //!
-//! What recorded traffic lacks is drawn: sums have neither keys nor work nor times, and where the number of proxies
-//! differs the recorded proxy has no counterpart. Faults that lie in operations apply to recorded ones as to drawn
-//! ones; the scenario's load shape and growth do not, as recorded traffic has its own.
+//! What recorded traffic lacks is drawn: rows of load reports have no keys, no work and no exact times, and if the number
+//! of proxies differs, a recorded proxy has no counterpart. Faults that change operations apply to recorded operations as
+//! to drawn ones. Load shape and growth of the scenario do not apply, as recorded traffic has its own.
 use crate::draw::operation::{Arrival, PendingOperation};
 use crate::draw::random::{key_distribution, proxy_weights_by_zone, random_stream, weighted_index};
 use crate::scenario::Scenario;
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
 
-/// Seconds before the end of a recording at which its last operation begins at the latest.
+/// Shortest time between the start of a trace's last operation and the end of the trace, in seconds.
 const LAST_START_MARGIN_SECONDS: f64 = 1e-3;
 /// Multiplier of the Fibonacci hash by which keys are spread over another number of slices.
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -31,7 +31,7 @@
     }
 }
 
-/// The fraction of recorded operations for each slice; each slice counts one operation more than it has.
+/// The fraction of recorded operations for each slice. One operation is added for each slice, so that no fraction is 0.
 pub(crate) fn slice_sizes(traffic: &Trace, slices: u32) -> Vec<f64> {
     let mut counts = vec![1.0; slices.max(1) as usize];
     for row in &traffic.rows {
@@ -73,7 +73,7 @@
         Replay { scenario, header: &traffic.header, random, proxy_weights, keys: key_distribution(scenario) }
     }
 
-    /// One operation of a row; none if it begins after the scenario's end. Its number is set later.
+    /// One operation of a row; none if it begins after the scenario's end. [`arrivals`] sets its operation number.
     fn draw(&mut self, row: &TraceRow) -> Option<Arrival> {
         let scenario = self.scenario;
         let at = row.at - self.random.random::<f64>() * row.span;
@@ -99,7 +99,7 @@
         self.keys.sample(&mut self.random) as u64 + slice as u64 * self.scenario.keys_per_slice as u64
     }
 
-    /// The recorded proxy if the scenario has it, else one of the zone's.
+    /// The recorded proxy if it has a counterpart in the scenario, else a drawn one that takes the zone's traffic.
     fn proxy(&mut self, row: &TraceRow, zone: usize) -> usize {
         let same_proxies = self.header.proxies as usize == self.scenario.proxies;
         let zone_kept = zone == row.zone as usize;
@@ -111,7 +111,7 @@
     }
 }
 
-/// The operations of a run, out of its record.
+/// Extracts the operations of a run from its recording.
 pub fn trace_from_recording(events: &[Event], limits: &Limits) -> Trace {
     let header = TraceHeader {
         classes: limits.classes.iter().map(|class| class.name.clone()).collect(),
@@ -134,7 +134,7 @@
 }
 
 fn recorded_row(end: &OperationEnd, start: f64, length: f64) -> TraceRow {
-    // A client may begin some hundredths of a second late: the last of them are still of this run.
+    // A client may begin some hundredths of a second late. The last operations then still belong to this run.
     let latest = (length - LAST_START_MARGIN_SECONDS).max(0.0);
     TraceRow {
         at: (end.began - start).clamp(0.0, latest),
@@ -149,7 +149,7 @@
     }
 }
 
-/// The names that the record carries; `zone-0`, `zone-1`, ... if it carries none.
+/// The zone names in the recording; `zone-0`, `zone-1`, ... if it contains none.
 fn zone_names(events: &[Event], limits: &Limits) -> Vec<String> {
     if !limits.zones.is_empty() {
         return limits.zones.clone();
--- a/crates/railhub-scenario/src/report.rs
+++ b/crates/railhub-scenario/src/report.rs
@@ -1,43 +1,43 @@
-//! Service and verdicts of a run, out of its recording.
+//! The report of a run: its service, computed from the recording, and the verdicts of the invariants.
 pub mod text;
 
 use railhub_invariants::Verdict;
 use railhub_record::{ClassLimits, Event, EventKind, Limits, OperationEnd, Outcome};
 use serde::Serialize;
 
-/// Seconds of a window.
+/// Length of a window, in seconds.
 const WINDOW_SECONDS: f64 = 5.0;
-/// Seconds of the span of which the worst is reported.
+/// Length of the span for which the lowest service is reported, in seconds.
 const WORST_SPAN_SECONDS: f64 = 10.0;
 
-/// Gain of the operations that completed within their contract time over the gain of all operations.
+/// Priority weight of the operations that completed within their contract time, divided by that of all operations.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Service {
-    /// Of the complete run.
+    /// Service of the complete run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// Of the worst span of 10 s.
+    /// Service of the worst span of 10 s.
     pub worst_10_s: f64,
     /// Where that span begins, in seconds from the start.
     pub worst_from: f64,
-    /// Operations of the run.
+    /// Number of operations of the run.
     pub operations: u64,
-    /// Outcomes by class.
+    /// Outcomes of the operations, by class.
     pub classes: Vec<ClassService>,
-    /// Of each window of 5 s.
+    /// Service of each window of 5 s.
     pub windows: Vec<f64>,
 }
 
 /// How the operations of a class ended.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassService {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// All its operations.
+    /// Number of its operations.
     pub operations: u64,
     /// Completed within the contract time.
     pub completed: u64,
-    /// Completed later.
+    /// Completed after the contract time.
     pub late: u64,
     /// Refused by admission control.
     pub refused: u64,
@@ -53,14 +53,14 @@
     /// Name of the scenario.
     #[serde(rename = "day")]
     pub scenario: String,
-    /// Where the recording is from, as "loopback" or "simulated".
+    /// Origin of the recording, as "loopback" or "simulated".
     #[serde(rename = "how")]
     pub source: &'static str,
     /// Seed of the run.
     pub seed: u64,
     /// Its service.
     pub service: Service,
-    /// Service of the same scenario with its first tables throughout.
+    /// Service of the same scenario when the tables stay as they are at its start.
     pub fixed: Option<Service>,
     /// Verdicts of the invariants.
     pub rules: Vec<Verdict>,
@@ -98,20 +98,20 @@
         Operations { ends: ends.collect(), limits }
     }
 
-    fn gain(&self, end: &OperationEnd) -> f64 {
+    fn priority_weight(&self, end: &OperationEnd) -> f64 {
         self.limits.classes.get(end.class as usize).map_or(0.0, |class| class.priority_weight)
     }
 
-    /// Service of the operations that began in a span; 1 if there are none. In seconds from the start.
+    /// Service of the operations that began in a span, given in seconds from the start; 1 if there are none.
     fn service_between(&self, from: f64, until: f64) -> f64 {
         let (mut offered, mut completed) = (0.0, 0.0);
         for end in &self.ends {
             if !(from..until).contains(&(end.began - self.limits.from)) {
                 continue;
             }
-            offered += self.gain(end);
+            offered += self.priority_weight(end);
             if end.outcome() == Outcome::Completed {
-                completed += self.gain(end);
+                completed += self.priority_weight(end);
             }
         }
         if offered > 0.0 {
@@ -125,7 +125,7 @@
         self.service_between(window * WINDOW_SECONDS, (window + 1.0) * WINDOW_SECONDS)
     }
 
-    /// The lowest service of a span that begins at a full second, and where it begins.
+    /// The lowest service of the spans that begin at full seconds, and the start of that span.
     fn worst_span(&self, length: f64) -> (f64, f64) {
         let last_end = length.max(WORST_SPAN_SECONDS);
         let starts = (0..).map(f64::from).take_while(|from| from + WORST_SPAN_SECONDS <= last_end);
--- a/crates/railhub-scenario/src/report/text.rs
+++ b/crates/railhub-scenario/src/report/text.rs
@@ -45,7 +45,7 @@
     windows.iter().map(|service| format!("{service:.2}")).collect::<Vec<_>>().join(" ")
 }
 
-/// The verdicts of the invariants, with their first breaches.
+/// The verdicts of the invariants, with their first violations.
 pub fn verdicts_text(verdicts: &[Verdict]) -> String {
     let mut out = String::new();
     for verdict in verdicts {
@@ -58,7 +58,7 @@
     let kept = if verdict.kept { "kept" } else { "BROKEN" };
     let _ = writeln!(
         out,
-        "rule {} {:<30} {:<6} {:>5.0} % of the limit, {} looks",
+        "rule {} {:<30} {:<6} {:>5.0} % of the limit, {} checks",
         verdict.rule,
         verdict.name,
         kept,
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -11,7 +11,7 @@
 /// A class of operations.
 #[derive(Clone, Debug)]
 pub struct OperationClass {
-    /// What clients and hosts know of the class.
+    /// Properties of the class that clients and hosts use.
     pub properties: EmulatedClass,
     /// Weight of the class among all operations.
     pub share: f64,
@@ -40,14 +40,15 @@
     pub warm_up_time: f64,
 }
 
-/// What is wrong with a controller's lease clock, for tests: an ordinary user cannot set a real one.
+/// Deviation of a controller's lease clock from the system clock. For tests: an ordinary user cannot set the system
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestClock {
     /// Seconds that the clock advances in a real second.
     pub speed: f64,
     /// Seconds between the controller's first start and the jump.
     pub jumps_after: f64,
-    /// Seconds by which the clock jumps, negative: backwards.
+    /// Seconds by which the clock jumps; backwards if negative.
     pub jumps_by: f64,
 }
 
@@ -60,17 +61,17 @@
 /// Everything a scenario file defines. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The name in reports.
+    /// The scenario's name in reports.
     pub name: String,
     /// The seed of everything that is drawn.
     pub seed: u64,
-    /// Seconds in which operations begin.
+    /// Length of the period in which operations begin.
     pub length: f64,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Weights of the zones in the traffic, one a zone.
+    /// Weights of the zones in the traffic, one per zone.
     pub zone_shares: Vec<f64>,
-    /// Hosts at the start.
+    /// Number of hosts at the start.
     pub hosts: usize,
     /// Kinds of hosts, in the order of the file.
     pub host_kinds: Vec<HostKind>,
@@ -78,70 +79,70 @@
     pub connections: usize,
     /// Work of a health check, in core seconds.
     pub health_check_work: f64,
-    /// Seconds between updates of the utilization that a host reports in responses; 0: it reports none.
+    /// Time between updates of the utilization that a host reports in responses; 0: it reports none.
     pub utilization_interval: f64,
     /// Fraction of an operation's work that is saved when its host has seen the key recently.
     pub affinity_gain: f64,
-    /// Seconds for which a host remembers a key.
+    /// Time for which a host remembers a key.
     pub affinity_duration: f64,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
     /// How a proxy picks a host from its table.
     pub pick: BalancingPolicy,
-    /// Slices of the key space; 0: one table for all keys.
+    /// Number of slices of the key space; 0: one table for all keys.
     pub slices: u32,
     /// Coefficient of variation of the slices' sizes.
     pub slice_size_cv: f64,
-    /// Offered work over the hosts' capacity at the start.
+    /// Offered work divided by the hosts' capacity at the start.
     pub load: f64,
-    /// Multiples of the load at points in time, linear between them.
+    /// Points of time and multiple of the load; interpolated linearly between them.
     pub load_shape: Vec<(f64, f64)>,
-    /// Keys of a slice.
+    /// Number of keys of a slice.
     pub keys_per_slice: usize,
-    /// Recorded operations that replace drawn ones.
+    /// Recorded operations that replace the drawn ones.
     pub replay: Option<Arc<Trace>>,
     /// Classes of operations, in the order of the file.
     pub classes: Vec<OperationClass>,
     /// How clients retry.
     pub clients: ClientConfig,
-    /// Seconds until the endpoint list contains a change that was announced.
+    /// Time until the endpoint list shows a host that started, drains or was stopped.
     pub list_add_delay: f64,
-    /// Seconds until the endpoint list notices a crash.
+    /// Time until the endpoint list shows that a host crashed.
     pub list_removal_delay: f64,
-    /// Seconds between a proxy's load reports.
+    /// Time between a proxy's load reports.
     pub report_interval: f64,
-    /// Seconds that a load report takes.
+    /// Time from the sending of a load report until the controllers receive it.
     pub report_delay: f64,
     /// Load reports that a controller accepts in a second.
     pub reports_per_second: f64,
     /// Lines of updates that the channel to the proxies carries in a second.
     pub update_lines_per_second: f64,
-    /// Longest wait of a proxy before it connects to a controller again.
+    /// Longest time that a proxy waits before it reconnects to a controller.
     pub max_reconnect_delay: f64,
-    /// Seconds after which a proxy abandons an attempt to connect to a host.
+    /// Time after which a proxy abandons an attempt to connect to a host.
     pub connect_timeout: f64,
-    /// Longest wait of an operation that finds no host.
+    /// Longest time that an operation waits for a usable host.
     pub no_host_timeout: f64,
-    /// Wait of an attempt that may be followed by another, in multiples of the contract time.
+    /// Timeout of an attempt that may be followed by another, as a multiple of the contract time.
     pub first_attempt_timeout_fraction: f64,
     /// The limits of the invariants.
     pub limits: Limits,
     /// Faults, in the order of the file.
     pub faults: Vec<ScheduledFault>,
-    /// Controller processes that share the slices; 1: one owns them all.
+    /// Number of controller processes that share the slices; 1: a single one owns them all.
     pub controllers: usize,
     /// Duration of a slice lease.
     pub lease_duration: f64,
-    /// Clocks of the controllers, for tests; empty: as they are.
+    /// Lease clocks of the controllers, by index, for tests; empty: all follow the system clock.
     pub clocks: Vec<TestClock>,
-    /// Guarantees that the store breaks, for tests of the invariants.
+    /// Guarantees that the store violates, for tests of the invariants.
     pub store_faults: StoreFaults,
-    /// A safeguard that the controllers disable, for the same tests.
+    /// A safeguard that the controllers disable, for tests of the invariants.
     pub disabled_safeguard: Option<&'static str>,
 }
 
 impl Scenario {
-    /// What clients and hosts know of the classes, in the order of the file.
+    /// The classes as clients and hosts use them, in the order of the file.
     pub fn emulated_classes(&self) -> Vec<EmulatedClass> {
         self.classes.iter().map(|class| class.properties.clone()).collect()
     }
