--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -127,8 +127,8 @@
         self.environment.extra_report_delay_ms.fetch_add(milliseconds, Ordering::Relaxed);
     }
 
-    /// Launches a controller and lets the proxies connect to it. Blocks the thread until it listens: must not be called in
-    /// a coroutine.
+    /// Launches a controller and lets the proxies connect to it. Blocks the thread until it listens: must not be called
+    /// in a coroutine.
     ///
     /// # Errors
     /// The controller does not start.
--- a/crates/railhub-scenario/src/cluster_hosts.rs
+++ b/crates/railhub-scenario/src/cluster_hosts.rs
@@ -143,8 +143,8 @@
         self.with_slots(|slots| slots[index].entry(phase))
     }
 
-    /// Chooses hosts for a fault and reserves them; fewer than `count` if no more are free. Hosts that are phantoms, are
-    /// being replaced or are reserved by other faults are not free.
+    /// Chooses hosts for a fault and reserves them; fewer than `count` if no more are free. Hosts that are phantoms,
+    /// are being replaced or are reserved by other faults are not free.
     pub fn reserve(&self, count: usize, fault_index: usize) -> Vec<usize> {
         let mut reserved = self.reserved.lock().expect("no holder panics");
         let free = self.matching(|index, slot| slot.is_regular() && !reserved.contains(&index));
--- a/crates/railhub-scenario/src/draw/load_curve.rs
+++ b/crates/railhub-scenario/src/draw/load_curve.rs
@@ -13,8 +13,8 @@
 /// Lower limit of the peak, as a multiple of the rate.
 const MIN_PEAK: f64 = 0.01;
 
-/// Operations per second that offer the scenario's load to the hosts. Slices are assumed to keep their owners, and hosts
-/// to remember the keys that repeat at this rate. `mean_work` is the mean work of an operation, in core seconds.
+/// Operations per second that offer the scenario's load to the hosts. Slices are assumed to keep their owners, and
+/// hosts to remember the keys that repeat at this rate. `mean_work` is the mean work of an operation, in core seconds.
 pub(crate) fn offered_rate(scenario: &Scenario, capacity: f64, mean_work: f64, slice_sizes: &[f64]) -> f64 {
     let keys = 1..=scenario.keys_per_slice;
     let weights: Vec<f64> = keys.map(|key| (key as f64).powf(-KEY_EXPONENT)).collect();
--- a/crates/railhub-scenario/src/draw/random.rs
+++ b/crates/railhub-scenario/src/draw/random.rs
@@ -69,8 +69,8 @@
     weights.iter().enumerate().map(weight_in_zone).collect()
 }
 
-/// Chooses up to `count` of the candidates for a fault. The choice for a scenario and a fault is the same on loopback and
-/// in the simulator.
+/// Chooses up to `count` of the candidates for a fault. The choice for a scenario and a fault is the same on loopback
+/// and in the simulator.
 pub fn choose_targets(
     scenario: &Scenario,
     fault_index: usize,
--- a/crates/railhub-scenario/src/fault.rs
+++ b/crates/railhub-scenario/src/fault.rs
@@ -1,7 +1,7 @@
-//! The faults that a scenario injects: what each one is and when it is active.
+//! The faults that a scenario injects: their kinds and the times at which they are active.
 //!
-//! This module describes faults. [`crate::reader`] reads them from `[trouble NAME]` sections, `inject` injects them into a
-//! running cluster, and [`crate::draw`] applies the kinds that change operations.
+//! This module describes faults. [`crate::reader`] reads them from `[trouble NAME]` sections, `inject` injects them
+//! into a running cluster, and [`crate::draw`] applies the kinds that change operations.
 mod recorded;
 #[cfg(test)]
 mod tests;
@@ -49,17 +49,17 @@
     NoExtraRequest,
 }
 
-/// What a fault does. Fractions are from 0 to 1; delays and intervals are in seconds.
+/// The effect of a fault. Fractions are from 0 to 1; delays and intervals are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
     /// Host processes are killed, and start again cold when the fault ends.
     Crash {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
     },
     /// Hosts are drained batch by batch while new ones start cold.
     Deploy {
-        /// How many hosts are replaced.
+        /// Number of hosts that are replaced.
         hosts: usize,
         /// Hosts per batch.
         batch: usize,
@@ -68,19 +68,19 @@
     },
     /// Hosts accept connections and send no responses.
     Hang {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
     },
     /// Hosts work more slowly.
     Slow {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
         /// Service times are multiplied by this.
         factor: f64,
     },
     /// Hosts pause repeatedly.
     Pauses {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
         /// Seconds of one pause.
         pause: f64,
@@ -89,7 +89,7 @@
     },
     /// Another workload on the same machines uses a part of their cores in alternate phases.
     NoisyNeighbor {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
         /// Fraction of the cores that is taken.
         cpu_fraction: f64,
@@ -98,7 +98,7 @@
     },
     /// Hosts do the work and do not send some of the responses.
     ResponsesLost {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
         /// Fraction of responses lost.
         fraction: f64,
@@ -107,7 +107,7 @@
     HotKey {
         /// Fraction of operations.
         fraction: f64,
-        /// How many keys.
+        /// Number of hot keys.
         keys: usize,
     },
     /// A fraction of the operations needs more work.
@@ -123,14 +123,14 @@
         fraction: f64,
         /// Multiple of the class's contract time after which they stop waiting.
         contract_time_multiple: f64,
-        /// What they do then.
+        /// What they do after they stopped waiting.
         reaction: GiveUpReaction,
     },
     /// A growing fraction of the traffic moves to one zone or one class.
     TrafficShift {
         /// Fraction of the traffic moved at the end of the fault.
         fraction: f64,
-        /// Its destination.
+        /// Destination of the moved traffic.
         target: ShiftTarget,
     },
     /// Hosts are added one after another.
@@ -147,14 +147,14 @@
     },
     /// The endpoint list marks live hosts as gone.
     ListTruncated {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
     },
     /// The endpoint list contains hosts that do not belong to the cluster.
     PhantomHosts {
-        /// How many hosts.
+        /// Number of hosts.
         hosts: usize,
-        /// How they react, in turn.
+        /// Reactions to connections, assigned to the hosts in turn.
         behaviors: Vec<PhantomBehavior>,
     },
     /// The endpoint list cannot be read.
@@ -269,7 +269,7 @@
     pub at: f64,
     /// Length of the active period, in seconds.
     pub duration: f64,
-    /// What it does.
+    /// The kind of the fault and its parameters.
     pub kind: FaultKind,
 }
 
--- a/crates/railhub-scenario/src/fault/recorded.rs
+++ b/crates/railhub-scenario/src/fault/recorded.rs
@@ -1,5 +1,5 @@
-//! The text that describes a fault in recordings. It is part of the recorded format, so it does not change when the types
-//! here are renamed.
+//! The text that describes a fault in recordings. It is part of the recorded format, so it does not change when the
+//! types here are renamed.
 use super::{CutDirection, FaultKind, GiveUpReaction, PhantomBehavior, ShiftTarget};
 
 impl FaultKind {
@@ -43,8 +43,10 @@
                 format!("Heavy {{ share: {fraction:?}, times: {factor:?} }}")
             }
             FaultKind::ClientsGiveUp { fraction, contract_time_multiple, reaction } => {
-                let how = recorded_reaction(*reaction);
-                format!("GiveUp {{ share: {fraction:?}, patience: {contract_time_multiple:?}, how: {how} }}")
+                let reaction = recorded_reaction(*reaction);
+                format!(
+                    "GiveUp {{ share: {fraction:?}, patience: {contract_time_multiple:?}, how: {reaction} }}"
+                )
             }
             FaultKind::TrafficShift { fraction, target } => {
                 format!("Shift {{ share: {fraction:?}, how: {} }}", recorded_target(*target))
@@ -88,8 +90,8 @@
                 format!("StewardPaused {{ steward: {controller} }}")
             }
             FaultKind::ControllerIsolated { controller, peers, direction } => {
-                let way = recorded_direction(*direction);
-                format!("StewardCut {{ steward: {controller}, from: {peers:?}, way: {way} }}")
+                let direction = recorded_direction(*direction);
+                format!("StewardCut {{ steward: {controller}, from: {peers:?}, way: {direction} }}")
             }
             FaultKind::ControllerOneWayCut { from, to } => {
                 format!("StewardWay {{ from: {from}, to: {to} }}")
--- a/crates/railhub-scenario/src/import.rs
+++ b/crates/railhub-scenario/src/import.rs
@@ -1,5 +1,5 @@
-//! Converts a scenario that was drawn for the users' bench (JSON) into a scenario file: with fewer hosts, and the same kinds
-//! of faults in the same order at the same times. Descriptions of what cannot be converted are returned.
+//! Converts a scenario that was drawn for the users' bench (JSON) into a scenario file: with fewer hosts, and the same
+//! kinds of faults in the same order at the same times. Descriptions of what cannot be converted are returned.
 mod cluster;
 mod faults;
 mod load;
@@ -14,7 +14,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Most hosts at the start if the caller gives no number; one machine runs as many without strain.
+/// Maximum number of hosts at the start if the caller gives no number; one machine runs as many with ease.
 const DEFAULT_MAX_HOSTS: usize = 24;
 
 /// Why a scenario was not imported.
@@ -63,8 +63,8 @@
     },
 }
 
-/// Converts the file `from` into the file `to` and returns one line for each feature that was not converted. `hosts` is the
-/// number of hosts at the start; by default that of the source, up to 24.
+/// Converts the file `from` into the file `to` and returns one line for each feature that was not converted. `hosts` is
+/// the number of hosts at the start; by default that of the source, up to 24.
 ///
 /// # Errors
 /// The source cannot be read or converted into a valid scenario, or the result cannot be written.
@@ -102,8 +102,10 @@
     for (index, fault) in source.faults.iter().enumerate() {
         let number = index + 1;
         let Some(keys) = faults::fault_keys(fault, source, &scale, &mut left_out) else {
-            left_out
-                .push(format!("fault {number} '{}' {}: this kind is not supported", fault.kind, fault.how));
+            left_out.push(format!(
+                "fault {number} '{}' {}: this kind is not supported",
+                fault.kind, fault.variant
+            ));
             continue;
         };
         let (at, duration) = (seconds(fault.at), seconds(fault.duration));
--- a/crates/railhub-scenario/src/import/cluster.rs
+++ b/crates/railhub-scenario/src/import/cluster.rs
@@ -68,8 +68,8 @@
     let _ = writeln!(out, "cold_from = {:.3}\nwarm_after = {warm_after:.3}\n", kind.cold_from);
 }
 
-/// Largest backlog, in lines. It is scaled by the ratio twice: a delta has fewer lines, and fewer proxies receive it. The
-/// lower limit accounts for the lines of each message that do not become fewer.
+/// Largest backlog, in lines. It is scaled by the ratio twice: a delta has fewer lines, and fewer proxies receive it.
+/// The lower limit accounts for the lines of each message that do not become fewer.
 fn backlog(source: &SourceScenario, scale: &Scale) -> f64 {
     let control = &source.control;
     let update_lines = control.message_cost + MESSAGE_OVERHEAD_LINES + slices(source, scale);
--- a/crates/railhub-scenario/src/import/faults.rs
+++ b/crates/railhub-scenario/src/import/faults.rs
@@ -4,8 +4,8 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// The keys of a fault's section except for its times; none if scenario files do not support its kind. Descriptions of what
-/// the section leaves out are added to `left_out`.
+/// The keys of a fault's section except for its times; none if scenario files do not support its kind. Descriptions of
+/// what the section leaves out are added to `left_out`.
 pub(super) fn fault_keys(
     fault: &SourceFault,
     source: &SourceScenario,
@@ -24,8 +24,8 @@
 }
 
 impl Translation<'_> {
-    fn leave_out(&mut self, what: &str) {
-        self.left_out.push(what.to_owned());
+    fn leave_out(&mut self, description: &str) {
+        self.left_out.push(description.to_owned());
     }
 
     fn hosts(&self) -> usize {
@@ -52,7 +52,7 @@
                 format!("kind = neighbour\nhosts = {hosts}\ntakes = {size:.3}\nevery = {extra:.3}\n")
             }
             "answer_lost" => {
-                if self.fault.how == "reset" {
+                if self.fault.variant == "reset" {
                     self.leave_out("responses that end with a connection reset: they are lost without one");
                 }
                 format!("kind = answers_lost\nhosts = {hosts}\nshare = {size:.3}\n")
@@ -64,7 +64,7 @@
     }
 
     fn deploy(&self) -> String {
-        let batches = self.fault.steps.iter().map(|step| step.stop.len());
+        let batches = self.fault.steps.iter().map(|step| step.stopped_servers.len());
         let all = self.scale.count(batches.clone().sum()).max(1);
         let batch = self.scale.count(batches.max().unwrap_or(1)).max(1);
         format!("kind = deploy\nhosts = {all}\nbatch = {batch}\ndrain = {:.3}\n", self.fault.extra)
@@ -91,11 +91,11 @@
                 format!("kind = heavy\nshare = {share:.5}\ntimes = {size:.3}\n")
             }
             "give_up" => {
-                let how = if self.fault.how == "leave" { "leave" } else { "short" };
+                let how = if self.fault.variant == "leave" { "leave" } else { "short" };
                 format!("kind = give_up\nshare = {size:.3}\npatience = {extra:.3}\nhow = {how}\n")
             }
-            "shift" if self.fault.how == "zone" => {
-                format!("kind = shift\nshare = {size:.3}\nzone = {}\n", self.zone(self.fault.which))
+            "shift" if self.fault.variant == "zone" => {
+                format!("kind = shift\nshare = {size:.3}\nzone = {}\n", self.zone(self.fault.zone_index))
             }
             "shift" => format!("kind = shift\nshare = {size:.3}\n"),
             _ => return None,
@@ -118,9 +118,9 @@
     fn slow_link(&self) -> String {
         let contract_times = self.source.classes.iter().map(|class| class.contract_time);
         let shortest = seconds(contract_times.fold(f64::INFINITY, f64::min));
-        let (zone, delay) = (self.zone(self.fault.which), self.fault.size * shortest);
-        let other = match self.fault.how.as_str() {
-            "pair" => format!("other = {}\n", self.zone(self.fault.which + 1)),
+        let (zone, delay) = (self.zone(self.fault.zone_index), self.fault.size * shortest);
+        let other = match self.fault.variant.as_str() {
+            "pair" => format!("other = {}\n", self.zone(self.fault.zone_index + 1)),
             _ => String::new(),
         };
         let lost = self.fault.extra;
@@ -130,7 +130,7 @@
     fn wrong_list(&mut self) -> Option<String> {
         let hosts = self.scale.count(self.fault.servers.len()).max(1);
         let all_hosts = self.scale.hosts;
-        match self.fault.how.as_str() {
+        match self.fault.variant.as_str() {
             "shrink" => Some(format!("kind = list_shrinks\nhosts = {}\n", hosts.min(all_hosts))),
             "empty" => Some(format!("kind = list_shrinks\nhosts = {all_hosts}\n")),
             "ghosts" => Some(format!("kind = ghosts\nhosts = {hosts}\nhow = {}\n", self.phantom_behavior())),
--- a/crates/railhub-scenario/src/import/source.rs
+++ b/crates/railhub-scenario/src/import/source.rs
@@ -147,17 +147,19 @@
     pub extra: f64,
     #[serde(default, rename = "on")]
     pub servers: Vec<usize>,
-    #[serde(default)]
-    pub which: u64,
+    /// Index of a zone.
+    #[serde(default, rename = "which")]
+    pub zone_index: u64,
     #[serde(default)]
     pub steps: Vec<Step>,
-    #[serde(default)]
-    pub how: String,
+    #[serde(default, rename = "how")]
+    pub variant: String,
 }
 
 #[derive(Deserialize)]
 pub(super) struct Step {
-    pub stop: Vec<usize>,
+    #[serde(rename = "stop")]
+    pub stopped_servers: Vec<usize>,
 }
 
 /// Settings of the controllers and of their channel to the proxies.
--- a/crates/railhub-scenario/src/inject.rs
+++ b/crates/railhub-scenario/src/inject.rs
@@ -34,8 +34,8 @@
     fn channel_slowdown(&self) -> f64 {
         match self.fault.kind {
             FaultKind::SlowUpdateChannel { factor } => factor,
-            // No proxy can be updated sooner than the delay. The factor extends the shortest time limit of the invariants
-            // by the delay, and the others by more.
+            // No proxy can be updated sooner than the delay. The factor extends the shortest time limit of the
+            // invariants by the delay, and the others by more.
             FaultKind::SlowUpdates { delay, .. } => {
                 let limits = &self.cluster.scenario.limits;
                 1.0 + delay / limits.grace.min(limits.max_unserved)
--- a/crates/railhub-scenario/src/play.rs
+++ b/crates/railhub-scenario/src/play.rs
@@ -41,8 +41,8 @@
     Launch(#[from] LaunchError),
     /// The cluster took too long to start.
     #[error(
-        "the scenario would begin {delay:.2} s late ({MAX_START_DELAY_SECONDS} s are allowed), and its first operations \
-         all at once: the cluster took too long to start"
+        "the scenario would begin {delay:.2} s late ({MAX_START_DELAY_SECONDS} s are allowed), and its first \
+         operations all at once: the cluster took too long to start"
     )]
     StartedLate {
         /// The delay of the scenario's start, in seconds.
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -16,7 +16,7 @@
 use railhub_record::Limits;
 use std::path::Path;
 
-/// Most controllers of a scenario; each one is a process.
+/// Maximum number of controllers of a scenario; each one is a process.
 const MAX_CONTROLLERS: f64 = 15.0;
 /// Name of the only zone of a scenario whose file names none.
 const DEFAULT_ZONE: &str = "here";
--- a/crates/railhub-scenario/src/reader/traffic.rs
+++ b/crates/railhub-scenario/src/reader/traffic.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Seed for scaling recorded traffic. It is fixed, so that a recording scaled by the same factors gives the same traffic for
-/// every seed of a scenario.
+/// Seed for scaling recorded traffic. It is fixed, so that a recording scaled by the same factors gives the same
+/// traffic for every seed of a scenario.
 const SCALE_SEED: u64 = 1;
 
 /// Reads and scales the recording that `[load] traffic` names, if any.
--- a/crates/railhub-scenario/src/replay.rs
+++ b/crates/railhub-scenario/src/replay.rs
@@ -1,8 +1,8 @@
 //! Replays recorded operations as the traffic of a scenario, and extracts the operations of a run from its recording.
 //!
-//! What recorded traffic lacks is drawn: rows of load reports have no keys, no work and no exact times, and if the number
-//! of proxies differs, a recorded proxy has no counterpart. Faults that change operations apply to recorded operations as
-//! to drawn ones. Load shape and growth of the scenario do not apply, as recorded traffic has its own.
+//! What recorded traffic lacks is drawn: rows of load reports have no keys, no work and no exact times, and if the
+//! number of proxies differs, a recorded proxy has no counterpart. Faults that change operations apply to recorded
+//! operations as to drawn ones. Load shape and growth of the scenario do not apply, as recorded traffic has its own.
 use crate::draw::operation::{Arrival, PendingOperation};
 use crate::draw::random::{key_distribution, proxy_weights_by_zone, random_stream, weighted_index};
 use crate::scenario::Scenario;
@@ -17,7 +17,8 @@
 /// Multiplier of the Fibonacci hash by which keys are spread over another number of slices.
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The slice of a row in a scenario with `slices` slices: as recorded, or by a hash of the key where the number differs.
+/// The slice of a row in a scenario with `slices` slices: as recorded, or by a hash of the key where the number
+/// differs.
 fn slice_of(row: &TraceRow, recorded_slices: u32, slices: u32) -> u32 {
     if slices == 0 {
         return 0;
--- a/crates/railhub-scenario/src/replay/tests.rs
+++ b/crates/railhub-scenario/src/replay/tests.rs
@@ -96,8 +96,8 @@
     let events = [end(1, 2.25), end(2, 4.5), end(3, 7.0008)];
     let recorded = trace_from_recording(&events, &limits);
     assert_eq!(recorded.header.zones, ["a", "b"]);
-    let again = Scenario { replay: Some(Arc::new(recorded)), ..scenario };
-    let arrivals = draw::arrivals(&again, 1.0);
+    let replaying = Scenario { replay: Some(Arc::new(recorded)), ..scenario };
+    let arrivals = draw::arrivals(&replaying, 1.0);
     let seen: Vec<_> = arrivals.iter().map(|a| (a.at, a.drawn.key, a.proxy, a.drawn.work)).collect();
     assert_eq!(seen, [(0.25, 1, 3, 0.02), (2.5, 2, 3, 0.02), (4.999, 3, 3, 0.02)]);
 }
