--- a/crates/railhub-platform/src/wire/relay.rs
+++ b/crates/railhub-platform/src/wire/relay.rs
@@ -1,15 +1,15 @@
-//! JSON-RPC 2.0 with the relay, one object a line: events of a subscription, calls that carry commands, responses.
+//! JSON-RPC 2.0 with the relay, one object per line: events of a subscription, calls that carry commands, responses.
 use super::json::decode_fields;
 use crate::command::Command;
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use crate::relay::{Call, CallResponse, RelayEvent};
 use railhub::{BarrierAck, BarrierId, HostId, ProxyId, RetryPolicy, SliceId, WeightedHost};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a line that the relay sends.
+/// Maximum length of a line from the relay.
 pub const MAX_LINE_BYTES: usize = 64 << 10;
-/// Most bytes of a call: the relay accepts 60,000 of commands, and the call's own fields need some.
+/// Maximum length of a call: the relay accepts 60,000 bytes of commands, and the call's other fields take some.
 const MAX_CALL_BYTES: usize = 58_000;
 
 #[derive(Deserialize)]
@@ -57,14 +57,14 @@
 /// Decodes a line of a subscription.
 ///
 /// # Errors
-/// The line cannot be read; the stream cannot be trusted from there on.
-pub fn decode_event(line: &[u8]) -> Result<RelayEvent, InvalidEntry> {
-    let header: Header = serde_json::from_slice(line).map_err(|_| InvalidEntry::Unreadable)?;
+/// The line is invalid. Later lines of the stream cannot be trusted either.
+pub fn decode_event(line: &[u8]) -> Result<RelayEvent, DecodeError> {
+    let header: Header = serde_json::from_slice(line).map_err(|_| DecodeError::Unreadable)?;
     let Some(method) = header.method else {
         return if header.result == Some(true) {
             Ok(RelayEvent::Subscribed)
         } else {
-            Err(InvalidEntry::Kind)
+            Err(DecodeError::UnexpectedType)
         };
     };
     Ok(match method.as_str() {
@@ -87,19 +87,19 @@
             RelayEvent::SliceAssigned { slice: SliceId(given.slice), assigned: given.on }
         }
         "held" => params::<HeldParams>(line)?.convert()?,
-        _ => return Err(InvalidEntry::Kind),
+        _ => return Err(DecodeError::UnexpectedType),
     })
 }
 
-fn params<T: DeserializeOwned>(line: &[u8]) -> Result<T, InvalidEntry> {
+fn params<T: DeserializeOwned>(line: &[u8]) -> Result<T, DecodeError> {
     decode_fields::<Notification<T>>(line).map(|notification| notification.params)
 }
 
 impl HeldParams {
-    fn convert(&self) -> Result<RelayEvent, InvalidEntry> {
-        let host = HostId::new(&self.server).ok_or(InvalidEntry::Unknown)?;
+    fn convert(&self) -> Result<RelayEvent, DecodeError> {
+        let host = HostId::new(&self.server).ok_or(DecodeError::UnknownName)?;
         if !(self.weight.is_finite() && self.weight >= 0.0) {
-            return Err(InvalidEntry::Range);
+            return Err(DecodeError::OutOfRange);
         }
         let line = WeightedHost { host, weight: self.weight };
         Ok(RelayEvent::StoredEntry { slice: SliceId(self.slice), line })
@@ -120,34 +120,34 @@
     taken: usize,
 }
 
-/// Decodes the response to call `id` with so many commands.
+/// Decodes the response to the call with this id and number of commands.
 ///
 /// # Errors
-/// The line is no response to this call, or cannot be read: the outcome of the call is not known.
-pub fn decode_response(line: &[u8], id: u64, commands: usize) -> Result<CallResponse, InvalidEntry> {
+/// The line is invalid or not a response to this call: the outcome of the call is unknown.
+pub fn decode_response(line: &[u8], id: u64, commands: usize) -> Result<CallResponse, DecodeError> {
     let response: ResponseMessage = decode_fields(line)?;
     if response.id != id {
-        return Err(InvalidEntry::Unknown);
+        return Err(DecodeError::UnknownName);
     }
     match (response.result, response.error) {
         (Some(CommitResult { taken }), None) if taken <= commands => Ok(CallResponse::Accepted(taken)),
-        (Some(_), None) => Err(InvalidEntry::Range),
+        (Some(_), None) => Err(DecodeError::OutOfRange),
         (None, Some(_)) => decode_error(line),
-        _ => Err(InvalidEntry::Fields),
+        _ => Err(DecodeError::InvalidField),
     }
 }
 
-/// The protocol does not state the form of an error: its cause is somewhere in the line.
-fn decode_error(line: &[u8]) -> Result<CallResponse, InvalidEntry> {
+/// Finds the cause of an error. The protocol does not specify the format of errors, so the whole line is searched.
+fn decode_error(line: &[u8]) -> Result<CallResponse, DecodeError> {
     let contains = |cause: &[u8]| line.windows(cause.len()).any(|part| part == cause);
     match (contains(b"limit"), contains(b"malformed")) {
         (true, false) => Ok(CallResponse::Rejected),
         (false, true) => Ok(CallResponse::Malformed),
-        _ => Err(InvalidEntry::Fields),
+        _ => Err(DecodeError::InvalidField),
     }
 }
 
-/// The request that begins a subscription.
+/// Encodes the request that starts a subscription.
 pub fn encode_subscribe(id: u64) -> Vec<u8> {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"subscribe\"}}\n").into_bytes()
 }
@@ -162,31 +162,31 @@
     Mark { ticket: u16, on: u8 },
 }
 
-/// `on` of a mark: all proxies answer.
+/// The value of `on` in a mark: all proxies acknowledge it.
 const ALL_PROXIES: u8 = 1;
 
 /// Encodes one command.
 ///
 /// # Panics
-/// If it is about a class that has no name: [`crate::PendingCommands`] leaves these out.
+/// If the class of an admission rate has no name: [`crate::PendingCommands`] drops such commands.
 pub(crate) fn encode_command(command: &Command, class_names: &[String]) -> String {
     let message = match command {
-        Command::SetWeight { slice, line } => {
-            CommandMessage::Share { table: slice.0, server: line.host.name(), weight: line.weight }
+        Command::SetWeight { slice, entry } => {
+            CommandMessage::Share { table: slice.0, server: entry.host.name(), weight: entry.weight }
         }
         Command::Exclude(host) => CommandMessage::Withdraw { server: host.name() },
         Command::Readmit(host) => CommandMessage::Restore { server: host.name() },
         Command::SetAdmissionRate { class, rate, retry } => CommandMessage::Admit {
             classes: [&class_names[usize::from(class.0)]],
             level: *rate,
-            retry: retry_code(*retry),
+            retry: retry_policy_code(*retry),
         },
         Command::Barrier(barrier) => CommandMessage::Mark { ticket: barrier.0, on: ALL_PROXIES },
     };
     serde_json::to_string(&message).expect("names and finite numbers have a JSON form")
 }
 
-fn retry_code(policy: RetryPolicy) -> u8 {
+fn retry_policy_code(policy: RetryPolicy) -> u8 {
     match policy {
         RetryPolicy::Never => 0,
         RetryPolicy::IfNotExecuted => 1,
@@ -208,8 +208,8 @@
         CallEncoder { id, commands: 0, bytes: head.into_bytes() }
     }
 
-    /// Whether one more command stays within [`MAX_CALL_BYTES`]; the first always does.
-    pub(crate) fn has_room(&self, command: &str) -> bool {
+    /// Whether one more command keeps the call within [`MAX_CALL_BYTES`]. The first one always fits.
+    pub(crate) fn fits(&self, command: &str) -> bool {
         self.commands == 0 || self.bytes.len() + command.len() < MAX_CALL_BYTES
     }
 
