--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -56,9 +56,9 @@
     let (stopping, ending) = (process.clone(), process.clone());
     LaunchedController {
         address: process.proxy_address,
-        fleet: Some(process.cluster_address).filter(|address| address.port() != 0),
-        process: process.number,
-        pause: Some(Arc::new(move |stops| if stops { stopping.pause() } else { stopping.resume() })),
+        peer_address: Some(process.cluster_address).filter(|address| address.port() != 0),
+        process_number: process.number,
+        set_paused: Some(Arc::new(move |stops| if stops { stopping.pause() } else { stopping.resume() })),
         kill: Box::new(move || ending.kill()),
     }
 }
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -43,7 +43,13 @@
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        Ok(LaunchedController { address, fleet: None, process: None, pause: None, kill: Box::new(|| {}) })
+        Ok(LaunchedController {
+            address,
+            peer_address: None,
+            process_number: None,
+            set_paused: None,
+            kill: Box::new(|| {}),
+        })
     });
     let bar = progress_bar(&day);
     let played = play(&day, Some(launch), None, None, &|at| bar.set_position(at.max(0.0) as u64));
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -337,7 +337,7 @@
             process.kill();
             troubles.into_iter().for_each(|thread| thread.join().expect("the troubles were caused"));
         });
-        Ok(LaunchedController { address, fleet: None, process: None, pause: None, kill })
+        Ok(LaunchedController { address, peer_address: None, process_number: None, set_paused: None, kill })
     });
     let day = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
     let day = railhub_scenario::Scenario::open(Path::new(&day)).expect("a good day");
--- a/crates/railhub-scenario/src/controller_links.rs
+++ b/crates/railhub-scenario/src/controller_links.rs
@@ -79,9 +79,9 @@
     /// Connects a controller's relays to its process, or to none.
     pub fn connect(&self, controller: usize, launched: Option<&LaunchedController>) {
         let address = launched.map(|launched| launched.address);
-        let fleet = launched.and_then(|launched| launched.fleet);
+        let peer_address = launched.and_then(|launched| launched.peer_address);
         self.relays[controller].proxies.set_target(address);
-        self.udp.set_real_address(&LinkEnds::controller_name(controller), fleet);
+        self.udp.set_real_address(&LinkEnds::controller_name(controller), peer_address);
     }
 
     /// Begins a fault of the links, or ends it (`None`).
--- a/crates/railhub-scenario/src/controllers.rs
+++ b/crates/railhub-scenario/src/controllers.rs
@@ -78,17 +78,17 @@
 
     /// Asks a controller to hand over its slices.
     pub fn drain(&self, scenario: &Scenario, controller: usize) {
-        let Some((address, process)) = self.fleet_process(controller) else { return };
+        let Some((address, process)) = self.peer_address_and_process(controller) else { return };
         let request = Packet::Drain { node: NodeId(controller as u16), process };
         let bytes = encode(&installation(scenario), &request);
         // If the request is lost the controller does not drain; the recording shows that.
         let _ = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|socket| socket.send_to(&bytes, address));
     }
 
-    fn fleet_process(&self, controller: usize) -> Option<(SocketAddr, u64)> {
+    fn peer_address_and_process(&self, controller: usize) -> Option<(SocketAddr, u64)> {
         let running = self.running();
         let launched = running[controller].as_ref()?;
-        Some((launched.fleet?, launched.process?))
+        Some((launched.peer_address?, launched.process_number?))
     }
 
     /// Whether a controller's process is running.
@@ -98,7 +98,7 @@
 
     /// Pauses or resumes a controller's process, if it can be paused.
     pub fn pause(&self, controller: usize, paused: bool) {
-        let set_paused = self.running()[controller].as_ref().and_then(|launched| launched.pause.clone());
+        let set_paused = self.running()[controller].as_ref().and_then(|launched| launched.set_paused.clone());
         if let Some(set_paused) = set_paused {
             set_paused(paused);
         }
--- a/crates/railhub-scenario/src/initial_state.rs
+++ b/crates/railhub-scenario/src/initial_state.rs
@@ -17,7 +17,7 @@
     ProxyConfig {
         number: index as u32,
         zone: (index % scenario.zones.len()) as u32,
-        policy: scenario.pick,
+        policy: scenario.balancing_policy,
         no_host_timeout: scenario.no_host_timeout,
         first_attempt_timeout_fraction: scenario.first_attempt_timeout_fraction,
         connect_timeout: scenario.connect_timeout,
--- a/crates/railhub-scenario/src/launch.rs
+++ b/crates/railhub-scenario/src/launch.rs
@@ -9,11 +9,11 @@
     /// Address at which it listens for proxies.
     pub address: SocketAddr,
     /// Address at which other controllers reach it, if it is one of several.
-    pub fleet: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// Its process number in the membership of the controllers, if it is one of several.
-    pub process: Option<u64>,
+    pub process_number: Option<u64>,
     /// Pauses (`true`) or resumes (`false`) its process; none if that is not possible.
-    pub pause: Option<Arc<dyn Fn(bool) + Send + Sync>>,
+    pub set_paused: Option<Arc<dyn Fn(bool) + Send + Sync>>,
     /// Kills its process.
     pub kill: Box<dyn FnOnce() + Send>,
 }
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -164,7 +164,7 @@
             affinity_gain: fleet.in_range("kept_gain", 0.0, 0.0, 0.95)?,
             affinity_duration: fleet.in_range("kept_for", 10.0, 0.0, 3600.0)?,
             proxies: fleet.required_in_range("proxies", 1.0, 5000.0)? as usize,
-            pick: fleet.choice(
+            balancing_policy: fleet.choice(
                 "pick",
                 "two",
                 &[("two", BalancingPolicy::LeastOutstandingOfTwo), ("weighted", BalancingPolicy::Weighted)],
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -88,7 +88,7 @@
     /// Number of proxies.
     pub proxies: usize,
     /// How a proxy picks a host from its table.
-    pub pick: BalancingPolicy,
+    pub balancing_policy: BalancingPolicy,
     /// Number of slices of the key space; 0: one table for all keys.
     pub slices: u32,
     /// Coefficient of variation of the slices' sizes.
--- a/crates/railhub-scenario/tests/late.rs
+++ b/crates/railhub-scenario/tests/late.rs
@@ -11,7 +11,13 @@
     let slow_launcher = Arc::new(|_: &str| {
         std::thread::sleep(std::time::Duration::from_millis(2500));
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        Ok(LaunchedController { address, fleet: None, process: None, pause: None, kill: Box::new(|| {}) })
+        Ok(LaunchedController {
+            address,
+            peer_address: None,
+            process_number: None,
+            set_paused: None,
+            kill: Box::new(|| {}),
+        })
     });
     let error = play(&scenario, Some(slow_launcher), None, None, &|_| {})
         .err()
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -108,7 +108,8 @@
         let proxy = &mut self.proxies[op.proxy];
         let out = &proxy.out;
         let work = |host: SocketAddr| out.get(&host).copied().unwrap_or(0);
-        let found = proxy.held.pick(op.drawn.slice, &op.tried, self.day.pick, &mut proxy.chance, work);
+        let found =
+            proxy.held.pick(op.drawn.slice, &op.tried, self.day.balancing_policy, &mut proxy.chance, work);
         let Some(host) = found else {
             if op.tried.is_empty() && now < op.looks_until {
                 return self.agenda.after(TABLE_LOOK, Due::Looks(id));
