--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -38,14 +38,14 @@
     pub hosts: ClusterHosts,
     launch: Option<ControllerLauncher>,
     controllers: Controllers,
-    /// Held while a controller is restarted: two faults may restart one at the same time.
+    /// Held while a controller is restarted: two faults may restart the same one at the same time.
     restart_lock: std::sync::Mutex<()>,
     tasks: Mutex<Vec<Task>>,
 }
 
 impl Cluster {
     /// Starts hosts, list, store and proxies; [`Cluster::launch_controller`] starts the controllers. Without `launch`
-    /// proxies keep their first tables.
+    /// proxies keep their initial tables.
     ///
     /// # Errors
     /// One of them cannot listen on a port.
@@ -94,7 +94,7 @@
         self.environment.recorder.record(at, kind);
     }
 
-    /// Records the limits of the invariants, as the first event.
+    /// Records the limits of the invariants as the first event.
     pub fn record_limits(&self) {
         let (from, until) = (self.started_at, self.started_at + self.scenario.length);
         self.record(0.0, EventKind::Limits(Limits { from, until, ..self.scenario.limits.clone() }));
--- a/crates/railhub-scenario/src/draw/arrivals.rs
+++ b/crates/railhub-scenario/src/draw/arrivals.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// Draws operations by thinning: candidates arrive at the peak rate, and each is kept with a probability of the current
-/// rate divided by the peak rate.
+/// Draws operations by thinning: candidates arrive at the peak rate, and each is kept with the probability
+/// that is the current rate divided by the peak rate.
 struct ArrivalProcess<'a> {
     scenario: &'a Scenario,
     random: ChaCha8Rng,
--- a/crates/railhub-scenario/src/draw/random.rs
+++ b/crates/railhub-scenario/src/draw/random.rs
@@ -9,7 +9,7 @@
 pub(crate) const KEY_EXPONENT: f64 = 0.7;
 /// Coefficient of variation of the proxies' weights in the traffic.
 const PROXY_WEIGHT_CV: f64 = 0.7;
-/// Mixed into the seed of each stream.
+/// Constant that is mixed into the seed of each stream.
 const STREAM_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Multiplier of the FNV hash by which a purpose's name is mixed into the seed.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/railhub-scenario/src/import/cluster.rs
+++ b/crates/railhub-scenario/src/import/cluster.rs
@@ -5,7 +5,7 @@
 
 /// Lines of a message that are not those of slices.
 const MESSAGE_OVERHEAD_LINES: f64 = 4.0;
-/// Complete updates of all proxies for which the backlog is large enough at least.
+/// Lower limit of the backlog, as the number of complete updates of all proxies that fit in it.
 const MIN_BACKLOG_UPDATES: f64 = 2.0;
 /// Lower limit of the channel's lines per second.
 const MIN_LINES_PER_SECOND: f64 = 100.0;
--- a/crates/railhub-scenario/src/import/source.rs
+++ b/crates/railhub-scenario/src/import/source.rs
@@ -141,8 +141,8 @@
     pub at: f64,
     #[serde(rename = "len")]
     pub duration: f64,
-    /// The meaning of `size` and `extra` depends on the kind. Times in them are in seconds unless `faults`
-    /// converts them.
+    /// The meaning of `size` and `extra` depends on the kind. Times in them are in seconds, except for the length of
+    /// pauses (milliseconds) and the delay of slow links (multiples of the shortest contract time).
     pub size: f64,
     pub extra: f64,
     #[serde(default, rename = "on")]
--- a/crates/railhub-scenario/src/inject.rs
+++ b/crates/railhub-scenario/src/inject.rs
@@ -30,7 +30,7 @@
 }
 
 impl Injection<'_> {
-    /// The factor by which updates are slower while the fault is active; 0 where it does not change them.
+    /// The factor by which updates are slower while the fault is active; 0 if it does not change them.
     fn channel_slowdown(&self) -> f64 {
         match self.fault.kind {
             FaultKind::SlowUpdateChannel { factor } => factor,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Changes hosts by `begin`, and at the fault's end by `end`.
+    /// Applies `begin` to hosts, and `end` when the fault ends.
     fn impair(&self, count: usize, begin: &dyn Fn(&mut HostFaults), end: &dyn Fn(&mut HostFaults)) {
         let hosts = self.reserve(count);
         self.change_each(&hosts, begin);
--- a/crates/railhub-scenario/src/lib.rs
+++ b/crates/railhub-scenario/src/lib.rs
@@ -13,7 +13,8 @@
 //! 3. [`play()`] opens the cluster ([`initial_state`], `cluster`, `cluster_hosts`) and launches the controllers
 //!    ([`launch`], [`controller_settings`], `controllers`), several of them behind relays (`controller_links`).
 //! 4. Scenario time 0 is two seconds after the cluster was opened. Each operation begins at its time, in a coroutine of
-//!    its own. Each fault is injected (`inject`) at its time and reverted at its end; `link_faults` does so for links.
+//!    its own. Each fault is injected (`inject`) at its time and reverted at its end; `link_faults` computes the state
+//!    of links.
 //! 5. Everything that is sent over a socket is recorded. The cluster is closed when all operations and faults have
 //!    ended.
 //! 6. [`report`] computes the service from the recording and prints it with the verdicts of the invariants.
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -158,7 +158,7 @@
             length: general.required_in_range("length", 1.0, 3600.0)?,
             zone_shares: load::zone_shares(load, &zones)?,
             hosts: fleet.required_in_range("hosts", 1.0, 2000.0)? as usize,
-            connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
+            max_connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
             health_check_work: fleet.in_range("probe_work", 0.002, 0.0, 10.0)?,
             utilization_interval: fleet.in_range("busy_every", 0.0, 0.0, 60.0)?,
             affinity_gain: fleet.in_range("kept_gain", 0.0, 0.0, 0.95)?,
--- a/crates/railhub-scenario/src/reader/cluster.rs
+++ b/crates/railhub-scenario/src/reader/cluster.rs
@@ -49,7 +49,7 @@
         share: section.in_range("share", 1.0, 0.0, 1e6)?,
         cores: section.in_range("cores", 4.0, 1.0, 1024.0)? as usize,
         speed: (lowest_speed, section.in_range("speed_most", lowest_speed, lowest_speed, 100.0)?),
-        queue: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
+        max_queued: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
         cold_capacity_fraction: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
         warm_up_time: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
     };
--- a/crates/railhub-scenario/src/report.rs
+++ b/crates/railhub-scenario/src/report.rs
@@ -18,7 +18,7 @@
     pub overall: f64,
     /// Service of the worst span of 10 s.
     pub worst_10_s: f64,
-    /// Where that span begins, in seconds from the start.
+    /// Start of that span, in seconds from the start of the scenario.
     pub worst_from: f64,
     /// Number of operations of the run.
     pub operations: u64,
@@ -58,7 +58,7 @@
     pub source: &'static str,
     /// Seed of the run.
     pub seed: u64,
-    /// Its service.
+    /// Service of the run.
     pub service: Service,
     /// Service of the same scenario when the tables stay as they are at its start.
     pub fixed: Option<Service>,
--- a/crates/railhub-scenario/src/scenario.rs
+++ b/crates/railhub-scenario/src/scenario.rs
@@ -28,12 +28,12 @@
     pub name: String,
     /// Weight of the kind among all hosts.
     pub share: f64,
-    /// Cores of a host.
+    /// Number of cores of a host.
     pub cores: usize,
     /// Lowest and highest speed of a core; 1 is the reference.
     pub speed: (f64, f64),
-    /// Operations that a host queues.
-    pub queue: usize,
+    /// Maximum number of operations in a host's queue.
+    pub max_queued: usize,
     /// Fraction of its speed with which a cold host starts.
     pub cold_capacity_fraction: f64,
     /// Seconds until a cold host is warm.
@@ -44,7 +44,7 @@
 /// clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestClock {
-    /// Seconds that the clock advances in a real second.
+    /// Seconds by which the clock advances in a real second.
     pub speed: f64,
     /// Seconds between the controller's first start and the jump.
     pub jumps_after: f64,
@@ -75,8 +75,8 @@
     pub hosts: usize,
     /// Kinds of hosts, in the order of the file.
     pub host_kinds: Vec<HostKind>,
-    /// Connections that a host accepts.
-    pub connections: usize,
+    /// Maximum number of connections that a host accepts.
+    pub max_connections: usize,
     /// Work of a health check, in core seconds.
     pub health_check_work: f64,
     /// Time between updates of the utilization that a host reports in responses; 0: it reports none.
@@ -95,7 +95,7 @@
     pub slice_size_cv: f64,
     /// Offered work divided by the hosts' capacity at the start.
     pub load: f64,
-    /// Points of time and multiple of the load; interpolated linearly between them.
+    /// Points of time and multiples of the load at them; interpolated linearly.
     pub load_shape: Vec<(f64, f64)>,
     /// Number of keys of a slice.
     pub keys_per_slice: usize,
@@ -113,9 +113,9 @@
     pub report_interval: f64,
     /// Time from the sending of a load report until the controllers receive it.
     pub report_delay: f64,
-    /// Load reports that a controller accepts in a second.
+    /// Maximum number of load reports that a controller accepts per second.
     pub reports_per_second: f64,
-    /// Lines of updates that the channel to the proxies carries in a second.
+    /// Maximum number of lines of updates that the channel to the proxies carries per second.
     pub update_lines_per_second: f64,
     /// Longest time that a proxy waits before it reconnects to a controller.
     pub max_reconnect_delay: f64,
