--- a/crates/railhub-scenario/src/cluster.rs
+++ b/crates/railhub-scenario/src/cluster.rs
@@ -1,10 +1,11 @@
-//! The running cluster of a scenario: hosts, endpoint list, store, proxies and controllers, and what faults do to them.
+//! The running cluster of a scenario: hosts, endpoint list, store, proxies and controllers, and the operations by which
+//! faults change them.
 use crate::cluster_hosts::{ClusterHosts, InitialHosts};
 use crate::controllers::Controllers;
 use crate::draw;
 use crate::fault::{FaultKind, ScheduledFault};
-use crate::initial_state::{first_tables, proxy_facts, Tables};
-use crate::launch::{Launch, LaunchError};
+use crate::initial_state::{initial_tables, proxy_config, Tables};
+use crate::launch::{ControllerLauncher, LaunchError};
 use crate::scenario::Scenario;
 use may::sync::Mutex;
 use railhub_emulator::endpoint_list::EndpointList;
@@ -20,48 +21,48 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Seconds between the start of the cluster and the first operation, in which its members find each other.
-const JOIN_DURATION: f64 = 2.0;
-/// Distance between the indexes of sabotaged proxies, where a few suffice to break an invariant.
+/// Seconds from the start of the cluster to scenario time 0, in which its members connect to each other.
+const JOIN_SECONDS: f64 = 2.0;
+/// Distance between the indexes of sabotaged proxies where a few of them suffice to violate an invariant.
 const SABOTAGED_PROXY_STEP: usize = 6;
 
 /// A running cluster.
 pub(crate) struct Cluster {
     pub scenario: Arc<Scenario>,
-    /// When the scenario's time is 0, on the clock of this process, in seconds.
+    /// Scenario time 0 on the clock of this process, in seconds.
     pub started_at: f64,
-    pub surroundings: Environment,
+    pub environment: Environment,
     pub list: Arc<EndpointList>,
     pub store: Store,
     pub proxies: Vec<Arc<Proxy>>,
     pub hosts: ClusterHosts,
-    launch: Option<Launch>,
+    launch: Option<ControllerLauncher>,
     controllers: Controllers,
-    /// Held while a controller is started again: two faults may want to at once.
-    restart: std::sync::Mutex<()>,
+    /// Held while a controller is restarted: two faults may restart the same one at the same time.
+    restart_lock: std::sync::Mutex<()>,
     tasks: Mutex<Vec<Task>>,
 }
 
 impl Cluster {
     /// Starts hosts, list, store and proxies; [`Cluster::launch_controller`] starts the controllers. Without `launch`
-    /// proxies keep their first tables.
+    /// proxies keep their initial tables.
     ///
     /// # Errors
-    /// One of them has no port.
+    /// One of them cannot listen on a port.
     pub fn open(
         scenario: &Scenario,
         recorder: &Recorder,
-        launch: Option<Launch>,
+        launch: Option<ControllerLauncher>,
         sabotage: Option<Sabotage>,
     ) -> io::Result<Arc<Cluster>> {
         let scenario = Arc::new(scenario.clone());
-        let classes = Arc::new(scenario.class_facts());
-        let facts = draw::hosts(&scenario, scenario.hosts, "hosts");
-        let hosts = InitialHosts::open(&facts, &classes, recorder)?;
-        let tables = first_tables(&scenario, &facts, &hosts.addresses());
+        let classes = Arc::new(scenario.emulated_classes());
+        let host_configs = draw::hosts(&scenario, scenario.hosts, "hosts");
+        let hosts = InitialHosts::open(&host_configs, &classes, recorder)?;
+        let tables = initial_tables(&scenario, &host_configs, &hosts.addresses());
         let list = Arc::new(EndpointList::open(recorder.clone())?);
         list.update(hosts.entries());
-        let surroundings = Environment {
+        let environment = Environment {
             classes,
             controllers: Arc::new(Mutex::new(vec![None; scenario.controllers])),
             zones: Arc::new(Mutex::new(hosts.zones())),
@@ -71,40 +72,40 @@
             extra_report_delay_ms: Arc::default(),
             newest_host: Arc::default(),
         };
-        let proxies = open_proxies(&scenario, &surroundings, &tables, sabotage);
+        let proxies = open_proxies(&scenario, &environment, &tables, sabotage);
         let store = open_store(&scenario, tables, recorder)?;
         let controllers = Controllers::open(&scenario, &list, store.address)?;
         Ok(Arc::new(Cluster {
-            started_at: now() + JOIN_DURATION,
-            hosts: ClusterHosts::new(scenario.clone(), surroundings.clone(), list.clone(), hosts),
+            started_at: now() + JOIN_SECONDS,
+            hosts: ClusterHosts::new(scenario.clone(), environment.clone(), list.clone(), hosts),
             scenario,
-            surroundings,
+            environment,
             list,
             store,
             proxies,
             launch,
             controllers,
-            restart: std::sync::Mutex::default(),
+            restart_lock: std::sync::Mutex::default(),
             tasks: Mutex::default(),
         }))
     }
 
-    fn record(&self, at: f64, what: EventKind) {
-        self.surroundings.recorder.record(at, what);
+    fn record(&self, at: f64, kind: EventKind) {
+        self.environment.recorder.record(at, kind);
     }
 
-    /// Records the limits of the invariants, as the first event.
+    /// Records the limits of the invariants as the first event.
     pub fn record_limits(&self) {
         let (from, until) = (self.started_at, self.started_at + self.scenario.length);
         self.record(0.0, EventKind::Limits(Limits { from, until, ..self.scenario.limits.clone() }));
     }
 
-    /// Records that a fault begins or ends. `channel_slowdown` is the factor by which updates are slower from now on,
-    /// 0 where the fault does not change it.
-    pub fn record_fault(&self, fault: &ScheduledFault, on: bool, channel_slowdown: f64) {
+    /// Records that a fault begins or ends. `channel_slowdown` is the factor by which updates are slower from now on; 0
+    /// if the fault does not change it.
+    pub fn record_fault(&self, fault: &ScheduledFault, active: bool, channel_slowdown: f64) {
         let event = railhub_record::InjectedFault {
             name: fault.recorded_name(),
-            active: on,
+            active,
             note: fault.kind.recorded_note(),
             channel_slowdown,
         };
@@ -112,24 +113,25 @@
     }
 
     /// Calls `act` with a fraction of the proxies, at least one, chosen for a fault.
-    pub fn with_some_proxies(&self, fraction: f64, fault: usize, act: impl Fn(&Proxy)) {
+    pub fn for_chosen_proxies(&self, fraction: f64, fault_index: usize, act: impl Fn(&Proxy)) {
         let all: Vec<usize> = (0..self.proxies.len()).collect();
         let count = (fraction * all.len() as f64).round() as usize;
-        for proxy in draw::choose_targets(&self.scenario, fault, &all, count.max(1)) {
+        for proxy in draw::choose_targets(&self.scenario, fault_index, &all, count.max(1)) {
             act(&self.proxies[proxy]);
         }
     }
 
-    /// Adds to the delay of load reports, in seconds; a negative number takes off again.
+    /// Adds to the delay of load reports, in seconds; a negative value reduces it.
     pub fn add_report_delay(&self, delay: f64) {
         let milliseconds = (delay * 1000.0).round() as i64;
-        self.surroundings.extra_report_delay_ms.fetch_add(milliseconds, Ordering::Relaxed);
+        self.environment.extra_report_delay_ms.fetch_add(milliseconds, Ordering::Relaxed);
     }
 
-    /// Launches a controller and connects the proxies to it. Blocks until it listens: not for coroutines.
+    /// Launches a controller and lets the proxies connect to it. Blocks the thread until it listens: must not be called
+    /// in a coroutine.
     ///
     /// # Errors
-    /// It does not start.
+    /// The controller does not start.
     pub fn launch_controller(&self, controller: usize) -> Result<(), LaunchError> {
         let Some(launch) = &self.launch else { return Ok(()) };
         let (list, store) = (self.list.address, self.store.address);
@@ -140,7 +142,7 @@
     }
 
     fn set_controller_address(&self, controller: usize, address: Option<SocketAddr>) {
-        self.surroundings.controllers.lock().expect("no holder panics")[controller] = address;
+        self.environment.controllers.lock().expect("no holder panics")[controller] = address;
     }
 
     fn record_controller(&self, event: ControllerLifecycle) {
@@ -157,12 +159,12 @@
         });
     }
 
-    /// Starts a controller again, on a thread of its own as that blocks.
+    /// Restarts a controller, on a thread of its own because launching blocks.
     pub fn restart_controller(self: &Arc<Cluster>, controller: usize) {
         let cluster = self.clone();
         std::thread::spawn(move || {
-            // Another fault may have started it meanwhile.
-            let _one_at_a_time = cluster.restart.lock().expect("no holder panics");
+            // Another fault may have restarted it meanwhile.
+            let _restart_guard = cluster.restart_lock.lock().expect("no holder panics");
             if cluster.controllers.is_running(controller) {
                 return;
             }
@@ -180,13 +182,13 @@
         }
     }
 
-    /// Stops a controller's process, or lets it continue.
-    pub fn pause_controller(&self, controller: usize, stopped: bool) {
-        self.controllers.pause(controller, stopped);
+    /// Pauses or resumes a controller's process.
+    pub fn pause_controller(&self, controller: usize, paused: bool) {
+        self.controllers.pause(controller, paused);
         self.record_controller(ControllerLifecycle {
             running: true,
             controller: controller as u32,
-            paused: stopped,
+            paused,
             clock_set_back: false,
         });
     }
@@ -196,9 +198,9 @@
         self.controllers.drain(&self.scenario, controller);
     }
 
-    /// A fault of the links between controllers, list, store and proxies begins (`kind`) or ends.
-    pub fn set_link_fault(&self, number: usize, kind: Option<&FaultKind>) {
-        self.controllers.set_link_fault(number, kind);
+    /// Begins a fault of the links between controllers, list, store and proxies, or ends it (`None`).
+    pub fn set_link_fault(&self, fault_index: usize, kind: Option<&FaultKind>) {
+        self.controllers.set_link_fault(fault_index, kind);
     }
 
     /// Connects the proxies to the controllers, if there are any.
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Ends everything.
+    /// Stops the controllers, the proxies and the hosts.
     pub fn close(&self) {
         self.tasks.lock().expect("no holder panics").clear();
         for controller in 0..self.controllers.count() {
@@ -225,22 +227,22 @@
 
 fn open_proxies(
     scenario: &Scenario,
-    surroundings: &Environment,
+    environment: &Environment,
     tables: &Tables,
     sabotage: Option<Sabotage>,
 ) -> Vec<Arc<Proxy>> {
     let mut proxies = Vec::new();
     for index in 0..scenario.proxies {
-        // Only many proxies can overload a cold host; a few can break everything else.
+        // Overloading a cold host takes all proxies; a few suffice to violate the other invariants.
         let sabotage =
-            sabotage.filter(|how| index % SABOTAGED_PROXY_STEP == 0 || *how == Sabotage::FloodsColdHosts);
-        let facts = proxy_facts(scenario, index);
-        proxies.push(Proxy::new(facts, surroundings.clone(), tables.clone(), sabotage));
+            sabotage.filter(|kind| index % SABOTAGED_PROXY_STEP == 0 || *kind == Sabotage::FloodsColdHosts);
+        let config = proxy_config(scenario, index);
+        proxies.push(Proxy::new(config, environment.clone(), tables.clone(), sabotage));
     }
     proxies
 }
 
-/// Opens the store; it records the writes of several controllers alone.
+/// Opens the store. It records writes only if there are several controllers.
 fn open_store(scenario: &Scenario, tables: Tables, recorder: &Recorder) -> io::Result<Store> {
     let recorder = (scenario.controllers > 1).then(|| recorder.clone());
     Store::open_with(tables, scenario.lease_duration, recorder, scenario.store_faults)
--- a/crates/railhub-scenario/src/fault/recorded.rs
+++ b/crates/railhub-scenario/src/fault/recorded.rs
@@ -1,9 +1,9 @@
-//! The text by which recordings name a fault. It is part of the recorded format: the names stay as they are when
-//! the types here are renamed.
-use super::{CutDirection, FaultKind, GiveUpResponse, PhantomBehavior, ShiftTarget};
+//! The text that describes a fault in recordings. It is part of the recorded format, so it does not change when the
+//! types here are renamed.
+use super::{CutDirection, FaultKind, GiveUpReaction, PhantomBehavior, ShiftTarget};
 
 impl FaultKind {
-    /// The description that recordings carry, as `Slow { hosts: 2, times: 2.5 }`.
+    /// The fault's description in recordings, as in `Slow { hosts: 2, times: 2.5 }`.
     pub fn recorded_note(&self) -> String {
         self.host_note()
             .or_else(|| self.traffic_note())
@@ -42,9 +42,11 @@
             FaultKind::HeavyOperations { fraction, factor } => {
                 format!("Heavy {{ share: {fraction:?}, times: {factor:?} }}")
             }
-            FaultKind::ClientsGiveUp { fraction, patience, response } => {
-                let how = recorded_response(*response);
-                format!("GiveUp {{ share: {fraction:?}, patience: {patience:?}, how: {how} }}")
+            FaultKind::ClientsGiveUp { fraction, contract_time_multiple, reaction } => {
+                let reaction = recorded_reaction(*reaction);
+                format!(
+                    "GiveUp {{ share: {fraction:?}, patience: {contract_time_multiple:?}, how: {reaction} }}"
+                )
             }
             FaultKind::TrafficShift { fraction, target } => {
                 format!("Shift {{ share: {fraction:?}, how: {} }}", recorded_target(*target))
@@ -88,8 +90,8 @@
                 format!("StewardPaused {{ steward: {controller} }}")
             }
             FaultKind::ControllerIsolated { controller, peers, direction } => {
-                let way = recorded_direction(*direction);
-                format!("StewardCut {{ steward: {controller}, from: {peers:?}, way: {way} }}")
+                let direction = recorded_direction(*direction);
+                format!("StewardCut {{ steward: {controller}, from: {peers:?}, way: {direction} }}")
             }
             FaultKind::ControllerOneWayCut { from, to } => {
                 format!("StewardWay {{ from: {from}, to: {to} }}")
@@ -132,9 +134,9 @@
     }
 }
 
-fn recorded_response(response: GiveUpResponse) -> &'static str {
-    match response {
-        GiveUpResponse::Leave => "Leave",
-        GiveUpResponse::Short => "Short",
+fn recorded_reaction(reaction: GiveUpReaction) -> &'static str {
+    match reaction {
+        GiveUpReaction::ExtraRequest => "Leave",
+        GiveUpReaction::NoExtraRequest => "Short",
     }
 }
--- a/crates/railhub-scenario/src/import/cluster.rs
+++ b/crates/railhub-scenario/src/import/cluster.rs
@@ -1,15 +1,15 @@
-//! The sections of hosts, proxies, controllers and invariants.
+//! Writes the sections of hosts, proxies, controllers and invariants.
 use super::scale::Scale;
 use super::source::{seconds, Kind, Server, SourceScenario, Tier};
 use std::fmt::Write;
 
-/// Lines of a message beside its slices.
-const LINES_BESIDE_SLICES: f64 = 4.0;
-/// Complete updates that the backlog holds at least.
+/// Lines of a message that are not those of slices.
+const MESSAGE_OVERHEAD_LINES: f64 = 4.0;
+/// Lower limit of the backlog, as the number of complete updates of all proxies that fit in it.
 const MIN_BACKLOG_UPDATES: f64 = 2.0;
-/// Lines that the channel carries in a second at least.
+/// Lower limit of the channel's lines per second.
 const MIN_LINES_PER_SECOND: f64 = 100.0;
-/// Load reports that a controller accepts in a second at least.
+/// Lower limit of the load reports that a controller accepts per second.
 const MIN_REPORTS_PER_SECOND: f64 = 20.0;
 
 pub(super) fn write_header(out: &mut String, source: &SourceScenario) {
@@ -24,8 +24,8 @@
 
 fn slices(source: &SourceScenario, scale: &Scale) -> f64 {
     let slices = source.control.slices;
-    let at_least = if slices > 0.0 { 1.0 } else { 0.0 };
-    (slices * scale.ratio).round().max(at_least)
+    let min_slices = if slices > 0.0 { 1.0 } else { 0.0 };
+    (slices * scale.ratio).round().max(min_slices)
 }
 
 pub(super) fn write_fleet(out: &mut String, source: &SourceScenario, tier: &Tier, scale: &Scale) {
@@ -38,8 +38,8 @@
     let _ = writeln!(out, "pick = {}", if control.pick == "two" { "two" } else { "weighted" });
     let (gain, duration) = (control.affinity_gain, control.affinity_duration);
     let _ = writeln!(out, "kept_gain = {gain:.3}\nkept_for = {duration:.3}");
-    let most_cores = tier.kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
-    let connections = tier.connections_per_core * most_cores;
+    let max_cores = tier.kinds.iter().map(|kind| kind.cores).fold(1.0, f64::max);
+    let connections = tier.connections_per_core * max_cores;
     let probe_work = seconds(tier.probe_work);
     let _ = writeln!(out, "connections = {connections:.0}\nprobe_work = {probe_work:.4}");
     let _ = writeln!(out, "connect_within = {:.3}", seconds(tier.connect_timeout));
@@ -47,7 +47,7 @@
     let _ = writeln!(out, "busy_every = {interval:.3}\n");
 }
 
-/// The kinds of which there is a host.
+/// Writes the kinds that at least one running host has.
 pub(super) fn write_host_kinds(out: &mut String, source: &SourceScenario, tier: &Tier) {
     for (index, kind) in tier.kinds.iter().enumerate() {
         let servers = source.servers.iter().filter(|server| server.up && server.kind == index);
@@ -68,15 +68,16 @@
     let _ = writeln!(out, "cold_from = {:.3}\nwarm_after = {warm_after:.3}\n", kind.cold_from);
 }
 
-/// Lines that may wait. A delta's lines and the proxies that get it both shrink, a message's own lines do not.
+/// Largest backlog, in lines. It is scaled by the ratio twice: a delta has fewer lines, and fewer proxies receive it.
+/// The lower limit accounts for the lines of each message that do not become fewer.
 fn backlog(source: &SourceScenario, scale: &Scale) -> f64 {
     let control = &source.control;
-    let update_lines = control.message_cost + LINES_BESIDE_SLICES + slices(source, scale);
-    let at_least = MIN_BACKLOG_UPDATES * proxies(source, scale) as f64 * update_lines;
-    (control.backlog * scale.ratio * scale.ratio).max(at_least).round()
+    let update_lines = control.message_cost + MESSAGE_OVERHEAD_LINES + slices(source, scale);
+    let min_backlog = MIN_BACKLOG_UPDATES * proxies(source, scale) as f64 * update_lines;
+    (control.backlog * scale.ratio * scale.ratio).max(min_backlog).round()
 }
 
-/// Endpoint list, load reports and the update channel.
+/// Writes the sections of the endpoint list, the load reports and the update channel.
 pub(super) fn write_control(out: &mut String, source: &SourceScenario, scale: &Scale) {
     let (control, discovery) = (&source.control, &source.discovery);
     let (add, removal) = (seconds(discovery.add_delay), seconds(discovery.removal_delay));
@@ -85,10 +86,10 @@
     let _ = writeln!(out, "[reports]\nevery = {interval:.3}\nlate = {delay:.3}");
     let reports = (control.reports_per_second * scale.ratio).max(MIN_REPORTS_PER_SECOND);
     let _ = writeln!(out, "a_second = {reports:.0}\n");
-    let lines = backlog(source, scale) * control.rate / control.backlog.max(1.0);
-    let lines = lines.max(MIN_LINES_PER_SECOND).round();
+    let lines_per_second = backlog(source, scale) * control.rate / control.backlog.max(1.0);
+    let lines_per_second = lines_per_second.max(MIN_LINES_PER_SECOND).round();
     let reconnect = seconds(control.reconnect_delay);
-    let _ = writeln!(out, "[channel]\nlines_a_second = {lines}\nredial = {reconnect:.3}\n");
+    let _ = writeln!(out, "[channel]\nlines_a_second = {lines_per_second}\nredial = {reconnect:.3}\n");
 }
 
 pub(super) fn write_rules(out: &mut String, source: &SourceScenario, tier: &Tier, scale: &Scale) {
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -16,12 +16,12 @@
 use railhub_record::Limits;
 use std::path::Path;
 
-/// Controllers of a scenario: each is a process.
+/// Maximum number of controllers of a scenario; each one is a process.
 const MAX_CONTROLLERS: f64 = 15.0;
-/// The zone of a scenario that names none.
+/// Name of the only zone of a scenario whose file names none.
 const DEFAULT_ZONE: &str = "here";
-/// Sections that occur once.
-const PLAIN_SECTIONS: [&str; 9] =
+/// Names of the sections that occur at most once.
+const SINGLE_SECTIONS: [&str; 9] =
     ["day", "fleet", "stewards", "load", "clients", "roster", "reports", "channel", "rules"];
 
 impl Scenario {
@@ -30,32 +30,37 @@
     /// # Errors
     /// The file cannot be read, or a value in it is missing, unknown or out of range.
     pub fn open(path: &Path) -> Result<Scenario, Diagnostic> {
-        Scenario::read_beside(&Document::open(path)?, path.parent().unwrap_or(Path::new(".")))
+        Scenario::read_in_folder(&Document::open(path)?, path.parent().unwrap_or(Path::new(".")))
     }
 
-    /// Reads a document whose files lie in the working directory.
+    /// Reads a document. Paths in it are relative to the working directory.
     ///
     /// # Errors
     /// As [`Scenario::open`].
     pub fn read(document: &Document) -> Result<Scenario, Diagnostic> {
-        Scenario::read_beside(document, Path::new("."))
+        Scenario::read_in_folder(document, Path::new("."))
     }
 
-    /// Reads a document; files that it names lie in `folder`.
+    /// Reads a document. Paths in it are relative to `folder`.
     ///
     /// # Errors
     /// As [`Scenario::open`].
-    pub fn read_beside(document: &Document, folder: &Path) -> Result<Scenario, Diagnostic> {
+    pub fn read_in_folder(document: &Document, folder: &Path) -> Result<Scenario, Diagnostic> {
         reject_unknown_sections(document)?;
         let classes = read_classes(document)?;
         let host_kinds = read_host_kinds(document)?;
         let sections = Sections::new(document);
         if classes.is_empty() || host_kinds.is_empty() {
-            return Err(sections.day.diagnostic("", "needs at least one [class NAME] and one [kind NAME]"));
+            return Err(sections
+                .general
+                .diagnostic("", "needs at least one [class NAME] and one [kind NAME]"));
         }
         let scenario = sections.scenario(folder, classes, host_kinds)?;
         if scenario.controllers > 1 && scenario.slices == 0 {
-            return Err(sections.stewards.diagnostic("count", "needs slices that stewards can share"));
+            return Err(sections.controllers.diagnostic(
+                "count",
+                "is more than 1, but [fleet] slices is 0: several controllers need slices to share",
+            ));
         }
         let faults = read_faults(document, &scenario)?;
         sections.reject_unread_keys()?;
@@ -66,7 +71,7 @@
 fn reject_unknown_sections(document: &Document) -> Result<(), Diagnostic> {
     let prefixes = [cluster::CLASS_PREFIX, cluster::KIND_PREFIX, faults::FAULT_PREFIX];
     document.reject_unknown_sections(|name| {
-        PLAIN_SECTIONS.contains(&name) || prefixes.iter().any(|prefix| name.starts_with(prefix))
+        SINGLE_SECTIONS.contains(&name) || prefixes.iter().any(|prefix| name.starts_with(prefix))
     })
 }
 
@@ -89,14 +94,17 @@
     sections.iter().map(|section| faults::scheduled_fault(section, scenario)).collect()
 }
 
-/// The sections that occur once, by their names in the file.
+/// The sections that occur at most once. Those without a comment have the name of the field.
 struct Sections<'a> {
-    day: Section<'a>,
+    /// `[day]`
+    general: Section<'a>,
     fleet: Section<'a>,
-    stewards: Section<'a>,
+    /// `[stewards]`
+    controllers: Section<'a>,
     load: Section<'a>,
     clients: Section<'a>,
-    roster: Section<'a>,
+    /// `[roster]`
+    endpoint_list: Section<'a>,
     reports: Section<'a>,
     channel: Section<'a>,
     rules: Section<'a>,
@@ -105,12 +113,12 @@
 impl<'a> Sections<'a> {
     fn new(document: &'a Document) -> Sections<'a> {
         Sections {
-            day: document.section("day"),
+            general: document.section("day"),
             fleet: document.section("fleet"),
-            stewards: document.section("stewards"),
+            controllers: document.section("stewards"),
             load: document.section("load"),
             clients: document.section("clients"),
-            roster: document.section("roster"),
+            endpoint_list: document.section("roster"),
             reports: document.section("reports"),
             channel: document.section("channel"),
             rules: document.section("rules"),
@@ -118,8 +126,9 @@
     }
 
     fn reject_unread_keys(self) -> Result<(), Diagnostic> {
-        let Sections { day, fleet, stewards, load, clients, roster, reports, channel, rules } = self;
-        for section in [day, fleet, stewards, load, clients, roster, reports, channel, rules] {
+        let Sections { general, fleet, controllers, load, clients, endpoint_list, reports, channel, rules } =
+            self;
+        for section in [general, fleet, controllers, load, clients, endpoint_list, reports, channel, rules] {
             section.reject_unread_keys()?;
         }
         Ok(())
@@ -132,30 +141,30 @@
         }
     }
 
-    /// The scenario without its faults: these are validated against it.
+    /// The scenario without its faults, which are validated against it later.
     fn scenario(
         &self,
         folder: &Path,
         classes: Vec<OperationClass>,
         host_kinds: Vec<HostKind>,
     ) -> Result<Scenario, Diagnostic> {
-        let Sections { day, fleet, stewards, load, roster, reports, channel, rules, .. } = self;
+        let Sections { general, fleet, controllers, load, endpoint_list, reports, channel, rules, .. } = self;
         let zones = self.zones();
         let slices = fleet.in_range("slices", 0.0, 0.0, 60_000.0)? as u32;
         let replay = traffic::recorded_traffic(load, folder, &zones, &classes)?;
         Ok(Scenario {
-            name: day.value_or("name", "unnamed".to_owned())?,
-            seed: day.value_or("seed", 1)?,
-            length: day.required_in_range("length", 1.0, 3600.0)?,
+            name: general.value_or("name", "unnamed".to_owned())?,
+            seed: general.value_or("seed", 1)?,
+            length: general.required_in_range("length", 1.0, 3600.0)?,
             zone_shares: load::zone_shares(load, &zones)?,
             hosts: fleet.required_in_range("hosts", 1.0, 2000.0)? as usize,
-            connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
-            probe_work: fleet.in_range("probe_work", 0.002, 0.0, 10.0)?,
+            max_connections: fleet.in_range("connections", 2000.0, 1.0, 60_000.0)? as usize,
+            health_check_work: fleet.in_range("probe_work", 0.002, 0.0, 10.0)?,
             utilization_interval: fleet.in_range("busy_every", 0.0, 0.0, 60.0)?,
             affinity_gain: fleet.in_range("kept_gain", 0.0, 0.0, 0.95)?,
             affinity_duration: fleet.in_range("kept_for", 10.0, 0.0, 3600.0)?,
             proxies: fleet.required_in_range("proxies", 1.0, 5000.0)? as usize,
-            pick: fleet.choice(
+            balancing_policy: fleet.choice(
                 "pick",
                 "two",
                 &[("two", BalancingPolicy::LeastOutstandingOfTwo), ("weighted", BalancingPolicy::Weighted)],
@@ -166,20 +175,20 @@
             load_shape: load::load_shape(load)?,
             keys_per_slice: load.in_range("keys", 2000.0, 1.0, 1e6)? as usize,
             clients: self.clients()?,
-            list_add_delay: roster.in_range("add", 1.0, 0.0, 60.0)?,
-            list_removal_delay: roster.in_range("notice", 2.0, 0.0, 60.0)?,
+            list_add_delay: endpoint_list.in_range("add", 1.0, 0.0, 60.0)?,
+            list_removal_delay: endpoint_list.in_range("notice", 2.0, 0.0, 60.0)?,
             report_interval: reports.in_range("every", 1.0, 0.05, 60.0)?,
             report_delay: reports.in_range("late", 0.5, 0.0, 60.0)?,
             reports_per_second: reports.in_range("a_second", 800.0, 1.0, 1e6)?,
             update_lines_per_second: channel.in_range("lines_a_second", 40_000.0, 10.0, 1e9)?,
-            reconnect_delay: channel.in_range("redial", 1.0, 0.0, 60.0)?,
+            max_reconnect_delay: channel.in_range("redial", 1.0, 0.0, 60.0)?,
             connect_timeout: fleet.in_range("connect_within", 0.25, 0.01, 60.0)?,
-            hold_timeout: rules.in_range("hold", 0.2, 0.0, 60.0)?,
-            first_attempt_wait: rules.in_range("first_wait", 1.0, 0.0, 100.0)?,
+            no_host_timeout: rules.in_range("hold", 0.2, 0.0, 60.0)?,
+            first_attempt_timeout_fraction: rules.in_range("first_wait", 1.0, 0.0, 100.0)?,
             limits: self.limits(&zones, &classes, slices)?,
             faults: Vec::new(),
-            controllers: stewards.in_range("count", 1.0, 1.0, MAX_CONTROLLERS)? as usize,
-            lease_duration: stewards.in_range("lease", 3.0, 0.5, 60.0)?,
+            controllers: controllers.in_range("count", 1.0, 1.0, MAX_CONTROLLERS)? as usize,
+            lease_duration: controllers.in_range("lease", 3.0, 0.5, 60.0)?,
             clocks: Vec::new(),
             store_faults: StoreFaults::default(),
             disabled_safeguard: None,
--- a/crates/railhub-scenario/src/reader/cluster.rs
+++ b/crates/railhub-scenario/src/reader/cluster.rs
@@ -4,11 +4,11 @@
 use railhub_ini::{Diagnostic, Section};
 use railhub_record::{ClassLimits, Limits, OperationIdempotency};
 
-/// What headers of class sections begin with.
+/// Prefix of the headers of class sections.
 pub(super) const CLASS_PREFIX: &str = "class ";
-/// What headers of host kind sections begin with.
+/// Prefix of the headers of host kind sections.
 pub(super) const KIND_PREFIX: &str = "kind ";
-/// How the file names what may be repeated.
+/// Values of the key `repeats`: whether and how a request may be repeated.
 const REPEATS: [(&str, OperationIdempotency); 4] = [
     ("safe", OperationIdempotency::Safe),
     ("keyed", OperationIdempotency::IdempotencyKeyGlobal),
@@ -16,7 +16,7 @@
     ("never", OperationIdempotency::Never),
 ];
 
-/// A class of operations.
+/// Reads a class of operations.
 pub(super) fn operation_class(section: &Section) -> Result<OperationClass, Diagnostic> {
     let idempotency = section.choice("repeats", "never", &REPEATS)?;
     let keyed = matches!(
@@ -24,7 +24,7 @@
         OperationIdempotency::IdempotencyKeyGlobal | OperationIdempotency::IdempotencyKeyLocal
     );
     let class = OperationClass {
-        facts: EmulatedClass {
+        properties: EmulatedClass {
             name: section.name[CLASS_PREFIX.len()..].trim().to_owned(),
             contract_time: section.required_in_range("contract_time", 0.001, 3600.0)?,
             hard_stop: section.required_in_range("hard_stop", 0.001, 3600.0)?,
@@ -41,7 +41,7 @@
     Ok(class)
 }
 
-/// A kind of host.
+/// Reads a kind of host.
 pub(super) fn host_kind(section: &Section) -> Result<HostKind, Diagnostic> {
     let lowest_speed = section.in_range("speed_least", 1.0, 0.01, 100.0)?;
     let kind = HostKind {
@@ -49,15 +49,15 @@
         share: section.in_range("share", 1.0, 0.0, 1e6)?,
         cores: section.in_range("cores", 4.0, 1.0, 1024.0)? as usize,
         speed: (lowest_speed, section.in_range("speed_most", lowest_speed, lowest_speed, 100.0)?),
-        queue: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
-        cold_from: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
-        warm_after: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
+        max_queued: section.in_range("queue", 40.0, 0.0, 1e6)? as usize,
+        cold_capacity_fraction: section.in_range("cold_from", 0.3, 0.01, 1.0)?,
+        warm_up_time: section.in_range("warm_after", 10.0, 0.0, 3600.0)?,
     };
     section.reject_unread_keys()?;
     Ok(kind)
 }
 
-/// The limits of the invariants; times and counts of the cluster are filled in by the caller.
+/// The limits of the invariants. Zones and proxies are set by the caller, start and end when the scenario is played.
 pub(super) fn limits(rules: &Section, classes: &[OperationClass], slices: u32) -> Result<Limits, Diagnostic> {
     Ok(Limits {
         classes: classes.iter().map(class_limits).collect(),
@@ -83,12 +83,12 @@
 
 fn class_limits(class: &OperationClass) -> ClassLimits {
     ClassLimits {
-        name: class.facts.name.clone(),
-        contract_time: class.facts.contract_time,
-        hard_stop: class.facts.hard_stop,
-        priority_weight: class.facts.priority_weight,
-        idempotency: class.facts.idempotency.into(),
-        key_window: class.facts.key_window,
-        writes: class.facts.writes,
+        name: class.properties.name.clone(),
+        contract_time: class.properties.contract_time,
+        hard_stop: class.properties.hard_stop,
+        priority_weight: class.properties.priority_weight,
+        idempotency: class.properties.idempotency.into(),
+        key_window: class.properties.key_window,
+        writes: class.properties.writes,
     }
 }
--- a/crates/railhub-scenario/src/reader/traffic.rs
+++ b/crates/railhub-scenario/src/reader/traffic.rs
@@ -6,10 +6,11 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Seed of what scaling draws: a recording scaled alike is the same traffic for all seeds of a scenario.
+/// Seed for scaling recorded traffic. It is fixed, so that a recording scaled by the same factors gives the same
+/// traffic for every seed of a scenario.
 const SCALE_SEED: u64 = 1;
 
-/// The traffic that the section names, if it names any.
+/// Reads and scales the recording that `[load] traffic` names, if any.
 pub(super) fn recorded_traffic(
     load: &Section,
     folder: &Path,
@@ -18,17 +19,21 @@
 ) -> Result<Option<Arc<Trace>>, Diagnostic> {
     let Some(name) = load.text("traffic") else { return Ok(None) };
     if load.text("share").is_some() || load.text("shape").is_some() {
-        let message = "says what comes: share and shape may not stand beside it";
+        let message = "cannot be combined with share or shape: the recording defines the load";
         return Err(load.diagnostic("traffic", message));
     }
     let opened = file::open(&folder.join(name)).map_err(|error| load.diagnostic("traffic", error))?;
     let scaling = Scaling::read(load)?;
     let mut traffic = opened.trace;
-    if (traffic.operations() as f64 * scaling.multiple) as u64 > MAX_OPERATIONS {
-        let message = format!("has more than {MAX_OPERATIONS} operations: cut it, or scale it down");
+    let operations = (traffic.operations() as f64 * scaling.multiple) as u64;
+    if operations > MAX_OPERATIONS {
+        let message = format!(
+            "has {operations} operations after scaling, the limit is {MAX_OPERATIONS}: shorten the recording, or lower \
+             traffic_times"
+        );
         return Err(load.diagnostic("traffic", message));
     }
-    let class_names = classes.iter().map(|class| class.facts.name.clone()).collect();
+    let class_names = classes.iter().map(|class| class.properties.name.clone()).collect();
     map_names(&mut traffic, class_names, zones.to_vec())
         .map_err(|message| load.diagnostic("traffic", message))?;
     Ok(Some(Arc::new(scaling.apply(traffic))))
@@ -36,11 +41,11 @@
 
 /// How recorded traffic is scaled.
 struct Scaling {
-    /// Operations for each recorded one.
+    /// Number of operations for each recorded one.
     multiple: f64,
-    /// Factor on the times.
+    /// Factor by which the times of operations are multiplied.
     stretch: f64,
-    /// Which keys copies have.
+    /// Which keys the copies of an operation have.
     copies: CopyKeys,
 }
 
@@ -62,21 +67,21 @@
     }
 }
 
-/// A class or zone of recorded traffic that the scenario does not have.
+/// A class or zone of recorded traffic that the scenario does not define.
 #[derive(Debug, thiserror::Error)]
-#[error("has the {what} '{name}', this day has not")]
+#[error("contains the {item} '{name}', which the scenario does not define")]
 struct UnknownName {
-    what: &'static str,
+    item: &'static str,
     name: String,
 }
 
 /// Replaces the recording's class and zone indexes by the scenario's.
 fn map_names(traffic: &mut Trace, classes: Vec<String>, zones: Vec<String>) -> Result<(), UnknownName> {
-    let class_indexes = indexes(&traffic.header.classes, &classes, "class-");
-    let zone_indexes = indexes(&traffic.header.zones, &zones, "zone-");
+    let class_indexes = scenario_indexes(&traffic.header.classes, &classes, "class-");
+    let zone_indexes = scenario_indexes(&traffic.header.zones, &zones, "zone-");
     for row in &mut traffic.rows {
         let (class, zone) = (row.class as usize, row.zone as usize);
-        let unknown = |what, names: &[String], index: usize| UnknownName { what, name: names[index].clone() };
+        let unknown = |item, names: &[String], index: usize| UnknownName { item, name: names[index].clone() };
         row.class = class_indexes[class].ok_or_else(|| unknown("class", &traffic.header.classes, class))?;
         row.zone = zone_indexes[zone].ok_or_else(|| unknown("zone", &traffic.header.zones, zone))?;
     }
@@ -85,12 +90,12 @@
     Ok(())
 }
 
-/// The index of each recorded name in the scenario. A controller does not know zones by name: it records `zone-3` for
-/// the fourth.
-fn indexes(recorded: &[String], ours: &[String], numbered_prefix: &str) -> Vec<Option<u32>> {
+/// The scenario's index of each recorded name. A name that the scenario does not have may be a prefix and an index:
+/// controllers do not know the names of zones and record `zone-3` for the fourth.
+fn scenario_indexes(recorded: &[String], in_scenario: &[String], numbered_prefix: &str) -> Vec<Option<u32>> {
     let index_of = |name: &String| {
-        let index = ours.iter().position(|our| our == name);
-        index.or_else(|| numbered_index(name, numbered_prefix, ours.len())).map(|index| index as u32)
+        let index = in_scenario.iter().position(|known| known == name);
+        index.or_else(|| numbered_index(name, numbered_prefix, in_scenario.len())).map(|index| index as u32)
     };
     recorded.iter().map(index_of).collect()
 }
--- a/crates/railhub-scenario/src/report.rs
+++ b/crates/railhub-scenario/src/report.rs
@@ -1,43 +1,43 @@
-//! Service and verdicts of a run, out of its recording.
+//! The report of a run: its service, computed from the recording, and the verdicts of the invariants.
 pub mod text;
 
 use railhub_invariants::Verdict;
 use railhub_record::{ClassLimits, Event, EventKind, Limits, OperationEnd, Outcome};
 use serde::Serialize;
 
-/// Seconds of a window.
-const WINDOW_DURATION: f64 = 5.0;
-/// Seconds of the span of which the worst is reported.
-const WORST_SPAN_DURATION: f64 = 10.0;
+/// Length of a window, in seconds.
+const WINDOW_SECONDS: f64 = 5.0;
+/// Length of the span for which the lowest service is reported, in seconds.
+const WORST_SPAN_SECONDS: f64 = 10.0;
 
-/// Gain of the operations that completed within their contract time over the gain of all operations.
+/// Priority weight of the operations that completed within their contract time, divided by that of all operations.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Service {
-    /// Of the complete run.
+    /// Service of the complete run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// Of the worst span of 10 s.
+    /// Service of the worst span of 10 s.
     pub worst_10_s: f64,
-    /// Where that span begins, in seconds from the start.
+    /// Start of that span, in seconds from the start of the scenario.
     pub worst_from: f64,
-    /// Operations of the run.
+    /// Number of operations of the run.
     pub operations: u64,
-    /// Outcomes by class.
+    /// Outcomes of the operations, by class.
     pub classes: Vec<ClassService>,
-    /// Of each window of 5 s.
+    /// Service of each window of 5 s.
     pub windows: Vec<f64>,
 }
 
 /// How the operations of a class ended.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassService {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// All its operations.
+    /// Number of its operations.
     pub operations: u64,
     /// Completed within the contract time.
     pub completed: u64,
-    /// Completed later.
+    /// Completed after the contract time.
     pub late: u64,
     /// Refused by admission control.
     pub refused: u64,
@@ -53,14 +53,14 @@
     /// Name of the scenario.
     #[serde(rename = "day")]
     pub scenario: String,
-    /// Where the recording is from, as "loopback" or "simulated".
+    /// Origin of the recording, as "loopback" or "simulated".
     #[serde(rename = "how")]
     pub source: &'static str,
     /// Seed of the run.
     pub seed: u64,
-    /// Its service.
+    /// Service of the run.
     pub service: Service,
-    /// Service of the same scenario with its first tables throughout.
+    /// Service of the same scenario when the tables stay as they are at its start.
     pub fixed: Option<Service>,
     /// Verdicts of the invariants.
     pub rules: Vec<Verdict>,
@@ -70,16 +70,16 @@
 
 /// Computes the service of a run.
 pub fn service(events: &[Event], limits: &Limits) -> Service {
-    let operations = Operations::of(events, limits);
+    let operations = Operations::new(events, limits);
     let length = limits.until - limits.from;
     let (worst_10_s, worst_from) = operations.worst_span(length);
-    let windows = (0..(length / WINDOW_DURATION).ceil() as u32).map(f64::from);
+    let windows = (0..(length / WINDOW_SECONDS).ceil() as u32).map(f64::from);
     Service {
         overall: operations.service_between(0.0, f64::INFINITY),
         worst_10_s,
         worst_from,
         operations: operations.ends.len() as u64,
-        classes: operations.by_class(),
+        classes: operations.services_by_class(),
         windows: windows.map(|window| operations.window_service(window)).collect(),
     }
 }
@@ -90,7 +90,7 @@
 }
 
 impl Operations<'_> {
-    fn of<'a>(events: &'a [Event], limits: &'a Limits) -> Operations<'a> {
+    fn new<'a>(events: &'a [Event], limits: &'a Limits) -> Operations<'a> {
         let ends = events.iter().filter_map(|event| match &event.kind {
             Some(EventKind::OperationEnd(end)) => Some(end),
             _ => None,
@@ -98,20 +98,20 @@
         Operations { ends: ends.collect(), limits }
     }
 
-    fn gain(&self, end: &OperationEnd) -> f64 {
+    fn priority_weight(&self, end: &OperationEnd) -> f64 {
         self.limits.classes.get(end.class as usize).map_or(0.0, |class| class.priority_weight)
     }
 
-    /// Service of the operations that began in a span; 1 if there are none. In seconds from the start.
+    /// Service of the operations that began in a span, given in seconds from the start; 1 if there are none.
     fn service_between(&self, from: f64, until: f64) -> f64 {
         let (mut offered, mut completed) = (0.0, 0.0);
         for end in &self.ends {
             if !(from..until).contains(&(end.began - self.limits.from)) {
                 continue;
             }
-            offered += self.gain(end);
+            offered += self.priority_weight(end);
             if end.outcome() == Outcome::Completed {
-                completed += self.gain(end);
+                completed += self.priority_weight(end);
             }
         }
         if offered > 0.0 {
@@ -122,23 +122,23 @@
     }
 
     fn window_service(&self, window: f64) -> f64 {
-        self.service_between(window * WINDOW_DURATION, (window + 1.0) * WINDOW_DURATION)
+        self.service_between(window * WINDOW_SECONDS, (window + 1.0) * WINDOW_SECONDS)
     }
 
-    /// The lowest service of a span that begins at a full second, and where it begins.
+    /// The lowest service of the spans that begin at full seconds, and the start of that span.
     fn worst_span(&self, length: f64) -> (f64, f64) {
-        let last_end = length.max(WORST_SPAN_DURATION);
-        let starts = (0..).map(f64::from).take_while(|from| from + WORST_SPAN_DURATION <= last_end);
-        let spans = starts.map(|from| (self.service_between(from, from + WORST_SPAN_DURATION), from));
+        let last_end = length.max(WORST_SPAN_SECONDS);
+        let starts = (0..).map(f64::from).take_while(|from| from + WORST_SPAN_SECONDS <= last_end);
+        let spans = starts.map(|from| (self.service_between(from, from + WORST_SPAN_SECONDS), from));
         spans.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((1.0, 0.0))
     }
 
-    fn by_class(&self) -> Vec<ClassService> {
+    fn services_by_class(&self) -> Vec<ClassService> {
         let classes = self.limits.classes.iter().enumerate();
-        classes.map(|(index, class)| self.of_class(index, class)).collect()
+        classes.map(|(index, class)| self.class_service(index, class)).collect()
     }
 
-    fn of_class(&self, index: usize, class: &ClassLimits) -> ClassService {
+    fn class_service(&self, index: usize, class: &ClassLimits) -> ClassService {
         let mut service = ClassService { name: class.name.clone(), ..ClassService::default() };
         for end in self.ends.iter().filter(|end| end.class as usize == index) {
             service.operations += 1;
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -72,7 +72,7 @@
     }
 
     pub fn comes_again(&mut self, id: OpId) {
-        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.hold_timeout);
+        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.no_host_timeout);
         let op = self.ops[id.0].as_mut().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
         let more =
@@ -108,7 +108,8 @@
         let proxy = &mut self.proxies[op.proxy];
         let out = &proxy.out;
         let work = |host: SocketAddr| out.get(&host).copied().unwrap_or(0);
-        let found = proxy.held.pick(op.drawn.slice, &op.tried, self.day.pick, &mut proxy.chance, work);
+        let found =
+            proxy.held.pick(op.drawn.slice, &op.tried, self.day.balancing_policy, &mut proxy.chance, work);
         let Some(host) = found else {
             if op.tried.is_empty() && now < op.looks_until {
                 return self.agenda.after(TABLE_LOOK, Due::Looks(id));
@@ -127,7 +128,11 @@
                 .pick(op.drawn.slice, &op.tried, BalancingPolicy::Weighted, &mut chance, |_| 0)
                 .is_some()
         };
-        op.wait = if may_follow { left.min(self.day.first_attempt_wait * class.contract_time) } else { left };
+        op.wait = if may_follow {
+            left.min(self.day.first_attempt_timeout_fraction * class.contract_time)
+        } else {
+            left
+        };
         *proxy.out.entry(host).or_default() += 1;
         self.last_attempt += 1;
         op.attempt = self.last_attempt;
