--- a/crates/railhub-controller/benches/streams.rs
+++ b/crates/railhub-controller/benches/streams.rs
@@ -78,7 +78,7 @@
             cold_capacity_fraction: 1.0,
             warm_up_time: 0.0,
             max_connections: 1000,
-            probe_work: 0.0,
+            health_check_work: 0.0,
             utilization_interval: 0.0,
             cache_saving: 0.0,
             cache_lifetime: 0.0,
--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -38,7 +38,7 @@
         cold_capacity_fraction: 0.3,
         warm_up_time: 1.0,
         max_connections: 1000,
-        probe_work: 0.0,
+        health_check_work: 0.0,
         utilization_interval: 0.0,
         cache_saving: 0.0,
         cache_lifetime: 0.0,
--- a/crates/railhub-emulator/src/client.rs
+++ b/crates/railhub-emulator/src/client.rs
@@ -26,9 +26,10 @@
 ) {
     let began = now();
     let (mut requests, mut outcome) = (0, Outcome::GaveUp);
-    let extra_requests = u32::from(operation.returns);
+    let extra_requests = u32::from(operation.extra_retry);
     while requests <= config.max_retries + extra_requests {
-        let max_timeout = class.hard_stop * config.request_timeout_fraction.min(operation.patience);
+        let max_timeout =
+            class.hard_stop * config.request_timeout_fraction.min(operation.max_request_timeout_fraction);
         let timeout = (began + class.hard_stop - now()).min(max_timeout);
         if timeout <= 0.0 {
             break;
--- a/crates/railhub-emulator/src/host.rs
+++ b/crates/railhub-emulator/src/host.rs
@@ -42,7 +42,7 @@
     /// Connections that may be open.
     pub max_connections: usize,
     /// Core seconds at speed 1 that a health check takes.
-    pub probe_work: f64,
+    pub health_check_work: f64,
     /// Seconds over which it measures the utilization that its responses carry; 0: they carry none.
     pub utilization_interval: f64,
     /// Fraction of the work saved for a cached key.
--- a/crates/railhub-emulator/src/host/connections.rs
+++ b/crates/railhub-emulator/src/host/connections.rs
@@ -52,7 +52,7 @@
             return Ok(());
         }
         self.wait_while_paused(self.with_state(|state| state.process));
-        may::coroutine::sleep(seconds(self.config.probe_work * faults.slowdown / self.config.speed));
+        may::coroutine::sleep(seconds(self.config.health_check_work * faults.slowdown / self.config.speed));
         let status = match (faults.fails, faults.drains) {
             (true, _) => 500,
             (false, true) => 503,
--- a/crates/railhub-emulator/src/operation.rs
+++ b/crates/railhub-emulator/src/operation.rs
@@ -34,7 +34,7 @@
     /// Core seconds at speed 1.
     pub work: f64,
     /// Fraction of the hard stop after which this client stops waiting.
-    pub patience: f64,
+    pub max_request_timeout_fraction: f64,
     /// The client sends one more request after it stopped waiting.
-    pub returns: bool,
+    pub extra_retry: bool,
 }
--- a/crates/railhub-scenario/src/draw/fleet.rs
+++ b/crates/railhub-scenario/src/draw/fleet.rs
@@ -42,7 +42,7 @@
         cold_capacity_fraction: kind.cold_from,
         warm_up_time: kind.warm_after,
         max_connections: scenario.connections,
-        probe_work: scenario.probe_work,
+        health_check_work: scenario.probe_work,
         utilization_interval: scenario.utilization_interval,
         cache_saving: scenario.affinity_gain,
         cache_lifetime: scenario.affinity_duration,
--- a/crates/railhub-scenario/src/draw/operation.rs
+++ b/crates/railhub-scenario/src/draw/operation.rs
@@ -117,8 +117,8 @@
             key: self.key,
             slice: self.slice as u32,
             work: self.work_factor * work,
-            patience: self.patience,
-            returns: self.comes_back,
+            max_request_timeout_fraction: self.patience,
+            extra_retry: self.comes_back,
         }
     }
 }
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -75,9 +75,10 @@
         let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.hold_timeout);
         let op = self.ops[id.0].as_mut().expect("an operation under way");
         let class = &self.classes[op.drawn.class as usize];
-        let more =
-            op.comings <= clients.max_retries || op.drawn.returns && op.comings <= clients.max_retries + 1;
-        let patience = class.hard_stop * clients.request_timeout_fraction.min(op.drawn.patience);
+        let more = op.comings <= clients.max_retries
+            || op.drawn.extra_retry && op.comings <= clients.max_retries + 1;
+        let patience =
+            class.hard_stop * clients.request_timeout_fraction.min(op.drawn.max_request_timeout_fraction);
         let left = (op.began + class.hard_stop - now).min(patience);
         if !more || left <= 0.0 {
             return self.ends(id);
