--- a/crates/railhub-external-engine/src/constant_names/tests.rs
+++ b/crates/railhub-external-engine/src/constant_names/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn no_alias_is_the_name_or_the_alias_of_another_constant() {
+fn names_and_aliases_are_unique() {
     let aliases: BTreeSet<&str> = CONSTANT_NAMES.iter().map(|constant| constant.alias).collect();
     let names: BTreeSet<&str> = CONSTANT_NAMES.iter().map(|constant| constant.name).collect();
     assert_eq!((aliases.len(), names.len()), (CONSTANT_NAMES.len(), CONSTANT_NAMES.len()));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn every_constant_that_a_plan_here_changes_is_known() {
+fn finds_every_constant_of_the_experiment_plan() {
     let plan = include_str!("../../../../experiments/constants.ini");
     let keys =
         plan.lines().filter_map(|line| line.strip_prefix("module.")).filter_map(|rest| rest.split_once(' '));
--- a/crates/railhub-external-engine/src/process.rs
+++ b/crates/railhub-external-engine/src/process.rs
@@ -27,7 +27,7 @@
     program: PathBuf,
     child: Child,
     /// `None` after the first error.
-    batches: Option<SyncSender<String>>,
+    batch_sender: Option<SyncSender<String>>,
     reply_timeout: Duration,
     lines: Receiver<io::Result<String>>,
     /// The line that creates the instance, until it is sent.
@@ -58,17 +58,17 @@
         let engine_error = |cause| EngineError::new(program, cause);
         let mut child = spawn(program).map_err(engine_error)?;
         let input = child.stdin.take().ok_or_else(|| engine_error(EngineErrorCause::NoInput))?;
-        let batches = spawn_writer(input);
+        let batch_sender = spawn_writer(input);
         let output = child.stdout.take().ok_or_else(|| engine_error(EngineErrorCause::NoOutput))?;
         let lines = spawn_reader(output);
         let error = EngineErrorSlot::default();
         let engine = ExternalEngine {
             program: program.to_owned(),
             child,
-            batches: Some(batches),
+            batch_sender: Some(batch_sender),
             reply_timeout,
             lines,
-            create: Some(wire::create(config, zones)),
+            create: Some(wire::encode_create(config, zones)),
             classes: config.classes.len(),
             error: error.clone(),
         };
@@ -77,10 +77,10 @@
 
     /// Sends a batch and applies the reply.
     fn exchange(&mut self, events: &EventBatch, delta: &mut DeltaBuilder) -> Result<(), EngineErrorCause> {
-        let batch = wire::batch(events, self.create.take().as_deref());
-        let batches = self.batches.as_ref().ok_or(EngineErrorCause::NoInput)?;
-        if batches.try_send(batch).is_err() {
-            return Err(self.input_blocked());
+        let batch = wire::encode_batch(events, self.create.take().as_deref());
+        let batch_sender = self.batch_sender.as_ref().ok_or(EngineErrorCause::NoInput)?;
+        if batch_sender.try_send(batch).is_err() {
+            return Err(self.send_error_cause());
         }
         let deadline = Instant::now() + self.reply_timeout;
         loop {
@@ -92,11 +92,11 @@
     }
 
     /// The cause when a batch cannot be sent: the last line received explains more than the broken pipe.
-    fn input_blocked(&self) -> EngineErrorCause {
+    fn send_error_cause(&self) -> EngineErrorCause {
         let last_line = self.lines.try_iter().filter_map(Result::ok).last();
         match last_line {
             Some(line) => EngineErrorCause::LastLine(line.trim_end().to_owned()),
-            None => EngineErrorCause::DoesNotRead,
+            None => EngineErrorCause::InputNotRead,
         }
     }
 
@@ -104,7 +104,7 @@
         let remaining = deadline.saturating_duration_since(Instant::now());
         match self.lines.recv_timeout(remaining) {
             Ok(line) => line.map_err(|error| EngineErrorCause::Read(error.to_string())),
-            Err(RecvTimeoutError::Disconnected) => Err(EngineErrorCause::Ended),
+            Err(RecvTimeoutError::Disconnected) => Err(EngineErrorCause::OutputClosed),
             Err(RecvTimeoutError::Timeout) => {
                 let seconds = self.reply_timeout.as_secs_f64();
                 Err(EngineErrorCause::Timeout(format!("{seconds:.1}")))
@@ -121,12 +121,12 @@
 
 impl DecisionEngine for ExternalEngine {
     fn handle_batch(&mut self, events: &EventBatch, delta: &mut DeltaBuilder) {
-        if self.batches.is_none() {
+        if self.batch_sender.is_none() {
             return;
         }
         if let Err(cause) = self.exchange(events, delta) {
             *delta = DeltaBuilder::default();
-            self.batches = None;
+            self.batch_sender = None;
             let error = EngineError::new(&self.program, cause);
             *self.error.lock().expect("no holder panics") = Some(error);
         }
@@ -135,7 +135,7 @@
 
 impl Drop for ExternalEngine {
     fn drop(&mut self) {
-        self.batches = None;
+        self.batch_sender = None;
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/railhub-external-engine/src/process/error.rs
+++ b/crates/railhub-external-engine/src/process/error.rs
@@ -34,7 +34,7 @@
     NoOutput,
     /// It has not read the batch before and has written nothing.
     #[error("does not read")]
-    DoesNotRead,
+    InputNotRead,
     /// Its input is closed or full; the last line that it wrote.
     #[error("{0}")]
     LastLine(String),
@@ -43,7 +43,7 @@
     Timeout(String),
     /// It has closed its output.
     #[error("ended")]
-    Ended,
+    OutputClosed,
     /// Its output cannot be read.
     #[error("{0}")]
     Read(String),
--- a/crates/railhub-external-engine/src/process/tests.rs
+++ b/crates/railhub-external-engine/src/process/tests.rs
@@ -14,7 +14,7 @@
 }
 
 /// The error of an engine that is such a program.
-fn error_of(name: &str, script: &str) -> Option<EngineError> {
+fn engine_error(name: &str, script: &str) -> Option<EngineError> {
     let path = std::env::temp_dir().join(format!("railhub-version-{}-{name}", std::process::id()));
     write_program(&path, &format!("#!/bin/sh\n{script}\n"));
     let (mut engine, fault) =
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn a_version_that_ends_talks_nonsense_or_gives_up_is_a_fault_and_decides_nothing() {
+fn failed_engine_reports_error_and_leaves_delta_empty() {
     let answers = "while read line; do case $line in OVER*) echo DONE;; esac; done";
-    assert_eq!(error_of("good", answers), None);
-    let what = |name, script| error_of(name, script).expect("an error").cause.to_string();
+    assert_eq!(engine_error("good", answers), None);
+    let what = |name, script| engine_error(name, script).expect("an error").cause.to_string();
     assert!(["ended"].contains(&what("ends", "read line; read line; read line; read line; exit 0").as_str()));
     assert!(
         what("nonsense", "echo AFTER in_us=1 ref=2; echo hello there; cat > /dev/null").contains("'hello'")
@@ -44,7 +44,7 @@
 
 /// More than a pipe holds, to one that never reads.
 #[test]
-fn a_version_that_does_not_read_is_given_up_and_holds_nobody_up() {
+fn engine_that_does_not_read_fails_without_blocking_caller() {
     let reply_timeout = Duration::from_millis(300);
     let (mut engine, fault) = ExternalEngine::start_with_timeout(
         Path::new("/usr/bin/yes"),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_program_that_is_not_there_is_named() {
+fn start_error_names_missing_program() {
     let fault = ExternalEngine::start(Path::new("/nowhere/at-all"), &ControllerConfig::default(), 1)
         .err()
         .expect("a fault");
--- a/crates/railhub-external-engine/src/variant.rs
+++ b/crates/railhub-external-engine/src/variant.rs
@@ -4,9 +4,9 @@
 mod error;
 mod sources;
 
-pub use constants::change;
+pub use constants::set_constants;
 pub use error::VariantError;
-pub use sources::{decisions, SourceFile};
+pub use sources::{read_decisions, SourceFile};
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,7 +21,7 @@
 /// # Errors
 /// A source cannot be read, or a constant cannot be changed.
 pub fn check(source: &Path, constants: &BTreeMap<String, String>) -> Result<(), VariantError> {
-    change(&mut decisions(source)?, constants)
+    set_constants(&mut read_decisions(source)?, constants)
 }
 
 /// Builds the adapter's program with changed constants. `source`: the root of the repository; `folder`: where variants
@@ -34,8 +34,8 @@
     folder: &Path,
     constants: &BTreeMap<String, String>,
 ) -> Result<PathBuf, VariantError> {
-    let mut files = decisions(source)?;
-    change(&mut files, constants)?;
+    let mut files = read_decisions(source)?;
+    set_constants(&mut files, constants)?;
     sources::collect_adapter(source, &mut files)?;
     files.extend(sources::manifests());
     let variant_folder = folder.join(hash(&files));
--- a/crates/railhub-external-engine/src/variant/constants.rs
+++ b/crates/railhub-external-engine/src/variant/constants.rs
@@ -8,7 +8,10 @@
 ///
 /// # Errors
 /// A value is not a number, a constant is set twice, or no file declares it.
-pub fn change(files: &mut [SourceFile], constants: &BTreeMap<String, String>) -> Result<(), VariantError> {
+pub fn set_constants(
+    files: &mut [SourceFile],
+    constants: &BTreeMap<String, String>,
+) -> Result<(), VariantError> {
     let mut changed = BTreeSet::new();
     for (key, value) in constants {
         // The value is compiled and run: only a number is accepted.
--- a/crates/railhub-external-engine/src/variant/sources.rs
+++ b/crates/railhub-external-engine/src/variant/sources.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// A source cannot be read.
-pub fn decisions(source: &Path) -> Result<Vec<SourceFile>, VariantError> {
+pub fn read_decisions(source: &Path) -> Result<Vec<SourceFile>, VariantError> {
     let mut files = Vec::new();
     collect(&source.join(DECISIONS_FOLDER), "src", &mut files)?;
     Ok(files)
--- a/crates/railhub-external-engine/src/variant/tests.rs
+++ b/crates/railhub-external-engine/src/variant/tests.rs
@@ -12,33 +12,33 @@
     pairs.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
 
-fn package() -> Vec<SourceFile> {
-    decisions(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")).expect("the sources")
+fn decision_sources() -> Vec<SourceFile> {
+    read_decisions(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")).expect("the sources")
 }
 
 #[test]
-fn a_constant_is_changed_and_nothing_else() {
+fn changes_only_the_given_constant() {
     let mut changed = files();
-    change(&mut changed, &constants(&[("A", "6")])).expect("known");
+    set_constants(&mut changed, &constants(&[("A", "6")])).expect("known");
     assert_eq!(changed[0].text, TEXT.replace("usize = 2;", "usize = 6;"));
     let mut changed = files();
-    change(&mut changed, &constants(&[("AB", "6.5")])).expect("known");
+    set_constants(&mut changed, &constants(&[("AB", "6.5")])).expect("known");
     assert_eq!(changed[0].text, TEXT.replace("f64 = 0.5;", "f64 = 6.5;"));
-    let unknown = change(&mut files(), &constants(&[("B", "6")])).expect_err("unknown");
+    let unknown = set_constants(&mut files(), &constants(&[("B", "6")])).expect_err("unknown");
     assert_eq!(unknown.to_string(), "src/decision has no constant B");
 }
 
 #[test]
-fn a_value_that_is_no_number_is_not_compiled() {
+fn rejects_value_that_is_not_a_number() {
     let code = constants(&[("A", "{ panic!() }")]);
-    assert!(matches!(change(&mut files(), &code), Err(VariantError::NotANumber(..))));
+    assert!(matches!(set_constants(&mut files(), &code), Err(VariantError::NotANumber(..))));
 }
 
 #[test]
-fn the_module_has_the_constants_that_experiments_change() {
+fn sets_constants_by_name_and_by_alias() {
     for names in [["RETURNS_PER_TURN", "GAP"], ["MAX_FAILBACKS_PER_TICK", "EJECTION_SCORE_GAP"]] {
-        let (before, mut after) = (package(), package());
-        change(&mut after, &constants(&names.map(|name| (name, "9.0")))).expect("known");
+        let (before, mut after) = (decision_sources(), decision_sources());
+        set_constants(&mut after, &constants(&names.map(|name| (name, "9.0")))).expect("known");
         let text = |path: &str| after.iter().find(|file| file.path == path).expect("a file").text.clone();
         let gap = text("src/decision/outlier_ejection.rs");
         assert!(gap.contains("const EJECTION_SCORE_GAP: f64 = 9.0;"));
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn every_alias_and_every_name_in_the_table_changes_its_constant() {
-    let before = package();
+fn every_listed_name_and_alias_sets_its_constant() {
+    let before = decision_sources();
     for constant in CONSTANT_NAMES {
         for key in [constant.alias, constant.name] {
             let mut after = before.clone();
-            change(&mut after, &constants(&[(key, "7.0")])).expect(key);
+            set_constants(&mut after, &constants(&[(key, "7.0")])).expect(key);
             let changed: Vec<_> = before.iter().zip(&after).filter(|(old, new)| old != new).collect();
             let [(_, file)] = changed.as_slice() else { panic!("{key}: {} files changed", changed.len()) };
             assert_eq!(file.path, constant.file);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_name_and_its_alias_together_are_refused() {
+fn rejects_constant_set_by_name_and_alias() {
     let both = constants(&[("GAP", "9.0"), ("EJECTION_SCORE_GAP", "10.0")]);
-    assert!(matches!(change(&mut package(), &both), Err(VariantError::DuplicateConstant(_))));
+    assert!(matches!(set_constants(&mut decision_sources(), &both), Err(VariantError::DuplicateConstant(_))));
 }
--- a/crates/railhub-external-engine/src/wire/reply.rs
+++ b/crates/railhub-external-engine/src/wire/reply.rs
@@ -58,21 +58,21 @@
     fn text(&self, field: &str) -> Result<&'a str, WireError> {
         let mut pairs = self.line.split(' ').filter_map(|part| part.split_once('='));
         let found = pairs.find(|(name, _)| *name == field);
-        found.map(|(_, value)| value).ok_or_else(|| self.error(field, "is missing"))
+        found.map(|(_, value)| value).ok_or_else(|| self.field_error(field, "is missing"))
     }
 
-    fn get<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
+    fn parse<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
         let value = self.text(field)?;
-        value.parse().map_err(|_| self.invalid(field, value))
+        value.parse().map_err(|_| self.invalid_value(field, value))
     }
 
     /// A finite number that is not negative.
     fn amount(&self, field: &str) -> Result<f64, WireError> {
-        let value: f64 = self.get(field)?;
+        let value: f64 = self.parse(field)?;
         if value.is_finite() && value >= 0.0 {
             Ok(value)
         } else {
-            Err(self.invalid(field, value))
+            Err(self.invalid_value(field, value))
         }
     }
 
@@ -80,19 +80,19 @@
         match self.text(field)? {
             "1" | "true" => Ok(true),
             "0" | "false" => Ok(false),
-            other => Err(self.invalid(field, other)),
+            other => Err(self.invalid_value(field, other)),
         }
     }
 
     fn host(&self) -> Result<HostId, WireError> {
-        Ok(HostId::from(self.get::<SocketAddr>("host")?))
+        Ok(HostId::from(self.parse::<SocketAddr>("host")?))
     }
 
-    fn invalid(&self, field: &str, value: impl std::fmt::Display) -> WireError {
-        self.error(field, &format!("cannot be '{value}'"))
+    fn invalid_value(&self, field: &str, value: impl std::fmt::Display) -> WireError {
+        self.field_error(field, &format!("cannot be '{value}'"))
     }
 
-    fn error(&self, field: &str, problem: &str) -> WireError {
+    fn field_error(&self, field: &str, problem: &str) -> WireError {
         WireError::Field {
             action: self.name.to_owned(),
             field: field.to_owned(),
@@ -114,12 +114,12 @@
         "DONE" => return Ok(Progress::Complete),
         "" | "SPEAKING" => {}
         "SET_LINE" => {
-            delta.set_weight(SliceId(action.get("sheet")?), action.host()?, action.amount("w")?);
+            delta.set_weight(SliceId(action.parse("sheet")?), action.host()?, action.amount("w")?);
         }
         "HAND_TABLE" => apply_table(&action, delta)?,
         "THROTTLE" => apply_admission_rate(&action, classes, delta)?,
         "BENCH" => apply_exclusion(&action, delta)?,
-        "BARRIER" => delta.set_barrier(BarrierId(action.get("rev")?)),
+        "BARRIER" => delta.set_barrier(BarrierId(action.parse("rev")?)),
         "INSPECT" => delta.check_health(action.host()?),
         "AFTER" => apply_timer(&action, delta)?,
         "TRACE" => delta.notes.push(note(line).to_owned()),
@@ -132,10 +132,10 @@
 }
 
 fn apply_table(action: &Action, delta: &mut DeltaBuilder) -> Result<(), WireError> {
-    if action.get::<u64>("only")? != 0 {
-        return Err(action.error("only", "names classes: tables for some classes are not known here"));
+    if action.parse::<u64>("only")? != 0 {
+        return Err(action.field_error("only", "names classes: tables for some classes are not known here"));
     }
-    delta.assign_table(SliceId(action.get("sheet")?), ProxyId(action.get("edge")?));
+    delta.assign_table(SliceId(action.parse("sheet")?), ProxyId(action.parse("edge")?));
     Ok(())
 }
 
@@ -151,8 +151,8 @@
 
 /// Sets a timer of at least one tick: simulated time would not advance past one that fires at once.
 fn apply_timer(action: &Action, delta: &mut DeltaBuilder) -> Result<(), WireError> {
-    let delay_us = action.get::<u64>("in_us")?.max(TICK_US);
-    delta.set_timer(delay_us as f64 / 1e6, TimerId(action.get("ref")?));
+    let delay_us = action.parse::<u64>("in_us")?.max(TICK_US);
+    delta.set_timer(delay_us as f64 / 1e6, TimerId(action.parse("ref")?));
     Ok(())
 }
 
@@ -161,16 +161,16 @@
 }
 
 fn apply_admission_rate(action: &Action, classes: usize, delta: &mut DeltaBuilder) -> Result<(), WireError> {
-    if action.get::<u16>("sheet")? != ALL_TABLES {
-        return Err(action.error("sheet", "names one table: levels of one table are not known here"));
+    if action.parse::<u16>("sheet")? != ALL_TABLES {
+        return Err(action.field_error("sheet", "names one table: levels of one table are not known here"));
     }
-    let retry_policy = match action.get::<u32>("second_try")? {
+    let retry_policy = match action.parse::<u32>("second_try")? {
         0 => RetryPolicy::Never,
         1 => RetryPolicy::IfNotExecuted,
         2 => RetryPolicy::AfterFailure,
-        _ => return Err(action.error("second_try", "is not known here")),
+        _ => return Err(action.field_error("second_try", "is not known here")),
     };
-    let class_mask = action.get::<u64>("only")?;
+    let class_mask = action.parse::<u64>("only")?;
     let amount = action.amount("amount")?;
     for class in 0..classes.min(MAX_MASKED_CLASSES) {
         let is_selected = class_mask == 0 || class_mask >> class & 1 == 1;
--- a/crates/railhub-external-engine/src/wire/request.rs
+++ b/crates/railhub-external-engine/src/wire/request.rs
@@ -26,7 +26,7 @@
 }
 
 /// The line that creates an instance. Zones are named by their indexes, in order, so that both sides number them alike.
-pub fn create(config: &ControllerConfig, zones: usize) -> String {
+pub fn encode_create(config: &ControllerConfig, zones: usize) -> String {
     let mut out = format!("CREATE seed=1 tick_us={TICK_US} telemetry.names=busy");
     let throttle_by = if config.admission_by_fraction { "share" } else { "rate" };
     put(&mut out, "ceilings.probes", config.health_checks_allowed);
@@ -73,7 +73,7 @@
 }
 
 /// The lines of one event batch; `create` goes before the events of an instance's first batch.
-pub fn batch(events: &EventBatch, create: Option<&str>) -> String {
+pub fn encode_batch(events: &EventBatch, create: Option<&str>) -> String {
     let now = micros(events.now);
     let mut out = format!("FRAME wall_us={now}\nAT i=0\n{}", create.unwrap_or_default());
     for (revision, list) in events.endpoint_lists.iter().enumerate() {
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -7,7 +7,7 @@
 use railhub_controller::delta_builder::DeltaBuilder;
 
 #[test]
-fn a_round_is_written_line_by_line() {
+fn encodes_event_batch_as_lines() {
     let host = HostId::new("10.0.0.1:80").expect("a name");
     let listed =
         EndpointEntry { host, kind: KindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
@@ -36,11 +36,11 @@
         "BELL ref=7",
         "OVER_TO_YOU",
     ];
-    assert_eq!(batch(&round, None).lines().collect::<Vec<_>>(), lines);
+    assert_eq!(encode_batch(&round, None).lines().collect::<Vec<_>>(), lines);
 }
 
 #[test]
-fn orders_are_read_and_those_unknown_here_are_refused() {
+fn applies_supported_actions_and_rejects_others() {
     let mut draft = DeltaBuilder::default();
     let mut read = |line: &str| apply_line(line, 2, &mut draft);
     assert_eq!(read("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(Progress::Incomplete));
@@ -70,7 +70,7 @@
 proptest! {
     /// What a broken version writes is an error or an order, never a panic.
     #[test]
-    fn no_line_of_a_reply_can_bring_us_down(line in "(SET_LINE|THROTTLE|AFTER|BENCH|BARRIER|HAND_TABLE)?( [a-z_]{1,9}=[-0-9a-zA-Z.:]{0,24}){0,5}") {
+    fn arbitrary_reply_lines_do_not_panic(line in "(SET_LINE|THROTTLE|AFTER|BENCH|BARRIER|HAND_TABLE)?( [a-z_]{1,9}=[-0-9a-zA-Z.:]{0,24}){0,5}") {
         let _ = apply_line(&line, 64, &mut DeltaBuilder::default());
     }
 }
