--- a/crates/railhub-external-engine/src/constant_names.rs
+++ b/crates/railhub-external-engine/src/constant_names.rs
@@ -1,17 +1,17 @@
-//! Names of the decisions' constants in plans: `module.NAME` keys are kept in files, so the names that constants had
-//! when all decisions were in one file are still read.
+//! Names of the decision constants in experiment plans. Plans are kept as files with `module.NAME` keys, so the former
+//! names, from when all decisions were in one file, are still accepted as aliases.
 //!
-//! A plan may use the present name as well. `EPOCH` was the least warm-up time, too, which is a constant of its own
-//! now (`MIN_WARM_UP_TIME`).
+//! A plan may use either the current name or the alias. The former `EPOCH` also served as the minimum warm-up time,
+//! which is now a separate constant without an alias (`MIN_WARM_UP_TIME`).
 
-/// A constant of the decisions.
+/// A constant of the decision modules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConstantName {
-    /// What plans may call it, beside its name.
+    /// Former name, which plans may use in place of the current one.
     pub alias: &'static str,
-    /// Its name.
+    /// Current name, as declared in the source.
     pub name: &'static str,
-    /// The file that declares it, from the root of the repository.
+    /// Path of the file that declares it, relative to the repository root.
     pub file: &'static str,
 }
 
@@ -36,7 +36,7 @@
 const TABLE: &str = "src/decision/table.rs";
 const PUBLISH: &str = "src/decision/publish.rs";
 
-/// The constants that have an alias.
+/// All constants that have an alias.
 pub const CONSTANT_NAMES: [ConstantName; 46] = [
     constant("EPOCH", "TICK_INTERVAL", HEALTH_SCORE),
     constant("RATIO_THRESH", "HEAVY_FAILURE_FRACTION", HEALTH_SCORE),
@@ -86,7 +86,7 @@
     constant("ORDINARY_USE", "MAX_ORDINARY_BACKLOG_FRACTION", PUBLISH),
 ];
 
-/// The constant that a plan calls by its name or its alias.
+/// Finds a constant by its name or its alias; `None` if it has no alias.
 pub fn find(key: &str) -> Option<&'static ConstantName> {
     CONSTANT_NAMES.iter().find(|constant| constant.alias == key || constant.name == key)
 }
--- a/crates/railhub-external-engine/src/constant_names/tests.rs
+++ b/crates/railhub-external-engine/src/constant_names/tests.rs
@@ -14,10 +14,10 @@
     let plan = include_str!("../../../../experiments/constants.ini");
     let keys =
         plan.lines().filter_map(|line| line.strip_prefix("module.")).filter_map(|rest| rest.split_once(' '));
-    let mut known = 0;
+    let mut key_count = 0;
     for (key, _) in keys {
-        assert!(find(key).is_some(), "{key}");
-        known += 1;
+        assert!(find(key).is_some(), "unknown constant {key}");
+        key_count += 1;
     }
-    assert!(known > 40, "{known} keys");
+    assert!(key_count > 40, "the plan has {key_count} keys");
 }
--- a/crates/railhub-external-engine/src/lib.rs
+++ b/crates/railhub-external-engine/src/lib.rs
@@ -1,9 +1,9 @@
-//! Owns running the decisions as an external process: a program that reads event batches in the adapter's protocol
-//! from its standard input and answers each on its standard output.
+//! Runs the decision engine as an external process: a program that reads event batches in the adapter's protocol from
+//! its standard input and writes a reply to each batch to its standard output.
 //!
-//! [`wire`] is the protocol, free of I/O; [`process`] runs the program; [`variant`] builds programs whose decisions
-//! have other constants, by the names of [`constant_names`]. An external engine sees what the decisions in this
-//! process see, with times rounded to microseconds.
+//! [`wire`] encodes and decodes the protocol without I/O; [`process`] runs the program; [`variant`] builds programs
+//! whose decisions use other constants, which are looked up by name in [`constant_names`]. An external engine receives
+//! the same events as the decision engine in this process, with times rounded to microseconds.
 #![warn(missing_docs)]
 
 pub mod constant_names;
--- a/crates/railhub-external-engine/src/process.rs
+++ b/crates/railhub-external-engine/src/process.rs
@@ -1,8 +1,8 @@
-//! Owns an external engine: a process that decides. Its caller waits for each reply; simulated time stands still
-//! meanwhile.
+//! An external decision engine: a child process that receives event batches and replies with actions. The caller blocks
+//! until the reply is complete; simulated time does not advance meanwhile.
 //!
-//! States: running, then failed from the first error. A failed engine leaves every delta empty, and the results of its
-//! run are invalid.
+//! An engine runs until its first error and is failed from then on. A failed engine leaves every delta empty, and the
+//! results of its run are invalid.
 mod error;
 mod pipes;
 
@@ -19,28 +19,28 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Duration, Instant};
 
-/// Time for one reply. Decisions take milliseconds; an engine that takes this long hangs.
+/// Maximum time for one reply. Decisions take milliseconds, so an engine that takes longer than this hangs.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running engine; dropping it ends the process.
+/// A running external engine. Dropping it kills the process.
 pub struct ExternalEngine {
     program: PathBuf,
     child: Child,
-    /// `None` after the first error.
+    /// Encoded batches to send; `None` after the first error.
     batch_sender: Option<SyncSender<String>>,
     reply_timeout: Duration,
-    lines: Receiver<io::Result<String>>,
-    /// The line that creates the instance, until it is sent.
-    create: Option<String>,
-    classes: usize,
+    reply_lines: Receiver<io::Result<String>>,
+    /// The line that creates the instance; taken when the first batch is sent.
+    create_line: Option<String>,
+    class_count: usize,
     error: EngineErrorSlot,
 }
 
 impl ExternalEngine {
-    /// Starts the program. Later errors are put into the slot.
+    /// Starts the program. The first later error is stored in the returned slot.
     ///
     /// # Errors
-    /// The process cannot be started.
+    /// The process cannot be started, or its standard input or output is not available.
     pub fn start(
         program: &Path,
         config: &ControllerConfig,
@@ -60,24 +60,24 @@
         let input = child.stdin.take().ok_or_else(|| engine_error(EngineErrorCause::NoInput))?;
         let batch_sender = spawn_writer(input);
         let output = child.stdout.take().ok_or_else(|| engine_error(EngineErrorCause::NoOutput))?;
-        let lines = spawn_reader(output);
+        let reply_lines = spawn_reader(output);
         let error = EngineErrorSlot::default();
         let engine = ExternalEngine {
             program: program.to_owned(),
             child,
             batch_sender: Some(batch_sender),
             reply_timeout,
-            lines,
-            create: Some(wire::encode_create(config, zones)),
-            classes: config.classes.len(),
+            reply_lines,
+            create_line: Some(wire::encode_create(config, zones)),
+            class_count: config.classes.len(),
             error: error.clone(),
         };
         Ok((engine, error))
     }
 
-    /// Sends a batch and applies the reply.
+    /// Sends a batch and applies the reply to the delta.
     fn exchange(&mut self, events: &EventBatch, delta: &mut DeltaBuilder) -> Result<(), EngineErrorCause> {
-        let batch = wire::encode_batch(events, self.create.take().as_deref());
+        let batch = wire::encode_batch(events, self.create_line.take().as_deref());
         let batch_sender = self.batch_sender.as_ref().ok_or(EngineErrorCause::NoInput)?;
         if batch_sender.try_send(batch).is_err() {
             return Err(self.send_error_cause());
@@ -85,15 +85,16 @@
         let deadline = Instant::now() + self.reply_timeout;
         loop {
             let line = self.next_line(deadline)?;
-            if wire::apply_line(&line, self.classes, delta)? == Progress::Complete {
+            if wire::apply_line(&line, self.class_count, delta)? == Progress::Complete {
                 return Ok(());
             }
         }
     }
 
-    /// The cause when a batch cannot be sent: the last line received explains more than the broken pipe.
+    /// The cause of the error when a batch cannot be sent. The last line that the engine wrote explains more than the
+    /// broken pipe does.
     fn send_error_cause(&self) -> EngineErrorCause {
-        let last_line = self.lines.try_iter().filter_map(Result::ok).last();
+        let last_line = self.reply_lines.try_iter().filter_map(Result::ok).last();
         match last_line {
             Some(line) => EngineErrorCause::LastLine(line.trim_end().to_owned()),
             None => EngineErrorCause::InputNotRead,
@@ -102,7 +103,7 @@
 
     fn next_line(&self, deadline: Instant) -> Result<String, EngineErrorCause> {
         let remaining = deadline.saturating_duration_since(Instant::now());
-        match self.lines.recv_timeout(remaining) {
+        match self.reply_lines.recv_timeout(remaining) {
             Ok(line) => line.map_err(|error| EngineErrorCause::Read(error.to_string())),
             Err(RecvTimeoutError::Disconnected) => Err(EngineErrorCause::OutputClosed),
             Err(RecvTimeoutError::Timeout) => {
--- a/crates/railhub-external-engine/src/process/error.rs
+++ b/crates/railhub-external-engine/src/process/error.rs
@@ -1,16 +1,19 @@
-//! Owns the errors of an engine.
+//! Errors of an external engine.
+//!
+//! An experiment stores the text of an [`EngineError`] in its `outcome.json`, so the texts here and in
+//! [`WireError`] must not change.
 use crate::wire::WireError;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// An engine that cannot be used any longer.
+/// An error after which the engine cannot be used any longer.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("the version {program}: {cause}")]
 pub struct EngineError {
     /// Path of the program.
     pub program: String,
-    /// What went wrong.
+    /// Cause of the failure.
     pub cause: EngineErrorCause,
 }
 
@@ -20,37 +23,38 @@
     }
 }
 
-/// What went wrong with an engine. Errors of the operating system are kept as text, so that a cause can be cloned.
+/// Why an engine failed. Operating system errors are kept as text, so that a cause can be cloned and compared.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum EngineErrorCause {
     /// The process cannot be started.
     #[error("cannot be started: {0}")]
     Start(String),
-    /// Its standard input is not available.
+    /// The standard input of the process is not available.
     #[error("has no input")]
     NoInput,
-    /// Its standard output is not available.
+    /// The standard output of the process is not available.
     #[error("has no output")]
     NoOutput,
-    /// It has not read the batch before and has written nothing.
+    /// The batch could not be sent, because the process has not read the earlier ones or has closed its input, and it
+    /// has written nothing since.
     #[error("does not read")]
     InputNotRead,
-    /// Its input is closed or full; the last line that it wrote.
+    /// The batch could not be sent, as with [`EngineErrorCause::InputNotRead`]; the last line that the process wrote.
     #[error("{0}")]
     LastLine(String),
-    /// It has not replied within the timeout, in seconds.
+    /// The reply was not complete within the timeout, in seconds.
     #[error("gave no answer for {0} s")]
     Timeout(String),
-    /// It has closed its output.
+    /// The process has closed its output, usually because it has exited.
     #[error("ended")]
     OutputClosed,
-    /// Its output cannot be read.
+    /// The output of the process cannot be read.
     #[error("{0}")]
     Read(String),
-    /// A line of its reply cannot be applied.
+    /// A line of the reply cannot be applied.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
-/// Where the owner of a run finds the first error of its engine.
+/// Holds the first error of an engine, for the code that runs the simulation; `None` while the engine works.
 pub type EngineErrorSlot = Arc<Mutex<Option<EngineError>>>;
--- a/crates/railhub-external-engine/src/variant.rs
+++ b/crates/railhub-external-engine/src/variant.rs
@@ -1,5 +1,5 @@
-//! Owns variants: programs whose decisions have other constants, so that a change can be measured before it is made.
-//! The sources are copied and the copy is changed; the repository is not.
+//! Builds variants: adapter programs whose decisions use other constants, so that a change can be measured before it is
+//! made. Only a copy of the sources is changed, never the repository.
 mod constants;
 mod error;
 mod sources;
@@ -13,22 +13,22 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The program, from the root of the copy.
+/// Path of the built program, relative to the root of the copy.
 const PROGRAM: &str = "target/release/railhub-adapter";
 
-/// Checks that a variant can be made, without building it. `source`: the root of the repository.
+/// Checks that the constants of a variant can be set, without building it. `source` is the root of the repository.
 ///
 /// # Errors
-/// A source cannot be read, or a constant cannot be changed.
+/// A source file cannot be read, or a constant cannot be set.
 pub fn check(source: &Path, constants: &BTreeMap<String, String>) -> Result<(), VariantError> {
     set_constants(&mut read_decisions(source)?, constants)
 }
 
-/// Builds the adapter's program with changed constants. `source`: the root of the repository; `folder`: where variants
-/// are kept, each in a folder named by a hash of its sources, so that none is built twice.
+/// Builds the adapter's program with other constants and returns its path. `source` is the root of the repository. Each
+/// variant is kept in a subfolder of `folder` that is named by a hash of its sources, so that no variant is built twice.
 ///
 /// # Errors
-/// A source cannot be read or copied, a constant cannot be changed, or the copy does not compile.
+/// A source file cannot be read or copied, a constant cannot be set, or the copy does not compile.
 pub fn build(
     source: &Path,
     folder: &Path,
@@ -58,13 +58,13 @@
     let mut command = Command::new(cargo);
     command.args(["build", "--release", "--offline", "-p", "railhub-adapter", "--target-dir", "target"]);
     let output = command.current_dir(folder).output();
-    let output = output.map_err(|error| VariantError::Build(format!("cargo cannot be started: {error}")))?;
+    let output = output.map_err(|error| VariantError::Build(format!("cannot start cargo: {error}")))?;
     if output.status.success() {
         return Ok(());
     }
     let messages = String::from_utf8_lossy(&output.stderr);
     let first_error = messages.lines().find(|line| line.starts_with("error"));
-    Err(VariantError::Build(first_error.unwrap_or("it failed").to_owned()))
+    Err(VariantError::Build(first_error.unwrap_or("cargo failed without an error message").to_owned()))
 }
 
 #[cfg(test)]
--- a/crates/railhub-external-engine/src/variant/constants.rs
+++ b/crates/railhub-external-engine/src/variant/constants.rs
@@ -1,10 +1,10 @@
-//! Owns changing the constants of source files. A constant is a line `const NAME: TYPE = VALUE;`, `pub` or not.
+//! Sets constants in source files. A constant is a line `const NAME: TYPE = VALUE;`, with or without `pub`.
 use super::error::VariantError;
 use super::sources::SourceFile;
 use crate::constant_names::{self, ConstantName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes constants, each by its name or its alias ([`constant_names`]).
+/// Sets constants, each addressed by its name or its alias ([`constant_names`]).
 ///
 /// # Errors
 /// A value is not a number, a constant is set twice, or no file declares it.
@@ -12,15 +12,15 @@
     files: &mut [SourceFile],
     constants: &BTreeMap<String, String>,
 ) -> Result<(), VariantError> {
-    let mut changed = BTreeSet::new();
+    let mut names_set = BTreeSet::new();
     for (key, value) in constants {
-        // The value is compiled and run: only a number is accepted.
+        // The value is compiled and executed as code, so only a number is accepted.
         if !is_number(value) {
             return Err(VariantError::NotANumber(key.clone(), value.clone()));
         }
         let known = constant_names::find(key);
         let name = known.map_or(key.as_str(), |constant| constant.name);
-        if !changed.insert(name.to_owned()) {
+        if !names_set.insert(name.to_owned()) {
             return Err(VariantError::DuplicateConstant(name.to_owned()));
         }
         if !set_in_files(files, known, name, value) {
@@ -34,8 +34,8 @@
     text.parse::<f64>().is_ok_and(f64::is_finite)
 }
 
-/// Sets a constant in the first file that declares it, of a known constant only in its own file. Returns whether one
-/// does.
+/// Sets a constant in the first file that declares it; a known constant is set only in the file listed for it. Returns
+/// whether a file declares it.
 fn set_in_files(files: &mut [SourceFile], known: Option<&ConstantName>, name: &str, value: &str) -> bool {
     for file in files {
         let may_declare = known.is_none_or(|constant| constant.file == file.path);
@@ -55,7 +55,7 @@
 }
 
 fn declares(line: &str, name: &str) -> bool {
-    let private = line.strip_prefix("pub ").unwrap_or(line);
-    let Some(declaration) = private.strip_prefix("const ") else { return false };
+    let without_pub = line.strip_prefix("pub ").unwrap_or(line);
+    let Some(declaration) = without_pub.strip_prefix("const ") else { return false };
     declaration.split_once(':').is_some_and(|(declared, _)| declared.trim() == name)
 }
--- a/crates/railhub-external-engine/src/variant/error.rs
+++ b/crates/railhub-external-engine/src/variant/error.rs
@@ -1,24 +1,24 @@
-//! Owns the errors of making a variant.
+//! Errors of building a variant.
 use std::io;
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a variant cannot be made.
+/// Why a variant cannot be built.
 #[derive(Debug, Error)]
 pub enum VariantError {
-    /// A source cannot be read, or its copy written.
-    #[error("{0}: {1}")]
+    /// A source file cannot be read, or its copy cannot be written.
+    #[error("cannot read or write {0}: {1}")]
     Io(String, io::Error),
-    /// No source declares the constant.
+    /// No source file declares the constant.
     #[error("src/decision has no constant {0}")]
     UnknownConstant(String),
-    /// Two keys name the same constant.
-    #[error("the constant {0} is set twice")]
+    /// The constant is set twice: by its name and by its alias.
+    #[error("the constant {0} is set twice, by its name and by its alias")]
     DuplicateConstant(String),
-    /// The value is not a number.
-    #[error("the constant {0} cannot be '{1}': a number is needed")]
+    /// The value is not a finite number.
+    #[error("the constant {0} must be a finite number, not '{1}'")]
     NotANumber(String, String),
-    /// The compiler's first error.
+    /// The copy does not compile; the first error of cargo or the compiler.
     #[error("the variant does not build: {0}")]
     Build(String),
 }
--- a/crates/railhub-external-engine/src/variant/sources.rs
+++ b/crates/railhub-external-engine/src/variant/sources.rs
@@ -1,38 +1,38 @@
-//! Owns the source files of a variant: those that are copied, and the manifests that are written.
+//! The files of a variant: the sources, which are copied, and the manifests, which are generated.
 use super::error::VariantError;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The sources of the decisions, from the root of the repository.
+/// Folder of the decision engine's sources, relative to the repository root.
 const DECISIONS_FOLDER: &str = "src";
-/// The sources of the adapter, from the root of the repository.
+/// Folder of the adapter's sources, relative to the repository root.
 const ADAPTER_FOLDER: &str = "crates/railhub-adapter/src";
 
-/// A source file: its path in the copy, and its text.
+/// A source file of the copy.
 #[derive(Clone, Debug, Hash, PartialEq)]
 pub struct SourceFile {
-    /// From the root of the copy.
+    /// Path relative to the root of the copy.
     pub path: String,
-    /// The complete text.
+    /// Complete text.
     pub text: String,
 }
 
-/// Reads the sources of the decisions, without their tests. `source`: the root of the repository.
+/// Reads the sources of the decision engine, without their tests. `source` is the root of the repository.
 ///
 /// # Errors
-/// A source cannot be read.
+/// A source file cannot be read.
 pub fn read_decisions(source: &Path) -> Result<Vec<SourceFile>, VariantError> {
     let mut files = Vec::new();
     collect(&source.join(DECISIONS_FOLDER), "src", &mut files)?;
     Ok(files)
 }
 
-/// Adds the sources of the adapter.
+/// Adds the sources of the adapter, without their tests.
 pub(super) fn collect_adapter(source: &Path, files: &mut Vec<SourceFile>) -> Result<(), VariantError> {
     collect(&source.join(ADAPTER_FOLDER), "adapter/src", files)
 }
 
-/// Adds the Rust sources under a folder as `prefix/...`, in the order of their names, without tests.
+/// Adds the Rust sources under a folder with the paths `prefix/...`, sorted by name and without tests.
 fn collect(folder: &Path, prefix: &str, files: &mut Vec<SourceFile>) -> Result<(), VariantError> {
     for path in sorted_entries(folder)? {
         let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
@@ -57,7 +57,7 @@
     Ok(paths)
 }
 
-/// The manifests of the copy, which is a workspace of its own without external dependencies.
+/// Generates the manifests of the copy, which is a separate workspace without external dependencies.
 pub(super) fn manifests() -> [SourceFile; 2] {
     let package = "version = \"0.0.0\"\nedition = \"2021\"\n";
     let root =
--- a/crates/railhub-external-engine/src/variant/tests.rs
+++ b/crates/railhub-external-engine/src/variant/tests.rs
@@ -13,18 +13,18 @@
 }
 
 fn decision_sources() -> Vec<SourceFile> {
-    read_decisions(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")).expect("the sources")
+    read_decisions(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")).expect("the sources are readable")
 }
 
 #[test]
 fn changes_only_the_given_constant() {
     let mut changed = files();
-    set_constants(&mut changed, &constants(&[("A", "6")])).expect("known");
+    set_constants(&mut changed, &constants(&[("A", "6")])).expect("A is declared");
     assert_eq!(changed[0].text, TEXT.replace("usize = 2;", "usize = 6;"));
     let mut changed = files();
-    set_constants(&mut changed, &constants(&[("AB", "6.5")])).expect("known");
+    set_constants(&mut changed, &constants(&[("AB", "6.5")])).expect("AB is declared");
     assert_eq!(changed[0].text, TEXT.replace("f64 = 0.5;", "f64 = 6.5;"));
-    let unknown = set_constants(&mut files(), &constants(&[("B", "6")])).expect_err("unknown");
+    let unknown = set_constants(&mut files(), &constants(&[("B", "6")])).expect_err("B is not declared");
     assert_eq!(unknown.to_string(), "src/decision has no constant B");
 }
 
@@ -38,8 +38,9 @@
 fn sets_constants_by_name_and_by_alias() {
     for names in [["RETURNS_PER_TURN", "GAP"], ["MAX_FAILBACKS_PER_TICK", "EJECTION_SCORE_GAP"]] {
         let (before, mut after) = (decision_sources(), decision_sources());
-        set_constants(&mut after, &constants(&names.map(|name| (name, "9.0")))).expect("known");
-        let text = |path: &str| after.iter().find(|file| file.path == path).expect("a file").text.clone();
+        set_constants(&mut after, &constants(&names.map(|name| (name, "9.0")))).expect("declared constants");
+        let text =
+            |path: &str| after.iter().find(|file| file.path == path).expect("a source file").text.clone();
         let gap = text("src/decision/outlier_ejection.rs");
         assert!(gap.contains("const EJECTION_SCORE_GAP: f64 = 9.0;"));
         let failbacks = text("src/decision/placement/failback.rs");
--- a/crates/railhub-external-engine/src/wire.rs
+++ b/crates/railhub-external-engine/src/wire.rs
@@ -1,5 +1,5 @@
-//! Owns the adapter's protocol: an event batch as lines ([`encode_create`], [`encode_batch`]), and the lines of a reply as a delta
-//! ([`apply_line`]). Free of I/O and of clocks.
+//! The adapter's line protocol: encodes event batches as lines ([`encode_create`], [`encode_batch`]) and applies the lines
+//! of a reply to a delta ([`apply_line`]). Does no I/O and reads no clock.
 mod reply;
 mod request;
 
--- a/crates/railhub-external-engine/src/wire/request.rs
+++ b/crates/railhub-external-engine/src/wire/request.rs
@@ -1,4 +1,4 @@
-//! Owns the lines that are sent to an engine.
+//! Encodes the lines that are sent to an engine.
 use railhub::{
     ClassConfig, ControllerConfig, EndpointEntry, EndpointList, EventBatch, HealthCheckOutcome,
     HostLoadReport, Idempotency, Phase, ProxyStreamEvent, Seconds, SliceAssignment, SliceLoadReport,
@@ -6,26 +6,28 @@
 };
 use std::fmt::{Display, Write};
 
-/// Microseconds of a tick, which the protocol announces; also the shortest timer.
+/// Duration of a tick in microseconds, which the first line of an instance announces; also the shortest timer.
 pub(super) const TICK_US: u64 = 4000;
-/// Code of a health check that passed.
+/// Code of a health check that the host passed.
 const PASSED_CODE: u32 = 100;
 /// Code of a health check that the host rejected.
 const REJECTED_CODE: u32 = 302;
 /// Code of a health check that failed.
 const FAILED_CODE: u32 = 303;
-/// Code of a health check that did not reach the host.
+/// Code of a health check that could not reach the host.
 const UNREACHABLE_CODE: u32 = 304;
 
-fn micros(span: Seconds) -> u64 {
-    (span * 1e6).round().max(0.0) as u64
+fn micros(time: Seconds) -> u64 {
+    (time * 1e6).round().max(0.0) as u64
 }
 
+/// Appends a ` name=value` pair.
 fn put(out: &mut String, name: &str, value: impl Display) {
     let _ = write!(out, " {name}={value}");
 }
 
-/// The line that creates an instance. Zones are named by their indexes, in order, so that both sides number them alike.
+/// Encodes the line that creates an instance. Zones are named by their index and listed in order, so that the engine
+/// numbers them as this process does.
 pub fn encode_create(config: &ControllerConfig, zones: usize) -> String {
     let mut out = format!("CREATE seed=1 tick_us={TICK_US} telemetry.names=busy");
     let throttle_by = if config.admission_by_fraction { "share" } else { "rate" };
@@ -72,10 +74,10 @@
     put_field("key_ttl_us", &micros(window));
 }
 
-/// The lines of one event batch; `create` goes before the events of an instance's first batch.
-pub fn encode_batch(events: &EventBatch, create: Option<&str>) -> String {
+/// Encodes one event batch. `create_line` is inserted before the events of an instance's first batch.
+pub fn encode_batch(events: &EventBatch, create_line: Option<&str>) -> String {
     let now = micros(events.now);
-    let mut out = format!("FRAME wall_us={now}\nAT i=0\n{}", create.unwrap_or_default());
+    let mut out = format!("FRAME wall_us={now}\nAT i=0\n{}", create_line.unwrap_or_default());
     for (revision, list) in events.endpoint_lists.iter().enumerate() {
         put_endpoint_list(&mut out, revision, list);
     }
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -8,10 +8,10 @@
 
 #[test]
 fn encodes_event_batch_as_lines() {
-    let host = HostId::new("10.0.0.1:80").expect("a name");
-    let listed =
+    let host = HostId::new("10.0.0.1:80").expect("a valid address");
+    let entry =
         EndpointEntry { host, kind: KindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
-    let sum = HostLoadReport {
+    let report = HostLoadReport {
         zone: ZoneId(1),
         host,
         attempts: 14.0,
@@ -20,10 +20,10 @@
         span: 1.0,
         cpu_utilization: Some(0.5),
     };
-    let round = EventBatch {
+    let events = EventBatch {
         now: 2.0,
-        endpoint_lists: vec![EndpointList { complete: true, entries: vec![listed] }],
-        host_loads: vec![sum],
+        endpoint_lists: vec![EndpointList { complete: true, entries: vec![entry] }],
+        host_loads: vec![report],
         timers: vec![TimerId(7)],
         ..EventBatch::default()
     };
@@ -36,20 +36,20 @@
         "BELL ref=7",
         "OVER_TO_YOU",
     ];
-    assert_eq!(encode_batch(&round, None).lines().collect::<Vec<_>>(), lines);
+    assert_eq!(encode_batch(&events, None).lines().collect::<Vec<_>>(), lines);
 }
 
 #[test]
 fn applies_supported_actions_and_rejects_others() {
-    let mut draft = DeltaBuilder::default();
-    let mut read = |line: &str| apply_line(line, 2, &mut draft);
-    assert_eq!(read("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(Progress::Incomplete));
-    assert_eq!(read("THROTTLE sheet=65535 only=2 amount=0.75 second_try=2"), Ok(Progress::Incomplete));
-    assert_eq!(read("AFTER in_us=500000 ref=9\r"), Ok(Progress::Incomplete));
-    assert_eq!(read("AFTER in_us=0 ref=9"), Ok(Progress::Incomplete));
-    assert_eq!(read("TRACE words=two hosts known"), Ok(Progress::Incomplete));
-    assert_eq!(read("DONE"), Ok(Progress::Complete));
-    for bad in [
+    let mut delta = DeltaBuilder::default();
+    let mut apply = |line: &str| apply_line(line, 2, &mut delta);
+    assert_eq!(apply("SET_LINE sheet=1 host=10.0.0.1:80 w=0.5"), Ok(Progress::Incomplete));
+    assert_eq!(apply("THROTTLE sheet=65535 only=2 amount=0.75 second_try=2"), Ok(Progress::Incomplete));
+    assert_eq!(apply("AFTER in_us=500000 ref=9\r"), Ok(Progress::Incomplete));
+    assert_eq!(apply("AFTER in_us=0 ref=9"), Ok(Progress::Incomplete));
+    assert_eq!(apply("TRACE words=two hosts known"), Ok(Progress::Incomplete));
+    assert_eq!(apply("DONE"), Ok(Progress::Complete));
+    for invalid in [
         "SET_LINE sheet=1 host=10.0.0.1:80 w=NaN",
         "SET_LINE sheet=70000 host=10.0.0.1:80 w=1",
         "SET_LINE sheet=1 w=1",
@@ -59,16 +59,16 @@
         "EMPTY sheet=4",
         "DIE words=no",
     ] {
-        assert!(read(bad).is_err(), "{bad}");
+        assert!(apply(invalid).is_err(), "{invalid}");
     }
-    assert_eq!(draft.change.lines.len(), 1);
-    assert_eq!(draft.change.admission_rates.len(), 1);
-    assert_eq!(draft.timers, [(0.5, TimerId(9)), (TICK_US as f64 / 1e6, TimerId(9))]);
-    assert_eq!(draft.notes, ["two hosts known"]);
+    assert_eq!(delta.change.lines.len(), 1);
+    assert_eq!(delta.change.admission_rates.len(), 1);
+    assert_eq!(delta.timers, [(0.5, TimerId(9)), (TICK_US as f64 / 1e6, TimerId(9))]);
+    assert_eq!(delta.notes, ["two hosts known"]);
 }
 
 proptest! {
-    /// What a broken version writes is an error or an order, never a panic.
+    /// A reply line from a faulty engine is applied or gives an error, but never panics.
     #[test]
     fn arbitrary_reply_lines_do_not_panic(line in "(SET_LINE|THROTTLE|AFTER|BENCH|BARRIER|HAND_TABLE)?( [a-z_]{1,9}=[-0-9a-zA-Z.:]{0,24}){0,5}") {
         let _ = apply_line(&line, 64, &mut DeltaBuilder::default());
