--- a/crates/railhub-emulator/src/endpoint_list/server.rs
+++ b/crates/railhub-emulator/src/endpoint_list/server.rs
@@ -6,16 +6,16 @@
 use railhub_record::{EndpointPhase, EndpointStatus, EndpointsReceived, EventKind, Recorder};
 
 /// Seconds that a poll without news is held.
-const POLL_HOLD: f64 = 1.0;
+const MAX_POLL_HOLD_SECONDS: f64 = 1.0;
 /// Seconds between looks for news while a poll is held.
-const NEWS_CHECK_INTERVAL: f64 = 0.01;
+const CHANGE_CHECK_INTERVAL_SECONDS: f64 = 0.01;
 
 /// Serves one connection until it breaks or the list is unavailable.
 pub fn serve(mut stream: TcpStream, controller: u32, state: &Mutex<ListState>, recorder: &Recorder) {
     let mut buffer = Vec::new();
     while let Ok(Some(request)) = http::read_request(&mut stream, &mut buffer) {
         let after = http::query_number(&request.path, "after").unwrap_or(0);
-        let Some(page) = wait_for_news(state, after) else { return };
+        let Some(page) = wait_for_changes(state, after) else { return };
         if page.version != after {
             let received = to_event(&page, controller);
             recorder.record(now(), EventKind::EndpointsReceived(received));
@@ -27,8 +27,8 @@
 }
 
 /// The page after a version, once there are changes or the poll was held long enough; none if the list is unavailable.
-fn wait_for_news(state: &Mutex<ListState>, after: u64) -> Option<EndpointPage> {
-    let until = now() + POLL_HOLD;
+fn wait_for_changes(state: &Mutex<ListState>, after: u64) -> Option<EndpointPage> {
+    let until = now() + MAX_POLL_HOLD_SECONDS;
     loop {
         let state = state.lock().expect("no holder panics");
         if state.unavailable {
@@ -38,7 +38,7 @@
             return Some(state.page(after));
         }
         drop(state);
-        may::coroutine::sleep(seconds(NEWS_CHECK_INTERVAL));
+        may::coroutine::sleep(seconds(CHANGE_CHECK_INTERVAL_SECONDS));
     }
 }
 
--- a/crates/railhub-emulator/src/endpoint_list/versions.rs
+++ b/crates/railhub-emulator/src/endpoint_list/versions.rs
@@ -74,10 +74,11 @@
 
     /// Publishes what has changed under a new version.
     pub fn publish(&mut self) {
-        let overridden = self.overridden();
-        let vanished = self.published.values().filter(|entry| !overridden.contains_key(&entry.host));
+        let effective_endpoints = self.effective_endpoints();
+        let vanished = self.published.values().filter(|entry| !effective_endpoints.contains_key(&entry.host));
         let gone: Vec<_> = vanished.map(|entry| ListedEndpoint { phase: GONE, ..entry.clone() }).collect();
-        let changed = overridden.values().filter(|entry| self.published.get(&entry.host) != Some(entry));
+        let changed =
+            effective_endpoints.values().filter(|entry| self.published.get(&entry.host) != Some(entry));
         let changed: Vec<ListedEndpoint> = changed.cloned().chain(gone).collect();
         if !changed.is_empty() {
             self.version += 1;
@@ -85,11 +86,11 @@
             let surplus = self.changes.len().saturating_sub(MAX_CHANGES);
             self.changes.drain(..surplus);
         }
-        self.published = overridden;
+        self.published = effective_endpoints;
     }
 
     /// The endpoints with the overrides applied.
-    fn overridden(&self) -> BTreeMap<SocketAddr, ListedEndpoint> {
+    fn effective_endpoints(&self) -> BTreeMap<SocketAddr, ListedEndpoint> {
         let mut endpoints = self.endpoints.clone();
         for entry in self.overrides.values().flatten() {
             // An override that an endpoint is gone does not add one that was removed.
--- a/crates/railhub-emulator/src/fenced_routing.rs
+++ b/crates/railhub-emulator/src/fenced_routing.rs
@@ -90,12 +90,12 @@
     pub fn pick(
         &self,
         slice: u32,
-        tried: &[SocketAddr],
+        attempted_hosts: &[SocketAddr],
         policy: BalancingPolicy,
         rng: &mut impl Rng,
         outstanding: impl Fn(SocketAddr) -> usize,
     ) -> Option<SocketAddr> {
-        self.owner(slice).pick(slice, tried, policy, rng, outstanding)
+        self.owner(slice).pick(slice, attempted_hosts, policy, rng, outstanding)
     }
 }
 
--- a/crates/railhub-emulator/src/fenced_routing/tests.rs
+++ b/crates/railhub-emulator/src/fenced_routing/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_comes_under_an_older_epoch_is_left_out_alone() {
+fn skips_only_slices_with_stale_epochs() {
     let under = |epoch: u64, lines: Vec<TableLine>| {
         let slices: BTreeSet<u32> = lines.iter().map(|line| line.slice).collect();
         let epochs = slices.iter().map(|slice| SliceEpoch { slice: *slice, epoch }).collect();
--- a/crates/railhub-emulator/src/host/connections.rs
+++ b/crates/railhub-emulator/src/host/connections.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// Seconds that the connection of an unanswered health check stays open: longer than any health checker waits.
-const HEALTH_CHECK_HOLD: f64 = 3.0;
+const HEALTH_CHECK_IDLE_TIMEOUT_SECONDS: f64 = 3.0;
 
 impl Host {
     pub(super) fn accept(self: Arc<Host>, stream: TcpStream) {
@@ -26,7 +26,7 @@
     /// Serves a health check if the first byte is that of an HTTP request, else a proxy.
     fn serve(self: Arc<Host>, mut stream: TcpStream) -> io::Result<()> {
         let mut first = [0u8; 1];
-        let guard = IdleTimeout::read_half(&stream, HEALTH_CHECK_HOLD);
+        let guard = IdleTimeout::read_half(&stream, HEALTH_CHECK_IDLE_TIMEOUT_SECONDS);
         if stream.peek(&mut first)? == 0 {
             return Ok(());
         }
--- a/crates/railhub-emulator/src/host/duplicates.rs
+++ b/crates/railhub-emulator/src/host/duplicates.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// Operations that are remembered before the old ones are dropped.
-const MAX_REMEMBERED: usize = 20_000;
+const MAX_REMEMBERED_OPERATIONS: usize = 20_000;
 
 /// Operations that arrived, at all hosts or at those of a zone.
 #[derive(Default)]
@@ -23,7 +23,7 @@
             OperationIdempotency::IdempotencyKeyLocal => Some(zone),
             OperationIdempotency::Safe | OperationIdempotency::Never => return false,
         };
-        if self.first_seen.len() > MAX_REMEMBERED {
+        if self.first_seen.len() > MAX_REMEMBERED_OPERATIONS {
             self.first_seen.retain(|_, at| now - *at <= class.key_window);
         }
         let first = *self.first_seen.entry((scope, operation)).or_insert(now);
--- a/crates/railhub-emulator/src/host/execution.rs
+++ b/crates/railhub-emulator/src/host/execution.rs
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 
 /// Seconds between checks whether a paused host has resumed.
-const RESUME_CHECK_INTERVAL: f64 = 0.01;
+const RESUME_CHECK_INTERVAL_SECONDS: f64 = 0.01;
 /// Cached keys that are remembered before the old ones are dropped.
 const MAX_CACHED_KEYS: usize = 20_000;
 /// A warm-up shorter than this many seconds counts as this long.
-const MIN_WARM_UP: f64 = 1e-3;
+const MIN_WARM_UP_SECONDS: f64 = 1e-3;
 /// Fraction of its capacity that the coldest host has.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 
 /// Where a job that was received goes.
-enum Admitted {
+enum EnqueueResult {
     /// To a free core of this process.
-    Core(u64, Job),
-    Queue,
+    Started(u64, Job),
+    Queued,
     /// Nowhere: cores and queue are full.
-    Full,
+    Rejected,
 }
 
 impl Host {
@@ -32,18 +32,18 @@
             if state.running < self.config.cores {
                 state.utilization.count(state.running, now());
                 state.running += 1;
-                Admitted::Core(state.process, job)
+                EnqueueResult::Started(state.process, job)
             } else if state.queue.len() < self.config.max_queued {
                 state.queue.push_back(job);
-                Admitted::Queue
+                EnqueueResult::Queued
             } else {
-                Admitted::Full
+                EnqueueResult::Rejected
             }
         });
         match admitted {
-            Admitted::Core(process, job) => _ = spawn(move || self.run_core(process, job)),
-            Admitted::Queue => {}
-            Admitted::Full => {
+            EnqueueResult::Started(process, job) => _ = spawn(move || self.run_core(process, job)),
+            EnqueueResult::Queued => {}
+            EnqueueResult::Rejected => {
                 let outcome = AttemptOutcome::Refused.into();
                 let response = Response { attempt_id, outcome, utilization: Some(1.0) };
                 send(&writer, from_host::Payload::Response(response));
@@ -118,7 +118,7 @@
             if !alive || !paused {
                 return alive;
             }
-            may::coroutine::sleep(seconds(RESUME_CHECK_INTERVAL));
+            may::coroutine::sleep(seconds(RESUME_CHECK_INTERVAL_SECONDS));
         }
     }
 
@@ -127,7 +127,7 @@
             return 1.0;
         }
         let cold = self.config.cold_capacity_fraction;
-        let progress = (at - state.started_at) / self.config.warm_up_time.max(MIN_WARM_UP);
+        let progress = (at - state.started_at) / self.config.warm_up_time.max(MIN_WARM_UP_SECONDS);
         (cold + (1.0 - cold) * progress).clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 
--- a/crates/railhub-emulator/src/host/utilization.rs
+++ b/crates/railhub-emulator/src/host/utilization.rs
@@ -6,7 +6,7 @@
     /// Core seconds are counted up to this time, in seconds.
     counted_to: f64,
     /// Core seconds in use since the interval began.
-    busy: f64,
+    busy_core_seconds: f64,
     interval_start: f64,
     last: Option<f64>,
 }
@@ -19,7 +19,7 @@
 
     /// Counts the time up to `at`, with `running` cores in use.
     pub fn count(&mut self, running: usize, at: f64) {
-        self.busy += (at - self.counted_to).max(0.0) * running as f64;
+        self.busy_core_seconds += (at - self.counted_to).max(0.0) * running as f64;
         self.counted_to = at;
     }
 
@@ -27,8 +27,9 @@
     pub fn sample(&mut self, running: usize, cores: usize, interval: f64, at: f64) -> Option<f64> {
         if interval > 0.0 && at - self.interval_start >= interval {
             self.count(running, at);
-            self.last = Some((self.busy / (cores as f64 * (at - self.interval_start))).clamp(0.0, 1.0));
-            (self.busy, self.interval_start) = (0.0, at);
+            self.last =
+                Some((self.busy_core_seconds / (cores as f64 * (at - self.interval_start))).clamp(0.0, 1.0));
+            (self.busy_core_seconds, self.interval_start) = (0.0, at);
         }
         self.last
     }
--- a/crates/railhub-emulator/src/host_connection.rs
+++ b/crates/railhub-emulator/src/host_connection.rs
@@ -63,7 +63,7 @@
     open: Mutex<OpenConnection>,
     /// Attempts without a result, and the connection that each was sent on.
     pending: Mutex<BTreeMap<u64, (u64, Arc<PendingAttempt>)>>,
-    last_attempt: AtomicU64,
+    last_attempt_id: AtomicU64,
     outstanding: AtomicUsize,
 }
 
@@ -76,7 +76,7 @@
             connect_timeout,
             open: Mutex::default(),
             pending: Mutex::default(),
-            last_attempt: AtomicU64::new(0),
+            last_attempt_id: AtomicU64::new(0),
             outstanding: AtomicUsize::new(0),
         }
     }
@@ -106,8 +106,8 @@
         timeout: f64,
         on_send: impl FnOnce(),
     ) -> AttemptResult {
-        let Some((connection, writer)) = self.connected() else { return AttemptResult::Unreachable };
-        let attempt_id = self.last_attempt.fetch_add(1, Ordering::Relaxed) + 1;
+        let Some((connection, writer)) = self.open_connection() else { return AttemptResult::Unreachable };
+        let attempt_id = self.last_attempt_id.fetch_add(1, Ordering::Relaxed) + 1;
         let pending = Arc::new(PendingAttempt::default());
         self.pending.lock().expect("no holder panics").insert(attempt_id, (connection, pending.clone()));
         on_send();
@@ -132,7 +132,7 @@
     }
 
     /// The open connection's number and writer; connects if there is none.
-    fn connected(self: &Arc<HostConnection>) -> Option<(u64, SharedWriter)> {
+    fn open_connection(self: &Arc<HostConnection>) -> Option<(u64, SharedWriter)> {
         let mut open = self.open.lock().expect("no holder panics");
         if let Some(writer) = &open.writer {
             return Some((open.number, writer.clone()));
--- a/crates/railhub-emulator/src/proxy/controller_streams.rs
+++ b/crates/railhub-emulator/src/proxy/controller_streams.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 
 /// Seconds between checks whether a controller is there.
-const CONTROLLER_CHECK_INTERVAL: f64 = 0.02;
+const CONTROLLER_CHECK_INTERVAL_SECONDS: f64 = 0.02;
 /// Seconds to connect to a controller.
-const CONNECT_TIMEOUT: f64 = 1.0;
+const CONNECT_TIMEOUT_SECONDS: f64 = 1.0;
 /// Seconds that a stream must last for the next connection to be made without backoff.
-const MIN_STREAM_DURATION: f64 = 0.5;
+const MIN_STREAM_DURATION_SECONDS: f64 = 0.5;
 /// Failures in a row after which the backoff no longer doubles.
 const MAX_BACKOFF_FAILURES: u32 = 3;
 
@@ -62,16 +62,16 @@
         loop {
             let address = self.environment.controllers.lock().expect("no holder panics")[controller];
             let Some(address) = address else {
-                may::coroutine::sleep(seconds(CONTROLLER_CHECK_INTERVAL));
+                may::coroutine::sleep(seconds(CONTROLLER_CHECK_INTERVAL_SECONDS));
                 continue;
             };
             let connected_at = now();
-            if let Ok(stream) = connect(address, seconds(CONNECT_TIMEOUT)) {
+            if let Ok(stream) = connect(address, seconds(CONNECT_TIMEOUT_SECONDS)) {
                 if let Ok((reader, writer)) = split_framed(stream, MAX_FROM_CONTROLLER_BYTES) {
                     self.run_stream(controller, reader, writer, process);
                 }
             }
-            let failed = now() - connected_at < MIN_STREAM_DURATION;
+            let failed = now() - connected_at < MIN_STREAM_DURATION_SECONDS;
             failures = if failed { (failures + 1).min(MAX_BACKOFF_FAILURES) } else { 0 };
             let backoff_factor = f64::from(1 << failures.saturating_sub(1));
             let delay = self.random() * self.config.max_reconnect_delay * backoff_factor;
--- a/crates/railhub-emulator/src/proxy/requests.rs
+++ b/crates/railhub-emulator/src/proxy/requests.rs
@@ -14,7 +14,7 @@
 /// Attempts for one request.
 const MAX_ATTEMPTS: usize = 2;
 /// Seconds between looks for a usable host while an operation waits for one.
-const HOST_CHECK_INTERVAL: f64 = 0.005;
+const HOST_CHECK_INTERVAL_SECONDS: f64 = 0.005;
 /// Fraction of the contract time that must be left for a retry.
 const MIN_RETRY_TIME_FRACTION: f64 = 0.1;
 
@@ -38,15 +38,15 @@
 
     fn make_attempts(&self, request: &ProxyRequest, deadline: f64, retry: RetryCondition) -> ProxyOutcome {
         let operation = &request.operation;
-        let mut tried = Vec::new();
+        let mut attempted_hosts = Vec::new();
         let mut outcome = ProxyOutcome::Rejected;
-        while tried.len() < MAX_ATTEMPTS {
-            let Some(host) = self.pick(operation, &tried, deadline) else { return outcome };
-            tried.push(host);
-            let Some(timeout) = self.attempt_timeout(operation, &tried, deadline, retry) else {
+        while attempted_hosts.len() < MAX_ATTEMPTS {
+            let Some(host) = self.pick(operation, &attempted_hosts, deadline) else { return outcome };
+            attempted_hosts.push(host);
+            let Some(timeout) = self.attempt_timeout(operation, &attempted_hosts, deadline, retry) else {
                 return outcome;
             };
-            let result = self.attempt(request, host, tried.len() as u32, timeout);
+            let result = self.attempt(request, host, attempted_hosts.len() as u32, timeout);
             let retries_blindly = self.retries_blindly(operation);
             if matches!(result, AttemptResult::Completed(_)) && !retries_blindly {
                 return ProxyOutcome::Completed;
@@ -66,23 +66,23 @@
         outcome
     }
 
-    /// Seconds for the attempt at the last of the tried hosts; none if too little time is left for it.
+    /// Seconds for the attempt at the last of the attempted hosts; none if too little time is left for it.
     fn attempt_timeout(
         &self,
         operation: &PlannedOperation,
-        tried: &[SocketAddr],
+        attempted_hosts: &[SocketAddr],
         deadline: f64,
         retry: RetryCondition,
     ) -> Option<f64> {
         let contract_time = self.environment.classes[operation.class as usize].contract_time;
         let left = deadline - now();
-        let too_late_for_retry = tried.len() > 1 && left < MIN_RETRY_TIME_FRACTION * contract_time;
+        let too_late_for_retry = attempted_hosts.len() > 1 && left < MIN_RETRY_TIME_FRACTION * contract_time;
         if left <= 0.0 || too_late_for_retry {
             return None;
         }
-        let retry_can_follow = tried.len() < MAX_ATTEMPTS
+        let retry_can_follow = attempted_hosts.len() < MAX_ATTEMPTS
             && retry == RetryCondition::AfterFailure
-            && self.has_other_host(operation, tried);
+            && self.has_other_host(operation, attempted_hosts);
         if retry_can_follow {
             Some(left.min(self.config.first_attempt_timeout_fraction * contract_time))
         } else {
@@ -90,33 +90,38 @@
         }
     }
 
-    fn has_other_host(&self, operation: &PlannedOperation, tried: &[SocketAddr]) -> bool {
+    fn has_other_host(&self, operation: &PlannedOperation, attempted_hosts: &[SocketAddr]) -> bool {
         let routing = self.routing.lock().expect("no holder panics");
         let mut rng = ChaCha8Rng::seed_from_u64(0);
-        routing.pick(operation.slice, tried, BalancingPolicy::Weighted, &mut rng, |_| 0).is_some()
+        routing.pick(operation.slice, attempted_hosts, BalancingPolicy::Weighted, &mut rng, |_| 0).is_some()
     }
 
     /// Picks a host. The first attempt waits a little if there is none.
-    fn pick(&self, operation: &PlannedOperation, tried: &[SocketAddr], deadline: f64) -> Option<SocketAddr> {
-        if let Some(host) = self.sabotaged_host(operation).filter(|host| !tried.contains(host)) {
+    fn pick(
+        &self,
+        operation: &PlannedOperation,
+        attempted_hosts: &[SocketAddr],
+        deadline: f64,
+    ) -> Option<SocketAddr> {
+        if let Some(host) = self.sabotaged_host(operation).filter(|host| !attempted_hosts.contains(host)) {
             return Some(host);
         }
         let give_up_at = deadline.min(now() + self.config.no_host_timeout);
         loop {
-            let host = self.pick_by_policy(operation.slice, tried);
-            if host.is_some() || !tried.is_empty() || now() >= give_up_at {
+            let host = self.pick_by_policy(operation.slice, attempted_hosts);
+            if host.is_some() || !attempted_hosts.is_empty() || now() >= give_up_at {
                 return host;
             }
-            may::coroutine::sleep(seconds(HOST_CHECK_INTERVAL));
+            may::coroutine::sleep(seconds(HOST_CHECK_INTERVAL_SECONDS));
         }
     }
 
-    fn pick_by_policy(&self, slice: u32, tried: &[SocketAddr]) -> Option<SocketAddr> {
+    fn pick_by_policy(&self, slice: u32, attempted_hosts: &[SocketAddr]) -> Option<SocketAddr> {
         let routing = self.routing.lock().expect("no holder panics");
         let hosts = self.hosts.lock().expect("no holder panics");
         let outstanding = |host| hosts.get(&host).map_or(0, |connection| connection.outstanding());
         let mut rng = self.rng.lock().expect("no holder panics");
-        routing.pick(slice, tried, self.config.policy, &mut *rng, outstanding)
+        routing.pick(slice, attempted_hosts, self.config.policy, &mut *rng, outstanding)
     }
 
     /// Makes one attempt and records its end.
--- a/crates/railhub-emulator/src/routing.rs
+++ b/crates/railhub-emulator/src/routing.rs
@@ -134,14 +134,15 @@
     pub fn pick(
         &self,
         slice: u32,
-        tried: &[SocketAddr],
+        attempted_hosts: &[SocketAddr],
         policy: BalancingPolicy,
         rng: &mut impl Rng,
         outstanding: impl Fn(SocketAddr) -> usize,
     ) -> Option<SocketAddr> {
         let table = self.tables.get(&self.assigned_table.unwrap_or(slice))?;
-        let is_usable =
-            |line: &&(SocketAddr, f64)| !self.excluded.contains(&line.0) && !tried.contains(&line.0);
+        let is_usable = |line: &&(SocketAddr, f64)| {
+            !self.excluded.contains(&line.0) && !attempted_hosts.contains(&line.0)
+        };
         let usable: Table = table.iter().filter(is_usable).copied().collect();
         let first = draw_by_weight(&usable, rng)?;
         match policy {
--- a/crates/railhub-emulator/src/routing/tests.rs
+++ b/crates/railhub-emulator/src/routing/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_delta_with_one_bad_line_changes_nothing() {
+fn delta_with_invalid_line_changes_nothing() {
     let mut state = RoutingState::default();
     let good = Delta { version: 1, lines: vec![line(1, 1.0)], ..Delta::default() };
     state.apply(&good).expect("good");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn picks_go_by_weight_and_never_to_a_host_that_is_shut_out() {
+fn picks_by_weight_and_never_an_excluded_host() {
     let mut state = RoutingState::default();
     let lines = vec![line(1, 3.0), line(2, 1.0), line(3, 9.0)];
     let exclusions = vec![HostExclusion { host: host(3).to_string(), excluded: true }];
--- a/crates/railhub-emulator/src/store.rs
+++ b/crates/railhub-emulator/src/store.rs
@@ -20,7 +20,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Seconds of the longest lease that a store opened by [`Store::open`] grants.
-const DEFAULT_MAX_LEASE: f64 = 10.0;
+const DEFAULT_MAX_LEASE_SECONDS: f64 = 10.0;
 
 /// A store that listens; it ends when this is dropped.
 pub struct Store {
@@ -36,7 +36,7 @@
     /// # Errors
     /// If it cannot listen.
     pub fn open(tables: BTreeMap<u32, Table>) -> io::Result<Store> {
-        Store::open_with(tables, DEFAULT_MAX_LEASE, None, StoreFaults::default())
+        Store::open_with(tables, DEFAULT_MAX_LEASE_SECONDS, None, StoreFaults::default())
     }
 
     /// Opens a store with tables in place that grants leases of `max_lease` seconds at the most, records its grants
--- a/crates/railhub-emulator/src/store/shared.rs
+++ b/crates/railhub-emulator/src/store/shared.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 /// Seconds between copies of the store's contents.
-const COPY_INTERVAL: f64 = 0.5;
+const COPY_INTERVAL_SECONDS: f64 = 0.5;
 /// Copies that are kept.
 const MAX_COPIES: usize = 128;
 
@@ -44,7 +44,7 @@
 
     fn copy_when_due(&self, contents: &StoreContents) {
         let mut copies = self.copies.lock().expect("no holder panics");
-        if copies.back().is_none_or(|(at, _)| now() - at >= COPY_INTERVAL) {
+        if copies.back().is_none_or(|(at, _)| now() - at >= COPY_INTERVAL_SECONDS) {
             copies.push_back((now(), contents.clone()));
             if copies.len() > MAX_COPIES {
                 copies.pop_front();
@@ -56,7 +56,7 @@
     pub fn write(&self, tables: Vec<StoredTable>) -> Vec<u32> {
         let mut contents = self.contents.lock().expect("no holder panics");
         self.copy_when_due(&contents);
-        let mut refused = Vec::new();
+        let mut rejected_slices = Vec::new();
         for table in tables {
             let (slice, epoch) = (table.slice, table.epoch);
             let written = contents.write(now(), table);
@@ -64,11 +64,11 @@
                 self.record(EventKind::TableWrite(TableWrite { slice, epoch, written }));
             }
             if !written {
-                refused.push(slice);
+                rejected_slices.push(slice);
             }
         }
         self.writes.fetch_add(1, Ordering::Relaxed);
-        refused
+        rejected_slices
     }
 
     pub fn lease(&self, request: &LeaseRequest) -> LeaseReply {
--- a/crates/railhub-emulator/src/zone_links.rs
+++ b/crates/railhub-emulator/src/zone_links.rs
@@ -17,7 +17,7 @@
 }
 
 impl DegradedLink {
-    fn joins(&self, a: u32, b: u32) -> bool {
+    fn connects(&self, a: u32, b: u32) -> bool {
         let other_end_is = |zone| self.other.is_none_or(|end| end == zone);
         a != b && (self.zone == a && other_end_is(b) || self.zone == b && other_end_is(a))
     }
@@ -63,7 +63,7 @@
     pub fn condition(&self, a: u32, b: u32) -> LinkCondition {
         let degraded = self.degraded.lock().expect("no holder panics");
         let mut condition = LinkCondition::default();
-        for link in degraded.values().filter(|link| link.joins(a, b)) {
+        for link in degraded.values().filter(|link| link.connects(a, b)) {
             condition.delay += link.delay;
             condition.loss = f64::max(condition.loss, link.loss);
         }
