--- a/crates/railhub-emulator/src/client.rs
+++ b/crates/railhub-emulator/src/client.rs
@@ -1,22 +1,23 @@
-//! A client: sends an operation to its proxy, retries as the operation's class allows, and gives up at the hard stop.
+//! An emulated client: sends an operation to its proxy, retries if the operation's class allows it, and gives up at the
+//! hard stop of the class.
 use crate::operation::{OperationClass, PlannedOperation};
 use crate::proxy::{Proxy, ProxyOutcome, ProxyRequest};
 use railhub_net::{now, seconds};
 use railhub_record::{EventKind, OperationEnd, OperationIdempotency, Outcome, Recorder};
 use std::sync::Arc;
 
-/// How clients behave.
+/// Time-outs and retries of the clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConfig {
-    /// Requests after the first.
+    /// Maximum number of requests after the first.
     pub max_retries: u32,
     /// A request times out after this fraction of the hard stop.
     pub request_timeout_fraction: f64,
-    /// Seconds before the first retry; grows by as much with each further one.
+    /// Seconds before the first retry; the delay increases by this amount with each further retry.
     pub retry_backoff: f64,
 }
 
-/// Runs one operation from its first request to its end, and records the end.
+/// Runs one operation from its first request until it completes or the client gives up, and records the outcome.
 pub fn run(
     operation: PlannedOperation,
     config: ClientConfig,
@@ -24,21 +25,21 @@
     proxy: &Arc<Proxy>,
     recorder: &Recorder,
 ) {
-    let began = now();
+    let began_at = now();
     let (mut requests, mut outcome) = (0, Outcome::GaveUp);
     let extra_requests = u32::from(operation.extra_retry);
     while requests <= config.max_retries + extra_requests {
         let max_timeout =
             class.hard_stop * config.request_timeout_fraction.min(operation.max_request_timeout_fraction);
-        let timeout = (began + class.hard_stop - now()).min(max_timeout);
+        let timeout = (began_at + class.hard_stop - now()).min(max_timeout);
         if timeout <= 0.0 {
             break;
         }
         requests += 1;
         let end = proxy.handle(ProxyRequest { operation, request: requests, timeout });
-        outcome = client_outcome(end, now() - began, class);
+        outcome = client_outcome(end, now() - began_at, class);
         let may_retry = end == ProxyOutcome::Rejected
-            || end == ProxyOutcome::Failed && may_retry_failure(class, now() - began);
+            || end == ProxyOutcome::Failed && may_retry_failure(class, now() - began_at);
         if !may_retry {
             break;
         }
@@ -49,7 +50,7 @@
         class: operation.class,
         slice: operation.slice,
         zone: proxy.config.zone,
-        began,
+        began: began_at,
         outcome: outcome.into(),
         requests,
         key: operation.key,
@@ -68,6 +69,7 @@
     }
 }
 
+/// Whether the client may retry a request that failed and so may have taken effect.
 fn may_retry_failure(class: &OperationClass, elapsed: f64) -> bool {
     match class.idempotency {
         OperationIdempotency::Safe => true,
--- a/crates/railhub-emulator/src/endpoint_list.rs
+++ b/crates/railhub-emulator/src/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! The endpoint list: served over HTTP by long polling, and able to be late, wrong or unavailable.
+//! The emulated endpoint list. It is served over HTTP by long polling and can be late, wrong or unavailable.
 //!
-//! It has the true endpoints, overrides that a scenario injects, and the published endpoints that result; each change
-//! of these raises the version. A poller that is too far behind gets the complete list.
+//! The list holds the true endpoints, the overrides that a scenario injects, and the published endpoints that result
+//! from both. Each change of the published endpoints increments the version. A poller gets the changes since its version,
+//! or the complete list if it is too far behind.
 mod server;
 mod versions;
 
@@ -15,9 +16,9 @@
 use std::sync::Arc;
 use versions::ListState;
 
-/// The endpoint list and its listeners.
+/// An endpoint list and its listeners.
 pub struct EndpointList {
-    /// Where the first controller polls it.
+    /// Address at which controller 0 polls the list.
     pub address: SocketAddr,
     state: Arc<Mutex<ListState>>,
     recorder: Recorder,
@@ -28,7 +29,7 @@
     /// Opens an empty list with a listener for controller 0.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the listener cannot be opened.
     pub fn open(recorder: Recorder) -> io::Result<EndpointList> {
         let mut list = EndpointList {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -40,10 +41,11 @@
         Ok(list)
     }
 
-    /// Opens a listener for one of several controllers, so that the recording has which of them was answered.
+    /// Opens a separate listener for one of several controllers, so that the recording shows which controller received a
+    /// page.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the listener cannot be opened.
     ///
     /// # Panics
     /// If a holder of the list panicked.
@@ -58,13 +60,14 @@
         Ok(address)
     }
 
-    fn change(&self, act: impl FnOnce(&mut ListState)) {
+    /// Changes the state and publishes the result.
+    fn change(&self, change: impl FnOnce(&mut ListState)) {
         let mut state = self.state.lock().expect("no holder panics");
-        act(&mut state);
+        change(&mut state);
         state.publish();
     }
 
-    /// Updates endpoints after a delay in seconds.
+    /// Updates endpoints after a delay in seconds; see [`EndpointList::update`].
     ///
     /// # Panics
     /// If a holder of the list panicked.
@@ -81,22 +84,23 @@
         });
     }
 
-    /// Updates endpoints; one whose phase is [`GONE`] is removed.
+    /// Adds or replaces endpoints; an endpoint whose phase is [`GONE`] is removed.
     pub fn update(&self, entries: Vec<ListedEndpoint>) {
         self.change(|state| state.update(entries));
     }
 
-    /// Sets the override of a fault's number: published in place of the true endpoints, until it is set to none.
+    /// Sets the override of the fault with this number, or ends it if `entries` is `None`. The entries of an override are
+    /// published in place of the true ones.
     pub fn set_override(&self, fault: u64, entries: Option<Vec<ListedEndpoint>>) {
         self.change(|state| state.set_override(fault, entries));
     }
 
-    /// While it is unavailable it closes connections without a response.
+    /// Makes the list unavailable or available again. An unavailable list closes connections without a response.
     pub fn set_unavailable(&self, unavailable: bool) {
         self.change(|state| state.unavailable = unavailable);
     }
 
-    /// The true endpoints.
+    /// The true endpoints, without overrides.
     ///
     /// # Panics
     /// If a holder of the list panicked.
--- a/crates/railhub-emulator/src/endpoint_list/server.rs
+++ b/crates/railhub-emulator/src/endpoint_list/server.rs
@@ -1,13 +1,14 @@
-//! Serves the endpoint list over HTTP: a poll without news is held for a while.
+//! Serves the endpoint list over HTTP by long polling: the response to a poll is held back until there are changes, for a
+//! limited time.
 use super::versions::{EndpointPage, ListState, DRAINING, GONE};
 use may::net::TcpStream;
 use may::sync::Mutex;
 use railhub_net::{http, now, seconds};
 use railhub_record::{EndpointPhase, EndpointStatus, EndpointsReceived, EventKind, Recorder};
 
-/// Seconds that a poll without news is held.
+/// Seconds for which a poll is held while there are no changes.
 const MAX_POLL_HOLD_SECONDS: f64 = 1.0;
-/// Seconds between looks for news while a poll is held.
+/// Seconds between checks for changes while a poll is held.
 const CHANGE_CHECK_INTERVAL_SECONDS: f64 = 0.01;
 
 /// Serves one connection until it breaks or the list is unavailable.
@@ -26,15 +27,16 @@
     }
 }
 
-/// The page after a version, once there are changes or the poll was held long enough; none if the list is unavailable.
+/// Returns the page after a version as soon as there are changes, or after [`MAX_POLL_HOLD_SECONDS`] without any; `None`
+/// if the list is unavailable.
 fn wait_for_changes(state: &Mutex<ListState>, after: u64) -> Option<EndpointPage> {
-    let until = now() + MAX_POLL_HOLD_SECONDS;
+    let deadline = now() + MAX_POLL_HOLD_SECONDS;
     loop {
         let state = state.lock().expect("no holder panics");
         if state.unavailable {
             return None;
         }
-        if state.version != after || now() >= until {
+        if state.version != after || now() >= deadline {
             return Some(state.page(after));
         }
         drop(state);
@@ -42,6 +44,7 @@
     }
 }
 
+/// The page as the event that is recorded.
 fn to_event(page: &EndpointPage, controller: u32) -> EndpointsReceived {
     let entries = page.hosts.iter().map(|entry| EndpointStatus {
         host: entry.host.to_string(),
--- a/crates/railhub-emulator/src/endpoint_list/versions.rs
+++ b/crates/railhub-emulator/src/endpoint_list/versions.rs
@@ -1,34 +1,34 @@
-//! The endpoints and their versions. Plain functions over plain state.
+//! The endpoints of the list and their versions, without I/O or locks.
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Changes that are kept; a poller that is further behind gets the complete list.
+/// Maximum number of changes that are kept. A poller that is further behind gets the complete list.
 const MAX_CHANGES: usize = 1000;
 
-/// The phase of an endpoint that takes operations.
+/// Phase of an endpoint that accepts operations.
 pub const READY: &str = "ready";
-/// The phase of an endpoint that takes no new operations.
+/// Phase of an endpoint that accepts no new operations.
 pub const DRAINING: &str = "draining";
-/// The phase of an endpoint that is no longer there.
+/// Phase of an endpoint that has been removed.
 pub const GONE: &str = "gone";
 
-/// One host's entry.
+/// A host's entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ListedEndpoint {
-    /// Its address.
+    /// Address of the host.
     pub host: SocketAddr,
-    /// Its phase: [`READY`], [`DRAINING`] or [`GONE`].
+    /// Phase of the host: [`READY`], [`DRAINING`] or [`GONE`].
     pub phase: &'static str,
-    /// When its process started, in seconds, if the list has it.
+    /// When the host's process started, in seconds, if the list has this.
     pub started: Option<f64>,
-    /// Its weight.
+    /// Weight of the host.
     pub weight: f64,
-    /// Its kind's number.
+    /// Number of the host's kind.
     pub kind: u16,
 }
 
-/// A response to a poll.
+/// The response to a poll.
 #[derive(Serialize)]
 pub struct EndpointPage {
     pub version: u64,
@@ -37,14 +37,14 @@
     pub hosts: Vec<ListedEndpoint>,
 }
 
-/// The endpoints, and what is published of them.
+/// The true endpoints, the overrides, and the published endpoints with their latest changes.
 #[derive(Default)]
 pub struct ListState {
     endpoints: BTreeMap<SocketAddr, ListedEndpoint>,
-    /// By the fault's number.
+    /// Injected entries, by the number of the fault.
     overrides: BTreeMap<u64, Vec<ListedEndpoint>>,
     published: BTreeMap<SocketAddr, ListedEndpoint>,
-    /// The latest changes and the versions that they came with.
+    /// The latest changes, each with the version that published it.
     changes: Vec<(u64, ListedEndpoint)>,
     pub version: u64,
     pub unavailable: bool,
@@ -72,13 +72,12 @@
         self.endpoints.values().cloned().collect()
     }
 
-    /// Publishes what has changed under a new version.
+    /// Publishes the current endpoints, under a new version if anything has changed.
     pub fn publish(&mut self) {
-        let effective_endpoints = self.effective_endpoints();
-        let vanished = self.published.values().filter(|entry| !effective_endpoints.contains_key(&entry.host));
-        let gone: Vec<_> = vanished.map(|entry| ListedEndpoint { phase: GONE, ..entry.clone() }).collect();
-        let changed =
-            effective_endpoints.values().filter(|entry| self.published.get(&entry.host) != Some(entry));
+        let effective = self.effective_endpoints();
+        let removed = self.published.values().filter(|entry| !effective.contains_key(&entry.host));
+        let gone: Vec<_> = removed.map(|entry| ListedEndpoint { phase: GONE, ..entry.clone() }).collect();
+        let changed = effective.values().filter(|entry| self.published.get(&entry.host) != Some(entry));
         let changed: Vec<ListedEndpoint> = changed.cloned().chain(gone).collect();
         if !changed.is_empty() {
             self.version += 1;
@@ -86,14 +85,14 @@
             let surplus = self.changes.len().saturating_sub(MAX_CHANGES);
             self.changes.drain(..surplus);
         }
-        self.published = effective_endpoints;
+        self.published = effective;
     }
 
     /// The endpoints with the overrides applied.
     fn effective_endpoints(&self) -> BTreeMap<SocketAddr, ListedEndpoint> {
         let mut endpoints = self.endpoints.clone();
         for entry in self.overrides.values().flatten() {
-            // An override that an endpoint is gone does not add one that was removed.
+            // An override with the phase `GONE` does not add an endpoint that has been removed.
             if entry.phase != GONE || endpoints.contains_key(&entry.host) {
                 endpoints.insert(entry.host, entry.clone());
             }
@@ -101,16 +100,16 @@
         endpoints
     }
 
-    /// The changes after a version, or the complete list if they are not all kept.
+    /// The changes after a version, or the complete list if some of these changes are no longer kept.
     pub fn page(&self, after: u64) -> EndpointPage {
         let oldest = self.changes.first();
-        let has_changes = oldest.is_some_and(|(version, _)| *version <= after + 1) && after > 0;
-        let hosts = if has_changes {
+        let has_all_changes = oldest.is_some_and(|(version, _)| *version <= after + 1) && after > 0;
+        let hosts = if has_all_changes {
             let newer = self.changes.iter().filter(|(version, _)| *version > after);
             newer.map(|(_, entry)| entry.clone()).collect()
         } else {
             self.published.values().filter(|entry| entry.phase != GONE).cloned().collect()
         };
-        EndpointPage { version: self.version, complete: !has_changes, hosts }
+        EndpointPage { version: self.version, complete: !has_all_changes, hosts }
     }
 }
--- a/crates/railhub-emulator/src/fenced_routing.rs
+++ b/crates/railhub-emulator/src/fenced_routing.rs
@@ -1,56 +1,58 @@
-//! What a proxy was sent by several controllers, fenced by epochs: a slice is routed by the controller whose epoch is
-//! the newest that the proxy accepted.
+//! The routing state that a proxy has received from several controllers, fenced by epochs: each slice is routed with the
+//! state of its owner, the controller that sent the newest accepted epoch of the slice.
 use crate::routing::{Admission, BalancingPolicy, DeltaError, RoutingState, Table};
 use railhub_proto::Delta;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The state of each controller, and the owner of each slice. Admission and exclusions are those of the owner of the
-/// operation's slice.
+/// The routing state received from each controller, and the owner of each slice. The admission and the exclusions that
+/// apply to an operation are those of the owner of its slice.
 #[derive(Clone, Debug, Default)]
 pub struct FencedRouting {
     controllers: Vec<RoutingState>,
-    /// The newest accepted epoch of a slice, and the controller's number.
+    /// The newest accepted epoch of each slice, and the number of the controller that sent it.
     owners: BTreeMap<u32, (u64, usize)>,
 }
 
 impl FencedRouting {
-    /// Starts with tables in place, which count as the first controller's.
+    /// Creates a state with initial tables, which belong to controller 0.
     pub fn with_tables(tables: BTreeMap<u32, Table>, controllers: usize) -> FencedRouting {
         let mut states = vec![RoutingState::default(); controllers.max(1)];
         states[0] = RoutingState::with_tables(tables);
         FencedRouting { controllers: states, owners: BTreeMap::new() }
     }
 
-    /// The state that a controller sent.
+    /// The routing state received from a controller.
     ///
     /// # Panics
-    /// If there is no controller of this number.
+    /// If there is no controller with this number.
     pub fn controller(&self, number: usize) -> &RoutingState {
         &self.controllers[number]
     }
 
-    /// The state that a controller sent.
+    /// The routing state received from a controller, mutable.
     ///
     /// # Panics
-    /// If there is no controller of this number.
+    /// If there is no controller with this number.
     pub fn controller_mut(&mut self, number: usize) -> &mut RoutingState {
         &mut self.controllers[number]
     }
 
+    /// The routing state of a slice's owner; controller 0 owns a slice until an epoch of it is accepted.
     fn owner(&self, slice: u32) -> &RoutingState {
         &self.controllers[self.owners.get(&slice).map_or(0, |owner| owner.1)]
     }
 
-    /// Applies all of a delta except for its stale slices, for which a newer epoch was accepted, and returns these; on
-    /// an error applies nothing. Without `fenced` no slice is stale.
+    /// Applies a delta, except for the lines and clearings of its stale slices, and returns the stale slices. A slice is
+    /// stale if a newer epoch of it, or the same epoch from another controller, was accepted before. On an error, nothing
+    /// is applied. If `fenced` is false, no slice is stale.
     ///
     /// # Errors
     /// The first part of the delta that is invalid.
     ///
     /// # Panics
-    /// If there is no controller of this number.
+    /// If there is no controller with this number.
     pub fn apply(&mut self, controller: usize, delta: &Delta, fenced: bool) -> Result<Vec<u32>, DeltaError> {
         let epochs: BTreeMap<u32, u64> =
             delta.epochs.iter().map(|assignment| (assignment.slice, assignment.epoch)).collect();
@@ -58,10 +60,10 @@
         if stale.is_empty() {
             self.controllers[controller].apply(delta)?;
         } else {
-            let mut current = delta.clone();
-            current.lines.retain(|line| !stale.contains(&line.slice));
-            current.cleared.retain(|slice| !stale.contains(slice));
-            self.controllers[controller].apply(&current)?;
+            let mut current_part = delta.clone();
+            current_part.lines.retain(|line| !stale.contains(&line.slice));
+            current_part.cleared.retain(|slice| !stale.contains(slice));
+            self.controllers[controller].apply(&current_part)?;
         }
         for (slice, epoch) in epochs {
             if !stale.contains(&slice) {
@@ -71,22 +73,22 @@
         Ok(stale.into_iter().collect())
     }
 
-    /// The slices with lines or clearings in a delta that are stale.
+    /// The stale slices among those that have lines or clearings in a delta.
     fn stale_slices(&self, controller: usize, delta: &Delta, epochs: &BTreeMap<u32, u64>) -> BTreeSet<u32> {
-        let named = delta.lines.iter().map(|line| line.slice).chain(delta.cleared.iter().copied());
+        let updated_slices = delta.lines.iter().map(|line| line.slice).chain(delta.cleared.iter().copied());
         let is_stale = |slice: &u32| {
             let epoch = epochs.get(slice).copied().unwrap_or(0);
             self.owners.get(slice).is_some_and(|owner| (epoch, controller) != *owner && epoch <= owner.0)
         };
-        named.filter(is_stale).collect()
+        updated_slices.filter(is_stale).collect()
     }
 
-    /// The admission of a class by the owner of a slice.
+    /// The admission that the owner of a slice has set for a class.
     pub fn admission(&self, slice: u32, class: u32) -> Admission {
         self.owner(slice).admission(class)
     }
 
-    /// As [`RoutingState::pick`], by the owner of the slice.
+    /// Picks a host with [`RoutingState::pick`] from the state of the slice's owner.
     pub fn pick(
         &self,
         slice: u32,
--- a/crates/railhub-emulator/src/host.rs
+++ b/crates/railhub-emulator/src/host.rs
@@ -1,7 +1,8 @@
-//! An emulated host: cores, a queue, a slow start, and the faults that a scenario injects.
+//! An emulated host with a number of cores, a queue, reduced capacity after a cold start, and the faults that a scenario
+//! injects.
 //!
-//! Its process is down, cold or warm; it is started and killed by the scenario. Each start is a new process, and what
-//! an earlier one had in hand is lost.
+//! The host's process is down, cold or warm; the scenario starts and kills it. Each start is a new process, and the
+//! operations that an earlier process had queued or running are lost.
 mod connections;
 mod duplicates;
 mod execution;
@@ -22,40 +23,40 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
 
-/// What a host is. Times in seconds.
+/// Configuration of a host.
 #[derive(Clone, Debug)]
 pub struct HostConfig {
-    /// Its zone's number.
+    /// Number of the host's zone.
     pub zone: u32,
-    /// Its kind's number.
+    /// Number of the host's kind.
     pub kind: u16,
-    /// Operations that it works on at a time.
+    /// Number of cores; each executes one operation at a time.
     pub cores: usize,
-    /// Core seconds at speed 1 that a core does in a second.
+    /// Speed of a core: the work, in core seconds at speed 1, that it does per second.
     pub speed: f64,
-    /// Operations that may wait for a core; further ones are rejected.
+    /// Maximum number of operations that wait for a core; further operations are rejected.
     pub max_queued: usize,
-    /// Fraction of its capacity that it has when it starts cold.
+    /// Fraction of its capacity that the host has right after a cold start.
     pub cold_capacity_fraction: f64,
-    /// Seconds from a cold start until it has all of its capacity.
+    /// Seconds from a cold start until the host has its full capacity.
     pub warm_up_time: f64,
-    /// Connections that may be open.
+    /// Maximum number of open proxy connections.
     pub max_connections: usize,
-    /// Core seconds at speed 1 that a health check takes.
+    /// Work of a health check, in core seconds at speed 1.
     pub health_check_work: f64,
-    /// Seconds over which it measures the utilization that its responses carry; 0: they carry none.
+    /// Seconds over which the utilization in responses is measured; 0 if responses do not contain it.
     pub utilization_interval: f64,
-    /// Fraction of the work saved for a cached key.
+    /// Fraction of the work that a cached key saves.
     pub cache_saving: f64,
-    /// Seconds for which a key is cached after its use.
+    /// Seconds for which a key stays cached after its last use.
     pub cache_lifetime: f64,
 }
 
 /// An emulated host.
 pub struct Host {
-    /// Its address.
+    /// Address of the host.
     pub address: SocketAddr,
-    /// What it is.
+    /// Configuration of the host.
     pub config: HostConfig,
     classes: Arc<Vec<OperationClass>>,
     seen_operations: SharedSeenOperations,
@@ -66,27 +67,29 @@
 #[derive(Default)]
 struct HostState {
     alive: bool,
-    /// Counts the starts and ends of the process, and so identifies it.
+    /// Identifies the process: incremented at each start and each end.
     process: u64,
     /// When the process started, in seconds.
     started_at: f64,
-    /// The process started cold.
+    /// Whether the process started cold.
     cold: bool,
     faults: HostFaults,
-    /// Cores in use.
+    /// Number of cores in use.
     running: usize,
     queue: VecDeque<Job>,
-    /// Keys of jobs in the queue that were cancelled.
+    /// Keys of queued jobs that have been cancelled.
     cancelled: BTreeSet<(u64, u64)>,
-    /// When a key was last used, in seconds.
+    /// When each cached key was last used, in seconds.
     cached_keys: BTreeMap<u64, f64>,
     connections: BTreeMap<u64, Arc<Mutex<FrameWriter>>>,
+    /// Number of the latest connection.
     last_connection: u64,
+    /// Number of responses so far, including those that a fault has dropped.
     responses: u64,
     utilization: UtilizationMeter,
 }
 
-/// An operation that a proxy sent.
+/// An operation that was received from a proxy.
 struct Job {
     connection: u64,
     writer: Arc<Mutex<FrameWriter>>,
@@ -96,13 +99,13 @@
 }
 
 impl Job {
-    /// The connection and the attempt.
+    /// Identifies the job: its connection and attempt id.
     fn key(&self) -> (u64, u64) {
         (self.connection, self.operation.attempt_id)
     }
 }
 
-/// A host that listens; it stops listening when this is dropped.
+/// A host with its listener; dropping it closes the listener.
 pub struct ListeningHost {
     /// The host.
     pub host: Arc<Host>,
@@ -110,36 +113,37 @@
 }
 
 impl ListeningHost {
-    /// Listens on a free port of 127.0.0.1. The process is down until [`Host::start`].
+    /// Opens a host that listens on a free port of 127.0.0.1. Its process is down until [`Host::start`].
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the listener cannot be opened.
     pub fn open(
         config: HostConfig,
         classes: Arc<Vec<OperationClass>>,
         seen_operations: SharedSeenOperations,
         recorder: Recorder,
     ) -> io::Result<ListeningHost> {
-        let accepting: Arc<OnceLock<Arc<Host>>> = Arc::default();
-        let slot = accepting.clone();
+        // The host needs the listener's address, and the listener needs the host.
+        let accepting_host: Arc<OnceLock<Arc<Host>>> = Arc::default();
+        let host_slot = accepting_host.clone();
         let listener = Listener::open(SocketAddr::from(([127, 0, 0, 1], 0)), move |stream, _| {
-            if let Some(host) = accepting.get() {
+            if let Some(host) = accepting_host.get() {
                 host.clone().accept(stream);
             }
         })?;
         let (address, state) = (listener.address, Mutex::default());
         let host = Arc::new(Host { address, config, classes, seen_operations, recorder, state });
-        let _ = slot.set(host.clone());
+        let _ = host_slot.set(host.clone());
         Ok(ListeningHost { host, _listener: listener })
     }
 }
 
 impl Host {
-    fn with_state<T>(&self, act: impl FnOnce(&mut HostState) -> T) -> T {
-        act(&mut self.state.lock().expect("no holder panics"))
+    fn with_state<T>(&self, action: impl FnOnce(&mut HostState) -> T) -> T {
+        action(&mut self.state.lock().expect("no holder panics"))
     }
 
-    /// Starts the process, cold or as if it had run for long. Returns when it started, in seconds.
+    /// Starts the process, either cold or fully warmed up. Returns the start time in seconds.
     pub fn start(&self, cold: bool) -> f64 {
         let at = now();
         self.with_state(|state| {
@@ -166,7 +170,7 @@
         at
     }
 
-    /// Kills the process: what it had in hand is lost, and its connections break.
+    /// Kills the process: its queued and running operations are lost, and its connections break.
     ///
     /// # Panics
     /// If a holder of a connection panicked.
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Whether the process exists.
+    /// Whether the process is running.
     pub fn is_alive(&self) -> bool {
         self.with_state(|state| state.alive)
     }
--- a/crates/railhub-emulator/src/host/connections.rs
+++ b/crates/railhub-emulator/src/host/connections.rs
@@ -1,4 +1,4 @@
-//! A host's connections: health checks over HTTP, and proxies with their operations.
+//! Connections to a host: HTTP health checks, and proxies that send operations. Both use the same port.
 use super::{Host, HostState, Job};
 use may::net::TcpStream;
 use may::sync::Mutex;
@@ -9,10 +9,11 @@
 use std::io::{self, Read};
 use std::sync::Arc;
 
-/// Seconds that the connection of an unanswered health check stays open: longer than any health checker waits.
+/// Seconds for which the connection of an unanswered health check stays open; longer than any health checker waits.
 const HEALTH_CHECK_IDLE_TIMEOUT_SECONDS: f64 = 3.0;
 
 impl Host {
+    /// Accepts a connection, or resets it if the process is down or has too many connections.
     pub(super) fn accept(self: Arc<Host>, stream: TcpStream) {
         if !self.with_state(|state| state.alive && state.connections.len() < self.config.max_connections) {
             reset_on_close(&stream);
@@ -23,17 +24,17 @@
         });
     }
 
-    /// Serves a health check if the first byte is that of an HTTP request, else a proxy.
+    /// Serves a health check if the first byte is that of an HTTP request, and a proxy otherwise.
     fn serve(self: Arc<Host>, mut stream: TcpStream) -> io::Result<()> {
-        let mut first = [0u8; 1];
-        let guard = IdleTimeout::read_half(&stream, HEALTH_CHECK_IDLE_TIMEOUT_SECONDS);
-        if stream.peek(&mut first)? == 0 {
+        let mut first_byte = [0u8; 1];
+        let idle_timeout = IdleTimeout::read_half(&stream, HEALTH_CHECK_IDLE_TIMEOUT_SECONDS);
+        if stream.peek(&mut first_byte)? == 0 {
             return Ok(());
         }
-        if first[0].is_ascii_alphabetic() {
+        if first_byte[0].is_ascii_alphabetic() {
             return self.answer_health_check(&mut stream);
         }
-        drop(guard);
+        drop(idle_timeout);
         let (reader, writer) = split_framed(stream, MAX_HOST_MESSAGE_BYTES)?;
         self.serve_proxy(reader, Arc::new(Mutex::new(writer)));
         Ok(())
@@ -46,9 +47,9 @@
         }
         let faults = self.with_state(|state| state.faults.clone());
         if faults.hangs {
-            // Holds the connection until the health checker closes it or the idle timeout ends it.
-            let mut end = [0u8; 1];
-            let _ = stream.read(&mut end);
+            // Keeps the connection open until the health checker closes it or the idle timeout expires.
+            let mut buffer = [0u8; 1];
+            let _ = stream.read(&mut buffer);
             return Ok(());
         }
         self.wait_while_paused(self.with_state(|state| state.process));
@@ -62,7 +63,7 @@
     }
 
     fn serve_proxy(self: Arc<Host>, mut reader: FrameReader, writer: Arc<Mutex<FrameWriter>>) {
-        let (connection, started) = self.with_state(|state| {
+        let (connection, started_at) = self.with_state(|state| {
             state.last_connection += 1;
             state.connections.insert(state.last_connection, writer.clone());
             (state.last_connection, state.started_at)
@@ -70,7 +71,7 @@
         while let Ok(ToHost { payload: Some(payload) }) = reader.receive() {
             match payload {
                 to_host::Payload::ProxyHello(_) => {
-                    send(&writer, from_host::Payload::Hello(HostHello { started }));
+                    send(&writer, from_host::Payload::Hello(HostHello { started: started_at }));
                 }
                 to_host::Payload::Operation(operation) => {
                     let writer = writer.clone();
@@ -86,7 +87,7 @@
     }
 }
 
-/// Cancels an operation that is still in the queue.
+/// Marks an operation as cancelled if it is still in the queue.
 fn cancel_queued(state: &mut HostState, connection: u64, cancel: &Cancel) {
     let key = (connection, cancel.attempt_id);
     if state.queue.iter().any(|job| job.key() == key) {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Sends to a proxy; if the connection is broken, its reader ends it.
+/// Sends a message to a proxy. Errors are ignored, because the reader of a broken connection closes it.
 pub(super) fn send(writer: &Mutex<FrameWriter>, payload: from_host::Payload) {
     let _ = writer.lock().expect("no holder panics").send(&FromHost { payload: Some(payload) });
 }
--- a/crates/railhub-emulator/src/host/duplicates.rs
+++ b/crates/railhub-emulator/src/host/duplicates.rs
@@ -1,22 +1,23 @@
-//! Recognises duplicates of an operation by its idempotency key.
+//! Recognises duplicate operations by their idempotency key.
 use crate::operation::OperationClass;
 use may::sync::Mutex;
 use railhub_record::OperationIdempotency;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Operations that are remembered before the old ones are dropped.
+/// Number of remembered operations above which those older than the key window are dropped.
 const MAX_REMEMBERED_OPERATIONS: usize = 20_000;
 
-/// Operations that arrived, at all hosts or at those of a zone.
+/// The operations that have arrived at the hosts, with the scope in which each is recognised.
 #[derive(Default)]
 pub struct SeenOperations {
-    /// When an operation first arrived, in seconds, by zone where only a zone's hosts share it.
+    /// When an operation first arrived, in seconds, by scope and operation id. The scope is a zone if only the hosts of the
+    /// zone recognise the operation, and `None` if all hosts do.
     first_seen: BTreeMap<(Option<u32>, u64), f64>,
 }
 
 impl SeenOperations {
-    /// Whether this is a duplicate, to be dropped; else it is remembered.
+    /// Returns whether the operation is a duplicate, which must not take effect. The first arrival is remembered.
     pub fn is_duplicate(&mut self, class: &OperationClass, zone: u32, operation: u64, now: f64) -> bool {
         let scope = match class.idempotency {
             OperationIdempotency::IdempotencyKeyGlobal => None,
@@ -31,7 +32,7 @@
     }
 }
 
-/// The same for hosts that share it. Clones are the same operations.
+/// [`SeenOperations`] that several hosts share. Clones refer to the same operations.
 #[derive(Clone, Default)]
 pub struct SharedSeenOperations(Arc<Mutex<SeenOperations>>);
 
--- a/crates/railhub-emulator/src/host/execution.rs
+++ b/crates/railhub-emulator/src/host/execution.rs
@@ -1,4 +1,4 @@
-//! A host's queue and cores: an operation waits for a core, is worked on, and gets its response.
+//! The queue and the cores of a host: an operation waits for a core, is executed, and is answered with a response.
 use super::connections::send;
 use super::{Host, HostState, Job};
 use crate::operation::OperationClass;
@@ -9,26 +9,28 @@
 
 /// Seconds between checks whether a paused host has resumed.
 const RESUME_CHECK_INTERVAL_SECONDS: f64 = 0.01;
-/// Cached keys that are remembered before the old ones are dropped.
+/// Number of cached keys above which the expired ones are dropped.
 const MAX_CACHED_KEYS: usize = 20_000;
-/// A warm-up shorter than this many seconds counts as this long.
+/// Minimum warm-up time in seconds; a shorter one is extended to it, which avoids a division by 0.
 const MIN_WARM_UP_SECONDS: f64 = 1e-3;
-/// Fraction of its capacity that the coldest host has.
+/// Minimum fraction of its capacity that a cold host has.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 
-/// Where a job that was received goes.
+/// What happens to a received job.
 enum EnqueueResult {
-    /// To a free core of this process.
+    /// A core was free: the job starts in this process.
     Started(u64, Job),
+    /// The job was put into the queue.
     Queued,
-    /// Nowhere: cores and queue are full.
+    /// The cores and the queue are full: the job is rejected.
     Rejected,
 }
 
 impl Host {
+    /// Starts a job on a free core, puts it into the queue, or rejects it.
     pub(super) fn enqueue(self: Arc<Host>, job: Job) {
         let (attempt_id, writer) = (job.operation.attempt_id, job.writer.clone());
-        let admitted = self.with_state(|state| {
+        let result = self.with_state(|state| {
             if state.running < self.config.cores {
                 state.utilization.count(state.running, now());
                 state.running += 1;
@@ -40,7 +42,7 @@
                 EnqueueResult::Rejected
             }
         });
-        match admitted {
+        match result {
             EnqueueResult::Started(process, job) => _ = spawn(move || self.run_core(process, job)),
             EnqueueResult::Queued => {}
             EnqueueResult::Rejected => {
@@ -51,18 +53,18 @@
         }
     }
 
-    /// One core: a job, then the next from the queue, until the queue is empty or the process has ended.
-    fn run_core(self: Arc<Host>, process: u64, first: Job) {
-        let mut next = Some(first);
-        while let Some(job) = next {
+    /// Runs one core: executes a job, then the jobs of the queue, until the queue is empty or the process has ended.
+    fn run_core(self: Arc<Host>, process: u64, first_job: Job) {
+        let mut next_job_to_run = Some(first_job);
+        while let Some(job) = next_job_to_run {
             if !self.execute(process, &job) {
                 return;
             }
-            next = self.with_state(|state| next_job(state, process));
+            next_job_to_run = self.with_state(|state| next_job(state, process));
         }
     }
 
-    /// Executes a job; false if the process has ended meanwhile.
+    /// Executes a job and responds. Returns false if the process has ended meanwhile.
     fn execute(&self, process: u64, job: &Job) -> bool {
         if !self.wait_while_paused(process) {
             return false;
@@ -92,23 +94,24 @@
         true
     }
 
-    /// Takes the time of a job's work, none for a duplicate. Returns whether it was a duplicate; none if it failed.
+    /// Sleeps for the duration of a job's work; a duplicate or a failing job takes no time. Returns whether the job is a
+    /// duplicate, or `None` if it failed.
     fn work(&self, class: &OperationClass, job: &Job) -> Option<bool> {
         let began = now();
         let (operation, zone) = (&job.operation, self.config.zone);
         let duplicate = self.seen_operations.is_duplicate(class, zone, operation.operation_id, began);
         let (duration, fails) = self.with_state(|state| {
             let capacity = self.capacity_fraction(state, began);
-            let saved = self.cache_saving(state, operation.key, began);
-            let duration =
-                operation.work * (1.0 - saved) * state.faults.slowdown / (self.config.speed * capacity);
+            let saved_fraction = self.cache_saving(state, operation.key, began);
+            let duration = operation.work * (1.0 - saved_fraction) * state.faults.slowdown
+                / (self.config.speed * capacity);
             (duration, state.faults.fails)
         });
         may::coroutine::sleep(seconds(if duplicate || fails { 0.0 } else { duration }));
         (!fails).then_some(duplicate)
     }
 
-    /// Waits while the host hangs or is paused; false if the process has ended meanwhile.
+    /// Waits while the host hangs or is paused. Returns false if the process has ended meanwhile.
     pub(super) fn wait_while_paused(&self, process: u64) -> bool {
         loop {
             let at = now();
@@ -122,6 +125,7 @@
         }
     }
 
+    /// Fraction of its capacity that the host has at a time; it grows linearly during the warm-up.
     fn capacity_fraction(&self, state: &HostState, at: f64) -> f64 {
         if !state.cold {
             return 1.0;
@@ -131,7 +135,7 @@
         (cold + (1.0 - cold) * progress).clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 
-    /// Fraction of the work saved because the key is cached; the key is cached from now on.
+    /// Fraction of the work that is saved because the key is cached. Caches the key from now on.
     fn cache_saving(&self, state: &mut HostState, key: u64, at: f64) -> f64 {
         let lifetime = self.config.cache_lifetime;
         if self.config.cache_saving <= 0.0 {
@@ -148,12 +152,13 @@
         }
     }
 
+    /// Sends the response to a job, unless the injected response loss drops it.
     fn respond(&self, job: &Job, outcome: AttemptOutcome) {
         let at = now();
         let (lost, utilization) = self.with_state(|state| {
             state.responses += 1;
             let loss = state.faults.response_loss;
-            // Losses are spread evenly over the responses, so that they are the same in each run.
+            // Losses are spread evenly over the responses, so that they are identical in each run.
             let is_lost = (state.responses as f64 * loss).fract() < loss;
             let (cores, interval) = (self.config.cores, self.config.utilization_interval);
             (is_lost, state.utilization.sample(state.running, cores, interval, at))
@@ -166,7 +171,8 @@
     }
 }
 
-/// The next job of the queue that is not cancelled. Frees the core if there is none.
+/// Takes the next job from the queue that is not cancelled. Frees the core if there is none; returns `None` as well if
+/// the process has ended.
 fn next_job(state: &mut HostState, process: u64) -> Option<Job> {
     if state.process != process {
         return None;
--- a/crates/railhub-emulator/src/host/faults.rs
+++ b/crates/railhub-emulator/src/host/faults.rs
@@ -1,19 +1,19 @@
 //! Faults that a scenario injects into a host.
 
-/// Faults of a host; none by default.
+/// Faults of a host. The default is a host without faults.
 #[derive(Clone, Debug)]
 pub struct HostFaults {
-    /// How many times longer work takes.
+    /// Factor by which work takes longer.
     pub slowdown: f64,
-    /// It accepts connections and operations, and does nothing.
+    /// The host accepts connections and operations, but never executes or answers anything.
     pub hangs: bool,
-    /// It fails every operation and health check.
+    /// The host fails every operation and every health check.
     pub fails: bool,
-    /// Fraction of the responses that is lost.
+    /// Fraction of the responses that are lost.
     pub response_loss: f64,
-    /// It is paused until this time, in seconds.
+    /// Time until which the host is paused, in seconds.
     pub paused_until: f64,
-    /// It fails health checks as draining.
+    /// The host is draining: it fails health checks with status 503.
     pub drains: bool,
 }
 
--- a/crates/railhub-emulator/src/host_connection.rs
+++ b/crates/railhub-emulator/src/host_connection.rs
@@ -1,4 +1,4 @@
-//! A proxy's connection to one host: opened when needed, with many attempts outstanding at once.
+//! A proxy's connection to one host. It is opened on demand and carries many outstanding attempts at once.
 use may::sync::{Mutex, SyncFlag};
 use railhub_net::{connect, run_after, seconds, spawn, split_framed, FrameReader, FrameWriter};
 use railhub_proto::{
@@ -10,28 +10,29 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// How an attempt ended for the proxy.
+/// Result of an attempt, as the proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptResult {
-    /// The host completed it, and may have reported its utilization.
+    /// The host completed the attempt; its utilization, if the response contained it.
     Completed(Option<f64>),
-    /// The host rejected it: it never ran.
+    /// The host rejected the attempt, which was therefore not executed.
     Rejected,
-    /// The host could not be reached: it never ran.
+    /// The host could not be reached, so the attempt was not executed.
     Unreachable,
-    /// The host failed it, or the connection broke: it may have run.
+    /// The host reported a failure or the connection broke; the attempt may have been executed.
     Failed,
-    /// No response came in time: it may have run.
+    /// No response arrived within the timeout; the attempt may have been executed.
     TimedOut,
 }
 
 impl AttemptResult {
-    /// Whether there is proof that the attempt never ran.
+    /// Whether the attempt was certainly not executed.
     pub fn not_executed(self) -> bool {
         matches!(self, AttemptResult::Rejected | AttemptResult::Unreachable)
     }
 }
 
+/// An attempt that waits for its result.
 #[derive(Default)]
 struct PendingAttempt {
     done: SyncFlag,
@@ -39,7 +40,7 @@
 }
 
 impl PendingAttempt {
-    /// Ends the attempt; the first result counts.
+    /// Sets the result and wakes the waiting caller. Only the first result is kept.
     fn finish(&self, result: AttemptResult) {
         self.result.lock().expect("no holder panics").get_or_insert(result);
         self.done.fire();
@@ -50,7 +51,7 @@
 
 #[derive(Default)]
 struct OpenConnection {
-    /// Counts the connections that were opened.
+    /// Number of the latest connection: how many were opened so far.
     number: u64,
     writer: Option<SharedWriter>,
 }
@@ -61,14 +62,14 @@
     proxy: u32,
     connect_timeout: f64,
     open: Mutex<OpenConnection>,
-    /// Attempts without a result, and the connection that each was sent on.
+    /// Attempts without a result, by their id, each with the number of the connection that it was sent on.
     pending: Mutex<BTreeMap<u64, (u64, Arc<PendingAttempt>)>>,
     last_attempt_id: AtomicU64,
     outstanding: AtomicUsize,
 }
 
 impl HostConnection {
-    /// Not connected yet. `connect_timeout` in seconds.
+    /// Creates a connection that is opened with the first attempt. `connect_timeout` is in seconds.
     pub fn new(host: SocketAddr, proxy: u32, connect_timeout: f64) -> HostConnection {
         HostConnection {
             host,
@@ -81,13 +82,13 @@
         }
     }
 
-    /// Attempts without a result.
+    /// Number of attempts that have no result yet.
     pub fn outstanding(&self) -> usize {
         self.outstanding.load(Ordering::Relaxed)
     }
 
-    /// Sends an operation and waits for its result, `timeout` seconds at the most. Calls `on_send` just before it is
-    /// written to the socket.
+    /// Sends an operation and waits for its result for at most `timeout` seconds. Calls `on_send` just before the operation
+    /// is written to the socket.
     pub fn call(
         self: &Arc<HostConnection>,
         operation: Operation,
@@ -116,9 +117,9 @@
             self.pending.lock().expect("no holder panics").remove(&attempt_id);
             return AttemptResult::Failed;
         }
-        let waiting = Arc::downgrade(&pending);
+        let weak_pending = Arc::downgrade(&pending);
         run_after(timeout, move || {
-            if let Some(pending) = waiting.upgrade() {
+            if let Some(pending) = weak_pending.upgrade() {
                 pending.finish(AttemptResult::TimedOut);
             }
         });
@@ -131,7 +132,8 @@
         result
     }
 
-    /// The open connection's number and writer; connects if there is none.
+    /// Returns the number and the writer of the open connection, or connects if there is none; `None` if the host cannot
+    /// be reached.
     fn open_connection(self: &Arc<HostConnection>) -> Option<(u64, SharedWriter)> {
         let mut open = self.open.lock().expect("no holder panics");
         if let Some(writer) = &open.writer {
@@ -146,6 +148,7 @@
         Some((open.number, writer))
     }
 
+    /// Connects and exchanges hello messages.
     fn connect(&self) -> Option<(FrameReader, FrameWriter)> {
         let stream = connect(self.host, seconds(self.connect_timeout)).ok()?;
         let (mut reader, mut writer) = split_framed(stream, MAX_HOST_MESSAGE_BYTES).ok()?;
@@ -159,7 +162,7 @@
         Some((reader, writer))
     }
 
-    /// Reads responses until the connection breaks, then fails what it has outstanding.
+    /// Reads responses until the connection breaks, then fails the attempts that are pending on it.
     fn read_responses(&self, number: u64, mut reader: FrameReader) {
         while let Ok(FromHost { payload: Some(payload) }) = reader.receive() {
             if let from_host::Payload::Response(response) = payload {
@@ -176,19 +179,19 @@
 
     fn fail_pending(&self, connection: u64) {
         let mut pending = self.pending.lock().expect("no holder panics");
-        let sent_on_it = pending.iter().filter(|(_, (number, _))| *number == connection);
-        let attempts: Vec<u64> = sent_on_it.map(|(attempt_id, _)| *attempt_id).collect();
-        for attempt_id in attempts {
-            if let Some((_, pending)) = pending.remove(&attempt_id) {
-                pending.finish(AttemptResult::Failed);
+        let on_connection = pending.iter().filter(|(_, (number, _))| *number == connection);
+        let attempt_ids: Vec<u64> = on_connection.map(|(attempt_id, _)| *attempt_id).collect();
+        for attempt_id in attempt_ids {
+            if let Some((_, attempt)) = pending.remove(&attempt_id) {
+                attempt.finish(AttemptResult::Failed);
             }
         }
     }
 
     fn on_response(&self, response: &Response) {
         let pending = self.pending.lock().expect("no holder panics").remove(&response.attempt_id);
-        if let Some((_, pending)) = pending {
-            pending.finish(match response.outcome() {
+        if let Some((_, attempt)) = pending {
+            attempt.finish(match response.outcome() {
                 AttemptOutcome::Completed => AttemptResult::Completed(response.utilization),
                 AttemptOutcome::Refused => AttemptResult::Rejected,
                 AttemptOutcome::Failed => AttemptResult::Failed,
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Closes the connection.
+    /// Closes the connection; the next attempt opens a new one.
     pub fn close(&self) {
         let writer = self.open.lock().expect("no holder panics").writer.take();
         close(writer);
--- a/crates/railhub-emulator/src/lib.rs
+++ b/crates/railhub-emulator/src/lib.rs
@@ -1,23 +1,24 @@
-//! Emulates everything around the controllers, many to a process and all on loopback: hosts that do timed work,
-//! proxies that apply what they are sent and decide nothing, clients, an endpoint list that can be late, wrong or
-//! unavailable, and a slice store that outlives the controllers.
+//! Emulates the systems around the controllers, all on loopback and many of them in one process: hosts that take a
+//! certain time for each operation, proxies that apply the deltas that they receive and make no decisions of their own,
+//! clients, an endpoint list that can be late, wrong or unavailable, and a slice store that outlives the controllers.
 //!
-//! Owns the emulated processes and the faults that a scenario injects into them. Each step that crosses a socket is
-//! recorded. One operation, from its client to its end:
+//! A scenario injects faults into the emulated systems. Each step that crosses a socket is recorded. The path of one
+//! operation:
 //!
-//! 1. [`client::run`] sends a request to its proxy, with a timeout from the class's hard stop.
-//! 2. [`proxy::Proxy::handle`] counts it, applies the admission rate of the slice's owner, and picks a host from the
-//!    slice's table ([`fenced_routing`], [`routing`]), waiting a little if none is usable.
-//! 3. The proxy adds the delay and loss of the link between the zones ([`zone_links`]) and sends the attempt on its
+//! 1. [`client::run`] sends a request to its proxy, with a timeout derived from the hard stop of the operation's class.
+//! 2. [`proxy::Proxy::handle`] counts the request, applies the admission rate that the slice's owner has set, and picks
+//!    a host from the slice's table ([`fenced_routing`], [`routing`]); it waits briefly if no host is usable.
+//! 3. The proxy applies the delay and loss of the link between the zones ([`zone_links`]) and sends the attempt on its
 //!    connection to the host ([`AttemptResult`]).
-//! 4. [`host::Host`] rejects it if its cores and queue are full; otherwise it waits for a core, takes the time of its
-//!    work, and gets its response.
-//! 5. The proxy counts the attempt for its next load report ([`load_totals`]), and retries once as the admission has
-//!    it.
-//! 6. The client retries if the class allows, and records how the operation ended.
+//! 4. [`host::Host`] rejects the attempt if its cores and its queue are full. Otherwise the attempt waits for a free
+//!    core, occupies it for the duration of its work, and is answered with a response.
+//! 5. The proxy counts the attempt for its next load report ([`load_totals`]), and retries once if the retry condition
+//!    of the class's admission allows it.
+//! 6. The client retries if the class allows it, and records how the operation ended.
 //!
-//! One update, from a controller to a table: the proxy's stream receives a delta, which waits for the update channel
-//! ([`update_channel`]); the routing state applies all of it or rejects it; the proxy acknowledges it.
+//! The path of one update from a controller: the proxy's stream receives a delta, which passes the rate-limited update
+//! channel ([`update_channel`]); the routing state applies the complete delta or rejects it; the proxy sends an
+//! acknowledgement.
 #![warn(missing_docs)]
 pub mod client;
 pub mod endpoint_list;
--- a/crates/railhub-emulator/src/operation.rs
+++ b/crates/railhub-emulator/src/operation.rs
@@ -1,40 +1,40 @@
-//! What the emulated processes know of operations and their classes.
+//! Operations and their classes.
 use railhub_record::OperationIdempotency;
 
-/// A class of operations. Times in seconds.
+/// A class of operations.
 #[derive(Clone, Debug)]
 pub struct OperationClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Seconds within which an operation is in time.
+    /// Seconds within which an operation must complete to be in time.
     pub contract_time: f64,
-    /// Seconds after which a client gives up.
+    /// Seconds after which the client gives up.
     pub hard_stop: f64,
-    /// What an operation that completes in time counts for.
+    /// Weight of an operation of this class that completes in time.
     pub priority_weight: f64,
-    /// Whether a retry can take effect twice.
+    /// Whether, and within which scope, a repeated request takes effect only once.
     pub idempotency: OperationIdempotency,
-    /// Seconds in which a repeated idempotency key is recognised.
+    /// Seconds during which a repeated idempotency key is recognised.
     pub key_window: f64,
-    /// Its operations write.
+    /// Whether the operations of the class write.
     pub writes: bool,
 }
 
-/// An operation that a client is to send.
+/// An operation that a client will send.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedOperation {
-    /// Its number.
+    /// Number of the operation.
     pub operation: u64,
-    /// The number of its class.
+    /// Number of its class.
     pub class: u32,
-    /// The key that it is for.
+    /// Key that the operation accesses.
     pub key: u64,
-    /// The key's slice.
+    /// Slice of the key.
     pub slice: u32,
-    /// Core seconds at speed 1.
+    /// Work in core seconds at speed 1.
     pub work: f64,
-    /// Fraction of the hard stop after which this client stops waiting.
+    /// Upper limit of the request timeout, as a fraction of the hard stop; below 1 for a client that gives up early.
     pub max_request_timeout_fraction: f64,
-    /// The client sends one more request after it stopped waiting.
+    /// Whether the client may send one request more than configured, after it has stopped waiting.
     pub extra_retry: bool,
 }
--- a/crates/railhub-emulator/src/proxy.rs
+++ b/crates/railhub-emulator/src/proxy.rs
@@ -1,5 +1,5 @@
-//! An emulated proxy: looks up the slice's table, applies the admission rate, picks a host that is not excluded, and
-//! sends; decides nothing else.
+//! An emulated proxy: looks up the table of an operation's slice, applies the admission rate, picks a host that is not
+//! excluded, and sends the operation to it. All other decisions are made by the controllers.
 mod controller_streams;
 mod requests;
 mod tampering;
@@ -22,93 +22,95 @@
 use std::sync::atomic::{AtomicBool, AtomicI64};
 use std::sync::Arc;
 
-/// What a proxy is. Times in seconds.
+/// Configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
-    /// Its number.
+    /// Number of the proxy.
     pub number: u32,
-    /// Its zone's number.
+    /// Number of the proxy's zone.
     pub zone: u32,
-    /// How it picks a host.
+    /// How the proxy picks among the usable hosts.
     pub policy: BalancingPolicy,
-    /// Seconds that an operation waits for a usable host.
+    /// Seconds for which an operation waits for a usable host.
     pub no_host_timeout: f64,
     /// Fraction of the contract time after which an attempt that can be retried times out.
     pub first_attempt_timeout_fraction: f64,
-    /// Seconds to connect to a host.
+    /// Timeout for connecting to a host, in seconds.
     pub connect_timeout: f64,
     /// Seconds between load reports.
     pub report_interval: f64,
-    /// Seconds by which load reports are late.
+    /// Seconds by which load reports are delayed.
     pub report_delay: f64,
-    /// Longest wait before it connects to a controller again.
+    /// Maximum delay in seconds before a reconnection to a controller; doubled at the second failure in a row and again
+    /// at the third.
     pub max_reconnect_delay: f64,
-    /// Seed of its random numbers.
+    /// Seed of the proxy's random number generator.
     pub seed: u64,
 }
 
-/// What the emulated processes of one run share.
+/// State that the emulated processes of one run share.
 #[derive(Clone)]
 pub struct Environment {
     /// The classes of operations, in the order of their numbers.
     pub classes: Arc<Vec<OperationClass>>,
-    /// Each controller's address, while it is there.
+    /// Address of each controller; `None` while the controller is not running.
     pub controllers: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    /// The hosts' zones.
+    /// Zone of each host.
     pub zones: Arc<Mutex<BTreeMap<SocketAddr, u32>>>,
     /// The links between zones.
     pub links: ZoneLinks,
     /// The update channel.
     pub channel: UpdateChannel,
-    /// Where events are recorded.
+    /// Recorder of the run's events.
     pub recorder: Recorder,
-    /// Milliseconds by which load reports are later than usual.
+    /// Milliseconds by which load reports are delayed in addition to the proxy's `report_delay`.
     pub extra_report_delay_ms: Arc<AtomicI64>,
     /// The host that started last, for [`Sabotage::FloodsColdHosts`].
     pub newest_host: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-/// One request of a client.
+/// A request of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyRequest {
-    /// The operation.
+    /// The requested operation.
     pub operation: PlannedOperation,
-    /// Which request of the client for this operation, from 1.
+    /// Number of the request among the client's requests for this operation, from 1.
     pub request: u32,
-    /// Seconds that the client waits.
+    /// Seconds for which the client waits.
     pub timeout: f64,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyOutcome {
-    /// A host completed it.
+    /// A host completed the operation.
     Completed,
-    /// It never ran.
+    /// The operation was certainly not executed.
     Rejected,
-    /// It may have run.
+    /// The operation may have been executed.
     Failed,
 }
 
 /// An emulated proxy.
 pub struct Proxy {
-    /// What it is.
+    /// Configuration of the proxy.
     pub config: ProxyConfig,
     environment: Environment,
     routing: Mutex<FencedRouting>,
     hosts: Mutex<BTreeMap<SocketAddr, Arc<HostConnection>>>,
     load: Mutex<LoadTotals>,
     rng: Mutex<ChaCha8Rng>,
-    /// The open streams, by the controller's number.
+    /// Open streams, by the number of the controller.
     streams: Mutex<BTreeMap<usize, Arc<Mutex<FrameWriter>>>>,
+    /// Whether the next delta is rejected.
     reject_next: AtomicBool,
     sabotage: Option<Sabotage>,
-    /// Hosts that were excluded, for [`Sabotage::IgnoresExclusions`].
+    /// Hosts that have been excluded at any time, for [`Sabotage::IgnoresExclusions`].
     once_excluded: Mutex<BTreeSet<SocketAddr>>,
 }
 
 impl Proxy {
-    /// A proxy with tables in place, not connected yet.
+    /// Creates a proxy with initial tables, which is not connected yet.
     ///
     /// # Panics
     /// If a holder of the environment panicked.
@@ -144,6 +146,7 @@
         }
     }
 
+    /// A random number from 0 to 1 (exclusive).
     fn random(&self) -> f64 {
         self.rng.lock().expect("no holder panics").random()
     }
--- a/crates/railhub-emulator/src/proxy/controller_streams.rs
+++ b/crates/railhub-emulator/src/proxy/controller_streams.rs
@@ -1,4 +1,4 @@
-//! A proxy's streams to its controllers: subscription, deltas with their acknowledgements, and load reports.
+//! A proxy's streams to the controllers: subscriptions, deltas and their acknowledgements, and load reports.
 use super::Proxy;
 use crate::routing::DeltaError;
 use crate::sabotage::Sabotage;
@@ -13,18 +13,17 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Seconds between checks whether a controller is there.
+/// Seconds between checks whether a controller is running.
 const CONTROLLER_CHECK_INTERVAL_SECONDS: f64 = 0.02;
-/// Seconds to connect to a controller.
+/// Timeout for connecting to a controller, in seconds.
 const CONNECT_TIMEOUT_SECONDS: f64 = 1.0;
-/// Seconds that a stream must last for the next connection to be made without backoff.
+/// Seconds that a stream must last for the backoff to be reset.
 const MIN_STREAM_DURATION_SECONDS: f64 = 0.5;
-/// Failures in a row after which the backoff no longer doubles.
+/// Number of consecutive failures after which the backoff no longer doubles.
 const MAX_BACKOFF_FAILURES: u32 = 3;
 
 impl Proxy {
-    /// Connects to each controller and stays connected, and sends load reports to all of them, until the tasks are
-    /// dropped.
+    /// Keeps a stream to each controller and sends load reports to all of them, until the returned tasks are dropped.
     ///
     /// # Panics
     /// If a holder of the environment panicked.
@@ -40,7 +39,7 @@
         tasks
     }
 
-    /// Breaks the streams to the controllers; the proxy connects again.
+    /// Closes all streams to the controllers. The proxy reconnects afterwards.
     ///
     /// # Panics
     /// If a holder of a stream panicked.
@@ -51,11 +50,12 @@
         }
     }
 
-    /// Rejects the next delta, whatever it holds.
+    /// Makes the proxy reject the next delta, even if it is valid.
     pub fn reject_next_delta(&self) {
         self.reject_next.store(true, Ordering::Relaxed);
     }
 
+    /// Connects to a controller while it is running, and reconnects with backoff.
     fn keep_stream(self: Arc<Proxy>, controller: usize) {
         let process = now().to_bits() ^ u64::from(self.config.number);
         let mut failures = 0u32;
@@ -79,6 +79,7 @@
         }
     }
 
+    /// Subscribes and handles the deltas of a stream until it ends.
     fn run_stream(&self, controller: usize, mut reader: FrameReader, mut writer: FrameWriter, process: u64) {
         let subscribe = FromProxy { payload: Some(self.subscription(controller, process)) };
         if writer.send(&subscribe).is_err() {
@@ -96,6 +97,7 @@
         writer.lock().expect("no holder panics").close();
     }
 
+    /// The message that subscribes to a controller from the version that the proxy has.
     fn subscription(&self, controller: usize, process: u64) -> from_proxy::Payload {
         let routing = self.routing.lock().expect("no holder panics");
         let state = routing.controller(controller);
@@ -126,6 +128,7 @@
         }
     }
 
+    /// Passes a delta through the update channel, applies it, and sends an Ack or a Nack.
     fn on_delta(&self, controller: usize, delta: Delta, writer: &Mutex<FrameWriter>) -> io::Result<()> {
         self.environment.channel.transmit(delta.cost());
         let delta = self.tamper(controller, delta);
@@ -152,7 +155,7 @@
         writer.lock().expect("no holder panics").send(&FromProxy { payload: Some(payload) })
     }
 
-    /// Applies a delta; returns its stale slices.
+    /// Applies a delta and returns its stale slices.
     fn apply(&self, controller: usize, delta: &Delta) -> Result<Vec<u32>, DeltaError> {
         if self.reject_next.swap(false, Ordering::Relaxed) {
             return Err(DeltaError::RejectionInjected);
@@ -161,6 +164,7 @@
         self.routing.lock().expect("no holder panics").apply(controller, delta, fenced)
     }
 
+    /// Sends a load report per interval. The first interval starts at a random time, so that proxies do not report at once.
     fn keep_reporting(self: Arc<Proxy>) {
         may::coroutine::sleep(seconds(self.random() * self.config.report_interval));
         loop {
--- a/crates/railhub-emulator/src/proxy/requests.rs
+++ b/crates/railhub-emulator/src/proxy/requests.rs
@@ -1,4 +1,4 @@
-//! A proxy's way with a request: admission, pick of a host, attempt, retry.
+//! How a proxy handles a request: admission, choice of a host, attempt, and retry.
 use super::{Proxy, ProxyOutcome, ProxyRequest};
 use crate::host_connection::{AttemptResult, HostConnection};
 use crate::operation::PlannedOperation;
@@ -11,15 +11,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Attempts for one request.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: usize = 2;
-/// Seconds between looks for a usable host while an operation waits for one.
+/// Seconds between checks for a usable host while an operation waits for one.
 const HOST_CHECK_INTERVAL_SECONDS: f64 = 0.005;
-/// Fraction of the contract time that must be left for a retry.
+/// Minimum remaining time for a retry, as a fraction of the contract time.
 const MIN_RETRY_TIME_FRACTION: f64 = 0.1;
 
 impl Proxy {
-    /// Handles one request of a client, from its arrival to its end.
+    /// Handles a request of a client and returns its outcome.
     ///
     /// # Panics
     /// If the operation's class is unknown, or a holder of the proxy's state panicked.
@@ -36,6 +36,7 @@
         self.make_attempts(&request, deadline, admission.retry)
     }
 
+    /// Attempts the operation, and retries it if the retry condition allows it.
     fn make_attempts(&self, request: &ProxyRequest, deadline: f64, retry: RetryCondition) -> ProxyOutcome {
         let operation = &request.operation;
         let mut attempted_hosts = Vec::new();
@@ -66,7 +67,8 @@
         outcome
     }
 
-    /// Seconds for the attempt at the last of the attempted hosts; none if too little time is left for it.
+    /// Timeout in seconds for the attempt at the last of `attempted_hosts`; `None` if too little time remains for it. An
+    /// attempt that can be retried after a failure gets a shorter timeout, which leaves time for the retry.
     fn attempt_timeout(
         &self,
         operation: &PlannedOperation,
@@ -75,28 +77,30 @@
         retry: RetryCondition,
     ) -> Option<f64> {
         let contract_time = self.environment.classes[operation.class as usize].contract_time;
-        let left = deadline - now();
-        let too_late_for_retry = attempted_hosts.len() > 1 && left < MIN_RETRY_TIME_FRACTION * contract_time;
-        if left <= 0.0 || too_late_for_retry {
+        let remaining = deadline - now();
+        let too_late_for_retry =
+            attempted_hosts.len() > 1 && remaining < MIN_RETRY_TIME_FRACTION * contract_time;
+        if remaining <= 0.0 || too_late_for_retry {
             return None;
         }
         let retry_can_follow = attempted_hosts.len() < MAX_ATTEMPTS
             && retry == RetryCondition::AfterFailure
             && self.has_other_host(operation, attempted_hosts);
         if retry_can_follow {
-            Some(left.min(self.config.first_attempt_timeout_fraction * contract_time))
+            Some(remaining.min(self.config.first_attempt_timeout_fraction * contract_time))
         } else {
-            Some(left)
+            Some(remaining)
         }
     }
 
+    /// Whether there is another usable host.
     fn has_other_host(&self, operation: &PlannedOperation, attempted_hosts: &[SocketAddr]) -> bool {
         let routing = self.routing.lock().expect("no holder panics");
         let mut rng = ChaCha8Rng::seed_from_u64(0);
         routing.pick(operation.slice, attempted_hosts, BalancingPolicy::Weighted, &mut rng, |_| 0).is_some()
     }
 
-    /// Picks a host. The first attempt waits a little if there is none.
+    /// Picks a host that has not been attempted. The first attempt waits up to `no_host_timeout` if no host is usable.
     fn pick(
         &self,
         operation: &PlannedOperation,
@@ -126,10 +130,10 @@
 
     /// Makes one attempt and records its end.
     fn attempt(&self, request: &ProxyRequest, host: SocketAddr, number: u32, timeout: f64) -> AttemptResult {
-        let began = now();
-        let result = self.send_over_link(request, host, number, timeout, began);
+        let started_at = now();
+        let result = self.send_over_link(request, host, number, timeout, started_at);
         let (success_time, utilization) = match result {
-            AttemptResult::Completed(utilization) => (Some(now() - began), utilization),
+            AttemptResult::Completed(utilization) => (Some(now() - started_at), utilization),
             _ => (None, None),
         };
         self.load.lock().expect("no holder panics").count_attempt(host, success_time, utilization);
@@ -151,7 +155,7 @@
         host: SocketAddr,
         number: u32,
         timeout: f64,
-        began: f64,
+        started_at: f64,
     ) -> AttemptResult {
         let zone = self.environment.zones.lock().expect("no holder panics").get(&host).copied();
         let link = self.environment.links.condition(self.config.zone, zone.unwrap_or(self.config.zone));
@@ -159,16 +163,16 @@
             may::coroutine::sleep(seconds(link.delay.min(timeout)));
         }
         let result = if link.loss > 0.0 && self.random() < link.loss {
-            may::coroutine::sleep(seconds(timeout - (now() - began)));
+            may::coroutine::sleep(seconds(timeout - (now() - started_at)));
             AttemptResult::TimedOut
         } else {
-            self.send(request, host, number, timeout - (now() - began))
+            self.send(request, host, number, timeout - (now() - started_at))
         };
         let completed = matches!(result, AttemptResult::Completed(_));
         if link.delay > 0.0 && completed {
             may::coroutine::sleep(seconds(link.delay));
         }
-        let late = now() - began > timeout;
+        let late = now() - started_at > timeout;
         if late && completed {
             AttemptResult::TimedOut
         } else {
@@ -176,6 +180,7 @@
         }
     }
 
+    /// Sends an operation on the connection to the host and records the attempt just before it is sent.
     fn send(&self, request: &ProxyRequest, host: SocketAddr, number: u32, timeout: f64) -> AttemptResult {
         let connection = self.connection(host);
         let PlannedOperation { operation, class, key, slice, work, .. } = request.operation;
@@ -195,6 +200,7 @@
         })
     }
 
+    /// The connection to a host, created on first use.
     fn connection(&self, host: SocketAddr) -> Arc<HostConnection> {
         let mut hosts = self.hosts.lock().expect("no holder panics");
         let (proxy, timeout) = (self.config.number, self.config.connect_timeout);
--- a/crates/railhub-emulator/src/proxy/tampering.rs
+++ b/crates/railhub-emulator/src/proxy/tampering.rs
@@ -1,4 +1,4 @@
-//! What a sabotaged proxy does; nothing in an honest run.
+//! The deliberate faults of a sabotaged proxy. Without a [`Sabotage`] nothing here has an effect.
 use super::Proxy;
 use crate::operation::PlannedOperation;
 use crate::sabotage::Sabotage;
@@ -7,17 +7,17 @@
 use railhub_record::{DeltaReceived, EventKind};
 use std::net::SocketAddr;
 
-/// Of so many slices, [`Sabotage::LosesLines`] loses the lines of one.
+/// [`Sabotage::LosesLines`] drops the lines of one slice in this many.
 const LOST_SLICE_MODULUS: u32 = 8;
-/// Remainder of the slices that are lost.
+/// Remainder, modulo [`LOST_SLICE_MODULUS`], of the slices whose lines are dropped.
 const LOST_SLICE_REMAINDER: u32 = 3;
-/// How often [`Sabotage::ReceivesTooManyMessages`] receives a message again.
+/// Number of extra copies of each message that [`Sabotage::ReceivesTooManyMessages`] records.
 const EXTRA_MESSAGES: usize = 6;
-/// Of so many operations, [`Sabotage::RetriesBlindly`] retries one.
+/// [`Sabotage::RetriesBlindly`] retries one operation in this many.
 const BLIND_RETRY_MODULUS: u64 = 10;
 
 impl Proxy {
-    /// Changes a delta as the sabotage has it.
+    /// Applies the sabotage to a received delta: drops lines, records extra messages, or remembers exclusions.
     pub(super) fn tamper(&self, controller: usize, mut delta: Delta) -> Delta {
         match self.sabotage {
             Some(Sabotage::LosesLines) => {
@@ -32,9 +32,9 @@
 
     fn record_extra_messages(&self, controller: usize, delta: &Delta) {
         for _ in 0..EXTRA_MESSAGES {
-            let empty = Delta { lines: Vec::new(), cleared: Vec::new(), reset: false, ..delta.clone() };
+            let empty_copy = Delta { lines: Vec::new(), cleared: Vec::new(), reset: false, ..delta.clone() };
             let received =
-                DeltaReceived { proxy: self.config.number, delta: empty, controller: controller as u32 };
+                DeltaReceived { proxy: self.config.number, delta: empty_copy, controller: controller as u32 };
             self.environment.recorder.record(now(), EventKind::DeltaReceived(received));
         }
     }
@@ -48,12 +48,13 @@
         }
     }
 
+    /// Whether the sabotage retries an operation whatever its result and retry condition.
     pub(super) fn retries_blindly(&self, operation: &PlannedOperation) -> bool {
         self.sabotage == Some(Sabotage::RetriesBlindly)
             && operation.operation.is_multiple_of(BLIND_RETRY_MODULUS)
     }
 
-    /// Where a sabotaged proxy sends an operation.
+    /// The host to which the sabotage sends an operation; `None` if the sabotage does not choose the host.
     pub(super) fn sabotaged_host(&self, operation: &PlannedOperation) -> Option<SocketAddr> {
         match self.sabotage? {
             Sabotage::FloodsColdHosts => *self.environment.newest_host.lock().expect("no holder panics"),
--- a/crates/railhub-emulator/src/routing.rs
+++ b/crates/railhub-emulator/src/routing.rs
@@ -1,4 +1,4 @@
-//! What a proxy was sent by one controller, and how it picks a host. Plain functions over plain state.
+//! The routing state that a proxy has received from one controller, and the choice of a host, without I/O or locks.
 use railhub_proto::{Delta, RetryCondition};
 use rand::{Rng, RngExt};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,82 +8,82 @@
 /// How a proxy picks among the usable hosts of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BalancingPolicy {
-    /// One at random by weight.
+    /// One host, drawn at random by weight.
     Weighted,
-    /// Of two drawn by weight, the one with fewer of the proxy's attempts outstanding.
+    /// The one with fewer outstanding attempts of this proxy, of two hosts drawn at random by weight.
     LeastOutstandingOfTwo,
 }
 
-/// The lines of one table: hosts and their weights, above 0.
+/// The lines of one table: hosts and their weights, which are above 0.
 pub type Table = Vec<(SocketAddr, f64)>;
 
-/// Admission of a class of operations.
+/// Admission and retry policy of a class of operations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// Fraction of the operations that is admitted.
+    /// Fraction of the operations that are admitted.
     pub rate: f64,
     /// Which failed attempts are retried.
     pub retry: RetryCondition,
 }
 
-/// Why a proxy rejects a delta. The text is the reason in its Nack.
+/// Why a proxy rejects a delta. The text is sent to the controller as the reason in the Nack and must not change.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DeltaError {
-    /// A host is no address.
+    /// A host is not a socket address.
     #[error("'{0}' is no address")]
     InvalidAddress(String),
     /// A weight is negative or not finite.
     #[error("weight {weight} of {host} in slice {slice}")]
     InvalidWeight {
-        /// The line's weight.
+        /// Weight of the line.
         weight: f64,
-        /// The line's host.
+        /// Host of the line.
         host: SocketAddr,
-        /// The line's slice.
+        /// Slice of the line.
         slice: u32,
     },
     /// An admission rate is negative or not a number.
     #[error("level {rate} of class {class}")]
     InvalidAdmissionRate {
-        /// The rate.
+        /// The invalid rate.
         rate: f64,
-        /// The class.
+        /// Class of operations that the rate is for.
         class: u32,
     },
-    /// The scenario has the proxy reject its next delta.
+    /// A fault of the scenario makes the proxy reject a valid delta.
     #[error("told to refuse")]
     RejectionInjected,
 }
 
-/// What a proxy was sent by one controller.
+/// The routing state that a proxy has received from one controller.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingState {
     tables: BTreeMap<u32, Table>,
     admission: BTreeMap<u32, Admission>,
     excluded: BTreeSet<SocketAddr>,
-    /// The one table that the proxy uses for every slice, if it was assigned one.
+    /// Table that the proxy uses for every slice, if it has been assigned one.
     pub assigned_table: Option<u32>,
-    /// The process that sent the latest delta.
+    /// Incarnation of the controller that sent the latest delta.
     pub incarnation: u64,
-    /// The latest delta's version.
+    /// Version of the latest delta.
     pub version: u64,
-    /// A delta was rejected since the last reset: the version is not claimed in the next subscription.
+    /// Whether a delta has been rejected since the last reset. The next subscription then does not claim the version.
     pub has_gap: bool,
 }
 
-/// A delta's parts after validation.
+/// The validated lines and exclusions of a delta, with parsed addresses.
 struct ValidDelta {
     lines: Vec<(u32, SocketAddr, f64)>,
     exclusions: Vec<(SocketAddr, bool)>,
 }
 
 impl RoutingState {
-    /// Starts with tables in place.
+    /// Creates a state with initial tables.
     pub fn with_tables(tables: BTreeMap<u32, Table>) -> RoutingState {
         RoutingState { tables, ..RoutingState::default() }
     }
 
-    /// Applies all of a delta or, on an error, nothing.
+    /// Applies a complete delta, or nothing if any part of it is invalid.
     ///
     /// # Errors
     /// The first part of the delta that is invalid.
@@ -123,14 +123,14 @@
         }
     }
 
-    /// The admission of a class; all of it until a delta sets a rate.
+    /// The admission of a class; all operations are admitted until a delta sets a rate.
     pub fn admission(&self, class: u32) -> Admission {
         let unlimited = Admission { rate: 1.0, retry: RetryCondition::IfNotExecuted };
         self.admission.get(&class).copied().unwrap_or(unlimited)
     }
 
-    /// Picks a host for an operation of a slice that is neither excluded nor tried; `outstanding` is how many of the
-    /// proxy's attempts a host has.
+    /// Picks a host from the slice's table that is neither excluded nor among `attempted_hosts`. `outstanding` returns the
+    /// number of outstanding attempts that the proxy has at a host.
     pub fn pick(
         &self,
         slice: u32,
@@ -154,12 +154,13 @@
         }
     }
 
-    /// The tables by slice.
+    /// All tables, by slice.
     pub fn tables(&self) -> &BTreeMap<u32, Table> {
         &self.tables
     }
 }
 
+/// Validates all parts of a delta.
 fn validate(delta: &Delta) -> Result<ValidDelta, DeltaError> {
     let mut lines = Vec::with_capacity(delta.lines.len());
     for line in &delta.lines {
@@ -186,12 +187,13 @@
     host.parse().map_err(|_| DeltaError::InvalidAddress(host.to_owned()))
 }
 
+/// Draws a host with a probability proportional to its weight; `None` if there are no lines.
 fn draw_by_weight(lines: &[(SocketAddr, f64)], rng: &mut impl Rng) -> Option<SocketAddr> {
     let total: f64 = lines.iter().map(|line| line.1).sum();
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for (host, weight) in lines {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return Some(*host);
         }
     }
--- a/crates/railhub-emulator/src/sabotage.rs
+++ b/crates/railhub-emulator/src/sabotage.rs
@@ -1,18 +1,18 @@
-//! Misbehaviour of proxies that a check of the recording must find.
+//! Deliberate faults of proxies, which test the invariant checks.
 
-/// Misbehaviour of a proxy that a check of the recording must find.
+/// A deliberate fault of a proxy that the invariant checks must find in the recording.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// It loses the lines of some slices.
+    /// The proxy drops the table lines of some slices.
     LosesLines,
-    /// It retries operations that completed.
+    /// The proxy retries attempts that have completed or whose retry is not allowed.
     RetriesBlindly,
-    /// It sends to hosts that are excluded.
+    /// The proxy sends to hosts that are or were excluded.
     IgnoresExclusions,
-    /// It sends everything to the host that started last.
+    /// The proxy sends all operations to the host that started last.
     FloodsColdHosts,
-    /// It receives each message several times.
+    /// The proxy records each message that it receives several times.
     ReceivesTooManyMessages,
-    /// It accepts epochs older than those that it has seen.
+    /// The proxy accepts epochs that are older than those it has accepted before.
     AcceptsOldEpochs,
 }
--- a/crates/railhub-emulator/src/store.rs
+++ b/crates/railhub-emulator/src/store.rs
@@ -1,5 +1,5 @@
-//! The slice store: leases slices with their tables over HTTP, takes what changes, and outlives the controllers. It can
-//! be unavailable or slow, lose its responses, or restart from an older copy of itself.
+//! The emulated slice store. It grants leases of slices over HTTP, keeps the slices' tables, and outlives the controllers.
+//! It can be unavailable or slow, lose its responses, or restart from an older copy of its contents.
 mod contents;
 mod messages;
 mod server;
@@ -19,31 +19,31 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds of the longest lease that a store opened by [`Store::open`] grants.
+/// Longest lease, in seconds, that a store opened by [`Store::open`] grants.
 const DEFAULT_MAX_LEASE_SECONDS: f64 = 10.0;
 
-/// A store that listens; it ends when this is dropped.
+/// A store with its listener; dropping it closes the listener.
 pub struct Store {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     shared: Arc<SharedStore>,
     _listener: Listener,
 }
 
 impl Store {
-    /// Opens a store with tables in place, which records nothing.
+    /// Opens a store with initial tables that records nothing and has no faults.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the listener cannot be opened.
     pub fn open(tables: BTreeMap<u32, Table>) -> io::Result<Store> {
         Store::open_with(tables, DEFAULT_MAX_LEASE_SECONDS, None, StoreFaults::default())
     }
 
-    /// Opens a store with tables in place that grants leases of `max_lease` seconds at the most, records its grants
-    /// and writes, and may be faulty, for tests of the checks.
+    /// Opens a store with initial tables that grants leases of at most `max_lease` seconds and records its grants and
+    /// writes. `faults` makes it break its own rules, to test the invariant checks.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the listener cannot be opened.
     pub fn open_with(
         tables: BTreeMap<u32, Table>,
         max_lease: f64,
@@ -52,15 +52,15 @@
     ) -> io::Result<Store> {
         let contents = Mutex::new(StoreContents::new(tables, LeaseStore::new(max_lease, faults)));
         let shared = Arc::new(SharedStore { contents, recorder, ..SharedStore::default() });
-        let serving = shared.clone();
+        let listener_shared = shared.clone();
         let listener = Listener::open(SocketAddr::from(([127, 0, 0, 1], 0)), move |stream, _| {
-            let shared = serving.clone();
+            let shared = listener_shared.clone();
             spawn(move || server::serve(stream, &shared));
         })?;
         Ok(Store { address: listener.address, shared, _listener: listener })
     }
 
-    /// The tables by slice.
+    /// All tables, by slice.
     ///
     /// # Panics
     /// If a holder of the store's contents panicked.
@@ -68,22 +68,24 @@
         self.shared.contents.lock().expect("no holder panics").tables.clone()
     }
 
-    /// While it is unavailable it closes connections without a response.
+    /// Makes the store unavailable or available again. An unavailable store closes connections without a response.
     pub fn set_unavailable(&self, unavailable: bool) {
         self.shared.unavailable.store(unavailable, Ordering::Relaxed);
     }
 
-    /// Delays each response by so many seconds from now on.
+    /// Delays each response by `delay` seconds from now on; 0 ends the delay.
     pub fn set_response_delay(&self, delay: f64) {
         self.shared.response_delay_ms.store((delay * 1000.0) as u64, Ordering::Relaxed);
     }
 
-    /// While it loses responses, it does what it is requested to and closes the connection.
-    pub fn lose_responses(&self, loses: bool) {
-        self.shared.loses_responses.store(loses, Ordering::Relaxed);
+    /// Starts or stops losing responses. A store that loses responses handles each request and closes the connection
+    /// without a response.
+    pub fn lose_responses(&self, loses_responses: bool) {
+        self.shared.loses_responses.store(loses_responses, Ordering::Relaxed);
     }
 
-    /// Restarts from a copy that is `older_by` seconds old; 0: from what it has.
+    /// Restarts the store from a copy of its contents that is `older_by` seconds old, or from the current contents if
+    /// `older_by` is 0.
     ///
     /// # Panics
     /// If a holder of the store's contents panicked.
@@ -99,7 +101,7 @@
         self.shared.restarts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests to write tables that were handled.
+    /// Number of table write requests that have been handled.
     pub fn writes(&self) -> u64 {
         self.shared.writes.load(Ordering::Relaxed)
     }
--- a/crates/railhub-emulator/src/store/contents.rs
+++ b/crates/railhub-emulator/src/store/contents.rs
@@ -1,4 +1,5 @@
-//! What the store keeps: tables, what controllers left for their successors, and leases.
+//! The contents of the store: tables, the handover states that controllers leave for the next owner of a slice, and
+//! leases.
 use super::messages::{LeaseStatus, StoredTable};
 use crate::routing::Table;
 use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
@@ -6,29 +7,29 @@
 use railhub_membership::Epoch;
 use std::collections::BTreeMap;
 
-/// Bytes of what a controller may leave for the next owner of a slice; more is ignored.
+/// Maximum size of a handover state, in bytes of JSON; a larger one is ignored.
 const MAX_HANDOVER_BYTES: usize = 1024;
 
-/// All that the store keeps; changed in one step.
+/// The contents of the store. Each request is handled under one lock, so its changes are visible together.
 #[derive(Clone, Default)]
 pub struct StoreContents {
     pub tables: BTreeMap<u32, Table>,
-    /// What was left for the next owner of a slice, and when, in seconds.
+    /// Handover state for the next owner of a slice, and when it was written, in seconds.
     handovers: BTreeMap<u32, (f64, serde_json::Value)>,
     leases: LeaseStore,
 }
 
-/// A grant of a slice to a process that did not hold it before.
+/// The grant of a slice to a process that did not hold the slice before.
 pub struct NewGrant {
     pub slice: u32,
     pub epoch: u64,
 }
 
-/// What a lease request results in.
+/// Result of a lease request.
 pub struct LeaseOutcome {
     pub response: LeaseResponse,
     pub new_grants: Vec<NewGrant>,
-    /// The tables of the slices that were acquired.
+    /// Tables of the slices that the request has acquired.
     pub tables: Vec<StoredTable>,
 }
 
@@ -42,7 +43,7 @@
         self.leases = self.leases.restart(now, generation);
     }
 
-    /// Writes a table unless its slice is leased under another epoch. Returns whether it was written.
+    /// Writes a table, unless its slice is leased under another epoch. Returns whether the table was written.
     pub fn write(&mut self, now: f64, table: StoredTable) -> bool {
         let StoredTable { slice, epoch, lines, state, .. } = table;
         let may_write = u16::try_from(slice).is_ok_and(|slice| self.leases.may_write(slice, Epoch(epoch)));
@@ -70,6 +71,7 @@
         LeaseOutcome { response: outcome.response.clone(), new_grants, tables }
     }
 
+    /// The table of a slice with its handover state, as granted under an epoch.
     fn stored_table(&self, now: f64, slice: u32, epoch: u64) -> StoredTable {
         let lines = self.tables.get(&slice).cloned().unwrap_or_default();
         let handover = self.handovers.get(&slice);
@@ -77,7 +79,7 @@
         StoredTable { slice, epoch, lines, state: handover.map(|handover| handover.1.clone()), age }
     }
 
-    /// All tables, without their leases.
+    /// All tables, without epochs and handover states.
     pub fn stored_tables(&self) -> Vec<StoredTable> {
         let tables = self.tables.clone().into_iter();
         tables.map(|(slice, lines)| StoredTable { slice, epoch: 0, lines, state: None, age: 0.0 }).collect()
--- a/crates/railhub-emulator/src/store/messages.rs
+++ b/crates/railhub-emulator/src/store/messages.rs
@@ -1,20 +1,20 @@
-//! The store's messages as JSON. Field names are those of the protocol.
+//! The JSON messages of the store. The field names are part of the protocol.
 use crate::routing::Table;
 use railhub_membership::lease_messages::LeaseResponse;
 use serde::{Deserialize, Serialize};
 
-/// A slice's table, in a write or a response.
+/// The table of a slice, in a write request or a response.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct StoredTable {
     pub slice: u32,
-    /// The epoch that it is written or granted under; 0: none.
+    /// Epoch under which the table is written or granted; 0 if there is none.
     #[serde(default)]
     pub epoch: u64,
     pub lines: Table,
-    /// What the controller that released the slice left for the next one.
+    /// Handover state, which a controller leaves for the next owner of the slice.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub state: Option<serde_json::Value>,
-    /// How many seconds ago it was left.
+    /// Age of the handover state, in seconds.
     #[serde(default)]
     pub age: f64,
 }
@@ -24,17 +24,17 @@
 pub struct LeaseReply {
     #[serde(rename = "says")]
     pub response: LeaseResponse,
-    /// The tables of the slices that were acquired.
+    /// Tables of the slices that the request has acquired.
     pub tables: Vec<StoredTable>,
 }
 
-/// One slice's lease, for operators.
+/// The lease of one slice, for operators.
 #[derive(Serialize)]
 pub struct LeaseStatus {
     pub slice: u32,
     pub epoch: u64,
     pub process: Option<u64>,
-    /// Seconds that the lease has left.
+    /// Remaining time of the lease, in seconds.
     #[serde(rename = "left")]
     pub remaining: f64,
 }
--- a/crates/railhub-emulator/src/store/server.rs
+++ b/crates/railhub-emulator/src/store/server.rs
@@ -7,12 +7,12 @@
 use std::io;
 use std::sync::atomic::Ordering;
 
-/// Serves one connection until it breaks, or the store is unavailable or has restarted.
+/// Serves one connection until it breaks, the store becomes unavailable, or the store has restarted.
 pub fn serve(mut stream: TcpStream, shared: &SharedStore) {
     let mut buffer = Vec::new();
-    let restarts = shared.restarts.load(Ordering::Relaxed);
+    let restarts_at_open = shared.restarts.load(Ordering::Relaxed);
     while let Ok(Some(request)) = http::read_request(&mut stream, &mut buffer) {
-        let has_restarted = shared.restarts.load(Ordering::Relaxed) != restarts;
+        let has_restarted = shared.restarts.load(Ordering::Relaxed) != restarts_at_open;
         if shared.unavailable.load(Ordering::Relaxed) || has_restarted {
             return;
         }
@@ -26,6 +26,7 @@
     }
 }
 
+/// Handles one request and writes the response; returns an error if the connection is to be closed instead.
 fn respond(stream: &mut TcpStream, shared: &SharedStore, request: &http::Request) -> io::Result<()> {
     let body = match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/charges") => {
--- a/crates/railhub-emulator/src/store/shared.rs
+++ b/crates/railhub-emulator/src/store/shared.rs
@@ -1,4 +1,4 @@
-//! What the store's connections share: the contents with their copies, and the injected faults.
+//! State that the store's connections share: the contents with earlier copies of them, and the injected faults.
 use super::contents::StoreContents;
 use super::messages::{LeaseReply, StoredTable};
 use may::sync::Mutex;
@@ -8,31 +8,32 @@
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Seconds between copies of the store's contents.
+/// Minimum seconds between copies of the store's contents.
 const COPY_INTERVAL_SECONDS: f64 = 0.5;
-/// Copies that are kept.
+/// Maximum number of copies that are kept.
 const MAX_COPIES: usize = 128;
 
-/// What the store's connections share.
+/// State that the store's connections share.
 #[derive(Default)]
 pub struct SharedStore {
     pub contents: Mutex<StoreContents>,
-    /// Earlier contents, and when they were copied, in seconds.
+    /// Copies of earlier contents, and when each was made, in seconds.
     pub copies: Mutex<VecDeque<(f64, StoreContents)>>,
     pub unavailable: AtomicBool,
     pub response_delay_ms: AtomicU64,
     pub loses_responses: AtomicBool,
-    /// Restarts so far; connections from before the last one are closed.
+    /// Number of restarts. A connection that was opened before the last restart is closed.
     pub restarts: AtomicU64,
+    /// Number of table write requests that have been handled.
     pub writes: AtomicU64,
     pub recorder: Option<Recorder>,
 }
 
 impl SharedStore {
-    /// The latest copy from before a time in seconds, else the oldest.
-    pub fn copy_before(&self, before: f64) -> Option<StoreContents> {
+    /// The latest copy that is not newer than a time in seconds, or the oldest copy if all are newer.
+    pub fn copy_before(&self, time: f64) -> Option<StoreContents> {
         let copies = self.copies.lock().expect("no holder panics");
-        let latest = copies.iter().rev().find(|(at, _)| *at <= before);
+        let latest = copies.iter().rev().find(|(at, _)| *at <= time);
         latest.or(copies.front()).map(|(_, copy)| copy.clone())
     }
 
@@ -42,6 +43,7 @@
         }
     }
 
+    /// Copies the contents if the last copy is old enough.
     fn copy_when_due(&self, contents: &StoreContents) {
         let mut copies = self.copies.lock().expect("no holder panics");
         if copies.back().is_none_or(|(at, _)| now() - at >= COPY_INTERVAL_SECONDS) {
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Writes tables. Returns the slices that are leased under another epoch, and were not written.
+    /// Writes tables. Returns the slices whose tables were not written because they are leased under another epoch.
     pub fn write(&self, tables: Vec<StoredTable>) -> Vec<u32> {
         let mut contents = self.contents.lock().expect("no holder panics");
         self.copy_when_due(&contents);
@@ -71,6 +73,7 @@
         rejected_slices
     }
 
+    /// Handles a lease request and records the new grants.
     pub fn lease(&self, request: &LeaseRequest) -> LeaseReply {
         let mut contents = self.contents.lock().expect("no holder panics");
         self.copy_when_due(&contents);
--- a/crates/railhub-emulator/src/update_channel.rs
+++ b/crates/railhub-emulator/src/update_channel.rs
@@ -1,30 +1,33 @@
-//! The update channel from the controllers to the proxies: messages pass one after another at a rate in lines.
+//! The update channel from the controllers to the proxies. Messages pass one after another, at a limited rate in table
+//! lines per second.
 use may::sync::Mutex;
 use railhub_net::{now, seconds};
 use std::sync::Arc;
 
-/// The update channel. Clones are the same channel.
+/// The update channel. Clones share the same channel.
 #[derive(Clone)]
 pub struct UpdateChannel {
     state: Arc<Mutex<State>>,
+    /// Fixed cost of a message, in lines.
     message_cost: f64,
 }
 
 struct State {
     lines_per_second: f64,
+    /// Factor by which messages take longer.
     slowdown: f64,
-    /// When the last message that entered has passed, in seconds.
+    /// When the last queued message will have passed, in seconds.
     free_at: f64,
 }
 
 impl UpdateChannel {
-    /// A channel in which each message costs `message_cost` lines on top of those it carries.
+    /// Creates a channel in which each message costs `message_cost` lines in addition to the lines that it carries.
     pub fn new(lines_per_second: f64, message_cost: f64) -> UpdateChannel {
         let state = State { lines_per_second, slowdown: 1.0, free_at: 0.0 };
         UpdateChannel { state: Arc::new(Mutex::new(state)), message_cost }
     }
 
-    /// Multiplies the slowdown.
+    /// Multiplies the slowdown by a factor; a factor below 1 reduces it.
     ///
     /// # Panics
     /// If a holder of the channel panicked.
@@ -32,7 +35,7 @@
         self.state.lock().expect("no holder panics").slowdown *= factor;
     }
 
-    /// Waits until a message of `lines` lines has passed.
+    /// Waits until a message of `lines` table lines has passed the channel, behind the earlier messages.
     ///
     /// # Panics
     /// If a holder of the channel panicked.
--- a/crates/railhub-emulator/src/zone_links.rs
+++ b/crates/railhub-emulator/src/zone_links.rs
@@ -1,4 +1,5 @@
-//! The links between zones: extra delay and loss on operations that cross them.
+//! The network links between zones, with the extra delay and loss for operations between hosts and proxies of different
+//! zones.
 use may::sync::Mutex;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,17 +7,18 @@
 /// A fault on the links of a zone.
 #[derive(Clone, Copy, Debug)]
 pub struct DegradedLink {
-    /// One end.
+    /// Zone at one end.
     pub zone: u32,
-    /// The other end; none: all other zones.
+    /// Zone at the other end; `None` if the links to all other zones are degraded.
     pub other: Option<u32>,
-    /// Extra seconds each way.
+    /// Extra delay in each direction, in seconds.
     pub delay: f64,
-    /// Fraction of messages lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
 }
 
 impl DegradedLink {
+    /// Whether the fault affects the link between two zones.
     fn connects(&self, a: u32, b: u32) -> bool {
         let other_end_is = |zone| self.other.is_none_or(|end| end == zone);
         a != b && (self.zone == a && other_end_is(b) || self.zone == b && other_end_is(a))
@@ -26,21 +28,21 @@
 /// The condition of the link between two zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// Extra seconds each way.
+    /// Extra delay in each direction, in seconds.
     pub delay: f64,
-    /// Fraction of messages lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
 }
 
-/// All links between zones. Clones are the same links.
+/// All links between zones. Clones share the same links.
 #[derive(Clone, Default)]
 pub struct ZoneLinks {
-    /// By the number of the fault.
+    /// Degraded links, by the number of the fault.
     degraded: Arc<Mutex<BTreeMap<usize, DegradedLink>>>,
 }
 
 impl ZoneLinks {
-    /// Applies a fault, in place of an earlier one of the same number.
+    /// Applies a fault; replaces an earlier fault with the same number.
     ///
     /// # Panics
     /// If a holder of the links panicked.
@@ -48,7 +50,7 @@
         self.degraded.lock().expect("no holder panics").insert(fault, link);
     }
 
-    /// Ends a fault.
+    /// Ends the fault with this number.
     ///
     /// # Panics
     /// If a holder of the links panicked.
@@ -56,7 +58,7 @@
         self.degraded.lock().expect("no holder panics").remove(&fault);
     }
 
-    /// The condition between two zones: delays add up, the largest loss counts.
+    /// The condition of the link between two zones: the sum of the delays and the largest loss of all faults on it.
     ///
     /// # Panics
     /// If a holder of the links panicked.
