--- a/crates/railhub-emulator/src/endpoint_list.rs
+++ b/crates/railhub-emulator/src/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The emulated endpoint list. It is served over HTTP by long polling and can be late, wrong or unavailable.
 //!
 //! The list holds the true endpoints, the overrides that a scenario injects, and the published endpoints that result
-//! from both. Each change of the published endpoints increments the version. A poller gets the changes since its version,
-//! or the complete list if it is too far behind.
+//! from both. Each change of the published endpoints increments the version. A poller gets the changes since its
+//! version, or the complete list if it is too far behind.
 mod server;
 mod versions;
 
@@ -41,8 +41,8 @@
         Ok(list)
     }
 
-    /// Opens a separate listener for one of several controllers, so that the recording shows which controller received a
-    /// page.
+    /// Opens a separate listener for one of several controllers, so that the recording shows which controller received
+    /// a page.
     ///
     /// # Errors
     /// If the listener cannot be opened.
@@ -89,8 +89,8 @@
         self.change(|state| state.update(entries));
     }
 
-    /// Sets the override of the fault with this number, or ends it if `entries` is `None`. The entries of an override are
-    /// published in place of the true ones.
+    /// Sets the override of the fault with this number, or ends it if `entries` is `None`. The entries of an override
+    /// are published in place of the true ones.
     pub fn set_override(&self, fault: u64, entries: Option<Vec<ListedEndpoint>>) {
         self.change(|state| state.set_override(fault, entries));
     }
--- a/crates/railhub-emulator/src/endpoint_list/server.rs
+++ b/crates/railhub-emulator/src/endpoint_list/server.rs
@@ -1,5 +1,5 @@
-//! Serves the endpoint list over HTTP by long polling: the response to a poll is held back until there are changes, for a
-//! limited time.
+//! Serves the endpoint list over HTTP by long polling: the response to a poll is held back until there are changes, for
+//! a limited time.
 use super::versions::{EndpointPage, ListState, DRAINING, GONE};
 use may::net::TcpStream;
 use may::sync::Mutex;
@@ -27,8 +27,8 @@
     }
 }
 
-/// Returns the page after a version as soon as there are changes, or after [`MAX_POLL_HOLD_SECONDS`] without any; `None`
-/// if the list is unavailable.
+/// Returns the page after a version as soon as there are changes, or after [`MAX_POLL_HOLD_SECONDS`] without any;
+/// `None` if the list is unavailable.
 fn wait_for_changes(state: &Mutex<ListState>, after: u64) -> Option<EndpointPage> {
     let deadline = now() + MAX_POLL_HOLD_SECONDS;
     loop {
--- a/crates/railhub-emulator/src/fenced_routing.rs
+++ b/crates/railhub-emulator/src/fenced_routing.rs
@@ -1,5 +1,5 @@
-//! The routing state that a proxy has received from several controllers, fenced by epochs: each slice is routed with the
-//! state of its owner, the controller that sent the newest accepted epoch of the slice.
+//! The routing state that a proxy has received from several controllers, fenced by epochs: each slice is routed with
+//! the state of its owner, the controller that sent the newest accepted epoch of the slice.
 use crate::routing::{Admission, BalancingPolicy, DeltaError, RoutingState, Table};
 use railhub_proto::Delta;
 use rand::Rng;
@@ -44,9 +44,9 @@
         &self.controllers[self.owners.get(&slice).map_or(0, |owner| owner.1)]
     }
 
-    /// Applies a delta, except for the lines and clearings of its stale slices, and returns the stale slices. A slice is
-    /// stale if a newer epoch of it, or the same epoch from another controller, was accepted before. On an error, nothing
-    /// is applied. If `fenced` is false, no slice is stale.
+    /// Applies a delta, except for the lines and clearings of its stale slices, and returns the stale slices. A slice
+    /// is stale if a newer epoch of it, or the same epoch from another controller, was accepted before. On an error,
+    /// nothing is applied. If `fenced` is false, no slice is stale.
     ///
     /// # Errors
     /// The first part of the delta that is invalid.
--- a/crates/railhub-emulator/src/host.rs
+++ b/crates/railhub-emulator/src/host.rs
@@ -1,5 +1,5 @@
-//! An emulated host with a number of cores, a queue, reduced capacity after a cold start, and the faults that a scenario
-//! injects.
+//! An emulated host with a number of cores, a queue, reduced capacity after a cold start, and the faults that a
+//! scenario injects.
 //!
 //! The host's process is down, cold or warm; the scenario starts and kills it. Each start is a new process, and the
 //! operations that an earlier process had queued or running are lost.
--- a/crates/railhub-emulator/src/host/duplicates.rs
+++ b/crates/railhub-emulator/src/host/duplicates.rs
@@ -11,8 +11,8 @@
 /// The operations that have arrived at the hosts, with the scope in which each is recognised.
 #[derive(Default)]
 pub struct SeenOperations {
-    /// When an operation first arrived, in seconds, by scope and operation id. The scope is a zone if only the hosts of the
-    /// zone recognise the operation, and `None` if all hosts do.
+    /// When an operation first arrived, in seconds, by scope and operation id. The scope is a zone if only the hosts of
+    /// the zone recognise the operation, and `None` if all hosts do.
     first_seen: BTreeMap<(Option<u32>, u64), f64>,
 }
 
--- a/crates/railhub-emulator/src/host/execution.rs
+++ b/crates/railhub-emulator/src/host/execution.rs
@@ -94,8 +94,8 @@
         true
     }
 
-    /// Sleeps for the duration of a job's work; a duplicate or a failing job takes no time. Returns whether the job is a
-    /// duplicate, or `None` if it failed.
+    /// Sleeps for the duration of a job's work; a duplicate or a failing job takes no time. Returns whether the job is
+    /// a duplicate, or `None` if it failed.
     fn work(&self, class: &OperationClass, job: &Job) -> Option<bool> {
         let began = now();
         let (operation, zone) = (&job.operation, self.config.zone);
--- a/crates/railhub-emulator/src/host_connection.rs
+++ b/crates/railhub-emulator/src/host_connection.rs
@@ -87,8 +87,8 @@
         self.outstanding.load(Ordering::Relaxed)
     }
 
-    /// Sends an operation and waits for its result for at most `timeout` seconds. Calls `on_send` just before the operation
-    /// is written to the socket.
+    /// Sends an operation and waits for its result for at most `timeout` seconds. Calls `on_send` just before the
+    /// operation is written to the socket.
     pub fn call(
         self: &Arc<HostConnection>,
         operation: Operation,
@@ -132,8 +132,8 @@
         result
     }
 
-    /// Returns the number and the writer of the open connection, or connects if there is none; `None` if the host cannot
-    /// be reached.
+    /// Returns the number and the writer of the open connection, or connects if there is none; `None` if the host
+    /// cannot be reached.
     fn open_connection(self: &Arc<HostConnection>) -> Option<(u64, SharedWriter)> {
         let mut open = self.open.lock().expect("no holder panics");
         if let Some(writer) = &open.writer {
--- a/crates/railhub-emulator/src/proxy/controller_streams.rs
+++ b/crates/railhub-emulator/src/proxy/controller_streams.rs
@@ -164,7 +164,8 @@
         self.routing.lock().expect("no holder panics").apply(controller, delta, fenced)
     }
 
-    /// Sends a load report per interval. The first interval starts at a random time, so that proxies do not report at once.
+    /// Sends a load report per interval. The first interval starts at a random time, so that proxies do not report at
+    /// once.
     fn keep_reporting(self: Arc<Proxy>) {
         may::coroutine::sleep(seconds(self.random() * self.config.report_interval));
         loop {
--- a/crates/railhub-emulator/src/proxy/requests.rs
+++ b/crates/railhub-emulator/src/proxy/requests.rs
@@ -67,8 +67,8 @@
         outcome
     }
 
-    /// Timeout in seconds for the attempt at the last of `attempted_hosts`; `None` if too little time remains for it. An
-    /// attempt that can be retried after a failure gets a shorter timeout, which leaves time for the retry.
+    /// Timeout in seconds for the attempt at the last of `attempted_hosts`; `None` if too little time remains for it.
+    /// An attempt that can be retried after a failure gets a shorter timeout, which leaves time for the retry.
     fn attempt_timeout(
         &self,
         operation: &PlannedOperation,
--- a/crates/railhub-emulator/src/routing.rs
+++ b/crates/railhub-emulator/src/routing.rs
@@ -129,8 +129,8 @@
         self.admission.get(&class).copied().unwrap_or(unlimited)
     }
 
-    /// Picks a host from the slice's table that is neither excluded nor among `attempted_hosts`. `outstanding` returns the
-    /// number of outstanding attempts that the proxy has at a host.
+    /// Picks a host from the slice's table that is neither excluded nor among `attempted_hosts`. `outstanding` returns
+    /// the number of outstanding attempts that the proxy has at a host.
     pub fn pick(
         &self,
         slice: u32,
--- a/crates/railhub-emulator/src/store.rs
+++ b/crates/railhub-emulator/src/store.rs
@@ -1,5 +1,5 @@
-//! The emulated slice store. It grants leases of slices over HTTP, keeps the slices' tables, and outlives the controllers.
-//! It can be unavailable or slow, lose its responses, or restart from an older copy of its contents.
+//! The emulated slice store. It grants leases of slices over HTTP, keeps the slices' tables, and outlives the
+//! controllers. It can be unavailable or slow, lose its responses, or restart from an older copy of its contents.
 mod contents;
 mod messages;
 mod server;
--- a/crates/railhub-external-engine/src/process/tests.rs
+++ b/crates/railhub-external-engine/src/process/tests.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Stdio};
 
 /// Writes an executable file from a separate process. If this process had the file open for writing, a child that
-/// another test starts at that moment could inherit the descriptor, and executing the file would fail with ETXTBSY until
-/// that child closes it.
+/// another test starts at that moment could inherit the descriptor, and executing the file would fail with ETXTBSY
+/// until that child closes it.
 fn write_program(path: &Path, text: &str) {
     let mut writer = Command::new("sh");
     writer.args(["-c", "cat > \"$1\" && chmod 755 \"$1\"", "sh"]).arg(path);
--- a/crates/railhub-external-engine/src/variant.rs
+++ b/crates/railhub-external-engine/src/variant.rs
@@ -25,7 +25,8 @@
 }
 
 /// Builds the adapter's program with other constants and returns its path. `source` is the root of the repository. Each
-/// variant is kept in a subfolder of `folder` that is named by a hash of its sources, so that no variant is built twice.
+/// variant is kept in a subfolder of `folder` that is named by a hash of its sources, so that no variant is built
+/// twice.
 ///
 /// # Errors
 /// A source file cannot be read or copied, a constant cannot be set, or the copy does not compile.
--- a/crates/railhub-external-engine/src/wire.rs
+++ b/crates/railhub-external-engine/src/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter's line protocol: encodes event batches as lines ([`encode_create`], [`encode_batch`]) and applies the lines
-//! of a reply to a delta ([`apply_line`]). Does no I/O and reads no clock.
+//! The adapter's line protocol: encodes event batches as lines ([`encode_create`], [`encode_batch`]) and applies the
+//! lines of a reply to a delta ([`apply_line`]). Does no I/O and reads no clock.
 mod reply;
 mod request;
 
--- a/crates/railhub-external-engine/src/wire/reply.rs
+++ b/crates/railhub-external-engine/src/wire/reply.rs
@@ -12,8 +12,8 @@
 /// Number of classes that the class bit mask of an action can select.
 const MAX_MASKED_CLASSES: usize = 64;
 
-/// Why a line of a reply cannot be applied. The texts are part of an engine's error, which experiments store, and must not
-/// change.
+/// Why a line of a reply cannot be applied. The texts are part of an engine's error, which experiments store, and must
+/// not change.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum WireError {
     /// A field is missing, invalid or not supported.
