--- a/crates/railhub-controller/tests/streams.rs
+++ b/crates/railhub-controller/tests/streams.rs
@@ -207,7 +207,7 @@
 #[test]
 fn closes_silent_flooding_and_invalid_streams_with_reason() {
     let mut fleet = open_fleet(2, 10);
-    fleet.installation.subscribe_timeout = 0.3;
+    fleet.settings.subscribe_timeout = 0.3;
     let controller = fleet.start();
     let mut valid = TestProxy::connect(controller.address, 0);
     valid.apply_until(|routing| routing.tables().len() == 10);
@@ -241,7 +241,7 @@
 fn all_proxies_join_when_snapshots_exceed_backlog() {
     let mut fleet = open_fleet(4, 100);
     // One snapshot has some 200 lines, so snapshots for all proxies exceed this limit.
-    fleet.installation.config.backlog_limit = 700.0;
+    fleet.settings.config.backlog_limit = 700.0;
     let controller = fleet.start();
     let address = controller.address;
     // The first proxy in the queue never reads. The others must wait no longer than until its stream is closed.
--- a/crates/railhub-controller/tests/wire_fixtures.rs
+++ b/crates/railhub-controller/tests/wire_fixtures.rs
@@ -5,7 +5,7 @@
 use railhub_controller::membership::MembershipFigures;
 use railhub_controller::publication::Publication;
 use railhub_controller::traffic_writer::TrafficWriter;
-use railhub_controller::{Figures, Installation, Running};
+use railhub_controller::{ControllerSettings, Figures, RunningController};
 use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -22,8 +22,8 @@
     START.call_once(railhub_net::start_runtime);
 }
 
-fn read_settings(text: &str) -> Installation {
-    Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings")
+fn read_settings(text: &str) -> ControllerSettings {
+    ControllerSettings::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -151,7 +151,7 @@
         "[steward]\nroster = {}\nstore = {}\nslices = 1\n[class any]\ncontract_time = 1\n",
         list.address, store.address
     );
-    let running = Running::start(read_settings(&text)).expect("the controller starts");
+    let running = RunningController::start(read_settings(&text)).expect("the controller starts");
     assert_eq!(list.bodies("GET /hosts?after=0 HTTP/1.1", 1), [""]);
     assert_eq!(store.bodies("GET /charges HTTP/1.1", 1), [""]);
     assert_eq!(list.bodies("GET /hosts?after=9 HTTP/1.1", 1), [""]);
@@ -194,7 +194,8 @@
             list.address, store.address
         )
     };
-    let mut running = Running::start(read_settings(&text(1, 77, ""))).expect("the controller starts");
+    let mut running =
+        RunningController::start(read_settings(&text(1, 77, ""))).expect("the controller starts");
     let first_request =
         "{\"number\":1,\"process\":77,\"span\":3.0,\"take\":[0,1],\"renew\":[],\"release\":[]}";
     assert_eq!(store.bodies("POST /leases HTTP/1.1", 1)[0], first_request);
@@ -209,7 +210,7 @@
         "join = {}\n",
         running.membership_address().expect("the controller has a membership address")
     );
-    let other = Running::start(read_settings(&text(2, 78, &join))).expect("the controller starts");
+    let other = RunningController::start(read_settings(&text(2, 78, &join))).expect("the controller starts");
     while running.membership_figures().is_none_or(|figures| figures.alive < 2) {
         assert!(Instant::now() < deadline, "the other controller never joined the membership");
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use proptest::prelude::*;
 use railhub::{
-    EndpointEntry, EndpointList, EventBatch, HostId, HostLoadReport, KindId, Phase, TimerId, ZoneId,
+    EndpointEntry, EndpointList, EventBatch, HostId, HostKindId, HostLoadReport, Phase, TimerId, ZoneId,
 };
 use railhub_controller::delta_builder::DeltaBuilder;
 
@@ -10,7 +10,7 @@
 fn encodes_event_batch_as_lines() {
     let host = HostId::new("10.0.0.1:80").expect("a valid address");
     let entry =
-        EndpointEntry { host, kind: KindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
+        EndpointEntry { host, kind: HostKindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
     let report = HostLoadReport {
         zone: ZoneId(1),
         host,
@@ -64,7 +64,7 @@
     assert_eq!(delta.change.lines.len(), 1);
     assert_eq!(delta.change.admission_rates.len(), 1);
     assert_eq!(delta.timers, [(0.5, TimerId(9)), (TICK_US as f64 / 1e6, TimerId(9))]);
-    assert_eq!(delta.notes, ["two hosts known"]);
+    assert_eq!(delta.decision_log, ["two hosts known"]);
 }
 
 proptest! {
--- a/crates/railhub-platform/src/config.rs
+++ b/crates/railhub-platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a controller on the platform, and the names used in its messages. The file format, with
 //! [`NodeConfig::parse`], is in [`crate::wire::configuration`].
 use crate::endpoints::EndpointPage;
-use railhub::{ClassId, ControllerConfig, EndpointList, KindId, Seconds, ZoneId};
+use railhub::{ClassId, ControllerConfig, EndpointList, HostKindId, Seconds, ZoneId};
 use std::net::SocketAddr;
 use thiserror::Error;
 
@@ -68,7 +68,7 @@
     pub classes: Vec<String>,
     /// Zones, by [`ZoneId`].
     pub zones: Vec<String>,
-    /// Kinds of hosts, by [`KindId`].
+    /// Kinds of hosts, by [`HostKindId`].
     pub kinds: Vec<String>,
     /// The longest client time-out, in seconds: an upper bound of mean service times.
     pub max_client_timeout: Seconds,
@@ -87,10 +87,10 @@
 
     /// The kind with this name. A name that the file does not list gets a number derived from its hash: a table of such
     /// names would grow without bound.
-    pub fn kind(&self, name: &str) -> KindId {
+    pub fn kind(&self, name: &str) -> HostKindId {
         match self.kinds.iter().position(|known| known == name) {
-            Some(index) => KindId(index as u16),
-            None => KindId(hash(name).max(self.kinds.len() as u16)),
+            Some(index) => HostKindId(index as u16),
+            None => HostKindId(hash(name).max(self.kinds.len() as u16)),
         }
     }
 }
--- a/src/decision/tests/placement.rs
+++ b/src/decision/tests/placement.rs
@@ -16,32 +16,32 @@
     rebalance(&mut moves, &mut controller.move_quota);
 }
 
-fn slices_of(controller: &Controller, n: u8) -> impl Iterator<Item = (&SliceId, &Slice)> {
+fn owned_slices(controller: &Controller, n: u8) -> impl Iterator<Item = (&SliceId, &Slice)> {
     controller.slices.iter().filter(move |(_, slice)| slice.owner == Some(host(n)))
 }
 
 #[test]
-fn the_hash_is_fixed_and_moves_only_what_a_lost_host_held() {
-    let best = |slice, hosts: std::ops::RangeInclusive<u8>| {
+fn rendezvous_hash_moves_only_slices_of_lost_host() {
+    let first_choice = |slice, hosts: std::ops::RangeInclusive<u8>| {
         hosts.max_by(|a, b| {
             rendezvous::rank(slice, host(*a), 4.0).total_cmp(&rendezvous::rank(slice, host(*b), 4.0))
         })
     };
     for slice in (0..60).map(SliceId) {
-        let before = best(slice, 1..=8).expect("some host");
+        let before = first_choice(slice, 1..=8).expect("a host");
         if before != 8 {
-            assert_eq!(best(slice, 1..=7), Some(before));
+            assert_eq!(first_choice(slice, 1..=7), Some(before));
         }
     }
-    let held = (0..800).filter(|k| best(SliceId(*k), 1..=8) == Some(3)).count();
-    assert!((60..140).contains(&held), "{held}");
+    let owned = (0..800).filter(|k| first_choice(SliceId(*k), 1..=8) == Some(3)).count();
+    assert!((60..140).contains(&owned), "{owned}");
 }
 
 #[test]
-fn slices_fail_over_to_their_standbys_where_those_have_capacity() {
+fn slices_fail_over_to_standbys_with_capacity() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 2.0, 0.1);
-    let standbys: Vec<_> = slices_of(&controller, 2).map(|(id, slice)| (*id, slice.standby)).collect();
+    let standbys: Vec<_> = owned_slices(&controller, 2).map(|(id, slice)| (*id, slice.standby)).collect();
     controller.handle_batch(
         &endpoint_update(101.0, vec![entry(2, Phase::Draining, None)]),
         &mut RecordedCommands::default(),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_hottest_slice_leaves_a_lagging_host_for_the_fastest() {
+fn hottest_slice_moves_from_lagging_to_fastest_host() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 5.0, 0.1);
     controller.slices.get_mut(&SliceId(0)).expect("assigned").demand[0].amount.value = 14.0;
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn moves_end_with_the_quota() {
+fn rebalancing_stops_when_quota_is_used_up() {
     let mut controller = controller(config());
     set_load(&mut controller, 101.0, 5.0, 0.1);
     controller.slices.get_mut(&SliceId(0)).expect("assigned").demand[0].amount.value = 28.0;
     controller.hosts.get_mut(&host(1)).expect("listed").lagging_ticks = MIN_LAGGING_TICKS;
     (controller.move_quota.available, controller.move_quota.refilled_at) = (0.5, 101.0);
     rebalance_at(&mut controller, 101.0);
-    assert_eq!(owned(&controller, 1), 3);
+    assert_eq!(owned_slice_count(&controller, 1), 3);
 }
