--- a/crates/railhub-scenario/src/draw/fleet.rs
+++ b/crates/railhub-scenario/src/draw/fleet.rs
@@ -43,7 +43,7 @@
         cold_capacity_fraction: kind.cold_capacity_fraction,
         warm_up_time: kind.warm_up_time,
         max_connections: scenario.max_connections,
-        probe_work: scenario.health_check_work,
+        health_check_work: scenario.health_check_work,
         utilization_interval: scenario.utilization_interval,
         cache_saving: scenario.affinity_gain,
         cache_lifetime: scenario.affinity_duration,
--- a/crates/railhub-scenario/src/draw/operation.rs
+++ b/crates/railhub-scenario/src/draw/operation.rs
@@ -119,8 +119,8 @@
             key: self.key,
             slice: self.slice as u32,
             work: self.work_factor * work,
-            patience: self.wait_fraction,
-            returns: self.client_returns,
+            max_request_timeout_fraction: self.wait_fraction,
+            extra_retry: self.client_returns,
         }
     }
 }
