--- a/crates/railhub-chaos/src/view/judge/mod.rs
+++ b/crates/railhub-chaos/src/view/judge/mod.rs
@@ -20,7 +20,7 @@
 /// The rule that no live member is missing from a view then.
 pub const NO_SPLIT: &str = "no lasting split";
 /// The rule that a view never goes back to an older or a forgotten process.
-pub const NO_LIFE_AFTER_DEATH: &str = "no life after death";
+pub const NO_RESURRECTION: &str = "no life after death";
 /// The rule that no live process is declared dead while nothing disturbs the run.
 pub const NO_FALSE_DEATH: &str = "no slander";
 /// The rule that gossip ends, and that datagrams are short.
--- a/crates/railhub-chaos/src/view/judge/resurrection.rs
+++ b/crates/railhub-chaos/src/view/judge/resurrection.rs
@@ -1,5 +1,5 @@
 //! The rule that a process which has shown a member's process never shows an older one, nor one that it had forgotten.
-use super::NO_LIFE_AFTER_DEATH;
+use super::NO_RESURRECTION;
 use crate::breach::Breach;
 use crate::view::observation::{MemberProcess, Node, ViewObservation};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
         let ViewObservation::View { at, node, alive, gone, .. } = observation else { continue };
         for member in alive {
             if let Some(description) = shown.apply_alive(*node, *member) {
-                return Some(Breach { rule: NO_LIFE_AFTER_DEATH, at: *at, description });
+                return Some(Breach { rule: NO_RESURRECTION, at: *at, description });
             }
         }
         shown.forget(*node, alive, gone);
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -1,7 +1,7 @@
 //! Views in simulated time: many runs without a breach, and each safeguard that is left out is found.
 use railhub_chaos::explorer::membership::explore;
 use railhub_chaos::view::figures::view_figures;
-use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES};
+use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_RESURRECTION, NO_SPLIT, SETTLES};
 use railhub_chaos::view::simulation::run;
 use railhub_chaos::view::{Node, RunOptions, ViewObservation};
 use railhub_chaos::{ChaosConfig, Fault, FaultKind, LinkFaults};
@@ -53,7 +53,7 @@
 
 #[test]
 fn older_processes_that_count_are_found() {
-    found(Safeguard::ProcessOrder, &[NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES]);
+    found(Safeguard::ProcessOrder, &[NO_RESURRECTION, NO_SPLIT, SETTLES]);
 }
 
 #[test]
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several stewards as processes, with faults between them: short cases through the real binary. A failing case prints its
 //! seed, what broke and where the logs are.
 use railhub_chaos::cluster_harness::{play, temporary_folder, ControllerProcess, HarnessPlan};
-use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES};
+use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_RESURRECTION, NO_SPLIT, SETTLES};
 use railhub_chaos::view::{RunOptions, ViewObservation};
 use railhub_chaos::{ChaosConfig, Fault, FaultKind, JudgedProperty, LinkFaults};
 use railhub_fault_links::tcp::TcpLink;
@@ -146,7 +146,7 @@
 #[test]
 fn a_fleet_that_ignores_process_numbers_is_found() {
     let faults = [fault(2.0, 7.0, FaultKind::Kill { controller: 1 })];
-    breaks(7, Safeguard::ProcessOrder, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
+    breaks(7, Safeguard::ProcessOrder, &faults, &[NO_SPLIT, SETTLES, NO_RESURRECTION]);
 }
 
 #[test]
