--- a/crates/railhub-chaos/src/cluster_harness/error.rs
+++ b/crates/railhub-chaos/src/cluster_harness/error.rs
@@ -24,13 +24,13 @@
     },
     /// The process has no standard output.
     #[error("a steward does not start: no standard output")]
-    NoOutput,
+    NoStandardOutput,
     /// The process did not print its addresses in time.
     #[error("a steward does not start: it says nothing")]
-    Silent,
+    StartTimeout,
     /// The process ended before it printed its addresses.
     #[error("a steward does not start: it ended")]
-    Ended,
+    ExitedEarly,
     /// The first line that the process printed does not hold its addresses.
     #[error("a steward does not start: {line:?}: {source}")]
     Addresses {
--- a/crates/railhub-chaos/src/cluster_harness/faults.rs
+++ b/crates/railhub-chaos/src/cluster_harness/faults.rs
@@ -17,9 +17,9 @@
         self.queue.schedule(ends_at, ScheduledEvent::FaultEnds(index));
         match fault.kind {
             FaultKind::Kill { controller } | FaultKind::RestartWithLowerNumber { controller } => {
-                self.end(controller, ControllerProcess::kill);
+                self.stop(controller, ControllerProcess::kill);
             }
-            FaultKind::Leave { controller } => self.end(controller, ControllerProcess::leave),
+            FaultKind::Leave { controller } => self.stop(controller, ControllerProcess::leave),
             FaultKind::Pause { controller } => {
                 if let Some(running) = self.current_process(controller) {
                     running.process.pause();
@@ -30,7 +30,7 @@
             }
             FaultKind::Flap { .. } => self.flap(index, ends_at)?,
             FaultKind::Move { controller } => {
-                self.end(controller, ControllerProcess::kill);
+                self.stop(controller, ControllerProcess::kill);
                 self.add_endpoint(controller, format!("{controller} moved {index}"))?;
                 self.start(controller, None)?;
             }
@@ -60,8 +60,8 @@
             }
             FaultKind::Pause { controller } => self.resume(controller),
             FaultKind::Starve { .. } => {
-                if let Some(ends) = self.starvation_ends.remove(&index) {
-                    ends.store(true, Ordering::Release);
+                if let Some(stop_flag) = self.starvation_stop_flags.remove(&index) {
+                    stop_flag.store(true, Ordering::Release);
                 }
             }
             _ => {}
@@ -75,7 +75,7 @@
     }
 
     fn start_if_down(&mut self, controller: u16, process: Option<u64>) -> Result<(), HarnessError> {
-        if self.current.contains_key(&controller) {
+        if self.current_nodes.contains_key(&controller) {
             return Ok(());
         }
         self.start(controller, process)
@@ -97,8 +97,8 @@
         if self.elapsed() >= until {
             return Ok(());
         }
-        if self.current.contains_key(&controller) {
-            self.end(controller, ControllerProcess::kill);
+        if self.current_nodes.contains_key(&controller) {
+            self.stop(controller, ControllerProcess::kill);
         } else {
             self.start(controller, None)?;
         }
--- a/crates/railhub-chaos/src/cluster_harness/harness.rs
+++ b/crates/railhub-chaos/src/cluster_harness/harness.rs
@@ -71,16 +71,16 @@
     link_controller: Arc<LinkController>,
     processes: BTreeMap<Node, RunningProcess>,
     /// The process that a fault on a controller strikes.
-    pub current: BTreeMap<u16, Node>,
+    pub current_nodes: BTreeMap<u16, Node>,
     /// Each controller's endpoint; another one after it has moved.
     pub endpoints: BTreeMap<u16, LinkEndpoint>,
     last_node: usize,
-    observed: ObservedProcesses,
+    observed_processes: ObservedProcesses,
     observations: Observations,
     pub link_record: Arc<Mutex<LinkRecord>>,
     pub active_faults: ActiveFaults,
     /// Ends the starvation of each fault in force.
-    pub starvation_ends: BTreeMap<usize, Arc<AtomicBool>>,
+    pub starvation_stop_flags: BTreeMap<usize, Arc<AtomicBool>>,
     pub queue: EventQueue<ScheduledEvent>,
 }
 
@@ -121,14 +121,14 @@
             links,
             link_controller,
             processes: BTreeMap::new(),
-            current: BTreeMap::new(),
+            current_nodes: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             last_node: 0,
-            observed: ObservedProcesses::default(),
+            observed_processes: ObservedProcesses::default(),
             observations,
             link_record,
             active_faults: ActiveFaults::default(),
-            starvation_ends: BTreeMap::new(),
+            starvation_stop_flags: BTreeMap::new(),
             queue: EventQueue::default(),
         };
         for controller in 0..plan.config.controllers {
@@ -163,7 +163,7 @@
             seeds: seeds.map(|endpoint| endpoint.public_address).collect(),
             process,
             forget_after: self.plan.options.forget_after,
-            without: self.plan.options.without,
+            disabled_safeguard: self.plan.options.without,
         };
         settings.to_ini()
     }
@@ -179,21 +179,21 @@
         let process = ControllerProcess::start(self.plan.binary, &settings, &log)?;
         let endpoint = self.endpoints[&controller].name.clone();
         self.links.set_real_address(&endpoint, Some(process.cluster_address));
-        self.observed.lock().expect("no holder panics").insert(node, process.cluster_address);
+        self.observed_processes.lock().expect("no holder panics").insert(node, process.cluster_address);
         self.observe(ViewObservation::Started { at: self.elapsed(), node, controller });
         let running = RunningProcess { process: Arc::new(process), controller, endpoint };
         self.processes.insert(node, running);
-        self.current.insert(controller, node);
+        self.current_nodes.insert(controller, node);
         Ok(())
     }
 
     /// Ends a controller's process in one way or another.
-    pub(super) fn end(&mut self, controller: u16, end_process: impl FnOnce(&ControllerProcess)) {
-        let Some(node) = self.current.remove(&controller) else { return };
+    pub(super) fn stop(&mut self, controller: u16, stop_process: impl FnOnce(&ControllerProcess)) {
+        let Some(node) = self.current_nodes.remove(&controller) else { return };
         let Some(running) = self.processes.remove(&node) else { return };
-        self.observed.lock().expect("no holder panics").remove(&node);
+        self.observed_processes.lock().expect("no holder panics").remove(&node);
         self.observe_processor_time(node, &running.process);
-        end_process(&running.process);
+        stop_process(&running.process);
         self.observe(ViewObservation::Ended { at: self.elapsed(), node, controller });
         if self.processes.values().all(|other| other.endpoint != running.endpoint) {
             self.links.set_real_address(&running.endpoint, None);
@@ -207,7 +207,7 @@
     }
 
     pub(super) fn current_process(&self, controller: u16) -> Option<&RunningProcess> {
-        self.processes.get(self.current.get(&controller)?)
+        self.processes.get(self.current_nodes.get(&controller)?)
     }
 
     /// Gives each direction between two endpoints the faults in force. Endpoints of earlier processes count.
@@ -257,7 +257,7 @@
         let observer = Observer::start(
             &self.installation,
             self.started_at,
-            self.observed.clone(),
+            self.observed_processes.clone(),
             self.observations.clone(),
         );
         let _observer = observer.map_err(HarnessError::ObserverPort)?;
@@ -276,8 +276,8 @@
     }
 
     fn finish(self) -> Result<Vec<ViewObservation>, HarnessError> {
-        for starvation_ends in self.starvation_ends.values() {
-            starvation_ends.store(true, Ordering::Release);
+        for stop_flag in self.starvation_stop_flags.values() {
+            stop_flag.store(true, Ordering::Release);
         }
         self.link_controller.finish();
         let at = self.elapsed();
--- a/crates/railhub-chaos/src/cluster_harness/interference.rs
+++ b/crates/railhub-chaos/src/cluster_harness/interference.rs
@@ -24,10 +24,10 @@
     pub(super) fn starve(&mut self, index: usize, controller: u16, running_fraction: f64) {
         let Some(running) = self.current_process(controller) else { return };
         let process = running.process.clone();
-        let ends = Arc::new(AtomicBool::new(false));
-        self.starvation_ends.insert(index, ends.clone());
+        let stop_flag = Arc::new(AtomicBool::new(false));
+        self.starvation_stop_flags.insert(index, stop_flag.clone());
         std::thread::spawn(move || {
-            while !ends.load(Ordering::Acquire) {
+            while !stop_flag.load(Ordering::Acquire) {
                 process.pause();
                 std::thread::sleep(seconds(STARVATION_PERIOD * (1.0 - running_fraction)));
                 process.resume();
--- a/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
+++ b/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
@@ -23,7 +23,7 @@
     /// The scenario.
     pub scenario: Scenario,
     /// Faults that cannot be caused on processes.
-    pub left_out: Vec<FaultKind>,
+    pub unsupported_faults: Vec<FaultKind>,
 }
 
 /// Makes the scenario that plays these faults on processes.
@@ -42,13 +42,13 @@
     apply_sizes(&mut scenario, config);
     scenario.length = scenario_length(config, faults);
     apply_sabotage(&mut scenario, sabotage);
-    let mut left_out = Vec::new();
+    let mut unsupported_faults = Vec::new();
     for fault in faults {
         if !add_fault(&mut scenario, fault) {
-            left_out.push(fault.kind.clone());
+            unsupported_faults.push(fault.kind.clone());
         }
     }
-    Ok(LeaseScenario { scenario, left_out })
+    Ok(LeaseScenario { scenario, unsupported_faults })
 }
 
 fn apply_sizes(scenario: &mut Scenario, config: &ChaosConfig) {
--- a/crates/railhub-chaos/src/cluster_harness/process.rs
+++ b/crates/railhub-chaos/src/cluster_harness/process.rs
@@ -86,7 +86,7 @@
             cluster_address: no_address,
             number: None,
         };
-        let addresses = read_addresses(output.ok_or(ProcessError::NoOutput)?)?;
+        let addresses = read_addresses(output.ok_or(ProcessError::NoStandardOutput)?)?;
         process.proxy_address = addresses.listening;
         process.cluster_address = addresses.fleet.unwrap_or(no_address);
         process.number = addresses.process;
@@ -206,8 +206,8 @@
         let _ = sender.send(line);
     });
     let line = receiver.recv_timeout(START_TIMEOUT).map_err(|error| match error {
-        RecvTimeoutError::Timeout => ProcessError::Silent,
-        RecvTimeoutError::Disconnected => ProcessError::Ended,
+        RecvTimeoutError::Timeout => ProcessError::StartTimeout,
+        RecvTimeoutError::Disconnected => ProcessError::ExitedEarly,
     })?;
     serde_json::from_str(&line).map_err(|source| ProcessError::Addresses { line, source })
 }
--- a/crates/railhub-chaos/src/cluster_harness/settings.rs
+++ b/crates/railhub-chaos/src/cluster_harness/settings.rs
@@ -15,7 +15,7 @@
     /// Seconds after which a member that is gone is forgotten; 0: the program's default.
     pub forget_after: f64,
     /// The safeguard that is left out.
-    pub without: Option<Safeguard>,
+    pub disabled_safeguard: Option<Safeguard>,
 }
 
 impl ControllerSettings<'_> {
@@ -36,11 +36,11 @@
         if self.forget_after > 0.0 {
             text += &format!("forget_after = {}\n", self.forget_after);
         }
-        text + self.without.map_or("", without_line)
+        text + self.disabled_safeguard.map_or("", disabled_safeguard_line)
     }
 }
 
-fn without_line(safeguard: Safeguard) -> &'static str {
+fn disabled_safeguard_line(safeguard: Safeguard) -> &'static str {
     match safeguard {
         Safeguard::Refutation => "without = refutation\n",
         Safeguard::DeadProbing => "without = asking the dead\n",
--- a/crates/railhub-chaos/src/explorer/lease.rs
+++ b/crates/railhub-chaos/src/explorer/lease.rs
@@ -109,7 +109,7 @@
 }
 
 impl State {
-    fn first(omitted: OmittedSafeguard) -> State {
+    fn initial(omitted: OmittedSafeguard) -> State {
         let store_faults = StoreFaults {
             reuses_epochs: omitted == OmittedSafeguard::NewEpochs,
             skips_grace_period: omitted == OmittedSafeguard::GracePeriod,
@@ -165,69 +165,69 @@
             transitions.extend(self.restart(controller));
         }
         transitions.extend(self.store_step());
-        for number in 0..self.in_flight.len() {
-            transitions.push(self.delivery(number, omitted));
+        for index in 0..self.in_flight.len() {
+            transitions.push(self.delivery(index, omitted));
         }
         transitions
     }
 
-    fn exchange_steps(&self, place: usize, transitions: &mut Vec<Transition>) {
-        match &self.controllers[place].exchange {
-            None => transitions.push(self.send_request(place)),
-            Some((began, Exchange::Requested(request))) => {
-                transitions.push(self.handle_request(place, *began, request));
-                let step = format!("the request of {place} is lost");
-                transitions.push(Transition::to(step, self.without_exchange(place)));
+    fn exchange_steps(&self, controller: usize, transitions: &mut Vec<Transition>) {
+        match &self.controllers[controller].exchange {
+            None => transitions.push(self.send_request(controller)),
+            Some((started_at, Exchange::Requested(request))) => {
+                transitions.push(self.handle_request(controller, *started_at, request));
+                let step = format!("the request of {controller} is lost");
+                transitions.push(Transition::to(step, self.without_exchange(controller)));
             }
-            Some((began, Exchange::Responded(response))) => {
-                transitions.push(self.handle_response(place, *began, response));
-                let step = format!("the response to {place} is lost");
-                transitions.push(Transition::to(step, self.without_exchange(place)));
+            Some((started_at, Exchange::Responded(response))) => {
+                transitions.push(self.handle_response(controller, *started_at, response));
+                let step = format!("the response to {controller} is lost");
+                transitions.push(Transition::to(step, self.without_exchange(controller)));
             }
         }
     }
 
-    fn without_exchange(&self, place: usize) -> State {
+    fn without_exchange(&self, controller: usize) -> State {
         let mut next = self.clone();
-        next.controllers[place].exchange = None;
+        next.controllers[controller].exchange = None;
         next
     }
 
-    fn send_request(&self, place: usize) -> Transition {
-        let held = self.valid_epoch(place);
+    fn send_request(&self, controller: usize) -> Transition {
+        let held = self.valid_epoch(controller);
         let action = if held.is_some() { "renewal" } else { "the slice" };
         let request = LeaseRequest {
             number: 1,
-            process: self.controllers[place].process,
+            process: self.controllers[controller].process,
             duration: LEASE_DURATION,
             acquire: if held.is_some() { Vec::new() } else { vec![SLICE] },
             renew: held.map(|epoch| (SLICE, epoch)).into_iter().collect(),
             release: Vec::new(),
         };
         let mut next = self.clone();
-        next.controllers[place].exchange = Some((self.now, Exchange::Requested(request)));
-        Transition::to(format!("{place} requests {action}"), next)
+        next.controllers[controller].exchange = Some((self.now, Exchange::Requested(request)));
+        Transition::to(format!("{controller} requests {action}"), next)
     }
 
-    fn handle_request(&self, place: usize, began: u8, request: &LeaseRequest) -> Transition {
+    fn handle_request(&self, controller: usize, started_at: u8, request: &LeaseRequest) -> Transition {
         let mut next = self.clone();
         let response = next.store.handle_request(self.now_seconds(), request).response;
-        let step = format!("the store handles the request of {place}: grants {:?}", response.granted);
-        next.controllers[place].exchange = Some((began, Exchange::Responded(response)));
+        let step = format!("the store handles the request of {controller}: grants {:?}", response.granted);
+        next.controllers[controller].exchange = Some((started_at, Exchange::Responded(response)));
         Transition::to(step, next)
     }
 
-    fn handle_response(&self, place: usize, began: u8, response: &LeaseResponse) -> Transition {
-        let mut next = self.without_exchange(place);
-        let leases = &mut next.controllers[place].leases;
-        leases.on_granted(self.now_seconds(), f64::from(began), &response.granted);
+    fn handle_response(&self, controller: usize, started_at: u8, response: &LeaseResponse) -> Transition {
+        let mut next = self.without_exchange(controller);
+        let leases = &mut next.controllers[controller].leases;
+        leases.on_granted(self.now_seconds(), f64::from(started_at), &response.granted);
         leases.on_refused(&response.refused);
-        let last_epoch = next.valid_epoch(place).or(self.controllers[place].last_epoch);
-        next.controllers[place].last_epoch = last_epoch;
-        Transition::to(format!("{place} receives the response"), next)
+        let last_epoch = next.valid_epoch(controller).or(self.controllers[controller].last_epoch);
+        next.controllers[controller].last_epoch = last_epoch;
+        Transition::to(format!("{controller} receives the response"), next)
     }
 
-    fn restart(&self, place: usize) -> Option<Transition> {
+    fn restart(&self, controller: usize) -> Option<Transition> {
         if self.crashes_left == 0 {
             return None;
         }
@@ -235,31 +235,31 @@
         next.crashes_left -= 1;
         next.last_process += 1;
         let process = next.last_process;
-        next.controllers[place] = Controller::new(process);
-        Some(Transition::to(format!("{place} starts again as process {process}"), next))
+        next.controllers[controller] = Controller::new(process);
+        Some(Transition::to(format!("{controller} starts again as process {process}"), next))
     }
 
-    fn command(&self, place: usize, omitted: OmittedSafeguard) -> Option<Transition> {
+    fn command(&self, controller: usize, omitted: OmittedSafeguard) -> Option<Transition> {
         if self.in_flight.len() >= MAX_IN_FLIGHT || self.commands_left == 0 {
             return None;
         }
-        let mut epoch = self.valid_epoch(place);
+        let mut epoch = self.valid_epoch(controller);
         if omitted == OmittedSafeguard::LeaseExpiry {
-            epoch = epoch.or(self.controllers[place].last_epoch);
+            epoch = epoch.or(self.controllers[controller].last_epoch);
         }
         let epoch = epoch?;
-        let step = format!("{place} commands under epoch {}", epoch.0);
-        Some(Transition { step, outcome: self.issue_command(place, epoch) })
+        let step = format!("{controller} commands under epoch {}", epoch.0);
+        Some(Transition { step, outcome: self.issue_command(controller, epoch) })
     }
 
-    fn issue_command(&self, place: usize, epoch: Epoch) -> Result<State, String> {
+    fn issue_command(&self, controller: usize, epoch: Epoch) -> Result<State, String> {
         let mut next = self.clone();
-        let process = self.controllers[place].process;
+        let process = self.controllers[controller].process;
         let issuer = *next.issuers.entry(epoch).or_insert(process);
         if issuer != process {
             return Err(format!("epoch {} is commanded by processes {issuer} and {process}", epoch.0));
         }
-        let newer = self.valid_epoch(1 - place).filter(|newer| *newer > epoch);
+        let newer = self.valid_epoch(1 - controller).filter(|newer| *newer > epoch);
         if let Some(newer) = newer {
             return Err(format!(
                 "epoch {} is commanded while another may command under {}",
@@ -271,21 +271,21 @@
         Ok(next)
     }
 
-    fn delivery(&self, number: usize, omitted: OmittedSafeguard) -> Transition {
+    fn delivery(&self, index: usize, omitted: OmittedSafeguard) -> Transition {
         let mut next = self.clone();
-        let command = next.in_flight.remove(number);
+        let command = next.in_flight.remove(index);
         let Command { epoch, process } = command;
         let step = format!("the command of process {process} under epoch {} arrives", epoch.0);
         let is_admitted = next.fence.admits(u32::from(SLICE), epoch) || omitted == OmittedSafeguard::Fence;
         if !is_admitted {
             return Transition::to(step, next);
         }
-        if let Some(before) = self.obeyed {
-            let other_process = epoch == before.epoch && process != before.process;
-            if epoch < before.epoch || other_process {
+        if let Some(previous) = self.obeyed {
+            let other_process = epoch == previous.epoch && process != previous.process;
+            if epoch < previous.epoch || other_process {
                 let violation = format!(
                     "the proxy obeys epoch {} of {process} after {} of {}",
-                    epoch.0, before.epoch.0, before.process
+                    epoch.0, previous.epoch.0, previous.process
                 );
                 return Transition { step, outcome: Err(violation) };
             }
@@ -316,23 +316,23 @@
 
 /// Searches the states without one safeguard, `max_states` at the most.
 pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> Explored {
-    let first = State::first(omitted);
+    let first = State::initial(omitted);
     let mut seen = HashSet::from([first.key()]);
     let mut paths = Paths::new();
     let mut queue = VecDeque::from([(0, first)]);
-    while let Some((number, state)) = queue.pop_front() {
+    while let Some((state_number, state)) = queue.pop_front() {
         for Transition { step, outcome } in state.transitions(omitted) {
             let next = match outcome.and_then(|next| next.violation().map_or(Ok(next), Err)) {
                 Ok(next) => next,
                 Err(violation) => {
-                    return Explored::violated(seen.len(), violation, paths.steps_with(number, step));
+                    return Explored::violated(seen.len(), violation, paths.steps_with(state_number, step));
                 }
             };
             if seen.len() >= max_states {
                 return Explored::limited(seen.len());
             }
             if seen.insert(next.key()) {
-                queue.push_back((paths.add(number, step), next));
+                queue.push_back((paths.add(state_number, step), next));
             }
         }
     }
--- a/crates/railhub-chaos/src/explorer/membership.rs
+++ b/crates/railhub-chaos/src/explorer/membership.rs
@@ -63,9 +63,9 @@
 }
 
 /// The table of a member that starts; it has met the first process of every other member.
-fn initial_table(member: usize, process: u64, without: Option<Safeguard>) -> MemberTable {
+fn initial_table(member: usize, process: u64, disabled: Option<Safeguard>) -> MemberTable {
     let local = Member::alive(node_id(member), process, NodeMetadata::default());
-    let mut table = MemberTable::new(local, without);
+    let mut table = MemberTable::new(local, disabled);
     for other in others(member) {
         table.merge(&Member::alive(node_id(other), 1, NodeMetadata::default()), false);
     }
@@ -77,9 +77,9 @@
 }
 
 impl State {
-    fn first(without: Option<Safeguard>) -> State {
+    fn initial(disabled: Option<Safeguard>) -> State {
         State {
-            tables: (0..MEMBERS).map(|member| Some(initial_table(member, 1, without))).collect(),
+            tables: (0..MEMBERS).map(|member| Some(initial_table(member, 1, disabled))).collect(),
             processes: [1; MEMBERS],
             in_flight: Vec::new(),
             suspicions_left: MAX_SUSPICIONS,
@@ -113,7 +113,7 @@
     }
 
     /// Everything that may happen next.
-    fn transitions(&self, without: Option<Safeguard>) -> Vec<Transition> {
+    fn transitions(&self, disabled: Option<Safeguard>) -> Vec<Transition> {
         let mut transitions = Vec::new();
         self.deliveries(&mut transitions);
         for member in 0..MEMBERS {
@@ -123,33 +123,34 @@
                     self.status_changes(member, table, &mut transitions);
                     self.sends(member, table, &mut transitions);
                 }
-                None => transitions.push(self.restart(member, without)),
+                None => transitions.push(self.restart(member, disabled)),
             }
         }
         transitions
     }
 
-    fn restart(&self, member: usize, without: Option<Safeguard>) -> Transition {
+    fn restart(&self, member: usize, disabled: Option<Safeguard>) -> Transition {
         let mut next = self.clone();
         next.processes[member] += 1;
         let process = next.processes[member];
-        next.tables[member] = Some(initial_table(member, process, without));
+        next.tables[member] = Some(initial_table(member, process, disabled));
         Transition { step: format!("{member} starts as process {process}"), next }
     }
 
     fn deliveries(&self, transitions: &mut Vec<Transition>) {
-        for (number, InFlight { to, entry }) in self.in_flight.iter().enumerate() {
+        for (index, InFlight { to, entry }) in self.in_flight.iter().enumerate() {
             let Incarnation { process, count } = entry.incarnation;
-            let shown = format!("{} {:?} {process}.{count}", entry.id.0, entry.status);
+            let description = format!("{} {:?} {process}.{count}", entry.id.0, entry.status);
             let mut lost = self.clone();
-            lost.in_flight.remove(number);
-            transitions.push(Transition { step: format!("the entry to {to} is lost: {shown}"), next: lost });
+            lost.in_flight.remove(index);
+            transitions
+                .push(Transition { step: format!("the entry to {to} is lost: {description}"), next: lost });
             let mut repeated = self.clone();
             repeated.merge(*to, entry);
             let mut delivered = repeated.clone();
-            delivered.in_flight.remove(number);
-            transitions.push(Transition { step: format!("{to} receives: {shown}"), next: delivered });
-            let step = format!("{to} receives, and will again: {shown}");
+            delivered.in_flight.remove(index);
+            transitions.push(Transition { step: format!("{to} receives: {description}"), next: delivered });
+            let step = format!("{to} receives, and will again: {description}");
             transitions.push(Transition { step, next: repeated });
         }
     }
@@ -165,8 +166,8 @@
     }
 
     fn status_changes(&self, member: usize, table: &MemberTable, transitions: &mut Vec<Transition>) {
-        for about in others(member) {
-            let Some(held) = table.get(node_id(about)) else { continue };
+        for subject in others(member) {
+            let Some(held) = table.get(node_id(subject)) else { continue };
             let status = match held.status {
                 Status::Alive if self.suspicions_left > 0 => Status::Suspect,
                 Status::Suspect => Status::Dead,
@@ -176,7 +177,7 @@
             let mut next = self.clone();
             next.suspicions_left -= u8::from(status == Status::Suspect);
             next.merge(member, &entry);
-            transitions.push(Transition { step: format!("{member} declares {about} {status:?}"), next });
+            transitions.push(Transition { step: format!("{member} declares {subject} {status:?}"), next });
         }
     }
 
@@ -185,13 +186,13 @@
             return;
         }
         for to in others(member) {
-            for about in 0..MEMBERS {
-                let Some(entry) = table.get(node_id(about)).cloned() else { continue };
+            for subject in 0..MEMBERS {
+                let Some(entry) = table.get(node_id(subject)).cloned() else { continue };
                 let mut next = self.clone();
                 next.in_flight.push(InFlight { to, entry });
                 next.in_flight
                     .sort_by_key(|sent| (sent.to, sent.entry.id, sent.entry.incarnation, sent.entry.status));
-                transitions.push(Transition { step: format!("{member} tells {to} about {about}"), next });
+                transitions.push(Transition { step: format!("{member} tells {to} about {subject}"), next });
             }
         }
     }
@@ -212,13 +213,14 @@
     }
 
     fn unknown_incarnation(&self, member: usize, held: &Member) -> Option<String> {
-        let about = usize::from(held.id.0);
-        let highest = match &self.tables[about] {
+        let subject = usize::from(held.id.0);
+        let highest = match &self.tables[subject] {
             Some(table) => table.local().incarnation,
-            None => Incarnation { process: self.processes[about], count: u64::MAX },
+            None => Incarnation { process: self.processes[subject], count: u64::MAX },
         };
         let is_unknown = held.incarnation > highest;
-        is_unknown.then(|| format!("{member} holds {:?} of {about}, which has {highest:?}", held.incarnation))
+        is_unknown
+            .then(|| format!("{member} holds {:?} of {subject}, which has {highest:?}", held.incarnation))
     }
 
     fn regression(&self, before: &State, member: usize, held: &Member) -> Option<String> {
@@ -228,8 +230,8 @@
         let known = before.tables[member].as_ref()?.get(held.id)?;
         let goes_back = known.incarnation.process > held.incarnation.process;
         goes_back.then(|| {
-            let about = held.id.0;
-            format!("{member} goes back from {:?} of {about} to {:?}", known.incarnation, held.incarnation)
+            let subject = held.id.0;
+            format!("{member} goes back from {:?} of {subject} to {:?}", known.incarnation, held.incarnation)
         })
     }
 
@@ -241,13 +243,13 @@
         }
         for (member, table) in settled.tables.iter().enumerate() {
             let Some(table) = table else { continue };
-            for (about, other) in settled.tables.iter().enumerate() {
+            for (subject, other) in settled.tables.iter().enumerate() {
                 let Some(other) = other else { continue };
                 let incarnation = other.local().incarnation;
-                let held = table.get(node_id(about)).map(|held| (held.incarnation, held.status));
+                let held = table.get(node_id(subject)).map(|held| (held.incarnation, held.status));
                 if held != Some((incarnation, Status::Alive)) {
                     return Some(format!(
-                        "when all has arrived, {member} holds {held:?} of {about}, which lives as {incarnation:?}"
+                        "when all has arrived, {member} holds {held:?} of {subject}, which lives as {incarnation:?}"
                     ));
                 }
             }
@@ -269,13 +271,13 @@
 }
 
 /// Searches the states of members without one safeguard, `max_states` at the most.
-pub fn explore(without: Option<Safeguard>, max_states: usize) -> Explored {
-    let first = State::first(without);
+pub fn explore(disabled: Option<Safeguard>, max_states: usize) -> Explored {
+    let first = State::initial(disabled);
     let mut seen = BTreeSet::from([first.hash()]);
     let mut paths = Paths::new();
     let mut queue = VecDeque::from([(0, first)]);
-    while let Some((number, state)) = queue.pop_front() {
-        for Transition { step, next } in state.transitions(without) {
+    while let Some((state_number, state)) = queue.pop_front() {
+        for Transition { step, next } in state.transitions(disabled) {
             if seen.len() >= max_states {
                 return Explored::limited(seen.len());
             }
@@ -283,9 +285,9 @@
                 continue;
             }
             if let Some(violation) = next.violation(&state) {
-                return Explored::violated(seen.len(), violation, paths.steps_with(number, step));
+                return Explored::violated(seen.len(), violation, paths.steps_with(state_number, step));
             }
-            queue.push_back((paths.add(number, step), next));
+            queue.push_back((paths.add(state_number, step), next));
         }
     }
     Explored::complete(seen.len())
--- a/crates/railhub-chaos/src/fault/display.rs
+++ b/crates/railhub-chaos/src/fault/display.rs
@@ -5,20 +5,24 @@
 impl Display for FaultKind {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
-            FaultKind::Kill { controller } => one(f, "Kill", *controller),
-            FaultKind::Pause { controller } => one(f, "Pause", *controller),
-            FaultKind::CutStore { controller } => one(f, "CutStore", *controller),
-            FaultKind::Drain { controller } => one(f, "Drain", *controller),
-            FaultKind::Flap { controller } => one(f, "Flap", *controller),
-            FaultKind::Move { controller } => one(f, "Move", *controller),
-            FaultKind::DuplicateId { controller } => one(f, "Twin", *controller),
-            FaultKind::Leave { controller } => one(f, "Leave", *controller),
-            FaultKind::Join { controller } => one(f, "Join", *controller),
-            FaultKind::RestartWithLowerNumber { controller } => one(f, "Backward", *controller),
-            FaultKind::ClockDrift { controller, fraction } => one_by(f, "Drift", *controller, *fraction),
-            FaultKind::ClockJump { controller, seconds } => one_by(f, "Jump", *controller, *seconds),
+            FaultKind::Kill { controller } => write_fault(f, "Kill", *controller),
+            FaultKind::Pause { controller } => write_fault(f, "Pause", *controller),
+            FaultKind::CutStore { controller } => write_fault(f, "CutStore", *controller),
+            FaultKind::Drain { controller } => write_fault(f, "Drain", *controller),
+            FaultKind::Flap { controller } => write_fault(f, "Flap", *controller),
+            FaultKind::Move { controller } => write_fault(f, "Move", *controller),
+            FaultKind::DuplicateId { controller } => write_fault(f, "Twin", *controller),
+            FaultKind::Leave { controller } => write_fault(f, "Leave", *controller),
+            FaultKind::Join { controller } => write_fault(f, "Join", *controller),
+            FaultKind::RestartWithLowerNumber { controller } => write_fault(f, "Backward", *controller),
+            FaultKind::ClockDrift { controller, fraction } => {
+                write_fault_with_amount(f, "Drift", *controller, *fraction)
+            }
+            FaultKind::ClockJump { controller, seconds } => {
+                write_fault_with_amount(f, "Jump", *controller, *seconds)
+            }
             FaultKind::SlowCommands { controller, max_delay } => {
-                one_by(f, "SlowOrders", *controller, *max_delay)
+                write_fault_with_amount(f, "SlowOrders", *controller, *max_delay)
             }
             FaultKind::Starve { controller, running_fraction } => {
                 write!(f, "Starve {{ steward: {controller}, share: {running_fraction:?} }}")
@@ -50,10 +54,10 @@
     }
 }
 
-fn one(f: &mut Formatter<'_>, name: &str, controller: u16) -> Result {
+fn write_fault(f: &mut Formatter<'_>, name: &str, controller: u16) -> Result {
     write!(f, "{name} {{ steward: {controller} }}")
 }
 
-fn one_by(f: &mut Formatter<'_>, name: &str, controller: u16, by: f64) -> Result {
-    write!(f, "{name} {{ steward: {controller}, by: {by:?} }}")
+fn write_fault_with_amount(f: &mut Formatter<'_>, name: &str, controller: u16, amount: f64) -> Result {
+    write!(f, "{name} {{ steward: {controller}, by: {amount:?} }}")
 }
--- a/crates/railhub-chaos/src/fault/draw.rs
+++ b/crates/railhub-chaos/src/fault/draw.rs
@@ -52,14 +52,14 @@
     1.0 + rng.random::<f64>() * 9.0
 }
 
-fn draw_from(durations: [f64; 3], rng: &mut ChaCha8Rng) -> f64 {
+fn choose_duration(durations: [f64; 3], rng: &mut ChaCha8Rng) -> f64 {
     durations[rng.random_range(0..durations.len())]
 }
 
 /// A fault of a run that judges views. `magnitude` is between 0 and 1.
 fn draw_view_fault(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> Fault {
     let at = draw_start(config, rng);
-    let usual = draw_duration(rng);
+    let default_duration = draw_duration(rng);
     let controller = rng.random_range(0..config.controllers);
     let other = (controller + rng.random_range(1..config.controllers.max(2))) % config.controllers;
     let magnitude = rng.random::<f64>();
@@ -71,22 +71,22 @@
         jitter: 0.03 * rng.random::<f64>(),
     };
     let (duration, kind) = match rng.random_range(0..22u32) {
-        0 | 1 => (usual, FaultKind::Kill { controller }),
-        2 => (draw_from(PAUSE_DURATIONS, rng), FaultKind::Pause { controller }),
-        3 => (usual, FaultKind::Cut { from: controller, to: other }),
+        0 | 1 => (default_duration, FaultKind::Kill { controller }),
+        2 => (choose_duration(PAUSE_DURATIONS, rng), FaultKind::Pause { controller }),
+        3 => (default_duration, FaultKind::Cut { from: controller, to: other }),
         4 | 17 => {
             let side = rng.random_range(1..(1u32 << config.controllers).max(3) - 1);
-            (draw_from(PARTITION_DURATIONS, rng), FaultKind::Partition { side })
+            (choose_duration(PARTITION_DURATIONS, rng), FaultKind::Partition { side })
         }
-        5 | 18 => (draw_from(PARTITION_DURATIONS, rng), FaultKind::Partition { side: 1 << controller }),
-        6 | 7 => (usual, FaultKind::Links { faults }),
-        8 => (usual, FaultKind::Starve { controller, running_fraction: 0.1 + 0.5 * magnitude }),
+        5 | 18 => (choose_duration(PARTITION_DURATIONS, rng), FaultKind::Partition { side: 1 << controller }),
+        6 | 7 => (default_duration, FaultKind::Links { faults }),
+        8 => (default_duration, FaultKind::Starve { controller, running_fraction: 0.1 + 0.5 * magnitude }),
         9 => (0.0, FaultKind::Move { controller }),
         10 => (0.0, FaultKind::Replay),
-        11 => (usual, FaultKind::Flap { controller }),
-        12 => (usual, FaultKind::Leave { controller }),
+        11 => (default_duration, FaultKind::Flap { controller }),
+        12 => (default_duration, FaultKind::Leave { controller }),
         13 => (0.3 + 0.4 * magnitude, FaultKind::Kill { controller }),
-        14 => (usual, FaultKind::RestartWithLowerNumber { controller }),
+        14 => (default_duration, FaultKind::RestartWithLowerNumber { controller }),
         // Pairs do not overlap, so that every other controller reaches both.
         15 | 16 | 19..=21 if controller ^ 1 < config.controllers => {
             (0.0, FaultKind::SeparatePair { a: controller, b: controller ^ 1 })
@@ -99,28 +99,31 @@
 /// A fault of a run that judges leases. `magnitude` is between -1 and 1.
 fn draw_lease_fault(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> Fault {
     let at = draw_start(config, rng);
-    let usual = draw_duration(rng);
+    let default_duration = draw_duration(rng);
     let controller = rng.random_range(0..config.controllers);
     let other = rng.random_range(0..config.controllers);
     let magnitude = rng.random::<f64>() * 2.0 - 1.0;
-    let size = magnitude.abs();
+    let abs_magnitude = magnitude.abs();
     let (duration, kind) = match rng.random_range(0..15u32) {
-        0 | 1 => (usual, FaultKind::Kill { controller }),
-        2 | 3 => (draw_from(PAUSE_DURATIONS, rng), FaultKind::Pause { controller }),
-        4 => (usual, FaultKind::Cut { from: controller, to: other }),
+        0 | 1 => (default_duration, FaultKind::Kill { controller }),
+        2 | 3 => (choose_duration(PAUSE_DURATIONS, rng), FaultKind::Pause { controller }),
+        4 => (default_duration, FaultKind::Cut { from: controller, to: other }),
         5 => {
             let side = rng.random_range(1..(1u32 << config.controllers).max(2));
-            (usual, FaultKind::Partition { side })
+            (default_duration, FaultKind::Partition { side })
         }
-        6 => (usual, FaultKind::StoreUnavailable),
-        7 => (usual, FaultKind::StoreSlow { delay: 0.1 + 0.7 * size }),
-        13 => (usual, FaultKind::CutStore { controller }),
-        14 => (usual.min(MAX_LOST_RESPONSES_DURATION), FaultKind::StoreLosesResponses),
-        12 => (0.0, FaultKind::StoreRollback { age: MAX_STORE_COPY_AGE * size }),
+        6 => (default_duration, FaultKind::StoreUnavailable),
+        7 => (default_duration, FaultKind::StoreSlow { delay: 0.1 + 0.7 * abs_magnitude }),
+        13 => (default_duration, FaultKind::CutStore { controller }),
+        14 => (default_duration.min(MAX_LOST_RESPONSES_DURATION), FaultKind::StoreLosesResponses),
+        12 => (0.0, FaultKind::StoreRollback { age: MAX_STORE_COPY_AGE * abs_magnitude }),
         8 => (config.length, FaultKind::ClockDrift { controller, fraction: MAX_DRIFT_FRACTION * magnitude }),
         9 => (0.0, FaultKind::ClockJump { controller, seconds: MAX_CLOCK_JUMP * magnitude }),
-        10 => (usual, FaultKind::SlowCommands { controller, max_delay: MAX_COMMAND_DELAY * size }),
-        _ if magnitude < 0.0 => (usual, FaultKind::Flap { controller }),
+        10 => (
+            default_duration,
+            FaultKind::SlowCommands { controller, max_delay: MAX_COMMAND_DELAY * abs_magnitude },
+        ),
+        _ if magnitude < 0.0 => (default_duration, FaultKind::Flap { controller }),
         _ => (0.0, FaultKind::Drain { controller }),
     };
     Fault { at, duration, kind }
--- a/crates/railhub-chaos/src/fault/section.rs
+++ b/crates/railhub-chaos/src/fault/section.rs
@@ -39,17 +39,18 @@
             "cut_store" => FaultKind::CutStore { controller: self.controller()? },
             "store_away" => FaultKind::StoreUnavailable,
             "store_loses_answers" => FaultKind::StoreLosesResponses,
-            "store_slow" => FaultKind::StoreSlow { delay: self.by(0.0, 60.0)? },
+            "store_slow" => FaultKind::StoreSlow { delay: self.amount(0.0, 60.0)? },
             "store_forgets" => FaultKind::StoreRollback { age: section.in_range("by", 0.0, 0.0, 60.0)? },
             "slow_orders" => {
-                FaultKind::SlowCommands { controller: self.controller()?, max_delay: self.by(0.0, 10.0)? }
+                FaultKind::SlowCommands { controller: self.controller()?, max_delay: self.amount(0.0, 10.0)? }
             }
             "drift" => {
-                FaultKind::ClockDrift { controller: self.controller()?, fraction: self.by(-0.1, 0.1)? }
-            }
-            "jump" => {
-                FaultKind::ClockJump { controller: self.controller()?, seconds: self.by(-1000.0, 1000.0)? }
+                FaultKind::ClockDrift { controller: self.controller()?, fraction: self.amount(-0.1, 0.1)? }
             }
+            "jump" => FaultKind::ClockJump {
+                controller: self.controller()?,
+                seconds: self.amount(-1000.0, 1000.0)?,
+            },
             "replay" => FaultKind::Replay,
             "cut" => FaultKind::Cut { from: self.id("from")?, to: self.id("to")? },
             "apart" => FaultKind::SeparatePair { a: self.id("a")?, b: self.id("b")? },
@@ -79,8 +80,8 @@
         self.id("steward")
     }
 
-    fn by(&self, least: f64, most: f64) -> Result<f64, Diagnostic> {
-        self.section.required_in_range("by", least, most)
+    fn amount(&self, min: f64, max: f64) -> Result<f64, Diagnostic> {
+        self.section.required_in_range("by", min, max)
     }
 
     /// The controllers on one side of a partition, one bit each.
--- a/crates/railhub-chaos/src/lease/simulation/controller.rs
+++ b/crates/railhub-chaos/src/lease/simulation/controller.rs
@@ -16,7 +16,7 @@
 
 impl SimulatedClock {
     /// What the clock shows at a true time.
-    pub fn local(&self, now: f64) -> f64 {
+    pub fn local_time(&self, now: f64) -> f64 {
         now * self.speed + self.offset
     }
 }
@@ -66,7 +66,7 @@
 
     /// The slices that it commands, each with the epoch that its commands bear.
     pub fn commanded_slices(&self, now: f64, overruns_leases: bool) -> Vec<(u16, Epoch)> {
-        let local = self.clock.local(now);
+        let local = self.clock.local_time(now);
         let mut commanded = Vec::new();
         for (slice, acquired_epoch) in &self.acquired {
             let epoch = match overruns_leases {
--- a/crates/railhub-chaos/src/lease/simulation/exchange.rs
+++ b/crates/railhub-chaos/src/lease/simulation/exchange.rs
@@ -15,9 +15,9 @@
         self.with_lease_manager(id, LeaseManager::tick);
         let controller = &self.controllers[&id];
         let process = controller.process;
-        let local = controller.clock.local(self.now);
-        let next = (controller.lease_manager.next_tick_at(local) - local) / controller.clock.speed;
-        let next_tick_at = self.now + next.max(MIN_TICK_INTERVAL);
+        let local = controller.clock.local_time(self.now);
+        let until_next_tick = (controller.lease_manager.next_tick_at(local) - local) / controller.clock.speed;
+        let next_tick_at = self.now + until_next_tick.max(MIN_TICK_INTERVAL);
         self.schedule(next_tick_at, ScheduledEvent::Tick { controller: id, process });
     }
 
@@ -32,7 +32,7 @@
     /// Hands a controller's lease manager its local time, and carries out the effects.
     fn with_lease_manager(&mut self, id: u16, step: impl FnOnce(&mut LeaseManager, f64) -> Effects) {
         let Some(controller) = self.controllers.get_mut(&id) else { return };
-        let effects = step(&mut controller.lease_manager, controller.clock.local(self.now));
+        let effects = step(&mut controller.lease_manager, controller.clock.local_time(self.now));
         self.apply_effects(id, effects);
     }
 
@@ -86,8 +86,8 @@
         let loses_responses = is_active(FaultKind::StoreLosesResponses);
         let store_delay = self.store_delay();
         let process = request.process;
-        let handled = self.store.handle_request(self.now, request);
-        for (slice, epoch) in handled.acquired {
+        let decision = self.store.handle_request(self.now, request);
+        for (slice, epoch) in decision.acquired {
             let (at, epoch) = (self.now, epoch.0);
             self.observations.push(LeaseObservation::Granted { at, slice, epoch, process });
         }
@@ -95,7 +95,7 @@
             return;
         }
         let arrives_at = self.now + self.draw_message_delay() + store_delay;
-        let response = handled.response;
+        let response = decision.response;
         self.schedule(arrives_at, ScheduledEvent::LeaseResponse { controller: id, process, response });
     }
 
--- a/crates/railhub-chaos/src/lease/simulation/mod.rs
+++ b/crates/railhub-chaos/src/lease/simulation/mod.rs
@@ -101,7 +101,7 @@
     for controller in 0..config.controllers {
         simulation.start(controller);
     }
-    simulation.play();
+    simulation.run_until_end();
     simulation.observations
 }
 
@@ -125,7 +125,7 @@
         MIN_MESSAGE_DELAY + (MAX_MESSAGE_DELAY - MIN_MESSAGE_DELAY) * self.rng.random::<f64>()
     }
 
-    fn play(&mut self) {
+    fn run_until_end(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
             if self.now > self.config.length {
@@ -216,7 +216,7 @@
         let speed = self.clock_speeds.get(&id).copied().unwrap_or(1.0);
         let offset = self.rng.random::<f64>() * MAX_CLOCK_OFFSET;
         let clock = SimulatedClock { speed, offset, within_bound: true };
-        let lease_manager = LeaseManager::new(&options, clock.local(self.now));
+        let lease_manager = LeaseManager::new(&options, clock.local_time(self.now));
         self.controllers.insert(id, SimulatedController::new(lease_manager, process, clock));
         self.observations.push(LeaseObservation::Process { at: self.now, controller: id, process, up: true });
         self.schedule(self.now, ScheduledEvent::Tick { controller: id, process });
--- a/crates/railhub-chaos/src/view/figures.rs
+++ b/crates/railhub-chaos/src/view/figures.rs
@@ -5,11 +5,11 @@
 use serde::Serialize;
 
 /// Seconds after a death in which it must be shown, and in which no other process of the controller starts.
-const DEATH_TIME: f64 = 12.0;
+const DETECTION_WINDOW: f64 = 12.0;
 /// Seconds before a death by which an observer of it must be up.
-const OBSERVER_START_TIME: f64 = 2.0;
+const MIN_OBSERVER_UPTIME: f64 = 2.0;
 /// Seconds before the end of a run by which views must be true for it to have settled.
-const SETTLED_TIME: f64 = 0.3;
+const MIN_SETTLED_TIME: f64 = 0.3;
 
 /// What a run was like. Times are seconds.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
@@ -42,8 +42,8 @@
         None => (0.0, 0.0, 1.0),
     };
     let lifetimes = history.lifetimes.values();
-    let lived: f64 = lifetimes.map(|lifetime| lifetime.until.min(end) - lifetime.since).sum();
-    let member_seconds = lived.max(1.0);
+    let total_lifetime: f64 = lifetimes.map(|lifetime| lifetime.until.min(end) - lifetime.since).sum();
+    let member_seconds = total_lifetime.max(1.0);
     ViewFigures {
         settling_time: settling_time(&history),
         detection_times: detection_times(&history),
@@ -60,12 +60,12 @@
     let last_disturbance = history.last_disturbance();
     let mut last_untrue = last_disturbance;
     for poll in &history.polls {
-        let counts = poll.at >= last_disturbance && !poll.superseded && history.is_up(poll.node);
-        if counts && poll.alive != truth {
+        let is_relevant = poll.at >= last_disturbance && !poll.superseded && history.is_up(poll.node);
+        if is_relevant && poll.alive != truth {
             last_untrue = last_untrue.max(poll.at);
         }
     }
-    (last_untrue < history.end - SETTLED_TIME).then_some(last_untrue - last_disturbance)
+    (last_untrue < history.end - MIN_SETTLED_TIME).then_some(last_untrue - last_disturbance)
 }
 
 /// Processor time of all processes, if any was measured.
@@ -85,12 +85,12 @@
 fn detection_times(history: &History) -> Vec<f64> {
     let mut times = Vec::new();
     for dead in history.lifetimes.values().filter(|lifetime| lifetime.until.is_finite()) {
-        if is_followed(history, dead) || history.end < dead.until + DEATH_TIME {
+        if is_restarted_soon(history, dead) || history.end < dead.until + DETECTION_WINDOW {
             continue;
         }
         for (observer, lifetime) in &history.lifetimes {
-            let was_up_before = lifetime.since < dead.until - OBSERVER_START_TIME;
-            if was_up_before && lifetime.until > dead.until + DEATH_TIME {
+            let was_up_before = lifetime.since < dead.until - MIN_OBSERVER_UPTIME;
+            if was_up_before && lifetime.until > dead.until + DETECTION_WINDOW {
                 times.push(detection_time(history, *observer, dead));
             }
         }
@@ -99,15 +99,15 @@
 }
 
 /// Whether another process of the controller started soon after one's death.
-fn is_followed(history: &History, dead: &Lifetime) -> bool {
-    let window = dead.until..dead.until + DEATH_TIME;
+fn is_restarted_soon(history: &History, dead: &Lifetime) -> bool {
+    let window = dead.until..dead.until + DETECTION_WINDOW;
     let mut lifetimes = history.lifetimes.values();
     lifetimes.any(|other| other.controller == dead.controller && window.contains(&other.since))
 }
 
 /// Seconds from a death to the last view in which a process showed the dead controller alive.
 fn detection_time(history: &History, observer: Node, dead: &Lifetime) -> f64 {
-    let window = dead.until..dead.until + DEATH_TIME;
+    let window = dead.until..dead.until + DETECTION_WINDOW;
     let mut last_shown = dead.until;
     for poll in history.polls.iter().filter(|poll| poll.node == observer && window.contains(&poll.at)) {
         if poll.alive.iter().any(|(id, _)| *id == dead.controller) {
--- a/crates/railhub-chaos/src/view/judge/history.rs
+++ b/crates/railhub-chaos/src/view/judge/history.rs
@@ -69,30 +69,30 @@
                     let position = faults_in_force.iter().position(|(_, active)| *active == fault);
                     if let Some(position) = position {
                         let (since, fault) = faults_in_force.remove(position);
-                        history.disturb(since, *at, may_cause_false_deaths(fault));
+                        history.add_disturbance(since, *at, may_cause_false_deaths(fault));
                     }
                 }
-                other => history.add(other),
+                other => history.add_observation(other),
             }
         }
         for (since, fault) in faults_in_force {
-            history.disturb(since, f64::INFINITY, may_cause_false_deaths(fault));
+            history.add_disturbance(since, f64::INFINITY, may_cause_false_deaths(fault));
         }
         history
     }
 
-    fn add(&mut self, observation: &'a ViewObservation) {
+    fn add_observation(&mut self, observation: &'a ViewObservation) {
         match observation {
             ViewObservation::Started { at, node, controller } => {
                 let lifetime = Lifetime { controller: *controller, since: *at, until: f64::INFINITY };
                 self.lifetimes.insert(*node, lifetime);
-                self.disturb(*at, *at, true);
+                self.add_disturbance(*at, *at, true);
             }
             ViewObservation::Ended { at, node, .. } => {
                 if let Some(lifetime) = self.lifetimes.get_mut(node) {
                     lifetime.until = *at;
                 }
-                self.disturb(*at, *at, true);
+                self.add_disturbance(*at, *at, true);
             }
             ViewObservation::View { at, node, controller, process, superseded, alive, .. } => {
                 self.polls.push(Poll {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn disturb(&mut self, since: f64, until: f64, may_cause_false_deaths: bool) {
+    fn add_disturbance(&mut self, since: f64, until: f64, may_cause_false_deaths: bool) {
         self.disturbances.push(Disturbance { since, until, may_cause_false_deaths });
     }
 
--- a/crates/railhub-chaos/src/view/judge/mod.rs
+++ b/crates/railhub-chaos/src/view/judge/mod.rs
@@ -76,13 +76,13 @@
 /// Of two processes with one id, one is superseded within the settling timeout.
 fn two_processes_of_one_id(history: &History) -> Option<Breach> {
     let settled_by = history.settled_by();
-    let mut holders: BTreeMap<u16, BTreeSet<Node>> = BTreeMap::new();
+    let mut active_nodes: BTreeMap<u16, BTreeSet<Node>> = BTreeMap::new();
     for poll in &history.polls {
         if poll.at >= settled_by && !poll.superseded && history.is_up(poll.node) {
-            holders.entry(poll.controller).or_default().insert(poll.node);
+            active_nodes.entry(poll.controller).or_default().insert(poll.node);
         }
     }
-    let (controller, nodes) = holders.into_iter().find(|(_, nodes)| nodes.len() > 1)?;
+    let (controller, nodes) = active_nodes.into_iter().find(|(_, nodes)| nodes.len() > 1)?;
     let description = format!("steward {controller}: processes {nodes:?} both take part");
     Some(Breach { rule: ONE_PROCESS_PER_ID, at: history.end, description })
 }
--- a/crates/railhub-chaos/src/view/judge/resurrection.rs
+++ b/crates/railhub-chaos/src/view/judge/resurrection.rs
@@ -8,7 +8,7 @@
 type ShownProcesses = BTreeMap<(Node, u16), u64>;
 
 #[derive(Default)]
-struct Shown {
+struct ShownMembers {
     /// The newest process that was shown alive.
     newest_alive: ShownProcesses,
     /// The last process that was shown to be gone.
@@ -18,7 +18,7 @@
 }
 
 pub(super) fn life_after_death(observations: &[ViewObservation]) -> Option<Breach> {
-    let mut shown = Shown::default();
+    let mut shown = ShownMembers::default();
     for observation in observations {
         let ViewObservation::View { at, node, alive, gone, .. } = observation else { continue };
         for member in alive {
@@ -34,7 +34,7 @@
     None
 }
 
-impl Shown {
+impl ShownMembers {
     /// Takes up a member that is shown alive; returns what is wrong with it.
     fn apply_alive(&mut self, node: Node, (controller, process): MemberProcess) -> Option<String> {
         let newest = self.newest_alive.entry((node, controller)).or_default();
--- a/crates/railhub-chaos/src/view/simulation/faults.rs
+++ b/crates/railhub-chaos/src/view/simulation/faults.rs
@@ -86,7 +86,7 @@
 
     /// Lets a controller announce that it leaves, and ends it.
     fn leave(&mut self, controller: u16) {
-        let node = self.current.get(&controller).copied();
+        let node = self.current_nodes.get(&controller).copied();
         if let Some(node) = node {
             let process = self.processes.get_mut(&node);
             let messages = process.map(|process| process.protocol.leave()).unwrap_or_default();
@@ -96,7 +96,7 @@
     }
 
     fn with_process(&mut self, controller: u16, change: impl FnOnce(&mut SimulatedProcess)) {
-        let node = self.current.get(&controller).copied();
+        let node = self.current_nodes.get(&controller).copied();
         if let Some(process) = node.and_then(|node| self.processes.get_mut(&node)) {
             change(process);
         }
@@ -108,7 +108,7 @@
         if self.now >= until {
             return;
         }
-        if self.current.contains_key(&controller) {
+        if self.current_nodes.contains_key(&controller) {
             self.kill(controller);
         } else {
             let process = self.next_process_number();
--- a/crates/railhub-chaos/src/view/simulation/member.rs
+++ b/crates/railhub-chaos/src/view/simulation/member.rs
@@ -98,7 +98,7 @@
     }
 
     /// What its clock shows at a true time.
-    pub fn local(&self, now: f64) -> f64 {
+    pub fn local_time(&self, now: f64) -> f64 {
         now + self.clock_offset
     }
 
--- a/crates/railhub-chaos/src/view/simulation/mod.rs
+++ b/crates/railhub-chaos/src/view/simulation/mod.rs
@@ -33,7 +33,7 @@
 /// The least seconds between two ticks of a process.
 const MIN_TICK_INTERVAL: f64 = 0.002;
 /// Seconds within which the first processes start.
-const MAX_START_TIME: f64 = 0.3;
+const MAX_START_DELAY: f64 = 0.3;
 /// The most events of a run: past them the run ends without having settled.
 const MAX_EVENTS: u64 = 2_000_000;
 /// The port before that of the first process.
@@ -61,7 +61,7 @@
     queue: EventQueue<ScheduledEvent>,
     processes: BTreeMap<Node, SimulatedProcess>,
     /// The process that a fault on a controller strikes.
-    current: BTreeMap<u16, Node>,
+    current_nodes: BTreeMap<u16, Node>,
     addresses: BTreeMap<u16, SocketAddr>,
     last_node: usize,
     last_port: u16,
@@ -82,7 +82,7 @@
         end: end_of_run(config.length, faults),
         queue: EventQueue::default(),
         processes: BTreeMap::new(),
-        current: BTreeMap::new(),
+        current_nodes: BTreeMap::new(),
         addresses: BTreeMap::new(),
         last_node: 0,
         last_port: FIRST_PORT,
@@ -97,7 +97,7 @@
         simulation.schedule(fault.at, ScheduledEvent::FaultBegins(index));
     }
     simulation.schedule(OBSERVATION_INTERVAL, ScheduledEvent::Observe);
-    simulation.play();
+    simulation.run_until_end();
     let totals = simulation.tap.totals(simulation.now, config.base_loss);
     simulation.observations.extend(totals);
     simulation.observations
@@ -114,7 +114,7 @@
             self.addresses.insert(controller, address);
         }
         for controller in 0..self.config.controllers {
-            let at = MAX_START_TIME * self.rng.random::<f64>();
+            let at = MAX_START_DELAY * self.rng.random::<f64>();
             if self.config.late_joiners.contains(&controller) {
                 continue;
             }
@@ -123,7 +123,7 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run_until_end(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             if at > self.end || self.queue.scheduled_count() > MAX_EVENTS {
                 return;
@@ -150,10 +150,10 @@
         if let Some(resumes_at) = process.resumes_at(self.now) {
             return self.schedule(resumes_at, ScheduledEvent::Tick(node));
         }
-        let local = process.local(self.now);
+        let local = process.local_time(self.now);
         let messages = process.protocol.tick(local);
-        let next = process.protocol.next_tick_at() - local;
-        self.schedule(self.now + next.max(MIN_TICK_INTERVAL), ScheduledEvent::Tick(node));
+        let until_next_tick = process.protocol.next_tick_at() - local;
+        self.schedule(self.now + until_next_tick.max(MIN_TICK_INTERVAL), ScheduledEvent::Tick(node));
         self.send_messages(node, messages);
     }
 
@@ -169,7 +169,7 @@
 }
 
 fn observe(now: f64, node: Node, process: &SimulatedProcess) -> ViewObservation {
-    let view = process.protocol.view(process.local(now));
+    let view = process.protocol.view(process.local_time(now));
     ViewObservation::View {
         at: now,
         node,
--- a/crates/railhub-chaos/src/view/simulation/network.rs
+++ b/crates/railhub-chaos/src/view/simulation/network.rs
@@ -15,7 +15,7 @@
 /// The most seconds for which a reordered datagram is held back.
 const MAX_REORDERING_DELAY: f64 = 0.05;
 /// Seconds within which captured datagrams are sent again.
-const REPLAY_TIME: f64 = 1.0;
+const REPLAY_DURATION: f64 = 1.0;
 /// The cluster's name in each datagram.
 const INSTALLATION: &str = "chaos";
 
@@ -35,7 +35,7 @@
         }
         let Ok(Packet::Message(message)) = decode(INSTALLATION, &bytes) else { return };
         let node = *node;
-        let messages = process.protocol.on_message(process.local(self.now), &message);
+        let messages = process.protocol.on_message(process.local_time(self.now), &message);
         self.send_messages(node, messages);
     }
 
@@ -79,16 +79,16 @@
         if self.active_faults.blocks(self.faults, from, receiver) {
             return;
         }
-        let links = self.active_faults.link_faults(self.faults, self.config.base_loss);
-        if self.rng.random::<f64>() < links.loss {
+        let link_faults = self.active_faults.link_faults(self.faults, self.config.base_loss);
+        if self.rng.random::<f64>() < link_faults.loss {
             return;
         }
-        let is_duplicated = self.rng.random::<f64>() < links.duplication;
+        let is_duplicated = self.rng.random::<f64>() < link_faults.duplication;
         let copies = if is_duplicated { 2 } else { 1 };
         for _ in 0..copies {
-            let spread = MAX_DATAGRAM_DELAY - MIN_DATAGRAM_DELAY + links.jitter;
-            let mut delay = MIN_DATAGRAM_DELAY + spread * self.rng.random::<f64>() + links.delay;
-            if self.rng.random::<f64>() < links.reordering {
+            let spread = MAX_DATAGRAM_DELAY - MIN_DATAGRAM_DELAY + link_faults.jitter;
+            let mut delay = MIN_DATAGRAM_DELAY + spread * self.rng.random::<f64>() + link_faults.delay;
+            if self.rng.random::<f64>() < link_faults.reordering {
                 delay += MAX_REORDERING_DELAY * self.rng.random::<f64>();
             }
             self.schedule(self.now + delay, ScheduledEvent::Datagram { to, bytes: bytes.clone() });
@@ -98,7 +98,7 @@
     /// Sends all captured datagrams once more.
     pub(super) fn replay(&mut self) {
         for CapturedDatagram { to, bytes } in self.captured.clone() {
-            let at = self.now + REPLAY_TIME * self.rng.random::<f64>();
+            let at = self.now + REPLAY_DURATION * self.rng.random::<f64>();
             self.schedule(at, ScheduledEvent::Datagram { to, bytes });
         }
     }
--- a/crates/railhub-chaos/src/view/simulation/process_lifecycle.rs
+++ b/crates/railhub-chaos/src/view/simulation/process_lifecycle.rs
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn start_if_down(&mut self, controller: u16, process: u64) {
-        if !self.current.contains_key(&controller) {
+        if !self.current_nodes.contains_key(&controller) {
             self.start(controller, self.addresses[&controller], process);
         }
     }
@@ -47,7 +47,7 @@
         let protocol = self.new_protocol(controller, address, process, self.now + clock_offset);
         let process = SimulatedProcess::new(controller, protocol, address, clock_offset);
         self.processes.insert(node, process);
-        self.current.insert(controller, node);
+        self.current_nodes.insert(controller, node);
         self.addresses.insert(controller, address);
         self.observations.push(ViewObservation::Started { at: self.now, node, controller });
         self.schedule(self.now, ScheduledEvent::Tick(node));
@@ -76,7 +76,7 @@
     }
 
     pub(super) fn kill(&mut self, controller: u16) {
-        let Some(node) = self.current.remove(&controller) else { return };
+        let Some(node) = self.current_nodes.remove(&controller) else { return };
         self.processes.remove(&node);
         self.observations.push(ViewObservation::Ended { at: self.now, node, controller });
     }
--- a/crates/railhub-chaos/tests/runs.rs
+++ b/crates/railhub-chaos/tests/runs.rs
@@ -9,146 +9,166 @@
 use railhub_chaos::{ChaosConfig, Fault, FaultKind, LeaseObservation, Sabotage};
 use std::path::Path;
 
-fn chaos() -> ChaosConfig {
+fn config() -> ChaosConfig {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/three.ini");
     ChaosConfig::open(&path).expect("a good file")
 }
 
 #[test]
-fn no_rule_breaks_on_many_seeds() {
-    let chaos = chaos();
+fn random_faults_break_no_rule() {
+    let config = config();
     for seed in 0..150 {
-        let breaches = judge(&run(&chaos, seed, &chaos.faults(seed), None));
+        let breaches = judge(&run(&config, seed, &config.faults(seed), None));
         assert!(breaches.is_empty(), "seed {seed}: {breaches:?}");
     }
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
-    let chaos = chaos();
-    let play = || run(&chaos, 7, &chaos.faults(7), None);
-    assert!(play() == play());
+fn same_seed_gives_same_run() {
+    let config = config();
+    let simulate = || run(&config, 7, &config.faults(7), None);
+    assert!(simulate() == simulate());
 }
 
-fn found(sabotage: Sabotage, rule: &str) {
-    let chaos = chaos();
-    let breaks = |seed: &u64| {
-        let breaches = judge(&run(&chaos, *seed, &chaos.faults(*seed), Some(sabotage)));
+fn assert_detected(sabotage: Sabotage, rule: &str) {
+    let config = config();
+    let breaks_rule = |seed: &u64| {
+        let breaches = judge(&run(&config, *seed, &config.faults(*seed), Some(sabotage)));
         breaches.iter().any(|breach| breach.rule == rule)
     };
-    let seed = (0..200).find(breaks).unwrap_or_else(|| panic!("{sabotage:?} is not found in 200 runs"));
-    let faults = chaos.faults(seed);
-    let (fewer, breaches) = shrink(&chaos, seed, &faults, Some(sabotage), rule);
-    assert!(fewer.len() <= faults.len() && breaches.iter().any(|breach| breach.rule == rule));
-    assert!(judge(&run(&chaos, seed, &fewer, Some(sabotage))) == breaches, "it replays");
+    let seed =
+        (0..200).find(breaks_rule).unwrap_or_else(|| panic!("{sabotage:?} is not detected in 200 runs"));
+    let faults = config.faults(seed);
+    let (minimal, breaches) = shrink(&config, seed, &faults, Some(sabotage), rule);
+    assert!(minimal.len() <= faults.len() && breaches.iter().any(|breach| breach.rule == rule));
+    assert!(judge(&run(&config, seed, &minimal, Some(sabotage))) == breaches, "it replays");
 }
 
 #[test]
-fn fencing_switched_off_is_found() {
-    found(Sabotage::NoFence, NO_LOWER_EPOCH);
+fn detects_disabled_fencing() {
+    assert_detected(Sabotage::NoFence, NO_LOWER_EPOCH);
 }
 
 #[test]
-fn an_epoch_that_is_used_again_is_found() {
-    found(Sabotage::EpochReused, ONE_CONTROLLER);
+fn detects_reused_epoch() {
+    assert_detected(Sabotage::EpochReused, ONE_CONTROLLER);
 }
 
 #[test]
-fn a_lease_that_is_overrun_is_found() {
-    found(Sabotage::LeaseOverrun, NO_COMMAND_AFTER_LEASE);
+fn detects_commands_after_lease_expiry() {
+    assert_detected(Sabotage::LeaseOverrun, NO_COMMAND_AFTER_LEASE);
 }
 
 #[test]
-fn an_order_taken_twice_is_found() {
-    found(Sabotage::NoMemory, NO_COMMAND_TWICE);
+fn detects_command_obeyed_twice() {
+    assert_detected(Sabotage::NoMemory, NO_COMMAND_TWICE);
 }
 
-fn with(faults: Vec<Fault>) -> Vec<LeaseObservation> {
-    let events = run(&chaos(), 1, &faults, None);
-    let breaches = judge(&events);
+fn run_without_breaches(faults: Vec<Fault>) -> Vec<LeaseObservation> {
+    let observations = run(&config(), 1, &faults, None);
+    let breaches = judge(&observations);
     assert!(breaches.is_empty(), "{breaches:?}");
-    events
+    observations
 }
 
-fn last_holders(events: &[LeaseObservation], from: f64) -> std::collections::BTreeMap<u16, u64> {
-    let ordered = events.iter().filter_map(|event| match event {
+fn last_holders(observations: &[LeaseObservation], from: f64) -> std::collections::BTreeMap<u16, u64> {
+    let commands = observations.iter().filter_map(|observation| match observation {
         LeaseObservation::Commanded { at, slice, process, .. } if *at > from => Some((*slice, *process)),
         _ => None,
     });
-    ordered.collect()
+    commands.collect()
 }
 
 #[test]
-fn the_slices_of_a_dead_steward_are_decided_again_by_the_others() {
-    let events = with(vec![Fault { at: 20.0, duration: 100.0, kind: FaultKind::Kill { controller: 1 } }]);
-    let figures = recovery_figures(&events);
+fn slices_of_dead_controller_are_taken_over() {
+    let observations = run_without_breaches(vec![Fault {
+        at: 20.0,
+        duration: 100.0,
+        kind: FaultKind::Kill { controller: 1 },
+    }]);
+    let figures = recovery_figures(&observations);
     assert!(figures.recovery_times.len() > 8, "{figures:?}");
-    assert!(figures.recovery_times.iter().all(|took| *took < 6.0), "{figures:?}");
-    assert_eq!(last_holders(&events, 55.0).len(), 48, "every slice has its steward");
+    assert!(figures.recovery_times.iter().all(|recovery_time| *recovery_time < 6.0), "{figures:?}");
+    assert_eq!(last_holders(&observations, 55.0).len(), 48, "every slice has its steward");
 }
 
 #[test]
-fn a_flapping_steward_does_not_carry_slices_to_and_fro() {
-    let events = with(vec![Fault { at: 15.0, duration: 35.0, kind: FaultKind::Flap { controller: 2 } }]);
-    assert!(recovery_figures(&events).handovers <= 60, "{}", recovery_figures(&events).handovers);
+fn flapping_controller_causes_few_handovers() {
+    let observations = run_without_breaches(vec![Fault {
+        at: 15.0,
+        duration: 35.0,
+        kind: FaultKind::Flap { controller: 2 },
+    }]);
+    assert!(recovery_figures(&observations).handovers <= 60, "{}", recovery_figures(&observations).handovers);
 }
 
 #[test]
-fn a_drained_steward_hands_over_everything() {
-    let events = with(vec![Fault { at: 15.0, duration: 0.0, kind: FaultKind::Drain { controller: 0 } }]);
-    let drained = 1;
-    assert!(last_holders(&events, 40.0).values().all(|process| *process != drained));
-    assert_eq!(last_holders(&events, 40.0).len(), 48);
+fn drained_controller_hands_over_all_slices() {
+    let observations = run_without_breaches(vec![Fault {
+        at: 15.0,
+        duration: 0.0,
+        kind: FaultKind::Drain { controller: 0 },
+    }]);
+    let drained_process = 1;
+    assert!(last_holders(&observations, 40.0).values().all(|process| *process != drained_process));
+    assert_eq!(last_holders(&observations, 40.0).len(), 48);
 }
 
 #[test]
-fn without_the_store_nothing_new_is_ordered_and_all_goes_on_when_it_is_back() {
-    let events = with(vec![Fault { at: 20.0, duration: 10.0, kind: FaultKind::StoreUnavailable }]);
-    let ordered = |from: f64, until: f64| {
-        events
+fn commands_stop_without_store_and_resume_after() {
+    let observations =
+        run_without_breaches(vec![Fault { at: 20.0, duration: 10.0, kind: FaultKind::StoreUnavailable }]);
+    let commands = |from: f64, until: f64| {
+        observations
             .iter()
-            .filter(|e| matches!(e, LeaseObservation::Commanded { at, .. } if (from..until).contains(at)))
+            .filter(|observation| {
+                matches!(observation, LeaseObservation::Commanded { at, .. } if (from..until).contains(at))
+            })
             .count()
     };
-    assert_eq!(ordered(23.5, 30.0), 0);
-    assert_eq!(last_holders(&events, 33.0).len(), 48);
+    assert_eq!(commands(23.5, 30.0), 0);
+    assert_eq!(last_holders(&observations, 33.0).len(), 48);
 }
 
 #[test]
-fn both_sides_of_a_split_keep_what_they_hold() {
-    let events = with(vec![Fault { at: 15.0, duration: 20.0, kind: FaultKind::Partition { side: 1 } }]);
-    assert_eq!(recovery_figures(&events).handovers, 0, "each renews its leases at the store");
+fn both_sides_of_partition_keep_leases() {
+    let observations = run_without_breaches(vec![Fault {
+        at: 15.0,
+        duration: 20.0,
+        kind: FaultKind::Partition { side: 1 },
+    }]);
+    assert_eq!(recovery_figures(&observations).handovers, 0, "each renews its leases at the store");
 }
 
 /// Moments between two microseconds: a steward that was due just before it wakes waited for ever.
 #[test]
-fn pauses_that_end_at_any_moment_end() {
-    for n in 0..200 {
-        let at = 7.0 + f64::from(n) * 0.010_000_37;
+fn pause_may_end_between_microseconds() {
+    for number in 0..200 {
+        let at = 7.0 + f64::from(number) * 0.010_000_37;
         let faults = [Fault {
             at,
-            duration: 1.000_000_3 + f64::from(n) * 1e-7,
+            duration: 1.000_000_3 + f64::from(number) * 1e-7,
             kind: FaultKind::Pause { controller: 1 },
         }];
-        let chaos = ChaosConfig { length: 20.0, ..chaos() };
-        let events = run(&chaos, 1, &faults, None);
-        assert!(events
+        let config = ChaosConfig { length: 20.0, ..config() };
+        let observations = run(&config, 1, &faults, None);
+        assert!(observations
             .iter()
-            .any(|event| matches!(event, LeaseObservation::Commanded { at, .. } if *at > 19.0)));
+            .any(|observation| matches!(observation, LeaseObservation::Commanded { at, .. } if *at > 19.0)));
     }
 }
 
 #[test]
-fn the_explorer_of_leases_finds_nothing_and_each_defence_that_is_left_out() {
+fn lease_explorer_finds_violations_only_without_safeguards() {
     let explored = explore(OmittedSafeguard::Nothing, 150_000);
     assert!(explored.counterexample.is_none(), "{:#?}", explored.counterexample);
-    for without in [
+    for omitted in [
         OmittedSafeguard::Fence,
         OmittedSafeguard::NewEpochs,
         OmittedSafeguard::LeaseExpiry,
         OmittedSafeguard::GracePeriod,
     ] {
-        let explored = explore(without, 1_500_000);
-        assert!(explored.counterexample.is_some(), "{without:?}: none in {} states", explored.states);
+        let explored = explore(omitted, 1_500_000);
+        assert!(explored.counterexample.is_some(), "{omitted:?}: none in {} states", explored.states);
     }
 }
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -8,168 +8,176 @@
 use railhub_membership::safeguard::Safeguard;
 use std::path::Path;
 
-fn chaos() -> ChaosConfig {
+fn config() -> ChaosConfig {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/view.ini");
     ChaosConfig::open(&path).expect("a good file")
 }
 
 #[test]
-fn no_rule_breaks_on_many_seeds() {
-    let chaos = chaos();
+fn random_faults_break_no_rule() {
+    let config = config();
     for seed in 0..150 {
-        let faults = chaos.faults(seed);
-        let events = run(&chaos, seed, &faults, RunOptions::default());
-        let breaches = judge(&events);
+        let faults = config.faults(seed);
+        let observations = run(&config, seed, &faults, RunOptions::default());
+        let breaches = judge(&observations);
         assert!(breaches.is_empty(), "seed {seed}: {breaches:#?}\n{faults:#?}");
     }
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
-    let chaos = chaos();
-    let play = || run(&chaos, 7, &chaos.faults(7), RunOptions::default());
-    assert!(play() == play());
+fn same_seed_gives_same_run() {
+    let config = config();
+    let simulate = || run(&config, 7, &config.faults(7), RunOptions::default());
+    assert!(simulate() == simulate());
 }
 
-fn found(without: Safeguard, rules: &[&str]) {
-    let chaos = chaos();
-    let how = RunOptions { without: Some(without), ..RunOptions::default() };
-    let breaks = |seed: &u64| {
-        let breaches = judge(&run(&chaos, *seed, &chaos.faults(*seed), how));
+fn assert_detected(disabled: Safeguard, rules: &[&str]) {
+    let config = config();
+    let options = RunOptions { without: Some(disabled), ..RunOptions::default() };
+    let breaks_a_rule = |seed: &u64| {
+        let breaches = judge(&run(&config, *seed, &config.faults(*seed), options));
         breaches.iter().any(|breach| rules.contains(&breach.rule))
     };
-    assert!((0..200).any(|seed| breaks(&seed)), "{without:?} is not found in 200 runs");
+    assert!((0..200).any(|seed| breaks_a_rule(&seed)), "{disabled:?} is not detected in 200 runs");
 }
 
 #[test]
-fn a_suspect_that_does_not_say_otherwise_is_found() {
-    found(Safeguard::Refutation, &[NO_SPLIT, SETTLES]);
+fn detects_missing_refutation() {
+    assert_detected(Safeguard::Refutation, &[NO_SPLIT, SETTLES]);
 }
 
 #[test]
-fn the_dead_that_are_not_asked_again_are_found() {
-    found(Safeguard::DeadProbing, &[NO_SPLIT]);
+fn detects_missing_probes_of_dead_members() {
+    assert_detected(Safeguard::DeadProbing, &[NO_SPLIT]);
 }
 
 #[test]
-fn older_processes_that_count_are_found() {
-    found(Safeguard::ProcessOrder, &[NO_RESURRECTION, NO_SPLIT, SETTLES]);
+fn detects_ignored_process_order() {
+    assert_detected(Safeguard::ProcessOrder, &[NO_RESURRECTION, NO_SPLIT, SETTLES]);
 }
 
 #[test]
-fn views_that_are_never_compared_are_found() {
-    found(Safeguard::AntiEntropy, &[NO_SPLIT, SETTLES]);
+fn detects_missing_anti_entropy() {
+    assert_detected(Safeguard::AntiEntropy, &[NO_SPLIT, SETTLES]);
 }
 
 #[test]
-fn rumours_without_end_are_found() {
-    found(Safeguard::GossipLimit, &[GOSSIP_ENDS]);
+fn detects_unlimited_gossip() {
+    assert_detected(Safeguard::GossipLimit, &[GOSSIP_ENDS]);
 }
 
-fn with(faults: &[Fault], how: RunOptions) -> Vec<ViewObservation> {
-    let events = run(&chaos(), 1, faults, how);
-    let breaches = judge(&events);
+fn run_without_breaches(faults: &[Fault], options: RunOptions) -> Vec<ViewObservation> {
+    let observations = run(&config(), 1, faults, options);
+    let breaches = judge(&observations);
     assert!(breaches.is_empty(), "{breaches:#?}");
-    events
+    observations
 }
 
 /// Whether any process shows this steward as gone within some seconds.
-fn held_gone(events: &[ViewObservation], steward: u16, from: f64, until: f64) -> bool {
-    events.iter().any(|event| match event {
+fn is_shown_gone(observations: &[ViewObservation], controller: u16, from: f64, until: f64) -> bool {
+    observations.iter().any(|observation| match observation {
         ViewObservation::View { at, gone, .. } if (from..until).contains(at) => {
-            gone.iter().any(|(id, _)| *id == steward)
+            gone.iter().any(|(id, _)| *id == controller)
         }
         _ => false,
     })
 }
 
 #[test]
-fn two_that_cannot_reach_each_other_do_not_bury_each_other() {
-    let events = with(
+fn separated_pair_is_not_declared_dead() {
+    let observations = run_without_breaches(
         &[Fault { at: 5.0, duration: 0.0, kind: FaultKind::SeparatePair { a: 0, b: 1 } }],
         RunOptions::default(),
     );
-    assert!((0..5).all(|steward| !held_gone(&events, steward, 3.0, 100.0)));
+    assert!((0..5).all(|controller| !is_shown_gone(&observations, controller, 3.0, 100.0)));
 }
 
 #[test]
-fn a_steward_that_was_paused_for_a_second_is_buried_by_nobody_and_buries_nobody() {
-    let events = with(
+fn short_pause_causes_no_declared_death() {
+    let observations = run_without_breaches(
         &[Fault { at: 5.0, duration: 1.0, kind: FaultKind::Pause { controller: 2 } }],
         RunOptions::default(),
     );
-    assert!((0..5).all(|steward| !held_gone(&events, steward, 3.0, 100.0)));
+    assert!((0..5).all(|controller| !is_shown_gone(&observations, controller, 3.0, 100.0)));
 }
 
 #[test]
-fn a_steward_that_is_gone_for_long_is_forgotten_and_its_next_process_is_believed() {
-    let how = RunOptions { forget_after: 6.0, ..RunOptions::default() };
-    let events = with(&[Fault { at: 5.0, duration: 20.0, kind: FaultKind::Kill { controller: 2 } }], how);
-    assert!(held_gone(&events, 2, 9.0, 11.0) && !held_gone(&events, 2, 17.0, 24.0));
+fn dead_member_is_forgotten_and_may_restart() {
+    let options = RunOptions { forget_after: 6.0, ..RunOptions::default() };
+    let observations = run_without_breaches(
+        &[Fault { at: 5.0, duration: 20.0, kind: FaultKind::Kill { controller: 2 } }],
+        options,
+    );
+    assert!(is_shown_gone(&observations, 2, 9.0, 11.0) && !is_shown_gone(&observations, 2, 17.0, 24.0));
 }
 
 /// Found by simulated runs with short forgetting: each told the other so, at the speed of the net.
 #[test]
-fn two_that_have_forgotten_each_other_do_not_tell_each_other_so_without_end() {
-    let how = RunOptions { forget_after: 4.0, ..RunOptions::default() };
+fn forgotten_members_do_not_cause_endless_gossip() {
+    let options = RunOptions { forget_after: 4.0, ..RunOptions::default() };
     let faults = [Fault { at: 5.0, duration: 25.0, kind: FaultKind::Partition { side: 0b11 } }];
-    let chaos = ChaosConfig { length: 120.0, ..chaos() };
-    let events = run(&chaos, 3, &faults, how);
-    assert!(view_figures(&events).datagrams < 60.0, "{:?}", view_figures(&events));
-    let last = events.iter().rev().find_map(|event| match event {
+    let config = ChaosConfig { length: 120.0, ..config() };
+    let observations = run(&config, 3, &faults, options);
+    assert!(view_figures(&observations).datagrams < 60.0, "{:?}", view_figures(&observations));
+    let last_alive_count = observations.iter().rev().find_map(|observation| match observation {
         ViewObservation::View { alive, .. } => Some(alive.len()),
         _ => None,
     });
-    assert_eq!(last, Some(5), "the addresses of the file bring them together again");
+    assert_eq!(last_alive_count, Some(5), "the addresses of the file bring them together again");
 }
 
 /// What a steward sends hardly grows with the fleet.
 #[test]
-fn cost_a_steward_is_flat() {
-    let bytes = |stewards: u16| {
-        let chaos = ChaosConfig { controllers: stewards, ..chaos() };
-        view_figures(&run(&chaos, 1, &[], RunOptions::default())).bytes
+fn traffic_per_member_is_independent_of_cluster_size() {
+    let bytes = |controllers: u16| {
+        let config = ChaosConfig { controllers, ..config() };
+        view_figures(&run(&config, 1, &[], RunOptions::default())).bytes
     };
-    let (five, fifteen) = (bytes(5), bytes(15));
-    assert!(fifteen <= five * 1.2, "{five:.0} and {fifteen:.0} bytes a steward and second");
+    let (with_five, with_fifteen) = (bytes(5), bytes(15));
+    assert!(
+        with_fifteen <= with_five * 1.2,
+        "{with_five:.0} and {with_fifteen:.0} bytes per controller and second"
+    );
 }
 
 /// The judge itself: a view that is wrong for one look is a breach.
 #[test]
-fn the_judge_finds_one_wrong_look() {
-    let mut events = with(&[], RunOptions::default());
-    let place =
-        events.iter().rposition(|event| matches!(event, ViewObservation::View { .. })).expect("a view");
-    if let ViewObservation::View { alive, .. } = &mut events[place] {
+fn judge_detects_one_wrong_view() {
+    let mut observations = run_without_breaches(&[], RunOptions::default());
+    let position = observations
+        .iter()
+        .rposition(|observation| matches!(observation, ViewObservation::View { .. }))
+        .expect("a view");
+    if let ViewObservation::View { alive, .. } = &mut observations[position] {
         alive.pop();
     }
-    assert_eq!(judge(&events).first().map(|breach| breach.rule), Some(NO_SPLIT));
-    let down = ViewObservation::Ended { at: 1.0, node: Node(1), controller: 0 };
-    events.insert(0, down);
-    assert!(!judge(&events).is_empty(), "one that ended and is held to live");
+    assert_eq!(judge(&observations).first().map(|breach| breach.rule), Some(NO_SPLIT));
+    let ended = ViewObservation::Ended { at: 1.0, node: Node(1), controller: 0 };
+    observations.insert(0, ended);
+    assert!(!judge(&observations).is_empty(), "one that ended and is held to live");
 }
 
 #[test]
-fn lossy_links_delay_the_truth_and_do_not_change_it() {
+fn views_settle_despite_lossy_links() {
     let faults = LinkFaults { loss: 0.2, duplication: 0.2, reordering: 0.3, delay: 0.01, jitter: 0.02 };
-    let bad = Fault { at: 4.0, duration: 20.0, kind: FaultKind::Links { faults } };
-    with(
-        &[bad, Fault { at: 8.0, duration: 6.0, kind: FaultKind::Kill { controller: 3 } }],
+    let lossy = Fault { at: 4.0, duration: 20.0, kind: FaultKind::Links { faults } };
+    run_without_breaches(
+        &[lossy, Fault { at: 8.0, duration: 6.0, kind: FaultKind::Kill { controller: 3 } }],
         RunOptions::default(),
     );
 }
 
 #[test]
-fn every_order_of_words_losses_and_crashes_ends_in_the_truth() {
+fn explorer_finds_no_violation() {
     let explored = explore(None, 60_000);
     assert!(explored.counterexample.is_none(), "{:#?}", explored.counterexample);
     assert!(explored.states > 10_000, "{} states", explored.states);
 }
 
 #[test]
-fn the_explorer_finds_missing_refutation_and_ignored_processes() {
-    for without in [Safeguard::Refutation, Safeguard::ProcessOrder] {
-        let explored = explore(Some(without), 60_000);
-        assert!(explored.counterexample.is_some(), "{without:?}: none in {} states", explored.states);
+fn explorer_detects_disabled_safeguards() {
+    for disabled in [Safeguard::Refutation, Safeguard::ProcessOrder] {
+        let explored = explore(Some(disabled), 60_000);
+        assert!(explored.counterexample.is_some(), "{disabled:?}: none in {} states", explored.states);
     }
 }
