--- a/crates/railhub-chaos/src/breach.rs
+++ b/crates/railhub-chaos/src/breach.rs
@@ -1,14 +1,14 @@
-//! A broken invariant, as judges report it.
+//! The breach of a rule, as judges report it.
 use serde::Serialize;
 
-/// The first time that a run broke a rule.
+/// The first breach of one rule in a run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Breach {
-    /// The rule's name.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// Seconds of the run.
+    /// Time of the breach, in seconds since the start of the run.
     pub at: f64,
-    /// Who broke it and how.
+    /// Which controllers, processes or proxies broke the rule, and how.
     #[serde(rename = "what")]
     pub description: String,
 }
--- a/crates/railhub-chaos/src/cluster_harness/error.rs
+++ b/crates/railhub-chaos/src/cluster_harness/error.rs
@@ -1,73 +1,74 @@
-//! Why a run on real processes could not be played.
+//! Errors of runs on real processes.
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a controller's process did not start.
+/// Why a controller's process did not start. The messages of all variants except [`ProcessError::Log`] and
+/// [`ProcessError::Logged`] are part of JSON reports.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// The log cannot be written.
-    #[error("{}: {source}", path.display())]
+    /// The log file cannot be created.
+    #[error("cannot create the log file {}: {source}", path.display())]
     Log {
-        /// The log's path.
+        /// Path of the log file.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The program cannot be run.
+    /// The program cannot be started.
     #[error("{}: {source}", binary.display())]
     Spawn {
-        /// The program's path.
+        /// Path of the program.
         binary: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The process has no standard output.
+    /// The standard output of the process is not available.
     #[error("a steward does not start: no standard output")]
     NoStandardOutput,
-    /// The process did not print its addresses in time.
+    /// The process did not print its addresses within the start timeout.
     #[error("a steward does not start: it says nothing")]
     StartTimeout,
-    /// The process ended before it printed its addresses.
+    /// The process exited before it printed its addresses.
     #[error("a steward does not start: it ended")]
     ExitedEarly,
-    /// The first line that the process printed does not hold its addresses.
+    /// The first line that the process printed does not contain its addresses.
     #[error("a steward does not start: {line:?}: {source}")]
     Addresses {
-        /// The line.
+        /// The line that was printed.
         line: String,
-        /// What is wrong with it.
+        /// Why the line could not be decoded.
         source: serde_json::Error,
     },
-    /// The process did not start; its log has the details.
-    #[error("{error}; its log: {}", log.display())]
+    /// The process did not start; its log file may have the details.
+    #[error("{error}; log of the process: {}", log.display())]
     Logged {
-        /// Why.
+        /// Why the process did not start.
         error: Box<ProcessError>,
-        /// The log's path.
+        /// Path of the log file.
         log: PathBuf,
     },
 }
 
-/// Why a run on real processes could not be played.
+/// Why a run on real processes failed.
 #[derive(Debug, Error)]
 pub enum HarnessError {
-    /// A file or folder of the run cannot be written.
-    #[error("{}: {source}", path.display())]
+    /// A file or directory of the run cannot be written.
+    #[error("cannot write {}: {source}", path.display())]
     File {
-        /// Its path.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// An observation cannot be recorded.
-    #[error("{0}")]
+    /// An observation cannot be written to the recording.
+    #[error("cannot write an observation to the recording: {0}")]
     Record(#[from] serde_json::Error),
-    /// No port is free for a link.
-    #[error("no port for a link: {0}")]
+    /// The UDP sockets of a link endpoint cannot be opened.
+    #[error("cannot open a UDP socket for a link endpoint: {0}")]
     LinkPort(io::Error),
-    /// No port is free for the observer.
-    #[error("no port to look from: {0}")]
+    /// The UDP socket of the observer cannot be opened.
+    #[error("cannot open a UDP socket for the observer: {0}")]
     ObserverPort(io::Error),
     /// A controller did not start.
     #[error(transparent)]
@@ -75,7 +76,7 @@
 }
 
 impl HarnessError {
-    /// Names the path of a file that cannot be written.
+    /// Returns a function that adds the path of a file or directory to an I/O error.
     pub(super) fn file(path: &std::path::Path) -> impl FnOnce(io::Error) -> HarnessError {
         let path = path.to_owned();
         move |source| HarnessError::File { path, source }
--- a/crates/railhub-chaos/src/cluster_harness/faults.rs
+++ b/crates/railhub-chaos/src/cluster_harness/faults.rs
@@ -1,5 +1,5 @@
-//! What each fault does to processes when it begins and when it ends. Cuts, partitions and faults of links are applied to
-//! the links after each event.
+//! Applies faults to processes when they begin and ends them. Cuts, partitions and link faults need no code here: the
+//! links are updated after each event.
 use super::error::HarnessError;
 use super::harness::{ClusterHarness, ScheduledEvent};
 use super::process::ControllerProcess;
@@ -81,7 +81,7 @@
         self.start(controller, process)
     }
 
-    /// Resumes a controller, unless another pause of it is in force.
+    /// Resumes a controller, unless another pause of the same controller is in force.
     fn resume(&self, controller: u16) {
         if self.active_faults.includes(self.plan.faults, &FaultKind::Pause { controller }) {
             return;
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Kills or starts a flapping controller, until the fault ends.
+    /// Kills a flapping controller if it is running, starts it if it is not, and schedules the next change until the fault
+    /// ends.
     pub(super) fn flap(&mut self, index: usize, until: f64) -> Result<(), HarnessError> {
         let FaultKind::Flap { controller } = self.plan.faults[index].kind else { return Ok(()) };
         if self.elapsed() >= until {
--- a/crates/railhub-chaos/src/cluster_harness/harness.rs
+++ b/crates/railhub-chaos/src/cluster_harness/harness.rs
@@ -1,4 +1,4 @@
-//! The harness of one run: links, processes, the observer and the queue of faults.
+//! The harness of one run: the links, the processes, the observer and the queue of fault events.
 use super::error::HarnessError;
 use super::link_tap::{link_tap, LinkRecord};
 use super::observer::{Observations, ObservedProcesses, Observer};
@@ -21,26 +21,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A run on real processes.
+/// The parameters of a run on real processes.
 #[derive(Clone, Debug)]
 pub struct HarnessPlan<'a> {
-    /// The sizes of the run.
+    /// The chaos file, with the sizes of the run.
     pub config: &'a ChaosConfig,
     /// The seed of the run.
     pub seed: u64,
-    /// What goes wrong.
+    /// The faults of the run.
     pub faults: &'a [Fault],
-    /// How the run is played.
+    /// Options of the run apart from its faults.
     pub options: RunOptions,
     /// The program that the controllers run.
     pub binary: &'a Path,
-    /// Where settings, logs, the record of the links and the observations are written.
+    /// The directory for settings, logs, the recording of the links and the observations.
     pub folder: &'a Path,
-    /// Controllers whose addresses each controller is given to join by.
+    /// Controllers whose addresses are in the settings of each controller, to join the cluster through.
     pub seed_controllers: Vec<u16>,
 }
 
-/// What falls due.
+/// An event of the run.
 #[derive(Clone, Copy)]
 pub(super) enum ScheduledEvent {
     FaultBegins(usize),
@@ -48,18 +48,18 @@
     FlapToggle { index: usize, until: f64 },
 }
 
-/// A controller's place on the links.
+/// A controller's endpoint on the links.
 #[derive(Clone)]
 pub(super) struct LinkEndpoint {
     pub name: String,
-    /// Where other controllers send to.
+    /// The address to which other controllers send.
     pub public_address: SocketAddr,
 }
 
 pub(super) struct RunningProcess {
     pub process: Arc<ControllerProcess>,
     pub controller: u16,
-    /// The name of its endpoint on the links.
+    /// Name of the process's endpoint on the links.
     pub endpoint: String,
 }
 
@@ -70,24 +70,24 @@
     pub links: UdpLinks,
     link_controller: Arc<LinkController>,
     processes: BTreeMap<Node, RunningProcess>,
-    /// The process that a fault on a controller strikes.
+    /// The latest process of each running controller; faults on the controller affect this one.
     pub current_nodes: BTreeMap<u16, Node>,
-    /// Each controller's endpoint; another one after it has moved.
+    /// The latest endpoint of each controller; a controller that moves gets another one.
     pub endpoints: BTreeMap<u16, LinkEndpoint>,
     last_node: usize,
     observed_processes: ObservedProcesses,
     observations: Observations,
     pub link_record: Arc<Mutex<LinkRecord>>,
     pub active_faults: ActiveFaults,
-    /// Ends the starvation of each fault in force.
+    /// Flags that stop the threads of the starvation faults in force, by index of the fault.
     pub starvation_stop_flags: BTreeMap<usize, Arc<AtomicBool>>,
     pub queue: EventQueue<ScheduledEvent>,
 }
 
-/// Plays one run until its end; returns what was observed, by time.
+/// Plays one run until its end and returns the observations, ordered by time.
 ///
 /// # Errors
-/// What could not be started or written.
+/// A controller could not be started, a socket not be opened or a file not be written.
 pub fn play(plan: &HarnessPlan) -> Result<Vec<ViewObservation>, HarnessError> {
     std::fs::create_dir_all(plan.folder).map_err(HarnessError::file(plan.folder))?;
     let mut harness = ClusterHarness::open(plan)?;
@@ -95,7 +95,7 @@
     harness.finish()
 }
 
-/// A folder of its own for a run that is not kept.
+/// The path of a directory for a run whose files are not kept, unique to this program and the seed.
 pub fn temporary_folder(seed: u64) -> PathBuf {
     std::env::temp_dir().join(format!("railhub-bed-{}-{seed}", std::process::id()))
 }
@@ -147,7 +147,7 @@
         self.observations.lock().expect("no holder panics").push(observation);
     }
 
-    /// Gives a controller an endpoint on the links, in place of the one that it had.
+    /// Adds an endpoint for a controller to the links; it replaces the one that the controller had.
     pub(super) fn add_endpoint(&mut self, controller: u16, name: String) -> Result<(), HarnessError> {
         let public_address = self.links.add(&name).map_err(HarnessError::LinkPort)?;
         self.endpoints.insert(controller, LinkEndpoint { name, public_address });
@@ -168,7 +168,7 @@
         settings.to_ini()
     }
 
-    /// Starts a controller's process, with a number or by its clock.
+    /// Starts a controller's process. Without a process number, the controller takes one from its clock.
     pub(super) fn start(&mut self, controller: u16, process: Option<u64>) -> Result<(), HarnessError> {
         self.last_node += 1;
         let node = Node(self.last_node);
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Ends a controller's process in one way or another.
+    /// Ends a controller's process by calling `stop_process`.
     pub(super) fn stop(&mut self, controller: u16, stop_process: impl FnOnce(&ControllerProcess)) {
         let Some(node) = self.current_nodes.remove(&controller) else { return };
         let Some(running) = self.processes.remove(&node) else { return };
@@ -210,7 +210,8 @@
         self.processes.get(self.current_nodes.get(&controller)?)
     }
 
-    /// Gives each direction between two endpoints the faults in force. Endpoints of earlier processes count.
+    /// Applies the faults in force to each direction between two endpoints, including the endpoints of earlier processes
+    /// that still run.
     fn update_links(&self) {
         let faults = self.plan.faults;
         let base_faults = self.link_faults();
--- a/crates/railhub-chaos/src/cluster_harness/interference.rs
+++ b/crates/railhub-chaos/src/cluster_harness/interference.rs
@@ -1,4 +1,4 @@
-//! Faults that last or take time: a controller that is starved of processor time, replays and floods of datagrams.
+//! Starvation of a controller's processor time, and replays and floods of datagrams.
 use super::harness::ClusterHarness;
 use super::link_tap::CapturedDatagram;
 use crate::fault::STARVATION_PERIOD;
@@ -8,19 +8,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Seconds between two datagrams of a replay.
+/// Seconds between two replayed datagrams.
 const REPLAY_INTERVAL: f64 = 0.000_05;
-/// Datagrams of a flood that are sent at once.
+/// Number of datagrams of a flood that are sent without a pause.
 const FLOOD_BATCH: u32 = 50;
 /// Seconds between two batches of a flood.
 const FLOOD_BATCH_INTERVAL: f64 = 0.001;
-/// Bytes of a flood's datagram if none was captured.
+/// Size in bytes of a flood's datagram when there is no captured datagram to modify.
 const DEFAULT_FLOOD_BYTES: usize = 40;
-/// Bytes of a flood's datagram that is too long.
+/// Size in bytes of an oversized datagram in a flood.
 const TOO_LONG_BYTES: usize = 2000;
 
 impl ClusterHarness<'_> {
-    /// Pauses and resumes a controller in short slots, so that it gets a fraction of its time.
+    /// Pauses and resumes a controller in short time slots, so that it runs for a fraction of the time.
     pub(super) fn starve(&mut self, index: usize, controller: u16, running_fraction: f64) {
         let Some(running) = self.current_process(controller) else { return };
         let process = running.process.clone();
@@ -41,7 +41,7 @@
         self.link_record.lock().expect("no holder panics").captured.clone()
     }
 
-    /// Sends all captured datagrams once more.
+    /// Sends all captured datagrams again.
     pub(super) fn replay(&self) {
         for CapturedDatagram { from, to, bytes } in self.captured_datagrams() {
             self.links.inject(&from, &to, &bytes);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sends a controller corrupt, truncated, too long and random datagrams, in the name of another.
+    /// Sends corrupt, truncated, oversized and random datagrams to a controller, with another endpoint as the sender.
     pub(super) fn flood(&self, controller: u16, count: u32) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed);
         let captured = self.captured_datagrams();
--- a/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
+++ b/crates/railhub-chaos/src/cluster_harness/lease_scenario.rs
@@ -1,6 +1,6 @@
-//! A run of leases on real processes: a small cluster of emulated hosts, proxies and clients under load, with the faults
-//! that are drawn in simulated time. It is played as a scenario, so that every connection passes a relay and what crossed
-//! is judged from a record.
+//! A lease run on real processes: a small cluster of emulated hosts, proxies and clients under load, with the same faults
+//! as the simulated run. It is played as a scenario, so that every connection passes through a relay and the traffic is
+//! judged from a recording.
 use crate::config::ChaosConfig;
 use crate::fault::{Fault, FaultKind, FLAP_HALF_PERIOD};
 use crate::lease::Sabotage;
@@ -9,27 +9,28 @@
 use railhub_scenario::scenario::TestClock;
 use railhub_scenario::Scenario;
 
-/// The cluster, but for its sizes: hosts that crash and a deployment go on beside the controllers' faults.
+/// The scenario of the cluster, except for its sizes. In addition to the controllers' faults, it has crashes of hosts and
+/// a deployment.
 const CLUSTER: &str = include_str!("lease_scenario.ini");
-/// Seconds before the end of a run by which its last fault ends.
+/// Minimum time in seconds between the end of the last fault and the end of the run.
 const CALM_TIME: f64 = 6.0;
-/// The kind that faults have in the scenario.
+/// The name of the kind of all faults that are added to the scenario.
 const SCENARIO_FAULT_KIND: &str = "chaos";
-/// The most controllers of a partition's side.
+/// Number of bits in a partition's side.
 const SIDE_BITS: usize = 32;
 
-/// A scenario, and the faults that it cannot cause.
+/// A scenario, and the faults that a scenario does not support.
 pub struct LeaseScenario {
     /// The scenario.
     pub scenario: Scenario,
-    /// Faults that cannot be caused on processes.
+    /// Faults that a scenario does not support.
     pub unsupported_faults: Vec<FaultKind>,
 }
 
-/// Makes the scenario that plays these faults on processes.
+/// Builds the scenario that applies the faults to real processes.
 ///
 /// # Errors
-/// The sizes of the chaos file do not make a scenario.
+/// The built-in scenario of the cluster is invalid.
 pub fn lease_scenario(
     config: &ChaosConfig,
     seed: u64,
@@ -71,7 +72,7 @@
     scenario.disabled_safeguard = (sabotage == Some(Sabotage::LeaseOverrun)).then_some("lease end");
 }
 
-/// Adds a fault; returns whether the scenario can cause it.
+/// Adds a fault to the scenario; returns whether the scenario supports it.
 fn add_fault(scenario: &mut Scenario, fault: &Fault) -> bool {
     match fault.kind {
         FaultKind::ClockDrift { controller, fraction } => {
@@ -105,7 +106,7 @@
     ScheduledFault { name: kind.recorded_note(), kind_name: SCENARIO_FAULT_KIND.into(), at, duration, kind }
 }
 
-/// A flapping controller: killed once in each cycle.
+/// The faults of a flapping controller: it is killed once in each cycle.
 fn flap_faults(fault: &Fault, controller: u16) -> Vec<ScheduledFault> {
     let period = 2.0 * FLAP_HALF_PERIOD;
     let cycles = (fault.duration / period).ceil().max(1.0) as u32;
@@ -118,7 +119,7 @@
     faults
 }
 
-/// What causes a fault in a scenario, if anything does.
+/// The fault of a scenario that corresponds to a fault; `None` if the scenario has none.
 fn scenario_fault_kind(kind: &FaultKind) -> Option<ScenarioFaultKind> {
     Some(match *kind {
         FaultKind::Kill { controller } => {
--- a/crates/railhub-chaos/src/cluster_harness/link_tap.rs
+++ b/crates/railhub-chaos/src/cluster_harness/link_tap.rs
@@ -1,4 +1,4 @@
-//! Reads what crosses the links between controllers, and captures datagrams for replays.
+//! Reads the datagrams that cross the links between controllers, and captures them for replays.
 use super::observer::Observations;
 use crate::fault::MAX_CAPTURED_DATAGRAMS;
 use crate::view::gossip_tap::{GossipTap, TappedGossip};
@@ -6,7 +6,7 @@
 use railhub_membership::packet::{decode, Packet};
 use std::sync::{Arc, Mutex};
 
-/// A datagram that can be sent again.
+/// A captured datagram, which can be sent again.
 #[derive(Clone)]
 pub(super) struct CapturedDatagram {
     /// The link endpoint that sent it.
@@ -16,14 +16,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// What was read from the links.
+/// What the tap has read from the links.
 #[derive(Default)]
 pub(super) struct LinkRecord {
     pub tap: GossipTap,
     pub captured: Vec<CapturedDatagram>,
 }
 
-/// The function that the links call for each datagram.
+/// Returns the function that the links call for each datagram.
 pub(super) fn link_tap(
     installation: String,
     started_at: f64,
@@ -54,7 +54,7 @@
     })
 }
 
-/// The controller of a link endpoint: its name begins with the id.
+/// The controller of a link endpoint, from the endpoint's name, which begins with the controller's id.
 fn controller_of(endpoint: &str) -> Option<u16> {
     endpoint.split(' ').next().and_then(|id| id.parse().ok())
 }
--- a/crates/railhub-chaos/src/cluster_harness/mod.rs
+++ b/crates/railhub-chaos/src/cluster_harness/mod.rs
@@ -1,16 +1,16 @@
-//! A run's controllers as processes of their own, with links between them that fail. The harness starts and ends them,
+//! Runs controllers as real processes, with links between them that can fail. The harness starts and ends the processes,
 //! applies the run's faults and records what an observer sees.
 //!
-//! The way of one run:
+//! The steps of one run:
 //! 1. [`play`] opens the links and gives each controller a public address (`harness`).
 //! 2. It writes each controller's settings (`settings`) and starts it (`process`).
-//! 3. The observer requests each process's view ten times a second (`observer`); a tap reads what crosses the links
-//!    (`link_tap`).
-//! 4. Faults begin and end by the plan (`faults`, `interference`).
-//! 5. All of it becomes [`ViewObservation`](crate::view::ViewObservation)s, which the judge takes as it takes those of a
-//!    simulated run.
+//! 3. The observer requests each process's view ten times a second (`observer`); a tap reads the datagrams that cross the
+//!    links (`link_tap`).
+//! 4. Faults begin and end at their scheduled times (`faults`, `interference`).
+//! 5. The results are [`ViewObservation`](crate::view::ViewObservation)s, which the judge reads in the same way as those of
+//!    a simulated run.
 //!
-//! [`lease_scenario`] plays the faults of a run of leases: there the scenario player is the harness.
+//! Lease runs do not use this harness: [`lease_scenario`] turns their faults into a scenario for the scenario player.
 mod error;
 mod faults;
 mod harness;
--- a/crates/railhub-chaos/src/cluster_harness/observer.rs
+++ b/crates/railhub-chaos/src/cluster_harness/observer.rs
@@ -1,4 +1,4 @@
-//! Requests each process's view, again and again, as an operator does: by datagrams that bear no gossip.
+//! Requests the view of each process periodically, with the datagrams that operators' tools use, which carry no gossip.
 use crate::view::observation::{MemberProcess, Node, ViewObservation};
 use railhub_membership::packet::{decode, encode, Packet, View, MAX_DATAGRAM_BYTES};
 use railhub_membership::NodeId;
@@ -13,31 +13,31 @@
 
 /// Seconds between two requests to all processes.
 const OBSERVATION_INTERVAL: f64 = 0.1;
-/// How long the observer waits for a datagram before it checks for the next request.
+/// How long the observer waits for a datagram before it checks whether the next request is due.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(10);
-/// The most views that wait for further pages; the oldest makes room.
+/// Maximum number of views with further pages outstanding; beyond it the oldest is dropped.
 const MAX_INCOMPLETE_VIEWS: usize = 256;
-/// A request's nonce has the process's number in its high half and the request's number in its low half.
+/// Position of the node number in the nonce of a request: it is in the high half, and the request number in the low half.
 const NODE_SHIFT: u32 = 32;
-/// The low half of a nonce.
+/// Mask of the request number in a nonce.
 const REQUEST_MASK: u64 = 0xffff_ffff;
 
-/// Where each process listens.
+/// The cluster address of each running process.
 pub(super) type ObservedProcesses = Arc<Mutex<BTreeMap<Node, SocketAddr>>>;
-/// What has been observed so far.
+/// The observations so far.
 pub(super) type Observations = Arc<Mutex<Vec<ViewObservation>>>;
 
-/// A thread that observes until this is dropped.
+/// A thread that polls the views of all processes until this value is dropped.
 pub(super) struct Observer {
     stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Observer {
-    /// Starts to observe.
+    /// Starts the thread.
     ///
     /// # Errors
-    /// No port is free.
+    /// The UDP socket cannot be opened.
     pub fn start(
         installation: &str,
         started_at: f64,
@@ -77,7 +77,7 @@
     started_at: f64,
     processes: ObservedProcesses,
     observations: Observations,
-    /// Views of which further pages are requested, by nonce.
+    /// Views with further pages outstanding, by nonce.
     incomplete_views: BTreeMap<u64, View>,
     last_request: u64,
 }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Requests the page of a view that begins at a member.
+    /// Requests the page of a view that begins at the member `from`.
     fn request(&self, nonce: u64, from: NodeId, address: SocketAddr) {
         let bytes = encode(&self.installation, &Packet::ViewRequest { nonce, from });
         let _ = self.socket.send_to(&bytes, address);
@@ -143,7 +143,7 @@
     }
 }
 
-/// The members of a view that are alive, or those that are not.
+/// The members of a view that are alive, or the others if `alive` is false.
 fn members(view: &View, alive: bool) -> Vec<MemberProcess> {
     let chosen = view.entries.iter().filter(|entry| entry.member.status.is_live() == alive);
     chosen.map(|entry| (entry.member.id.0, entry.member.incarnation.process)).collect()
--- a/crates/railhub-chaos/src/cluster_harness/process.rs
+++ b/crates/railhub-chaos/src/cluster_harness/process.rs
@@ -1,5 +1,6 @@
-//! A controller as a process. It is ended by its id, whatever becomes of the run: when [`ControllerProcess`] is dropped,
-//! and, if the run itself is killed, by the kernel (a stopped process does not see its standard input end).
+//! A controller as a real process. The process always ends with the run: it is killed by its id when
+//! [`ControllerProcess`] is dropped, and by the kernel if the run itself is killed. (The end of standard input is not
+//! enough, because a stopped process does not notice it.)
 use super::error::ProcessError;
 use serde::Deserialize;
 use std::fs::File;
@@ -14,11 +15,11 @@
 
 /// How long a process may take to print its addresses.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a process may take to end once it was asked to.
+/// How long a process may take to exit after a request to leave the cluster.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often a process that was asked to end is checked.
+/// Interval of the checks whether a process that was asked to leave has exited.
 const LEAVE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The fields of `/proc/ID/stat` with user and system time, counted from the one after the process's name.
+/// Indices of the user and system time among the fields of `/proc/ID/stat` that follow the process's name.
 const PROCESSOR_TIME_FIELDS: [usize; 2] = [11, 12];
 
 /// The first line that a controller prints.
@@ -32,17 +33,17 @@
 /// A running controller.
 pub struct ControllerProcess {
     child: Mutex<Option<Child>>,
-    /// Where it listens for proxies.
+    /// The address on which the controller listens for proxies.
     pub proxy_address: SocketAddr,
-    /// Where it listens for other controllers; port 0: it is in no cluster.
+    /// The address on which the controller listens for other controllers; port 0 if it is in no cluster.
     pub cluster_address: SocketAddr,
-    /// The number of its process in the cluster.
+    /// The process number of the controller in the cluster.
     pub number: Option<u64>,
 }
 
-/// A process's log.
+/// The log of a process.
 pub struct ProcessLog {
-    /// Where it goes.
+    /// Standard error of the process, to which it logs.
     pub to: Stdio,
     /// The log format, a value of the command line's `--log`.
     pub format: &'static str,
@@ -54,7 +55,7 @@
     /// Starts a controller with a settings file and a log file.
     ///
     /// # Errors
-    /// Why it does not start, with the log's path.
+    /// Why the process does not start, with the path of the log file.
     pub fn start(binary: &Path, settings: &Path, log: &Path) -> Result<ControllerProcess, ProcessError> {
         let file = File::create(log).map_err(|source| ProcessError::Log { path: log.to_owned(), source })?;
         let process_log = ProcessLog { to: file.into(), format: "text", level: "info".into() };
@@ -62,10 +63,10 @@
             .map_err(|error| ProcessError::Logged { error: Box::new(error), log: log.to_owned() })
     }
 
-    /// Starts a controller with a settings file and a log of any kind.
+    /// Starts a controller with a settings file and a log in a given form.
     ///
     /// # Errors
-    /// Why it does not start.
+    /// Why the process does not start.
     pub fn start_with_log(
         binary: &Path,
         settings: &Path,
@@ -79,7 +80,7 @@
             spawn(command).map_err(|source| ProcessError::Spawn { binary: binary.to_owned(), source })?;
         let output = child.stdout.take();
         let no_address = SocketAddr::from(([127, 0, 0, 1], 0));
-        // Ends the child when its addresses cannot be read.
+        // From here on, an error drops this value, which kills the child.
         let mut process = ControllerProcess {
             child: Mutex::new(Some(child)),
             proxy_address: no_address,
@@ -100,32 +101,32 @@
         }
     }
 
-    /// Seconds of processor time that it has used, while it runs.
+    /// Processor time in seconds that the process has used; `None` if it has ended or the time cannot be read.
     pub fn processor_seconds(&self) -> Option<f64> {
         let child = self.child.lock().expect("no holder panics");
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.as_ref()?.id())).ok()?;
-        // The name stands in brackets and may hold any character.
+        // The name is in parentheses and may contain any character, including spaces and parentheses.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let mut ticks = 0.0;
         for field in PROCESSOR_TIME_FIELDS {
             ticks += fields.get(field)?.parse::<f64>().ok()?;
         }
-        // SAFETY: sysconf reads a number.
+        // SAFETY: sysconf only returns a number.
         let ticks_per_second = unsafe { libc::sysconf(libc::_SC_CLK_TCK) };
         Some(ticks / ticks_per_second.max(1) as f64)
     }
 
-    /// Stops it until it is resumed.
+    /// Stops the process until it is resumed.
     pub fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets it continue.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for it.
     pub fn kill(&self) {
         if let Some(mut child) = self.child.lock().expect("no holder panics").take() {
             let _ = child.kill();
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Asks it to leave the cluster and to end, and waits until it has; kills it after a timeout.
+    /// Asks the process to leave the cluster and to exit, and waits for it; kills it after a timeout.
     pub fn leave(&self) {
         self.signal(libc::SIGTERM);
         let deadline = Instant::now() + LEAVE_TIMEOUT;
@@ -162,7 +163,7 @@
     }
 }
 
-/// Has the kernel kill a command's process when the thread that started it ends.
+/// Makes the kernel kill the command's process when the thread that started the process ends.
 fn end_with_parent(command: &mut Command) {
     // SAFETY: prctl may be called between fork and exec, and changes nothing of this process.
     unsafe {
@@ -173,13 +174,13 @@
     }
 }
 
-/// A command to start, and where the child goes.
+/// A command to start, and the channel to which the child is sent.
 struct SpawnRequest {
     command: Command,
     reply: Sender<io::Result<Child>>,
 }
 
-/// Starts a process from a thread that lasts: the kernel ends a child with the *thread* that started it.
+/// Starts a process from a thread that never ends, because the kernel kills a child when the *thread* that started it ends.
 fn spawn(command: Command) -> io::Result<Child> {
     static SPAWNER: OnceLock<Mutex<Sender<SpawnRequest>>> = OnceLock::new();
     let spawner = SPAWNER.get_or_init(|| {
--- a/crates/railhub-chaos/src/cluster_harness/settings.rs
+++ b/crates/railhub-chaos/src/cluster_harness/settings.rs
@@ -2,24 +2,24 @@
 use railhub_membership::safeguard::Safeguard;
 use std::net::SocketAddr;
 
-/// What the harness decides about a controller.
+/// The settings that the harness chooses for a controller.
 pub(super) struct ControllerSettings<'a> {
     pub controller: u16,
     pub installation: &'a str,
-    /// The address that other controllers send to.
+    /// The address to which other controllers send.
     pub public_address: SocketAddr,
-    /// Addresses to join by.
+    /// Addresses of members through which the controller joins the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// The number of its process; none: by its clock.
+    /// The process number; `None`: the controller takes it from its clock.
     pub process: Option<u64>,
-    /// Seconds after which a member that is gone is forgotten; 0: the program's default.
+    /// Seconds after which a member that is gone is forgotten; 0 for the default of the program.
     pub forget_after: f64,
-    /// The safeguard that is left out.
+    /// The safeguard that is disabled.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
 impl ControllerSettings<'_> {
-    /// The settings as INI.
+    /// The content of the settings file, in INI format.
     pub fn to_ini(&self) -> String {
         let seeds: Vec<String> = self.seeds.iter().map(SocketAddr::to_string).collect();
         let mut text = format!(
--- a/crates/railhub-chaos/src/config.rs
+++ b/crates/railhub-chaos/src/config.rs
@@ -1,47 +1,47 @@
-//! The chaos file: sizes of a run, how much goes wrong, and which property is judged.
+//! The chaos file: the sizes of a run, its faults or how many are drawn, and which property is judged.
 use crate::fault::{section, Fault, FaultKind, MAX_DRAWN_CONTROLLERS};
 use railhub_ini::{Diagnostic, Document, Section};
 use std::path::Path;
 
-/// The most controllers of a run whose faults are listed.
+/// Maximum number of controllers in a run whose faults are listed.
 const MAX_CONTROLLERS: u16 = 256;
 
-/// The prefix of a section that lists one fault.
+/// Prefix of the name of a section that defines one fault.
 const FAULT_SECTION_PREFIX: &str = "fault ";
 
 /// A chaos file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChaosConfig {
-    /// The name that reports print.
+    /// Name of the configuration in reports.
     pub name: String,
-    /// How many controllers share the cluster.
+    /// Number of controllers in the cluster.
     pub controllers: u16,
-    /// How many slices they share.
+    /// Number of slices that the controllers divide among themselves.
     pub slices: u16,
-    /// How many proxies obey them.
+    /// Number of proxies that receive commands from the controllers.
     pub proxies: u16,
-    /// Seconds of a run.
+    /// Duration of a run in seconds.
     pub length: f64,
-    /// Seconds of a lease.
+    /// Duration of a lease in seconds.
     pub lease_duration: f64,
-    /// The most faults that are drawn for a run.
+    /// Maximum number of faults drawn for a run.
     pub max_faults: usize,
-    /// Probability that a message between controllers is lost, without any fault.
+    /// Probability that a message between controllers is lost while no fault affects the links.
     pub base_loss: f64,
-    /// What is judged.
+    /// The property that the judge checks.
     pub judged: JudgedProperty,
-    /// Faults that the file lists, by time; then none are drawn.
+    /// Faults that the file lists, ordered by time. If there are any, none are drawn.
     pub listed_faults: Vec<Fault>,
-    /// Controllers that are not there at the start: a listed `join` starts each.
+    /// Controllers that do not run at the start: a listed `join` fault starts each of them.
     pub late_joiners: Vec<u16>,
 }
 
-/// The property that a chaos file judges.
+/// The property that the runs of a chaos file are judged by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JudgedProperty {
-    /// Who commands which slice, in simulated time.
+    /// Which process commands which slice, in simulated time or on real processes.
     Leases,
-    /// What controllers hold of each other, in simulated time or on loopback.
+    /// The membership views of controllers, in simulated time or on real processes.
     View,
 }
 
@@ -49,7 +49,7 @@
     /// Reads a chaos file.
     ///
     /// # Errors
-    /// The first mistake of the file, with its place.
+    /// Returns the first error in the file, with its line.
     pub fn open(path: &Path) -> Result<ChaosConfig, Diagnostic> {
         ChaosConfig::read(&Document::open(path)?)
     }
@@ -57,7 +57,7 @@
     /// Reads a parsed chaos file.
     ///
     /// # Errors
-    /// The first mistake of the document, with its place.
+    /// Returns the first error in the document, with its line.
     pub fn read(document: &Document) -> Result<ChaosConfig, Diagnostic> {
         let is_fault = |name: &str| name.starts_with(FAULT_SECTION_PREFIX);
         document.reject_unknown_sections(|name| name == "chaos" || is_fault(name))?;
@@ -75,7 +75,10 @@
         }
         let draws_faults = config.listed_faults.is_empty() && config.max_faults > 0;
         if config.controllers > MAX_DRAWN_CONTROLLERS && draws_faults {
-            let message = format!("may be {MAX_DRAWN_CONTROLLERS} at the most where faults are drawn");
+            let message = format!(
+                "must be at most {MAX_DRAWN_CONTROLLERS} where faults are drawn, got {}",
+                config.controllers
+            );
             return Err(main_section.diagnostic("stewards", message));
         }
         config.listed_faults.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/railhub-chaos/src/explorer/lease.rs
+++ b/crates/railhub-chaos/src/explorer/lease.rs
@@ -1,13 +1,15 @@
-//! Explores leases: two controllers, one slice, a store and a proxy, and every order in which requests, responses and
-//! commands are sent, delivered, delayed and lost, controllers killed and started again, and the store restarted from an
-//! older copy; time advances by whole steps at any moment. It drives the code that controllers, store and proxies run:
-//! [`HeldLeases`], [`LeaseStore`], [`Fence`].
+//! Explores leases with two controllers, one slice, a store and a proxy. The search covers every order in which requests,
+//! responses and commands are sent, delivered, delayed and lost, controllers are killed and started again, and the store
+//! restarts from an older copy. Time advances by whole steps at any moment. The search runs the code that controllers, the
+//! store and proxies use: [`HeldLeases`], [`LeaseStore`], [`Fence`].
 //!
-//! A paused controller is one whose moves come late; a command decided before a pause and written after it is one in
-//! flight. Invariants of each state:
-//! - at most one controller may command the slice;
-//! - an epoch is commanded by one process;
-//! - the proxy never goes back to an earlier epoch, and obeys one process under an epoch.
+//! Pauses need no step of their own: a paused controller is one whose next step comes late, and a command that is decided
+//! before a pause and sent after it is the same as a command in flight.
+//!
+//! Invariants of each state:
+//! - At most one controller may command the slice.
+//! - Only one process issues commands under an epoch.
+//! - The proxy never obeys an epoch lower than one that it has obeyed, and obeys only one process under an epoch.
 use super::search::{Explored, Paths};
 use railhub_membership::fence::Fence;
 use railhub_membership::lease::HeldLeases;
@@ -17,39 +19,39 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Steps of time that a lease lasts.
+/// Duration of a lease in steps of time.
 const LEASE_DURATION: f64 = 3.0;
-/// Steps of time of a run: a lease and its expiry, and another controller's lease and expiry fit in.
+/// Steps of time in a run: enough for a lease and its expiry, and for the lease of the other controller and its expiry.
 const RUN_LENGTH: u8 = 8;
-/// The most commands in flight at once.
+/// Maximum number of commands in flight at once.
 const MAX_IN_FLIGHT: usize = 2;
-/// The most commands of a run.
+/// Maximum number of commands in a run.
 const MAX_COMMANDS: u8 = 3;
-/// The most crashes of a run.
+/// Maximum number of crashes in a run.
 const MAX_CRASHES: u8 = 1;
-/// The most restarts of the store from a copy.
+/// Maximum number of restarts of the store from a copy.
 const MAX_STORE_RESTARTS: u8 = 1;
-/// How many controllers there are.
+/// Number of controllers.
 const CONTROLLERS: usize = 2;
-/// The one slice.
+/// The only slice.
 const SLICE: u16 = 1;
 
-/// The safeguard that is left out, so that the search must find a violation.
+/// A disabled safeguard: it verifies that the search finds the violations that follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OmittedSafeguard {
     /// Every safeguard is in force.
     Nothing,
     /// The proxy obeys commands of any epoch.
     Fence,
-    /// The store grants under an epoch that it has used.
+    /// The store grants the slice again under an epoch that it has used before.
     NewEpochs,
-    /// Controllers command after their leases have expired.
+    /// Controllers issue commands after their leases have expired.
     LeaseExpiry,
-    /// The store grants at once after it restarted from an older copy.
+    /// The store makes grants immediately after a restart from an older copy.
     GracePeriod,
 }
 
-/// A controller's request, on its way to the store or back.
+/// A controller's request on its way to the store, or the response on its way back.
 #[derive(Clone, Debug)]
 enum Exchange {
     Requested(LeaseRequest),
@@ -60,9 +62,10 @@
 struct Controller {
     process: u64,
     leases: HeldLeases,
-    /// The exchange in flight, and the step of time at which it began.
+    /// The exchange in flight, and the time step at which it started.
     exchange: Option<(u8, Exchange)>,
-    /// The last epoch that it held: a controller that overruns its lease commands under it.
+    /// The last epoch that the controller held. It is used when [`OmittedSafeguard::LeaseExpiry`] lets controllers issue
+    /// commands after their leases have expired.
     last_epoch: Option<Epoch>,
 }
 
@@ -86,9 +89,9 @@
     controllers: [Controller; CONTROLLERS],
     in_flight: Vec<Command>,
     fence: Fence,
-    /// The command that the proxy obeyed last.
+    /// The last command that the proxy obeyed.
     obeyed: Option<Command>,
-    /// The process that commanded under an epoch.
+    /// The process that issued commands under each epoch.
     issuers: BTreeMap<Epoch, u64>,
     last_process: u64,
     commands_left: u8,
@@ -96,7 +99,7 @@
     store_restarts_left: u8,
 }
 
-/// What may happen in a state, and the state after it or the invariant that it breaks.
+/// A possible step in a state, with the resulting state or the invariant that it violates.
 struct Transition {
     step: String,
     outcome: Result<State, String>,
@@ -143,7 +146,7 @@
         self.controllers[controller].leases.valid_epoch(self.now_seconds(), SLICE)
     }
 
-    /// The invariant that this state breaks, if it breaks one.
+    /// The invariant that this state violates, if any.
     fn violation(&self) -> Option<String> {
         match (self.valid_epoch(0), self.valid_epoch(1)) {
             (Some(a), Some(b)) => Some(format!("both may command, under epochs {} and {}", a.0, b.0)),
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Everything that may happen next.
+    /// All possible next steps.
     fn transitions(&self, omitted: OmittedSafeguard) -> Vec<Transition> {
         let mut transitions = Vec::new();
         if self.now < RUN_LENGTH {
@@ -314,7 +317,7 @@
     }
 }
 
-/// Searches the states without one safeguard, `max_states` at the most.
+/// Searches at most `max_states` states, with one safeguard omitted.
 pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> Explored {
     let first = State::initial(omitted);
     let mut seen = HashSet::from([first.key()]);
--- a/crates/railhub-chaos/src/explorer/membership.rs
+++ b/crates/railhub-chaos/src/explorer/membership.rs
@@ -1,11 +1,11 @@
-//! Explores three members' tables: every order in which entries are sent, delivered, lost and delivered again, and members
-//! suspected, declared dead, killed and started again. It drives the merge and the refutation that controllers run
-//! ([`railhub_membership::table`]), without clocks: a suspicion may end at any moment.
+//! Explores the member tables of three members. The search covers every order in which entries are sent, delivered, lost
+//! and delivered again, and members are suspected, declared dead, killed and started again. It runs the merging and
+//! refutation code of the controllers ([`railhub_membership::table`]) without clocks: a suspicion may end at any moment.
 //!
 //! Invariants of each state:
-//! - nobody holds an incarnation of another member that this one never had;
-//! - a member that has held a process never goes back to an older one;
-//! - if every entry arrives from now on, everyone ends with the truth.
+//! - No member's table contains an incarnation of another member that the other never had.
+//! - A table that contains a process of a member never goes back to an older process of that member.
+//! - If every entry arrives from now on, all tables converge on the actual state of the members.
 use super::search::{Explored, Paths};
 use railhub_membership::member::{Incarnation, Member, NodeMetadata, Status};
 use railhub_membership::safeguard::Safeguard;
@@ -13,15 +13,15 @@
 use railhub_membership::NodeId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many members there are.
+/// Number of members.
 const MEMBERS: usize = 3;
-/// The most entries in flight at once.
+/// Maximum number of entries in flight at once.
 const MAX_IN_FLIGHT: usize = 2;
-/// The most suspicions of a run.
+/// Maximum number of suspicions in a run.
 const MAX_SUSPICIONS: u8 = 2;
-/// The most crashes of a run.
+/// Maximum number of crashes in a run.
 const MAX_CRASHES: u8 = 2;
-/// How often everyone sends everything to everyone, after which all tables must hold the truth.
+/// Number of times that each member sends all its entries to all others, after which all tables must have converged.
 const SETTLING_EXCHANGES: usize = 4;
 
 /// An entry on its way to a member.
@@ -33,7 +33,7 @@
 
 #[derive(Clone)]
 struct State {
-    /// Each member's table; none: it is down.
+    /// The table of each member; `None` while the member is down.
     tables: Vec<Option<MemberTable>>,
     processes: [u64; MEMBERS],
     in_flight: Vec<InFlight>,
@@ -41,9 +41,9 @@
     crashes_left: u8,
 }
 
-/// What tells states apart.
+/// The parts of a state that distinguish it from other states.
 #[derive(Debug)]
-#[allow(dead_code, reason = "read by Debug, which states are hashed by")]
+#[allow(dead_code, reason = "read through Debug, whose output is hashed")]
 struct StateKey<'a> {
     tables: Vec<Option<Vec<&'a Member>>>,
     in_flight: &'a [InFlight],
@@ -52,7 +52,7 @@
     processes: [u64; MEMBERS],
 }
 
-/// What may happen in a state, and the state after it.
+/// A possible step in a state, and the resulting state.
 struct Transition {
     step: String,
     next: State,
@@ -62,7 +62,7 @@
     NodeId(member as u16)
 }
 
-/// The table of a member that starts; it has met the first process of every other member.
+/// The table of a member that starts. It contains the first process of every other member.
 fn initial_table(member: usize, process: u64, disabled: Option<Safeguard>) -> MemberTable {
     let local = Member::alive(node_id(member), process, NodeMetadata::default());
     let mut table = MemberTable::new(local, disabled);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// 128 bits: two states of a million share them with a probability of about 1e-27.
+    /// A hash of 128 bits. Among a million states, the probability that any two share a hash is about 1e-27.
     fn hash(&self) -> u128 {
         xxhash_rust::xxh3::xxh3_128(format!("{:?}", self.key()).as_bytes())
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Everything that may happen next.
+    /// All possible next steps.
     fn transitions(&self, disabled: Option<Safeguard>) -> Vec<Transition> {
         let mut transitions = Vec::new();
         self.deliveries(&mut transitions);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The invariant that this state breaks, if it breaks one.
+    /// The invariant that this state violates, if any.
     fn violation(&self, before: &State) -> Option<String> {
         for (member, table) in self.tables.iter().enumerate() {
             let Some(table) = table else { continue };
@@ -235,7 +235,7 @@
         })
     }
 
-    /// What is wrong once everyone has sent everything to everyone and all of it has arrived.
+    /// How a table differs from the actual members after all members have repeatedly sent all their entries to all others.
     fn settling_violation(&self) -> Option<String> {
         let mut settled = self.clone();
         for _ in 0..SETTLING_EXCHANGES {
@@ -270,7 +270,7 @@
     }
 }
 
-/// Searches the states of members without one safeguard, `max_states` at the most.
+/// Searches at most `max_states` states, with a safeguard disabled or with all in force.
 pub fn explore(disabled: Option<Safeguard>, max_states: usize) -> Explored {
     let first = State::initial(disabled);
     let mut seen = BTreeSet::from([first.hash()]);
--- a/crates/railhub-chaos/src/fault/active.rs
+++ b/crates/railhub-chaos/src/fault/active.rs
@@ -1,23 +1,23 @@
-//! The faults in force at one moment, and what they make of the links between controllers.
+//! The faults in force at one moment, and their effect on the links between controllers.
 use super::kind::{Fault, FaultKind, LinkFaults};
 use std::collections::BTreeSet;
 
-/// The faults in force at one moment, by their index in the run's list.
+/// The faults in force at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFaults {
     /// Indices into the run's list of faults.
     indices: BTreeSet<usize>,
-    /// Pairs of controllers that are apart, the lower id first. They stay so until the run ends.
+    /// Separated pairs of controllers, the lower id first. They remain separated until the run ends.
     apart: BTreeSet<(u16, u16)>,
 }
 
 impl ActiveFaults {
-    /// Puts a fault in force.
+    /// Marks a fault as in force.
     pub fn begin(&mut self, index: usize) {
         self.indices.insert(index);
     }
 
-    /// Ends a fault.
+    /// Marks a fault as ended.
     pub fn end(&mut self, index: usize) {
         self.indices.remove(&index);
     }
@@ -27,17 +27,17 @@
         self.apart.insert((a.min(b), a.max(b)));
     }
 
-    /// The kinds in force, in the order of the run's list.
+    /// The kinds of the faults in force, in the order of the run's list.
     pub fn kinds<'a>(&'a self, faults: &'a [Fault]) -> impl Iterator<Item = &'a FaultKind> {
         self.indices.iter().map(|index| &faults[*index].kind)
     }
 
-    /// Whether exactly this kind is in force.
+    /// Whether a fault of exactly this kind, with the same parameters, is in force.
     pub fn includes(&self, faults: &[Fault], kind: &FaultKind) -> bool {
         self.kinds(faults).any(|active| active == kind)
     }
 
-    /// Whether no message passes from one controller to another.
+    /// Whether the faults in force block messages from one controller to another.
     pub fn blocks(&self, faults: &[Fault], from: u16, to: u16) -> bool {
         if self.apart.contains(&(from.min(to), from.max(to))) {
             return true;
@@ -49,7 +49,7 @@
         })
     }
 
-    /// What the faults in force make of all links, over the loss that is always there.
+    /// The combined link faults in force, each the worst of its kind; the loss is at least `base_loss`.
     pub fn link_faults(&self, faults: &[Fault], base_loss: f64) -> LinkFaults {
         let mut combined = LinkFaults { loss: base_loss, ..LinkFaults::default() };
         for kind in self.kinds(faults) {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether a controller's bit of a partition is set; controllers beyond the last bit are on the other side.
+/// Whether a controller's bit is set in a partition's side; controllers beyond the last bit are on the other side.
 fn is_on_side(side: u32, controller: u16) -> bool {
     side.checked_shr(controller.into()).is_some_and(|bits| bits & 1 == 1)
 }
--- a/crates/railhub-chaos/src/fault/display.rs
+++ b/crates/railhub-chaos/src/fault/display.rs
@@ -1,4 +1,4 @@
-//! Faults as reports print them. The printed names are those of earlier reports.
+//! Formats faults for reports. The printed names must stay as they are in earlier reports.
 use super::kind::{FaultKind, LinkFaults};
 use std::fmt::{Display, Formatter, Result};
 
--- a/crates/railhub-chaos/src/fault/draw.rs
+++ b/crates/railhub-chaos/src/fault/draw.rs
@@ -1,31 +1,32 @@
-//! Draws the faults of a run from its seed. The order of the draws is part of the format: a seed is the same run in every
-//! version.
+//! Draws the faults of a run from its seed. The order of the draws must not change, so that a seed gives the same run in
+//! every version.
 use super::kind::{Fault, FaultKind, LinkFaults};
 use crate::config::{ChaosConfig, JudgedProperty};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Seconds without faults at the start, so that all slices are held once, and at the end.
+/// Seconds without faults at the start of a run, so that all slices are acquired first, and at its end.
 const CALM_TIME: f64 = 6.0;
-/// Seconds of a pause: shorter than a lease, longer, and far longer.
+/// Durations of a pause in seconds: shorter than a lease, longer, and much longer.
 const PAUSE_DURATIONS: [f64; 3] = [1.0, 5.0, 30.0];
-/// Seconds of a partition: too short for a member to be declared dead, and long enough for two.
+/// Durations of a partition in seconds: the first is too short for a member to be declared dead, the others are long
+/// enough.
 const PARTITION_DURATIONS: [f64; 3] = [2.0, 10.0, 25.0];
-/// The most by which a clock runs fast or slow, as a fraction.
+/// Maximum drift of a clock, fast or slow, as a fraction of its rate.
 const MAX_DRIFT_FRACTION: f64 = 0.05;
-/// The most seconds that a clock jumps, either way.
+/// Maximum jump of a clock in seconds, forwards or backwards.
 const MAX_CLOCK_JUMP: f64 = 20.0;
-/// The most seconds by which commands to proxies are delayed.
+/// Maximum delay of commands to proxies, in seconds.
 const MAX_COMMAND_DELAY: f64 = 3.0;
-/// The most seconds for which the store loses its responses.
+/// Maximum time in seconds for which the store loses its responses.
 const MAX_LOST_RESPONSES_DURATION: f64 = 3.0;
-/// The most seconds of the age of the copy from which the store restarts.
+/// Maximum age in seconds of the copy from which the store restarts.
 const MAX_STORE_COPY_AGE: f64 = 10.0;
-/// Datagrams of a flood.
+/// Number of datagrams in a flood.
 const FLOOD_DATAGRAMS: u32 = 2000;
 
 impl ChaosConfig {
-    /// The faults of a seed, by time: those that the file lists, or else drawn ones.
+    /// The faults of a run, ordered by time: those that the file lists, or else those drawn from the seed.
     pub fn faults(&self, seed: u64) -> Vec<Fault> {
         if !self.listed_faults.is_empty() {
             return self.listed_faults.clone();
@@ -56,7 +57,7 @@
     durations[rng.random_range(0..durations.len())]
 }
 
-/// A fault of a run that judges views. `magnitude` is between 0 and 1.
+/// Draws a fault for a run whose views are judged. `magnitude` is between 0 and 1.
 fn draw_view_fault(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> Fault {
     let at = draw_start(config, rng);
     let default_duration = draw_duration(rng);
@@ -87,7 +88,7 @@
         12 => (default_duration, FaultKind::Leave { controller }),
         13 => (0.3 + 0.4 * magnitude, FaultKind::Kill { controller }),
         14 => (default_duration, FaultKind::RestartWithLowerNumber { controller }),
-        // Pairs do not overlap, so that every other controller reaches both.
+        // Each controller belongs to one possible pair only, so that every other controller reaches both of a pair.
         15 | 16 | 19..=21 if controller ^ 1 < config.controllers => {
             (0.0, FaultKind::SeparatePair { a: controller, b: controller ^ 1 })
         }
@@ -96,7 +97,7 @@
     Fault { at, duration, kind }
 }
 
-/// A fault of a run that judges leases. `magnitude` is between -1 and 1.
+/// Draws a fault for a run whose leases are judged. `magnitude` is between -1 and 1.
 fn draw_lease_fault(config: &ChaosConfig, rng: &mut ChaCha8Rng) -> Fault {
     let at = draw_start(config, rng);
     let default_duration = draw_duration(rng);
--- a/crates/railhub-chaos/src/fault/kind.rs
+++ b/crates/railhub-chaos/src/fault/kind.rs
@@ -1,184 +1,187 @@
-//! The kinds of faults, and how their recorded names map to them.
+//! The kinds of faults, with the names under which they are recorded.
 use serde::Serialize;
 
-/// Seconds that a flapping controller is down, and up, before it changes again.
+/// Seconds for which a flapping controller is down, and then up.
 pub const FLAP_HALF_PERIOD: f64 = 3.0;
 
-/// Seconds of a starved controller's slot: it runs in the first part and is stopped in the rest.
+/// Length in seconds of the time slots of a starved controller: it runs in one part of each slot and is stopped in the
+/// other.
 pub const STARVATION_PERIOD: f64 = 0.1;
 
-/// Microseconds by which [`FaultKind::RestartWithLowerNumber`] sets back the clock that numbers processes.
+/// Microseconds by which [`FaultKind::RestartWithLowerNumber`] sets back the clock from which process numbers are taken.
 pub const CLOCK_SETBACK_MICROSECONDS: u64 = 3_600_000_000;
 
-/// The most datagrams that are captured for [`FaultKind::Replay`].
+/// Maximum number of datagrams captured for [`FaultKind::Replay`].
 pub const MAX_CAPTURED_DATAGRAMS: usize = 20_000;
 
-/// The most controllers of a run whose faults are drawn: a partition's side is one bit for each.
+/// Maximum number of controllers in a run whose faults are drawn: a partition's side has one bit for each.
 pub const MAX_DRAWN_CONTROLLERS: u16 = 31;
 
-/// A kind of fault, with whom it strikes. The serialized names are those of recorded runs.
+/// A kind of fault with its parameters. The serialized names must stay as they are in recorded runs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process ends, and a new one starts after the fault's duration.
+    /// The controller's process is killed; a new one starts after the fault's duration.
     Kill {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// The process is stopped, and continues with its state as it was.
+    /// The controller's process is stopped, and resumes with its state unchanged after the fault's duration.
     Pause {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// No message passes from one controller to another; the opposite direction works.
+    /// Messages from one controller to another are dropped; the opposite direction works.
     Cut {
         /// The sender.
         from: u16,
         /// The receiver.
         to: u16,
     },
-    /// A partition: no message passes between controllers whose bit is set and the others.
+    /// A network partition: messages between the controllers whose bit is set and the others are dropped.
     #[serde(rename = "split")]
     Partition {
-        /// One bit for each controller.
+        /// One bit for each controller, set for those on one side.
         side: u32,
     },
-    /// The store answers nobody.
+    /// The store handles no requests.
     #[serde(rename = "store_away")]
     StoreUnavailable,
-    /// One controller does not reach the store.
+    /// One controller cannot reach the store.
     CutStore {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// The store handles requests and its responses are lost.
+    /// The store handles requests, but its responses are lost.
     #[serde(rename = "store_loses_answers")]
     StoreLosesResponses,
     /// Each response of the store is delayed.
     StoreSlow {
-        /// Seconds of delay.
+        /// Delay in seconds.
         #[serde(rename = "by")]
         delay: f64,
     },
     /// The store restarts from an old copy of its state.
     #[serde(rename = "store_forgets")]
     StoreRollback {
-        /// The copy's age in seconds.
+        /// Age of the copy in seconds.
         #[serde(rename = "by")]
         age: f64,
     },
-    /// A controller's clock runs at a wrong rate.
+    /// A controller's clock runs too fast or too slowly.
     #[serde(rename = "drift")]
     ClockDrift {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
-        /// The fraction by which it is fast; below 0 it is slow.
+        /// Fraction by which the clock is fast; negative if it is slow.
         #[serde(rename = "by")]
         fraction: f64,
     },
     /// A controller's clock jumps.
     #[serde(rename = "jump")]
     ClockJump {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
-        /// Seconds, either way.
+        /// Size of the jump in seconds; negative if the clock is set back.
         #[serde(rename = "by")]
         seconds: f64,
     },
     /// A controller's commands to proxies are delayed.
     #[serde(rename = "slow_orders")]
     SlowCommands {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
-        /// The most seconds of delay.
+        /// Maximum delay in seconds.
         #[serde(rename = "by")]
         max_delay: f64,
     },
     /// A controller hands over all its slices.
     Drain {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
     /// A controller is killed and started alternately, each for [`FLAP_HALF_PERIOD`].
     Flap {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// Two controllers cannot reach each other for the rest of the run; others reach both, so that neither is dead.
+    /// Two controllers cannot reach each other for the rest of the run. The others reach both, so neither may be declared
+    /// dead.
     #[serde(rename = "apart")]
     SeparatePair {
-        /// One of them.
+        /// One controller of the pair.
         a: u16,
-        /// The other.
+        /// The other controller of the pair.
         b: u16,
     },
     /// All links between controllers lose, delay, duplicate or reorder messages.
     Links {
-        /// How much of each.
+        /// The probabilities and delays.
         faults: LinkFaults,
     },
-    /// A controller gets a fraction of processor time, in short slots.
+    /// A controller gets only a fraction of processor time: it is stopped for part of each short time slot.
     Starve {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
-        /// The fraction of time in which it runs.
+        /// Fraction of time in which the controller runs.
         #[serde(rename = "share")]
         running_fraction: f64,
     },
-    /// A controller's process ends, and one of the same id starts at once at another address.
+    /// A controller's process is killed, and a new one with the same id starts at once at another address.
     Move {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// A second process starts under a controller's id, at another address.
+    /// A second process with a controller's id starts at another address.
     #[serde(rename = "twin")]
     DuplicateId {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// All captured datagrams are sent once more.
+    /// All captured datagrams are sent again.
     Replay,
-    /// Corrupt, foreign and random datagrams are sent to a controller.
+    /// Corrupt, truncated, oversized and random datagrams are sent to a controller.
     Flood {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
-        /// How many datagrams.
+        /// Number of datagrams.
         count: u32,
     },
-    /// A controller announces that it leaves, ends, and starts again after the fault's duration.
+    /// A controller announces that it leaves the cluster and exits; it starts again after the fault's duration.
     Leave {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
     /// A controller starts for the first time.
     Join {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
-    /// A controller is killed, and the clock that numbers processes is set back before it starts again.
+    /// A controller is killed and starts again with a lower process number, because the clock from which process numbers
+    /// are taken has been set back.
     #[serde(rename = "backward")]
     RestartWithLowerNumber {
-        /// The controller that is struck.
+        /// The affected controller.
         #[serde(rename = "steward")]
         controller: u16,
     },
 }
 
-/// How unreliable all links between controllers are. Probabilities are between 0 and 1, times are seconds.
+/// The faults of all links between controllers. Probabilities are between 0 and 1, times are in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LinkFaults {
     /// Probability that a message is lost.
@@ -187,24 +190,24 @@
     /// Probability that a message is delivered twice.
     #[serde(rename = "doubled")]
     pub duplication: f64,
-    /// Probability that a message is held back so that later ones overtake it.
+    /// Probability that a message is held back, so that later ones overtake it.
     #[serde(rename = "reordered")]
     pub reordering: f64,
     /// Additional delay of every message.
     pub delay: f64,
-    /// The most of a random delay on top.
+    /// Maximum of a further, random delay of each message.
     pub jitter: f64,
 }
 
 /// One fault of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// Seconds of the run at which it begins.
+    /// Start of the fault, in seconds since the start of the run.
     pub at: f64,
-    /// Seconds until it ends.
+    /// Duration of the fault in seconds.
     #[serde(rename = "long")]
     pub duration: f64,
-    /// What happens.
+    /// The kind of the fault, with its parameters.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
--- a/crates/railhub-chaos/src/fault/mod.rs
+++ b/crates/railhub-chaos/src/fault/mod.rs
@@ -1,8 +1,7 @@
-//! The faults of a run: what each one is, when it begins and ends, and what those in force make of the links between
-//! controllers.
+//! The faults of a run: their kinds, when they begin and end, and their effect on the links between controllers.
 //!
-//! - `kind` defines a fault, `active` holds those in force, `display` prints them.
-//! - [`draw`] draws them from a seed, [`section`] reads those that a file lists.
+//! - `kind` defines faults, `active` keeps track of those in force, `display` formats them for reports.
+//! - [`draw`] draws faults from a seed, [`section`] reads those that a chaos file lists.
 mod active;
 mod display;
 pub mod draw;
--- a/crates/railhub-chaos/src/fault/section.rs
+++ b/crates/railhub-chaos/src/fault/section.rs
@@ -1,14 +1,14 @@
-//! One listed fault of a chaos file. The kinds and keys are the file's; they are mapped here and nowhere else.
+//! Reads one listed fault of a chaos file. Only this module knows the kinds and keys that the file uses.
 use super::kind::{Fault, FaultKind, LinkFaults, MAX_DRAWN_CONTROLLERS};
 use railhub_ini::{Diagnostic, Section};
 
-/// The most seconds of a run at which a fault may begin, and of its duration.
+/// Maximum start time and maximum duration of a fault, in seconds.
 const MAX_FAULT_SECONDS: f64 = 3600.0;
 
-/// Reads the section of one fault in a run of so many controllers.
+/// Reads the section of one fault in a run with `controllers` controllers.
 ///
 /// # Errors
-/// The first mistake of the section, with its place.
+/// Returns the first error in the section, with its line.
 pub fn read_fault(section: &Section, controllers: u16) -> Result<Fault, Diagnostic> {
     let fields = FaultFields { section, controllers };
     let kind_name: String = section.required("kind")?;
@@ -84,14 +84,15 @@
         self.section.required_in_range("by", min, max)
     }
 
-    /// The controllers on one side of a partition, one bit each.
+    /// The controllers on one side of a partition, as one bit each.
     fn side(&self) -> Result<u32, Diagnostic> {
         let id_limit = self.controllers.min(MAX_DRAWN_CONTROLLERS + 1);
         let mut side = 0;
-        for id in self.section.list("side") {
-            let id = id.parse::<u16>().ok().filter(|id| *id < id_limit);
+        for text in self.section.list("side") {
+            let id = text.parse::<u16>().ok().filter(|id| *id < id_limit);
             let Some(id) = id else {
-                return Err(self.section.diagnostic("side", "names stewards, as in 0, 1"));
+                let message = format!("must list controller ids below {id_limit}, as in 0, 1; got '{text}'");
+                return Err(self.section.diagnostic("side", message));
             };
             side |= 1 << id;
         }
--- a/crates/railhub-chaos/src/lease/judge.rs
+++ b/crates/railhub-chaos/src/lease/judge.rs
@@ -1,37 +1,39 @@
-//! Judges a run of leases by its observations alone: the judge knows nothing of leases or of who should hold a slice.
+//! Judges a lease run by its observations alone: the judge has no knowledge of how leases work or of which process should
+//! hold a slice.
 use crate::breach::Breach;
 use crate::lease::observation::LeaseObservation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds that a response of the store may be in flight: until then a controller cannot know of a newer grant.
+/// Maximum time in seconds that a response of the store is in flight; until it arrives, a controller may not know of a
+/// newer grant.
 const MAX_RESPONSE_FLIGHT_TIME: f64 = 0.01;
 
-/// The rule that an epoch of a slice is commanded by one process.
+/// The rule that only one process issues commands for a slice under an epoch.
 pub const ONE_CONTROLLER: &str = "one steward a slice and epoch";
-/// The rule that a proxy never obeys an epoch lower than one that it has obeyed.
+/// The rule that a proxy never obeys an epoch lower than one that it has obeyed before.
 pub const NO_LOWER_EPOCH: &str = "no proxy goes back to an earlier epoch";
-/// The rule that a proxy obeys a command once.
+/// The rule that a proxy obeys a command only once.
 pub const NO_COMMAND_TWICE: &str = "no order taken twice";
-/// The rule that a controller issues no command once its lease has passed to another.
+/// The rule that a process issues no command after its lease has passed to another process.
 pub const NO_COMMAND_AFTER_LEASE: &str = "nothing decided past the lease";
 
-/// The latest lease of a slice.
+/// The latest grant of a slice to a new holder.
 struct Grant {
     at: f64,
     epoch: u64,
     process: u64,
 }
 
-/// What has been seen of a run so far.
+/// What the observations so far have shown, and the breaches found in them.
 #[derive(Default)]
 struct Judge {
-    /// The process that commanded an epoch of a slice first, by slice and epoch.
+    /// The first process that issued a command, by slice and epoch.
     issuers: BTreeMap<(u16, u64), u64>,
-    /// The highest epoch that a proxy obeyed, by proxy and slice.
+    /// The highest epoch that was obeyed, by proxy and slice.
     obeyed_epochs: BTreeMap<(u16, u16), u64>,
-    /// Commands that were obeyed, by proxy and number.
+    /// Proxies and the numbers of the commands that they obeyed.
     obeyed_commands: BTreeSet<(u16, u64)>,
-    /// The latest lease of each slice.
+    /// The latest grant of each slice.
     grants: BTreeMap<u16, Grant>,
     breaches: Vec<Breach>,
 }
--- a/crates/railhub-chaos/src/lease/mod.rs
+++ b/crates/railhub-chaos/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers that share slices by leases, in simulated time: what is observed of a run, the simulation, and the judge.
+//! Controllers that divide the slices among themselves by leases: observations of a run, the simulation and the judge.
 pub mod judge;
 mod observation;
 pub mod recovery;
--- a/crates/railhub-chaos/src/lease/observation.rs
+++ b/crates/railhub-chaos/src/lease/observation.rs
@@ -1,71 +1,71 @@
-//! What an observer sees of a run, and the safeguards that a run may leave out.
+//! What an observer sees of a lease run, and the safeguards that can be disabled in one.
 
-/// A safeguard that a run leaves out, so that the judge must find a breach.
+/// A disabled safeguard: it verifies that the judge detects the breaches that follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
     /// Proxies obey commands of any epoch.
     NoFence,
-    /// The store grants a slice to another holder under the epoch that it had.
+    /// The store grants a slice to a new holder under the epoch of the previous holder.
     EpochReused,
-    /// Controllers command slices after their leases have expired.
+    /// Controllers issue commands for slices after their leases have expired.
     LeaseOverrun,
-    /// Proxies obey a repeated command once more.
+    /// Proxies do not deduplicate: they obey a repeated command again.
     NoMemory,
-    /// The store takes tables under any epoch; only on processes, where tables are stored.
+    /// The store accepts tables under any epoch. Only for runs on real processes, where tables are stored.
     UncheckedWrites,
 }
 
-/// What an observer sees of a run. Times are seconds of the run.
+/// What an observer sees of a lease run. Times are in seconds since the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseObservation {
-    /// A controller's process starts or ends.
+    /// A controller's process started or ended.
     Process {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The controller's id.
         controller: u16,
         /// The process number.
         process: u64,
-        /// Whether it starts.
+        /// Whether the process started; if not, it ended.
         up: bool,
     },
     /// The store granted a slice to a new holder.
     Granted {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The slice.
         slice: u16,
         /// The epoch of the new lease.
         epoch: u64,
-        /// The process that holds it.
+        /// The process that holds the lease.
         process: u64,
     },
     /// A controller issued a command for a slice.
     Commanded {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The slice.
         slice: u16,
-        /// The epoch that the command bears.
+        /// The epoch of the command.
         epoch: u64,
-        /// The process that issued it.
+        /// The process that issued the command.
         process: u64,
-        /// Whether the controller's clock keeps within the bound that leases allow for.
+        /// Whether the controller's clock has stayed within the error that leases tolerate.
         clock_within_bound: bool,
     },
     /// A proxy obeyed a command.
     Obeyed {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The proxy.
         proxy: u16,
         /// The slice.
         slice: u16,
-        /// The epoch that the command bears.
+        /// The epoch of the command.
         epoch: u64,
-        /// The process that issued it.
+        /// The process that issued the command.
         process: u64,
-        /// The command's number.
+        /// Number of the command.
         number: u64,
     },
 }
--- a/crates/railhub-chaos/src/lease/recovery.rs
+++ b/crates/railhub-chaos/src/lease/recovery.rs
@@ -1,4 +1,4 @@
-//! How long slices were without a controller after a process died, and how often they changed hands.
+//! Measures how long slices were without a controller after a process had ended, and how often they were handed over.
 use crate::lease::observation::LeaseObservation;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -6,10 +6,11 @@
 /// Recovery times and handovers of a run.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct RecoveryFigures {
-    /// Seconds from the death of a slice's controller to the next command for the slice, one for each slice and death.
+    /// Seconds from the end of the process that commanded a slice to the next command for the slice, one for each slice and
+    /// end of a process.
     #[serde(rename = "taken_up")]
     pub recovery_times: Vec<f64>,
-    /// Changes of the commanding process, without each slice's first.
+    /// Number of changes of the process that commands a slice, without the first process of each slice.
     #[serde(rename = "handed")]
     pub handovers: u64,
 }
--- a/crates/railhub-chaos/src/lease/shrink.rs
+++ b/crates/railhub-chaos/src/lease/shrink.rs
@@ -1,4 +1,4 @@
-//! Reduces a failing run of leases.
+//! Reduces a failing lease run.
 use crate::breach::Breach;
 use crate::config::ChaosConfig;
 use crate::fault::Fault;
@@ -7,7 +7,8 @@
 use crate::lease::simulation::run;
 use crate::shrink::minimal_faults;
 
-/// Returns a minimal list of faults with which the run still breaks `rule`, and what it breaks then.
+/// Returns a minimal list of faults with which the run still breaks `rule`, and all breaches of that run. If the run does
+/// not break `rule`, returns all faults and no breaches.
 pub fn shrink(
     config: &ChaosConfig,
     seed: u64,
--- a/crates/railhub-chaos/src/lease/simulation/commands.rs
+++ b/crates/railhub-chaos/src/lease/simulation/commands.rs
@@ -1,12 +1,13 @@
-//! A command's way: a controller issues it, a proxy receives it and acknowledges it, the controller repeats it until then.
+//! Commands: a controller issues them, proxies receive and acknowledge them, and the controller repeats each command until
+//! it is acknowledged.
 use super::controller::{Command, PendingCommand};
 use super::{LeaseSimulation, ScheduledEvent};
 use crate::lease::observation::{LeaseObservation, Sabotage};
 use rand::RngExt;
 
-/// Seconds between two commands for a slice, so that there is always one in flight.
+/// Seconds between two commands for a slice, short enough that there is always a command in flight.
 const COMMAND_INTERVAL: f64 = 0.5;
-/// Seconds after which a command without an acknowledgement is repeated.
+/// Seconds after which a command that has not been acknowledged is repeated.
 const ACKNOWLEDGEMENT_TIMEOUT: f64 = 0.8;
 /// Probability that an acknowledgement is lost.
 const ACKNOWLEDGEMENT_LOSS: f64 = 0.02;
@@ -17,7 +18,8 @@
         self.schedule(self.now + phase, ScheduledEvent::IssueCommands { controller: id, process });
     }
 
-    /// Commands every slice that a controller holds, proxy by proxy. What a pause interrupts is sent on resumption.
+    /// Issues a command for every slice that a controller holds, to each proxy. Commands that fall into a pause are issued
+    /// when the process resumes.
     pub(super) fn issue_commands(&mut self, id: u16) {
         let overruns_leases = self.sabotage == Some(Sabotage::LeaseOverrun);
         let controller = &self.controllers[&id];
--- a/crates/railhub-chaos/src/lease/simulation/controller.rs
+++ b/crates/railhub-chaos/src/lease/simulation/controller.rs
@@ -1,4 +1,4 @@
-//! A controller's process in simulated time.
+//! A controller's process in simulated time, with its clock and its unacknowledged commands.
 use railhub_membership::lease_manager::LeaseManager;
 use railhub_membership::Epoch;
 use std::collections::BTreeMap;
@@ -6,16 +6,16 @@
 /// A controller's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SimulatedClock {
-    /// Seconds of this clock in a true second.
+    /// Rate of the clock: its seconds per second of simulated time.
     pub speed: f64,
-    /// Seconds by which it is ahead at the start of the run.
+    /// Seconds by which the clock is ahead at the start of the run.
     pub offset: f64,
-    /// Whether it keeps within the bound that leases allow for.
+    /// Whether the clock has stayed within the error that leases tolerate.
     pub within_bound: bool,
 }
 
 impl SimulatedClock {
-    /// What the clock shows at a true time.
+    /// The reading of the clock at a simulated time, in seconds.
     pub fn local_time(&self, now: f64) -> f64 {
         now * self.speed + self.offset
     }
@@ -32,7 +32,7 @@
 
 /// A command that a proxy has not acknowledged.
 pub(super) struct PendingCommand {
-    /// Seconds of the run at which it was sent last.
+    /// Time at which the command was last sent, in seconds since the start of the run.
     pub sent_at: f64,
     pub command: Command,
 }
@@ -42,12 +42,12 @@
     pub process: u64,
     pub clock: SimulatedClock,
     pub paused_until: f64,
-    /// The most seconds by which its commands are delayed.
+    /// Maximum delay of the controller's commands, in seconds.
     pub command_delay: f64,
-    /// Slices that it acquired and did not lose; with [`Sabotage::LeaseOverrun`](crate::Sabotage) it commands them
-    /// whether its leases are valid or not.
+    /// Slices that the controller acquired and has not lost, with their epochs. With
+    /// [`Sabotage::LeaseOverrun`](crate::Sabotage) it commands them whether or not their leases are valid.
     pub acquired: BTreeMap<u16, Epoch>,
-    /// Commands without an acknowledgement, by proxy and number.
+    /// Commands that have not been acknowledged, by proxy and command number.
     pub pending_commands: BTreeMap<(u16, u64), PendingCommand>,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The slices that it commands, each with the epoch that its commands bear.
+    /// The slices that the controller commands, each with the epoch of the commands.
     pub fn commanded_slices(&self, now: f64, overruns_leases: bool) -> Vec<(u16, Epoch)> {
         let local = self.clock.local_time(now);
         let mut commanded = Vec::new();
--- a/crates/railhub-chaos/src/lease/simulation/exchange.rs
+++ b/crates/railhub-chaos/src/lease/simulation/exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers, and lease requests with their responses.
+//! Messages between controllers, and lease requests to the store with their responses.
 use super::{LeaseSimulation, ScheduledEvent};
 use crate::fault::FaultKind;
 use crate::lease::observation::{LeaseObservation, Sabotage};
@@ -7,7 +7,7 @@
 use railhub_membership::messages::{Destination, Message, OutgoingMessage};
 use rand::RngExt;
 
-/// The least seconds between two ticks of a controller.
+/// Minimum time between two ticks of a controller, in seconds.
 const MIN_TICK_INTERVAL: f64 = 0.002;
 
 impl LeaseSimulation<'_> {
@@ -29,7 +29,7 @@
         self.with_lease_manager(id, |lease_manager, now| lease_manager.on_response(now, response));
     }
 
-    /// Hands a controller's lease manager its local time, and carries out the effects.
+    /// Calls a controller's lease manager with the controller's local time, and applies the effects.
     fn with_lease_manager(&mut self, id: u16, step: impl FnOnce(&mut LeaseManager, f64) -> Effects) {
         let Some(controller) = self.controllers.get_mut(&id) else { return };
         let effects = step(&mut controller.lease_manager, controller.clock.local_time(self.now));
@@ -65,8 +65,8 @@
         self.schedule(self.now + delay, ScheduledEvent::Message { to: to.0, message: outgoing.message });
     }
 
-    /// Whether a cut or a partition keeps one controller from reaching another. Bits of a partition's side repeat from
-    /// controller 32 on.
+    /// Whether a cut or a partition blocks messages from one controller to another. The 32 bits of a partition's side are
+    /// used again from controller 32 on.
     fn is_blocked(&self, from: u16, to: u16) -> bool {
         self.active_faults.kinds(self.faults).any(|kind| match *kind {
             FaultKind::Cut { from: cut_from, to: cut_to } => (from, to) == (cut_from, cut_to),
@@ -99,7 +99,7 @@
         self.schedule(arrives_at, ScheduledEvent::LeaseResponse { controller: id, process, response });
     }
 
-    /// Seconds by which the slowest fault in force delays the store's responses.
+    /// Delay of the store's responses in seconds: the longest among the faults in force.
     fn store_delay(&self) -> f64 {
         let delays = self.active_faults.kinds(self.faults).map(|kind| match *kind {
             FaultKind::StoreSlow { delay } => delay,
--- a/crates/railhub-chaos/src/lease/simulation/faults.rs
+++ b/crates/railhub-chaos/src/lease/simulation/faults.rs
@@ -1,5 +1,5 @@
-//! What each fault does when it begins and when it ends. Cuts, partitions and faults of the store act while they are in
-//! force, where messages and requests are sent.
+//! Applies faults when they begin and ends them. Cuts, partitions and faults of the store need no code here: they are
+//! checked whenever a message or a request is sent.
 use super::{LeaseSimulation, ScheduledEvent};
 use crate::event_queue::round_up_to_queue_resolution;
 use crate::fault::{FaultKind, FLAP_HALF_PERIOD};
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Kills or starts a flapping controller, until the fault ends.
+    /// Kills a flapping controller if it is running, starts it if it is not, and schedules the next change until the fault
+    /// ends.
     pub(super) fn flap(&mut self, index: usize, until: f64) {
         let FaultKind::Flap { controller } = self.faults[index].kind else { return };
         if self.now >= until {
--- a/crates/railhub-chaos/src/lease/simulation/mod.rs
+++ b/crates/railhub-chaos/src/lease/simulation/mod.rs
@@ -1,14 +1,15 @@
-//! Plays a run of leases in simulated time: controllers with lease managers and clocks of their own, a store, and proxies
-//! that fence, joined by messages that take time.
+//! Simulates a lease run: controllers with lease managers and clocks of their own, a store, and proxies that fence, all
+//! connected by messages with random delays.
 //!
-//! The simulation owns the time, the queue of events and all random draws. An event that falls due for a paused process
-//! waits until the process resumes; for a process that has ended it is dropped.
+//! The simulation owns the time, the event queue and all random draws. An event for a paused process is deferred until the
+//! process resumes; an event for a process that has ended is dropped.
 //!
 //! - `controller`: a controller's process, its clock and its unacknowledged commands.
-//! - `commands`: a command's way from a controller to a proxy, and the acknowledgement's way back.
-//! - `exchange`: messages between controllers, and lease requests.
-//! - `store`: the lease store with copies of its earlier states; `proxy`: fencing.
-//! - `faults`: what each fault does.
+//! - `commands`: commands from controllers to proxies, and their acknowledgements.
+//! - `exchange`: messages between controllers, and lease requests to the store.
+//! - `store`: the lease store with copies of its earlier states.
+//! - `proxy`: fencing and deduplication of commands.
+//! - `faults`: the effects of faults.
 mod commands;
 mod controller;
 mod exchange;
@@ -32,16 +33,16 @@
 use std::collections::BTreeMap;
 use store::SimulatedStore;
 
-/// Seconds that a message takes at the least.
+/// Minimum delay of a message in seconds.
 const MIN_MESSAGE_DELAY: f64 = 0.0005;
-/// Seconds that a message takes at the most.
+/// Maximum delay of a message in seconds.
 const MAX_MESSAGE_DELAY: f64 = 0.004;
-/// The most by which a controller's clock is ahead when it starts, in seconds.
+/// Maximum time in seconds by which a controller's clock is ahead when the controller starts.
 const MAX_CLOCK_OFFSET: f64 = 1000.0;
-/// Separates the draws of a run from those of its faults, which have the same seed.
+/// Makes the draws of a run independent of those of its faults, which use the same seed.
 const RUN_SEED_MASK: u64 = 0x000c_4a05;
 
-/// What falls due.
+/// An event of the simulation.
 enum ScheduledEvent {
     Tick { controller: u16, process: u64 },
     IssueCommands { controller: u16, process: u64 },
@@ -62,7 +63,7 @@
     now: f64,
     queue: EventQueue<ScheduledEvent>,
     controllers: BTreeMap<u16, SimulatedController>,
-    /// Rates of clocks that drift, by controller.
+    /// Rates of the clocks that drift, by controller.
     clock_speeds: BTreeMap<u16, f64>,
     last_process: u64,
     last_command: u64,
@@ -73,7 +74,7 @@
     observations: Vec<LeaseObservation>,
 }
 
-/// Plays one run and returns what was observed of it.
+/// Simulates one run and returns the observations of it.
 pub fn run(
     config: &ChaosConfig,
     seed: u64,
@@ -112,7 +113,7 @@
 
     fn schedule_faults(&mut self) {
         for (index, fault) in self.faults.iter().enumerate() {
-            // A clock drifts from the start: its beginning could not be observed.
+            // A clock drifts from the start of the run, because no observation would show the start of a drift.
             if let FaultKind::ClockDrift { controller, fraction } = fault.kind {
                 self.clock_speeds.insert(controller, 1.0 + fraction);
             } else {
@@ -171,9 +172,9 @@
         }
     }
 
-    /// When the process resumes that an event must wait for, if it is paused.
+    /// The time until which an event is deferred because its process is paused; `None` if it is not deferred.
     ///
-    /// A command of a paused process waits too: it is in the process's socket and gets no further.
+    /// A command that a paused process has sent is deferred too: it is still in the socket of that process.
     fn deferred_until(&self, event: &ScheduledEvent) -> Option<f64> {
         let controller = match event {
             ScheduledEvent::Tick { controller, process }
--- a/crates/railhub-chaos/src/lease/simulation/proxy.rs
+++ b/crates/railhub-chaos/src/lease/simulation/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in simulated time: it fences by epoch and obeys a command once.
+//! A proxy in simulated time: it fences by epoch and deduplicates commands.
 use super::controller::Command;
 use crate::lease::observation::Sabotage;
 use railhub_membership::fence::Fence;
@@ -12,7 +12,7 @@
 }
 
 impl SimulatedProxy {
-    /// Receives a command; returns whether the proxy obeys it.
+    /// Receives a command and returns whether the proxy obeys it.
     pub fn receive(&mut self, command: &Command, sabotage: Option<Sabotage>) -> bool {
         let is_admitted = self.fence.admits(u32::from(command.slice), Epoch(command.epoch));
         let is_first = self.received_commands.insert(command.number);
--- a/crates/railhub-chaos/src/lease/simulation/store.rs
+++ b/crates/railhub-chaos/src/lease/simulation/store.rs
@@ -1,13 +1,13 @@
-//! The lease store in simulated time, with copies of its earlier states from which it may restart.
+//! The lease store in simulated time, with copies of its earlier states from which it can restart.
 use railhub_membership::lease_messages::LeaseRequest;
 use railhub_membership::lease_store::{LeaseDecision, LeaseStore, StoreFaults};
 use std::collections::VecDeque;
 
 /// Seconds between two copies of the store's state.
 const COPY_INTERVAL: f64 = 0.5;
-/// The most copies that are kept; the oldest goes first.
+/// Maximum number of copies; the oldest is dropped first.
 const MAX_COPIES: usize = 64;
-/// The start number of the run's first store, in seconds since 1970: any number does.
+/// Start number of a store that restarts at the beginning of the run, in seconds since 1970. The value is arbitrary.
 const FIRST_START_SECONDS: u64 = 1000;
 
 struct StoreCopy {
@@ -17,7 +17,7 @@
 
 pub(super) struct SimulatedStore {
     store: LeaseStore,
-    /// The oldest first.
+    /// Copies of the state, the oldest first.
     copies: VecDeque<StoreCopy>,
 }
 
@@ -32,7 +32,7 @@
         self.store.handle_request(now, request)
     }
 
-    /// Restarts from the newest copy that is at least so many seconds old, or else from the oldest one.
+    /// Restarts from the newest copy that is at least `age` seconds old; if there is none, from the oldest copy.
     pub fn restart_from_copy(&mut self, now: f64, age: f64) {
         let copied_by = now - age;
         let old_enough = self.copies.iter().rev().find(|copy| copy.at <= copied_by);
--- a/crates/railhub-chaos/src/lib.rs
+++ b/crates/railhub-chaos/src/lib.rs
@@ -1,24 +1,25 @@
-//! Controllers of one cluster under random faults, in simulated time and as processes on loopback.
+//! Tests the controllers of one cluster under random faults, in simulated time and as processes on the loopback interface.
 //!
-//! The package owns the fault model, the two simulations, the harness for real processes, the judges and the explorers:
+//! The package contains the fault model, the two simulations, the harness for real processes, the judges and the
+//! explorers:
 //!
-//! - [`config`] reads a chaos file, [`fault`] is what goes wrong and how it is drawn from a seed, [`event_queue`] orders
-//!   what falls due.
-//! - [`lease`]: controllers that share slices. Its simulation plays lease managers, a store and fencing proxies; its judge
-//!   checks what was commanded and obeyed.
-//! - [`view`]: what controllers hold of each other. Its simulation plays SWIM over lossy links; its judge checks what each
-//!   process answers.
-//! - [`cluster_harness`] plays the same faults on real processes.
-//! - [`explorer`] searches every order of a few steps for a broken invariant.
-//! - [`shrink`] leaves out faults that a failure does not need, [`breach`] is what judges report.
+//! - [`config`] reads a chaos file, [`fault`] defines the faults and draws them from a seed, [`event_queue`] orders
+//!   simulated events by time.
+//! - [`lease`]: controllers that divide the slices among themselves by leases. The simulation runs lease managers, a store
+//!   and fencing proxies; the judge checks which commands were issued and obeyed.
+//! - [`view`]: the membership views of controllers. The simulation runs SWIM over lossy links; the judge checks the views
+//!   that each process reports.
+//! - [`cluster_harness`] applies the same faults to real processes.
+//! - [`explorer`] searches every order of a small number of steps for a violated invariant.
+//! - [`shrink`] removes faults that a failure does not need, [`breach`] is the result that judges report.
 //!
-//! The way of one run:
-//! 1. A seed draws the faults ([`ChaosConfig::faults`]), unless the file lists them.
-//! 2. A simulation, or the harness, applies them and records observations from outside.
-//! 3. A judge that knows nothing of leases, gossip or suspicion reads the observations and lists the breaches.
-//! 4. A failing run is repeated with fewer faults until each one left is needed.
+//! The steps of one run:
+//! 1. The faults are drawn from a seed ([`ChaosConfig::faults`]), unless the file lists them.
+//! 2. A simulation or the harness applies them and records what an external observer sees.
+//! 3. A judge reads these observations and lists the breaches. It has no knowledge of leases, gossip or suspicion.
+//! 4. A failing run is repeated with fewer faults until each remaining one is needed.
 //!
-//! The same seed is the same run: draws, iteration and arithmetic have a fixed order.
+//! Runs are reproducible: the same seed gives the same run, because draws, iteration and arithmetic have a fixed order.
 #![warn(missing_docs)]
 
 pub mod breach;
--- a/crates/railhub-chaos/src/shrink.rs
+++ b/crates/railhub-chaos/src/shrink.rs
@@ -1,8 +1,8 @@
-//! Reduces a failing run: faults are left out one by one as long as the failure remains.
+//! Reduces a failing run: removes faults one by one as long as the failure remains.
 use crate::fault::Fault;
 
-/// Returns a minimal list of faults for which `find_failure` still finds one, with that failure; `None` if the whole list
-/// causes none.
+/// Returns a minimal list of faults with which `find_failure` still returns a failure, and that failure; `None` if even
+/// the complete list causes no failure.
 pub fn minimal_faults<T>(
     faults: &[Fault],
     find_failure: impl Fn(&[Fault]) -> Option<T>,
--- a/crates/railhub-chaos/src/view/figures.rs
+++ b/crates/railhub-chaos/src/view/figures.rs
@@ -1,36 +1,38 @@
-//! Measures a run of views: how fast it settled, how fast deaths were shown, and what it cost.
+//! Measures a view run: how fast it settled, how fast deaths were detected, and how much traffic and processor time it
+//! used.
 use crate::view::judge::false_deaths::false_deaths;
 use crate::view::judge::history::{History, Lifetime};
 use crate::view::observation::{Node, ViewObservation};
 use serde::Serialize;
 
-/// Seconds after a death in which it must be shown, and in which no other process of the controller starts.
+/// Seconds after a death in which its detection is measured. Deaths after which another process of the controller starts
+/// within this time are not measured.
 const DETECTION_WINDOW: f64 = 12.0;
-/// Seconds before a death by which an observer of it must be up.
+/// Seconds for which a process must have been up before a death for its detection to be measured.
 const MIN_OBSERVER_UPTIME: f64 = 2.0;
-/// Seconds before the end of a run by which views must be true for it to have settled.
+/// Seconds for which all views must be correct at the end of a run that has settled.
 const MIN_SETTLED_TIME: f64 = 0.3;
 
-/// What a run was like. Times are seconds.
+/// The measurements of a run. Times are in seconds.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct ViewFigures {
-    /// From the last disturbance to the last view that was not true; none: it never settled.
+    /// Time from the last disturbance to the last incorrect view; `None` if the run did not settle.
     #[serde(rename = "settled")]
     pub settling_time: Option<f64>,
-    /// For each death and each process that lived on: until it showed the death.
+    /// For each death and each process that lived on: the time until the view of this process showed the death.
     #[serde(rename = "known")]
     pub detection_times: Vec<f64>,
-    /// How often a live process was declared dead, whatever disturbed the run.
+    /// Number of times that a live process was declared dead, including those during disturbances.
     #[serde(rename = "slanders")]
     pub false_deaths: u64,
-    /// Datagrams a second that a member sent.
+    /// Mean number of datagrams that a member sent per second.
     pub datagrams: f64,
-    /// Bytes a second that a member sent.
+    /// Mean number of bytes that a member sent per second.
     pub bytes: f64,
-    /// The fraction of a core that a member used, if processes were real.
+    /// Mean fraction of a core that a member used; only measured on real processes.
     #[serde(rename = "processor")]
     pub processor_fraction: Option<f64>,
-    /// How many views were shown.
+    /// Number of views that were observed.
     pub polls: usize,
 }
 
@@ -68,7 +70,7 @@
     (last_untrue < history.end - MIN_SETTLED_TIME).then_some(last_untrue - last_disturbance)
 }
 
-/// Processor time of all processes, if any was measured.
+/// Processor time of all processes in seconds; `None` if none was measured.
 fn processor_seconds(observations: &[ViewObservation]) -> Option<f64> {
     let times: Vec<f64> = observations.iter().filter_map(processor_time).collect();
     (!times.is_empty()).then(|| times.iter().sum())
@@ -81,7 +83,8 @@
     }
 }
 
-/// For each death after which no process of the controller started, and each process that was up all the time.
+/// The detection time for each death after which no process of the controller started, and each process that was up
+/// throughout.
 fn detection_times(history: &History) -> Vec<f64> {
     let mut times = Vec::new();
     for dead in history.lifetimes.values().filter(|lifetime| lifetime.until.is_finite()) {
@@ -98,14 +101,14 @@
     times
 }
 
-/// Whether another process of the controller started soon after one's death.
+/// Whether another process of the same controller started within [`DETECTION_WINDOW`] after a death.
 fn is_restarted_soon(history: &History, dead: &Lifetime) -> bool {
     let window = dead.until..dead.until + DETECTION_WINDOW;
     let mut lifetimes = history.lifetimes.values();
     lifetimes.any(|other| other.controller == dead.controller && window.contains(&other.since))
 }
 
-/// Seconds from a death to the last view in which a process showed the dead controller alive.
+/// Seconds from a death to the last view in which the observing process showed the dead controller as alive.
 fn detection_time(history: &History, observer: Node, dead: &Lifetime) -> f64 {
     let window = dead.until..dead.until + DETECTION_WINDOW;
     let mut last_shown = dead.until;
--- a/crates/railhub-chaos/src/view/gossip_tap.rs
+++ b/crates/railhub-chaos/src/view/gossip_tap.rs
@@ -1,5 +1,4 @@
-//! What an observer reads from the links between members: gossip about third members, declared deaths, and how much is
-//! sent.
+//! Reads the traffic between members: gossip about third members, declared deaths, and the volume of the traffic.
 use crate::view::observation::ViewObservation;
 use railhub_membership::member::{Member, Status};
 use std::collections::BTreeSet;
@@ -12,19 +11,19 @@
     count: u64,
 }
 
-/// A gossip message, as the tap reads it.
+/// The gossip in a message, as the tap reads it.
 pub struct TappedGossip<'a> {
-    /// Seconds of the run.
+    /// Time of the message, in seconds since the start of the run.
     pub at: f64,
-    /// The controller that sent it.
+    /// The controller that sent the message.
     pub sender: u16,
-    /// The controller that it was sent to, if it is known.
+    /// The controller that the message was sent to, if it is known.
     pub receiver: Option<u16>,
-    /// The entries that it bears.
+    /// The membership entries in the message.
     pub entries: &'a [Member],
 }
 
-/// Reads what is sent between members.
+/// Reads all messages between members.
 #[derive(Default)]
 pub struct GossipTap {
     declared_dead: BTreeSet<MemberIncarnation>,
@@ -35,14 +34,14 @@
 }
 
 impl GossipTap {
-    /// Counts a datagram of so many bytes.
+    /// Counts a datagram of `length` bytes.
     pub fn on_datagram(&mut self, length: usize) {
         self.datagrams += 1;
         self.bytes += length as u64;
         self.longest = self.longest.max(length);
     }
 
-    /// Reads a message's gossip; returns the deaths that it is the first to declare.
+    /// Reads the gossip of a message; returns the deaths that no earlier message declared.
     pub fn on_gossip(&mut self, gossip: &TappedGossip) -> Vec<ViewObservation> {
         let mut deaths = Vec::new();
         for entry in gossip.entries {
@@ -60,7 +59,7 @@
         deaths
     }
 
-    /// What was read in the whole run, which ends now.
+    /// The totals of the whole run, which ends at `at`.
     pub fn totals(&self, at: f64, base_loss: f64) -> [ViewObservation; 2] {
         let seconds = self.gossip_seconds.clone();
         let (datagrams, bytes, longest) = (self.datagrams, self.bytes, self.longest);
--- a/crates/railhub-chaos/src/view/heartbeat.rs
+++ b/crates/railhub-chaos/src/view/heartbeat.rs
@@ -1,5 +1,6 @@
-//! The baseline: each member sends a heartbeat to every address that it knows, and holds a member to be dead that was
-//! silent for one fixed timeout. It is played with the same faults as SWIM, so that the two can be compared.
+//! The baseline protocol: each member sends heartbeats to every address that it knows, and considers a member dead when
+//! none has arrived from it within a fixed timeout. It is run with the same faults as SWIM, so that the two can be
+//! compared.
 use railhub_membership::member::{Load, Member, Status};
 use railhub_membership::messages::{Destination, Message, OutgoingMessage, Payload};
 use railhub_membership::view::ViewEntry;
@@ -9,16 +10,16 @@
 
 /// Seconds between two heartbeats.
 const HEARTBEAT_INTERVAL: f64 = 0.5;
-/// Seconds of silence after which a member is held to be dead.
+/// Seconds without a heartbeat after which a member is considered dead.
 const SILENCE_TIMEOUT: f64 = 2.0;
 
-/// Another member, as its last heartbeat showed it.
+/// Another member, with the state from its last heartbeat.
 struct Peer {
     member: Member,
     last_seen_at: f64,
 }
 
-/// A member that sends heartbeats.
+/// A member of a cluster that uses the baseline protocol.
 pub struct Heartbeat {
     local: Member,
     seeds: Vec<SocketAddr>,
@@ -28,17 +29,17 @@
 }
 
 impl Heartbeat {
-    /// A member that knows the addresses of some others.
+    /// A member that starts with the addresses of some other members.
     pub fn new(local: Member, seeds: Vec<SocketAddr>, now: f64) -> Heartbeat {
         Heartbeat { local, seeds, peers: BTreeMap::new(), next_heartbeat_at: now, last_sequence: 0 }
     }
 
-    /// When [`Heartbeat::tick`] has something to do.
+    /// The time at which [`Heartbeat::tick`] must be called next.
     pub fn next_tick_at(&self) -> f64 {
         self.next_heartbeat_at
     }
 
-    /// The number of its process.
+    /// The process number of this member.
     pub fn process(&self) -> u64 {
         self.local.incarnation.process
     }
@@ -56,7 +57,7 @@
             load: Load::default(),
             probe_number: 0,
             payload: Payload::Gossip,
-            // A new member learns of the others from their heartbeats.
+            // Heartbeats carry no gossip: a new member learns of the others from their heartbeats.
             gossip: Vec::new(),
             outlier: None,
             view_digest: 0,
@@ -68,7 +69,7 @@
         receivers.into_iter().map(to_message).collect()
     }
 
-    /// Sends heartbeats if they are due.
+    /// Returns heartbeats to all known addresses if they are due.
     pub fn tick(&mut self, now: f64) -> Vec<OutgoingMessage> {
         if now < self.next_heartbeat_at {
             return Vec::new();
@@ -92,13 +93,13 @@
         }
     }
 
-    /// Announces that it leaves.
+    /// Leaves the cluster; returns the messages that announce it.
     pub fn leave(&mut self) -> Vec<OutgoingMessage> {
         self.local.status = Status::Left;
         self.heartbeats()
     }
 
-    /// Its view of all members, itself included, by id.
+    /// The view of all members, including this one, ordered by id.
     pub fn view(&self, now: f64) -> Vec<ViewEntry> {
         let peers = self.peers.values().map(|peer| view_entry(&peer.member, now - peer.last_seen_at));
         let mut entries: Vec<ViewEntry> = peers.chain([view_entry(&self.local, 0.0)]).collect();
--- a/crates/railhub-chaos/src/view/judge/false_deaths.rs
+++ b/crates/railhub-chaos/src/view/judge/false_deaths.rs
@@ -1,4 +1,4 @@
-//! Deaths that were declared of processes that were up.
+//! Finds processes that were declared dead while they were up.
 use super::history::{History, Poll};
 use crate::view::observation::ViewObservation;
 
--- a/crates/railhub-chaos/src/view/judge/history.rs
+++ b/crates/railhub-chaos/src/view/judge/history.rs
@@ -1,13 +1,14 @@
-//! The observations of a run, arranged for the rules: who was up, what each process showed, and when faults were in force.
+//! The observations of a run in the form that the rules need: which processes were up, the views that each one showed, and
+//! when faults were in force.
 use crate::fault::FaultKind;
 use crate::view::observation::{MemberProcess, Node, ViewObservation};
 use crate::view::timeline::{may_cause_false_deaths, SETTLING_TIMEOUT};
 use std::collections::BTreeMap;
 
-/// The base loss from which suspicions come and go for ever.
+/// Base loss from which on suspicions arise and are refuted throughout the run.
 const LOSSY_BASE_LOSS: f64 = 0.05;
 
-/// A view that a process showed.
+/// A view that was observed of a process.
 pub(crate) struct Poll<'a> {
     pub at: f64,
     pub node: Node,
@@ -17,7 +18,7 @@
     pub alive: &'a [MemberProcess],
 }
 
-/// When a process was up. The end is infinite for one that lives on.
+/// The time in which a process was up. The end is infinite for a process that was up until the end of the run.
 #[derive(Clone, Copy)]
 pub(crate) struct Lifetime {
     pub controller: u16,
@@ -25,15 +26,15 @@
     pub until: f64,
 }
 
-/// When something disturbed the run.
+/// A time in which a fault, or the start or end of a process, disturbed the run.
 pub(crate) struct Disturbance {
     pub since: f64,
     pub until: f64,
-    /// Whether live members may be declared dead meanwhile.
+    /// Whether live members may be declared dead because of the disturbance.
     pub may_cause_false_deaths: bool,
 }
 
-/// What all members sent.
+/// The traffic of all members in the run.
 pub(crate) struct SentTotals {
     /// The end of the run.
     pub at: f64,
@@ -48,7 +49,7 @@
     pub polls: Vec<Poll<'a>>,
     pub lifetimes: BTreeMap<Node, Lifetime>,
     disturbances: Vec<Disturbance>,
-    /// When the last view was shown.
+    /// Time of the last observed view.
     pub end: f64,
 }
 
@@ -113,17 +114,17 @@
         self.disturbances.push(Disturbance { since, until, may_cause_false_deaths });
     }
 
-    /// When the last disturbance ended.
+    /// Time at which the last disturbance ended.
     pub fn last_disturbance(&self) -> f64 {
         self.disturbances.iter().map(|disturbance| disturbance.until).fold(0.0, f64::max)
     }
 
-    /// When every view must be true.
+    /// Time from which on every view must be correct.
     pub fn settled_by(&self) -> f64 {
         self.last_disturbance() + SETTLING_TIMEOUT
     }
 
-    /// Whether nothing that may cause false deaths has happened for so many seconds.
+    /// Whether no disturbance that may cause false deaths was in force at a time, or ended in the `quiet_time` seconds before.
     pub fn is_quiet(&self, at: f64, quiet_time: f64) -> bool {
         let mut disturbances = self.disturbances.iter();
         !disturbances.any(|disturbance| {
@@ -133,12 +134,12 @@
         })
     }
 
-    /// Whether a process lives at the end.
+    /// Whether a process was up until the end of the run.
     pub fn is_up(&self, node: Node) -> bool {
         self.lifetimes.get(&node).is_some_and(|lifetime| lifetime.until == f64::INFINITY)
     }
 
-    /// The members that live at the end, by id, without superseded processes.
+    /// The members that are actually alive at the end of the run, ordered by id, without superseded processes.
     pub fn truth(&self) -> Vec<MemberProcess> {
         let mut latest: BTreeMap<Node, &Poll> = BTreeMap::new();
         for poll in &self.polls {
@@ -162,7 +163,7 @@
         })
     }
 
-    /// Whether so much is lost without any fault that suspicions come and go for ever.
+    /// Whether the base loss is so high that suspicions arise and are refuted throughout the run.
     pub fn is_lossy(&self) -> bool {
         self.sent().is_some_and(|sent| sent.base_loss >= LOSSY_BASE_LOSS)
     }
--- a/crates/railhub-chaos/src/view/judge/mod.rs
+++ b/crates/railhub-chaos/src/view/judge/mod.rs
@@ -1,5 +1,5 @@
-//! Judges a run of views by its observations alone. The judge knows who was up, what each process showed and which deaths
-//! were declared; it knows nothing of gossip, suspicion or incarnations.
+//! Judges a view run by its observations alone. The judge knows which processes were up, the views that each one showed and
+//! which deaths were declared; it has no knowledge of how gossip, suspicion and incarnations work.
 pub(crate) mod false_deaths;
 pub(crate) mod history;
 mod resurrection;
@@ -10,22 +10,22 @@
 use history::History;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds without a disturbance before a false death breaks a rule.
+/// Seconds without a disturbance after which a false death breaks a rule.
 const QUIET_TIME: f64 = 12.0;
-/// The most bytes of a datagram.
+/// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// The rule that all views are true within the settling timeout after the last disturbance.
+/// The rule that all views are correct within the settling timeout after the last disturbance.
 pub const SETTLES: &str = "settles";
-/// The rule that no live member is missing from a view then.
+/// The rule that no live member is missing from a view after the settling timeout.
 pub const NO_SPLIT: &str = "no lasting split";
-/// The rule that a view never goes back to an older or a forgotten process.
+/// The rule that a view never returns to an older process of a member, or to one that it had forgotten.
 pub const NO_RESURRECTION: &str = "no life after death";
-/// The rule that no live process is declared dead while nothing disturbs the run.
+/// The rule that no live process is declared dead in the absence of disturbances.
 pub const NO_FALSE_DEATH: &str = "no slander";
-/// The rule that gossip ends, and that datagrams are short.
+/// The rule that gossip ends, and that no datagram exceeds the maximum size.
 pub const GOSSIP_ENDS: &str = "rumours end";
-/// The rule that one of two processes with one id takes no part.
+/// The rule that of two processes with the same id, one becomes inactive.
 pub const ONE_PROCESS_PER_ID: &str = "one of a name";
 
 /// Returns the first breach of each rule.
@@ -41,7 +41,7 @@
     breaches.into_iter().flatten().collect()
 }
 
-/// Each process that lives shows the truth within the settling timeout, and from then on.
+/// Checks that from the settling timeout on, the views of all live processes are correct.
 fn not_settled(history: &History) -> Option<Breach> {
     let settled_by = history.settled_by();
     if history.end < settled_by {
@@ -73,7 +73,7 @@
     Some(Breach { rule, at: untrue.at, description })
 }
 
-/// Of two processes with one id, one is superseded within the settling timeout.
+/// Checks that of two processes with the same id, one is superseded within the settling timeout.
 fn two_processes_of_one_id(history: &History) -> Option<Breach> {
     let settled_by = history.settled_by();
     let mut active_nodes: BTreeMap<u16, BTreeSet<Node>> = BTreeMap::new();
@@ -108,8 +108,8 @@
     Some(Breach { rule: GOSSIP_ENDS, at: history.end, description })
 }
 
-/// Once views have settled there is a second without gossip about third members: a message that is lost may start an
-/// entry anew, which ends within a second.
+/// Checks that there is a second without gossip about third members once views have settled. Single seconds with gossip
+/// are allowed, because a lost message may cause an entry to be gossiped again, which ends within a second.
 fn endless_gossip(history: &History) -> Option<Breach> {
     if history.is_lossy() {
         return None;
--- a/crates/railhub-chaos/src/view/judge/resurrection.rs
+++ b/crates/railhub-chaos/src/view/judge/resurrection.rs
@@ -1,19 +1,19 @@
-//! The rule that a process which has shown a member's process never shows an older one, nor one that it had forgotten.
+//! The rule that a view never shows an older process of a member than before, or one that it had forgotten.
 use super::NO_RESURRECTION;
 use crate::breach::Breach;
 use crate::view::observation::{MemberProcess, Node, ViewObservation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What each process has shown of each controller: the number of the controller's process.
+/// For each observed process and each controller: a process number of the controller that the observed process has shown.
 type ShownProcesses = BTreeMap<(Node, u16), u64>;
 
 #[derive(Default)]
 struct ShownMembers {
-    /// The newest process that was shown alive.
+    /// The newest process that was shown as alive.
     newest_alive: ShownProcesses,
-    /// The last process that was shown to be gone.
+    /// The last process that was shown as gone.
     gone: ShownProcesses,
-    /// The process that was gone when it was shown no more.
+    /// The last process that was shown as gone before the member was no longer shown.
     forgotten: ShownProcesses,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl ShownMembers {
-    /// Takes up a member that is shown alive; returns what is wrong with it.
+    /// Records a member that is shown as alive; returns a description if this breaks the rule.
     fn apply_alive(&mut self, node: Node, (controller, process): MemberProcess) -> Option<String> {
         let newest = self.newest_alive.entry((node, controller)).or_default();
         if process < *newest {
@@ -49,7 +49,7 @@
         is_forgotten.then(|| format!("{node:?} had forgotten process {process} of steward {controller}"))
     }
 
-    /// Marks those forgotten that were gone and are shown no more.
+    /// Marks members as forgotten that were shown as gone and are no longer shown.
     fn forget(&mut self, node: Node, alive: &[MemberProcess], gone: &[MemberProcess]) {
         let shown: BTreeSet<u16> = alive.iter().chain(gone).map(|(controller, _)| *controller).collect();
         for ((viewer, controller), process) in &self.gone {
--- a/crates/railhub-chaos/src/view/mod.rs
+++ b/crates/railhub-chaos/src/view/mod.rs
@@ -1,10 +1,10 @@
-//! What controllers hold of each other while things fail: played in simulated time ([`simulation`]) or on real processes
-//! ([`crate::cluster_harness`]), and judged by the same observations ([`judge`]).
+//! The membership views of controllers under faults. A run takes place in simulated time ([`simulation`]) or on real
+//! processes ([`crate::cluster_harness`]); the judge ([`judge`]) reads the same kind of observations from both.
 //!
-//! - [`observation`] is what an observer sees of a run, [`gossip_tap`] what it reads from the links.
-//! - [`timeline`] says when a run must have settled and when it ends.
-//! - [`heartbeat`] is the baseline to compare with, [`options`] chooses between the two.
-//! - [`figures`] measures a run that a judge has found right or wrong.
+//! - [`observation`] defines what an observer sees of a run, [`gossip_tap`] reads the traffic on the links.
+//! - [`timeline`] determines when a run must have settled and when it ends.
+//! - [`heartbeat`] is a baseline protocol to compare SWIM with, [`options`] selects the protocol.
+//! - [`figures`] measures a run.
 pub mod figures;
 pub mod gossip_tap;
 pub mod heartbeat;
--- a/crates/railhub-chaos/src/view/observation.rs
+++ b/crates/railhub-chaos/src/view/observation.rs
@@ -1,83 +1,84 @@
-//! What an observer sees of a run of views. The serialized names are those of recorded runs.
+//! What an observer sees of a view run. The serialized names must stay as they are in recorded runs.
 use crate::fault::FaultKind;
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// One process of a run, by its number: a controller that starts again is another process.
+/// One process of a run, numbered in the order of starts. A controller that restarts is another process with another
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Node(pub usize);
 
 /// A member of the cluster: a controller's id and the number of its process.
 pub type MemberProcess = (u16, u64);
 
-/// What an observer sees of a run. Times are seconds of the run.
+/// What an observer sees of a view run. Times are in seconds since the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "what")]
 pub enum ViewObservation {
     /// A process started.
     #[serde(rename = "up")]
     Started {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The process.
         node: Node,
-        /// Its controller.
+        /// The controller that the process runs.
         #[serde(rename = "steward")]
         controller: u16,
     },
     /// A process ended.
     #[serde(rename = "down")]
     Ended {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The process.
         node: Node,
-        /// Its controller.
+        /// The controller that the process runs.
         #[serde(rename = "steward")]
         controller: u16,
     },
     /// A fault began or ended.
     #[serde(rename = "fault")]
     Fault {
-        /// When.
+        /// Time of the observation.
         at: f64,
-        /// Whether it began.
+        /// Whether the fault began; if not, it ended.
         #[serde(rename = "on")]
         begins: bool,
         /// The fault.
         fault: FaultKind,
     },
-    /// A process showed its view.
+    /// The view of a process at one moment.
     #[serde(rename = "view")]
     View {
-        /// When.
+        /// Time of the observation.
         at: f64,
         /// The process.
         node: Node,
-        /// Its controller.
+        /// The controller that the process runs.
         #[serde(rename = "steward")]
         controller: u16,
-        /// Its process number.
+        /// The process number in the cluster.
         process: u64,
-        /// Whether it takes no part because a newer process has its id.
+        /// Whether the process is inactive because a newer process has the same id.
         #[serde(rename = "yielded")]
         superseded: bool,
-        /// The members that it holds to be alive.
+        /// The members that are alive according to the view.
         #[serde(rename = "living")]
         alive: Vec<MemberProcess>,
-        /// The members that it holds to be dead or to have left.
+        /// The members that are dead or have left according to the view.
         gone: Vec<MemberProcess>,
     },
     /// The first message that declared a member dead under an incarnation.
     #[serde(rename = "dead")]
     DeclaredDead {
-        /// When.
+        /// Time of the observation.
         at: f64,
-        /// The controller that sent it.
+        /// The controller that sent the message.
         by: u16,
-        /// The controller that it declares dead.
+        /// The controller that is declared dead.
         about: u16,
-        /// The process of the incarnation.
+        /// The process number of the incarnation.
         process: u64,
         /// The count of the incarnation.
         count: u64,
@@ -87,39 +88,39 @@
     GossipSeconds {
         /// The end of the run.
         at: f64,
-        /// Whole seconds.
+        /// The seconds, rounded down.
         seconds: BTreeSet<u32>,
     },
-    /// Processor time that a process used.
+    /// The processor time that a process has used.
     #[serde(rename = "cost")]
     ProcessorTime {
-        /// When it was measured.
+        /// Time of the measurement.
         at: f64,
         /// The process.
         node: Node,
-        /// Seconds since its start.
+        /// Processor time in seconds since the start of the process.
         #[serde(rename = "processor")]
         processor_seconds: f64,
     },
-    /// What all members sent in the run.
+    /// The traffic of all members in the whole run.
     #[serde(rename = "sent")]
     Sent {
         /// The end of the run.
         at: f64,
-        /// How many datagrams.
+        /// Number of datagrams.
         datagrams: u64,
-        /// Bytes of all datagrams.
+        /// Size of all datagrams in bytes.
         bytes: u64,
-        /// Bytes of the longest datagram.
+        /// Size of the longest datagram in bytes.
         longest: usize,
-        /// Probability that a datagram is lost without any fault.
+        /// Probability that a datagram is lost while no fault affects the links.
         #[serde(rename = "lost")]
         base_loss: f64,
     },
 }
 
 impl ViewObservation {
-    /// When it was made.
+    /// The time of the observation.
     pub fn at(&self) -> f64 {
         match self {
             ViewObservation::Started { at, .. }
--- a/crates/railhub-chaos/src/view/simulation/faults.rs
+++ b/crates/railhub-chaos/src/view/simulation/faults.rs
@@ -1,12 +1,12 @@
-//! What each fault does when it begins and when it ends. Cuts, partitions and faults of links act while they are in force,
-//! where datagrams are sent.
+//! Applies faults when they begin and ends them. Cuts, partitions and link faults need no code here: they are checked
+//! whenever a datagram is sent.
 use super::member::SimulatedProcess;
 use super::{ScheduledEvent, ViewSimulation};
 use crate::event_queue::round_up_to_queue_resolution;
 use crate::fault::{FaultKind, CLOCK_SETBACK_MICROSECONDS, FLAP_HALF_PERIOD};
 use crate::view::observation::ViewObservation;
 
-/// Seconds until a controller that was killed starts, once its fault has ended.
+/// Seconds from the end of a fault until the controller that it stopped starts again.
 const RESTART_DELAY: f64 = 0.05;
 
 impl ViewSimulation<'_> {
@@ -84,7 +84,7 @@
         self.schedule(self.now + RESTART_DELAY, ScheduledEvent::Start { controller, process });
     }
 
-    /// Lets a controller announce that it leaves, and ends it.
+    /// Makes a controller announce that it leaves the cluster, and ends its process.
     fn leave(&mut self, controller: u16) {
         let node = self.current_nodes.get(&controller).copied();
         if let Some(node) = node {
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Kills or starts a flapping controller, until the fault ends.
+    /// Kills a flapping controller if it is running, starts it if it is not, and schedules the next change until the fault
+    /// ends.
     pub(super) fn flap(&mut self, index: usize, until: f64) {
         let FaultKind::Flap { controller } = self.faults[index].kind else { return };
         if self.now >= until {
--- a/crates/railhub-chaos/src/view/simulation/member.rs
+++ b/crates/railhub-chaos/src/view/simulation/member.rs
@@ -1,4 +1,4 @@
-//! A process in simulated time: a member of the cluster with a clock and an address of its own.
+//! A process in simulated time: a member of the cluster with its own clock and address.
 use crate::fault::STARVATION_PERIOD;
 use crate::view::heartbeat::Heartbeat;
 use railhub_membership::messages::{Message, OutgoingMessage};
@@ -7,7 +7,7 @@
 use railhub_membership::NodeId;
 use std::net::SocketAddr;
 
-/// Seconds after the start of a slot at which a starved process resumes.
+/// Seconds after the start of a time slot at which a starved process resumes; a margin for rounding errors.
 const SLOT_MARGIN: f64 = 1e-6;
 
 /// The membership protocol of a process.
@@ -78,10 +78,10 @@
     pub controller: u16,
     pub protocol: Protocol,
     pub address: SocketAddr,
-    /// Seconds by which its clock is ahead.
+    /// Seconds by which the clock of the process is ahead.
     pub clock_offset: f64,
     pub paused_until: f64,
-    /// The fraction of time in which it runs.
+    /// Fraction of time in which the process runs.
     pub running_fraction: f64,
 }
 
@@ -97,12 +97,12 @@
         }
     }
 
-    /// What its clock shows at a true time.
+    /// The reading of the process's clock at a simulated time, in seconds.
     pub fn local_time(&self, now: f64) -> f64 {
         now + self.clock_offset
     }
 
-    /// When it runs again, if it is paused or has used up its part of a slot.
+    /// The time at which the process resumes; `None` unless it is paused or has used up its part of a time slot.
     pub fn resumes_at(&self, now: f64) -> Option<f64> {
         if self.paused_until > now {
             return Some(self.paused_until);
--- a/crates/railhub-chaos/src/view/simulation/mod.rs
+++ b/crates/railhub-chaos/src/view/simulation/mod.rs
@@ -1,13 +1,13 @@
-//! Plays a run of views in simulated time with the code that controllers run: each process is a
-//! [`Membership`](railhub_membership::swim::Membership) with a clock and an address of its own, and datagrams are encoded
-//! and decoded as on the wire.
+//! Simulates a view run with the membership code of the controllers: each process is a
+//! [`Membership`](railhub_membership::swim::Membership) with its own clock and address, and datagrams are encoded and
+//! decoded as on the wire.
 //!
-//! The simulation owns the time, the queue of events and all random draws.
+//! The simulation owns the time, the event queue and all random draws.
 //!
 //! - `member`: a process and its protocol.
 //! - `process_lifecycle`: how processes start and end.
 //! - `network`: datagrams between processes.
-//! - `faults`: what each fault does.
+//! - `faults`: the effects of faults.
 mod faults;
 mod member;
 mod network;
@@ -30,18 +30,18 @@
 
 /// Seconds between two observations of each process.
 const OBSERVATION_INTERVAL: f64 = 0.1;
-/// The least seconds between two ticks of a process.
+/// Minimum time between two ticks of a process, in seconds.
 const MIN_TICK_INTERVAL: f64 = 0.002;
-/// Seconds within which the first processes start.
+/// Maximum start time of the first processes, in seconds.
 const MAX_START_DELAY: f64 = 0.3;
-/// The most events of a run: past them the run ends without having settled.
+/// Maximum number of events in a run; a run that reaches it ends early and does not count as settled.
 const MAX_EVENTS: u64 = 2_000_000;
-/// The port before that of the first process.
+/// The port number before that of the first process.
 const FIRST_PORT: u16 = 10_000;
-/// Separates the draws of a run from those of its faults, which have the same seed.
+/// Makes the draws of a run independent of those of its faults, which use the same seed.
 const RUN_SEED_MASK: u64 = 0x0071_e30b;
 
-/// What falls due.
+/// An event of the simulation.
 enum ScheduledEvent {
     Tick(Node),
     Observe,
@@ -60,7 +60,7 @@
     end: f64,
     queue: EventQueue<ScheduledEvent>,
     processes: BTreeMap<Node, SimulatedProcess>,
-    /// The process that a fault on a controller strikes.
+    /// The latest process of each running controller; faults on the controller affect this one.
     current_nodes: BTreeMap<u16, Node>,
     addresses: BTreeMap<u16, SocketAddr>,
     last_node: usize,
@@ -72,7 +72,7 @@
     observations: Vec<ViewObservation>,
 }
 
-/// Plays one run and returns what was observed of it.
+/// Simulates one run and returns the observations of it.
 pub fn run(config: &ChaosConfig, seed: u64, faults: &[Fault], options: RunOptions) -> Vec<ViewObservation> {
     let mut simulation = ViewSimulation {
         config,
@@ -157,7 +157,7 @@
         self.send_messages(node, messages);
     }
 
-    /// Observes the view of each process that runs.
+    /// Observes the view of each process that is neither paused nor stopped by starvation.
     fn observe_all(&mut self) {
         for (node, process) in &self.processes {
             if process.resumes_at(self.now).is_none() {
@@ -181,7 +181,7 @@
     }
 }
 
-/// The members of a view that are alive, or those that are not.
+/// The members of a view that are alive, or the others if `alive` is false.
 fn members(view: &[ViewEntry], alive: bool) -> Vec<MemberProcess> {
     let chosen = view.iter().filter(|entry| entry.member.status.is_live() == alive);
     chosen.map(|entry| (entry.member.id.0, entry.member.incarnation.process)).collect()
--- a/crates/railhub-chaos/src/view/simulation/network.rs
+++ b/crates/railhub-chaos/src/view/simulation/network.rs
@@ -1,4 +1,5 @@
-//! Datagrams between processes in simulated time: encoded, tapped, captured, lost, delayed, duplicated and delivered.
+//! Datagrams between processes in simulated time: they are encoded, tapped, captured, lost, delayed, duplicated and
+//! delivered.
 use super::{ScheduledEvent, ViewSimulation};
 use crate::fault::MAX_CAPTURED_DATAGRAMS;
 use crate::view::gossip_tap::TappedGossip;
@@ -8,18 +9,18 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Seconds that a datagram takes at the least.
+/// Minimum delay of a datagram in seconds.
 const MIN_DATAGRAM_DELAY: f64 = 0.0002;
-/// Seconds that a datagram takes at the most.
+/// Maximum delay of a datagram in seconds.
 const MAX_DATAGRAM_DELAY: f64 = 0.002;
-/// The most seconds for which a reordered datagram is held back.
+/// Maximum time in seconds for which a reordered datagram is held back.
 const MAX_REORDERING_DELAY: f64 = 0.05;
-/// Seconds within which captured datagrams are sent again.
+/// Seconds over which captured datagrams are spread in a replay.
 const REPLAY_DURATION: f64 = 1.0;
-/// The cluster's name in each datagram.
+/// The name of the cluster in each datagram.
 const INSTALLATION: &str = "chaos";
 
-/// A datagram that can be replayed.
+/// A captured datagram, which can be replayed.
 #[derive(Clone)]
 pub(super) struct CapturedDatagram {
     to: SocketAddr,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Sends all captured datagrams once more.
+    /// Sends all captured datagrams again.
     pub(super) fn replay(&mut self) {
         for CapturedDatagram { to, bytes } in self.captured.clone() {
             let at = self.now + REPLAY_DURATION * self.rng.random::<f64>();
--- a/crates/railhub-chaos/src/view/simulation/process_lifecycle.rs
+++ b/crates/railhub-chaos/src/view/simulation/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How processes start and end in simulated time, and what numbers and addresses they get.
+//! Starts and ends processes in simulated time, and assigns their process numbers and addresses.
 use super::member::{Protocol, SimulatedProcess};
 use super::{ScheduledEvent, ViewSimulation};
 use crate::fault::CLOCK_SETBACK_MICROSECONDS;
@@ -11,15 +11,16 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// What the clock that numbers processes shows at the start of a run, in microseconds: it can be set back several times.
+/// Reading of the clock from which process numbers are taken at the start of a run, in microseconds. It is high enough to
+/// be set back several times.
 const START_MICROSECONDS: u64 = 10 * CLOCK_SETBACK_MICROSECONDS;
-/// The least difference between the numbers of two processes that start one after the other.
+/// Minimum difference between the numbers of two processes that start one after the other.
 const PROCESS_NUMBER_STEP: u64 = 1000;
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// The most seconds by which a process's clock is ahead.
+/// Maximum time in seconds by which a process's clock is ahead.
 const MAX_CLOCK_OFFSET: f64 = 1000.0;
-/// Seconds after which a member that is gone is forgotten, unless the run says otherwise.
+/// Seconds after which a member that is gone is forgotten, unless the options of the run set another value.
 const DEFAULT_FORGET_AFTER: f64 = 600.0;
 
 impl ViewSimulation<'_> {
@@ -69,7 +70,7 @@
         Protocol::Swim(Box::new(Membership::new(member, config, local, self.rng.random())))
     }
 
-    /// The addresses that a controller is given to join by.
+    /// The addresses through which a controller joins the cluster.
     fn seeds(&self, controller: u16, seed_members: u16) -> Vec<SocketAddr> {
         let seeds = self.addresses.iter().filter(|(id, _)| **id != controller && **id < seed_members);
         seeds.map(|(_, address)| *address).collect()
--- a/crates/railhub-chaos/src/view/timeline.rs
+++ b/crates/railhub-chaos/src/view/timeline.rs
@@ -1,28 +1,29 @@
-//! When a run must have settled, when it ends, and when its faults were observed.
+//! Determines when a run must have settled, when it ends, and when its faults were observed.
 use crate::fault::{Fault, FaultKind};
 use crate::view::observation::ViewObservation;
 
-/// Seconds after the last fault within which every view must be true again: dead members are probed at least every
-/// 9.6 s, a death is found within some 4 s by a member with poor local health, and gossip reaches all within 1 s.
+/// Seconds after the last fault within which every view must be correct again. Dead members are probed at least every
+/// 9.6 s, a member with poor local health detects a death within about 4 s, and gossip reaches all members within 1 s.
 pub const SETTLING_TIMEOUT: f64 = 15.0;
-/// Seconds after that in which the views are observed to stay true.
+/// Seconds after the settling timeout for which the views are observed, to check that they remain correct.
 pub const OBSERVED_TIME: f64 = 4.0;
-/// Seconds for processes to start again, for the last of a replay, and for the last half period of a flap.
+/// Seconds after the end of the last fault for processes to restart, for a replay to finish, and for the last half period
+/// of a flap.
 const RESTART_TIME: f64 = 2.0;
 
-/// The probability of loss from which live members may be declared dead.
+/// Loss probability from which on live members may be declared dead.
 const DISTURBING_LOSS: f64 = 0.05;
-/// The delay in seconds from which live members may be declared dead.
+/// Delay in seconds above which live members may be declared dead.
 const DISTURBING_DELAY: f64 = 0.06;
 
-/// When a run of at least `length` seconds with such faults ends.
+/// The end of a run with these faults, in seconds; the run lasts at least `length` seconds.
 pub fn end_of_run(length: f64, faults: &[Fault]) -> f64 {
     let last_end = faults.iter().map(|fault| fault.at + fault.duration).fold(0.0, f64::max);
     length.max(last_end + RESTART_TIME + SETTLING_TIMEOUT + OBSERVED_TIME)
 }
 
-/// The faults of a run at the times at which they were observed to begin and to end. A fault whose end was not observed
-/// has its planned duration.
+/// The faults of a run with the times at which they were observed to begin and end. A fault whose end was not observed has
+/// its planned duration.
 pub fn observed_faults(observations: &[ViewObservation], planned: &[Fault]) -> Vec<Fault> {
     let mut faults: Vec<Fault> = Vec::new();
     let mut ended: Vec<bool> = Vec::new();
--- a/crates/railhub-chaos/tests/faults.rs
+++ b/crates/railhub-chaos/tests/faults.rs
@@ -1,9 +1,9 @@
-//! The recorded and printed names of faults: they are those of earlier records and reports.
+//! The recorded and printed names of faults must stay as they are in earlier recordings and reports.
 use railhub_chaos::{Fault, FaultKind, LinkFaults};
 
 fn assert_names(kind: FaultKind, recorded: &str, printed: &str) {
     let fault = Fault { at: 1.5, duration: 2.0, kind: kind.clone() };
-    let json = serde_json::to_string(&fault).expect("a fault is JSON");
+    let json = serde_json::to_string(&fault).expect("a fault is serializable");
     assert_eq!(json, format!(r#"{{"at":1.5,"long":2.0,"what":{recorded}}}"#));
     assert_eq!(kind.to_string(), printed);
 }
--- a/crates/railhub-chaos/tests/runs.rs
+++ b/crates/railhub-chaos/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Many runs without a broken rule, and sabotage that must be found.
+//! Simulated lease runs: random and listed faults break no rule, and each disabled safeguard is detected.
 use railhub_chaos::explorer::lease::{explore, OmittedSafeguard};
 use railhub_chaos::lease::judge::{
     judge, NO_COMMAND_AFTER_LEASE, NO_COMMAND_TWICE, NO_LOWER_EPOCH, ONE_CONTROLLER,
@@ -11,7 +11,7 @@
 
 fn config() -> ChaosConfig {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/three.ini");
-    ChaosConfig::open(&path).expect("a good file")
+    ChaosConfig::open(&path).expect("the chaos file is valid")
 }
 
 #[test]
@@ -41,7 +41,10 @@
     let faults = config.faults(seed);
     let (minimal, breaches) = shrink(&config, seed, &faults, Some(sabotage), rule);
     assert!(minimal.len() <= faults.len() && breaches.iter().any(|breach| breach.rule == rule));
-    assert!(judge(&run(&config, seed, &minimal, Some(sabotage))) == breaches, "it replays");
+    assert!(
+        judge(&run(&config, seed, &minimal, Some(sabotage))) == breaches,
+        "the minimal faults must give the same breaches again"
+    );
 }
 
 #[test]
@@ -89,7 +92,7 @@
     let figures = recovery_figures(&observations);
     assert!(figures.recovery_times.len() > 8, "{figures:?}");
     assert!(figures.recovery_times.iter().all(|recovery_time| *recovery_time < 6.0), "{figures:?}");
-    assert_eq!(last_holders(&observations, 55.0).len(), 48, "every slice has its steward");
+    assert_eq!(last_holders(&observations, 55.0).len(), 48, "every slice must have a controller");
 }
 
 #[test]
@@ -137,10 +140,15 @@
         duration: 20.0,
         kind: FaultKind::Partition { side: 1 },
     }]);
-    assert_eq!(recovery_figures(&observations).handovers, 0, "each renews its leases at the store");
+    assert_eq!(
+        recovery_figures(&observations).handovers,
+        0,
+        "both sides reach the store and renew their leases"
+    );
 }
 
-/// Moments between two microseconds: a steward that was due just before it wakes waited for ever.
+/// When a pause ended between two microseconds, events that were due just before its end were deferred without end, so
+/// that the controller never resumed.
 #[test]
 fn pause_may_end_between_microseconds() {
     for number in 0..200 {
--- a/crates/railhub-chaos/tests/views.rs
+++ b/crates/railhub-chaos/tests/views.rs
@@ -1,4 +1,4 @@
-//! Views in simulated time: many runs without a breach, and each safeguard that is left out is found.
+//! Simulated view runs: random and listed faults break no rule, and each disabled safeguard is detected.
 use railhub_chaos::explorer::membership::explore;
 use railhub_chaos::view::figures::view_figures;
 use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_RESURRECTION, NO_SPLIT, SETTLES};
@@ -10,7 +10,7 @@
 
 fn config() -> ChaosConfig {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/view.ini");
-    ChaosConfig::open(&path).expect("a good file")
+    ChaosConfig::open(&path).expect("the chaos file is valid")
 }
 
 #[test]
@@ -73,7 +73,7 @@
     observations
 }
 
-/// Whether any process shows this steward as gone within some seconds.
+/// Whether any view between two times shows a controller as gone.
 fn is_shown_gone(observations: &[ViewObservation], controller: u16, from: f64, until: f64) -> bool {
     observations.iter().any(|observation| match observation {
         ViewObservation::View { at, gone, .. } if (from..until).contains(at) => {
@@ -111,7 +111,8 @@
     assert!(is_shown_gone(&observations, 2, 9.0, 11.0) && !is_shown_gone(&observations, 2, 17.0, 24.0));
 }
 
-/// Found by simulated runs with short forgetting: each told the other so, at the speed of the net.
+/// Two members that had each forgotten the other sent each other messages about it without end, as fast as the network
+/// allowed. Simulated runs with a short forgetting time showed this.
 #[test]
 fn forgotten_members_do_not_cause_endless_gossip() {
     let options = RunOptions { forget_after: 4.0, ..RunOptions::default() };
@@ -123,10 +124,10 @@
         ViewObservation::View { alive, .. } => Some(alive.len()),
         _ => None,
     });
-    assert_eq!(last_alive_count, Some(5), "the addresses of the file bring them together again");
+    assert_eq!(last_alive_count, Some(5), "all members join again through the configured addresses");
 }
 
-/// What a steward sends hardly grows with the fleet.
+/// The bytes that a member sends hardly grow with the size of the cluster.
 #[test]
 fn traffic_per_member_is_independent_of_cluster_size() {
     let bytes = |controllers: u16| {
@@ -140,21 +141,24 @@
     );
 }
 
-/// The judge itself: a view that is wrong for one look is a breach.
+/// A single wrong view must be a breach.
 #[test]
 fn judge_detects_one_wrong_view() {
     let mut observations = run_without_breaches(&[], RunOptions::default());
     let position = observations
         .iter()
         .rposition(|observation| matches!(observation, ViewObservation::View { .. }))
-        .expect("a view");
+        .expect("the run has a view");
     if let ViewObservation::View { alive, .. } = &mut observations[position] {
         alive.pop();
     }
     assert_eq!(judge(&observations).first().map(|breach| breach.rule), Some(NO_SPLIT));
     let ended = ViewObservation::Ended { at: 1.0, node: Node(1), controller: 0 };
     observations.insert(0, ended);
-    assert!(!judge(&observations).is_empty(), "one that ended and is held to live");
+    assert!(
+        !judge(&observations).is_empty(),
+        "a process that has ended but is shown as alive must be a breach"
+    );
 }
 
 #[test]
