--- a/crates/railhub-chaos/src/cluster_harness/interference.rs
+++ b/crates/railhub-chaos/src/cluster_harness/interference.rs
@@ -66,8 +66,8 @@
 }
 
 fn flood_datagram(number: u32, captured: &[CapturedDatagram], rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let model = captured.get(rng.random_range(0..captured.len().max(1)));
-    let mut bytes = model.map_or_else(|| vec![0; DEFAULT_FLOOD_BYTES], |datagram| datagram.bytes.clone());
+    let template = captured.get(rng.random_range(0..captured.len().max(1)));
+    let mut bytes = template.map_or_else(|| vec![0; DEFAULT_FLOOD_BYTES], |datagram| datagram.bytes.clone());
     let position = rng.random_range(0..bytes.len());
     match number % 4 {
         0 => bytes[position] ^= 1 << rng.random_range(0..8u32),
--- a/crates/railhub-chaos/src/explorer/lease.rs
+++ b/crates/railhub-chaos/src/explorer/lease.rs
@@ -10,7 +10,7 @@
 //! - At most one controller may command the slice.
 //! - Only one process issues commands under an epoch.
 //! - The proxy never obeys an epoch lower than one that it has obeyed, and obeys only one process under an epoch.
-use super::search::{Explored, Paths};
+use super::search::{Paths, SearchResult};
 use railhub_membership::fence::Fence;
 use railhub_membership::lease::HeldLeases;
 use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
@@ -318,7 +318,7 @@
 }
 
 /// Searches at most `max_states` states, with one safeguard omitted.
-pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> Explored {
+pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> SearchResult {
     let first = State::initial(omitted);
     let mut seen = HashSet::from([first.key()]);
     let mut paths = Paths::new();
@@ -328,16 +328,20 @@
             let next = match outcome.and_then(|next| next.violation().map_or(Ok(next), Err)) {
                 Ok(next) => next,
                 Err(violation) => {
-                    return Explored::violated(seen.len(), violation, paths.steps_with(state_number, step));
+                    return SearchResult::violated(
+                        seen.len(),
+                        violation,
+                        paths.steps_with(state_number, step),
+                    );
                 }
             };
             if seen.len() >= max_states {
-                return Explored::limited(seen.len());
+                return SearchResult::limited(seen.len());
             }
             if seen.insert(next.key()) {
                 queue.push_back((paths.add(state_number, step), next));
             }
         }
     }
-    Explored::complete(seen.len())
+    SearchResult::complete(seen.len())
 }
--- a/crates/railhub-chaos/src/explorer/membership.rs
+++ b/crates/railhub-chaos/src/explorer/membership.rs
@@ -6,7 +6,7 @@
 //! - No member's table contains an incarnation of another member that the other never had.
 //! - A table that contains a process of a member never goes back to an older process of that member.
 //! - If every entry arrives from now on, all tables converge on the actual state of the members.
-use super::search::{Explored, Paths};
+use super::search::{Paths, SearchResult};
 use railhub_membership::member::{Incarnation, Member, NodeMetadata, Status};
 use railhub_membership::safeguard::Safeguard;
 use railhub_membership::table::MemberTable;
@@ -271,7 +271,7 @@
 }
 
 /// Searches at most `max_states` states, with a safeguard disabled or with all in force.
-pub fn explore(disabled: Option<Safeguard>, max_states: usize) -> Explored {
+pub fn explore(disabled: Option<Safeguard>, max_states: usize) -> SearchResult {
     let first = State::initial(disabled);
     let mut seen = BTreeSet::from([first.hash()]);
     let mut paths = Paths::new();
@@ -279,16 +279,16 @@
     while let Some((state_number, state)) = queue.pop_front() {
         for Transition { step, next } in state.transitions(disabled) {
             if seen.len() >= max_states {
-                return Explored::limited(seen.len());
+                return SearchResult::limited(seen.len());
             }
             if !seen.insert(next.hash()) {
                 continue;
             }
             if let Some(violation) = next.violation(&state) {
-                return Explored::violated(seen.len(), violation, paths.steps_with(state_number, step));
+                return SearchResult::violated(seen.len(), violation, paths.steps_with(state_number, step));
             }
             queue.push_back((paths.add(state_number, step), next));
         }
     }
-    Explored::complete(seen.len())
+    SearchResult::complete(seen.len())
 }
--- a/crates/railhub-chaos/src/explorer/search.rs
+++ b/crates/railhub-chaos/src/explorer/search.rs
@@ -13,7 +13,7 @@
 
 /// The result of a search.
 #[derive(Clone, Debug, Serialize)]
-pub struct Explored {
+pub struct SearchResult {
     /// Number of states that were reached.
     pub states: usize,
     /// Whether the search covered every reachable state.
@@ -23,20 +23,20 @@
     pub counterexample: Option<Counterexample>,
 }
 
-impl Explored {
+impl SearchResult {
     /// A search that covered every reachable state and found no violation.
-    pub(super) fn complete(states: usize) -> Explored {
-        Explored { states, complete: true, counterexample: None }
+    pub(super) fn complete(states: usize) -> SearchResult {
+        SearchResult { states, complete: true, counterexample: None }
     }
 
     /// A search that reached its limit of states without a violation.
-    pub(super) fn limited(states: usize) -> Explored {
-        Explored { states, complete: false, counterexample: None }
+    pub(super) fn limited(states: usize) -> SearchResult {
+        SearchResult { states, complete: false, counterexample: None }
     }
 
     /// A search that found a violation.
-    pub(super) fn violated(states: usize, violation: String, steps: Vec<String>) -> Explored {
-        Explored { states, complete: false, counterexample: Some(Counterexample { violation, steps }) }
+    pub(super) fn violated(states: usize, violation: String, steps: Vec<String>) -> SearchResult {
+        SearchResult { states, complete: false, counterexample: Some(Counterexample { violation, steps }) }
     }
 }
 
--- a/crates/railhub-chaos/src/view/figures.rs
+++ b/crates/railhub-chaos/src/view/figures.rs
@@ -39,7 +39,7 @@
 /// Measures a run.
 pub fn view_figures(observations: &[ViewObservation]) -> ViewFigures {
     let history = History::new(observations);
-    let (datagrams, bytes, end) = match history.sent() {
+    let (datagrams, bytes, end) = match history.sent_totals() {
         Some(sent) => (sent.datagrams as f64, sent.bytes as f64, sent.at),
         None => (0.0, 0.0, 1.0),
     };
@@ -58,16 +58,16 @@
 }
 
 fn settling_time(history: &History) -> Option<f64> {
-    let truth = history.truth();
+    let actual_members = history.actual_members();
     let last_disturbance = history.last_disturbance();
-    let mut last_untrue = last_disturbance;
+    let mut last_incorrect = last_disturbance;
     for poll in &history.polls {
-        let is_relevant = poll.at >= last_disturbance && !poll.superseded && history.is_up(poll.node);
-        if is_relevant && poll.alive != truth {
-            last_untrue = last_untrue.max(poll.at);
+        let is_relevant = poll.at >= last_disturbance && !poll.superseded && history.is_up_at_end(poll.node);
+        if is_relevant && poll.alive != actual_members {
+            last_incorrect = last_incorrect.max(poll.at);
         }
     }
-    (last_untrue < history.end - MIN_SETTLED_TIME).then_some(last_untrue - last_disturbance)
+    (last_incorrect < history.end - MIN_SETTLED_TIME).then_some(last_incorrect - last_disturbance)
 }
 
 /// Processor time of all processes in seconds; `None` if none was measured.
--- a/crates/railhub-chaos/src/view/judge/false_deaths.rs
+++ b/crates/railhub-chaos/src/view/judge/false_deaths.rs
@@ -5,8 +5,8 @@
 /// A process that was declared dead while it was up.
 pub(crate) struct FalseDeath {
     pub at: f64,
-    pub by: u16,
-    pub about: u16,
+    pub declared_by: u16,
+    pub subject: u16,
     pub process: u64,
 }
 
@@ -20,6 +20,6 @@
             lifetime.is_some_and(|lifetime| (lifetime.since..lifetime.until).contains(&at))
         };
         let is_false = history.polls.iter().any(|poll| is_subject(poll) && was_up(poll));
-        is_false.then_some(FalseDeath { at, by, about, process })
+        is_false.then_some(FalseDeath { at, declared_by: by, subject: about, process })
     })
 }
--- a/crates/railhub-chaos/src/view/judge/history.rs
+++ b/crates/railhub-chaos/src/view/judge/history.rs
@@ -135,26 +135,26 @@
     }
 
     /// Whether a process was up until the end of the run.
-    pub fn is_up(&self, node: Node) -> bool {
+    pub fn is_up_at_end(&self, node: Node) -> bool {
         self.lifetimes.get(&node).is_some_and(|lifetime| lifetime.until == f64::INFINITY)
     }
 
     /// The members that are actually alive at the end of the run, ordered by id, without superseded processes.
-    pub fn truth(&self) -> Vec<MemberProcess> {
+    pub fn actual_members(&self) -> Vec<MemberProcess> {
         let mut latest: BTreeMap<Node, &Poll> = BTreeMap::new();
         for poll in &self.polls {
             latest.insert(poll.node, poll);
         }
         let mut members: BTreeMap<u16, u64> = BTreeMap::new();
         for poll in latest.values() {
-            if self.is_up(poll.node) && !poll.superseded {
+            if self.is_up_at_end(poll.node) && !poll.superseded {
                 members.insert(poll.controller, poll.process);
             }
         }
         members.into_iter().collect()
     }
 
-    pub fn sent(&self) -> Option<SentTotals> {
+    pub fn sent_totals(&self) -> Option<SentTotals> {
         self.observations.iter().find_map(|observation| match *observation {
             ViewObservation::Sent { at, datagrams, bytes, longest, base_loss } => {
                 Some(SentTotals { at, datagrams, bytes, longest, base_loss })
@@ -165,6 +165,6 @@
 
     /// Whether the base loss is so high that suspicions arise and are refuted throughout the run.
     pub fn is_lossy(&self) -> bool {
-        self.sent().is_some_and(|sent| sent.base_loss >= LOSSY_BASE_LOSS)
+        self.sent_totals().is_some_and(|sent| sent.base_loss >= LOSSY_BASE_LOSS)
     }
 }
--- a/crates/railhub-chaos/src/view/judge/mod.rs
+++ b/crates/railhub-chaos/src/view/judge/mod.rs
@@ -49,28 +49,33 @@
             format!("the run was watched until {:.2} s only, {settled_by:.2} s are needed", history.end);
         return Some(Breach { rule: SETTLES, at: history.end, description });
     }
-    let truth = history.truth();
-    let mut live = history.lifetimes.iter().filter(|(node, _)| history.is_up(**node));
-    live.find_map(|(node, lifetime)| untrue_view(history, *node, lifetime.controller, &truth))
+    let actual_members = history.actual_members();
+    let mut live = history.lifetimes.iter().filter(|(node, _)| history.is_up_at_end(**node));
+    live.find_map(|(node, lifetime)| incorrect_view(history, *node, lifetime.controller, &actual_members))
 }
 
-fn untrue_view(history: &History, node: Node, controller: u16, truth: &[(u16, u64)]) -> Option<Breach> {
+fn incorrect_view(
+    history: &History,
+    node: Node,
+    controller: u16,
+    actual_members: &[(u16, u64)],
+) -> Option<Breach> {
     let settled_by = history.settled_by();
     let mut polls = history.polls.iter().filter(|poll| poll.node == node && poll.at >= settled_by).peekable();
     if polls.peek().is_none() {
         let description = format!("steward {controller} shows no view after {settled_by:.2} s");
         return Some(Breach { rule: SETTLES, at: history.end, description });
     }
-    let untrue = polls.find(|poll| !poll.superseded && poll.alive != truth)?;
-    let is_shown = |id: u16| untrue.alive.iter().any(|(shown, _)| *shown == id);
-    let lacks_member = truth.iter().any(|(id, _)| !is_shown(*id));
+    let incorrect = polls.find(|poll| !poll.superseded && poll.alive != actual_members)?;
+    let is_shown = |id: u16| incorrect.alive.iter().any(|(shown, _)| *shown == id);
+    let lacks_member = actual_members.iter().any(|(id, _)| !is_shown(*id));
     let rule = if lacks_member { NO_SPLIT } else { SETTLES };
     let description = format!(
-        "steward {controller} holds {:?} to live, true is {truth:?}, {:.2} s after the last trouble",
-        untrue.alive,
-        untrue.at - history.last_disturbance()
+        "steward {controller} holds {:?} to live, true is {actual_members:?}, {:.2} s after the last trouble",
+        incorrect.alive,
+        incorrect.at - history.last_disturbance()
     );
-    Some(Breach { rule, at: untrue.at, description })
+    Some(Breach { rule, at: incorrect.at, description })
 }
 
 /// Checks that of two processes with the same id, one is superseded within the settling timeout.
@@ -78,7 +83,7 @@
     let settled_by = history.settled_by();
     let mut active_nodes: BTreeMap<u16, BTreeSet<Node>> = BTreeMap::new();
     for poll in &history.polls {
-        if poll.at >= settled_by && !poll.superseded && history.is_up(poll.node) {
+        if poll.at >= settled_by && !poll.superseded && history.is_up_at_end(poll.node) {
             active_nodes.entry(poll.controller).or_default().insert(poll.node);
         }
     }
@@ -94,13 +99,13 @@
     let death = false_deaths(history).find(|death| history.is_quiet(death.at, QUIET_TIME))?;
     let description = format!(
         "steward {} says that process {} of steward {} is dead: it lives, all is quiet",
-        death.by, death.process, death.about
+        death.declared_by, death.process, death.subject
     );
     Some(Breach { rule: NO_FALSE_DEATH, at: death.at, description })
 }
 
 fn long_datagram(history: &History) -> Option<Breach> {
-    let longest = history.sent()?.longest;
+    let longest = history.sent_totals()?.longest;
     if longest <= MAX_DATAGRAM_BYTES {
         return None;
     }
