--- a/crates/railhub-chaos/src/cluster_harness/error.rs
+++ b/crates/railhub-chaos/src/cluster_harness/error.rs
@@ -64,7 +64,7 @@
     /// An observation cannot be written to the recording.
     #[error("cannot write an observation to the recording: {0}")]
     Record(#[from] serde_json::Error),
-    /// The UDP sockets of a link endpoint cannot be opened.
+    /// The UDP socket of a link endpoint cannot be opened.
     #[error("cannot open a UDP socket for a link endpoint: {0}")]
     LinkPort(io::Error),
     /// The UDP socket of the observer cannot be opened.
--- a/crates/railhub-chaos/src/cluster_harness/faults.rs
+++ b/crates/railhub-chaos/src/cluster_harness/faults.rs
@@ -1,4 +1,4 @@
-//! Applies faults to processes when they begin and ends them. Cuts, partitions and link faults need no code here: the
+//! Begins and ends faults of processes. Cuts, partitions and link faults need no code here: the
 //! links are updated after each event.
 use super::error::HarnessError;
 use super::harness::{ClusterHarness, ScheduledEvent};
--- a/crates/railhub-chaos/src/explorer/lease.rs
+++ b/crates/railhub-chaos/src/explorer/lease.rs
@@ -36,7 +36,7 @@
 /// The only slice.
 const SLICE: u16 = 1;
 
-/// A disabled safeguard: it verifies that the search finds the violations that follow.
+/// A safeguard to omit from a search, to verify that the search finds the resulting violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OmittedSafeguard {
     /// Every safeguard is in force.
@@ -317,7 +317,7 @@
     }
 }
 
-/// Searches at most `max_states` states, with one safeguard omitted.
+/// Searches at most `max_states` states, with a safeguard omitted or with all in force.
 pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> SearchResult {
     let first = State::initial(omitted);
     let mut seen = HashSet::from([first.key()]);
--- a/crates/railhub-chaos/src/lease/observation.rs
+++ b/crates/railhub-chaos/src/lease/observation.rs
@@ -1,6 +1,6 @@
 //! What an observer sees of a lease run, and the safeguards that can be disabled in one.
 
-/// A disabled safeguard: it verifies that the judge detects the breaches that follow.
+/// A safeguard to disable in a run, to verify that the judge detects the resulting breaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
     /// Proxies obey commands of any epoch.
--- a/crates/railhub-chaos/src/lease/simulation/faults.rs
+++ b/crates/railhub-chaos/src/lease/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Applies faults when they begin and ends them. Cuts, partitions and faults of the store need no code here: they are
+//! Begins and ends faults. Cuts, partitions and faults of the store need no code here: they are
 //! checked whenever a message or a request is sent.
 use super::{LeaseSimulation, ScheduledEvent};
 use crate::event_queue::round_up_to_queue_resolution;
--- a/crates/railhub-chaos/src/view/options.rs
+++ b/crates/railhub-chaos/src/view/options.rs
@@ -1,8 +1,8 @@
 //! Options of a view run, apart from its faults.
 use railhub_membership::safeguard::Safeguard;
 
-/// Number of members whose addresses each process has in its settings, to join the cluster through. With
-/// three, at least one of any two members that cannot reach each other knows a third one to join through.
+/// Number of members whose addresses each process has in its settings, to join the cluster through. With three, at least
+/// one of any two members that cannot reach each other knows a third one to join through.
 pub const SEED_MEMBERS: u16 = 3;
 
 /// Options of a view run, apart from its faults.
--- a/crates/railhub-chaos/src/view/simulation/faults.rs
+++ b/crates/railhub-chaos/src/view/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Applies faults when they begin and ends them. Cuts, partitions and link faults need no code here: they are checked
+//! Begins and ends faults. Cuts, partitions and link faults need no code here: they are checked
 //! whenever a datagram is sent.
 use super::member::SimulatedProcess;
 use super::{ScheduledEvent, ViewSimulation};
--- a/crates/railhub-chaos/src/view/simulation/mod.rs
+++ b/crates/railhub-chaos/src/view/simulation/mod.rs
@@ -37,7 +37,7 @@
 /// Maximum number of events in a run; a run that reaches it ends early and does not count as settled.
 const MAX_EVENTS: u64 = 2_000_000;
 /// The port number before that of the first process.
-const FIRST_PORT: u16 = 10_000;
+const BASE_PORT: u16 = 10_000;
 /// Makes the draws of a run independent of those of its faults, which use the same seed.
 const RUN_SEED_MASK: u64 = 0x0071_e30b;
 
@@ -85,7 +85,7 @@
         current_nodes: BTreeMap::new(),
         addresses: BTreeMap::new(),
         last_node: 0,
-        last_port: FIRST_PORT,
+        last_port: BASE_PORT,
         active_faults: ActiveFaults::default(),
         captured: Vec::new(),
         tap: GossipTap::default(),
