--- a/crates/railhub-controller/tests/common/mod.rs
+++ b/crates/railhub-controller/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A fixture of hosts, endpoint list and store for one controller, and proxies that tests drive step by step.
 #![allow(dead_code)]
 use railhub::{ClassConfig, ControllerConfig, Idempotency};
-use railhub_controller::{Installation, Running};
+use railhub_controller::{ControllerSettings, RunningController};
 use railhub_emulator::endpoint_list::{EndpointList, ListedEndpoint, READY};
 use railhub_emulator::host::{HostConfig, ListeningHost, SharedSeenOperations};
 use railhub_emulator::routing::RoutingState;
@@ -25,7 +25,7 @@
     pub hosts: Vec<ListeningHost>,
     pub endpoint_list: EndpointList,
     pub store: Store,
-    pub installation: Installation,
+    pub settings: ControllerSettings,
 }
 
 fn host_config(zone: u32) -> HostConfig {
@@ -103,7 +103,7 @@
     let owner = |slice: u16| hosts[usize::from(slice) % hosts.len()].host.address;
     let tables = (0..slices).map(|slice| (u32::from(slice), vec![(owner(slice), 1.0)]));
     let store = Store::open(tables.collect()).expect("the store starts");
-    let installation = Installation {
+    let settings = ControllerSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         endpoint_list: endpoint_list.address,
         store: (slices > 0).then_some(store.address),
@@ -119,7 +119,7 @@
         traffic: None,
         membership: None,
     };
-    Fleet { hosts, endpoint_list, store, installation }
+    Fleet { hosts, endpoint_list, store, settings }
 }
 
 pub fn entry(hosts: &[ListeningHost], index: usize, phase: &'static str) -> ListedEndpoint {
@@ -128,8 +128,8 @@
 }
 
 impl Fleet {
-    pub fn start(&self) -> Running {
-        Running::start(self.installation.clone()).expect("the controller starts")
+    pub fn start(&self) -> RunningController {
+        RunningController::start(self.settings.clone()).expect("the controller starts")
     }
 
     pub fn set_phase(&self, host_index: usize, phase: &'static str) {
--- a/crates/railhub-controller/tests/slice_handoff.rs
+++ b/crates/railhub-controller/tests/slice_handoff.rs
@@ -1,6 +1,6 @@
 //! The handoff of a slice from one controller core to the next holder's.
 use railhub::{
-    ClassConfig, EndpointEntry, EndpointList, HostId, Idempotency, KindId, Phase, ProxyId, Seconds,
+    ClassConfig, EndpointEntry, EndpointList, HostId, HostKindId, Idempotency, Phase, ProxyId, Seconds,
     WeightedHost,
 };
 use railhub::{ControllerConfig, SliceHandoff, SliceId, ZoneId};
@@ -11,7 +11,7 @@
 };
 use railhub_controller::delta_queue::{DeltaResponse, ResponseEffect};
 use railhub_controller::publication::Publication;
-use railhub_controller::Installation;
+use railhub_controller::ControllerSettings;
 use railhub_ini::Document;
 use railhub_proto::{LoadReport, SliceLoad, Subscribe};
 use std::sync::{Arc, Mutex};
@@ -70,18 +70,18 @@
     let text =
         "[steward]\nroster = 127.0.0.1:1\nstore = 127.0.0.1:1\nslices = 8\n[class any]\ncontract_time = 1\n\
                 [fleet]\nid = 1\ninstallation = test\nshare = yes\n";
-    let settings =
-        Installation::read(&Document::parse("s.ini", text).expect("valid syntax")).expect("valid settings");
+    let settings = ControllerSettings::read(&Document::parse("s.ini", text).expect("valid syntax"))
+        .expect("valid settings");
     let classes =
         vec![ClassConfig { contract_time: 1.0, priority_weight: 1.0, idempotency: Idempotency::Safe }];
     let config = ControllerConfig { classes, ..settings.config.clone() };
-    let mut core = ControllerCore::new(Installation { config, ..settings }, process, 0.0);
+    let mut core = ControllerCore::new(ControllerSettings { config, ..settings }, process, 0.0);
     let entry = |n| EndpointEntry {
         host: host(n),
         phase: Phase::Ready,
         started_at: None,
         weight: 4.0,
-        kind: KindId(0),
+        kind: HostKindId(0),
     };
     core.on_endpoint_list(EndpointList { complete: true, entries: (1..4).map(entry).collect() });
     core
--- a/crates/railhub-external-engine/src/wire/tests.rs
+++ b/crates/railhub-external-engine/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use proptest::prelude::*;
 use railhub::{
-    EndpointEntry, EndpointList, EventBatch, HostId, HostLoadReport, KindId, Phase, TimerId, ZoneId,
+    EndpointEntry, EndpointList, EventBatch, HostId, HostKindId, HostLoadReport, Phase, TimerId, ZoneId,
 };
 use railhub_controller::delta_builder::DeltaBuilder;
 
@@ -10,7 +10,7 @@
 fn a_round_is_written_line_by_line() {
     let host = HostId::new("10.0.0.1:80").expect("a name");
     let listed =
-        EndpointEntry { host, kind: KindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
+        EndpointEntry { host, kind: HostKindId(2), phase: Phase::Ready, started_at: Some(1.5), weight: 4.0 };
     let sum = HostLoadReport {
         zone: ZoneId(1),
         host,
@@ -64,7 +64,7 @@
     assert_eq!(draft.change.lines.len(), 1);
     assert_eq!(draft.change.admission_rates.len(), 1);
     assert_eq!(draft.timers, [(0.5, TimerId(9)), (TICK_US as f64 / 1e6, TimerId(9))]);
-    assert_eq!(draft.notes, ["two hosts known"]);
+    assert_eq!(draft.decision_log, ["two hosts known"]);
 }
 
 proptest! {
