--- a/crates/railhub-chaos/src/cluster_harness/interference.rs
+++ b/crates/railhub-chaos/src/cluster_harness/interference.rs
@@ -1,4 +1,4 @@
-//! Faults that last or take time: a controller that is starved of processor time, replays and floods of datagrams.
+//! Starvation of a controller's processor time, and replays and floods of datagrams.
 use super::harness::ClusterHarness;
 use super::link_tap::CapturedDatagram;
 use crate::fault::STARVATION_PERIOD;
@@ -8,26 +8,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Seconds between two datagrams of a replay.
+/// Seconds between two replayed datagrams.
 const REPLAY_INTERVAL: f64 = 0.000_05;
-/// Datagrams of a flood that are sent at once.
+/// Number of datagrams of a flood that are sent without a pause.
 const FLOOD_BATCH: u32 = 50;
 /// Seconds between two batches of a flood.
 const FLOOD_BATCH_INTERVAL: f64 = 0.001;
-/// Bytes of a flood's datagram if none was captured.
+/// Size in bytes of a flood's datagram when there is no captured datagram to modify.
 const DEFAULT_FLOOD_BYTES: usize = 40;
-/// Bytes of a flood's datagram that is too long.
+/// Size in bytes of an oversized datagram in a flood.
 const TOO_LONG_BYTES: usize = 2000;
 
 impl ClusterHarness<'_> {
-    /// Pauses and resumes a controller in short slots, so that it gets a fraction of its time.
+    /// Pauses and resumes a controller in short time slots, so that it runs for a fraction of the time.
     pub(super) fn starve(&mut self, index: usize, controller: u16, running_fraction: f64) {
         let Some(running) = self.current_process(controller) else { return };
         let process = running.process.clone();
-        let ends = Arc::new(AtomicBool::new(false));
-        self.starvation_ends.insert(index, ends.clone());
+        let stop_flag = Arc::new(AtomicBool::new(false));
+        self.starvation_stop_flags.insert(index, stop_flag.clone());
         std::thread::spawn(move || {
-            while !ends.load(Ordering::Acquire) {
+            while !stop_flag.load(Ordering::Acquire) {
                 process.pause();
                 std::thread::sleep(seconds(STARVATION_PERIOD * (1.0 - running_fraction)));
                 process.resume();
@@ -41,7 +41,7 @@
         self.link_record.lock().expect("no holder panics").captured.clone()
     }
 
-    /// Sends all captured datagrams once more.
+    /// Sends all captured datagrams again.
     pub(super) fn replay(&self) {
         for CapturedDatagram { from, to, bytes } in self.captured_datagrams() {
             self.links.inject(&from, &to, &bytes);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sends a controller corrupt, truncated, too long and random datagrams, in the name of another.
+    /// Sends corrupt, truncated, oversized and random datagrams to a controller, with another endpoint as the sender.
     pub(super) fn flood(&self, controller: u16, count: u32) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed);
         let captured = self.captured_datagrams();
@@ -66,8 +66,8 @@
 }
 
 fn flood_datagram(number: u32, captured: &[CapturedDatagram], rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let model = captured.get(rng.random_range(0..captured.len().max(1)));
-    let mut bytes = model.map_or_else(|| vec![0; DEFAULT_FLOOD_BYTES], |datagram| datagram.bytes.clone());
+    let template = captured.get(rng.random_range(0..captured.len().max(1)));
+    let mut bytes = template.map_or_else(|| vec![0; DEFAULT_FLOOD_BYTES], |datagram| datagram.bytes.clone());
     let position = rng.random_range(0..bytes.len());
     match number % 4 {
         0 => bytes[position] ^= 1 << rng.random_range(0..8u32),
--- a/crates/railhub-chaos/src/explorer/lease.rs
+++ b/crates/railhub-chaos/src/explorer/lease.rs
@@ -1,14 +1,16 @@
-//! Explores leases: two controllers, one slice, a store and a proxy, and every order in which requests, responses and
-//! commands are sent, delivered, delayed and lost, controllers killed and started again, and the store restarted from an
-//! older copy; time advances by whole steps at any moment. It drives the code that controllers, store and proxies run:
-//! [`HeldLeases`], [`LeaseStore`], [`Fence`].
+//! Explores leases with two controllers, one slice, a store and a proxy. The search covers every order in which requests,
+//! responses and commands are sent, delivered, delayed and lost, controllers are killed and started again, and the store
+//! restarts from an older copy. Time advances by whole steps at any moment. The search runs the code that controllers, the
+//! store and proxies use: [`HeldLeases`], [`LeaseStore`], [`Fence`].
 //!
-//! A paused controller is one whose moves come late; a command decided before a pause and written after it is one in
-//! flight. Invariants of each state:
-//! - at most one controller may command the slice;
-//! - an epoch is commanded by one process;
-//! - the proxy never goes back to an earlier epoch, and obeys one process under an epoch.
-use super::search::{Explored, Paths};
+//! Pauses need no step of their own: a paused controller is one whose next step comes late, and a command that is decided
+//! before a pause and sent after it is the same as a command in flight.
+//!
+//! Invariants of each state:
+//! - At most one controller may command the slice.
+//! - Only one process issues commands under an epoch.
+//! - The proxy never obeys an epoch lower than one that it has obeyed, and obeys only one process under an epoch.
+use super::search::{Paths, SearchResult};
 use railhub_membership::fence::Fence;
 use railhub_membership::lease::HeldLeases;
 use railhub_membership::lease_messages::{LeaseRequest, LeaseResponse};
@@ -17,39 +19,39 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Steps of time that a lease lasts.
+/// Duration of a lease in steps of time.
 const LEASE_DURATION: f64 = 3.0;
-/// Steps of time of a run: a lease and its expiry, and another controller's lease and expiry fit in.
+/// Steps of time in a run: enough for a lease and its expiry, and for the lease of the other controller and its expiry.
 const RUN_LENGTH: u8 = 8;
-/// The most commands in flight at once.
+/// Maximum number of commands in flight at once.
 const MAX_IN_FLIGHT: usize = 2;
-/// The most commands of a run.
+/// Maximum number of commands in a run.
 const MAX_COMMANDS: u8 = 3;
-/// The most crashes of a run.
+/// Maximum number of crashes in a run.
 const MAX_CRASHES: u8 = 1;
-/// The most restarts of the store from a copy.
+/// Maximum number of restarts of the store from a copy.
 const MAX_STORE_RESTARTS: u8 = 1;
-/// How many controllers there are.
+/// Number of controllers.
 const CONTROLLERS: usize = 2;
-/// The one slice.
+/// The only slice.
 const SLICE: u16 = 1;
 
-/// The safeguard that is left out, so that the search must find a violation.
+/// A safeguard to omit from a search, to verify that the search finds the resulting violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OmittedSafeguard {
     /// Every safeguard is in force.
     Nothing,
     /// The proxy obeys commands of any epoch.
     Fence,
-    /// The store grants under an epoch that it has used.
+    /// The store grants the slice again under an epoch that it has used before.
     NewEpochs,
-    /// Controllers command after their leases have expired.
+    /// Controllers issue commands after their leases have expired.
     LeaseExpiry,
-    /// The store grants at once after it restarted from an older copy.
+    /// The store makes grants immediately after a restart from an older copy.
     GracePeriod,
 }
 
-/// A controller's request, on its way to the store or back.
+/// A controller's request on its way to the store, or the response on its way back.
 #[derive(Clone, Debug)]
 enum Exchange {
     Requested(LeaseRequest),
@@ -60,9 +62,10 @@
 struct Controller {
     process: u64,
     leases: HeldLeases,
-    /// The exchange in flight, and the step of time at which it began.
+    /// The exchange in flight, and the time step at which it started.
     exchange: Option<(u8, Exchange)>,
-    /// The last epoch that it held: a controller that overruns its lease commands under it.
+    /// The last epoch that the controller held. It is used when [`OmittedSafeguard::LeaseExpiry`] lets controllers issue
+    /// commands after their leases have expired.
     last_epoch: Option<Epoch>,
 }
 
@@ -86,9 +89,9 @@
     controllers: [Controller; CONTROLLERS],
     in_flight: Vec<Command>,
     fence: Fence,
-    /// The command that the proxy obeyed last.
+    /// The last command that the proxy obeyed.
     obeyed: Option<Command>,
-    /// The process that commanded under an epoch.
+    /// The process that issued commands under each epoch.
     issuers: BTreeMap<Epoch, u64>,
     last_process: u64,
     commands_left: u8,
@@ -96,7 +99,7 @@
     store_restarts_left: u8,
 }
 
-/// What may happen in a state, and the state after it or the invariant that it breaks.
+/// A possible step in a state, with the resulting state or the invariant that it violates.
 struct Transition {
     step: String,
     outcome: Result<State, String>,
@@ -109,7 +112,7 @@
 }
 
 impl State {
-    fn first(omitted: OmittedSafeguard) -> State {
+    fn initial(omitted: OmittedSafeguard) -> State {
         let store_faults = StoreFaults {
             reuses_epochs: omitted == OmittedSafeguard::NewEpochs,
             skips_grace_period: omitted == OmittedSafeguard::GracePeriod,
@@ -143,7 +146,7 @@
         self.controllers[controller].leases.valid_epoch(self.now_seconds(), SLICE)
     }
 
-    /// The invariant that this state breaks, if it breaks one.
+    /// The invariant that this state violates, if any.
     fn violation(&self) -> Option<String> {
         match (self.valid_epoch(0), self.valid_epoch(1)) {
             (Some(a), Some(b)) => Some(format!("both may command, under epochs {} and {}", a.0, b.0)),
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Everything that may happen next.
+    /// All possible next steps.
     fn transitions(&self, omitted: OmittedSafeguard) -> Vec<Transition> {
         let mut transitions = Vec::new();
         if self.now < RUN_LENGTH {
@@ -165,69 +168,69 @@
             transitions.extend(self.restart(controller));
         }
         transitions.extend(self.store_step());
-        for number in 0..self.in_flight.len() {
-            transitions.push(self.delivery(number, omitted));
+        for index in 0..self.in_flight.len() {
+            transitions.push(self.delivery(index, omitted));
         }
         transitions
     }
 
-    fn exchange_steps(&self, place: usize, transitions: &mut Vec<Transition>) {
-        match &self.controllers[place].exchange {
-            None => transitions.push(self.send_request(place)),
-            Some((began, Exchange::Requested(request))) => {
-                transitions.push(self.handle_request(place, *began, request));
-                let step = format!("the request of {place} is lost");
-                transitions.push(Transition::to(step, self.without_exchange(place)));
+    fn exchange_steps(&self, controller: usize, transitions: &mut Vec<Transition>) {
+        match &self.controllers[controller].exchange {
+            None => transitions.push(self.send_request(controller)),
+            Some((started_at, Exchange::Requested(request))) => {
+                transitions.push(self.handle_request(controller, *started_at, request));
+                let step = format!("the request of {controller} is lost");
+                transitions.push(Transition::to(step, self.without_exchange(controller)));
             }
-            Some((began, Exchange::Responded(response))) => {
-                transitions.push(self.handle_response(place, *began, response));
-                let step = format!("the response to {place} is lost");
-                transitions.push(Transition::to(step, self.without_exchange(place)));
+            Some((started_at, Exchange::Responded(response))) => {
+                transitions.push(self.handle_response(controller, *started_at, response));
+                let step = format!("the response to {controller} is lost");
+                transitions.push(Transition::to(step, self.without_exchange(controller)));
             }
         }
     }
 
-    fn without_exchange(&self, place: usize) -> State {
+    fn without_exchange(&self, controller: usize) -> State {
         let mut next = self.clone();
-        next.controllers[place].exchange = None;
+        next.controllers[controller].exchange = None;
         next
     }
 
-    fn send_request(&self, place: usize) -> Transition {
-        let held = self.valid_epoch(place);
+    fn send_request(&self, controller: usize) -> Transition {
+        let held = self.valid_epoch(controller);
         let action = if held.is_some() { "renewal" } else { "the slice" };
         let request = LeaseRequest {
             number: 1,
-            process: self.controllers[place].process,
+            process: self.controllers[controller].process,
             duration: LEASE_DURATION,
             acquire: if held.is_some() { Vec::new() } else { vec![SLICE] },
             renew: held.map(|epoch| (SLICE, epoch)).into_iter().collect(),
             release: Vec::new(),
         };
         let mut next = self.clone();
-        next.controllers[place].exchange = Some((self.now, Exchange::Requested(request)));
-        Transition::to(format!("{place} requests {action}"), next)
+        next.controllers[controller].exchange = Some((self.now, Exchange::Requested(request)));
+        Transition::to(format!("{controller} requests {action}"), next)
     }
 
-    fn handle_request(&self, place: usize, began: u8, request: &LeaseRequest) -> Transition {
+    fn handle_request(&self, controller: usize, started_at: u8, request: &LeaseRequest) -> Transition {
         let mut next = self.clone();
         let response = next.store.handle_request(self.now_seconds(), request).response;
-        let step = format!("the store handles the request of {place}: grants {:?}", response.granted);
-        next.controllers[place].exchange = Some((began, Exchange::Responded(response)));
+        let step = format!("the store handles the request of {controller}: grants {:?}", response.granted);
+        next.controllers[controller].exchange = Some((started_at, Exchange::Responded(response)));
         Transition::to(step, next)
     }
 
-    fn handle_response(&self, place: usize, began: u8, response: &LeaseResponse) -> Transition {
-        let mut next = self.without_exchange(place);
-        let leases = &mut next.controllers[place].leases;
-        leases.on_granted(self.now_seconds(), f64::from(began), &response.granted);
+    fn handle_response(&self, controller: usize, started_at: u8, response: &LeaseResponse) -> Transition {
+        let mut next = self.without_exchange(controller);
+        let leases = &mut next.controllers[controller].leases;
+        leases.on_granted(self.now_seconds(), f64::from(started_at), &response.granted);
         leases.on_refused(&response.refused);
-        let last_epoch = next.valid_epoch(place).or(self.controllers[place].last_epoch);
-        next.controllers[place].last_epoch = last_epoch;
-        Transition::to(format!("{place} receives the response"), next)
+        let last_epoch = next.valid_epoch(controller).or(self.controllers[controller].last_epoch);
+        next.controllers[controller].last_epoch = last_epoch;
+        Transition::to(format!("{controller} receives the response"), next)
     }
 
-    fn restart(&self, place: usize) -> Option<Transition> {
+    fn restart(&self, controller: usize) -> Option<Transition> {
         if self.crashes_left == 0 {
             return None;
         }
@@ -235,31 +238,31 @@
         next.crashes_left -= 1;
         next.last_process += 1;
         let process = next.last_process;
-        next.controllers[place] = Controller::new(process);
-        Some(Transition::to(format!("{place} starts again as process {process}"), next))
+        next.controllers[controller] = Controller::new(process);
+        Some(Transition::to(format!("{controller} starts again as process {process}"), next))
     }
 
-    fn command(&self, place: usize, omitted: OmittedSafeguard) -> Option<Transition> {
+    fn command(&self, controller: usize, omitted: OmittedSafeguard) -> Option<Transition> {
         if self.in_flight.len() >= MAX_IN_FLIGHT || self.commands_left == 0 {
             return None;
         }
-        let mut epoch = self.valid_epoch(place);
+        let mut epoch = self.valid_epoch(controller);
         if omitted == OmittedSafeguard::LeaseExpiry {
-            epoch = epoch.or(self.controllers[place].last_epoch);
+            epoch = epoch.or(self.controllers[controller].last_epoch);
         }
         let epoch = epoch?;
-        let step = format!("{place} commands under epoch {}", epoch.0);
-        Some(Transition { step, outcome: self.issue_command(place, epoch) })
+        let step = format!("{controller} commands under epoch {}", epoch.0);
+        Some(Transition { step, outcome: self.issue_command(controller, epoch) })
     }
 
-    fn issue_command(&self, place: usize, epoch: Epoch) -> Result<State, String> {
+    fn issue_command(&self, controller: usize, epoch: Epoch) -> Result<State, String> {
         let mut next = self.clone();
-        let process = self.controllers[place].process;
+        let process = self.controllers[controller].process;
         let issuer = *next.issuers.entry(epoch).or_insert(process);
         if issuer != process {
             return Err(format!("epoch {} is commanded by processes {issuer} and {process}", epoch.0));
         }
-        let newer = self.valid_epoch(1 - place).filter(|newer| *newer > epoch);
+        let newer = self.valid_epoch(1 - controller).filter(|newer| *newer > epoch);
         if let Some(newer) = newer {
             return Err(format!(
                 "epoch {} is commanded while another may command under {}",
@@ -271,21 +274,21 @@
         Ok(next)
     }
 
-    fn delivery(&self, number: usize, omitted: OmittedSafeguard) -> Transition {
+    fn delivery(&self, index: usize, omitted: OmittedSafeguard) -> Transition {
         let mut next = self.clone();
-        let command = next.in_flight.remove(number);
+        let command = next.in_flight.remove(index);
         let Command { epoch, process } = command;
         let step = format!("the command of process {process} under epoch {} arrives", epoch.0);
         let is_admitted = next.fence.admits(u32::from(SLICE), epoch) || omitted == OmittedSafeguard::Fence;
         if !is_admitted {
             return Transition::to(step, next);
         }
-        if let Some(before) = self.obeyed {
-            let other_process = epoch == before.epoch && process != before.process;
-            if epoch < before.epoch || other_process {
+        if let Some(previous) = self.obeyed {
+            let other_process = epoch == previous.epoch && process != previous.process;
+            if epoch < previous.epoch || other_process {
                 let violation = format!(
                     "the proxy obeys epoch {} of {process} after {} of {}",
-                    epoch.0, before.epoch.0, before.process
+                    epoch.0, previous.epoch.0, previous.process
                 );
                 return Transition { step, outcome: Err(violation) };
             }
@@ -314,27 +317,31 @@
     }
 }
 
-/// Searches the states without one safeguard, `max_states` at the most.
-pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> Explored {
-    let first = State::first(omitted);
+/// Searches at most `max_states` states, with a safeguard omitted or with all in force.
+pub fn explore(omitted: OmittedSafeguard, max_states: usize) -> SearchResult {
+    let first = State::initial(omitted);
     let mut seen = HashSet::from([first.key()]);
     let mut paths = Paths::new();
     let mut queue = VecDeque::from([(0, first)]);
-    while let Some((number, state)) = queue.pop_front() {
+    while let Some((state_number, state)) = queue.pop_front() {
         for Transition { step, outcome } in state.transitions(omitted) {
             let next = match outcome.and_then(|next| next.violation().map_or(Ok(next), Err)) {
                 Ok(next) => next,
                 Err(violation) => {
-                    return Explored::violated(seen.len(), violation, paths.steps_with(number, step));
+                    return SearchResult::violated(
+                        seen.len(),
+                        violation,
+                        paths.steps_with(state_number, step),
+                    );
                 }
             };
             if seen.len() >= max_states {
-                return Explored::limited(seen.len());
+                return SearchResult::limited(seen.len());
             }
             if seen.insert(next.key()) {
-                queue.push_back((paths.add(number, step), next));
+                queue.push_back((paths.add(state_number, step), next));
             }
         }
     }
-    Explored::complete(seen.len())
+    SearchResult::complete(seen.len())
 }
--- a/crates/railhub-chaos/src/fault/section.rs
+++ b/crates/railhub-chaos/src/fault/section.rs
@@ -1,14 +1,14 @@
-//! One listed fault of a chaos file. The kinds and keys are the file's; they are mapped here and nowhere else.
+//! Reads one listed fault of a chaos file. Only this module knows the kinds and keys that the file uses.
 use super::kind::{Fault, FaultKind, LinkFaults, MAX_DRAWN_CONTROLLERS};
 use railhub_ini::{Diagnostic, Section};
 
-/// The most seconds of a run at which a fault may begin, and of its duration.
+/// Maximum start time and maximum duration of a fault, in seconds.
 const MAX_FAULT_SECONDS: f64 = 3600.0;
 
-/// Reads the section of one fault in a run of so many controllers.
+/// Reads the section of one fault in a run with `controllers` controllers.
 ///
 /// # Errors
-/// The first mistake of the section, with its place.
+/// Returns the first error in the section, with its line.
 pub fn read_fault(section: &Section, controllers: u16) -> Result<Fault, Diagnostic> {
     let fields = FaultFields { section, controllers };
     let kind_name: String = section.required("kind")?;
@@ -39,17 +39,18 @@
             "cut_store" => FaultKind::CutStore { controller: self.controller()? },
             "store_away" => FaultKind::StoreUnavailable,
             "store_loses_answers" => FaultKind::StoreLosesResponses,
-            "store_slow" => FaultKind::StoreSlow { delay: self.by(0.0, 60.0)? },
+            "store_slow" => FaultKind::StoreSlow { delay: self.amount(0.0, 60.0)? },
             "store_forgets" => FaultKind::StoreRollback { age: section.in_range("by", 0.0, 0.0, 60.0)? },
             "slow_orders" => {
-                FaultKind::SlowCommands { controller: self.controller()?, max_delay: self.by(0.0, 10.0)? }
+                FaultKind::SlowCommands { controller: self.controller()?, max_delay: self.amount(0.0, 10.0)? }
             }
             "drift" => {
-                FaultKind::ClockDrift { controller: self.controller()?, fraction: self.by(-0.1, 0.1)? }
-            }
-            "jump" => {
-                FaultKind::ClockJump { controller: self.controller()?, seconds: self.by(-1000.0, 1000.0)? }
+                FaultKind::ClockDrift { controller: self.controller()?, fraction: self.amount(-0.1, 0.1)? }
             }
+            "jump" => FaultKind::ClockJump {
+                controller: self.controller()?,
+                seconds: self.amount(-1000.0, 1000.0)?,
+            },
             "replay" => FaultKind::Replay,
             "cut" => FaultKind::Cut { from: self.id("from")?, to: self.id("to")? },
             "apart" => FaultKind::SeparatePair { a: self.id("a")?, b: self.id("b")? },
@@ -79,18 +80,19 @@
         self.id("steward")
     }
 
-    fn by(&self, least: f64, most: f64) -> Result<f64, Diagnostic> {
-        self.section.required_in_range("by", least, most)
+    fn amount(&self, min: f64, max: f64) -> Result<f64, Diagnostic> {
+        self.section.required_in_range("by", min, max)
     }
 
-    /// The controllers on one side of a partition, one bit each.
+    /// The controllers on one side of a partition, as one bit each.
     fn side(&self) -> Result<u32, Diagnostic> {
         let id_limit = self.controllers.min(MAX_DRAWN_CONTROLLERS + 1);
         let mut side = 0;
-        for id in self.section.list("side") {
-            let id = id.parse::<u16>().ok().filter(|id| *id < id_limit);
+        for text in self.section.list("side") {
+            let id = text.parse::<u16>().ok().filter(|id| *id < id_limit);
             let Some(id) = id else {
-                return Err(self.section.diagnostic("side", "names stewards, as in 0, 1"));
+                let message = format!("must list controller ids below {id_limit}, as in 0, 1; got '{text}'");
+                return Err(self.section.diagnostic("side", message));
             };
             side |= 1 << id;
         }
--- a/crates/railhub-chaos/src/view/simulation/process_lifecycle.rs
+++ b/crates/railhub-chaos/src/view/simulation/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How processes start and end in simulated time, and what numbers and addresses they get.
+//! Starts and ends processes in simulated time, and assigns their process numbers and addresses.
 use super::member::{Protocol, SimulatedProcess};
 use super::{ScheduledEvent, ViewSimulation};
 use crate::fault::CLOCK_SETBACK_MICROSECONDS;
@@ -11,15 +11,16 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// What the clock that numbers processes shows at the start of a run, in microseconds: it can be set back several times.
+/// Reading of the clock from which process numbers are taken at the start of a run, in microseconds. It is high enough to
+/// be set back several times.
 const START_MICROSECONDS: u64 = 10 * CLOCK_SETBACK_MICROSECONDS;
-/// The least difference between the numbers of two processes that start one after the other.
+/// Minimum difference between the numbers of two processes that start one after the other.
 const PROCESS_NUMBER_STEP: u64 = 1000;
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// The most seconds by which a process's clock is ahead.
+/// Maximum time in seconds by which a process's clock is ahead.
 const MAX_CLOCK_OFFSET: f64 = 1000.0;
-/// Seconds after which a member that is gone is forgotten, unless the run says otherwise.
+/// Seconds after which a member that is gone is forgotten, unless the options of the run set another value.
 const DEFAULT_FORGET_AFTER: f64 = 600.0;
 
 impl ViewSimulation<'_> {
@@ -35,7 +36,7 @@
     }
 
     pub(super) fn start_if_down(&mut self, controller: u16, process: u64) {
-        if !self.current.contains_key(&controller) {
+        if !self.current_nodes.contains_key(&controller) {
             self.start(controller, self.addresses[&controller], process);
         }
     }
@@ -47,7 +48,7 @@
         let protocol = self.new_protocol(controller, address, process, self.now + clock_offset);
         let process = SimulatedProcess::new(controller, protocol, address, clock_offset);
         self.processes.insert(node, process);
-        self.current.insert(controller, node);
+        self.current_nodes.insert(controller, node);
         self.addresses.insert(controller, address);
         self.observations.push(ViewObservation::Started { at: self.now, node, controller });
         self.schedule(self.now, ScheduledEvent::Tick(node));
@@ -69,14 +70,14 @@
         Protocol::Swim(Box::new(Membership::new(member, config, local, self.rng.random())))
     }
 
-    /// The addresses that a controller is given to join by.
+    /// The addresses through which a controller joins the cluster.
     fn seeds(&self, controller: u16, seed_members: u16) -> Vec<SocketAddr> {
         let seeds = self.addresses.iter().filter(|(id, _)| **id != controller && **id < seed_members);
         seeds.map(|(_, address)| *address).collect()
     }
 
     pub(super) fn kill(&mut self, controller: u16) {
-        let Some(node) = self.current.remove(&controller) else { return };
+        let Some(node) = self.current_nodes.remove(&controller) else { return };
         self.processes.remove(&node);
         self.observations.push(ViewObservation::Ended { at: self.now, node, controller });
     }
