--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -1,6 +1,6 @@
 //! `railhub chaos`: stewards that share a fleet, with faults drawn from seeds.
-use crate::runs::{cores, each, quantile};
-use crate::Ending;
+use crate::runs::{core_count, quantile, run_seeds};
+use crate::CommandError;
 use clap::{Args, ValueEnum};
 use railhub_chaos::breach::Breach;
 use railhub_chaos::lease::judge::judge;
@@ -24,7 +24,7 @@
     pub runs: u64,
     /// Breaks what the rules rest on: the checker must find it.
     #[arg(long, value_enum)]
-    pub sabotage: Option<Broken>,
+    pub sabotage: Option<SabotageArgument>,
     /// On real processes, with links between them that break.
     #[arg(long)]
     pub loopback: bool,
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Broken {
+pub enum SabotageArgument {
     /// Proxies obey whatever comes.
     NoFence,
     /// The store grants under an epoch that it has used.
@@ -70,27 +70,27 @@
     NoAdditions,
 }
 
-impl Broken {
-    fn how(self) -> Option<Sabotage> {
+impl SabotageArgument {
+    fn lease_sabotage(self) -> Option<Sabotage> {
         Some(match self {
-            Broken::NoFence => Sabotage::NoFence,
-            Broken::EpochReused => Sabotage::EpochReused,
-            Broken::LeaseOverrun => Sabotage::LeaseOverrun,
-            Broken::NoMemory => Sabotage::NoMemory,
-            Broken::UncheckedWrites => Sabotage::UncheckedWrites,
+            SabotageArgument::NoFence => Sabotage::NoFence,
+            SabotageArgument::EpochReused => Sabotage::EpochReused,
+            SabotageArgument::LeaseOverrun => Sabotage::LeaseOverrun,
+            SabotageArgument::NoMemory => Sabotage::NoMemory,
+            SabotageArgument::UncheckedWrites => Sabotage::UncheckedWrites,
             _ => return None,
         })
     }
 
-    pub fn without(self) -> Option<Safeguard> {
+    pub fn disabled_safeguard(self) -> Option<Safeguard> {
         Some(match self {
-            Broken::NoRefutation => Safeguard::Refutation,
-            Broken::DeadNotAsked => Safeguard::DeadProbing,
-            Broken::ProcessIgnored => Safeguard::ProcessOrder,
-            Broken::NoAntiEntropy => Safeguard::AntiEntropy,
-            Broken::EndlessRumours => Safeguard::GossipLimit,
-            Broken::NoOwnTrouble => Safeguard::LocalHealth,
-            Broken::NoAdditions => Safeguard::Extensions,
+            SabotageArgument::NoRefutation => Safeguard::Refutation,
+            SabotageArgument::DeadNotAsked => Safeguard::DeadProbing,
+            SabotageArgument::ProcessIgnored => Safeguard::ProcessOrder,
+            SabotageArgument::NoAntiEntropy => Safeguard::AntiEntropy,
+            SabotageArgument::EndlessRumours => Safeguard::GossipLimit,
+            SabotageArgument::NoOwnTrouble => Safeguard::LocalHealth,
+            SabotageArgument::NoAdditions => Safeguard::Extensions,
             _ => return None,
         })
     }
@@ -98,92 +98,100 @@
 
 /// A run that broke a rule, with no more faults than it takes.
 #[derive(Serialize)]
-struct Failed {
+struct FailedRun {
     seed: u64,
     breaches: Vec<Breach>,
     faults: Vec<Fault>,
 }
 
 #[derive(Serialize)]
-struct Told {
-    chaos: String,
-    how: &'static str,
+struct LeaseReport {
+    #[serde(rename = "chaos")]
+    name: String,
+    #[serde(rename = "how")]
+    mode: &'static str,
     first_seed: u64,
     runs: u64,
-    failed: u64,
+    #[serde(rename = "failed")]
+    failed_runs: u64,
     /// The one with the lowest seed.
-    first: Option<Failed>,
+    #[serde(rename = "first")]
+    first_failure: Option<FailedRun>,
     /// Seconds from a steward's death until its slices were decided again; a multiple of the lease's span.
-    taken_up: u64,
-    taken_up_half: Option<f64>,
-    taken_up_99: Option<f64>,
-    span: f64,
+    #[serde(rename = "taken_up")]
+    recoveries: u64,
+    #[serde(rename = "taken_up_half")]
+    recovery_p50: Option<f64>,
+    #[serde(rename = "taken_up_99")]
+    recovery_p99: Option<f64>,
+    #[serde(rename = "span")]
+    lease_duration: f64,
 }
 
-pub fn run(arguments: &ChaosArguments) -> Result<(), Ending> {
+pub fn run(arguments: &ChaosArguments) -> Result<(), CommandError> {
     let chaos = ChaosConfig::open(&arguments.file)?;
     if chaos.judged == JudgedProperty::View {
         return crate::chaos_view::run(&chaos, arguments);
     }
-    let sabotage = arguments.sabotage.map(Broken::how);
+    let sabotage = arguments.sabotage.map(SabotageArgument::lease_sabotage);
     if sabotage == Some(None) {
-        return Err(Ending::Input("that sabotage is of views; this file judges leases".into()));
+        return Err(CommandError::Input("that sabotage is of views; this file judges leases".into()));
     }
     let sabotage = sabotage.flatten();
     if arguments.loopback {
         return crate::chaos_leases::run(&chaos, arguments, sabotage);
     }
-    let runs = each(arguments.seed, arguments.runs, cores(), |seed| {
+    let runs = run_seeds(arguments.seed, arguments.runs, core_count(), |seed| {
         let events = play(&chaos, seed, &chaos.faults(seed), sabotage);
         (recovery_figures(&events).recovery_times, !judge(&events).is_empty())
     });
-    let failed: Vec<u64> = runs.iter().filter(|(_, ran)| ran.1).map(|(seed, _)| *seed).collect();
-    let mut taken_up: Vec<f64> = runs.into_iter().flat_map(|(_, ran)| ran.0).collect();
-    taken_up.sort_by(f64::total_cmp);
-    let at = |share: f64| quantile(&taken_up, share);
-    let told = Told {
-        chaos: chaos.name.clone(),
-        how: "simulated",
+    let failed: Vec<u64> = runs.iter().filter(|(_, result)| result.1).map(|(seed, _)| *seed).collect();
+    let mut recovery_times: Vec<f64> = runs.into_iter().flat_map(|(_, result)| result.0).collect();
+    recovery_times.sort_by(f64::total_cmp);
+    let percentile = |fraction: f64| quantile(&recovery_times, fraction);
+    let report = LeaseReport {
+        name: chaos.name.clone(),
+        mode: "simulated",
         first_seed: arguments.seed,
         runs: arguments.runs,
-        failed: failed.len() as u64,
-        first: failed.first().map(|seed| small(&chaos, *seed, sabotage)),
-        taken_up: taken_up.len() as u64,
-        taken_up_half: at(0.5),
-        taken_up_99: at(0.99),
-        span: chaos.lease_duration,
+        failed_runs: failed.len() as u64,
+        first_failure: failed.first().map(|seed| minimal_failure(&chaos, *seed, sabotage)),
+        recoveries: recovery_times.len() as u64,
+        recovery_p50: percentile(0.5),
+        recovery_p99: percentile(0.99),
+        lease_duration: chaos.lease_duration,
     };
     if arguments.json {
-        println!("{}", serde_json::to_string(&told)?);
+        println!("{}", serde_json::to_string(&report)?);
     } else {
-        print!("{}", words(&told));
+        print!("{}", report_text(&report));
     }
-    if told.failed == 0 {
+    if report.failed_runs == 0 {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
 
-fn small(chaos: &ChaosConfig, seed: u64, sabotage: Option<Sabotage>) -> Failed {
+fn minimal_failure(chaos: &ChaosConfig, seed: u64, sabotage: Option<Sabotage>) -> FailedRun {
     let faults = chaos.faults(seed);
     let breaches = judge(&play(chaos, seed, &faults, sabotage));
     let rule = breaches.first().map_or("", |breach| breach.rule);
     let (faults, breaches) = shrink(chaos, seed, &faults, sabotage, rule);
-    Failed { seed, breaches, faults }
+    FailedRun { seed, breaches, faults }
 }
 
-fn words(told: &Told) -> String {
-    let last = told.first_seed + told.runs - 1;
-    let mut out = format!("{}, {}, seeds {} to {last}\n", told.chaos, told.how, told.first_seed);
-    if let (Some(half), Some(of_99)) = (told.taken_up_half, told.taken_up_99) {
+fn report_text(report: &LeaseReport) -> String {
+    let last = report.first_seed + report.runs - 1;
+    let mut out = format!("{}, {}, seeds {} to {last}\n", report.name, report.mode, report.first_seed);
+    if let (Some(p50), Some(p99)) = (report.recovery_p50, report.recovery_p99) {
         out += &format!(
-            "{} slices of dead stewards decided again: half within {half:.2} s, 99 % within {of_99:.2} s (a lease is {} s)\n",
-            told.taken_up, told.span
+            "{} slices of dead stewards decided again: half within {p50:.2} s, 99 % within {p99:.2} s (a lease is {} s)\n",
+            report.recoveries, report.lease_duration
         );
     }
-    out += &format!("{} of {} runs broke a rule\n", told.failed, told.runs);
-    if let Some(first) = &told.first {
+    out += &format!("{} of {} runs broke a rule\n", report.failed_runs, report.runs);
+    if let Some(first) = &report.first_failure {
         out += &format!("seed {}:\n", first.seed);
         for breach in &first.breaches {
             out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.description);
--- a/crates/railhub-cli/src/chaos_view.rs
+++ b/crates/railhub-cli/src/chaos_view.rs
@@ -1,7 +1,7 @@
 //! `railhub chaos` for files that judge the view: in simulated time, or on real processes.
-use crate::chaos::ChaosArguments;
-use crate::runs::{cores, each, quantile};
-use crate::Ending;
+use crate::chaos::{ChaosArguments, SabotageArgument};
+use crate::runs::{core_count, quantile, run_seeds};
+use crate::CommandError;
 use railhub_chaos::breach::Breach;
 use railhub_chaos::cluster_harness::{play, temporary_folder, HarnessPlan};
 use railhub_chaos::shrink::minimal_faults;
@@ -17,7 +17,7 @@
 
 /// A run that broke a rule.
 #[derive(Clone, Serialize)]
-struct Failed {
+struct FailedRun {
     seed: u64,
     breaches: Vec<Breach>,
     faults: Vec<Fault>,
@@ -25,89 +25,103 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     folder: Option<PathBuf>,
     /// The same faults in simulated time: whether that breaks the same rule, and with how few of them.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    simulated: Option<Vec<Fault>>,
+    #[serde(rename = "simulated", skip_serializing_if = "Option::is_none")]
+    simulated_faults: Option<Vec<Fault>>,
 }
 
 #[derive(Serialize)]
-struct Told {
-    chaos: String,
-    how: &'static str,
+struct ViewReport {
+    #[serde(rename = "chaos")]
+    name: String,
+    #[serde(rename = "how")]
+    mode: &'static str,
     first_seed: u64,
     runs: u64,
-    failed: u64,
-    seeds_failed: Vec<u64>,
-    first: Option<Failed>,
+    #[serde(rename = "failed")]
+    failed_runs: u64,
+    #[serde(rename = "seeds_failed")]
+    failed_seeds: Vec<u64>,
+    #[serde(rename = "first")]
+    first_failure: Option<FailedRun>,
     /// Seconds from the last fault to all views true: half of the runs, 99 of 100.
-    settled_half: Option<f64>,
-    settled_99: Option<f64>,
+    #[serde(rename = "settled_half")]
+    settling_p50: Option<f64>,
+    #[serde(rename = "settled_99")]
+    settling_p99: Option<f64>,
     /// Seconds from a death that was followed by no new start to each that shows it.
-    deaths_shown: usize,
-    known_half: Option<f64>,
-    known_99: Option<f64>,
+    #[serde(rename = "deaths_shown")]
+    detections: usize,
+    #[serde(rename = "known_half")]
+    detection_p50: Option<f64>,
+    #[serde(rename = "known_99")]
+    detection_p99: Option<f64>,
     /// Words of death about the living, whatever went on, an hour of a run.
-    slanders_an_hour: f64,
+    #[serde(rename = "slanders_an_hour")]
+    false_deaths_per_hour: f64,
     /// A steward and second.
     datagrams: f64,
     bytes: f64,
     /// Share of a core a steward, on real processes.
-    processor: Option<f64>,
+    #[serde(rename = "processor")]
+    cpu_cores: Option<f64>,
 }
 
-pub fn run(chaos: &ChaosConfig, arguments: &ChaosArguments) -> Result<(), Ending> {
-    let without = arguments.sabotage.map(|broken| broken.without());
-    if without == Some(None) {
-        return Err(Ending::Input("that sabotage is of leases; this file judges views".into()));
+pub fn run(chaos: &ChaosConfig, arguments: &ChaosArguments) -> Result<(), CommandError> {
+    let disabled_safeguard = arguments.sabotage.map(SabotageArgument::disabled_safeguard);
+    if disabled_safeguard == Some(None) {
+        return Err(CommandError::Input("that sabotage is of leases; this file judges views".into()));
     }
-    let heartbeats = arguments.baseline;
-    if heartbeats && arguments.loopback {
-        return Err(Ending::Input("--baseline is played in simulated time".into()));
+    let uses_heartbeats = arguments.baseline;
+    if uses_heartbeats && arguments.loopback {
+        return Err(CommandError::Input("--baseline is played in simulated time".into()));
     }
-    let how = RunOptions { without: without.flatten(), forget_after: 0.0, uses_heartbeats: heartbeats };
-    let at_once = if arguments.loopback { arguments.at_once as usize } else { cores() };
-    let show = arguments.runs == 1 && !chaos.listed_faults.is_empty() && !arguments.json;
-    let all = each(arguments.seed, arguments.runs, at_once, |seed| one(chaos, seed, how, arguments, show));
+    let options = RunOptions { without: disabled_safeguard.flatten(), forget_after: 0.0, uses_heartbeats };
+    let threads = if arguments.loopback { arguments.at_once as usize } else { core_count() };
+    let prints_timeline = arguments.runs == 1 && !chaos.listed_faults.is_empty() && !arguments.json;
+    let all = run_seeds(arguments.seed, arguments.runs, threads, |seed| {
+        run_seed(chaos, seed, options, arguments, prints_timeline)
+    });
     let mut runs = Vec::new();
     for (seed, run) in all {
-        runs.push(run.map_err(|what| Ending::Input(format!("seed {seed}: {what}")))?);
+        runs.push(run.map_err(|error| CommandError::Input(format!("seed {seed}: {error}")))?);
     }
-    let told = sum_up(chaos, arguments, &runs);
+    let report = summarize(chaos, arguments, &runs);
     if arguments.json {
-        println!("{}", serde_json::to_string(&told)?);
+        println!("{}", serde_json::to_string(&report)?);
     } else {
-        print!("{}", words(&told));
+        print!("{}", report_text(&report));
     }
-    if told.failed == 0 {
+    if report.failed_runs == 0 {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
 
-struct Ran {
+struct RunResult {
     length: f64,
     figures: ViewFigures,
-    failed: Option<Failed>,
+    failed: Option<FailedRun>,
 }
 
-fn one(
+fn run_seed(
     chaos: &ChaosConfig,
     seed: u64,
-    how: RunOptions,
+    options: RunOptions,
     arguments: &ChaosArguments,
-    show: bool,
-) -> Result<Ran, String> {
+    prints_timeline: bool,
+) -> Result<RunResult, String> {
     let faults = chaos.faults(seed);
     let (events, folder) = match arguments.loopback {
-        false => (simulate(chaos, seed, &faults, how), None),
+        false => (simulate(chaos, seed, &faults, options), None),
         true => {
             let folder = arguments.keep.as_ref().map(|keep| keep.join(format!("seed-{seed}")));
             let folder = folder.unwrap_or_else(|| temporary_folder(seed));
-            (on_loopback(chaos, seed, &faults, how, &folder)?, Some(folder))
+            (play_on_loopback(chaos, seed, &faults, options, &folder)?, Some(folder))
         }
     };
-    if show {
-        print!("{}", story(&events));
+    if prints_timeline {
+        print!("{}", timeline(&events));
     }
     let breaches = judge(&events);
     let length = events.iter().map(ViewObservation::at).fold(0.0, f64::max);
@@ -120,20 +134,20 @@
         let rule = breaches[0].rule;
         // What was played on real processes is played again at the times at which it came.
         let played = if arguments.loopback { observed_faults(&events, &faults) } else { faults.clone() };
-        let simulated = shrink(chaos, seed, &played, how, rule);
-        Failed { seed, breaches, faults, folder: folder.clone(), simulated }
+        let simulated_faults = shrink(chaos, seed, &played, options, rule);
+        FailedRun { seed, breaches, faults, folder: folder.clone(), simulated_faults }
     });
     if let Some(folder) = folder.filter(|_| arguments.keep.is_none() && failed.is_none()) {
         let _ = std::fs::remove_dir_all(folder);
     }
-    Ok(Ran { length, figures, failed })
+    Ok(RunResult { length, figures, failed })
 }
 
-fn on_loopback(
+fn play_on_loopback(
     chaos: &ChaosConfig,
     seed: u64,
     faults: &[Fault],
-    how: RunOptions,
+    options: RunOptions,
     folder: &std::path::Path,
 ) -> Result<Vec<ViewObservation>, String> {
     let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
@@ -141,7 +155,7 @@
         config: chaos,
         seed,
         faults,
-        options: how,
+        options,
         binary: &binary,
         folder,
         seed_controllers: (0..SEED_MEMBERS).collect(),
@@ -154,75 +168,74 @@
     chaos: &ChaosConfig,
     seed: u64,
     faults: &[Fault],
-    how: RunOptions,
+    options: RunOptions,
     rule: &str,
 ) -> Option<Vec<Fault>> {
     let breaks = |faults: &[Fault]| {
-        let breaches = judge(&simulate(chaos, seed, faults, how));
+        let breaches = judge(&simulate(chaos, seed, faults, options));
         breaches.iter().any(|breach| breach.rule == rule).then_some(())
     };
     minimal_faults(faults, breaks).map(|(faults, ())| faults)
 }
 
-fn sum_up(chaos: &ChaosConfig, arguments: &ChaosArguments, runs: &[Ran]) -> Told {
-    let mut settled: Vec<f64> = runs.iter().filter_map(|run| run.figures.settling_time).collect();
-    let mut known: Vec<f64> = runs.iter().flat_map(|run| run.figures.detection_times.clone()).collect();
-    settled.sort_by(f64::total_cmp);
-    known.sort_by(f64::total_cmp);
+fn summarize(chaos: &ChaosConfig, arguments: &ChaosArguments, runs: &[RunResult]) -> ViewReport {
+    let mut settling_times: Vec<f64> = runs.iter().filter_map(|run| run.figures.settling_time).collect();
+    let mut detection_times: Vec<f64> =
+        runs.iter().flat_map(|run| run.figures.detection_times.clone()).collect();
+    settling_times.sort_by(f64::total_cmp);
+    detection_times.sort_by(f64::total_cmp);
     let count = runs.len().max(1) as f64;
     let hours = runs.iter().map(|run| run.length).sum::<f64>() / 3600.0;
-    let slanders: u64 = runs.iter().map(|run| run.figures.false_deaths).sum();
-    let failed: Vec<&Failed> = runs.iter().filter_map(|run| run.failed.as_ref()).collect();
-    Told {
-        chaos: chaos.name.clone(),
-        how: if arguments.loopback { "loopback" } else { "simulated" },
+    let false_deaths: u64 = runs.iter().map(|run| run.figures.false_deaths).sum();
+    let failed: Vec<&FailedRun> = runs.iter().filter_map(|run| run.failed.as_ref()).collect();
+    ViewReport {
+        name: chaos.name.clone(),
+        mode: if arguments.loopback { "loopback" } else { "simulated" },
         first_seed: arguments.seed,
         runs: arguments.runs,
-        failed: failed.len() as u64,
-        seeds_failed: failed.iter().map(|failed| failed.seed).collect(),
-        first: failed.first().map(|first| (*first).clone()),
-        settled_half: quantile(&settled, 0.5),
-        settled_99: quantile(&settled, 0.99),
-        deaths_shown: known.len(),
-        known_half: quantile(&known, 0.5),
-        known_99: quantile(&known, 0.99),
-        slanders_an_hour: slanders as f64 / hours.max(1e-9),
+        failed_runs: failed.len() as u64,
+        failed_seeds: failed.iter().map(|failed| failed.seed).collect(),
+        first_failure: failed.first().map(|first| (*first).clone()),
+        settling_p50: quantile(&settling_times, 0.5),
+        settling_p99: quantile(&settling_times, 0.99),
+        detections: detection_times.len(),
+        detection_p50: quantile(&detection_times, 0.5),
+        detection_p99: quantile(&detection_times, 0.99),
+        false_deaths_per_hour: false_deaths as f64 / hours.max(1e-9),
         datagrams: runs.iter().map(|run| run.figures.datagrams).sum::<f64>() / count,
         bytes: runs.iter().map(|run| run.figures.bytes).sum::<f64>() / count,
-        processor: arguments
+        cpu_cores: arguments
             .loopback
             .then(|| runs.iter().filter_map(|run| run.figures.processor_fraction).sum::<f64>() / count),
     }
 }
 
-fn words(told: &Told) -> String {
-    let last = told.first_seed + told.runs - 1;
-    let mut out = format!("{}, {}, seeds {} to {last}\n", told.chaos, told.how, told.first_seed);
-    if let (Some(half), Some(of_99)) = (told.settled_half, told.settled_99) {
-        out += &format!(
-            "all views true after the last fault: half within {half:.2} s, 99 % within {of_99:.2} s\n"
-        );
-    }
-    if let (Some(half), Some(of_99)) = (told.known_half, told.known_99) {
-        let count = told.deaths_shown;
+fn report_text(report: &ViewReport) -> String {
+    let last = report.first_seed + report.runs - 1;
+    let mut out = format!("{}, {}, seeds {} to {last}\n", report.name, report.mode, report.first_seed);
+    if let (Some(p50), Some(p99)) = (report.settling_p50, report.settling_p99) {
         out +=
-            &format!("a death is shown ({count} times): half within {half:.2} s, 99 % within {of_99:.2} s\n");
+            &format!("all views true after the last fault: half within {p50:.2} s, 99 % within {p99:.2} s\n");
+    }
+    if let (Some(p50), Some(p99)) = (report.detection_p50, report.detection_p99) {
+        let count = report.detections;
+        out += &format!("a death is shown ({count} times): half within {p50:.2} s, 99 % within {p99:.2} s\n");
     }
     out += &format!(
         "{:.1} words of death about the living an hour; {:.1} datagrams and {:.0} bytes a steward and second\n",
-        told.slanders_an_hour, told.datagrams, told.bytes
+        report.false_deaths_per_hour, report.datagrams, report.bytes
     );
-    if let Some(processor) = told.processor {
-        out += &format!("{:.2} % of a core a steward\n", processor * 100.0);
+    if let Some(cores) = report.cpu_cores {
+        out += &format!("{:.2} % of a core a steward\n", cores * 100.0);
     }
-    out += &format!("{} of {} runs broke a rule\n", told.failed, told.runs);
-    let Some(first) = &told.first else { return out };
+    out += &format!("{} of {} runs broke a rule\n", report.failed_runs, report.runs);
+    let Some(first) = &report.first_failure else { return out };
     out += &format!("seed {}:\n", first.seed);
     for breach in &first.breaches {
         out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.description);
     }
-    let faults = first.simulated.as_ref().unwrap_or(&first.faults);
-    out += match (&first.folder, &first.simulated) {
+    let faults = first.simulated_faults.as_ref().unwrap_or(&first.faults);
+    out += match (&first.folder, &first.simulated_faults) {
         (Some(_), Some(_)) => "in simulated time it breaks the same rule with no more than:\n",
         (Some(_), None) => "in simulated time the same faults break no such rule:\n",
         _ => "with no more than:\n",
@@ -237,9 +250,9 @@
 }
 
 /// What happened and what each steward's view became, line by line.
-fn story(events: &[ViewObservation]) -> String {
+fn timeline(events: &[ViewObservation]) -> String {
     let mut out = String::new();
-    let mut shown = std::collections::BTreeMap::new();
+    let mut last_views = std::collections::BTreeMap::new();
     for event in events {
         let at = event.at();
         match event {
@@ -255,11 +268,11 @@
             ViewObservation::View { node, controller, alive, superseded, .. } => {
                 let ids: Vec<u16> = alive.iter().map(|(id, _)| *id).collect();
                 let view = (ids, *superseded);
-                if shown.get(node) != Some(&view) {
+                if last_views.get(node) != Some(&view) {
                     let part = if *superseded { ", and takes no part" } else { "" };
                     out +=
                         &format!("{at:>7.2} s      steward {controller} holds {:?} to live{part}\n", view.0);
-                    shown.insert(*node, view);
+                    last_views.insert(*node, view);
                 }
             }
             _ => {}
--- a/crates/railhub-cli/src/compare.rs
+++ b/crates/railhub-cli/src/compare.rs
@@ -1,6 +1,6 @@
 //! `railhub compare`: does a setting or a version help or hurt?
 use crate::model::read_physics;
-use crate::Ending;
+use crate::CommandError;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use railhub_experiment::report::{runs_csv, words};
@@ -31,24 +31,24 @@
     physics: Option<PathBuf>,
 }
 
-pub fn run(arguments: &CompareArguments) -> Result<(), Ending> {
+pub fn run(arguments: &CompareArguments) -> Result<(), CommandError> {
     let mut experiment = Experiment::open(&arguments.file)?;
     let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
-    let is_seen = std::io::stderr().is_terminal();
-    let building = |done, of| {
-        if is_seen {
-            eprint!("\rversion {} of {of} is built", done + 1);
+    let is_terminal = std::io::stderr().is_terminal();
+    let show_build = |done, total| {
+        if is_terminal {
+            eprint!("\rversion {} of {total} is built", done + 1);
         }
     };
-    experiment.build(&building).map_err(Ending::Input)?;
-    let bar = match is_seen {
+    experiment.build(&show_build).map_err(CommandError::Input)?;
+    let progress_bar = match is_terminal {
         true => ProgressBar::new((experiment.blocks_most * experiment.arms.len()) as u64),
         false => ProgressBar::hidden(),
     };
     let style = ProgressStyle::with_template("{bar:40} {pos} of at most {len} runs, {eta} left");
-    let bar = bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let show = |progress: Progress| match progress {
-        Progress::Runs { done } => bar.set_position(done as u64),
+    let progress_bar = progress_bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
+    let show_progress = |progress: Progress| match progress {
+        Progress::Runs { done } => progress_bar.set_position(done as u64),
         Progress::Stage(outcome) => {
             let kept = arguments.keep.as_deref().map(|folder| folder::keep_stage(folder, outcome));
             if let Some(Err(error)) = kept {
@@ -56,17 +56,17 @@
             }
         }
     };
-    let outcome = compare(&experiment, physics, &show).map_err(Ending::Input)?;
-    bar.finish_and_clear();
-    let unkept = |e| Ending::Input(format!("the report: {e}"));
+    let outcome = compare(&experiment, physics, &show_progress).map_err(CommandError::Input)?;
+    progress_bar.finish_and_clear();
+    let report_error = |e| CommandError::Input(format!("the report: {e}"));
     if let Some(folder) = &arguments.keep {
-        folder::keep(folder, &outcome).map_err(unkept)?;
+        folder::keep(folder, &outcome).map_err(report_error)?;
     }
     if let Some(path) = &arguments.csv {
         std::fs::write(path, runs_csv(&outcome))?;
     }
     if let Some(path) = &arguments.page {
-        std::fs::write(path, page::page(&outcome).map_err(unkept)?)?;
+        std::fs::write(path, page::page(&outcome).map_err(report_error)?)?;
     }
     if arguments.json {
         println!("{}", serde_json::to_string(&outcome)?);
--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -1,5 +1,5 @@
 //! `railhub controller` and `railhub conf check`.
-use crate::Ending;
+use crate::CommandError;
 use clap::Args;
 use railhub_controller::{Installation, Running};
 use railhub_ini::Document;
@@ -54,11 +54,11 @@
 ///
 /// # Errors
 /// The settings or the platform's file cannot be read or are invalid, or an address cannot be opened.
-pub fn run(arguments: &ControllerArguments, signals: Option<Signals>) -> Result<(), Ending> {
+pub fn run(arguments: &ControllerArguments, signals: Option<Signals>) -> Result<(), CommandError> {
     if let Some(signals) = signals {
         return run_on_platform(signals);
     }
-    let Some(conf) = &arguments.conf else { return Err(Ending::Input("--conf names no file".into())) };
+    let Some(conf) = &arguments.conf else { return Err(CommandError::Input("--conf names no file".into())) };
     let mut running = Running::start(Installation::open(conf)?)?;
     let (fleet, process) = (running.membership_address(), running.membership_process());
     let stop_requested = Arc::new(AtomicBool::new(false));
@@ -88,9 +88,9 @@
     }
 }
 
-fn run_on_platform(signals: Signals) -> Result<(), Ending> {
+fn run_on_platform(signals: Signals) -> Result<(), CommandError> {
     let file = std::env::var_os(PLATFORM_FILE).map(PathBuf::from);
-    let file = file.ok_or_else(|| Ending::Input(format!("{PLATFORM_FILE} names no file")))?;
+    let file = file.ok_or_else(|| CommandError::Input(format!("{PLATFORM_FILE} names no file")))?;
     Ok(railhub_platform_net::run(&file, signals)?)
 }
 
@@ -100,7 +100,7 @@
 }
 
 /// Logs the figures of the membership, if the controller is in one.
-fn log_membership_figures(running: &Running) -> Result<(), Ending> {
+fn log_membership_figures(running: &Running) -> Result<(), CommandError> {
     let Some(figures) = running.membership_figures() else { return Ok(()) };
     tracing::info!(
         alive = figures.alive,
@@ -133,7 +133,7 @@
 }
 
 /// A file with a [day] section is a scenario, any other a controller's settings.
-pub fn check(file: &Path) -> Result<(), Ending> {
+pub fn check(file: &Path) -> Result<(), CommandError> {
     let document = Document::open(file)?;
     if document.section("day").exists() {
         Scenario::read(&document)?;
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -1,7 +1,7 @@
 //! `railhub fleet view|watch`: each steward's view of the fleet, side by side. Who looks is an observer: it bears nothing
 //! and is never counted.
-use crate::fleet_shares::{Drain, Slices};
-use crate::Ending;
+use crate::fleet_shares::{DrainArguments, SlicesArguments};
+use crate::CommandError;
 use clap::{Args, Subcommand};
 use railhub_controller::membership::MembershipSettings;
 use railhub_ini::Document;
@@ -16,31 +16,31 @@
 use std::time::{Duration, Instant};
 
 /// How long one steward is waited for, and between two tries.
-const PATIENCE: Duration = Duration::from_millis(1500);
-const AGAIN_AFTER: Duration = Duration::from_millis(300);
+const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(1500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 /// Stewards that are asked at the most.
-const ASKED_MOST: usize = 64;
+const MAX_CONTROLLERS_ASKED: usize = 64;
 
 #[derive(Args)]
 pub struct FleetArguments {
     #[command(subcommand)]
-    what: FleetCommand,
+    command: FleetCommand,
 }
 
 #[derive(Subcommand)]
 enum FleetCommand {
     /// What each steward holds of all, differences marked. Exit 3: views differ, or nobody answers.
-    View(Look),
+    View(ViewArguments),
     /// The same, again and again.
-    Watch(Look),
+    Watch(ViewArguments),
     /// Who has which slices under which epochs, as the store has it.
-    Slices(Slices),
+    Slices(SlicesArguments),
     /// Tells a steward to hand its slices over, and waits until it has. Exit 3: it has not in time.
-    Drain(Drain),
+    Drain(DrainArguments),
 }
 
 #[derive(Args)]
-struct Look {
+struct ViewArguments {
     /// A steward's settings: its [fleet] section says whom to ask.
     #[arg(long)]
     conf: PathBuf,
@@ -59,137 +59,169 @@
 }
 
 #[derive(Serialize)]
-pub struct ToldLine {
-    pub steward: u16,
+pub struct MemberRow {
+    #[serde(rename = "steward")]
+    pub controller: u16,
     pub process: u64,
-    count: u64,
-    standing: Status,
-    stands_for: f64,
+    #[serde(rename = "count")]
+    incarnation_count: u64,
+    #[serde(rename = "standing")]
+    status: Status,
+    #[serde(rename = "stands_for")]
+    status_age: f64,
     /// Seconds since its own word came, if any did.
-    heard_ago: Option<f64>,
+    #[serde(rename = "heard_ago")]
+    last_seen_ago: Option<f64>,
     pub address: Option<SocketAddr>,
-    program: String,
-    protocol: u32,
-    settings: String,
-    pub drains: bool,
-    pub no_store: bool,
-    withdrawn: bool,
+    #[serde(rename = "program")]
+    program_version: String,
+    #[serde(rename = "protocol")]
+    protocol_version: u32,
+    #[serde(rename = "settings")]
+    settings_digest: String,
+    #[serde(rename = "drains")]
+    pub draining: bool,
+    #[serde(rename = "no_store")]
+    pub store_unreachable: bool,
+    #[serde(rename = "withdrawn")]
+    ejected: bool,
     pub slices: u32,
     proxies: u32,
-    busy: f32,
+    #[serde(rename = "busy")]
+    cpu_cores: f32,
 }
 
 #[derive(Serialize)]
-pub struct ToldView {
+pub struct ControllerView {
     pub viewer: u16,
     pub process: u64,
     /// It takes no part: another process of its name does.
-    yielded: bool,
+    #[serde(rename = "yielded")]
+    superseded: bool,
     /// Datagrams that it dropped.
     dropped: u64,
-    pub lines: Vec<ToldLine>,
+    #[serde(rename = "lines")]
+    pub members: Vec<MemberRow>,
 }
 
 #[derive(Serialize)]
-pub struct Told {
+pub struct FleetReport {
     installation: String,
     /// All that answer hold the same processes to live.
-    agree: bool,
-    pub views: Vec<ToldView>,
+    #[serde(rename = "agree")]
+    views_agree: bool,
+    pub views: Vec<ControllerView>,
     /// Held to live by somebody, and silent to us.
-    silent: Vec<SocketAddr>,
+    #[serde(rename = "silent")]
+    unanswered: Vec<SocketAddr>,
 }
 
-pub fn run(arguments: &FleetArguments) -> Result<(), Ending> {
-    let (look, mut left) = match &arguments.what {
-        FleetCommand::Slices(slices) => return crate::fleet_shares::slices(slices),
-        FleetCommand::Drain(drain) => return crate::fleet_shares::drain(drain),
-        FleetCommand::View(look) => (look, 1),
-        FleetCommand::Watch(look) => (look, if look.times == 0 { u64::MAX } else { look.times }),
+pub fn run(arguments: &FleetArguments) -> Result<(), CommandError> {
+    let (arguments, mut remaining) = match &arguments.command {
+        FleetCommand::Slices(arguments) => return crate::fleet_shares::slices(arguments),
+        FleetCommand::Drain(arguments) => return crate::fleet_shares::drain(arguments),
+        FleetCommand::View(arguments) => (arguments, 1),
+        FleetCommand::Watch(arguments) => {
+            (arguments, if arguments.times == 0 { u64::MAX } else { arguments.times })
+        }
     };
-    let document = Document::open(&look.conf)?;
-    let terms = MembershipSettings::read(&document)?;
-    let terms = terms.ok_or_else(|| Ending::Input(format!("{}: no [fleet] section", look.conf.display())))?;
+    let document = Document::open(&arguments.conf)?;
+    let settings = MembershipSettings::read(&document)?;
+    let settings = settings
+        .ok_or_else(|| CommandError::Input(format!("{}: no [fleet] section", arguments.conf.display())))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     loop {
-        let told = look_at_all(&socket, &terms, &look.at);
-        if look.json {
-            println!("{}", serde_json::to_string(&told)?);
+        let report = query_fleet(&socket, &settings, &arguments.at);
+        if arguments.json {
+            println!("{}", serde_json::to_string(&report)?);
         } else {
-            print!("{}", words(&told));
+            print!("{}", report_text(&report));
         }
-        left -= 1;
-        if left == 0 {
-            return if told.agree { Ok(()) } else { Err(Ending::Check) };
+        remaining -= 1;
+        if remaining == 0 {
+            return if report.views_agree { Ok(()) } else { Err(CommandError::CheckFailed) };
         }
-        std::thread::sleep(Duration::from_secs_f64(look.every.clamp(0.05, 3600.0)));
+        std::thread::sleep(Duration::from_secs_f64(arguments.every.clamp(0.05, 3600.0)));
     }
 }
 
 /// Asks the addresses of the file, then whoever the answers hold to live.
-pub fn look_at_all(socket: &UdpSocket, terms: &MembershipSettings, first: &[SocketAddr]) -> Told {
-    let own = terms.advertise.or((terms.listen.port() != 0).then_some(terms.listen));
-    let mut to_ask: Vec<SocketAddr> = first.iter().copied().chain(own).chain(terms.join.clone()).collect();
+pub fn query_fleet(
+    socket: &UdpSocket,
+    settings: &MembershipSettings,
+    extra_addresses: &[SocketAddr],
+) -> FleetReport {
+    let own = settings.advertise.or((settings.listen.port() != 0).then_some(settings.listen));
+    let mut to_ask: Vec<SocketAddr> =
+        extra_addresses.iter().copied().chain(own).chain(settings.join.clone()).collect();
     let mut asked = BTreeSet::new();
-    let (mut views, mut silent) = (BTreeMap::new(), Vec::new());
-    let mut named = BTreeSet::new();
+    let (mut views, mut unanswered) = (BTreeMap::new(), Vec::new());
+    let mut live_addresses = BTreeSet::new();
     while let Some(address) = to_ask.pop() {
-        if asked.len() >= ASKED_MOST || !asked.insert(address) {
+        if asked.len() >= MAX_CONTROLLERS_ASKED || !asked.insert(address) {
             continue;
         }
-        match ask(socket, &terms.installation, address) {
+        match query_view(socket, &settings.installation, address) {
             Some(view) => {
-                let lives = view.entries.iter().filter(|line| line.member.status.is_live());
-                let found: Vec<SocketAddr> = lives.filter_map(|line| line.member.metadata.address).collect();
-                named.extend(found.iter().copied());
+                let live = view.entries.iter().filter(|entry| entry.member.status.is_live());
+                let found: Vec<SocketAddr> = live.filter_map(|entry| entry.member.metadata.address).collect();
+                live_addresses.extend(found.iter().copied());
                 to_ask.extend(found);
                 views.insert((view.viewer, view.process), view);
             }
-            None => silent.push(address),
+            None => unanswered.push(address),
         }
     }
-    silent.retain(|address| named.contains(address));
+    unanswered.retain(|address| live_addresses.contains(address));
     let views: Vec<View> = views.into_values().collect();
-    let living: BTreeSet<Vec<(NodeId, u64)>> = views.iter().filter(|v| !v.superseded).map(living).collect();
-    let agree = living.len() == 1 && silent.is_empty();
-    Told { installation: terms.installation.clone(), agree, views: views.iter().map(told).collect(), silent }
+    let distinct_views: BTreeSet<Vec<(NodeId, u64)>> =
+        views.iter().filter(|view| !view.superseded).map(live_members).collect();
+    let views_agree = distinct_views.len() == 1 && unanswered.is_empty();
+    FleetReport {
+        installation: settings.installation.clone(),
+        views_agree,
+        views: views.iter().map(controller_view).collect(),
+        unanswered,
+    }
 }
 
-fn living(view: &View) -> Vec<(NodeId, u64)> {
-    let lives = view.entries.iter().filter(|line| line.member.status.is_live());
-    lives.map(|line| (line.member.id, line.member.incarnation.process)).collect()
+fn live_members(view: &View) -> Vec<(NodeId, u64)> {
+    let live = view.entries.iter().filter(|entry| entry.member.status.is_live());
+    live.map(|entry| (entry.member.id, entry.member.incarnation.process)).collect()
 }
 
 /// One steward's whole view, page by page; `None`: it does not answer.
-fn ask(socket: &UdpSocket, installation: &str, address: SocketAddr) -> Option<View> {
-    let mut whole: Option<View> = None;
+fn query_view(socket: &UdpSocket, installation: &str, address: SocketAddr) -> Option<View> {
+    let mut complete: Option<View> = None;
     let mut from = NodeId(0);
     loop {
-        let page = ask_page(socket, installation, address, from)?;
+        let page = query_page(socket, installation, address, from)?;
         let next = page.next;
-        match &mut whole {
-            Some(whole) => whole.entries.extend(page.entries),
-            None => whole = Some(page),
+        match &mut complete {
+            Some(complete) => complete.entries.extend(page.entries),
+            None => complete = Some(page),
         }
         match next {
             Some(next) if next > from => from = next,
-            _ => return whole,
+            _ => return complete,
         }
     }
 }
 
-fn ask_page(socket: &UdpSocket, installation: &str, address: SocketAddr, from: NodeId) -> Option<View> {
+fn query_page(socket: &UdpSocket, installation: &str, address: SocketAddr, from: NodeId) -> Option<View> {
     let nonce = u64::from(address.port()) << 32 | u64::from(from.0) << 8 | 1;
-    let question = encode(installation, &Packet::ViewRequest { nonce, from });
-    let until = Instant::now() + PATIENCE;
-    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-    while Instant::now() < until {
-        let _ = socket.send_to(&question, address);
-        let again = (Instant::now() + AGAIN_AFTER).min(until);
-        while let Some(left) = again.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
-            socket.set_read_timeout(Some(left)).ok()?;
-            let Ok((length, _)) = socket.recv_from(&mut bytes) else { continue };
-            if let Ok(Packet::View(view)) = decode(installation, &bytes[..length]) {
+    let request = encode(installation, &Packet::ViewRequest { nonce, from });
+    let deadline = Instant::now() + CONTROLLER_TIMEOUT;
+    let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
+    while Instant::now() < deadline {
+        let _ = socket.send_to(&request, address);
+        let resend_at = (Instant::now() + RESEND_INTERVAL).min(deadline);
+        while let Some(remaining) =
+            resend_at.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())
+        {
+            socket.set_read_timeout(Some(remaining)).ok()?;
+            let Ok((length, _)) = socket.recv_from(&mut datagram) else { continue };
+            if let Ok(Packet::View(view)) = decode(installation, &datagram[..length]) {
                 if view.nonce == nonce {
                     return Some(*view);
                 }
@@ -199,94 +231,100 @@
     None
 }
 
-fn told(view: &View) -> ToldView {
+fn controller_view(view: &View) -> ControllerView {
     let (viewer, process) = (view.viewer.0, view.process);
-    let lines = view.entries.iter().map(told_line).collect();
-    ToldView { viewer, process, yielded: view.superseded, dropped: view.dropped, lines }
+    let members = view.entries.iter().map(member_row).collect();
+    ControllerView { viewer, process, superseded: view.superseded, dropped: view.dropped, members }
 }
 
-fn told_line(shown: &ViewEntry) -> ToldLine {
-    let (entry, load) = (&shown.member, shown.load);
-    ToldLine {
-        steward: entry.id.0,
-        process: entry.incarnation.process,
-        count: entry.incarnation.count,
-        standing: entry.status,
-        stands_for: shown.status_age,
-        heard_ago: shown.last_seen_ago.is_finite().then_some(shown.last_seen_ago),
-        address: entry.metadata.address,
-        program: entry.metadata.program_version.clone(),
-        protocol: entry.metadata.protocol_version,
-        settings: format!("{:016x}", entry.metadata.settings_digest),
-        drains: entry.metadata.draining,
-        no_store: entry.metadata.store_unreachable,
-        withdrawn: shown.ejected,
+fn member_row(entry: &ViewEntry) -> MemberRow {
+    let (member, load) = (&entry.member, entry.load);
+    MemberRow {
+        controller: member.id.0,
+        process: member.incarnation.process,
+        incarnation_count: member.incarnation.count,
+        status: member.status,
+        status_age: entry.status_age,
+        last_seen_ago: entry.last_seen_ago.is_finite().then_some(entry.last_seen_ago),
+        address: member.metadata.address,
+        program_version: member.metadata.program_version.clone(),
+        protocol_version: member.metadata.protocol_version,
+        settings_digest: format!("{:016x}", member.metadata.settings_digest),
+        draining: member.metadata.draining,
+        store_unreachable: member.metadata.store_unreachable,
+        ejected: entry.ejected,
         slices: load.slices,
         proxies: load.proxies,
-        busy: load.cpu_cores,
+        cpu_cores: load.cpu_cores,
     }
 }
 
 /// A row a steward, a column a viewer; a star marks rows on which the viewers differ.
-fn words(told: &Told) -> String {
+fn report_text(report: &FleetReport) -> String {
     let ids: BTreeSet<u16> =
-        told.views.iter().flat_map(|view| view.lines.iter().map(|l| l.steward)).collect();
-    let mut out = format!("{}: {} stewards answer, ", told.installation, told.views.len());
-    out += if told.agree { "all views agree\n" } else { "VIEWS DIFFER\n" };
+        report.views.iter().flat_map(|view| view.members.iter().map(|member| member.controller)).collect();
+    let mut out = format!("{}: {} stewards answer, ", report.installation, report.views.len());
+    out += if report.views_agree { "all views agree\n" } else { "VIEWS DIFFER\n" };
     out += &format!(
         "{:>10}  {:<16} {:<8} {:>6} {:>7} {:>5}",
         "steward", "settings", "program", "slices", "proxies", "busy"
     );
-    for view in &told.views {
-        let mark = if view.yielded { " (out)" } else { "" };
+    for view in &report.views {
+        let mark = if view.superseded { " (out)" } else { "" };
         out += &format!("  {:<16}", format!("says {}{mark}", view.viewer));
     }
     out.push('\n');
     for id in ids {
-        let of = |view: &ToldView| view.lines.iter().find(|line| line.steward == id).map(cell);
+        let status_in = |view: &ControllerView| {
+            view.members.iter().find(|member| member.controller == id).map(status_text)
+        };
         let cells: Vec<String> =
-            told.views.iter().map(|view| of(view).unwrap_or_else(|| "-".into())).collect();
-        let same: BTreeSet<String> = told
+            report.views.iter().map(|view| status_in(view).unwrap_or_else(|| "-".into())).collect();
+        let distinct: BTreeSet<String> = report
             .views
             .iter()
-            .filter(|view| !view.yielded)
+            .filter(|view| !view.superseded)
             .map(|view| {
-                let line = view.lines.iter().find(|line| line.steward == id);
-                line.filter(|line| line.standing.is_live())
-                    .map_or("-".into(), |line| line.process.to_string())
+                let member = view.members.iter().find(|member| member.controller == id);
+                member
+                    .filter(|member| member.status.is_live())
+                    .map_or("-".into(), |member| member.process.to_string())
             })
             .collect();
-        let own = told.views.iter().find(|view| view.viewer == id && !view.yielded);
-        let best =
-            own.into_iter().chain(&told.views).flat_map(|view| &view.lines).find(|line| line.steward == id);
-        let star = if same.len() > 1 { "*" } else { " " };
-        out += &format!("{star:>4}{id:>6}  ");
-        if let Some(line) = best {
-            let (program, busy) = (&line.program, line.busy);
+        let own = report.views.iter().find(|view| view.viewer == id && !view.superseded);
+        let row = own
+            .into_iter()
+            .chain(&report.views)
+            .flat_map(|view| &view.members)
+            .find(|member| member.controller == id);
+        let mark = if distinct.len() > 1 { "*" } else { " " };
+        out += &format!("{mark:>4}{id:>6}  ");
+        if let Some(member) = row {
+            let (program, cores) = (&member.program_version, member.cpu_cores);
             out += &format!(
-                "{:<16} {program:<8} {:>6} {:>7} {busy:>5.2}",
-                line.settings, line.slices, line.proxies
+                "{:<16} {program:<8} {:>6} {:>7} {cores:>5.2}",
+                member.settings_digest, member.slices, member.proxies
             );
         }
         cells.iter().for_each(|cell| out += &format!("  {cell:<16}"));
         out.push('\n');
     }
-    for address in &told.silent {
+    for address in &report.unanswered {
         out += &format!("{address} is held to live by somebody and does not answer us\n");
     }
     out
 }
 
-fn cell(line: &ToldLine) -> String {
-    let standing = match line.standing {
-        Status::Alive if line.withdrawn => "slow",
-        Status::Alive if line.no_store => "no store",
-        Status::Alive if line.drains => "drains",
+fn status_text(member: &MemberRow) -> String {
+    let status = match member.status {
+        Status::Alive if member.ejected => "slow",
+        Status::Alive if member.store_unreachable => "no store",
+        Status::Alive if member.draining => "drains",
         Status::Alive => "alive",
         Status::Suspect => "suspect",
         Status::Left => "left",
         Status::Dead => "dead",
         Status::Forgotten => "forgotten",
     };
-    format!("{standing} {:.0} s", line.stands_for)
+    format!("{status} {:.0} s", member.status_age)
 }
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -1,6 +1,6 @@
 //! `railhub fleet slices|drain`: who has which slices, and handing a steward's over.
-use crate::fleet::{look_at_all, Told, ToldLine};
-use crate::Ending;
+use crate::fleet::{query_fleet, FleetReport, MemberRow};
+use crate::CommandError;
 use clap::Args;
 use railhub_controller::membership::MembershipSettings;
 use railhub_controller::Installation;
@@ -16,11 +16,11 @@
 use std::time::{Duration, Instant};
 
 /// How long the store is waited for, and between two looks at a steward that hands over.
-const STORE_WITHIN: Duration = Duration::from_secs(2);
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Args)]
-pub struct Slices {
+pub struct SlicesArguments {
     /// A steward's settings: they name the store.
     #[arg(long)]
     conf: PathBuf,
@@ -30,9 +30,10 @@
 }
 
 #[derive(Args)]
-pub struct Drain {
+pub struct DrainArguments {
     /// The steward's id.
-    steward: u16,
+    #[arg(value_name = "STEWARD")]
+    controller: u16,
     /// A steward's settings: its [fleet] section says whom to ask.
     #[arg(long)]
     conf: PathBuf,
@@ -46,97 +47,109 @@
 
 /// One slice as the store tells of it.
 #[derive(Serialize, Deserialize)]
-struct Held {
+struct SliceLease {
     slice: u32,
     epoch: u64,
     process: Option<u64>,
-    left: f64,
+    #[serde(rename = "left")]
+    seconds_left: f64,
 }
 
-pub fn slices(arguments: &Slices) -> Result<(), Ending> {
+pub fn slices(arguments: &SlicesArguments) -> Result<(), CommandError> {
     let document = Document::open(&arguments.conf)?;
     let installation = Installation::read(&document)?;
     let store = installation.store.filter(|_| installation.shares());
-    let store = store.ok_or_else(|| Ending::Input("these stewards share no slices".into()))?;
-    let held = ask(store).map_err(|fault| Ending::Input(format!("the store {store}: {fault}")))?;
+    let store = store.ok_or_else(|| CommandError::Input("these stewards share no slices".into()))?;
+    let leases =
+        query_leases(store).map_err(|error| CommandError::Input(format!("the store {store}: {error}")))?;
     if arguments.json {
-        println!("{}", serde_json::to_string(&held)?);
+        println!("{}", serde_json::to_string(&leases)?);
         return Ok(());
     }
     // Whose process is whose is what the stewards know.
-    let names = match &installation.membership {
-        Some(terms) => names(&look_at_all(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, terms, &[])),
+    let controllers_by_process = match &installation.membership {
+        Some(settings) => {
+            controllers_by_process(&query_fleet(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, settings, &[]))
+        }
         None => BTreeMap::new(),
     };
-    print!("{}", words(&held, &names));
+    print!("{}", leases_text(&leases, &controllers_by_process));
     Ok(())
 }
 
-fn ask(store: SocketAddr) -> Result<Vec<Held>, HttpError> {
+fn query_leases(store: SocketAddr) -> Result<Vec<SliceLease>, HttpError> {
     railhub_net::start_runtime();
     let (sender, receiver) = channel();
     railhub_net::spawn(move || {
-        let _ = sender.send(Client::new(store, STORE_WITHIN).get_json("/leases"));
+        let _ = sender.send(Client::new(store, STORE_TIMEOUT).get_json("/leases"));
     });
     receiver.recv().unwrap_or(Err(HttpError::Closed))
 }
 
-fn names(told: &Told) -> BTreeMap<u64, u16> {
-    told.views.iter().flat_map(|view| &view.lines).map(|line| (line.process, line.steward)).collect()
+fn controllers_by_process(report: &FleetReport) -> BTreeMap<u64, u16> {
+    report
+        .views
+        .iter()
+        .flat_map(|view| &view.members)
+        .map(|member| (member.process, member.controller))
+        .collect()
 }
 
-fn words(held: &[Held], names: &BTreeMap<u64, u16>) -> String {
-    let mut by: BTreeMap<Option<u64>, Vec<&Held>> = BTreeMap::new();
-    for one in held {
-        by.entry(one.process.filter(|_| one.left > 0.0)).or_default().push(one);
+fn leases_text(leases: &[SliceLease], controllers_by_process: &BTreeMap<u64, u16>) -> String {
+    let mut leases_by_process: BTreeMap<Option<u64>, Vec<&SliceLease>> = BTreeMap::new();
+    for lease in leases {
+        leases_by_process.entry(lease.process.filter(|_| lease.seconds_left > 0.0)).or_default().push(lease);
     }
     let mut out = String::new();
-    for (process, held) in by {
-        let who = match process {
+    for (process, leases) in leases_by_process {
+        let holder = match process {
             None => "nobody".to_owned(),
-            Some(process) => match names.get(&process) {
-                Some(steward) => format!("steward {steward}, process {process}"),
+            Some(process) => match controllers_by_process.get(&process) {
+                Some(controller) => format!("steward {controller}, process {process}"),
                 None => format!("process {process}, which no steward knows"),
             },
         };
-        out += &format!("{who}: {} slices\n", held.len());
-        for one in held {
-            out += &format!("  slice {:>5}  epoch {}  {:.1} s left\n", one.slice, one.epoch, one.left);
+        out += &format!("{holder}: {} slices\n", leases.len());
+        for lease in leases {
+            out += &format!(
+                "  slice {:>5}  epoch {}  {:.1} s left\n",
+                lease.slice, lease.epoch, lease.seconds_left
+            );
         }
     }
     out
 }
 
-pub fn drain(arguments: &Drain) -> Result<(), Ending> {
+pub fn drain(arguments: &DrainArguments) -> Result<(), CommandError> {
     let document = Document::open(&arguments.conf)?;
-    let terms = MembershipSettings::read(&document)?;
-    let terms = terms.ok_or_else(|| Ending::Input("no [fleet] section".into()))?;
+    let settings = MembershipSettings::read(&document)?;
+    let settings = settings.ok_or_else(|| CommandError::Input("no [fleet] section".into()))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-    let until = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, 3600.0));
+    let deadline = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, 3600.0));
     loop {
-        let told = look_at_all(&socket, &terms, &arguments.at);
-        let line = own_line(&told, arguments.steward);
-        let Some((line, address)) = line.and_then(|line| Some((line, line.address?))) else {
-            return Err(Ending::Input(format!("steward {} does not answer", arguments.steward)));
+        let report = query_fleet(&socket, &settings, &arguments.at);
+        let member = own_row(&report, arguments.controller);
+        let Some((member, address)) = member.and_then(|member| Some((member, member.address?))) else {
+            return Err(CommandError::Input(format!("steward {} does not answer", arguments.controller)));
         };
-        if line.drains && line.slices == 0 {
-            println!("steward {} has handed over all", arguments.steward);
+        if member.draining && member.slices == 0 {
+            println!("steward {} has handed over all", arguments.controller);
             return Ok(());
         }
-        if !line.drains {
-            let word = Packet::Drain { node: NodeId(arguments.steward), process: line.process };
-            let _ = socket.send_to(&encode(&terms.installation, &word), address);
+        if !member.draining {
+            let request = Packet::Drain { node: NodeId(arguments.controller), process: member.process };
+            let _ = socket.send_to(&encode(&settings.installation, &request), address);
         }
-        if Instant::now() > until {
-            println!("steward {} still has {} slices", arguments.steward, line.slices);
-            return Err(Ending::Check);
+        if Instant::now() > deadline {
+            println!("steward {} still has {} slices", arguments.controller, member.slices);
+            return Err(CommandError::CheckFailed);
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
 /// What a steward says of itself.
-fn own_line(told: &Told, steward: u16) -> Option<&ToldLine> {
-    let own = told.views.iter().find(|view| view.viewer == steward)?;
-    own.lines.iter().find(|line| line.steward == steward && line.process == own.process)
+fn own_row(report: &FleetReport, controller: u16) -> Option<&MemberRow> {
+    let own = report.views.iter().find(|view| view.viewer == controller)?;
+    own.members.iter().find(|member| member.controller == controller && member.process == own.process)
 }
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -1,6 +1,6 @@
 //! Controllers as processes of their own, so that they can be paused and killed.
-use crate::logs::WHAT;
-use crate::LogForm;
+use crate::logs::FILTER_VARIABLE;
+use crate::LogFormat;
 use railhub_chaos::cluster_harness::{ControllerProcess, ProcessLog};
 use railhub_scenario::{Launch, LaunchError, Launched};
 use std::path::{Path, PathBuf};
@@ -9,56 +9,60 @@
 use std::sync::Arc;
 
 /// Each call starts this binary as a controller with the settings given.
-pub fn as_process(log: LogForm) -> Launch {
-    let form = match log {
-        LogForm::Text => "text",
-        LogForm::Json => "json",
-        LogForm::Off => "off",
+pub fn process_launcher(log: LogFormat) -> Launch {
+    let format = match log {
+        LogFormat::Text => "text",
+        LogFormat::Json => "json",
+        LogFormat::Off => "off",
     };
-    starting(None, move |_| {
-        let level = std::env::var(WHAT).unwrap_or_else(|_| "warn".into());
-        Ok(ProcessLog { to: Stdio::inherit(), format: form, level })
+    launcher(None, move |_| {
+        let level = std::env::var(FILTER_VARIABLE).unwrap_or_else(|_| "warn".into());
+        Ok(ProcessLog { to: Stdio::inherit(), format, level })
     })
 }
 
 /// The same with settings and logs kept in a folder.
-pub fn into_folder(folder: &Path) -> Launch {
-    starting(Some(folder.to_owned()), |conf| {
+pub fn folder_launcher(folder: &Path) -> Launch {
+    launcher(Some(folder.to_owned()), |conf| {
         let log = conf.with_extension("log");
         let file = std::fs::File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
         Ok(ProcessLog { to: file.into(), format: "text", level: "info".into() })
     })
 }
 
-fn starting(
+fn launcher(
     folder: Option<PathBuf>,
     log: impl Fn(&Path) -> Result<ProcessLog, String> + Send + Sync + 'static,
 ) -> Launch {
     let count = AtomicUsize::new(0);
     Arc::new(move |settings| {
         let number = count.fetch_add(1, Ordering::Relaxed);
-        let passing = || std::env::temp_dir().join(format!("railhub-{}-{number}.ini", std::process::id()));
-        let file =
-            folder.as_ref().map_or_else(passing, |folder| folder.join(format!("steward-{number}.ini")));
+        let temporary_file =
+            || std::env::temp_dir().join(format!("railhub-{}-{number}.ini", std::process::id()));
+        let file = folder
+            .as_ref()
+            .map_or_else(temporary_file, |folder| folder.join(format!("steward-{number}.ini")));
         std::fs::write(&file, settings).map_err(|source| LaunchError::File { path: file.clone(), source })?;
         let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
         let started = ControllerProcess::start_with_log(&binary, &file, log(&file)?);
         if folder.is_none() {
             let _ = std::fs::remove_file(&file);
         }
-        Ok(launched(started.map_err(|error| error.to_string())?))
+        Ok(launched_process(started.map_err(|error| error.to_string())?))
     })
 }
 
 /// What a scenario does with a process.
-pub fn launched(process: ControllerProcess) -> Launched {
+pub fn launched_process(process: ControllerProcess) -> Launched {
     let process = Arc::new(process);
-    let (stopping, ending) = (process.clone(), process.clone());
+    let (paused_process, killed_process) = (process.clone(), process.clone());
     Launched {
         address: process.proxy_address,
         fleet: Some(process.cluster_address).filter(|address| address.port() != 0),
         process: process.number,
-        pause: Some(Arc::new(move |stops| if stops { stopping.pause() } else { stopping.resume() })),
-        kill: Box::new(move || ending.kill()),
+        pause: Some(Arc::new(
+            move |is_paused| if is_paused { paused_process.pause() } else { paused_process.resume() },
+        )),
+        kill: Box::new(move || killed_process.kill()),
     }
 }
--- a/crates/railhub-cli/src/main.rs
+++ b/crates/railhub-cli/src/main.rs
@@ -24,14 +24,14 @@
 #[command(name = "railhub", version, about = "Publishes weights and key ranges to plain proxies")]
 struct Arguments {
     /// Logs on standard error.
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
     Off,
@@ -70,7 +70,7 @@
 #[derive(Args)]
 struct ConfArguments {
     #[command(subcommand)]
-    what: ConfCommand,
+    command: ConfCommand,
 }
 
 #[derive(Subcommand)]
@@ -80,54 +80,54 @@
 }
 
 /// Why a command fails.
-enum Ending {
+enum CommandError {
     /// One line: what is wrong with the arguments or their input.
     Input(String),
     /// A rule broke or a check failed; printed already.
-    Check,
+    CheckFailed,
 }
 
-impl<E: std::error::Error> From<E> for Ending {
-    fn from(error: E) -> Ending {
-        Ending::Input(error.to_string())
+impl<E: std::error::Error> From<E> for CommandError {
+    fn from(error: E) -> CommandError {
+        CommandError::Input(error.to_string())
     }
 }
 
 fn main() -> ExitCode {
     let signals = controller::is_for_platform().then(railhub_platform_net::Signals::take).transpose();
-    let arguments = Arguments::parse();
-    let runs = matches!(arguments.command, Command::Controller(_) | Command::Standin(_));
+    let Arguments { log, command } = Arguments::parse();
+    let is_server = matches!(command, Command::Controller(_) | Command::Standin(_));
     let signals = match signals {
         Ok(signals) => signals,
-        Err(fault) => {
-            eprintln!("railhub: signals cannot be taken: {fault}");
+        Err(error) => {
+            eprintln!("railhub: signals cannot be taken: {error}");
             return ExitCode::from(2);
         }
     };
-    let _guard = logs::start(arguments.log, if runs { "info" } else { "warn" });
+    let _guard = logs::start(log, if is_server { "info" } else { "warn" });
     if signals.is_none() {
         railhub_net::start_runtime();
     }
-    let ended = match arguments.command {
+    let result = match command {
         Command::Controller(arguments) => controller::run(&arguments, signals),
-        Command::Conf(ConfArguments { what: ConfCommand::Check { file } }) => controller::check(&file),
-        Command::Scenario(given) => scenario::run(&given, arguments.log),
-        Command::Standin(given) => standin::run(&given),
-        Command::Model(given) => model::run(&given),
-        Command::Compare(given) => compare::run(&given),
-        Command::Traffic(given) => traffic::run(&given),
-        Command::Chaos(given) => chaos::run(&given),
-        Command::Fleet(given) => fleet::run(&given),
-        Command::Watch(given) => watch::run(&given),
-        Command::Report(given) => scenario::report(&given),
-        Command::Check(given) => scenario::check(&given),
+        Command::Conf(ConfArguments { command: ConfCommand::Check { file } }) => controller::check(&file),
+        Command::Scenario(arguments) => scenario::run(&arguments, log),
+        Command::Standin(arguments) => standin::run(&arguments),
+        Command::Model(arguments) => model::run(&arguments),
+        Command::Compare(arguments) => compare::run(&arguments),
+        Command::Traffic(arguments) => traffic::run(&arguments),
+        Command::Chaos(arguments) => chaos::run(&arguments),
+        Command::Fleet(arguments) => fleet::run(&arguments),
+        Command::Watch(arguments) => watch::run(&arguments),
+        Command::Report(arguments) => scenario::report(&arguments),
+        Command::Check(arguments) => scenario::check(&arguments),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Ending::Input(words)) => {
-            eprintln!("railhub: {words}");
+        Err(CommandError::Input(message)) => {
+            eprintln!("railhub: {message}");
             ExitCode::from(2)
         }
-        Err(Ending::Check) => ExitCode::from(3),
+        Err(CommandError::CheckFailed) => ExitCode::from(3),
     }
 }
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -1,6 +1,6 @@
 //! `railhub model`: a day in simulated time.
-use crate::scenario::{finish, Run};
-use crate::Ending;
+use crate::scenario::{finish, RunSource};
+use crate::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_experiment::predict::predict;
 use railhub_experiment::stats::{estimate, Estimate};
@@ -17,7 +17,7 @@
 #[command(args_conflicts_with_subcommands = true)]
 pub struct ModelArguments {
     #[command(subcommand)]
-    other: Option<ModelCommand>,
+    command: Option<ModelCommand>,
     /// The day, INI.
     #[arg(required = true)]
     file: Option<PathBuf>,
@@ -28,8 +28,8 @@
     #[arg(long)]
     seed: Option<u64>,
     /// Who steers.
-    #[arg(long, value_enum, default_value_t = Steers::Steward)]
-    policy: Steers,
+    #[arg(long, value_enum, default_value_t = PolicyArgument::Steward)]
+    policy: PolicyArgument,
     /// One JSON object on standard output.
     #[arg(long)]
     json: bool,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Steers {
+enum PolicyArgument {
     Steward,
     Fixed,
     Hash,
@@ -60,61 +60,67 @@
     Latency,
 }
 
-impl Steers {
+impl PolicyArgument {
     fn policy(self) -> Policy {
         match self {
-            Steers::Steward => Policy::Steward,
-            Steers::Fixed => Policy::Fixed,
-            Steers::Hash => Policy::Baseline(Baseline::Hash),
-            Steers::Even => Policy::Baseline(Baseline::Even),
-            Steers::Latency => Policy::Baseline(Baseline::Latency),
+            PolicyArgument::Steward => Policy::Steward,
+            PolicyArgument::Fixed => Policy::Fixed,
+            PolicyArgument::Hash => Policy::Baseline(Baseline::Hash),
+            PolicyArgument::Even => Policy::Baseline(Baseline::Even),
+            PolicyArgument::Latency => Policy::Baseline(Baseline::Latency),
         }
     }
 }
 
-pub fn run(arguments: &ModelArguments) -> Result<(), Ending> {
-    if let Some(ModelCommand::Fit { record }) = &arguments.other {
+pub fn run(arguments: &ModelArguments) -> Result<(), CommandError> {
+    if let Some(ModelCommand::Fit { record }) = &arguments.command {
         return fit(record);
     }
-    let file = arguments.file.as_ref().ok_or(Ending::Input("a day file is needed".into()))?;
+    let file = arguments.file.as_ref().ok_or(CommandError::Input("a day file is needed".into()))?;
     let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
-    let mut day = Scenario::open(file)?;
-    day.seed = arguments.seed.unwrap_or(day.seed);
+    let mut scenario = Scenario::open(file)?;
+    scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     if let Some(runs) = arguments.runs {
-        return foresee(&day, &arguments.policy.policy(), physics, runs, arguments.json);
+        return print_prediction(&scenario, &arguments.policy.policy(), physics, runs, arguments.json);
     }
-    let play = |policy: Policy| run_model(&day, &policy, physics).map_err(Ending::Input);
-    let events = play(arguments.policy.policy())?;
+    let simulate = |policy: Policy| run_model(&scenario, &policy, physics).map_err(CommandError::Input);
+    let events = simulate(arguments.policy.policy())?;
     if let Some(path) = &arguments.record {
         save(path, &events)?;
     }
-    let fixed = (!arguments.no_fixed).then(|| play(Policy::Fixed)).transpose()?;
+    let fixed = (!arguments.no_fixed).then(|| simulate(Policy::Fixed)).transpose()?;
     let fixed = fixed.and_then(|events| Some(service(&events, limits(&events)?)));
-    let run = Run { day: &day.name, seed: day.seed, how: "simulated" };
+    let run = RunSource { scenario: &scenario.name, seed: scenario.seed, source: "simulated" };
     finish(&run, &events, fixed, arguments.json)
 }
 
-fn foresee(day: &Scenario, policy: &Policy, physics: Physics, runs: u64, json: bool) -> Result<(), Ending> {
-    let told = predict(day, policy, physics, runs).map_err(Ending::Input)?;
+fn print_prediction(
+    scenario: &Scenario,
+    policy: &Policy,
+    physics: Physics,
+    runs: u64,
+    json: bool,
+) -> Result<(), CommandError> {
+    let prediction = predict(scenario, policy, physics, runs).map_err(CommandError::Input)?;
     if json {
-        println!("{}", serde_json::to_string(&told)?);
+        println!("{}", serde_json::to_string(&prediction)?);
     } else {
-        let holds = told.holds * 100.0;
+        let holds = prediction.holds * 100.0;
         println!(
             "{} (seed {}), simulated, {runs} runs; one more lies within in {holds:.0} of 100 cases",
-            day.name, day.seed
+            scenario.name, scenario.seed
         );
-        for (name, within) in [("service", told.service), ("worst 10 s", told.worst_10_s)] {
-            println!("{name} {:.3} [{:.3}, {:.3}]", within.mean, within.low, within.high);
+        for (name, interval) in [("service", prediction.service), ("worst 10 s", prediction.worst_10_s)] {
+            println!("{name} {:.3} [{:.3}, {:.3}]", interval.mean, interval.low, interval.high);
         }
-        if told.runs_with_broken_rules > 0 {
-            println!("rules BROKEN in {} runs", told.runs_with_broken_rules);
+        if prediction.runs_with_broken_rules > 0 {
+            println!("rules BROKEN in {} runs", prediction.runs_with_broken_rules);
         }
     }
-    if told.runs_with_broken_rules == 0 {
+    if prediction.runs_with_broken_rules == 0 {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
 
@@ -130,17 +136,20 @@
     Ok(physics)
 }
 
-fn fit(record: &Path) -> Result<(), Ending> {
+fn fit(record: &Path) -> Result<(), CommandError> {
     let samples = samples(&read(record)?);
     if samples.way.is_empty() || samples.work_late.is_empty() {
-        return Err(Ending::Input(format!("{}: no completed operation to learn from", record.display())));
+        return Err(CommandError::Input(format!(
+            "{}: no completed operation to learn from",
+            record.display()
+        )));
     }
-    let line = |name: &str, known: Estimate| {
-        println!("; 95 %: {:.6} to {:.6}, {} samples", known.low, known.high, known.count);
-        println!("{name} = {:.6}", known.mean);
+    let print_parameter = |name: &str, estimate: Estimate| {
+        println!("; 95 %: {:.6} to {:.6}, {} samples", estimate.low, estimate.high, estimate.count);
+        println!("{name} = {:.6}", estimate.mean);
     };
     println!("[physics]");
-    line("way", estimate(&samples.way, 1));
-    line("work_late", estimate(&samples.work_late, 1));
+    print_parameter("way", estimate(&samples.way, 1));
+    print_parameter("work_late", estimate(&samples.work_late, 1));
     Ok(())
 }
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -1,6 +1,6 @@
 //! `railhub scenario`, `railhub report` and `railhub check`.
-use crate::launch::as_process;
-use crate::{Ending, LogForm};
+use crate::launch::process_launcher;
+use crate::{CommandError, LogFormat};
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use railhub_emulator::Sabotage;
@@ -18,7 +18,7 @@
 #[command(args_conflicts_with_subcommands = true)]
 pub struct ScenarioArguments {
     #[command(subcommand)]
-    other: Option<ScenarioCommand>,
+    command: Option<ScenarioCommand>,
     /// The day, INI.
     #[arg(required = true)]
     file: Option<PathBuf>,
@@ -33,7 +33,7 @@
     record: Option<PathBuf>,
     /// Make a stand-in break a rule: the checker must find that one.
     #[arg(long, value_enum)]
-    sabotage: Option<BrokenRule>,
+    sabotage: Option<SabotageArgument>,
     /// Leave out the same day with tables fixed at the start.
     #[arg(long)]
     no_fixed: bool,
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum BrokenRule {
+enum SabotageArgument {
     #[value(name = "rule-1")]
     One,
     #[value(name = "rule-2")]
@@ -75,88 +75,98 @@
     Five,
 }
 
-impl BrokenRule {
-    fn how(self) -> Sabotage {
+impl SabotageArgument {
+    fn emulator_sabotage(self) -> Sabotage {
         match self {
-            BrokenRule::One => Sabotage::LosesLines,
-            BrokenRule::Two => Sabotage::RetriesBlindly,
-            BrokenRule::Three => Sabotage::IgnoresExclusions,
-            BrokenRule::Four => Sabotage::FloodsColdHosts,
-            BrokenRule::Five => Sabotage::ReceivesTooManyMessages,
+            SabotageArgument::One => Sabotage::LosesLines,
+            SabotageArgument::Two => Sabotage::RetriesBlindly,
+            SabotageArgument::Three => Sabotage::IgnoresExclusions,
+            SabotageArgument::Four => Sabotage::FloodsColdHosts,
+            SabotageArgument::Five => Sabotage::ReceivesTooManyMessages,
         }
     }
 }
 
-pub fn run(arguments: &ScenarioArguments, log: LogForm) -> Result<(), Ending> {
-    if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.other {
-        let lost = import::import(file, output, *hosts)?;
-        lost.iter().for_each(|what| eprintln!("not carried over: {what}"));
+pub fn run(arguments: &ScenarioArguments, log: LogFormat) -> Result<(), CommandError> {
+    if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.command {
+        let omitted = import::import(file, output, *hosts)?;
+        omitted.iter().for_each(|omission| eprintln!("not carried over: {omission}"));
         return Ok(());
     }
-    let file = arguments.file.as_ref().ok_or(Ending::Input("a day file is needed".into()))?;
-    let mut day = Scenario::open(file)?;
-    day.seed = arguments.seed.unwrap_or(day.seed);
-    let sabotage = arguments.sabotage.map(BrokenRule::how);
-    let bar = progress_bar(&day);
+    let file = arguments.file.as_ref().ok_or(CommandError::Input("a day file is needed".into()))?;
+    let mut scenario = Scenario::open(file)?;
+    scenario.seed = arguments.seed.unwrap_or(scenario.seed);
+    let sabotage = arguments.sabotage.map(SabotageArgument::emulator_sabotage);
+    let bar = progress_bar(&scenario);
     let show = |at: f64| bar.set_position(at.max(0.0) as u64);
     let record = arguments.record.as_deref();
-    let (steered, fixed) = std::thread::scope(|scope| {
-        let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play_fixed(&day)));
-        let steered = play(&day, Some(as_process(log)), sabotage, record, &show);
+    let (controlled, fixed) = std::thread::scope(|scope| {
+        let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play_fixed(&scenario)));
+        let controlled = play(&scenario, Some(process_launcher(log)), sabotage, record, &show);
         let fixed =
             fixed.map(|thread| thread.join().unwrap_or_else(|_| Err("the fixed day ended early".into())));
-        (steered, fixed)
+        (controlled, fixed)
     });
     bar.finish_and_clear();
-    let steered = steered?;
-    let fixed = fixed.transpose().map_err(Ending::Input)?;
+    let controlled = controlled?;
+    let fixed = fixed.transpose().map_err(CommandError::Input)?;
     let fixed = fixed.and_then(|played| Some(service(&played.events, limits(&played.events)?)));
     let events = match record {
         Some(record) => read(record)?,
-        None => steered.events,
+        None => controlled.events,
     };
-    finish(&Run { day: &day.name, seed: day.seed, how: "loopback" }, &events, fixed, arguments.json)
+    finish(
+        &RunSource { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
+        &events,
+        fixed,
+        arguments.json,
+    )
 }
 
 /// The same scenario with the tables that it begins with.
-fn play_fixed(day: &Scenario) -> Result<Played, String> {
-    play(day, None, None, None, &|_| {}).map_err(|error| error.to_string())
+fn play_fixed(scenario: &Scenario) -> Result<Played, String> {
+    play(scenario, None, None, None, &|_| {}).map_err(|error| error.to_string())
 }
 
-pub fn progress_bar(day: &Scenario) -> ProgressBar {
+pub fn progress_bar(scenario: &Scenario) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
     let style = ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s, {eta} left");
-    let bar = ProgressBar::new(day.length as u64).with_message(day.name.clone());
+    let bar = ProgressBar::new(scenario.length as u64).with_message(scenario.name.clone());
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
 /// Which run a report is of.
-pub struct Run<'a> {
-    pub day: &'a str,
+pub struct RunSource<'a> {
+    pub scenario: &'a str,
     pub seed: u64,
     /// loopback or simulated.
-    pub how: &'static str,
+    pub source: &'static str,
 }
 
 /// A report of a record that is all there is: neither day nor seed are known.
-pub fn report(arguments: &CheckArguments) -> Result<(), Ending> {
+pub fn report(arguments: &CheckArguments) -> Result<(), CommandError> {
     let name = arguments.record.display().to_string();
     let PartialRecording { events, is_truncated } = read_partial(&arguments.record)?;
     if is_truncated {
         eprintln!("{name}: cut off; the {} events before the cut are used", events.len());
     }
-    finish(&Run { day: &name, seed: 0, how: "from a record" }, &events, None, arguments.json)
+    finish(&RunSource { scenario: &name, seed: 0, source: "from a record" }, &events, None, arguments.json)
 }
 
 /// Prints what came of a day; a broken rule is an ending of its own.
-pub fn finish(run: &Run, events: &[Event], fixed: Option<Service>, json: bool) -> Result<(), Ending> {
-    let rules = check_recording(events).map_err(|error| Ending::Input(error.to_string()))?;
-    let limits = limits(events).ok_or(Ending::Input("the record has no limits".into()))?;
+pub fn finish(
+    run: &RunSource,
+    events: &[Event],
+    fixed: Option<Service>,
+    json: bool,
+) -> Result<(), CommandError> {
+    let rules = check_recording(events).map_err(|error| CommandError::Input(error.to_string()))?;
+    let limits = limits(events).ok_or(CommandError::Input("the record has no limits".into()))?;
     let report = Report {
-        scenario: run.day.to_owned(),
-        source: run.how,
+        scenario: run.scenario.to_owned(),
+        source: run.source,
         seed: run.seed,
         service: service(events, limits),
         fixed,
@@ -166,10 +176,10 @@
     let series = time_series(events, limits);
     let changes = service_changes(events, limits, &series);
     if json {
-        let mut all = serde_json::to_value(&report)?;
-        all["changes"] = serde_json::to_value(&changes)?;
-        all["over_time"] = serde_json::to_value(&series)?;
-        println!("{all}");
+        let mut output = serde_json::to_value(&report)?;
+        output["changes"] = serde_json::to_value(&changes)?;
+        output["over_time"] = serde_json::to_value(&series)?;
+        println!("{output}");
     } else {
         print!("{}", report_text(&report));
         print!("{}", format_changes(&changes));
@@ -177,13 +187,13 @@
     if report.rules_kept {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
 
-pub fn check(arguments: &CheckArguments) -> Result<(), Ending> {
+pub fn check(arguments: &CheckArguments) -> Result<(), CommandError> {
     let rules =
-        check_recording(&read(&arguments.record)?).map_err(|error| Ending::Input(error.to_string()))?;
+        check_recording(&read(&arguments.record)?).map_err(|error| CommandError::Input(error.to_string()))?;
     if arguments.json {
         println!("{}", serde_json::to_string(&rules)?);
     } else {
@@ -192,6 +202,6 @@
     if rules.iter().all(|verdict| verdict.kept) {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -1,6 +1,6 @@
 //! `railhub standin`: a day's stand-ins for a steward that somebody else starts.
-use crate::scenario::{finish, progress_bar, Run};
-use crate::Ending;
+use crate::scenario::{finish, progress_bar, RunSource};
+use crate::CommandError;
 use clap::Args;
 use railhub_scenario::{play, Launch, LaunchError, Launched, Scenario};
 use std::net::{SocketAddr, TcpStream};
@@ -9,15 +9,15 @@
 use std::time::{Duration, Instant};
 
 /// How long the steward is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
+const CONTROLLER_START_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Args)]
 pub struct StandinArguments {
     /// The day, INI.
     file: PathBuf,
     /// Where the steward will listen; an address of this machine's loopback.
-    #[arg(long)]
-    steward: SocketAddr,
+    #[arg(long = "steward", value_name = "STEWARD")]
+    controller: SocketAddr,
     /// Where the steward's settings are written: start it with them.
     #[arg(long)]
     conf_out: PathBuf,
@@ -26,28 +26,37 @@
     json: bool,
 }
 
-pub fn run(arguments: &StandinArguments) -> Result<(), Ending> {
-    if !arguments.steward.ip().is_loopback() {
-        return Err(Ending::Input(format!("--steward {}: not a loopback address", arguments.steward)));
+pub fn run(arguments: &StandinArguments) -> Result<(), CommandError> {
+    if !arguments.controller.ip().is_loopback() {
+        return Err(CommandError::Input(format!(
+            "--steward {}: not a loopback address",
+            arguments.controller
+        )));
     }
-    let day = Scenario::open(&arguments.file)?;
-    let (address, out) = (arguments.steward, arguments.conf_out.clone());
+    let scenario = Scenario::open(&arguments.file)?;
+    let (address, conf_out) = (arguments.controller, arguments.conf_out.clone());
     let launch: Launch = Arc::new(move |settings| {
         let settings = settings.replace("listen = 127.0.0.1:0", &format!("listen = {address}"));
-        std::fs::write(&out, settings).map_err(|source| LaunchError::File { path: out.clone(), source })?;
-        tracing::info!(conf = %out.display(), "start the steward now");
-        let until = Instant::now() + PATIENCE;
+        std::fs::write(&conf_out, settings)
+            .map_err(|source| LaunchError::File { path: conf_out.clone(), source })?;
+        tracing::info!(conf = %conf_out.display(), "start the steward now");
+        let deadline = Instant::now() + CONTROLLER_START_TIMEOUT;
         while TcpStream::connect(address).is_err() {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(LaunchError::NotListening(address));
             }
             std::thread::sleep(Duration::from_millis(100));
         }
         Ok(Launched { address, fleet: None, process: None, pause: None, kill: Box::new(|| {}) })
     });
-    let bar = progress_bar(&day);
-    let played = play(&day, Some(launch), None, None, &|at| bar.set_position(at.max(0.0) as u64));
-    bar.finish_and_clear();
+    let progress = progress_bar(&scenario);
+    let played = play(&scenario, Some(launch), None, None, &|at| progress.set_position(at.max(0.0) as u64));
+    progress.finish_and_clear();
     let played = played?;
-    finish(&Run { day: &day.name, seed: day.seed, how: "loopback" }, &played.events, None, arguments.json)
+    finish(
+        &RunSource { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
+        &played.events,
+        None,
+        arguments.json,
+    )
 }
--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -1,5 +1,5 @@
 //! `railhub traffic`: recorded operations.
-use crate::Ending;
+use crate::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_invariants::limits;
 use railhub_record::{read_partial, PartialRecording};
@@ -15,11 +15,11 @@
 #[derive(Args)]
 pub struct TrafficArguments {
     #[command(subcommand)]
-    what: What,
+    command: TrafficCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum TrafficCommand {
     /// Takes the operations out of a run's record.
     Record {
         record: PathBuf,
@@ -81,9 +81,9 @@
     OtherKeys,
 }
 
-pub fn run(arguments: &TrafficArguments) -> Result<(), Ending> {
-    match &arguments.what {
-        What::Record { record, output } => {
+pub fn run(arguments: &TrafficArguments) -> Result<(), CommandError> {
+    match &arguments.command {
+        TrafficCommand::Record { record, output } => {
             let PartialRecording { events, is_truncated } = read_partial(record)?;
             if is_truncated {
                 eprintln!(
@@ -92,37 +92,37 @@
                     events.len()
                 );
             }
-            let limits = limits(&events).ok_or(Ending::Input("the record has no limits".into()))?;
+            let limits = limits(&events).ok_or(CommandError::Input("the record has no limits".into()))?;
             let mut traffic = of_record(&events, limits);
             if is_truncated {
                 // What came last has not ended: of the last seconds only a part is known.
-                let until = events.last().map_or(0.0, |event| event.at) - limits.from - longest_stop(limits);
+                let until = events.last().map_or(0.0, |event| event.at) - limits.from - max_hard_stop(limits);
                 traffic = cut(&traffic, &Part { until: Some(until.max(0.0)), ..Part::default() });
             }
             save(output, &traffic)?;
         }
-        What::Show { file, json } => {
+        TrafficCommand::Show { file, json } => {
             let summary = summarize(&load(file)?);
-            print(*json, &summary, summary_text)?;
+            print_result(*json, &summary, summary_text)?;
         }
-        What::Fit { file, json } => {
+        TrafficCommand::Fit { file, json } => {
             let fitted = fit(&load(file)?);
-            print(*json, &fitted, fit_text)?;
+            print_result(*json, &fitted, fit_text)?;
         }
-        What::Cut { file, output, from, until, class, zone } => {
+        TrafficCommand::Cut { file, output, from, until, class, zone } => {
             let traffic = load(file)?;
-            let classes = numbers("class", class, &traffic.header.classes)?;
-            let zones = numbers("zone", zone, &traffic.header.zones)?;
+            let classes = indexes("class", class, &traffic.header.classes)?;
+            let zones = indexes("zone", zone, &traffic.header.zones)?;
             let in_order = until.is_none_or(|until| until > *from);
             if from.is_nan() || *from < 0.0 || !in_order {
-                return Err(Ending::Input("--from and --until must be in order, from 0".into()));
+                return Err(CommandError::Input("--from and --until must be in order, from 0".into()));
             }
             save(output, &cut(&traffic, &Part { from: *from, until: *until, classes, zones }))?;
         }
-        What::Scale { file, output, times, stretch, copies, seed } => {
-            let sane = |value: f64| (0.0001..=10_000.0).contains(&value);
-            if !sane(*times) || !sane(*stretch) {
-                return Err(Ending::Input("--times and --stretch may be 0.0001 to 10000".into()));
+        TrafficCommand::Scale { file, output, times, stretch, copies, seed } => {
+            let is_valid_factor = |value: f64| (0.0001..=10_000.0).contains(&value);
+            if !is_valid_factor(*times) || !is_valid_factor(*stretch) {
+                return Err(CommandError::Input("--times and --stretch may be 0.0001 to 10000".into()));
             }
             let copies = match copies {
                 Copies::SameKeys => CopyKeys::SameKeys,
@@ -130,7 +130,9 @@
             };
             let traffic = load(file)?;
             if traffic.operations() as f64 * times > MAX_OPERATIONS as f64 {
-                return Err(Ending::Input(format!("that would be more than {MAX_OPERATIONS} operations")));
+                return Err(CommandError::Input(format!(
+                    "that would be more than {MAX_OPERATIONS} operations"
+                )));
             }
             save(output, &scale(&traffic, *times, *stretch, copies, *seed))?;
         }
@@ -138,11 +140,11 @@
     Ok(())
 }
 
-fn longest_stop(limits: &railhub_record::Limits) -> f64 {
+fn max_hard_stop(limits: &railhub_record::Limits) -> f64 {
     limits.classes.iter().map(|class| class.hard_stop).fold(0.0, f64::max)
 }
 
-fn load(path: &Path) -> Result<Trace, Ending> {
+fn load(path: &Path) -> Result<Trace, CommandError> {
     let opened = open(path)?;
     if opened.truncated {
         let (rows, length) = (opened.trace.rows.len(), opened.trace.header.length);
@@ -151,20 +153,25 @@
     Ok(opened.trace)
 }
 
-fn numbers(what: &str, names: &[String], all: &[String]) -> Result<Vec<u32>, Ending> {
-    let number = |name: &String| {
-        let place = all.iter().position(|known| known == name);
-        let unknown = || Ending::Input(format!("no {what} '{name}': there are {}", all.join(", ")));
-        place.map(|place| place as u32).ok_or_else(unknown)
+fn indexes(dimension: &str, names: &[String], all: &[String]) -> Result<Vec<u32>, CommandError> {
+    let index = |name: &String| {
+        let position = all.iter().position(|known| known == name);
+        let unknown =
+            || CommandError::Input(format!("no {dimension} '{name}': there are {}", all.join(", ")));
+        position.map(|position| position as u32).ok_or_else(unknown)
     };
-    names.iter().map(number).collect()
+    names.iter().map(index).collect()
 }
 
-fn print<T: serde::Serialize>(json: bool, value: &T, words: fn(&T) -> String) -> Result<(), Ending> {
+fn print_result<T: serde::Serialize>(
+    json: bool,
+    value: &T,
+    text: fn(&T) -> String,
+) -> Result<(), CommandError> {
     if json {
         println!("{}", serde_json::to_string(value)?);
     } else {
-        print!("{}", words(value));
+        print!("{}", text(value));
     }
     Ok(())
 }
@@ -195,7 +202,7 @@
     out
 }
 
-fn candidate(candidate: &Candidate) -> String {
+fn candidate_text(candidate: &Candidate) -> String {
     let parameters = candidate.parameters.iter().map(|(name, value)| format!("{name} {value:.4}"));
     let fits = if candidate.fits { "fits" } else { "does not fit" };
     let parameters = parameters.collect::<Vec<_>>().join(", ");
@@ -214,7 +221,7 @@
                 arrivals.dispersion
             );
             out += "gaps, over the mean gap of their 5 s:\n";
-            arrivals.gaps.iter().for_each(|one| out += &candidate(one));
+            arrivals.gaps.iter().for_each(|one| out += &candidate_text(one));
         }
         None => out += "arrivals: no single operations to go by\n",
     }
@@ -236,7 +243,7 @@
             "work of {}, {} operations: as a day's script has it\n  work = {:.5}\n  spread = {:.3}\n",
             work.class, work.values, work.mean, work.spread
         );
-        work.candidates.iter().for_each(|one| out += &candidate(one));
+        work.candidates.iter().for_each(|one| out += &candidate_text(one));
     }
     out
 }
--- a/crates/railhub-cli/src/watch.rs
+++ b/crates/railhub-cli/src/watch.rs
@@ -1,5 +1,5 @@
 //! `railhub watch`.
-use crate::Ending;
+use crate::CommandError;
 use clap::Args;
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -16,8 +16,8 @@
     once: bool,
 }
 
-pub fn run(arguments: &WatchArguments) -> Result<(), Ending> {
-    let input_error = |error: railhub_dashboard::DashboardError| Ending::Input(error.to_string());
+pub fn run(arguments: &WatchArguments) -> Result<(), CommandError> {
+    let input_error = |error: railhub_dashboard::DashboardError| CommandError::Input(error.to_string());
     if arguments.once || !std::io::stdout().is_terminal() {
         print!("{}", railhub_dashboard::render_once(&arguments.path, arguments.at).map_err(input_error)?);
         Ok(())
