--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -1,4 +1,5 @@
-//! `railhub chaos`: stewards that share a fleet, with faults drawn from seeds.
+//! `railhub chaos`: controllers that share slices, under faults that are drawn from seeds or listed in a file. This
+//! module judges leases in simulated time; [`crate::chaos_leases`] and [`crate::chaos_view`] have the other modes.
 use crate::runs::{core_count, quantile, run_seeds};
 use crate::CommandError;
 use clap::{Args, ValueEnum};
@@ -6,7 +7,7 @@
 use railhub_chaos::lease::judge::judge;
 use railhub_chaos::lease::recovery::recovery_figures;
 use railhub_chaos::lease::shrink::shrink;
-use railhub_chaos::lease::simulation::run as play;
+use railhub_chaos::lease::simulation::run as simulate;
 use railhub_chaos::{ChaosConfig, Fault, JudgedProperty, Sabotage};
 use railhub_membership::safeguard::Safeguard;
 use serde::Serialize;
@@ -14,63 +15,68 @@
 
 #[derive(Args)]
 pub struct ChaosArguments {
-    /// Sizes, and how much goes wrong, INI.
-    file: PathBuf,
-    /// The first seed.
+    /// Chaos file, INI: the size of the cluster, its faults, and whether leases or membership views are judged.
+    pub file: PathBuf,
+    /// Seed of the first run; each further run has the next seed.
     #[arg(long, default_value_t = 0)]
     pub seed: u64,
-    /// Runs, one a seed.
+    /// Number of runs, one for each seed.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..10_000_000))]
     pub runs: u64,
-    /// Breaks what the rules rest on: the checker must find it.
+    /// Leave out a safeguard on which the rules rest, to verify that the check reports it.
     #[arg(long, value_enum)]
     pub sabotage: Option<SabotageArgument>,
-    /// On real processes, with links between them that break.
+    /// Run real controller processes on loopback sockets, with faults of the links between them, instead of simulated
+    /// time.
     #[arg(long)]
     pub loopback: bool,
-    /// Views: heartbeats to all and one fixed time-out instead, to weigh against; in simulated time.
+    /// Replace the membership protocol by heartbeats to all members and one fixed timeout, as a baseline; only for
+    /// files that judge views, in simulated time.
     #[arg(long)]
     pub baseline: bool,
-    /// Runs on real processes at once.
+    /// Number of runs at the same time, with `--loopback`; simulated runs use all cores.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..64))]
     pub at_once: u64,
-    /// Where settings, logs, records and verdicts of runs on real processes are kept.
+    /// Folder for the settings, logs, recordings and verdicts of all runs, with `--loopback`; default: only runs that
+    /// broke a rule are kept, in temporary folders.
     #[arg(long)]
     pub keep: Option<PathBuf>,
-    /// One JSON object on standard output.
+    /// Print the report as one JSON object.
     #[arg(long)]
     pub json: bool,
 }
 
+/// A safeguard that a run leaves out, of leases or of membership views.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum SabotageArgument {
-    /// Proxies obey whatever comes.
+    /// Leases: proxies obey commands of any epoch.
     NoFence,
-    /// The store grants under an epoch that it has used.
+    /// Leases: the store grants a slice to another holder under an epoch that it has already used.
     EpochReused,
-    /// Stewards order on when their leases are over.
+    /// Leases: controllers still command slices after their leases have expired.
     LeaseOverrun,
-    /// Proxies take an order that is sent again once more.
+    /// Leases: proxies obey a repeated command once more.
     NoMemory,
-    /// The store takes tables under any epoch; on real processes.
+    /// Leases: the store accepts tables under any epoch; only with `--loopback`, as simulated runs store no tables.
     UncheckedWrites,
-    /// Views: one that is suspected does not say otherwise.
+    /// Views: a suspected member does not refute the suspicion.
     NoRefutation,
-    /// Views: the dead are never asked again.
+    /// Views: dead members are never probed again.
     DeadNotAsked,
-    /// Views: words of older processes count.
+    /// Views: entries of older processes of a member are accepted.
     ProcessIgnored,
-    /// Views: they are never compared.
+    /// Views: members never synchronize their views.
     NoAntiEntropy,
-    /// Views: rumours are passed on for ever.
+    /// Views: an entry is gossiped without a limit.
     EndlessRumours,
-    /// Views: an observer never doubts itself.
+    /// Views: a member with poor local health suspects others as early as any.
     NoOwnTrouble,
-    /// Views: SWIM as it was first published.
+    /// Views: SWIM as first published, without probes of dead members, synchronization and local health.
     NoAdditions,
 }
 
 impl SabotageArgument {
+    /// The sabotage of a run that judges leases; `None` if this one is of views.
     fn lease_sabotage(self) -> Option<Sabotage> {
         Some(match self {
             SabotageArgument::NoFence => Sabotage::NoFence,
@@ -82,6 +88,7 @@
         })
     }
 
+    /// The safeguard that a run that judges views leaves out; `None` if this one is of leases.
     pub fn disabled_safeguard(self) -> Option<Safeguard> {
         Some(match self {
             SabotageArgument::NoRefutation => Safeguard::Refutation,
@@ -96,7 +103,7 @@
     }
 }
 
-/// A run that broke a rule, with no more faults than it takes.
+/// A run that broke a rule, with a minimal list of the faults that cause it.
 #[derive(Serialize)]
 struct FailedRun {
     seed: u64,
@@ -104,6 +111,7 @@
     faults: Vec<Fault>,
 }
 
+/// The report of all runs; the serialized names are those of the JSON output.
 #[derive(Serialize)]
 struct LeaseReport {
     #[serde(rename = "chaos")]
@@ -114,16 +122,20 @@
     runs: u64,
     #[serde(rename = "failed")]
     failed_runs: u64,
-    /// The one with the lowest seed.
+    /// The failed run with the lowest seed.
     #[serde(rename = "first")]
     first_failure: Option<FailedRun>,
-    /// Seconds from a steward's death until its slices were decided again; a multiple of the lease's span.
+    /// How often a slice was commanded again after the death of its controller.
     #[serde(rename = "taken_up")]
     recoveries: u64,
+    /// Seconds from the death of a slice's controller to the next command for the slice: the median. It depends on the
+    /// duration of a lease.
     #[serde(rename = "taken_up_half")]
     recovery_p50: Option<f64>,
+    /// The same: the 99th percentile.
     #[serde(rename = "taken_up_99")]
     recovery_p99: Option<f64>,
+    /// Seconds of a lease.
     #[serde(rename = "span")]
     lease_duration: f64,
 }
@@ -135,14 +147,17 @@
     }
     let sabotage = arguments.sabotage.map(SabotageArgument::lease_sabotage);
     if sabotage == Some(None) {
-        return Err(CommandError::Input("that sabotage is of views; this file judges leases".into()));
+        let file = arguments.file.display();
+        return Err(CommandError::Input(format!(
+            "--sabotage: the value given is for files that judge views, but {file} judges leases"
+        )));
     }
     let sabotage = sabotage.flatten();
     if arguments.loopback {
         return crate::chaos_leases::run(&chaos, arguments, sabotage);
     }
     let runs = run_seeds(arguments.seed, arguments.runs, core_count(), |seed| {
-        let events = play(&chaos, seed, &chaos.faults(seed), sabotage);
+        let events = simulate(&chaos, seed, &chaos.faults(seed), sabotage);
         (recovery_figures(&events).recovery_times, !judge(&events).is_empty())
     });
     let failed: Vec<u64> = runs.iter().filter(|(_, result)| result.1).map(|(seed, _)| *seed).collect();
@@ -173,9 +188,10 @@
     }
 }
 
+/// Plays the run of a seed again and reduces its faults.
 fn minimal_failure(chaos: &ChaosConfig, seed: u64, sabotage: Option<Sabotage>) -> FailedRun {
     let faults = chaos.faults(seed);
-    let breaches = judge(&play(chaos, seed, &faults, sabotage));
+    let breaches = judge(&simulate(chaos, seed, &faults, sabotage));
     let rule = breaches.first().map_or("", |breach| breach.rule);
     let (faults, breaches) = shrink(chaos, seed, &faults, sabotage, rule);
     FailedRun { seed, breaches, faults }
@@ -186,7 +202,8 @@
     let mut out = format!("{}, {}, seeds {} to {last}\n", report.name, report.mode, report.first_seed);
     if let (Some(p50), Some(p99)) = (report.recovery_p50, report.recovery_p99) {
         out += &format!(
-            "{} slices of dead stewards decided again: half within {p50:.2} s, 99 % within {p99:.2} s (a lease is {} s)\n",
+            "{} slices of dead controllers commanded again: half within {p50:.2} s, 99 % within {p99:.2} s \
+             (a lease is {} s)\n",
             report.recoveries, report.lease_duration
         );
     }
@@ -196,7 +213,7 @@
         for breach in &first.breaches {
             out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.description);
         }
-        out += &format!("with no more than {} faults:\n", first.faults.len());
+        out += &format!("minimal set of {} faults:\n", first.faults.len());
         for fault in &first.faults {
             out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
         }
--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -1,4 +1,4 @@
-//! `railhub chaos --loopback` for files that judge leases: the drawn faults on real processes, under load.
+//! `railhub chaos --loopback` for files that judge leases: the faults on real processes, under load.
 use crate::chaos::ChaosArguments;
 use crate::launch::folder_launcher;
 use crate::runs::{quantile, run_seeds};
@@ -15,19 +15,21 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// A run that broke a rule.
+/// A run that broke a rule; the serialized names are those of the JSON output.
 #[derive(Clone, Serialize)]
 struct FailedRun {
     seed: u64,
     #[serde(rename = "rules")]
     broken_rules: Vec<Verdict>,
     faults: Vec<Fault>,
+    /// Where its logs and its recording are.
     folder: PathBuf,
     /// Whether the same faults break a rule in simulated time.
     #[serde(rename = "simulated")]
     fails_in_simulation: bool,
 }
 
+/// The report of all runs; the serialized names are those of the JSON output.
 #[derive(Serialize)]
 struct LoopbackReport {
     #[serde(rename = "chaos")]
@@ -40,28 +42,35 @@
     failed_runs: u64,
     #[serde(rename = "seeds_failed")]
     failed_seeds: Vec<u64>,
-    /// Runs that could not be played, and why.
+    /// Seeds of the runs that could not be played, with the errors.
     not_played: Vec<(u64, String)>,
+    /// The failed run with the lowest seed.
     #[serde(rename = "first")]
     first_failure: Option<FailedRun>,
-    /// Seconds from a steward's death until a proxy got the next one's word on its slices.
+    /// How often a proxy received a newer epoch of a slice after the death of the slice's controller.
     #[serde(rename = "taken_up")]
     takeovers: usize,
+    /// Seconds from the death to that epoch: the median.
     #[serde(rename = "taken_up_half")]
     takeover_p50: Option<f64>,
+    /// The same: the 99th percentile.
     #[serde(rename = "taken_up_99")]
     takeover_p99: Option<f64>,
-    /// Mean share of the gain that was had, and the lowest.
+    /// Service, the gain of operations in time over the gain of all: the mean of the runs.
     #[serde(rename = "service")]
     mean_service: f64,
+    /// Service of the worst run.
     #[serde(rename = "service_least")]
     lowest_service: f64,
+    /// Seconds of a lease.
     #[serde(rename = "span")]
     lease_duration: f64,
 }
 
+/// What is known of one run.
 struct RunResult {
     service: f64,
+    /// Seconds of each takeover.
     takeover_times: Vec<f64>,
     failed: Option<FailedRun>,
 }
@@ -72,7 +81,11 @@
     sabotage: Option<Sabotage>,
 ) -> Result<(), CommandError> {
     if chaos.controllers < 2 {
-        return Err(CommandError::Input("--loopback needs two stewards at least".into()));
+        return Err(CommandError::Input(format!(
+            "{}: --loopback needs 2 controllers or more, the file has {}",
+            arguments.file.display(),
+            chaos.controllers
+        )));
     }
     railhub_net::start_runtime();
     let threads = arguments.at_once as usize;
@@ -98,6 +111,7 @@
     }
 }
 
+/// Plays the run of a seed and judges it; keeps its folder if it broke a rule or `--keep` is given.
 fn run_seed(
     chaos: &ChaosConfig,
     seed: u64,
@@ -107,20 +121,21 @@
     let faults = chaos.faults(seed);
     let folder = arguments.keep.as_ref().map(|keep| keep.join(format!("seed-{seed}")));
     let folder = folder.unwrap_or_else(|| temporary_folder(seed));
-    std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    std::fs::create_dir_all(&folder).map_err(|e| format!("{}: cannot be created: {e}", folder.display()))?;
     let scenario = lease_scenario(chaos, seed, &faults, sabotage).map_err(|e| e.to_string())?.scenario;
     let broken_proxy = (sabotage == Some(Sabotage::NoFence)).then_some(BrokenProxy::AcceptsOldEpochs);
     let played = play(&scenario, Some(folder_launcher(&folder)), broken_proxy, None, &|_| {});
     let played = played.map_err(|e| e.to_string())?;
     let rules = check(&played.events).map_err(|error| error.to_string())?;
-    let limits = limits(&played.events).ok_or("the record has no limits")?;
+    let limits = limits(&played.events).ok_or("the recording does not state the limits of its run")?;
     let service = report::service(&played.events, limits).overall;
     let breaks_rule = rules.iter().any(|verdict| !verdict.kept);
     let keeps_folder = arguments.keep.is_some() || breaks_rule;
     if keeps_folder {
         let verdict =
             serde_json::json!({ "seed": seed, "faults": faults, "rules": rules, "service": service });
-        std::fs::write(folder.join("verdict.json"), verdict.to_string()).map_err(|e| e.to_string())?;
+        std::fs::write(folder.join("verdict.json"), verdict.to_string())
+            .map_err(|e| format!("{}: cannot write verdict.json: {e}", folder.display()))?;
         save(&folder.join("record"), &played.events).map_err(|e| e.to_string())?;
     } else {
         let _ = std::fs::remove_dir_all(&folder);
@@ -166,17 +181,22 @@
     let mut out = format!("{}, {}, seeds {} to {last}\n", report.name, report.mode, report.first_seed);
     if let (Some(p50), Some(p99)) = (report.takeover_p50, report.takeover_p99) {
         out += &format!(
-            "slices of dead stewards decided again ({} times, at each proxy): half within {p50:.2} s, 99 % within \
+            "slices of dead controllers taken over ({} times, at each proxy): half within {p50:.2} s, 99 % within \
              {p99:.2} s (a lease is {} s)\n",
             report.takeovers, report.lease_duration
         );
     }
-    out += &format!("service {:.3}, the lowest {:.3}\n", report.mean_service, report.lowest_service);
+    out += &format!(
+        "service {:.3} on average, {:.3} in the worst run\n",
+        report.mean_service, report.lowest_service
+    );
     for (seed, error) in &report.not_played {
         out += &format!("seed {seed} was not played: {error}\n");
     }
-    out +=
-        &format!("{} of {} runs broke a rule {:?}\n", report.failed_runs, report.runs, report.failed_seeds);
+    out += &format!(
+        "{} of {} runs broke a rule, seeds {:?}\n",
+        report.failed_runs, report.runs, report.failed_seeds
+    );
     let Some(first) = &report.first_failure else { return out };
     out += &format!("seed {}:\n", first.seed);
     for verdict in &first.broken_rules {
@@ -189,10 +209,10 @@
         out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
     }
     out += if first.fails_in_simulation {
-        "in simulated time they break a rule too\n"
+        "the same faults break a rule in simulated time too\n"
     } else {
-        "in simulated time they break none\n"
+        "the same faults break no rule in simulated time\n"
     };
-    out += &format!("logs, record and verdict: {}\n", first.folder.display());
+    out += &format!("logs, recording and verdict: {}\n", first.folder.display());
     out
 }
--- a/crates/railhub-cli/src/chaos_view.rs
+++ b/crates/railhub-cli/src/chaos_view.rs
@@ -1,4 +1,4 @@
-//! `railhub chaos` for files that judge the view: in simulated time, or on real processes.
+//! `railhub chaos` for files that judge membership views: in simulated time, or on real processes.
 use crate::chaos::{ChaosArguments, SabotageArgument};
 use crate::runs::{core_count, quantile, run_seeds};
 use crate::CommandError;
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// A run that broke a rule.
+/// A run that broke a rule; the serialized names are those of the JSON output.
 #[derive(Clone, Serialize)]
 struct FailedRun {
     seed: u64,
@@ -24,11 +24,12 @@
     /// Where its logs are, if it was played on real processes.
     #[serde(skip_serializing_if = "Option::is_none")]
     folder: Option<PathBuf>,
-    /// The same faults in simulated time: whether that breaks the same rule, and with how few of them.
+    /// A minimal list of the faults that breaks the same rule in simulated time, if they do.
     #[serde(rename = "simulated", skip_serializing_if = "Option::is_none")]
     simulated_faults: Option<Vec<Fault>>,
 }
 
+/// The report of all runs; the serialized names are those of the JSON output.
 #[derive(Serialize)]
 struct ViewReport {
     #[serde(rename = "chaos")]
@@ -41,27 +42,32 @@
     failed_runs: u64,
     #[serde(rename = "seeds_failed")]
     failed_seeds: Vec<u64>,
+    /// The failed run with the lowest seed.
     #[serde(rename = "first")]
     first_failure: Option<FailedRun>,
-    /// Seconds from the last fault to all views true: half of the runs, 99 of 100.
+    /// Seconds from the last fault until all views were correct: the median of the runs.
     #[serde(rename = "settled_half")]
     settling_p50: Option<f64>,
+    /// The same: the 99th percentile.
     #[serde(rename = "settled_99")]
     settling_p99: Option<f64>,
-    /// Seconds from a death that was followed by no new start to each that shows it.
+    /// How often a process showed the death of another that did not start again.
     #[serde(rename = "deaths_shown")]
     detections: usize,
+    /// Seconds from the death to that: the median.
     #[serde(rename = "known_half")]
     detection_p50: Option<f64>,
+    /// The same: the 99th percentile.
     #[serde(rename = "known_99")]
     detection_p99: Option<f64>,
-    /// Words of death about the living, whatever went on, an hour of a run.
+    /// How often a live process was declared dead, whatever disturbed the run, for each hour of the runs.
     #[serde(rename = "slanders_an_hour")]
     false_deaths_per_hour: f64,
-    /// A steward and second.
+    /// Datagrams a second that a controller sent.
     datagrams: f64,
+    /// Bytes a second that a controller sent.
     bytes: f64,
-    /// Share of a core a steward, on real processes.
+    /// Processor cores that a controller used, on real processes.
     #[serde(rename = "processor")]
     cpu_cores: Option<f64>,
 }
@@ -69,11 +75,16 @@
 pub fn run(chaos: &ChaosConfig, arguments: &ChaosArguments) -> Result<(), CommandError> {
     let disabled_safeguard = arguments.sabotage.map(SabotageArgument::disabled_safeguard);
     if disabled_safeguard == Some(None) {
-        return Err(CommandError::Input("that sabotage is of leases; this file judges views".into()));
+        let file = arguments.file.display();
+        return Err(CommandError::Input(format!(
+            "--sabotage: the value given is for files that judge leases, but {file} judges views"
+        )));
     }
     let uses_heartbeats = arguments.baseline;
     if uses_heartbeats && arguments.loopback {
-        return Err(CommandError::Input("--baseline is played in simulated time".into()));
+        return Err(CommandError::Input(
+            "--baseline runs in simulated time only, not with --loopback".into(),
+        ));
     }
     let options = RunOptions { without: disabled_safeguard.flatten(), forget_after: 0.0, uses_heartbeats };
     let threads = if arguments.loopback { arguments.at_once as usize } else { core_count() };
@@ -98,12 +109,16 @@
     }
 }
 
+/// What is known of one run.
 struct RunResult {
+    /// Seconds.
     length: f64,
     figures: ViewFigures,
     failed: Option<FailedRun>,
 }
 
+/// Plays the run of a seed and judges it; of a run on real processes, keeps the folder if a rule was broken or `--keep`
+/// is given.
 fn run_seed(
     chaos: &ChaosConfig,
     seed: u64,
@@ -128,13 +143,14 @@
     let figures = view_figures(&events);
     if let Some(folder) = folder.as_ref().filter(|_| arguments.keep.is_some()) {
         let verdict = serde_json::json!({ "seed": seed, "breaches": breaches, "figures": figures });
-        std::fs::write(folder.join("verdict.json"), verdict.to_string()).map_err(|e| e.to_string())?;
+        std::fs::write(folder.join("verdict.json"), verdict.to_string())
+            .map_err(|e| format!("{}: cannot write verdict.json: {e}", folder.display()))?;
     }
     let failed = (!breaches.is_empty()).then(|| {
         let rule = breaches[0].rule;
-        // What was played on real processes is played again at the times at which it came.
+        // The simulation gets the faults of real processes at the times at which they were observed.
         let played = if arguments.loopback { observed_faults(&events, &faults) } else { faults.clone() };
-        let simulated_faults = shrink(chaos, seed, &played, options, rule);
+        let simulated_faults = minimal_simulated_faults(chaos, seed, &played, options, rule);
         FailedRun { seed, breaches, faults, folder: folder.clone(), simulated_faults }
     });
     if let Some(folder) = folder.filter(|_| arguments.keep.is_none() && failed.is_none()) {
@@ -150,7 +166,8 @@
     options: RunOptions,
     folder: &std::path::Path,
 ) -> Result<Vec<ViewObservation>, String> {
-    let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
+    let binary =
+        std::env::current_exe().map_err(|e| format!("cannot determine the path of this program: {e}"))?;
     let plan = HarnessPlan {
         config: chaos,
         seed,
@@ -163,8 +180,9 @@
     play(&plan).map_err(|error| error.to_string())
 }
 
-/// The fewest of the faults that break the same rule in simulated time; `None`: they do not break it there.
-fn shrink(
+/// A minimal list of the faults that breaks the same rule in simulated time; `None` if all of them do not break it
+/// there.
+fn minimal_simulated_faults(
     chaos: &ChaosConfig,
     seed: u64,
     faults: &[Fault],
@@ -214,19 +232,22 @@
     let last = report.first_seed + report.runs - 1;
     let mut out = format!("{}, {}, seeds {} to {last}\n", report.name, report.mode, report.first_seed);
     if let (Some(p50), Some(p99)) = (report.settling_p50, report.settling_p99) {
-        out +=
-            &format!("all views true after the last fault: half within {p50:.2} s, 99 % within {p99:.2} s\n");
+        out += &format!(
+            "all views correct after the last fault: half of the runs within {p50:.2} s, 99 % within {p99:.2} s\n"
+        );
     }
     if let (Some(p50), Some(p99)) = (report.detection_p50, report.detection_p99) {
         let count = report.detections;
-        out += &format!("a death is shown ({count} times): half within {p50:.2} s, 99 % within {p99:.2} s\n");
+        out += &format!(
+            "deaths shown in views ({count} times): half within {p50:.2} s, 99 % within {p99:.2} s\n"
+        );
     }
     out += &format!(
-        "{:.1} words of death about the living an hour; {:.1} datagrams and {:.0} bytes a steward and second\n",
+        "{:.1} false declarations of death an hour; {:.1} datagrams and {:.0} bytes a second from each controller\n",
         report.false_deaths_per_hour, report.datagrams, report.bytes
     );
     if let Some(cores) = report.cpu_cores {
-        out += &format!("{:.2} % of a core a steward\n", cores * 100.0);
+        out += &format!("{:.2} % of a core for each controller\n", cores * 100.0);
     }
     out += &format!("{} of {} runs broke a rule\n", report.failed_runs, report.runs);
     let Some(first) = &report.first_failure else { return out };
@@ -236,20 +257,20 @@
     }
     let faults = first.simulated_faults.as_ref().unwrap_or(&first.faults);
     out += match (&first.folder, &first.simulated_faults) {
-        (Some(_), Some(_)) => "in simulated time it breaks the same rule with no more than:\n",
-        (Some(_), None) => "in simulated time the same faults break no such rule:\n",
-        _ => "with no more than:\n",
+        (Some(_), Some(_)) => "minimal set of faults that breaks the same rule in simulated time:\n",
+        (Some(_), None) => "faults, which do not break that rule in simulated time:\n",
+        _ => "minimal set of faults:\n",
     };
     for fault in faults {
         out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
     }
     if let Some(folder) = &first.folder {
-        out += &format!("logs and records: {}\n", folder.display());
+        out += &format!("logs and recordings: {}\n", folder.display());
     }
     out
 }
 
-/// What happened and what each steward's view became, line by line.
+/// The events of a run and each change of a controller's view, line by line.
 fn timeline(events: &[ViewObservation]) -> String {
     let mut out = String::new();
     let mut last_views = std::collections::BTreeMap::new();
@@ -257,10 +278,10 @@
         let at = event.at();
         match event {
             ViewObservation::Started { node, controller, .. } => {
-                out += &format!("{at:>7.2} s  steward {controller} starts, process {}\n", node.0);
+                out += &format!("{at:>7.2} s  controller {controller} starts, process {}\n", node.0);
             }
             ViewObservation::Ended { node, controller, .. } => {
-                out += &format!("{at:>7.2} s  steward {controller} ends, process {}\n", node.0);
+                out += &format!("{at:>7.2} s  controller {controller} ends, process {}\n", node.0);
             }
             ViewObservation::Fault { begins, fault, .. } => {
                 out += &format!("{at:>7.2} s  {} {fault}\n", if *begins { "begins:" } else { "is over:" });
@@ -269,9 +290,11 @@
                 let ids: Vec<u16> = alive.iter().map(|(id, _)| *id).collect();
                 let view = (ids, *superseded);
                 if last_views.get(node) != Some(&view) {
-                    let part = if *superseded { ", and takes no part" } else { "" };
-                    out +=
-                        &format!("{at:>7.2} s      steward {controller} holds {:?} to live{part}\n", view.0);
+                    let note = if *superseded { "; it is superseded" } else { "" };
+                    out += &format!(
+                        "{at:>7.2} s      view of controller {controller}: {:?} alive{note}\n",
+                        view.0
+                    );
                     last_views.insert(*node, view);
                 }
             }
--- a/crates/railhub-cli/src/compare.rs
+++ b/crates/railhub-cli/src/compare.rs
@@ -1,4 +1,5 @@
-//! `railhub compare`: does a setting or a version help or hurt?
+//! `railhub compare`: measures the difference that settings, constants or policies make, by an experiment in simulated
+//! time.
 use crate::model::read_physics;
 use crate::CommandError;
 use clap::Args;
@@ -8,25 +9,27 @@
 use railhub_experiment::{compare, folder, page, Experiment};
 use railhub_simulator::Physics;
 use std::io::IsTerminal;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 #[derive(Args)]
 pub struct CompareArguments {
-    /// The experiment, INI.
+    /// Experiment file, INI.
     file: PathBuf,
-    /// One JSON object on standard output.
+    /// Print the outcome as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keep tables, charts and the report in a folder.
+    /// Write tables (CSV), charts and the report (HTML) to this folder; `railhub watch` shows it while the experiment
+    /// runs.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// Keep every run as a table.
+    /// Write one line for each run to this file, CSV.
     #[arg(long)]
     csv: Option<PathBuf>,
-    /// Keep figures and charts as one page, HTML.
+    /// Write the report with its charts to this file, HTML.
     #[arg(long)]
     page: Option<PathBuf>,
-    /// What the machine adds, INI, as `model fit` writes it.
+    /// Latencies of a machine, INI as `railhub model fit` prints them; default: built-in values of a loopback run on
+    /// four cores.
     #[arg(long)]
     physics: Option<PathBuf>,
 }
@@ -37,7 +40,7 @@
     let is_terminal = std::io::stderr().is_terminal();
     let show_build = |done, total| {
         if is_terminal {
-            eprint!("\rversion {} of {total} is built", done + 1);
+            eprint!("\rbuilding version {} of {total}", done + 1);
         }
     };
     experiment.build(&show_build).map_err(CommandError::Input)?;
@@ -50,23 +53,23 @@
     let show_progress = |progress: Progress| match progress {
         Progress::Runs { done } => progress_bar.set_position(done as u64),
         Progress::Stage(outcome) => {
-            let kept = arguments.keep.as_deref().map(|folder| folder::keep_stage(folder, outcome));
-            if let Some(Err(error)) = kept {
-                tracing::warn!(%error, "the outcome so far is not kept");
+            let written = arguments.keep.as_deref().map(|folder| folder::keep_stage(folder, outcome));
+            if let Some(Err(error)) = written {
+                tracing::warn!(%error, "cannot write the interim outcome to the --keep folder");
             }
         }
     };
     let outcome = compare(&experiment, physics, &show_progress).map_err(CommandError::Input)?;
     progress_bar.finish_and_clear();
-    let report_error = |e| CommandError::Input(format!("the report: {e}"));
+    let report_error = |error| CommandError::Input(format!("cannot write the report: {error}"));
     if let Some(folder) = &arguments.keep {
         folder::keep(folder, &outcome).map_err(report_error)?;
     }
     if let Some(path) = &arguments.csv {
-        std::fs::write(path, runs_csv(&outcome))?;
+        write_file(path, runs_csv(&outcome))?;
     }
     if let Some(path) = &arguments.page {
-        std::fs::write(path, page::page(&outcome).map_err(report_error)?)?;
+        write_file(path, page::page(&outcome).map_err(report_error)?)?;
     }
     if arguments.json {
         println!("{}", serde_json::to_string(&outcome)?);
@@ -75,3 +78,8 @@
     }
     Ok(())
 }
+
+fn write_file(path: &Path, contents: String) -> Result<(), CommandError> {
+    std::fs::write(path, contents)
+        .map_err(|error| CommandError::Input(format!("{}: cannot be written: {error}", path.display())))
+}
--- a/crates/railhub-cli/src/controller.rs
+++ b/crates/railhub-cli/src/controller.rs
@@ -14,43 +14,47 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between two lines of figures in the log.
+/// Time between two log entries with the controller's figures.
 const FIGURES_INTERVAL: Duration = Duration::from_secs(10);
-/// Between two checks for a signal to end.
+/// Time between two checks whether a signal has requested the end.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Args)]
 pub struct ControllerArguments {
-    /// Settings, INI.
+    /// Settings file, INI.
     #[arg(long, required_unless_present = "platform")]
     conf: Option<PathBuf>,
-    /// Serve on the operators' platform, as its NODE_ variables tell.
+    /// Run on the operators' platform, with the configuration file that the environment variable NODE_CONFIG names.
     #[arg(long, conflicts_with_all = ["conf", "until_stdin_ends"])]
     platform: bool,
-    /// End when standard input ends, as for a child whose parent may die.
+    /// Exit when standard input is closed, so that a child process does not outlive its parent.
     #[arg(long)]
     until_stdin_ends: bool,
 }
 
+/// What a controller prints once it listens.
 #[derive(Serialize)]
 struct Listening {
+    /// Where proxies connect.
     listening: SocketAddr,
-    /// Where other controllers reach it and which process it is, if it is in a fleet.
+    /// Where other controllers reach it, if it is one of several.
     #[serde(skip_serializing_if = "Option::is_none")]
     fleet: Option<SocketAddr>,
+    /// Its process number, if it is one of several.
     #[serde(skip_serializing_if = "Option::is_none")]
     process: Option<u64>,
 }
 
-/// The variable that names the platform's file.
-const PLATFORM_FILE: &str = "NODE_CONFIG";
+/// Environment variable with the path of the platform's configuration file.
+const PLATFORM_FILE_VARIABLE: &str = "NODE_CONFIG";
 
-/// Whether the platform's signals must be handled before anything else starts.
+/// Whether the command line asks for the platform. Its signals must be held before the arguments are parsed: until then
+/// a signal would end the process.
 pub fn is_for_platform() -> bool {
     std::env::args_os().any(|argument| argument == "--platform")
 }
 
-/// Runs a controller until a signal ends it.
+/// Runs a controller until a signal ends it, or standard input if that is requested.
 ///
 /// # Errors
 /// The settings or the platform's file cannot be read or are invalid, or an address cannot be opened.
@@ -58,12 +62,14 @@
     if let Some(signals) = signals {
         return run_on_platform(signals);
     }
-    let Some(conf) = &arguments.conf else { return Err(CommandError::Input("--conf names no file".into())) };
+    let Some(conf) = &arguments.conf else {
+        return Err(CommandError::Input("--conf is required without --platform".into()));
+    };
     let mut running = Running::start(Installation::open(conf)?)?;
     let (fleet, process) = (running.membership_address(), running.membership_process());
     let stop_requested = Arc::new(AtomicBool::new(false));
     if fleet.is_some() {
-        // The other members are told that this one leaves: they need not wait for a probe timeout.
+        // The controller leaves the membership before it exits, so that the others need not wait for a probe timeout.
         for signal in [SIGTERM, SIGINT] {
             signal_hook::flag::register(signal, stop_requested.clone())?;
         }
@@ -89,8 +95,12 @@
 }
 
 fn run_on_platform(signals: Signals) -> Result<(), CommandError> {
-    let file = std::env::var_os(PLATFORM_FILE).map(PathBuf::from);
-    let file = file.ok_or_else(|| CommandError::Input(format!("{PLATFORM_FILE} names no file")))?;
+    let file = std::env::var_os(PLATFORM_FILE_VARIABLE).map(PathBuf::from);
+    let file = file.ok_or_else(|| {
+        CommandError::Input(format!(
+            "--platform: the environment variable {PLATFORM_FILE_VARIABLE} is not set"
+        ))
+    })?;
     Ok(railhub_platform_net::run(&file, signals)?)
 }
 
@@ -99,7 +109,7 @@
     std::process::exit(0);
 }
 
-/// Logs the figures of the membership, if the controller is in one.
+/// Logs the figures of the membership, if the controller is one of several.
 fn log_membership_figures(running: &Running) -> Result<(), CommandError> {
     let Some(figures) = running.membership_figures() else { return Ok(()) };
     tracing::info!(
@@ -132,7 +142,7 @@
     );
 }
 
-/// A file with a [day] section is a scenario, any other a controller's settings.
+/// Checks a file: with a `[day]` section it is a scenario, otherwise the settings of a controller.
 pub fn check(file: &Path) -> Result<(), CommandError> {
     let document = Document::open(file)?;
     if document.section("day").exists() {
--- a/crates/railhub-cli/src/fleet.rs
+++ b/crates/railhub-cli/src/fleet.rs
@@ -1,5 +1,5 @@
-//! `railhub fleet view|watch`: each steward's view of the fleet, side by side. Who looks is an observer: it bears nothing
-//! and is never counted.
+//! `railhub fleet view|watch`: the membership views of all controllers, side by side. The command is an observer: it
+//! sends no gossip, and no controller counts it as a member.
 use crate::fleet_shares::{DrainArguments, SlicesArguments};
 use crate::CommandError;
 use clap::{Args, Subcommand};
@@ -15,11 +15,15 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long one steward is waited for, and between two tries.
+/// Time for a controller to answer a request for a page of its view.
 const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time after which an unanswered request is sent again, as datagrams can be lost.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
-/// Stewards that are asked at the most.
-const MAX_CONTROLLERS_ASKED: usize = 64;
+/// Maximum addresses that one query asks.
+const MAX_ADDRESSES_ASKED: usize = 64;
+/// Bounds, in seconds, of the time between two queries of `watch`.
+const MIN_WATCH_INTERVAL: f64 = 0.05;
+const MAX_WATCH_INTERVAL: f64 = 3600.0;
 
 #[derive(Args)]
 pub struct FleetArguments {
@@ -29,89 +33,109 @@
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// What each steward holds of all, differences marked. Exit 3: views differ, or nobody answers.
+    /// Shows the membership views of all controllers side by side and marks differences. Exits with 3 if views differ,
+    /// a live controller does not answer, or none answers.
     View(ViewArguments),
-    /// The same, again and again.
+    /// Shows the membership views repeatedly. Exits as `view` does, after the last query.
     Watch(ViewArguments),
-    /// Who has which slices under which epochs, as the store has it.
+    /// Shows the leases of the slices as the store has them: holder, epoch and time left.
     Slices(SlicesArguments),
-    /// Tells a steward to hand its slices over, and waits until it has. Exit 3: it has not in time.
+    /// Tells a controller to hand its slices over, and waits until it holds none. Exits with 3 if it still holds some
+    /// after `--wait` seconds.
     Drain(DrainArguments),
 }
 
 #[derive(Args)]
 struct ViewArguments {
-    /// A steward's settings: its [fleet] section says whom to ask.
+    /// Settings file of a controller, INI; the addresses in its `[fleet]` section are queried.
     #[arg(long)]
     conf: PathBuf,
-    /// Ask here first, besides the addresses of the file.
+    /// Further address to query, IP:PORT, besides those of the file; can be given several times.
     #[arg(long)]
     at: Vec<SocketAddr>,
-    /// One JSON object on standard output, each time.
+    /// Print the result of each query as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Seconds between two looks of `watch`.
+    /// Seconds between two queries, 0.05 to 3600; only for `watch`.
     #[arg(long, default_value_t = 1.0)]
     every: f64,
-    /// Looks of `watch`; 0: without end.
+    /// Number of queries, 0 for no limit; only for `watch`.
     #[arg(long, default_value_t = 0)]
     times: u64,
 }
 
+/// A member as one controller's view has it. The serialized names are those of the JSON output.
 #[derive(Serialize)]
 pub struct MemberRow {
+    /// Its id.
     #[serde(rename = "steward")]
     pub controller: u16,
+    /// Its process number.
     pub process: u64,
+    /// The count of its incarnation.
     #[serde(rename = "count")]
     incarnation_count: u64,
     #[serde(rename = "standing")]
     status: Status,
+    /// Seconds since the status changed.
     #[serde(rename = "stands_for")]
     status_age: f64,
-    /// Seconds since its own word came, if any did.
+    /// Seconds since the viewer received a message from it, if it has.
     #[serde(rename = "heard_ago")]
     last_seen_ago: Option<f64>,
+    /// Where other controllers reach it.
     pub address: Option<SocketAddr>,
     #[serde(rename = "program")]
     program_version: String,
+    /// Version of the membership protocol.
     #[serde(rename = "protocol")]
     protocol_version: u32,
+    /// Digest of its settings, hexadecimal.
     #[serde(rename = "settings")]
     settings_digest: String,
+    /// It hands its slices over and acquires none.
     #[serde(rename = "drains")]
     pub draining: bool,
+    /// The lease store does not answer it.
     #[serde(rename = "no_store")]
     pub store_unreachable: bool,
+    /// A majority finds it slow, so that it must hold no slices.
     #[serde(rename = "withdrawn")]
     ejected: bool,
+    /// Slices that it holds.
     pub slices: u32,
+    /// Proxies that are connected to it.
     proxies: u32,
+    /// Processor cores that it uses.
     #[serde(rename = "busy")]
     cpu_cores: f32,
 }
 
+/// The view of one controller.
 #[derive(Serialize)]
 pub struct ControllerView {
+    /// The controller's id.
     pub viewer: u16,
+    /// Its process number.
     pub process: u64,
-    /// It takes no part: another process of its name does.
+    /// Whether a newer process runs under its id, so that this one takes no part.
     #[serde(rename = "yielded")]
     superseded: bool,
-    /// Datagrams that it dropped.
+    /// Datagrams that it has dropped.
     dropped: u64,
     #[serde(rename = "lines")]
     pub members: Vec<MemberRow>,
 }
 
+/// The views of all controllers that answered.
 #[derive(Serialize)]
 pub struct FleetReport {
     installation: String,
-    /// All that answer hold the same processes to live.
+    /// Whether all views have the same live processes, and all of these answered.
     #[serde(rename = "agree")]
     views_agree: bool,
     pub views: Vec<ControllerView>,
-    /// Held to live by somebody, and silent to us.
+    /// Addresses of members that some view shows as live but that did not answer.
     #[serde(rename = "silent")]
     unanswered: Vec<SocketAddr>,
 }
@@ -141,11 +165,13 @@
         if remaining == 0 {
             return if report.views_agree { Ok(()) } else { Err(CommandError::CheckFailed) };
         }
-        std::thread::sleep(Duration::from_secs_f64(arguments.every.clamp(0.05, 3600.0)));
+        std::thread::sleep(Duration::from_secs_f64(
+            arguments.every.clamp(MIN_WATCH_INTERVAL, MAX_WATCH_INTERVAL),
+        ));
     }
 }
 
-/// Asks the addresses of the file, then whoever the answers hold to live.
+/// Queries the extra addresses and those of the settings, and then each member that an answer shows as live.
 pub fn query_fleet(
     socket: &UdpSocket,
     settings: &MembershipSettings,
@@ -158,7 +184,7 @@
     let (mut views, mut unanswered) = (BTreeMap::new(), Vec::new());
     let mut live_addresses = BTreeSet::new();
     while let Some(address) = to_ask.pop() {
-        if asked.len() >= MAX_CONTROLLERS_ASKED || !asked.insert(address) {
+        if asked.len() >= MAX_ADDRESSES_ASKED || !asked.insert(address) {
             continue;
         }
         match query_view(socket, &settings.installation, address) {
@@ -185,12 +211,13 @@
     }
 }
 
+/// The ids and process numbers of the members that a view shows as live.
 fn live_members(view: &View) -> Vec<(NodeId, u64)> {
     let live = view.entries.iter().filter(|entry| entry.member.status.is_live());
     live.map(|entry| (entry.member.id, entry.member.incarnation.process)).collect()
 }
 
-/// One steward's whole view, page by page; `None`: it does not answer.
+/// The complete view of the controller at an address, page by page; `None` if it does not answer.
 fn query_view(socket: &UdpSocket, installation: &str, address: SocketAddr) -> Option<View> {
     let mut complete: Option<View> = None;
     let mut from = NodeId(0);
@@ -259,19 +286,20 @@
     }
 }
 
-/// A row a steward, a column a viewer; a star marks rows on which the viewers differ.
+/// A table with a row for each controller and a column for each view. An asterisk marks a controller of which the views
+/// show different live processes.
 fn report_text(report: &FleetReport) -> String {
     let ids: BTreeSet<u16> =
         report.views.iter().flat_map(|view| view.members.iter().map(|member| member.controller)).collect();
-    let mut out = format!("{}: {} stewards answer, ", report.installation, report.views.len());
+    let mut out = format!("{}: {} controllers answer, ", report.installation, report.views.len());
     out += if report.views_agree { "all views agree\n" } else { "VIEWS DIFFER\n" };
     out += &format!(
         "{:>10}  {:<16} {:<8} {:>6} {:>7} {:>5}",
-        "steward", "settings", "program", "slices", "proxies", "busy"
+        "controller", "settings", "program", "slices", "proxies", "cores"
     );
     for view in &report.views {
-        let mark = if view.superseded { " (out)" } else { "" };
-        out += &format!("  {:<16}", format!("says {}{mark}", view.viewer));
+        let note = if view.superseded { " (old)" } else { "" };
+        out += &format!("  {:<16}", format!("view {}{note}", view.viewer));
     }
     out.push('\n');
     for id in ids {
@@ -280,7 +308,7 @@
         };
         let cells: Vec<String> =
             report.views.iter().map(|view| status_in(view).unwrap_or_else(|| "-".into())).collect();
-        let distinct: BTreeSet<String> = report
+        let distinct_processes: BTreeSet<String> = report
             .views
             .iter()
             .filter(|view| !view.superseded)
@@ -297,7 +325,7 @@
             .chain(&report.views)
             .flat_map(|view| &view.members)
             .find(|member| member.controller == id);
-        let mark = if distinct.len() > 1 { "*" } else { " " };
+        let mark = if distinct_processes.len() > 1 { "*" } else { " " };
         out += &format!("{mark:>4}{id:>6}  ");
         if let Some(member) = row {
             let (program, cores) = (&member.program_version, member.cpu_cores);
@@ -310,11 +338,13 @@
         out.push('\n');
     }
     for address in &report.unanswered {
-        out += &format!("{address} is held to live by somebody and does not answer us\n");
+        out += &format!("{address}: live in a view, but does not answer this command\n");
     }
     out
 }
 
+/// The status with its age; an alive member that must not or cannot hold slices is shown as slow, draining or without a
+/// store.
 fn status_text(member: &MemberRow) -> String {
     let status = match member.status {
         Status::Alive if member.ejected => "slow",
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes of their own, so that they can be paused and killed.
+//! Starts controllers as separate processes, so that a scenario can pause and kill them.
 use crate::logs::FILTER_VARIABLE;
 use crate::LogFormat;
 use railhub_chaos::cluster_harness::{ControllerProcess, ProcessLog};
@@ -8,7 +8,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Each call starts this binary as a controller with the settings given.
+/// Returns a launcher that starts this binary as a controller with the settings it is given. Logs are written to this
+/// process's standard error.
 pub fn process_launcher(log: LogFormat) -> Launch {
     let format = match log {
         LogFormat::Text => "text",
@@ -21,11 +22,12 @@
     })
 }
 
-/// The same with settings and logs kept in a folder.
+/// Returns a launcher as [`process_launcher`] does that keeps settings and logs in a folder.
 pub fn folder_launcher(folder: &Path) -> Launch {
     launcher(Some(folder.to_owned()), |conf| {
         let log = conf.with_extension("log");
-        let file = std::fs::File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
+        let file =
+            std::fs::File::create(&log).map_err(|e| format!("{}: cannot be created: {e}", log.display()))?;
         Ok(ProcessLog { to: file.into(), format: "text", level: "info".into() })
     })
 }
@@ -43,7 +45,8 @@
             .as_ref()
             .map_or_else(temporary_file, |folder| folder.join(format!("steward-{number}.ini")));
         std::fs::write(&file, settings).map_err(|source| LaunchError::File { path: file.clone(), source })?;
-        let binary = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
+        let binary =
+            std::env::current_exe().map_err(|e| format!("cannot determine the path of this program: {e}"))?;
         let started = ControllerProcess::start_with_log(&binary, &file, log(&file)?);
         if folder.is_none() {
             let _ = std::fs::remove_file(&file);
@@ -52,8 +55,8 @@
     })
 }
 
-/// What a scenario does with a process.
-pub fn launched_process(process: ControllerProcess) -> Launched {
+/// Describes a controller process to a scenario, with the functions that pause and kill it.
+fn launched_process(process: ControllerProcess) -> Launched {
     let process = Arc::new(process);
     let (paused_process, killed_process) = (process.clone(), process.clone());
     Launched {
--- a/crates/railhub-cli/src/logs.rs
+++ b/crates/railhub-cli/src/logs.rs
@@ -1,15 +1,16 @@
-//! Logs to standard error, written by a thread of their own: a reader that stops must not stop a steward.
+//! Logging to standard error by a separate thread, so that a reader that stops reading cannot block a controller.
 use crate::LogFormat;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that may wait for the reader; further ones are dropped.
+/// Maximum lines that wait to be written; further lines are dropped.
 const MAX_BUFFERED_LINES: usize = 10_000;
 
-/// The variable that sets what is logged; without it `usual` is.
+/// Environment variable with the filter directives of the log, such as `info`.
 pub const FILTER_VARIABLE: &str = "RAILHUB_LOG";
 
-/// Lines are written until the guard is dropped.
+/// Starts logging with the filter of [`FILTER_VARIABLE`], or at `default_level` if that is unset or invalid; the
+/// coroutine runtime then logs warnings only. Lines are written until the guard is dropped.
 pub fn start(format: LogFormat, default_level: &str) -> Option<WorkerGuard> {
     if format == LogFormat::Off {
         return None;
--- a/crates/railhub-cli/src/main.rs
+++ b/crates/railhub-cli/src/main.rs
@@ -1,5 +1,7 @@
-//! `railhub`: the controller, scenarios, and the checker of recordings. Results go to standard output, logs to standard
-//! error; exit 0 good, 2 bad usage or input, 3 a rule broke or a check failed.
+//! `railhub`: the command line of the controller, of scenarios and experiments, and of the checks of recordings.
+//!
+//! Results are printed on standard output, logs and error messages on standard error. Exit codes: 0 for success, 2 for
+//! invalid arguments or input, 3 for a broken rule or a failed check.
 mod chaos;
 mod chaos_leases;
 mod chaos_view;
@@ -23,7 +25,8 @@
 #[derive(Parser)]
 #[command(name = "railhub", version, about = "Publishes weights and key ranges to plain proxies")]
 struct Arguments {
-    /// Logs on standard error.
+    /// Format of the log on standard error; the environment variable RAILHUB_LOG sets its level (default: info for
+    /// controller and standin, else warn).
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log: LogFormat,
     #[command(subcommand)]
@@ -39,31 +42,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a controller until a signal ends it.
+    /// Runs a controller until SIGTERM or SIGINT.
     #[command(visible_alias = "steward")]
     Controller(controller::ControllerArguments),
-    /// Checks the settings of a controller or a scenario.
+    /// Checks a settings file or a scenario file.
     Conf(ConfArguments),
-    /// Plays a scenario on loopback and judges the rules.
+    /// Runs a scenario in real time on loopback sockets, reports its service and checks the rules.
     #[command(visible_alias = "day")]
     Scenario(scenario::ScenarioArguments),
-    /// Plays the emulated side of a scenario against a controller that runs elsewhere on this machine.
+    /// Runs a scenario on loopback sockets against a controller that is started separately on this machine.
     Standin(standin::StandinArguments),
-    /// Runs a scenario in simulated time.
+    /// Runs a scenario in simulated time, reports its service and checks the rules.
     Model(model::ModelArguments),
-    /// Compares the arms of an experiment in simulated time, until the difference is known.
+    /// Compares the arms of an experiment in simulated time until the differences are precise enough.
     Compare(compare::CompareArguments),
-    /// Workload traces: extracts, shows, fits, cuts and scales them.
+    /// Extracts, summarizes, fits, cuts and scales workload traces.
     Traffic(traffic::TrafficArguments),
-    /// Plays controllers that share slices, with faults drawn from seeds, and judges what they publish.
+    /// Runs controllers that share slices under drawn or listed faults, and checks their leases or membership views.
     Chaos(chaos::ChaosArguments),
-    /// Shows the membership views and leases of controllers that share slices.
+    /// Shows membership views and slice leases of running controllers, and drains a controller.
     Fleet(fleet::FleetArguments),
-    /// Shows a running scenario, a recording or the folder of an experiment in the terminal.
+    /// Shows a running scenario, a recording or the results folder of an experiment in the terminal.
     Watch(watch::WatchArguments),
-    /// Reports service, its changes and the rules of a run from its recording alone.
+    /// Reports the service of a recorded run and its changes, and checks the rules.
     Report(scenario::CheckArguments),
-    /// Judges the rules from a recording alone.
+    /// Checks the rules against a recording.
     Check(scenario::CheckArguments),
 }
 
@@ -75,15 +78,18 @@
 
 #[derive(Subcommand)]
 enum ConfCommand {
-    /// Prints file, line and what is wrong; nothing if the file is valid.
-    Check { file: PathBuf },
+    /// Prints the first mistake with file and line and exits with 2; prints nothing if the file is valid.
+    Check {
+        /// Settings file of a controller or scenario file, INI.
+        file: PathBuf,
+    },
 }
 
-/// Why a command fails.
+/// Why a command failed.
 enum CommandError {
-    /// One line: what is wrong with the arguments or their input.
+    /// Invalid arguments or input; the message is one line.
     Input(String),
-    /// A rule broke or a check failed; printed already.
+    /// A rule was broken or a check failed; the command has already printed which.
     CheckFailed,
 }
 
@@ -100,7 +106,7 @@
     let signals = match signals {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("railhub: signals cannot be taken: {error}");
+            eprintln!("railhub: cannot install signal handlers: {error}");
             return ExitCode::from(2);
         }
     };
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -1,5 +1,5 @@
-//! `railhub model`: a day in simulated time.
-use crate::scenario::{finish, RunSource};
+//! `railhub model`: runs a scenario in simulated time.
+use crate::scenario::{finish, RunInfo};
 use crate::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_experiment::predict::predict;
@@ -18,45 +18,55 @@
 pub struct ModelArguments {
     #[command(subcommand)]
     command: Option<ModelCommand>,
-    /// The day, INI.
+    /// Scenario file, INI.
     #[arg(required = true)]
     file: Option<PathBuf>,
-    /// What the machine adds, INI, as `model fit` writes it.
+    /// Latencies of a machine, INI as `railhub model fit` prints them; default: built-in values of a loopback run on
+    /// four cores.
     #[arg(long)]
     physics: Option<PathBuf>,
-    /// In place of the file's own.
+    /// Seed of the run; default: the seed in the file.
     #[arg(long)]
     seed: Option<u64>,
-    /// Who steers.
+    /// What decides the tables.
     #[arg(long, value_enum, default_value_t = PolicyArgument::Steward)]
     policy: PolicyArgument,
-    /// One JSON object on standard output.
+    /// Print the report as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Leave out the same day with tables fixed at the start.
+    /// Skip the run for comparison, in which the tables stay as they are at the start.
     #[arg(long)]
     no_fixed: bool,
-    /// Play the day so often, each time with other luck: the interval that one more run lies in. 19 runs make it
-    /// hold in 9 of 10 cases.
+    /// Make this many runs, each with other random choices of the proxies, and print the interval in which one more run
+    /// would lie. With 19 runs, it lies there in 9 of 10 cases.
     #[arg(long, value_parser = clap::value_parser!(u64).range(2..100_000))]
     runs: Option<u64>,
-    /// Keep what happened, as `day --record` does.
+    /// Write a recording of the run to this file, as `railhub scenario --record` does.
     #[arg(long)]
     record: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum ModelCommand {
-    /// Reads out of a loopback record what the machine adds, and how well that is known.
-    Fit { record: PathBuf },
+    /// Estimates the latencies of a machine from a loopback recording; prints them as INI for `--physics`, with 95 %
+    /// confidence intervals.
+    Fit {
+        /// Recording that `railhub scenario --record` wrote.
+        record: PathBuf,
+    },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum PolicyArgument {
+    /// The controller's decisions.
     Steward,
+    /// Nothing: the tables stay as they are at the start.
     Fixed,
+    /// Weighted rendezvous hashing: each slice on one host.
     Hash,
+    /// All operations on all hosts, by the hosts' weights.
     Even,
+    /// All operations on all hosts, by the inverse of the recent latency there.
     Latency,
 }
 
@@ -76,7 +86,7 @@
     if let Some(ModelCommand::Fit { record }) = &arguments.command {
         return fit(record);
     }
-    let file = arguments.file.as_ref().ok_or(CommandError::Input("a day file is needed".into()))?;
+    let file = arguments.file.as_ref().ok_or(CommandError::Input("a scenario file is required".into()))?;
     let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
     let mut scenario = Scenario::open(file)?;
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
@@ -90,7 +100,7 @@
     }
     let fixed = (!arguments.no_fixed).then(|| simulate(Policy::Fixed)).transpose()?;
     let fixed = fixed.and_then(|events| Some(service(&events, limits(&events)?)));
-    let run = RunSource { scenario: &scenario.name, seed: scenario.seed, source: "simulated" };
+    let run = RunInfo { scenario: &scenario.name, seed: scenario.seed, source: "simulated" };
     finish(&run, &events, fixed, arguments.json)
 }
 
@@ -107,7 +117,7 @@
     } else {
         let holds = prediction.holds * 100.0;
         println!(
-            "{} (seed {}), simulated, {runs} runs; one more lies within in {holds:.0} of 100 cases",
+            "{} (seed {}), simulated, {runs} runs; one more run lies within in {holds:.0} of 100 cases",
             scenario.name, scenario.seed
         );
         for (name, interval) in [("service", prediction.service), ("worst 10 s", prediction.worst_10_s)] {
@@ -124,6 +134,7 @@
     }
 }
 
+/// Reads the latencies of a machine from an INI file with a `[physics]` section.
 pub fn read_physics(path: &Path) -> Result<Physics, Diagnostic> {
     let document = Document::open(path)?;
     document.reject_unknown_sections(|name| name == "physics")?;
@@ -140,7 +151,7 @@
     let samples = samples(&read(record)?);
     if samples.way.is_empty() || samples.work_late.is_empty() {
         return Err(CommandError::Input(format!(
-            "{}: no completed operation to learn from",
+            "{}: no completed operation to estimate from",
             record.display()
         )));
     }
--- a/crates/railhub-cli/src/runs.rs
+++ b/crates/railhub-cli/src/runs.rs
@@ -1,10 +1,10 @@
-//! Many runs, one a seed, some at once.
+//! Runs that are repeated with consecutive seeds, several at a time.
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Each seed's run, in the order of seeds.
+/// Calls `run` for `count` consecutive seeds on `threads` threads, and returns the results in the order of seeds.
 pub fn run_seeds<T: Send>(
     first_seed: u64,
     count: u64,
@@ -37,12 +37,12 @@
     results
 }
 
-/// As many as the machine has cores.
+/// The number of cores of the machine; 1 if it is unknown.
 pub fn core_count() -> usize {
     std::thread::available_parallelism().map_or(1, |n| n.get())
 }
 
-/// The value below which such a share of all lies, out of sorted ones.
+/// The value below which the given fraction of the sorted values lies; `None` if there are none.
 pub fn quantile(sorted: &[f64], fraction: f64) -> Option<f64> {
     sorted.get(((sorted.len().max(1) - 1) as f64 * fraction).round() as usize).copied()
 }
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `railhub scenario`, `railhub report` and `railhub check`.
+//! `railhub scenario`, `railhub report` and `railhub check`: runs a scenario on loopback, and reports on recordings.
 use crate::launch::process_launcher;
 use crate::{CommandError, LogFormat};
 use clap::{Args, Subcommand, ValueEnum};
@@ -19,35 +19,36 @@
 pub struct ScenarioArguments {
     #[command(subcommand)]
     command: Option<ScenarioCommand>,
-    /// The day, INI.
+    /// Scenario file, INI.
     #[arg(required = true)]
     file: Option<PathBuf>,
-    /// In place of the file's own.
+    /// Seed of the run; default: the seed in the file.
     #[arg(long)]
     seed: Option<u64>,
-    /// One JSON object on standard output.
+    /// Print the report as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keep what crossed the sockets.
+    /// Write a recording of the run, with what crossed the sockets, to this file.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Make a stand-in break a rule: the checker must find that one.
+    /// Make the emulated proxies break a rule, to verify that the check reports it.
     #[arg(long, value_enum)]
     sabotage: Option<SabotageArgument>,
-    /// Leave out the same day with tables fixed at the start.
+    /// Skip the run for comparison, in which the tables stay as they are at the start.
     #[arg(long)]
     no_fixed: bool,
 }
 
 #[derive(Subcommand)]
 enum ScenarioCommand {
-    /// Makes a script of a day that was drawn for the users' bench.
+    /// Converts a scenario of the users' bench (JSON) into a scenario file.
     Import {
-        /// A day file, JSON.
+        /// Scenario of the users' bench, JSON.
         file: PathBuf,
+        /// Scenario file to write, INI.
         #[arg(short, long)]
         output: PathBuf,
-        /// Hosts at the start; as many as the day has, 24 at the most, if left out.
+        /// Number of hosts at the start; default: as in the source, but at most 24.
         #[arg(long)]
         hosts: Option<usize>,
     },
@@ -55,22 +56,28 @@
 
 #[derive(Args)]
 pub struct CheckArguments {
+    /// Recording of a run.
     record: PathBuf,
-    /// One JSON object on standard output.
+    /// Print the result as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum SabotageArgument {
+    /// Proxies lose the assignments of some slices.
     #[value(name = "rule-1")]
     One,
+    /// Proxies retry operations that completed.
     #[value(name = "rule-2")]
     Two,
+    /// Proxies send to hosts that are excluded.
     #[value(name = "rule-3")]
     Three,
+    /// Proxies send everything to the host that started last.
     #[value(name = "rule-4")]
     Four,
+    /// Proxies receive each message several times.
     #[value(name = "rule-5")]
     Five,
 }
@@ -90,21 +97,21 @@
 pub fn run(arguments: &ScenarioArguments, log: LogFormat) -> Result<(), CommandError> {
     if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.command {
         let omitted = import::import(file, output, *hosts)?;
-        omitted.iter().for_each(|omission| eprintln!("not carried over: {omission}"));
+        omitted.iter().for_each(|omission| eprintln!("not imported: {omission}"));
         return Ok(());
     }
-    let file = arguments.file.as_ref().ok_or(CommandError::Input("a day file is needed".into()))?;
+    let file = arguments.file.as_ref().ok_or(CommandError::Input("a scenario file is required".into()))?;
     let mut scenario = Scenario::open(file)?;
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     let sabotage = arguments.sabotage.map(SabotageArgument::emulator_sabotage);
     let bar = progress_bar(&scenario);
-    let show = |at: f64| bar.set_position(at.max(0.0) as u64);
+    let show_progress = |at: f64| bar.set_position(at.max(0.0) as u64);
     let record = arguments.record.as_deref();
     let (controlled, fixed) = std::thread::scope(|scope| {
         let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play_fixed(&scenario)));
-        let controlled = play(&scenario, Some(process_launcher(log)), sabotage, record, &show);
-        let fixed =
-            fixed.map(|thread| thread.join().unwrap_or_else(|_| Err("the fixed day ended early".into())));
+        let controlled = play(&scenario, Some(process_launcher(log)), sabotage, record, &show_progress);
+        let fixed = fixed
+            .map(|thread| thread.join().unwrap_or_else(|_| Err("the run with fixed tables panicked".into())));
         (controlled, fixed)
     });
     bar.finish_and_clear();
@@ -116,18 +123,19 @@
         None => controlled.events,
     };
     finish(
-        &RunSource { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
+        &RunInfo { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
         &events,
         fixed,
         arguments.json,
     )
 }
 
-/// The same scenario with the tables that it begins with.
+/// Plays the scenario without a controller, so that the tables stay as at the start.
 fn play_fixed(scenario: &Scenario) -> Result<Played, String> {
     play(scenario, None, None, None, &|_| {}).map_err(|error| error.to_string())
 }
 
+/// A progress bar over the seconds of a scenario; hidden if standard error is not a terminal.
 pub fn progress_bar(scenario: &Scenario) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
@@ -137,33 +145,36 @@
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Which run a report is of.
-pub struct RunSource<'a> {
+/// The run that a report is of.
+pub struct RunInfo<'a> {
     pub scenario: &'a str,
     pub seed: u64,
-    /// loopback or simulated.
+    /// "loopback", "simulated" or "from a record".
     pub source: &'static str,
 }
 
-/// A report of a record that is all there is: neither day nor seed are known.
+/// Prints the report of a recording. A recording holds neither the scenario's name nor its seed, so the path and 0
+/// stand for them.
 pub fn report(arguments: &CheckArguments) -> Result<(), CommandError> {
     let name = arguments.record.display().to_string();
     let PartialRecording { events, is_truncated } = read_partial(&arguments.record)?;
     if is_truncated {
         eprintln!("{name}: cut off; the {} events before the cut are used", events.len());
     }
-    finish(&RunSource { scenario: &name, seed: 0, source: "from a record" }, &events, None, arguments.json)
+    finish(&RunInfo { scenario: &name, seed: 0, source: "from a record" }, &events, None, arguments.json)
 }
 
-/// Prints what came of a day; a broken rule is an ending of its own.
+/// Prints the report of a run and its changes of service; fails with [`CommandError::CheckFailed`] if a rule was
+/// broken.
 pub fn finish(
-    run: &RunSource,
+    run: &RunInfo,
     events: &[Event],
     fixed: Option<Service>,
     json: bool,
 ) -> Result<(), CommandError> {
     let rules = check_recording(events).map_err(|error| CommandError::Input(error.to_string()))?;
-    let limits = limits(events).ok_or(CommandError::Input("the record has no limits".into()))?;
+    let limits = limits(events)
+        .ok_or(CommandError::Input("the recording does not state the limits of its run".into()))?;
     let report = Report {
         scenario: run.scenario.to_owned(),
         source: run.source,
--- a/crates/railhub-cli/src/standin.rs
+++ b/crates/railhub-cli/src/standin.rs
@@ -1,5 +1,6 @@
-//! `railhub standin`: a day's stand-ins for a steward that somebody else starts.
-use crate::scenario::{finish, progress_bar, RunSource};
+//! `railhub standin`: the emulated hosts, proxies and clients of a scenario, for a controller that is started
+//! separately.
+use crate::scenario::{finish, progress_bar, RunInfo};
 use crate::CommandError;
 use clap::Args;
 use railhub_scenario::{play, Launch, LaunchError, Launched, Scenario};
@@ -8,20 +9,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the steward is waited for.
+/// Time for the controller to be started and to listen.
 const CONTROLLER_START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two attempts to connect to it.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Args)]
 pub struct StandinArguments {
-    /// The day, INI.
+    /// Scenario file, INI.
     file: PathBuf,
-    /// Where the steward will listen; an address of this machine's loopback.
+    /// Loopback address on which the controller will listen for proxies, IP:PORT; the command waits up to 60 s for it.
     #[arg(long = "steward", value_name = "STEWARD")]
     controller: SocketAddr,
-    /// Where the steward's settings are written: start it with them.
+    /// File to which the settings of the controller are written; start the controller with `--conf` of this file.
     #[arg(long)]
     conf_out: PathBuf,
-    /// One JSON object on standard output.
+    /// Print the report as one JSON object.
     #[arg(long)]
     json: bool,
 }
@@ -39,13 +42,13 @@
         let settings = settings.replace("listen = 127.0.0.1:0", &format!("listen = {address}"));
         std::fs::write(&conf_out, settings)
             .map_err(|source| LaunchError::File { path: conf_out.clone(), source })?;
-        tracing::info!(conf = %conf_out.display(), "start the steward now");
+        tracing::info!(conf = %conf_out.display(), "settings written, start the controller now");
         let deadline = Instant::now() + CONTROLLER_START_TIMEOUT;
         while TcpStream::connect(address).is_err() {
             if Instant::now() > deadline {
                 return Err(LaunchError::NotListening(address));
             }
-            std::thread::sleep(Duration::from_millis(100));
+            std::thread::sleep(CONNECT_INTERVAL);
         }
         Ok(Launched { address, fleet: None, process: None, pause: None, kill: Box::new(|| {}) })
     });
@@ -54,7 +57,7 @@
     progress.finish_and_clear();
     let played = played?;
     finish(
-        &RunSource { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
+        &RunInfo { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
         &played.events,
         None,
         arguments.json,
--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -1,4 +1,4 @@
-//! `railhub traffic`: recorded operations.
+//! `railhub traffic`: workload traces.
 use crate::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
 use railhub_invariants::limits;
@@ -20,56 +20,67 @@
 
 #[derive(Subcommand)]
 enum TrafficCommand {
-    /// Takes the operations out of a run's record.
+    /// Extracts the operations of a recorded run as a trace.
     Record {
+        /// Recording of a run; may be cut off.
         record: PathBuf,
+        /// Trace file to write.
         #[arg(short, long)]
         output: PathBuf,
     },
-    /// Sums recorded traffic up.
+    /// Summarizes a trace: rates, classes, zones, and the hottest keys and slices.
     Show {
+        /// Trace file.
         file: PathBuf,
-        /// One JSON object on standard output.
+        /// Print the summary as one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Distributions of arrivals, keys and work, with how well they fit.
+    /// Fits distributions to the arrivals, keys and work of a trace, with their goodness of fit.
     Fit {
+        /// Trace file.
         file: PathBuf,
-        /// One JSON object on standard output.
+        /// Print the fits as one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Takes a part of it.
+    /// Selects a part of a trace by time, class and zone.
     Cut {
+        /// Trace file.
         file: PathBuf,
+        /// Trace file to write.
         #[arg(short, long)]
         output: PathBuf,
-        /// Seconds of the recording.
+        /// Start of the part, in seconds from the start of the trace.
         #[arg(long, default_value_t = 0.0)]
         from: f64,
+        /// End of the part, in seconds from the start of the trace; default: the end of the trace.
         #[arg(long)]
         until: Option<f64>,
-        /// Only these classes and zones, by name.
+        /// Keep operations of this class; can be given several times. Default: all classes.
         #[arg(long)]
         class: Vec<String>,
+        /// Keep operations of this zone; can be given several times. Default: all zones.
         #[arg(long)]
         zone: Vec<String>,
     },
-    /// Makes more or less of it; bursts and hot keys stay.
+    /// Scales a trace to more or fewer operations or to another length; bursts and hot keys are preserved.
     Scale {
+        /// Trace file.
         file: PathBuf,
+        /// Trace file to write.
         #[arg(short, long)]
         output: PathBuf,
-        /// Times as many operations.
+        /// Factor of the number of operations, 0.0001 to 10000.
         #[arg(long, default_value_t = 1.0)]
         times: f64,
-        /// Times as long.
+        /// Factor of the length in time, 0.0001 to 10000.
         #[arg(long, default_value_t = 1.0)]
         stretch: f64,
-        /// More of the same users, or more users.
+        /// Keys of the operations that are added.
         #[arg(long, value_enum, default_value_t = Copies::SameKeys)]
         copies: Copies,
+        /// Seed of the random choice of operations.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -77,7 +88,9 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Copies {
+    /// The original's key, as if the same users made more requests: hot keys get hotter.
     SameKeys,
+    /// Keys of their own, as if there were more users: each as hot as the original's.
     OtherKeys,
 }
 
@@ -92,10 +105,13 @@
                     events.len()
                 );
             }
-            let limits = limits(&events).ok_or(CommandError::Input("the record has no limits".into()))?;
+            let limits = limits(&events).ok_or_else(|| {
+                let path = record.display();
+                CommandError::Input(format!("{path}: the recording does not state the limits of its run"))
+            })?;
             let mut traffic = of_record(&events, limits);
             if is_truncated {
-                // What came last has not ended: of the last seconds only a part is known.
+                // Operations are recorded when they end, so of the last seconds before the cut only a part is known.
                 let until = events.last().map_or(0.0, |event| event.at) - limits.from - max_hard_stop(limits);
                 traffic = cut(&traffic, &Part { until: Some(until.max(0.0)), ..Part::default() });
             }
@@ -115,14 +131,18 @@
             let zones = indexes("zone", zone, &traffic.header.zones)?;
             let in_order = until.is_none_or(|until| until > *from);
             if from.is_nan() || *from < 0.0 || !in_order {
-                return Err(CommandError::Input("--from and --until must be in order, from 0".into()));
+                return Err(CommandError::Input(format!(
+                    "--from {from}: must be 0 or more, and less than --until"
+                )));
             }
             save(output, &cut(&traffic, &Part { from: *from, until: *until, classes, zones }))?;
         }
         TrafficCommand::Scale { file, output, times, stretch, copies, seed } => {
             let is_valid_factor = |value: f64| (0.0001..=10_000.0).contains(&value);
             if !is_valid_factor(*times) || !is_valid_factor(*stretch) {
-                return Err(CommandError::Input("--times and --stretch may be 0.0001 to 10000".into()));
+                return Err(CommandError::Input(format!(
+                    "--times {times}, --stretch {stretch}: both must be from 0.0001 to 10000"
+                )));
             }
             let copies = match copies {
                 Copies::SameKeys => CopyKeys::SameKeys,
@@ -131,7 +151,7 @@
             let traffic = load(file)?;
             if traffic.operations() as f64 * times > MAX_OPERATIONS as f64 {
                 return Err(CommandError::Input(format!(
-                    "that would be more than {MAX_OPERATIONS} operations"
+                    "--times {times}: the result would have more than {MAX_OPERATIONS} operations"
                 )));
             }
             save(output, &scale(&traffic, *times, *stretch, copies, *seed))?;
@@ -140,6 +160,7 @@
     Ok(())
 }
 
+/// Seconds after which the clients of any class have given up.
 fn max_hard_stop(limits: &railhub_record::Limits) -> f64 {
     limits.classes.iter().map(|class| class.hard_stop).fold(0.0, f64::max)
 }
@@ -153,11 +174,16 @@
     Ok(opened.trace)
 }
 
-fn indexes(dimension: &str, names: &[String], all: &[String]) -> Result<Vec<u32>, CommandError> {
+/// The indexes of `names` among `known_names`; `dimension` is the option that they were given by.
+fn indexes(dimension: &str, names: &[String], known_names: &[String]) -> Result<Vec<u32>, CommandError> {
     let index = |name: &String| {
-        let position = all.iter().position(|known| known == name);
-        let unknown =
-            || CommandError::Input(format!("no {dimension} '{name}': there are {}", all.join(", ")));
+        let position = known_names.iter().position(|known| known == name);
+        let unknown = || {
+            CommandError::Input(format!(
+                "--{dimension} '{name}': not in the trace, which has {}",
+                known_names.join(", ")
+            ))
+        };
         position.map(|position| position as u32).ok_or_else(unknown)
     };
     names.iter().map(index).collect()
@@ -181,15 +207,18 @@
         format!("{} operations in {:.1} s: {:.1} a second", summary.operations, summary.length, summary.rate);
     out += &format!(", {:.0} in the busiest second\n", summary.peak_rate);
     if summary.from_sums > 0 {
-        out += &format!("{} of them from sums, without keys, work and moments\n", summary.from_sums);
+        out += &format!(
+            "{} of them from load reports, without keys, work and single times\n",
+            summary.from_sums
+        );
     }
     if let Some(work) = summary.work_rate {
-        out += &format!("{work:.2} cores busy at speed 1\n");
+        out += &format!("{work:.2} cores of speed 1 used on average\n");
     }
-    let part = |count: &u64| *count as f64 / summary.operations.max(1) as f64 * 100.0;
-    for (what, all) in [("class", &summary.by_class), ("zone", &summary.by_zone)] {
-        for (name, count) in all.iter().filter(|(_, count)| *count > 0) {
-            out += &format!("  {what} {name:<20} {count:>9}  {:>5.1} %\n", part(count));
+    let percentage = |count: &u64| *count as f64 / summary.operations.max(1) as f64 * 100.0;
+    for (dimension, counts) in [("class", &summary.by_class), ("zone", &summary.by_zone)] {
+        for (name, count) in counts.iter().filter(|(_, count)| *count > 0) {
+            out += &format!("  {dimension} {name:<20} {count:>9}  {:>5.1} %\n", percentage(count));
         }
     }
     out += &format!("{} keys\n", summary.keys);
@@ -215,15 +244,15 @@
     match &fitted.arrivals {
         Some(arrivals) => {
             let rates = arrivals.rates.iter().map(|rate| format!("{rate:.1}")).collect::<Vec<_>>();
-            out += &format!("operations a second, by 5 s: {}\n", rates.join(" "));
+            out += &format!("operations a second, in windows of 5 s: {}\n", rates.join(" "));
             out += &format!(
                 "bursts: variance over mean of counts in 0.1 s {:.2} (Poisson: 1)\n",
                 arrivals.dispersion
             );
-            out += "gaps, over the mean gap of their 5 s:\n";
-            arrivals.gaps.iter().for_each(|one| out += &candidate_text(one));
+            out += "gaps between arrivals, relative to the mean gap of their window:\n";
+            arrivals.gaps.iter().for_each(|candidate| out += &candidate_text(candidate));
         }
-        None => out += "arrivals: no single operations to go by\n",
+        None => out += "arrivals: too few single operations to fit\n",
     }
     match &fitted.keys {
         Some(keys) => {
@@ -233,17 +262,18 @@
                 keys.keys, keys.exponent, keys.distance, keys.allowed
             );
             for (key, share) in &keys.off_the_curve {
-                out += &format!("  hot beyond the curve: key {key}, {:.2} % of all\n", share * 100.0);
+                out +=
+                    &format!("  hotter than fitted: key {key}, {:.2} % of all operations\n", share * 100.0);
             }
         }
-        None => out += "keys: none known\n",
+        None => out += "keys: too few known to fit\n",
     }
     for work in &fitted.work {
         out += &format!(
-            "work of {}, {} operations: as a day's script has it\n  work = {:.5}\n  spread = {:.3}\n",
+            "work of {}, {} operations; for a scenario file:\n  work = {:.5}\n  spread = {:.3}\n",
             work.class, work.values, work.mean, work.spread
         );
-        work.candidates.iter().for_each(|one| out += &candidate_text(one));
+        work.candidates.iter().for_each(|candidate| out += &candidate_text(candidate));
     }
     out
 }
--- a/crates/railhub-cli/src/watch.rs
+++ b/crates/railhub-cli/src/watch.rs
@@ -1,4 +1,4 @@
-//! `railhub watch`.
+//! `railhub watch`: the dashboard of a recording or an experiment.
 use crate::CommandError;
 use clap::Args;
 use std::io::IsTerminal;
@@ -6,12 +6,12 @@
 
 #[derive(Args)]
 pub struct WatchArguments {
-    /// A record, which may still grow, or a folder that `railhub compare --keep` writes.
+    /// Recording, which may still be growing, or folder that `railhub compare --keep` writes.
     path: PathBuf,
-    /// Second of the day to begin at; the end of what has come, if left out.
+    /// Second of the scenario to show first; default: the end of the recording so far.
     #[arg(long, allow_negative_numbers = true)]
     at: Option<f64>,
-    /// One picture as text, then the end; so it is as well where there is no terminal.
+    /// Print one frame as text and exit; the default if standard output is not a terminal.
     #[arg(long)]
     once: bool,
 }
