--- a/crates/railhub-cli/src/chaos.rs
+++ b/crates/railhub-cli/src/chaos.rs
@@ -213,7 +213,7 @@
         for breach in &first.breaches {
             out += &format!("  {:.3} s: {}: {}\n", breach.at, breach.rule, breach.description);
         }
-        out += &format!("minimal set of {} faults:\n", first.faults.len());
+        out += &format!("minimal set of faults ({}):\n", first.faults.len());
         for fault in &first.faults {
             out += &format!("  {:.2} s, for {:.2} s: {}\n", fault.at, fault.duration, fault.kind);
         }
