--- a/crates/railhub-membership/src/table/tests.rs
+++ b/crates/railhub-membership/src/table/tests.rs
@@ -14,39 +14,49 @@
 
 proptest! {
     #[test]
-    fn any_order_and_any_repetition_of_the_same_words_ends_in_the_same_table(
+    fn merge_does_not_depend_on_order_or_repetition(
         entries in prop::collection::vec((1..4u16, 0..3u64, 0..3u64, 0..4usize), 1..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        let entries: Vec<Member> = entries.into_iter().map(|(a, p, c, s)| entry(a, p, c, s)).collect();
-        let (mut straight, mut mixed) = (table(), table());
-        entries.iter().for_each(|entry| _ = straight.merge(entry, false));
-        order.iter().for_each(|index| _ = mixed.merge(&entries[index.index(entries.len())], false));
-        entries.iter().rev().for_each(|entry| _ = mixed.merge(entry, false));
-        prop_assert!(straight.others().eq(mixed.others()));
-        prop_assert_eq!(straight.digest(), mixed.digest());
+        let entries: Vec<Member> = entries
+            .into_iter()
+            .map(|(id, process, count, status)| entry(id, process, count, status))
+            .collect();
+        let (mut in_order, mut shuffled) = (table(), table());
+        entries.iter().for_each(|entry| _ = in_order.merge(entry, false));
+        order.iter().for_each(|index| _ = shuffled.merge(&entries[index.index(entries.len())], false));
+        entries.iter().rev().for_each(|entry| _ = shuffled.merge(entry, false));
+        prop_assert!(in_order.others().eq(shuffled.others()));
+        prop_assert_eq!(in_order.digest(), shuffled.digest());
     }
 
     #[test]
-    fn comparing_both_ways_ends_in_the_same_views(
-        ours in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
-        theirs in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
+    fn sync_makes_views_equal(
+        local_entries in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
+        remote_entries in prop::collection::vec((1..9u16, 1..3u64, 0..3u64, 0..1usize), 0..9),
     ) {
-        let (mut a, mut b) = (table(), MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None));
-        ours.into_iter().for_each(|(id, p, c, s)| _ = a.merge(&entry(id, p, c, s), false));
-        theirs.into_iter().for_each(|(id, p, c, s)| _ = b.merge(&entry(id, p, c, s), false));
+        let mut local = table();
+        let mut remote = MemberTable::new(Member::alive(NodeId(9), 1, NodeMetadata::default()), None);
+        local_entries.into_iter().for_each(|(id, process, count, status)| {
+            _ = local.merge(&entry(id, process, count, status), false);
+        });
+        remote_entries.into_iter().for_each(|(id, process, count, status)| {
+            _ = remote.merge(&entry(id, process, count, status), false);
+        });
         for _ in 0..4 {
-            let page = a.digest_page(NodeId(0));
-            let diff = b.diff(page.from, page.to, &page.entries);
-            diff.newer.iter().for_each(|entry| _ = a.merge(entry, false));
-            diff.wanted.iter().for_each(|id| _ = b.merge(&a.get(*id).cloned().expect("listed"), false));
+            let page = local.digest_page(NodeId(0));
+            let diff = remote.diff(page.from, page.to, &page.entries);
+            diff.newer.iter().for_each(|entry| _ = local.merge(entry, false));
+            diff.wanted.iter().for_each(|id| {
+                _ = remote.merge(&local.get(*id).cloned().expect("the page lists the member"), false);
+            });
         }
-        prop_assert_eq!(a.digest(), b.digest());
+        prop_assert_eq!(local.digest(), remote.digest());
     }
 }
 
 #[test]
-fn a_forgotten_process_is_never_believed_again_and_a_new_one_is() {
+fn tombstoned_process_is_rejected_and_a_newer_one_accepted() {
     let mut table = table();
     table.merge(&entry(1, 5, 0, 3), false);
     table.forget(NodeId(1));
@@ -56,7 +66,7 @@
 }
 
 #[test]
-fn one_that_was_forgotten_takes_a_higher_process_number() {
+fn forgotten_node_adopts_a_higher_process_number() {
     let mut table = table();
     let forgotten = Member { status: Status::Forgotten, ..table.local().clone() };
     assert_eq!(table.merge(&forgotten, false), MergeOutcome::Refuted);
@@ -64,7 +74,7 @@
 }
 
 #[test]
-fn a_crowd_of_stewards_fills_the_table_and_no_more() {
+fn full_table_rejects_new_members() {
     let mut table = table();
     (1..=MAX_MEMBERS as u16).for_each(|id| _ = table.merge(&entry(id, 1, 0, 0), false));
     assert_eq!(table.merge(&entry(60_000, 1, 0, 0), false), MergeOutcome::TableFull);
