--- a/crates/railhub-cli/src/chaos_leases.rs
+++ b/crates/railhub-cli/src/chaos_leases.rs
@@ -89,10 +89,10 @@
     }
     railhub_net::start_runtime();
     let threads = arguments.at_once as usize;
-    let all =
+    let results =
         run_seeds(arguments.seed, arguments.runs, threads, |seed| run_seed(chaos, seed, arguments, sabotage));
     let (mut runs, mut not_played) = (Vec::new(), Vec::new());
-    for (seed, result) in all {
+    for (seed, result) in results {
         match result {
             Ok(result) => runs.push(result),
             Err(error) => not_played.push((seed, error)),
--- a/crates/railhub-cli/src/chaos_view.rs
+++ b/crates/railhub-cli/src/chaos_view.rs
@@ -89,11 +89,11 @@
     let options = RunOptions { without: disabled_safeguard.flatten(), forget_after: 0.0, uses_heartbeats };
     let threads = if arguments.loopback { arguments.at_once as usize } else { core_count() };
     let prints_timeline = arguments.runs == 1 && !chaos.listed_faults.is_empty() && !arguments.json;
-    let all = run_seeds(arguments.seed, arguments.runs, threads, |seed| {
+    let results = run_seeds(arguments.seed, arguments.runs, threads, |seed| {
         run_seed(chaos, seed, options, arguments, prints_timeline)
     });
     let mut runs = Vec::new();
-    for (seed, run) in all {
+    for (seed, run) in results {
         runs.push(run.map_err(|error| CommandError::Input(format!("seed {seed}: {error}")))?);
     }
     let report = summarize(chaos, arguments, &runs);
