--- a/crates/railhub-adapter/src/instances.rs
+++ b/crates/railhub-adapter/src/instances.rs
@@ -1,9 +1,9 @@
-//! The instances, each apart from the others: collects a batch, then lets each instance with events decide and writes
-//! its commands.
+//! The controller instances: collects a batch for each instance; at the end of the batch every instance with events
+//! handles it, and its commands are written to the reply.
 use crate::commands::CommandWriter;
 use crate::error::{FieldProblem, WireError};
 use crate::events::add_event;
-use crate::settings::{self, Names};
+use crate::settings::{self, WireNames};
 use crate::wire_line::WireLine;
 use railhub::{Controller, EventBatch, Seconds};
 use std::collections::BTreeMap;
@@ -12,93 +12,94 @@
 /// A controller and its next batch.
 struct Instance {
     controller: Controller,
-    names: Names,
+    names: WireNames,
     batch: EventBatch,
     has_events: bool,
 }
 
-/// Entries of the latest endpoint list that are still to come.
+/// The entries of the latest endpoint list that have not been received yet.
 #[derive(Default)]
 struct ExpectedEntries {
-    left: usize,
-    /// The list was for an instance that does not exist.
-    skipped: bool,
+    remaining: usize,
+    /// The list is for an instance that does not exist, so its entries are ignored.
+    is_skipped: bool,
 }
 
-/// All instances, and where the batch that comes in stands.
+/// All instances, and the state of the batch that is being received.
 #[derive(Default)]
 pub struct Instances {
     instances: BTreeMap<u32, Instance>,
     now: Seconds,
-    /// The instance that lines are for.
+    /// The instance that the following lines are for.
     selected: Option<u32>,
     lines_read: usize,
     expected_entries: ExpectedEntries,
 }
 
 impl Instances {
-    /// Takes one line; the last line of a batch brings its reply.
+    /// Processes one line; returns the reply if the line ends a batch.
     ///
     /// # Errors
-    /// The line is not readable, or does not fit those before it.
-    pub fn take_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
+    /// The line is invalid, or does not match the lines before it.
+    pub fn process_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.lines_read += 1;
-        let line = WireLine::read(text, self.lines_read)?;
+        let line = WireLine::parse(text, self.lines_read)?;
         match line.name {
             "" => {}
             "FRAME" => {
                 self.now = line.seconds("wall_us")?;
                 self.selected = None;
             }
-            "OVER_TO_YOU" => return Ok(Some(self.reply())),
+            "OVER_TO_YOU" => return Ok(Some(self.finish_batch())),
             "AT" => self.selected = Some(line.value("i")?),
             "CREATE" => self.create(&line)?,
             "DETACH" => {
-                let number = self.selected(&line)?;
+                let number = self.selected_instance(&line)?;
                 self.instances.remove(&number);
             }
-            "ITEM" if self.expected_entries.left == 0 => {
+            "ITEM" if self.expected_entries.remaining == 0 => {
                 return Err(line.error("records", FieldProblem::TooManyEntries));
             }
-            "ITEM" if self.expected_entries.skipped => self.expected_entries.left -= 1,
-            _ => self.take_event(&line)?,
+            "ITEM" if self.expected_entries.is_skipped => self.expected_entries.remaining -= 1,
+            _ => self.add_to_batch(&line)?,
         }
         Ok(None)
     }
 
-    fn selected(&self, line: &WireLine) -> Result<u32, WireError> {
-        self.selected.ok_or_else(|| line.error("i", FieldProblem::NoInstance))
+    fn selected_instance(&self, line: &WireLine) -> Result<u32, WireError> {
+        self.selected.ok_or_else(|| line.error("i", FieldProblem::NoInstanceSelected))
     }
 
     fn create(&mut self, line: &WireLine) -> Result<(), WireError> {
         let (config, names) = settings::decode(line)?;
         let (controller, batch) = (Controller::new(config), EventBatch::default());
         let instance = Instance { controller, names, batch, has_events: true };
-        self.instances.insert(self.selected(line)?, instance);
+        self.instances.insert(self.selected_instance(line)?, instance);
         Ok(())
     }
 
-    /// Adds a line to the batch of the selected instance; lines for an instance that does not exist are ignored.
-    fn take_event(&mut self, line: &WireLine) -> Result<(), WireError> {
-        let number = self.selected(line)?;
+    /// Adds the event of a line to the batch of the selected instance. Lines for an instance that does not exist are
+    /// ignored.
+    fn add_to_batch(&mut self, line: &WireLine) -> Result<(), WireError> {
+        let number = self.selected_instance(line)?;
         let instance = self.instances.get_mut(&number);
         if line.name == "ENDPOINTS" {
-            self.expected_entries.left = match line.optional("records") {
+            self.expected_entries.remaining = match line.optional("records") {
                 Some(_) => line.value("records")?,
                 None => 0,
             };
-            self.expected_entries.skipped = instance.is_none();
+            self.expected_entries.is_skipped = instance.is_none();
         }
         let Some(instance) = instance else { return Ok(()) };
         instance.has_events = true;
         if line.name == "ITEM" {
-            self.expected_entries.left -= 1;
+            self.expected_entries.remaining -= 1;
         }
         add_event(line, &mut instance.names, &mut instance.batch)
     }
 
-    /// Lets each instance with events decide.
-    fn reply(&mut self) -> String {
+    /// Handles the batch of each instance with events, and returns the commands of all of them.
+    fn finish_batch(&mut self) -> String {
         let mut reply = String::new();
         for (number, instance) in &mut self.instances {
             if !std::mem::take(&mut instance.has_events) {
--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -3,7 +3,7 @@
 use crate::CommandError;
 use clap::Args;
 use railhub_controller::membership::MembershipSettings;
-use railhub_controller::Installation;
+use railhub_controller::ControllerSettings;
 use railhub_ini::Document;
 use railhub_membership::packet::{encode, Packet};
 use railhub_membership::NodeId;
@@ -62,8 +62,8 @@
 
 pub fn slices(arguments: &SlicesArguments) -> Result<(), CommandError> {
     let document = Document::open(&arguments.conf)?;
-    let installation = Installation::read(&document)?;
-    let store = installation.store.filter(|_| installation.shares());
+    let controller_settings = ControllerSettings::read(&document)?;
+    let store = controller_settings.store.filter(|_| controller_settings.shares_slices());
     let store = store.ok_or_else(|| {
         let file = arguments.conf.display();
         CommandError::Input(format!(
@@ -77,7 +77,7 @@
         return Ok(());
     }
     // The store knows process numbers only; the controllers' views have their ids.
-    let controller_ids = match &installation.membership {
+    let controller_ids = match &controller_settings.membership {
         Some(settings) => {
             controllers_by_process(&query_fleet(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, settings, &[]))
         }
--- a/crates/railhub-controller/src/core/streams.rs
+++ b/crates/railhub-controller/src/core/streams.rs
@@ -92,7 +92,7 @@
         if !self.sessions.any_joining() {
             return;
         }
-        let config = &self.installation.config;
+        let config = &self.settings.config;
         let (backlog_limit, message_cost) = (config.backlog_limit, config.message_overhead);
         let mut backlog_lines = self.sessions.backlog_lines(message_cost);
         while let Some((proxy, subscribe)) = self.sessions.first_joining() {
@@ -114,8 +114,8 @@
         let is_same_incarnation = incarnation == self.incarnation;
         let logged_changes = is_same_incarnation.then(|| self.tables.changes_since(version)).flatten();
         let change = logged_changes.unwrap_or_else(|| self.tables.snapshot());
-        let has_no_slices = self.installation.config.slice_count == 0;
-        let mut change = if has_no_slices { change.without_lines() } else { change };
+        let has_no_slices = self.settings.config.slice_count == 0;
+        let mut change = if has_no_slices { change.without_tables() } else { change };
         if self.shared.is_some() {
             self.tables.stamp_epochs(&mut change);
         }
@@ -142,7 +142,7 @@
             return;
         }
         self.stalled_checked_at = now;
-        for (proxy, stream) in self.sessions.stalled(now, self.installation.response_timeout) {
+        for (proxy, stream) in self.sessions.stalled(now, self.settings.response_timeout) {
             self.figures.response_timeouts += 1;
             environment.session_event(proxy, SessionEvent::ResponseTimeout);
             if let Some(session) = self.sessions.get(proxy) {
--- a/crates/railhub-controller/src/tables.rs
+++ b/crates/railhub-controller/src/tables.rs
@@ -1,60 +1,60 @@
-//! What proxies are to hold: tables, admission rates and exclusions in versions, and the latest changes between the
-//! versions. Free of I/O and of clocks.
+//! The published state: versions of the tables, admission rates and exclusions, and a log of the latest changes between
+//! versions. Does no I/O and reads no clock.
 use crate::change::{Change, ClassAdmission};
 use railhub::{ClassId, HostId, SliceId, WeightedHost};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Changes kept for proxies that reconnect. A proxy that lacks more gets a snapshot.
+/// Changes kept for proxies that reconnect. A proxy that lacks older ones gets a snapshot.
 const MAX_LOGGED_CHANGES: usize = 256;
-/// Lines in all changes that are kept.
+/// Maximum lines in all changes that are kept.
 const MAX_LOGGED_LINES: usize = 50_000;
 
 /// The published state and the log of its latest changes.
 #[derive(Default)]
 pub struct Tables {
-    /// The version that the latest change made; 0 before the first.
+    /// The version after the latest change; 0 before the first.
     pub version: u64,
     tables: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
-    /// Slices under lease, where controllers share them.
+    /// Lease epochs of the slices held, if controllers share the slices.
     epochs: BTreeMap<SliceId, u64>,
     admission_rates: BTreeMap<ClassId, ClassAdmission>,
     exclusions: BTreeMap<HostId, bool>,
-    /// The latest changes, the oldest first; the last one made the present version.
+    /// The latest changes, the oldest first; the last one led to the current version.
     log: VecDeque<Arc<Change>>,
     logged_lines: usize,
 }
 
 impl Tables {
-    /// Sets a table as the store has it. Proxies that join get it; no version is made.
+    /// Sets a table to its entries in the store. Proxies that join get it; no version is created.
     pub fn load_table(&mut self, slice: SliceId, entries: &[WeightedHost]) {
         let table = entries.iter().map(|entry| (entry.host, entry.weight)).collect();
         self.tables.insert(slice, table);
     }
 
-    /// Adds a slice under a lease, with its table as the store has it. Proxies follow the previous holder's table
-    /// until they are sent [`Tables::opening_change`].
+    /// Adds a slice under a lease, with its table in the store. Proxies use the previous holder's table until they
+    /// apply the [`Tables::takeover_change`].
     pub fn acquire(&mut self, slice: SliceId, epoch: u64, entries: &[WeightedHost]) {
         self.load_table(slice, entries);
         self.epochs.insert(slice, epoch);
     }
 
-    /// Removes a slice whose lease is gone: proxies keep what they hold of it, and nothing more is published.
+    /// Removes a slice whose lease has ended: nothing more is published for it, and proxies keep its table.
     pub fn release(&mut self, slice: SliceId) {
         self.tables.remove(&slice);
         self.epochs.remove(&slice);
     }
 
-    /// The epoch of a slice's lease, where controllers share the slices.
+    /// The epoch of a slice's lease, if controllers share the slices.
     pub fn epoch(&self, slice: SliceId) -> Option<u64> {
         self.epochs.get(&slice).copied()
     }
 
-    /// The complete tables of some slices, for proxies that hold the previous holder's.
-    pub fn opening_change(&self, slices: &BTreeSet<SliceId>) -> Change {
+    /// The complete tables of some slices, which replace those of the previous holders.
+    pub fn takeover_change(&self, slices: &BTreeSet<SliceId>) -> Change {
         let mut change = Change { cleared: slices.clone(), ..Change::default() };
         for slice in slices {
-            for entry in self.entries_of(*slice) {
+            for entry in self.table_entries(*slice) {
                 change.lines.insert((*slice, entry.host), entry.weight);
             }
         }
@@ -64,12 +64,12 @@
     /// Removes slices that are not under lease from a change, and sets the epochs of the others.
     pub fn stamp_epochs(&self, change: &mut Change) {
         change.retain_slices(|slice| self.epochs.contains_key(&slice));
-        let named = change.slices();
-        let of_named = self.epochs.iter().filter(|(slice, _)| named.contains(slice));
-        change.epochs = of_named.map(|(slice, epoch)| (*slice, *epoch)).collect();
+        let changed_slices = change.slices();
+        let lease_epochs = self.epochs.iter().filter(|(slice, _)| changed_slices.contains(slice));
+        change.epochs = lease_epochs.map(|(slice, epoch)| (*slice, *epoch)).collect();
     }
 
-    /// Applies a change and returns the version that it makes.
+    /// Applies a change and returns the new version.
     pub fn apply(&mut self, change: Arc<Change>) -> u64 {
         for slice in &change.cleared {
             self.tables.entry(*slice).or_default().clear();
@@ -100,12 +100,12 @@
     }
 
     /// The entries of a slice's table, by host.
-    pub fn entries_of(&self, slice: SliceId) -> Vec<WeightedHost> {
+    pub fn table_entries(&self, slice: SliceId) -> Vec<WeightedHost> {
         let table = self.tables.get(&slice);
         table.into_iter().flatten().map(|(host, weight)| (*host, *weight).into()).collect()
     }
 
-    /// All that a proxy which holds nothing is to hold. It names every table that the proxy may have.
+    /// The complete state for a proxy that holds none, or an unknown one: every table is cleared first.
     pub fn snapshot(&self) -> Change {
         let mut lines = BTreeMap::new();
         for (slice, table) in &self.tables {
@@ -123,9 +123,9 @@
         }
     }
 
-    /// One complete table, for a proxy that is assigned it.
-    pub fn assignment_of(&self, table: SliceId) -> Change {
-        let entries = self.entries_of(table);
+    /// One complete table, for a proxy to which it is assigned.
+    pub fn table_assignment(&self, table: SliceId) -> Change {
+        let entries = self.table_entries(table);
         let lines = entries.into_iter().map(|entry| ((table, entry.host), entry.weight));
         Change {
             cleared: BTreeSet::from([table]),
@@ -135,10 +135,11 @@
         }
     }
 
-    /// What a proxy at a version lacks; `None` if the log does not reach back so far.
+    /// The changes that a proxy at this version lacks; `None` if the log does not go back that far or the version is in
+    /// the future.
     pub fn changes_since(&self, version: u64) -> Option<Change> {
-        let lacking = usize::try_from(self.version.checked_sub(version)?).ok()?;
-        let first = self.log.len().checked_sub(lacking)?;
+        let missing = usize::try_from(self.version.checked_sub(version)?).ok()?;
+        let first = self.log.len().checked_sub(missing)?;
         let mut merged = Change::default();
         for change in self.log.range(first..) {
             merged.merge(change);
--- a/crates/railhub-controller/src/traffic_writer.rs
+++ b/crates/railhub-controller/src/traffic_writer.rs
@@ -1,6 +1,6 @@
-//! Records the operations that load reports tell of. The owner of the core passes reports on and never waits for the
-//! disk: what does not fit the queue is counted and left out.
-use crate::installation::Installation;
+//! Records the operations of load reports in a traffic file. The owner of the core queues reports and never waits for
+//! the disk: a report that does not fit the queue is dropped and counted.
+use crate::settings::ControllerSettings;
 use railhub::{ProxyId, Seconds, ZoneId};
 use railhub_proto::{LoadReport, SliceLoad};
 use railhub_trace::file::{TraceError, TraceWriter};
@@ -12,22 +12,22 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Reports that may wait for the disk: some seconds of 300 proxies.
+/// Reports that may wait for the disk: those of some seconds from 300 proxies.
 const MAX_PENDING_REPORTS: usize = 2048;
-/// Time between flushes: a controller that is killed loses at most the rows of so long.
+/// Time between flushes, and thus the time whose rows are lost if the controller is killed.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
-/// Zones that a file can tell apart: a proxy names its own, whatever it is.
+/// Zones that a file can represent. Reports from higher zone numbers, which proxies choose freely, are dropped.
 const MAX_ZONES: usize = 256;
-/// Earlier files that are kept beside the present one.
+/// Limit for the numbers of the earlier files that are kept beside the current one.
 const MAX_EARLIER_FILES: u32 = 1000;
 
 type Rows = Vec<TraceRow>;
 
-/// Records traffic in a file; dropping it ends the file.
+/// Records traffic in a file; dropping it finishes the file.
 pub struct TrafficWriter {
     rows: Option<SyncSender<Rows>>,
     thread: Option<JoinHandle<()>>,
-    began: Seconds,
+    started_at: Seconds,
     classes: usize,
     slices: u32,
     /// Reports that were not recorded.
@@ -35,33 +35,33 @@
 }
 
 impl TrafficWriter {
-    /// Starts recording if the installation names a file. The file is made at once, so that one that cannot be made is
-    /// reported at the start.
+    /// Starts recording if the settings name a file. The file is created at once, so that a failure is reported at the
+    /// start.
     ///
     /// # Errors
-    /// The file cannot be made, or an earlier one cannot be moved.
-    pub fn start(installation: &Installation, now: Seconds) -> Result<Option<TrafficWriter>, TraceError> {
-        let Some(path) = &installation.traffic else { return Ok(None) };
-        let slices = u32::from(installation.config.slice_count);
+    /// The file cannot be created, or an earlier one cannot be renamed.
+    pub fn start(settings: &ControllerSettings, now: Seconds) -> Result<Option<TrafficWriter>, TraceError> {
+        let Some(path) = &settings.traffic else { return Ok(None) };
+        let slices = u32::from(settings.config.slice_count);
         let header = TraceHeader {
-            classes: installation.class_names.clone(),
+            classes: settings.class_names.clone(),
             zones: (0..MAX_ZONES).map(|zone| format!("zone-{zone}")).collect(),
             slices,
-            // Which proxies join is not known yet.
+            // The number of proxies is not known yet.
             proxies: 0,
             length: 0.0,
         };
         let classes = header.classes.len();
         let file_error = |error| TraceError::Io { file: path.display().to_string(), error };
-        let writer = open(path, &header).map_err(file_error)?;
+        let writer = create_file(path, &header).map_err(file_error)?;
         let (sender, receiver) = sync_channel(MAX_PENDING_REPORTS);
         let thread = std::thread::spawn(move || {
-            if let Err(error) = write(writer, &receiver) {
+            if let Err(error) = write_rows(writer, &receiver) {
                 tracing::error!(%error, "traffic recording stopped");
             }
         });
         let (rows, thread) = (Some(sender), Some(thread));
-        Ok(Some(TrafficWriter { rows, thread, began: now, classes, slices, dropped: 0 }))
+        Ok(Some(TrafficWriter { rows, thread, started_at: now, classes, slices, dropped: 0 }))
     }
 
     /// Records a report.
@@ -70,7 +70,7 @@
             self.dropped += 1;
             return;
         }
-        let at = (now - self.began).max(0.0);
+        let at = (now - self.started_at).max(0.0);
         let span = report.span.clamp(0.0, at);
         let mut rows = Rows::new();
         for load in report.slices.iter().filter(|load| self.is_recorded(load)) {
@@ -86,8 +86,8 @@
                 span,
             });
         }
-        let is_lost = self.rows.as_ref().is_some_and(|sender| sender.try_send(rows).is_err());
-        self.dropped += u64::from(is_lost);
+        let is_dropped = self.rows.as_ref().is_some_and(|sender| sender.try_send(rows).is_err());
+        self.dropped += u64::from(is_dropped);
     }
 
     /// Whether the class and slice are known and there is something to record.
@@ -105,32 +105,32 @@
     }
 }
 
-fn open(path: &Path, header: &TraceHeader) -> std::io::Result<TraceWriter<BufWriter<File>>> {
+fn create_file(path: &Path, header: &TraceHeader) -> std::io::Result<TraceWriter<BufWriter<File>>> {
     move_earlier_file(path)?;
     let file = File::create(path)?;
     TraceWriter::start(BufWriter::new(file), header)
 }
 
-/// Moves the file of an earlier process to the first name with a free number.
+/// Renames the file of an earlier process, with the first free number appended to its name.
 fn move_earlier_file(path: &Path) -> std::io::Result<()> {
     if !path.exists() {
         return Ok(());
     }
-    let free = (1..MAX_EARLIER_FILES).map(|number| numbered(path, number)).find(|name| !name.exists());
+    let free = (1..MAX_EARLIER_FILES).map(|number| numbered_path(path, number)).find(|name| !name.exists());
     let too_many = format!("{MAX_EARLIER_FILES} earlier files are kept beside it: move some away");
     std::fs::rename(path, free.ok_or(std::io::Error::other(too_many))?)
 }
 
-fn numbered(path: &Path, number: u32) -> PathBuf {
+fn numbered_path(path: &Path, number: u32) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{number}"));
     PathBuf::from(name)
 }
 
-/// Writes rows until their sender is dropped, then ends the file.
-fn write(mut writer: TraceWriter<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
-    let began = Instant::now();
-    let mut flushed_at = began;
+/// Writes rows until their sender is dropped, then finishes the file.
+fn write_rows(mut writer: TraceWriter<BufWriter<File>>, rows: &Receiver<Rows>) -> std::io::Result<()> {
+    let started_at = Instant::now();
+    let mut flushed_at = started_at;
     loop {
         match rows.recv_timeout(FLUSH_INTERVAL) {
             Ok(rows) => {
@@ -140,7 +140,7 @@
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => {
-                writer.finish(began.elapsed().as_secs_f64())?;
+                writer.finish(started_at.elapsed().as_secs_f64())?;
                 return Ok(());
             }
         }
