--- a/crates/railhub-cli/src/fleet_shares.rs
+++ b/crates/railhub-cli/src/fleet_shares.rs
@@ -1,6 +1,6 @@
-//! `railhub fleet slices|drain`: who has which slices, and handing a steward's over.
-use crate::fleet::{look_at_all, Told, ToldLine};
-use crate::Ending;
+//! `railhub fleet slices|drain`: shows the leases of slices, and makes a controller hand its slices over.
+use crate::fleet::{query_fleet, FleetReport, MemberRow};
+use crate::CommandError;
 use clap::Args;
 use railhub_controller::membership::MembershipSettings;
 use railhub_controller::ControllerSettings;
@@ -15,128 +15,155 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// How long the store is waited for, and between two looks at a steward that hands over.
-const STORE_WITHIN: Duration = Duration::from_secs(2);
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Time for the store to answer.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time between two queries of a controller that is being drained.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Upper bound, in seconds, of the time that a drain is waited for.
+const MAX_DRAIN_WAIT: f64 = 3600.0;
 
 #[derive(Args)]
-pub struct Slices {
-    /// A steward's settings: they name the store.
+pub struct SlicesArguments {
+    /// Settings file of a controller, INI; it names the store.
     #[arg(long)]
     conf: PathBuf,
-    /// One JSON object on standard output.
+    /// Print the leases as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
-pub struct Drain {
-    /// The steward's id.
-    steward: u16,
-    /// A steward's settings: its [fleet] section says whom to ask.
+pub struct DrainArguments {
+    /// Id of the controller.
+    #[arg(value_name = "STEWARD")]
+    controller: u16,
+    /// Settings file of a controller, INI; the addresses in its `[fleet]` section are queried.
     #[arg(long)]
     conf: PathBuf,
-    /// Ask here first, besides the addresses of the file.
+    /// Further address to query, IP:PORT, besides those of the file; can be given several times.
     #[arg(long)]
     at: Vec<SocketAddr>,
-    /// Seconds to wait until nothing is left with it.
+    /// Seconds to wait until it holds no slices, 3600 at most.
     #[arg(long, default_value_t = 60.0)]
     wait: f64,
 }
 
-/// One slice as the store tells of it.
+/// The lease of a slice, as the store answers. The serialized names are the store's, and those of the JSON output.
 #[derive(Serialize, Deserialize)]
-struct Held {
+struct SliceLease {
     slice: u32,
     epoch: u64,
+    /// Number of the process that holds the lease, or held it last.
     process: Option<u64>,
-    left: f64,
+    /// Seconds until the lease expires.
+    #[serde(rename = "left")]
+    seconds_left: f64,
 }
 
-pub fn slices(arguments: &Slices) -> Result<(), Ending> {
+pub fn slices(arguments: &SlicesArguments) -> Result<(), CommandError> {
     let document = Document::open(&arguments.conf)?;
-    let installation = ControllerSettings::read(&document)?;
-    let store = installation.store.filter(|_| installation.shares_slices());
-    let store = store.ok_or_else(|| Ending::Input("these stewards share no slices".into()))?;
-    let held = ask(store).map_err(|fault| Ending::Input(format!("the store {store}: {fault}")))?;
+    let controller_settings = ControllerSettings::read(&document)?;
+    let store = controller_settings.store.filter(|_| controller_settings.shares_slices());
+    let store = store.ok_or_else(|| {
+        let file = arguments.conf.display();
+        CommandError::Input(format!(
+            "{file}: shares no slices; that needs a store and `share = yes` in [fleet]"
+        ))
+    })?;
+    let leases =
+        query_leases(store).map_err(|error| CommandError::Input(format!("store {store}: {error}")))?;
     if arguments.json {
-        println!("{}", serde_json::to_string(&held)?);
+        println!("{}", serde_json::to_string(&leases)?);
         return Ok(());
     }
-    // Whose process is whose is what the stewards know.
-    let names = match &installation.membership {
-        Some(terms) => names(&look_at_all(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, terms, &[])),
+    // The store knows process numbers only; the controllers' views have their ids.
+    let controller_ids = match &controller_settings.membership {
+        Some(settings) => {
+            controllers_by_process(&query_fleet(&UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?, settings, &[]))
+        }
         None => BTreeMap::new(),
     };
-    print!("{}", words(&held, &names));
+    print!("{}", leases_text(&leases, &controller_ids));
     Ok(())
 }
 
-fn ask(store: SocketAddr) -> Result<Vec<Held>, HttpError> {
+/// Requests the leases from the store, on the runtime that its HTTP client needs.
+fn query_leases(store: SocketAddr) -> Result<Vec<SliceLease>, HttpError> {
     railhub_net::start_runtime();
     let (sender, receiver) = channel();
     railhub_net::spawn(move || {
-        let _ = sender.send(Client::new(store, STORE_WITHIN).get_json("/leases"));
+        let _ = sender.send(Client::new(store, STORE_TIMEOUT).get_json("/leases"));
     });
     receiver.recv().unwrap_or(Err(HttpError::Closed))
 }
 
-fn names(told: &Told) -> BTreeMap<u64, u16> {
-    told.views.iter().flat_map(|view| &view.lines).map(|line| (line.process, line.steward)).collect()
+/// Ids of controllers by process number, from all views.
+fn controllers_by_process(report: &FleetReport) -> BTreeMap<u64, u16> {
+    report
+        .views
+        .iter()
+        .flat_map(|view| &view.members)
+        .map(|member| (member.process, member.controller))
+        .collect()
 }
 
-fn words(held: &[Held], names: &BTreeMap<u64, u16>) -> String {
-    let mut by: BTreeMap<Option<u64>, Vec<&Held>> = BTreeMap::new();
-    for one in held {
-        by.entry(one.process.filter(|_| one.left > 0.0)).or_default().push(one);
+/// The leases by holder; those that have expired have none.
+fn leases_text(leases: &[SliceLease], controller_ids: &BTreeMap<u64, u16>) -> String {
+    let mut leases_by_process: BTreeMap<Option<u64>, Vec<&SliceLease>> = BTreeMap::new();
+    for lease in leases {
+        leases_by_process.entry(lease.process.filter(|_| lease.seconds_left > 0.0)).or_default().push(lease);
     }
     let mut out = String::new();
-    for (process, held) in by {
-        let who = match process {
+    for (process, leases) in leases_by_process {
+        let holder = match process {
             None => "nobody".to_owned(),
-            Some(process) => match names.get(&process) {
-                Some(steward) => format!("steward {steward}, process {process}"),
-                None => format!("process {process}, which no steward knows"),
+            Some(process) => match controller_ids.get(&process) {
+                Some(controller) => format!("controller {controller}, process {process}"),
+                None => format!("process {process}, unknown to the controllers"),
             },
         };
-        out += &format!("{who}: {} slices\n", held.len());
-        for one in held {
-            out += &format!("  slice {:>5}  epoch {}  {:.1} s left\n", one.slice, one.epoch, one.left);
+        out += &format!("{holder}: {} slices\n", leases.len());
+        for lease in leases {
+            out += &format!(
+                "  slice {:>5}  epoch {}  {:.1} s left\n",
+                lease.slice, lease.epoch, lease.seconds_left
+            );
         }
     }
     out
 }
 
-pub fn drain(arguments: &Drain) -> Result<(), Ending> {
+pub fn drain(arguments: &DrainArguments) -> Result<(), CommandError> {
     let document = Document::open(&arguments.conf)?;
-    let terms = MembershipSettings::read(&document)?;
-    let terms = terms.ok_or_else(|| Ending::Input("no [fleet] section".into()))?;
+    let settings = MembershipSettings::read(&document)?;
+    let settings = settings
+        .ok_or_else(|| CommandError::Input(format!("{}: no [fleet] section", arguments.conf.display())))?;
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-    let until = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, 3600.0));
+    let deadline = Instant::now() + Duration::from_secs_f64(arguments.wait.clamp(0.0, MAX_DRAIN_WAIT));
     loop {
-        let told = look_at_all(&socket, &terms, &arguments.at);
-        let line = own_line(&told, arguments.steward);
-        let Some((line, address)) = line.and_then(|line| Some((line, line.address?))) else {
-            return Err(Ending::Input(format!("steward {} does not answer", arguments.steward)));
+        let report = query_fleet(&socket, &settings, &arguments.at);
+        let member = own_row(&report, arguments.controller);
+        let Some((member, address)) = member.and_then(|member| Some((member, member.address?))) else {
+            return Err(CommandError::Input(format!("controller {} does not answer", arguments.controller)));
         };
-        if line.drains && line.slices == 0 {
-            println!("steward {} has handed over all", arguments.steward);
+        if member.draining && member.slices == 0 {
+            println!("controller {} has handed over all its slices", arguments.controller);
             return Ok(());
         }
-        if !line.drains {
-            let word = Packet::Drain { node: NodeId(arguments.steward), process: line.process };
-            let _ = socket.send_to(&encode(&terms.installation, &word), address);
+        if !member.draining {
+            let request = Packet::Drain { node: NodeId(arguments.controller), process: member.process };
+            let _ = socket.send_to(&encode(&settings.installation, &request), address);
         }
-        if Instant::now() > until {
-            println!("steward {} still has {} slices", arguments.steward, line.slices);
-            return Err(Ending::Check);
+        if Instant::now() > deadline {
+            println!("controller {} still has {} slices", arguments.controller, member.slices);
+            return Err(CommandError::CheckFailed);
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
-/// What a steward says of itself.
-fn own_line(told: &Told, steward: u16) -> Option<&ToldLine> {
-    let own = told.views.iter().find(|view| view.viewer == steward)?;
-    own.lines.iter().find(|line| line.steward == steward && line.process == own.process)
+/// The member of a controller in its own view.
+fn own_row(report: &FleetReport, controller: u16) -> Option<&MemberRow> {
+    let own = report.views.iter().find(|view| view.viewer == controller)?;
+    own.members.iter().find(|member| member.controller == controller && member.process == own.process)
 }
--- a/crates/railhub-cli/src/main.rs
+++ b/crates/railhub-cli/src/main.rs
@@ -1,5 +1,7 @@
-//! `railhub`: the controller, scenarios, and the checker of recordings. Results go to standard output, logs to standard
-//! error; exit 0 good, 2 bad usage or input, 3 a rule broke or a check failed.
+//! `railhub`: the command line of the controller, of scenarios and experiments, and of the checks of recordings.
+//!
+//! Results are printed on standard output, logs and error messages on standard error. Exit codes: 0 for success, 2 for
+//! invalid arguments or input, 3 for a broken rule or a failed check.
 mod chaos;
 mod chaos_leases;
 mod chaos_view;
@@ -23,15 +25,16 @@
 #[derive(Parser)]
 #[command(name = "railhub", version, about = "Publishes weights and key ranges to plain proxies")]
 struct Arguments {
-    /// Logs on standard error.
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
+    /// Format of the log on standard error; the environment variable RAILHUB_LOG sets its level (default: info for
+    /// controller and standin, else warn).
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
     Off,
@@ -39,95 +42,98 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a controller until a signal ends it.
+    /// Runs a controller until SIGTERM or SIGINT.
     #[command(visible_alias = "steward")]
     Controller(controller::ControllerArguments),
-    /// Checks the settings of a controller or a scenario.
+    /// Checks a settings file or a scenario file.
     Conf(ConfArguments),
-    /// Plays a scenario on loopback and judges the rules.
+    /// Runs a scenario in real time on loopback sockets, reports its service and checks the rules.
     #[command(visible_alias = "day")]
     Scenario(scenario::ScenarioArguments),
-    /// Plays the emulated side of a scenario against a controller that runs elsewhere on this machine.
+    /// Runs a scenario on loopback sockets against a controller that is started separately on this machine.
     Standin(standin::StandinArguments),
-    /// Runs a scenario in simulated time.
+    /// Runs a scenario in simulated time, reports its service and checks the rules.
     Model(model::ModelArguments),
-    /// Compares the arms of an experiment in simulated time, until the difference is known.
+    /// Compares the arms of an experiment in simulated time until the differences are precise enough.
     Compare(compare::CompareArguments),
-    /// Workload traces: extracts, shows, fits, cuts and scales them.
+    /// Extracts, summarizes, fits, cuts and scales workload traces.
     Traffic(traffic::TrafficArguments),
-    /// Plays controllers that share slices, with faults drawn from seeds, and judges what they publish.
+    /// Runs controllers that share slices under drawn or listed faults, and checks their leases or membership views.
     Chaos(chaos::ChaosArguments),
-    /// Shows the membership views and leases of controllers that share slices.
+    /// Shows membership views and slice leases of running controllers, and drains a controller.
     Fleet(fleet::FleetArguments),
-    /// Shows a running scenario, a recording or the folder of an experiment in the terminal.
+    /// Shows a running scenario, a recording or the results folder of an experiment in the terminal.
     Watch(watch::WatchArguments),
-    /// Reports service, its changes and the rules of a run from its recording alone.
+    /// Reports the service of a recorded run and its changes, and checks the rules.
     Report(scenario::CheckArguments),
-    /// Judges the rules from a recording alone.
+    /// Checks the rules against a recording.
     Check(scenario::CheckArguments),
 }
 
 #[derive(Args)]
 struct ConfArguments {
     #[command(subcommand)]
-    what: ConfCommand,
+    command: ConfCommand,
 }
 
 #[derive(Subcommand)]
 enum ConfCommand {
-    /// Prints file, line and what is wrong; nothing if the file is valid.
-    Check { file: PathBuf },
+    /// Prints the first mistake with file and line and exits with 2; prints nothing if the file is valid.
+    Check {
+        /// Settings file of a controller or scenario file, INI.
+        file: PathBuf,
+    },
 }
 
-/// Why a command fails.
-enum Ending {
-    /// One line: what is wrong with the arguments or their input.
+/// Why a command failed.
+enum CommandError {
+    /// Invalid arguments or input; the message is one line.
     Input(String),
-    /// A rule broke or a check failed; printed already.
-    Check,
+    /// A rule was broken or a check failed; the command has already printed which.
+    CheckFailed,
 }
 
-impl<E: std::error::Error> From<E> for Ending {
-    fn from(error: E) -> Ending {
-        Ending::Input(error.to_string())
+impl<E: std::error::Error> From<E> for CommandError {
+    fn from(error: E) -> CommandError {
+        CommandError::Input(error.to_string())
     }
 }
 
 fn main() -> ExitCode {
     let signals = controller::is_for_platform().then(railhub_platform_net::Signals::register).transpose();
-    let arguments = Arguments::parse();
-    let runs = matches!(arguments.command, Command::Controller(_) | Command::Standin(_));
+    let Arguments { log, command } = Arguments::parse();
+    let is_server = matches!(command, Command::Controller(_) | Command::Standin(_));
     let signals = match signals {
         Ok(signals) => signals,
-        Err(fault) => {
-            eprintln!("railhub: signals cannot be taken: {fault}");
+        Err(error) => {
+            eprintln!("railhub: cannot install signal handlers: {error}");
             return ExitCode::from(2);
         }
     };
-    let _guard = logs::start(arguments.log, if runs { "info" } else { "warn" });
+    let _guard = logs::start(log, if is_server { "info" } else { "warn" });
     if signals.is_none() {
         railhub_net::start_runtime();
     }
-    let ended = match arguments.command {
+    let result = match command {
         Command::Controller(arguments) => controller::run(&arguments, signals),
-        Command::Conf(ConfArguments { what: ConfCommand::Check { file } }) => controller::check(&file),
-        Command::Scenario(given) => scenario::run(&given, arguments.log),
-        Command::Standin(given) => standin::run(&given),
-        Command::Model(given) => model::run(&given),
-        Command::Compare(given) => compare::run(&given),
-        Command::Traffic(given) => traffic::run(&given),
-        Command::Chaos(given) => chaos::run(&given),
-        Command::Fleet(given) => fleet::run(&given),
-        Command::Watch(given) => watch::run(&given),
-        Command::Report(given) => scenario::report(&given),
-        Command::Check(given) => scenario::check(&given),
+        Command::Conf(ConfArguments { command: ConfCommand::Check { file } }) => controller::check(&file),
+        Command::Scenario(arguments) => scenario::run(&arguments, log),
+        Command::Standin(arguments) => standin::run(&arguments),
+        Command::Model(arguments) => model::run(&arguments),
+        Command::Compare(arguments) => compare::run(&arguments),
+        Command::Traffic(arguments) => traffic::run(&arguments),
+        Command::Chaos(arguments) => chaos::run(&arguments),
+        Command::Fleet(arguments) => fleet::run(&arguments),
+        Command::Watch(arguments) => watch::run(&arguments),
+        Command::Report(arguments) => scenario::report(&arguments),
+        Command::Check(arguments) => scenario::check(&arguments),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Ending::Input(words)) => {
-            eprintln!("railhub: {words}");
+        Err(CommandError::Input(message)) => {
+            eprintln!("railhub: {message}");
             ExitCode::from(2)
         }
-        Err(Ending::Check) => ExitCode::from(3),
+        Err(CommandError::CheckFailed) => ExitCode::from(3),
     }
 }
--- a/crates/railhub-cli/src/scenario.rs
+++ b/crates/railhub-cli/src/scenario.rs
@@ -1,6 +1,6 @@
-//! `railhub scenario`, `railhub report` and `railhub check`.
-use crate::launch::as_process;
-use crate::{Ending, LogForm};
+//! `railhub scenario`, `railhub report` and `railhub check`: runs a scenario on loopback, and reports on recordings.
+use crate::launch::process_launcher;
+use crate::{CommandError, LogFormat};
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use railhub_emulator::Sabotage;
@@ -18,36 +18,37 @@
 #[command(args_conflicts_with_subcommands = true)]
 pub struct ScenarioArguments {
     #[command(subcommand)]
-    other: Option<ScenarioCommand>,
-    /// The day, INI.
+    command: Option<ScenarioCommand>,
+    /// Scenario file, INI.
     #[arg(required = true)]
     file: Option<PathBuf>,
-    /// In place of the file's own.
+    /// Seed of the run; default: the seed in the file.
     #[arg(long)]
     seed: Option<u64>,
-    /// One JSON object on standard output.
+    /// Print the report as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keep what crossed the sockets.
+    /// Write a recording of the run, with what crossed the sockets, to this file.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Make a stand-in break a rule: the checker must find that one.
+    /// Make the emulated proxies break a rule, to verify that the check reports it.
     #[arg(long, value_enum)]
-    sabotage: Option<BrokenRule>,
-    /// Leave out the same day with tables fixed at the start.
+    sabotage: Option<SabotageArgument>,
+    /// Skip the run for comparison, in which the tables stay as they are at the start.
     #[arg(long)]
     no_fixed: bool,
 }
 
 #[derive(Subcommand)]
 enum ScenarioCommand {
-    /// Makes a script of a day that was drawn for the users' bench.
+    /// Converts a scenario of the users' bench (JSON) into a scenario file.
     Import {
-        /// A day file, JSON.
+        /// Scenario of the users' bench, JSON.
         file: PathBuf,
+        /// Scenario file to write, INI.
         #[arg(short, long)]
         output: PathBuf,
-        /// Hosts at the start; as many as the day has, 24 at the most, if left out.
+        /// Number of hosts at the start; default: as in the source, but at most 24.
         #[arg(long)]
         hosts: Option<usize>,
     },
@@ -55,108 +56,128 @@
 
 #[derive(Args)]
 pub struct CheckArguments {
+    /// Recording of a run.
     record: PathBuf,
-    /// One JSON object on standard output.
+    /// Print the result as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum BrokenRule {
+enum SabotageArgument {
+    /// Proxies lose the assignments of some slices.
     #[value(name = "rule-1")]
     One,
+    /// Proxies retry operations that completed.
     #[value(name = "rule-2")]
     Two,
+    /// Proxies send to hosts that are excluded.
     #[value(name = "rule-3")]
     Three,
+    /// Proxies send everything to the host that started last.
     #[value(name = "rule-4")]
     Four,
+    /// Proxies receive each message several times.
     #[value(name = "rule-5")]
     Five,
 }
 
-impl BrokenRule {
-    fn how(self) -> Sabotage {
+impl SabotageArgument {
+    fn emulator_sabotage(self) -> Sabotage {
         match self {
-            BrokenRule::One => Sabotage::LosesLines,
-            BrokenRule::Two => Sabotage::RetriesBlindly,
-            BrokenRule::Three => Sabotage::IgnoresExclusions,
-            BrokenRule::Four => Sabotage::FloodsColdHosts,
-            BrokenRule::Five => Sabotage::ReceivesTooManyMessages,
+            SabotageArgument::One => Sabotage::LosesLines,
+            SabotageArgument::Two => Sabotage::RetriesBlindly,
+            SabotageArgument::Three => Sabotage::IgnoresExclusions,
+            SabotageArgument::Four => Sabotage::FloodsColdHosts,
+            SabotageArgument::Five => Sabotage::ReceivesTooManyMessages,
         }
     }
 }
 
-pub fn run(arguments: &ScenarioArguments, log: LogForm) -> Result<(), Ending> {
-    if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.other {
-        let lost = import::import(file, output, *hosts)?;
-        lost.iter().for_each(|what| eprintln!("not carried over: {what}"));
+pub fn run(arguments: &ScenarioArguments, log: LogFormat) -> Result<(), CommandError> {
+    if let Some(ScenarioCommand::Import { file, output, hosts }) = &arguments.command {
+        let omitted = import::import(file, output, *hosts)?;
+        omitted.iter().for_each(|omission| eprintln!("not imported: {omission}"));
         return Ok(());
     }
-    let file = arguments.file.as_ref().ok_or(Ending::Input("a day file is needed".into()))?;
-    let mut day = Scenario::open(file)?;
-    day.seed = arguments.seed.unwrap_or(day.seed);
-    let sabotage = arguments.sabotage.map(BrokenRule::how);
-    let bar = progress_bar(&day);
-    let show = |at: f64| bar.set_position(at.max(0.0) as u64);
+    let file = arguments.file.as_ref().ok_or(CommandError::Input("a scenario file is required".into()))?;
+    let mut scenario = Scenario::open(file)?;
+    scenario.seed = arguments.seed.unwrap_or(scenario.seed);
+    let sabotage = arguments.sabotage.map(SabotageArgument::emulator_sabotage);
+    let bar = progress_bar(&scenario);
+    let show_progress = |at: f64| bar.set_position(at.max(0.0) as u64);
     let record = arguments.record.as_deref();
-    let (steered, fixed) = std::thread::scope(|scope| {
-        let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play_fixed(&day)));
-        let steered = play(&day, Some(as_process(log)), sabotage, record, &show);
-        let fixed =
-            fixed.map(|thread| thread.join().unwrap_or_else(|_| Err("the fixed day ended early".into())));
-        (steered, fixed)
+    let (controlled, fixed) = std::thread::scope(|scope| {
+        let fixed = (!arguments.no_fixed).then(|| scope.spawn(|| play_fixed(&scenario)));
+        let controlled = play(&scenario, Some(process_launcher(log)), sabotage, record, &show_progress);
+        let fixed = fixed
+            .map(|thread| thread.join().unwrap_or_else(|_| Err("the run with fixed tables panicked".into())));
+        (controlled, fixed)
     });
     bar.finish_and_clear();
-    let steered = steered?;
-    let fixed = fixed.transpose().map_err(Ending::Input)?;
+    let controlled = controlled?;
+    let fixed = fixed.transpose().map_err(CommandError::Input)?;
     let fixed = fixed.and_then(|played| Some(service(&played.events, limits(&played.events)?)));
     let events = match record {
         Some(record) => read(record)?,
-        None => steered.events,
+        None => controlled.events,
     };
-    finish(&Run { day: &day.name, seed: day.seed, how: "loopback" }, &events, fixed, arguments.json)
+    finish(
+        &RunInfo { scenario: &scenario.name, seed: scenario.seed, source: "loopback" },
+        &events,
+        fixed,
+        arguments.json,
+    )
 }
 
-/// The same scenario with the tables that it begins with.
-fn play_fixed(day: &Scenario) -> Result<ScenarioRun, String> {
-    play(day, None, None, None, &|_| {}).map_err(|error| error.to_string())
+/// Plays the scenario without a controller, so that the tables stay as at the start.
+fn play_fixed(scenario: &Scenario) -> Result<ScenarioRun, String> {
+    play(scenario, None, None, None, &|_| {}).map_err(|error| error.to_string())
 }
 
-pub fn progress_bar(day: &Scenario) -> ProgressBar {
+/// A progress bar over the seconds of a scenario; hidden if standard error is not a terminal.
+pub fn progress_bar(scenario: &Scenario) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
     let style = ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s, {eta} left");
-    let bar = ProgressBar::new(day.length as u64).with_message(day.name.clone());
+    let bar = ProgressBar::new(scenario.length as u64).with_message(scenario.name.clone());
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Which run a report is of.
-pub struct Run<'a> {
-    pub day: &'a str,
+/// The run that a report is of.
+pub struct RunInfo<'a> {
+    pub scenario: &'a str,
     pub seed: u64,
-    /// loopback or simulated.
-    pub how: &'static str,
+    /// "loopback", "simulated" or "from a record".
+    pub source: &'static str,
 }
 
-/// A report of a record that is all there is: neither day nor seed are known.
-pub fn report(arguments: &CheckArguments) -> Result<(), Ending> {
+/// Prints the report of a recording. A recording holds neither the scenario's name nor its seed, so the path and 0
+/// stand for them.
+pub fn report(arguments: &CheckArguments) -> Result<(), CommandError> {
     let name = arguments.record.display().to_string();
     let PartialRecording { events, is_truncated } = read_partial(&arguments.record)?;
     if is_truncated {
         eprintln!("{name}: cut off; the {} events before the cut are used", events.len());
     }
-    finish(&Run { day: &name, seed: 0, how: "from a record" }, &events, None, arguments.json)
+    finish(&RunInfo { scenario: &name, seed: 0, source: "from a record" }, &events, None, arguments.json)
 }
 
-/// Prints what came of a day; a broken rule is an ending of its own.
-pub fn finish(run: &Run, events: &[Event], fixed: Option<Service>, json: bool) -> Result<(), Ending> {
-    let rules = check_recording(events).map_err(|error| Ending::Input(error.to_string()))?;
-    let limits = limits(events).ok_or(Ending::Input("the record has no limits".into()))?;
+/// Prints the report of a run and its changes of service; fails with [`CommandError::CheckFailed`] if a rule was
+/// broken.
+pub fn finish(
+    run: &RunInfo,
+    events: &[Event],
+    fixed: Option<Service>,
+    json: bool,
+) -> Result<(), CommandError> {
+    let rules = check_recording(events).map_err(|error| CommandError::Input(error.to_string()))?;
+    let limits = limits(events)
+        .ok_or(CommandError::Input("the recording does not state the limits of its run".into()))?;
     let report = Report {
-        scenario: run.day.to_owned(),
-        source: run.how,
+        scenario: run.scenario.to_owned(),
+        source: run.source,
         seed: run.seed,
         service: service(events, limits),
         fixed,
@@ -166,10 +187,10 @@
     let series = time_series(events, limits);
     let changes = service_changes(events, limits, &series);
     if json {
-        let mut all = serde_json::to_value(&report)?;
-        all["changes"] = serde_json::to_value(&changes)?;
-        all["over_time"] = serde_json::to_value(&series)?;
-        println!("{all}");
+        let mut output = serde_json::to_value(&report)?;
+        output["changes"] = serde_json::to_value(&changes)?;
+        output["over_time"] = serde_json::to_value(&series)?;
+        println!("{output}");
     } else {
         print!("{}", report_text(&report));
         print!("{}", format_changes(&changes));
@@ -177,13 +198,13 @@
     if report.rules_kept {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
 
-pub fn check(arguments: &CheckArguments) -> Result<(), Ending> {
+pub fn check(arguments: &CheckArguments) -> Result<(), CommandError> {
     let rules =
-        check_recording(&read(&arguments.record)?).map_err(|error| Ending::Input(error.to_string()))?;
+        check_recording(&read(&arguments.record)?).map_err(|error| CommandError::Input(error.to_string()))?;
     if arguments.json {
         println!("{}", serde_json::to_string(&rules)?);
     } else {
@@ -192,6 +213,6 @@
     if rules.iter().all(|verdict| verdict.kept) {
         Ok(())
     } else {
-        Err(Ending::Check)
+        Err(CommandError::CheckFailed)
     }
 }
