--- a/crates/railhub-cli/tests/common/mod.rs
+++ b/crates/railhub-cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A steward of the platform as a process, and what the tests between it and its stand-ins share.
 // Each test binary uses a part of these.
 #![allow(dead_code)]
-pub mod line;
+pub mod client_connection;
 pub mod sockets;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,32 +11,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub const FILE: &str = include_str!("../../../railhub-platform/tests/node_config.json");
+pub const CONFIG_TEMPLATE: &str = include_str!("../../../railhub-platform/tests/node_config.json");
 /// Long for anything that should happen at once, on a machine that is busy with other tests.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn file_text(listen: SocketAddr, relay: SocketAddr, discovery: SocketAddr) -> String {
-    let named = FILE.replacen("127.0.0.1:7070", &listen.to_string(), 1);
+pub fn config_text(listen: SocketAddr, relay: SocketAddr, discovery: SocketAddr) -> String {
+    let named = CONFIG_TEMPLATE.replacen("127.0.0.1:7070", &listen.to_string(), 1);
     let named = named.replace("127.0.0.1:6400", &relay.to_string());
     // Nobody listens where the hosts are said to be, so the module is told not to probe them.
     named.replace("127.0.0.1:8500", &discovery.to_string()).replace("\"probes\": true", "\"probes\": false")
 }
 
-pub fn free_port() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound")
 }
 
 /// A steward's process; ended when this is dropped.
-pub struct Steward {
+pub struct Controller {
     pub child: Child,
-    pub file: PathBuf,
+    pub config_file: PathBuf,
     pub listen: SocketAddr,
     log: Arc<Mutex<String>>,
 }
 
-impl Steward {
+impl Controller {
     /// Its process, whether it is up or not.
-    pub fn of_file(file: PathBuf, listen: SocketAddr) -> Steward {
+    pub fn spawn(file: PathBuf, listen: SocketAddr) -> Controller {
         let mut child = Command::new(env!("CARGO_BIN_EXE_railhub"))
             .args(["steward", "--platform"])
             .env("NODE_CONFIG", &file)
@@ -52,30 +52,30 @@
                 kept.push('\n');
             }
         });
-        Steward { child, file, listen, log }
+        Controller { child, config_file: file, listen, log }
     }
 
     /// By the file that this makes for its address; up. Another process may take the port before the steward does:
     /// then it is another port's turn.
-    pub fn start_by(name: &str, text: impl Fn(SocketAddr) -> String) -> Steward {
-        const TRIES: usize = 5;
+    pub fn start_with_config(name: &str, text: impl Fn(SocketAddr) -> String) -> Controller {
+        const MAX_ATTEMPTS: usize = 5;
         let file = std::env::temp_dir().join(format!("railhub-{name}-{}.json", std::process::id()));
         let start = |_| {
-            let listen = free_port();
+            let listen = free_address();
             std::fs::write(&file, text(listen)).expect("writable");
-            let mut steward = Steward::of_file(file.clone(), listen);
-            eventually("it answers", || steward.ended().is_some() || steward.try_ping());
-            if steward.ended().is_none() {
-                return Some(steward);
+            let mut controller = Controller::spawn(file.clone(), listen);
+            eventually("it answers", || controller.exit_status().is_some() || controller.try_ping());
+            if controller.exit_status().is_none() {
+                return Some(controller);
             }
-            eventually("its port is taken", || steward.says("Address already in use"));
+            eventually("its port is taken", || controller.log_contains("Address already in use"));
             None
         };
-        (0..TRIES).find_map(start).expect("a port that stays free")
+        (0..MAX_ATTEMPTS).find_map(start).expect("a port that stays free")
     }
 
-    pub fn start(name: &str, relay: SocketAddr, discovery: SocketAddr) -> Steward {
-        Steward::start_by(name, |listen| file_text(listen, relay, discovery))
+    pub fn start(name: &str, relay: SocketAddr, discovery: SocketAddr) -> Controller {
+        Controller::start_with_config(name, |listen| config_text(listen, relay, discovery))
     }
 
     pub fn try_ping(&self) -> bool {
@@ -87,20 +87,20 @@
         assert_eq!(unsafe { libc::kill(self.child.id() as i32, signal) }, 0);
     }
 
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("a child")
     }
 
-    pub fn says(&self, words: &str) -> bool {
+    pub fn log_contains(&self, words: &str) -> bool {
         self.log.lock().expect("alive").contains(words)
     }
 }
 
-impl Drop for Steward {
+impl Drop for Controller {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
         if std::thread::panicking() {
             eprintln!("{}", self.log.lock().expect("alive"));
         }
@@ -110,7 +110,7 @@
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(began.elapsed() < EVENT_TIMEOUT, "not in time: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -123,7 +123,7 @@
 
 pub fn ping(stream: &mut TcpStream) -> bool {
     let mut answer = [0; 16];
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a time");
     let sent = stream.write_all(&framed(r#"{"t":"ping"}"#)).is_ok();
     sent && stream.read_exact(&mut answer).is_ok() && answer[4..] == *br#"{"t":"pong"}"#
 }
--- a/crates/railhub-cli/tests/common/scripted.rs
+++ b/crates/railhub-cli/tests/common/scripted.rs
@@ -1,6 +1,6 @@
 //! Peers of the steward that do what a test says: a relay and a discovery on loopback, and their messages.
 #![allow(dead_code)]
-use super::common::{eventually, file_text, ping, Steward, PATIENCE};
+use super::common::{config_text, eventually, ping, Controller, EVENT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -39,7 +39,7 @@
     pub fn keep_alive(mut self) {
         std::thread::spawn(move || {
             while self.stream.write_all(PING.as_bytes()).is_ok() {
-                std::thread::sleep(SIGN_OF_LIFE_INTERVAL);
+                std::thread::sleep(KEEP_ALIVE_INTERVAL);
             }
         });
     }
@@ -47,23 +47,23 @@
 
 /// An address at which nobody listens: the loopback address is this process's own and the port is given out once, so no
 /// listener or connection of another test can take it meanwhile.
-pub fn own_address() -> SocketAddr {
+pub fn exclusive_address() -> SocketAddr {
     const FIRST_PORT: u16 = 20_000;
-    static GIVEN_OUT: AtomicU16 = AtomicU16::new(0);
+    static RETURNED_PORTS: AtomicU16 = AtomicU16::new(0);
     let [high, middle, low] = [std::process::id() >> 16, std::process::id() >> 8, std::process::id()]
         .map(|part| u8::try_from(part & 0xff).expect("a byte"));
     let address = Ipv4Addr::new(127, 64 | (high & 0x3f), middle, low);
-    SocketAddr::from((address, FIRST_PORT + GIVEN_OUT.fetch_add(1, Ordering::Relaxed)))
+    SocketAddr::from((address, FIRST_PORT + RETURNED_PORTS.fetch_add(1, Ordering::Relaxed)))
 }
 
 /// A steward at an address of its own, by the file made for it; up.
-pub fn start_steward(name: &str, text: impl Fn(SocketAddr) -> String) -> Steward {
-    let mut starting = Restartable::new(name, text);
+pub fn start_controller(name: &str, text: impl Fn(SocketAddr) -> String) -> Controller {
+    let mut starting = RestartableController::new(name, text);
     starting.start();
     starting.running.take().expect("it runs")
 }
 
-const SIGN_OF_LIFE_INTERVAL: Duration = Duration::from_millis(300);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(300);
 pub const PING: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
 pub const SUBSCRIBED: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":true}\n";
 
@@ -71,7 +71,7 @@
     format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}\n")
 }
 
-pub fn joined(proxy: u16) -> String {
+pub fn proxy_joined(proxy: u16) -> String {
     notification("joined", &format!(r#"{{"proxy":{proxy},"zone":"a","weight":2,"fresh":true}}"#))
 }
 
@@ -83,11 +83,11 @@
 
 /// What stands: proxy 1, and slice 3 with the owner s-1; the steward orders a standby for it.
 pub fn snapshot() -> String {
-    SUBSCRIBED.to_owned() + &joined(1) + &slice_with_owner(3, "s-1") + PING
+    SUBSCRIBED.to_owned() + &proxy_joined(1) + &slice_with_owner(3, "s-1") + PING
 }
 
 /// The answer that all orders of a call are taken.
-pub fn all_taken(call: &str) -> String {
+pub fn all_accepted(call: &str) -> String {
     let id = call.split("\"id\":").nth(1).and_then(|rest| rest.split([',', '}']).next()).expect("an id");
     format!("{{\"id\":{id},\"result\":{{\"taken\":{}}}}}\n", call.matches("\"op\"").count())
 }
@@ -121,7 +121,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let log = log.clone();
-                std::thread::spawn(move || serve(Connection::new(stream), delays, &log));
+                std::thread::spawn(move || serve_connection(Connection::new(stream), delays, &log));
             }
         });
         ServingRelay { address, calls }
@@ -135,12 +135,12 @@
         self.calls.lock().expect("alive").first().map(|(at, _)| *at)
     }
 
-    pub fn forget_calls(&self) {
+    pub fn clear_calls(&self) {
         self.calls.lock().expect("alive").clear();
     }
 }
 
-fn serve(mut connection: Connection, delays: RelayDelays, log: &CallLog) {
+fn serve_connection(mut connection: Connection, delays: RelayDelays, log: &CallLog) {
     while let Ok(line) = connection.lines.recv() {
         if line.contains("\"subscribe\"") {
             std::thread::sleep(delays.subscription);
@@ -151,7 +151,7 @@
         }
         log.lock().expect("alive").push((Instant::now(), line.clone()));
         std::thread::sleep(delays.call);
-        if connection.stream.write_all(all_taken(&line).as_bytes()).is_err() {
+        if connection.stream.write_all(all_accepted(&line).as_bytes()).is_err() {
             return;
         }
     }
@@ -181,7 +181,7 @@
                             let _ = sender.send(connection);
                             return;
                         }
-                        let answer = all_taken(&line);
+                        let answer = all_accepted(&line);
                         log.lock().expect("alive").push((Instant::now(), line));
                         if connection.stream.write_all(answer.as_bytes()).is_err() {
                             return;
@@ -195,7 +195,7 @@
 
     /// The next that subscribes; nothing is answered yet.
     pub fn subscriber(&self) -> Connection {
-        self.subscribers.recv_timeout(PATIENCE).expect("a subscription in time")
+        self.subscribers.recv_timeout(EVENT_TIMEOUT).expect("a subscription in time")
     }
 
     pub fn has_call_with(&self, words: &str) -> bool {
@@ -217,7 +217,7 @@
     }
 
     /// Another hold of the same connection.
-    pub fn another_hold(&self) -> Watch {
+    pub fn clone_handle(&self) -> Watch {
         let stream = self.stream.try_clone().expect("a descriptor");
         Watch { stream, request: self.request.clone() }
     }
@@ -226,7 +226,7 @@
     pub fn keep_alive(mut self) {
         std::thread::spawn(move || {
             while self.stream.write_all(chunk("\n").as_bytes()).is_ok() {
-                std::thread::sleep(SIGN_OF_LIFE_INTERVAL);
+                std::thread::sleep(KEEP_ALIVE_INTERVAL);
             }
         });
     }
@@ -257,7 +257,7 @@
     }
 
     pub fn watch(&self) -> Watch {
-        self.watches.recv_timeout(PATIENCE).expect("a watch in time")
+        self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch in time")
     }
 
     /// Answers each watch late with what is told, and keeps it open.
@@ -316,31 +316,31 @@
     discovery: SocketAddr,
     hosts: &[Value],
 ) -> String {
-    let mut file: Value = serde_json::from_str(&file_text(listen, relay, discovery)).expect("JSON");
+    let mut file: Value = serde_json::from_str(&config_text(listen, relay, discovery)).expect("JSON");
     file["known"]["instances"] = json!(hosts);
     file.to_string()
 }
 
 /// A steward that can be started, killed and started again under the same file and address.
-pub struct Restartable {
-    file: PathBuf,
+pub struct RestartableController {
+    config_file: PathBuf,
     pub listen: SocketAddr,
-    running: Option<Steward>,
+    running: Option<Controller>,
 }
 
-impl Restartable {
+impl RestartableController {
     /// Its file alone; nothing runs yet.
-    pub fn new(name: &str, text: impl Fn(SocketAddr) -> String) -> Restartable {
-        let listen = own_address();
+    pub fn new(name: &str, text: impl Fn(SocketAddr) -> String) -> RestartableController {
+        let listen = exclusive_address();
         let file = std::env::temp_dir().join(format!("railhub-{name}-{}.json", std::process::id()));
         std::fs::write(&file, text(listen)).expect("writable");
-        Restartable { file, listen, running: None }
+        RestartableController { config_file: file, listen, running: None }
     }
 
     /// Starts the process and waits for its first answer to a ping; how long that took.
     pub fn start(&mut self) -> Duration {
         let began = Instant::now();
-        self.running = Some(Steward::of_file(self.file.clone(), self.listen));
+        self.running = Some(Controller::spawn(self.config_file.clone(), self.listen));
         let listen = self.listen;
         eventually("it answers a ping", || {
             TcpStream::connect(listen).is_ok_and(|mut stream| ping(&mut stream))
@@ -350,8 +350,8 @@
 
     /// SIGKILL, and the file is there for the next start.
     pub fn kill(&mut self) {
-        let text = std::fs::read(&self.file).expect("still there");
+        let text = std::fs::read(&self.config_file).expect("still there");
         self.running = None;
-        std::fs::write(&self.file, text).expect("writable");
+        std::fs::write(&self.config_file, text).expect("writable");
     }
 }
--- a/crates/railhub-cli/tests/common/sockets.rs
+++ b/crates/railhub-cli/tests/common/sockets.rs
@@ -1,5 +1,5 @@
 //! What the kernel tells of connections to a steward, and what the standard library lacks for closing them.
-use super::{eventually, Steward, PATIENCE};
+use super::{eventually, Controller, EVENT_TIMEOUT};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -9,7 +9,7 @@
 const CLOSE_WAIT: &str = "08";
 
 /// The steward's end of a connection.
-pub struct StewardEnd {
+pub struct ControllerSocket {
     /// Zero until the steward has accepted the connection.
     pub inode: u64,
     /// Bytes that the steward has received and not read.
@@ -19,28 +19,33 @@
 }
 
 /// `None` if the connection is closed at the steward's end.
-pub fn steward_end(stream: &TcpStream) -> Option<StewardEnd> {
-    let (steward, peer) = (kernel_form(stream.peer_addr().ok()?), kernel_form(stream.local_addr().ok()?));
+pub fn controller_socket(stream: &TcpStream) -> Option<ControllerSocket> {
+    let (controller, peer) =
+        (proc_net_tcp_address(stream.peer_addr().ok()?), proc_net_tcp_address(stream.local_addr().ok()?));
     let table = std::fs::read_to_string("/proc/net/tcp").expect("a table of connections");
     table.lines().skip(1).find_map(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let is_open = [ESTABLISHED, CLOSE_WAIT].contains(&fields[3]);
-        if fields[1] != steward || fields[2] != peer || !is_open {
+        if fields[1] != controller || fields[2] != peer || !is_open {
             return None;
         }
         let (unsent, unread) = fields[4].split_once(':')?;
         let bytes = |hexadecimal| usize::from_str_radix(hexadecimal, 16).ok();
-        Some(StewardEnd { inode: fields[9].parse().ok()?, unread: bytes(unread)?, unsent: bytes(unsent)? })
+        Some(ControllerSocket {
+            inode: fields[9].parse().ok()?,
+            unread: bytes(unread)?,
+            unsent: bytes(unsent)?,
+        })
     })
 }
 
-fn kernel_form(address: SocketAddr) -> String {
+fn proc_net_tcp_address(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else { panic!("tests use IPv4") };
     format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
 }
 
 /// Bytes that have come at this end and were not read.
-pub fn received(stream: &TcpStream) -> usize {
+pub fn unread_bytes(stream: &TcpStream) -> usize {
     let mut bytes: libc::c_int = 0;
     // SAFETY: the descriptor is open, and the request writes one integer.
     assert_eq!(unsafe { libc::ioctl(stream.as_raw_fd(), libc::FIONREAD, &mut bytes) }, 0);
@@ -53,10 +58,10 @@
 }
 
 /// Keeps the buffer for bytes that came and were not read at the size it has by default, which would grow else.
-pub fn keep_receive_buffer(stream: &TcpStream) {
+pub fn fix_receive_buffer_size(stream: &TcpStream) {
     // The kernel doubles it.
-    const HALF_OF_DEFAULT: libc::c_int = 65_536;
-    set_option(stream, libc::SO_RCVBUF, HALF_OF_DEFAULT);
+    const HALF_OF_DEFAULT_BYTES: libc::c_int = 65_536;
+    set_option(stream, libc::SO_RCVBUF, HALF_OF_DEFAULT_BYTES);
 }
 
 fn set_option<T>(stream: &TcpStream, option: libc::c_int, value: T) {
@@ -68,8 +73,8 @@
 }
 
 /// Numbers of the descriptors that the process has open, each with what it refers to.
-pub fn descriptors(steward: &Steward) -> Vec<(u64, String)> {
-    let directory = std::fs::read_dir(format!("/proc/{}/fd", steward.child.id())).expect("a process");
+pub fn descriptors(controller: &Controller) -> Vec<(u64, String)> {
+    let directory = std::fs::read_dir(format!("/proc/{}/fd", controller.child.id())).expect("a process");
     let described = directory.flatten().filter_map(|entry| {
         let number = entry.file_name().to_str()?.parse().ok()?;
         // One that was closed meanwhile has no target any more.
@@ -80,9 +85,9 @@
 }
 
 /// Whether the process has the socket open.
-pub fn holds_socket(steward: &Steward, inode: u64) -> bool {
+pub fn has_socket_open(controller: &Controller, inode: u64) -> bool {
     let target = format!("socket:[{inode}]");
-    descriptors(steward).iter().any(|(_, held)| *held == target)
+    descriptors(controller).iter().any(|(_, held)| *held == target)
 }
 
 /// A relay and a discovery that accept connections and say nothing.
@@ -102,9 +107,9 @@
         (address(&self.relay), address(&self.discovery))
     }
 
-    pub fn steward(&self, name: &str) -> Steward {
+    pub fn start_controller(&self, name: &str) -> Controller {
         let (relay, discovery) = self.addresses();
-        Steward::start(name, relay, discovery)
+        Controller::start(name, relay, discovery)
     }
 
     /// What the next connection to the relay says first.
@@ -117,7 +122,7 @@
         });
         let (stream, _) = caller.expect("it came");
         stream.set_nonblocking(false).expect("an option");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a time");
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).expect("a line in time");
         line
--- a/crates/railhub-cli/tests/earlier_files.rs
+++ b/crates/railhub-cli/tests/file_compatibility.rs
@@ -15,26 +15,26 @@
     command.output().expect("the binary runs")
 }
 
-fn printed(arguments: &[&str], file: &str) -> Value {
+fn json_output(arguments: &[&str], file: &str) -> Value {
     let output = railhub(arguments, file);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     serde_json::from_slice(&output.stdout).expect("one JSON value")
 }
 
-fn expected(file: &str) -> Value {
+fn earlier_output(file: &str) -> Value {
     let text = std::fs::read(fixture(file)).expect("a fixture");
     serde_json::from_slice(&text).expect("JSON")
 }
 
 #[test]
 fn earlier_recording_gets_the_same_verdicts() {
-    assert_eq!(printed(&["check", "--json"], "recording.rec"), expected("check.json"));
+    assert_eq!(json_output(&["check", "--json"], "recording.rec"), earlier_output("check.json"));
 }
 
 #[test]
 fn earlier_recording_gets_the_same_report() {
-    let mut report = printed(&["report", "--json"], "recording.rec");
-    let mut earlier = expected("report.json");
+    let mut report = json_output(&["report", "--json"], "recording.rec");
+    let mut earlier = earlier_output("report.json");
     for value in [&mut report, &mut earlier] {
         // The name of the file as it was given on the command line.
         value["day"].take();
@@ -43,12 +43,15 @@
 }
 
 #[test]
-fn earlier_traffic_file_is_read_the_same() {
-    assert_eq!(printed(&["traffic", "show", "--json"], "operations.traffic"), expected("show.json"));
+fn earlier_traffic_file_is_shown_the_same() {
+    assert_eq!(
+        json_output(&["traffic", "show", "--json"], "operations.traffic"),
+        earlier_output("show.json")
+    );
 }
 
 #[test]
-fn traffic_taken_from_an_earlier_recording_has_the_same_bytes() {
+fn traffic_of_an_earlier_recording_has_the_same_bytes() {
     let taken = std::env::temp_dir().join(format!("railhub-earlier-{}.traffic", std::process::id()));
     let arguments = ["traffic", "record", "-o", taken.to_str().expect("a plain path")];
     assert!(railhub(&arguments, "recording.rec").status.success());
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -20,10 +20,10 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_railhub");
 
-fn chaos(stewards: u16) -> ChaosConfig {
+fn chaos(controllers: u16) -> ChaosConfig {
     ChaosConfig {
         name: "test".into(),
-        controllers: stewards,
+        controllers,
         slices: 1,
         proxies: 1,
         length: 5.0,
@@ -41,7 +41,7 @@
 }
 
 /// Plays faults on real processes; what was seen, and where its logs are.
-fn seen(
+fn run_faults(
     seed: u64,
     chaos: &ChaosConfig,
     faults: &[Fault],
@@ -55,8 +55,8 @@
     (events, folder)
 }
 
-fn keeps_all_rules(seed: u64, chaos: &ChaosConfig, faults: &[Fault]) -> Vec<ViewObservation> {
-    let (events, folder) = seen(seed, chaos, faults, RunOptions::default());
+fn assert_no_violations(seed: u64, chaos: &ChaosConfig, faults: &[Fault]) -> Vec<ViewObservation> {
+    let (events, folder) = run_faults(seed, chaos, faults, RunOptions::default());
     let breaches = judge(&events);
     assert!(breaches.is_empty(), "seed {seed}: {breaches:#?}\nlogs: {}", folder.display());
     let _ = std::fs::remove_dir_all(folder);
@@ -64,15 +64,15 @@
 }
 
 /// Whether a view showed this steward as gone.
-fn held_gone(events: &[ViewObservation], steward: u16) -> bool {
+fn is_shown_gone(events: &[ViewObservation], controller: u16) -> bool {
     events.iter().any(|event| match event {
-        ViewObservation::View { gone, .. } => gone.iter().any(|(id, _)| *id == steward),
+        ViewObservation::View { gone, .. } => gone.iter().any(|(id, _)| *id == controller),
         _ => false,
     })
 }
 
 #[test]
-fn a_join_during_a_split_and_a_crash_settle() {
+fn views_settle_after_a_partition_with_a_join_and_a_crash() {
     let mut chaos = chaos(4);
     chaos.late_joiners = vec![3];
     let faults = [
@@ -80,22 +80,22 @@
         fault(3.0, 0.0, FaultKind::Join { controller: 3 }),
         fault(4.0, 8.0, FaultKind::Kill { controller: 1 }),
     ];
-    let events = keeps_all_rules(1, &chaos, &faults);
-    assert!(held_gone(&events, 0), "the split was long enough to bury");
+    let events = assert_no_violations(1, &chaos, &faults);
+    assert!(is_shown_gone(&events, 0), "the split was long enough to bury");
 }
 
 #[test]
-fn links_cut_one_way_and_two_that_are_apart_bury_nobody_while_a_third_reaches_both() {
+fn cut_links_cause_no_false_death_while_a_third_reaches_both() {
     let faults = [
         fault(2.0, 0.0, FaultKind::SeparatePair { a: 0, b: 1 }),
         fault(3.0, 5.0, FaultKind::Cut { from: 2, to: 3 }),
     ];
-    let events = keeps_all_rules(2, &chaos(4), &faults);
-    assert!((0..4).all(|steward| !held_gone(&events, steward)));
+    let events = assert_no_violations(2, &chaos(4), &faults);
+    assert!((0..4).all(|controller| !is_shown_gone(&events, controller)));
 }
 
 #[test]
-fn stopped_for_a_second_and_for_five_moved_and_set_back_all_settle() {
+fn views_settle_after_pauses_a_move_and_a_lower_process_number() {
     let faults = [
         fault(2.0, 1.0, FaultKind::Pause { controller: 0 }),
         fault(4.0, 5.0, FaultKind::Pause { controller: 1 }),
@@ -103,19 +103,20 @@
         fault(7.0, 0.0, FaultKind::Move { controller: 2 }),
         fault(8.0, 0.5, FaultKind::RestartWithLowerNumber { controller: 3 }),
     ];
-    keeps_all_rules(3, &chaos(4), &faults);
+    assert_no_violations(3, &chaos(4), &faults);
 }
 
 #[test]
-fn of_two_processes_with_one_name_the_older_stands_back() {
-    let events = keeps_all_rules(4, &chaos(3), &[fault(3.0, 0.0, FaultKind::DuplicateId { controller: 1 })]);
+fn older_of_two_processes_with_one_id_is_superseded() {
+    let events =
+        assert_no_violations(4, &chaos(3), &[fault(3.0, 0.0, FaultKind::DuplicateId { controller: 1 })]);
     assert!(events
         .iter()
         .any(|event| matches!(event, ViewObservation::View { controller: 1, superseded: true, .. })));
 }
 
 #[test]
-fn lossy_links_restarts_old_datagrams_again_and_spoilt_ones_settle() {
+fn views_settle_after_loss_restarts_replays_and_corruption() {
     let bad = LinkFaults { loss: 0.2, duplication: 0.1, reordering: 0.2, delay: 0.005, jitter: 0.01 };
     let faults = [
         fault(1.0, 9.0, FaultKind::Links { faults: bad }),
@@ -123,20 +124,20 @@
         fault(8.0, 0.0, FaultKind::Flood { controller: 1, count: 20_000 }),
         fault(11.0, 0.0, FaultKind::Replay),
     ];
-    keeps_all_rules(5, &chaos(3), &faults);
+    assert_no_violations(5, &chaos(3), &faults);
 }
 
 #[test]
-fn all_that_start_at_once_with_a_dead_address_first_find_each_other() {
+fn simultaneous_starts_find_each_other_past_a_dead_seed_address() {
     let mut chaos = chaos(4);
     // Nobody ever starts under the first name: its address is that of a dead one.
     chaos.late_joiners = vec![0];
-    keeps_all_rules(6, &chaos, &[]);
+    assert_no_violations(6, &chaos, &[]);
 }
 
-fn breaks(seed: u64, without: Safeguard, faults: &[Fault], rules: &[&str]) {
+fn assert_violation_found(seed: u64, without: Safeguard, faults: &[Fault], rules: &[&str]) {
     let how = RunOptions { without: Some(without), ..RunOptions::default() };
-    let (events, folder) = seen(seed, &chaos(3), faults, how);
+    let (events, folder) = run_faults(seed, &chaos(3), faults, how);
     let breaches = judge(&events);
     let found = breaches.iter().any(|breach| rules.contains(&breach.rule));
     assert!(found, "seed {seed}, {without:?}: {breaches:?}, logs: {}", folder.display());
@@ -144,14 +145,14 @@
 }
 
 #[test]
-fn a_fleet_that_ignores_process_numbers_is_found() {
+fn finds_controllers_that_ignore_process_numbers() {
     let faults = [fault(2.0, 7.0, FaultKind::Kill { controller: 1 })];
-    breaks(7, Safeguard::ProcessOrder, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
+    assert_violation_found(7, Safeguard::ProcessOrder, &faults, &[NO_SPLIT, SETTLES, NO_LIFE_AFTER_DEATH]);
 }
 
 #[test]
-fn a_fleet_without_refutation_is_found() {
-    breaks(
+fn finds_controllers_without_refutation() {
+    assert_violation_found(
         8,
         Safeguard::Refutation,
         &[fault(2.0, 9.0, FaultKind::Partition { side: 1 })],
@@ -160,19 +161,19 @@
 }
 
 #[test]
-fn a_fleet_with_endless_rumours_is_found() {
-    breaks(9, Safeguard::GossipLimit, &[], &[GOSSIP_ENDS]);
+fn finds_controllers_with_unlimited_gossip() {
+    assert_violation_found(9, Safeguard::GossipLimit, &[], &[GOSSIP_ENDS]);
 }
 
 /// A folder of its own for each test; gone when the test has passed.
-fn folder(name: &str) -> std::path::PathBuf {
+fn test_folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("railhub-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("writable");
     folder
 }
 
 /// A steward that ends with its test, also when that fails; and its file of settings.
-fn steward(folder: &Path, id: u16, join: Option<SocketAddr>) -> (ControllerProcess, String) {
+fn start_controller(folder: &Path, id: u16, join: Option<SocketAddr>) -> (ControllerProcess, String) {
     let join = join.map_or(String::new(), |address| format!("join = {address}\n"));
     let text = format!(
         "[steward]\nlisten = 127.0.0.1:0\nroster = 127.0.0.1:1\n\n[class any]\ncontract_time = 1\n\n\
@@ -185,7 +186,7 @@
 }
 
 /// Sends so many spoilt, foreign, older, cut and too long datagrams.
-fn damage(to: SocketAddr, installation: &str, count: usize) {
+fn send_invalid_datagrams(to: SocketAddr, installation: &str, count: usize) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let look = encode(installation, &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
     let foreign = encode("other", &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
@@ -204,7 +205,7 @@
 }
 
 /// Looks until a view is as wanted, or the deadline has passed.
-fn look_until(conf: &str, at: SocketAddr, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+fn wait_for_view(conf: &str, at: SocketAddr, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
     let until = Instant::now() + Duration::from_secs(30);
     loop {
         let at = at.to_string();
@@ -222,29 +223,29 @@
 }
 
 #[test]
-fn an_observer_sees_a_join_and_a_leave_in_order_and_is_never_counted() {
-    let folder = folder("observer");
-    let (one, conf) = steward(&folder, 1, None);
-    let (two, _) = steward(&folder, 2, Some(one.cluster_address));
+fn observer_sees_join_and_leave_and_is_not_a_member() {
+    let folder = test_folder("observer");
+    let (one, conf) = start_controller(&folder, 1, None);
+    let (two, _) = start_controller(&folder, 2, Some(one.cluster_address));
     let lines = |told: &Value| told["views"][0]["lines"].as_array().map_or(0, Vec::len);
     let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    let told = look_until(&conf, one.cluster_address, "two that know each other", both);
+    let told = wait_for_view(&conf, one.cluster_address, "two that know each other", both);
     assert_eq!(lines(&told), 2, "{told}");
     assert_eq!(told["views"][0]["lines"][0]["settings"], told["views"][0]["lines"][1]["settings"]);
     two.leave();
     let left = |told: &Value| told["views"][0]["lines"][1]["standing"] == "left";
-    look_until(&conf, one.cluster_address, "one that left", left);
+    wait_for_view(&conf, one.cluster_address, "one that left", left);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 /// Words that come without end must not hold up a steward's own turns.
 #[test]
-fn a_steward_that_is_flooded_still_finds_a_death() {
-    let folder = folder("flooded");
-    let (one, conf) = steward(&folder, 1, None);
-    let (two, _) = steward(&folder, 2, Some(one.cluster_address));
+fn flooded_controller_still_detects_a_death() {
+    let folder = test_folder("flooded");
+    let (one, conf) = start_controller(&folder, 1, None);
+    let (two, _) = start_controller(&folder, 2, Some(one.cluster_address));
     let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    look_until(&conf, one.cluster_address, "two that know each other", both);
+    wait_for_view(&conf, one.cluster_address, "two that know each other", both);
     let (ended, to) = (Arc::new(AtomicBool::new(false)), one.cluster_address);
     let stop = ended.clone();
     let flood = std::thread::spawn(move || {
@@ -256,7 +257,7 @@
     });
     drop(two);
     let dead = |told: &Value| told["views"][0]["lines"][1]["standing"] == "dead";
-    look_until(&conf, one.cluster_address, "one that died", dead);
+    wait_for_view(&conf, one.cluster_address, "one that died", dead);
     ended.store(true, Ordering::Release);
     flood.join().expect("it ends");
     let _ = std::fs::remove_dir_all(folder);
@@ -264,14 +265,14 @@
 
 /// What is spoilt, foreign, older or too long is dropped, and the stewards go on knowing each other.
 #[test]
-fn a_hundred_thousand_damaged_datagrams_are_dropped_and_counted_and_answers_go_on() {
-    let folder = folder("damaged");
-    let (one, conf) = steward(&folder, 1, None);
-    let (_two, _) = steward(&folder, 2, Some(one.cluster_address));
+fn invalid_datagrams_are_dropped_and_counted() {
+    let folder = test_folder("damaged");
+    let (one, conf) = start_controller(&folder, 1, None);
+    let (_two, _) = start_controller(&folder, 2, Some(one.cluster_address));
     let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    look_until(&conf, one.cluster_address, "two that know each other", both);
-    damage(one.cluster_address, "hand", 100_000);
-    let told = look_until(&conf, one.cluster_address, "two that know each other after the noise", both);
+    wait_for_view(&conf, one.cluster_address, "two that know each other", both);
+    send_invalid_datagrams(one.cluster_address, "hand", 100_000);
+    let told = wait_for_view(&conf, one.cluster_address, "two that know each other after the noise", both);
     // What the socket's own queue could not hold never came to the steward.
     assert!(told["views"][0]["dropped"].as_u64() > Some(10_000), "{told}");
     let lines = told["views"][0]["lines"].as_array().expect("lines");
@@ -283,11 +284,11 @@
 /// fleet of three, every connection of it through a relay, while 100,000 damaged datagrams come, the list falls silent with
 /// its connection left open, and all proxies' streams are reset. The five rules are judged from what crossed the sockets.
 #[test]
-fn service_goes_on_while_a_fleet_is_flooded_its_list_is_silent_and_streams_are_reset() {
+fn service_continues_despite_datagrams_silent_list_and_resets() {
     railhub_net::start_runtime();
-    let folder = folder("service");
-    let (peer, conf) = steward(&folder, 2, None);
-    let (_other, _) = steward(&folder, 3, Some(peer.cluster_address));
+    let folder = test_folder("service");
+    let (peer, conf) = start_controller(&folder, 2, None);
+    let (_other, _) = start_controller(&folder, 3, Some(peer.cluster_address));
     let link_controller = Arc::new(LinkController::new(10, None));
     let bed = Arc::new(Mutex::new(Vec::<Arc<TcpLink>>::new()));
     let (links, at, home) = (bed.clone(), peer.cluster_address, folder.clone());
@@ -322,7 +323,7 @@
                 std::thread::sleep(Duration::from_secs(3));
                 link_controller.set_both("1", "roster", Faults { cut: true, ..Faults::default() });
                 let reset = door.reset();
-                damage(fleet, "hand", 100_000);
+                send_invalid_datagrams(fleet, "hand", 100_000);
                 std::thread::sleep(Duration::from_millis(1500));
                 link_controller.set_both("1", "roster", Faults::default());
                 let held = link_controller
@@ -354,6 +355,6 @@
     assert!(served.overall > 0.8, "seed {}: {served:?}, logs: {}", day.seed, folder.display());
     // The steward of the day was ended outright: the two that are left know.
     let dead = |told: &Value| told["agree"] == true && told["views"][0]["lines"][0]["standing"] == "dead";
-    look_until(&conf, peer.cluster_address, "the day's steward is gone", dead);
+    wait_for_view(&conf, peer.cluster_address, "the day's steward is gone", dead);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/railhub-cli/tests/platform.rs
+++ b/crates/railhub-cli/tests/platform.rs
@@ -1,7 +1,7 @@
 //! `railhub steward --platform` as a process, between a stand-in relay and a stand-in discovery on loopback.
 mod common;
 
-use common::{eventually, file_text, framed, ping, Steward, FILE, PATIENCE};
+use common::{config_text, eventually, framed, ping, Controller, CONFIG_TEMPLATE, EVENT_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
@@ -9,22 +9,22 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
-    Takes,
-    Limits,
-    SaysNothing,
-    Garbles,
-    BreaksOff,
+enum RelayBehavior {
+    AcceptsCalls,
+    RejectsCalls,
+    NeverResponds,
+    SendsInvalidJson,
+    ClosesConnection,
     /// The news stays open and says nothing more.
-    Mute,
+    SilentSubscription,
 }
 
 struct Relay {
     address: SocketAddr,
-    mood: Arc<Mutex<Mood>>,
+    behavior: Arc<Mutex<RelayBehavior>>,
     /// Calls as they came, and how many subscribed.
     calls: Arc<Mutex<Vec<String>>>,
-    subscribed: Arc<Mutex<usize>>,
+    subscription_count: Arc<Mutex<usize>>,
 }
 
 impl Relay {
@@ -32,45 +32,47 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let relay = Relay {
             address: listener.local_addr().expect("bound"),
-            mood: Arc::new(Mutex::new(Mood::Takes)),
+            behavior: Arc::new(Mutex::new(RelayBehavior::AcceptsCalls)),
             calls: Arc::default(),
-            subscribed: Arc::default(),
+            subscription_count: Arc::default(),
         };
-        let (mood, calls, subscribed) = (relay.mood.clone(), relay.calls.clone(), relay.subscribed.clone());
+        let (behavior, calls, subscription_count) =
+            (relay.behavior.clone(), relay.calls.clone(), relay.subscription_count.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (mood, calls, subscribed) = (mood.clone(), calls.clone(), subscribed.clone());
-                std::thread::spawn(move || serve_relay(stream, &mood, &calls, &subscribed));
+                let (behavior, calls, subscription_count) =
+                    (behavior.clone(), calls.clone(), subscription_count.clone());
+                std::thread::spawn(move || serve_relay(stream, &behavior, &calls, &subscription_count));
             }
         });
         relay
     }
 
-    fn set(&self, mood: Mood) {
-        *self.mood.lock().expect("alive") = mood;
+    fn set_behavior(&self, behavior: RelayBehavior) {
+        *self.behavior.lock().expect("alive") = behavior;
     }
 
     fn calls(&self) -> Vec<String> {
         self.calls.lock().expect("alive").clone()
     }
 
-    fn subscribed(&self) -> usize {
-        *self.subscribed.lock().expect("alive")
+    fn subscription_count(&self) -> usize {
+        *self.subscription_count.lock().expect("alive")
     }
 }
 
 fn serve_relay(
     mut stream: TcpStream,
-    mood: &Mutex<Mood>,
+    behavior: &Mutex<RelayBehavior>,
     calls: &Mutex<Vec<String>>,
-    subscribed: &Mutex<usize>,
+    subscription_count: &Mutex<usize>,
 ) {
     let reader = BufReader::new(stream.try_clone().expect("a descriptor"));
     for line in reader.lines().map_while(Result::ok) {
         let id =
             line.split("\"id\":").nth(1).and_then(|rest| rest.split(',').next()).expect("an id").to_owned();
         if line.contains("\"subscribe\"") {
-            *subscribed.lock().expect("alive") += 1;
+            *subscription_count.lock().expect("alive") += 1;
             let news = [
                 format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":true}}"),
                 r#"{"jsonrpc":"2.0","method":"joined","params":{"proxy":1,"zone":"a","weight":2,"fresh":true}}"#.into(),
@@ -82,19 +84,23 @@
                 stream.write_all(piece).expect("read");
             }
             let ping = b"{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
-            while *mood.lock().expect("alive") == Mood::Mute || stream.write_all(ping).is_ok() {
+            while *behavior.lock().expect("alive") == RelayBehavior::SilentSubscription
+                || stream.write_all(ping).is_ok()
+            {
                 std::thread::sleep(Duration::from_millis(300));
             }
             return;
         }
         let count = line.matches("\"op\"").count();
         calls.lock().expect("alive").push(line);
-        let answer = match *mood.lock().expect("alive") {
-            Mood::Takes | Mood::Mute => format!("{{\"id\":{id},\"result\":{{\"taken\":{count}}}}}\n"),
-            Mood::Limits => format!("{{\"id\":{id},\"error\":{{\"message\":\"limit\"}}}}\n"),
-            Mood::Garbles => "{\"id\":\u{1}\n".to_owned(),
-            Mood::SaysNothing => continue,
-            Mood::BreaksOff => return,
+        let answer = match *behavior.lock().expect("alive") {
+            RelayBehavior::AcceptsCalls | RelayBehavior::SilentSubscription => {
+                format!("{{\"id\":{id},\"result\":{{\"taken\":{count}}}}}\n")
+            }
+            RelayBehavior::RejectsCalls => format!("{{\"id\":{id},\"error\":{{\"message\":\"limit\"}}}}\n"),
+            RelayBehavior::SendsInvalidJson => "{\"id\":\u{1}\n".to_owned(),
+            RelayBehavior::NeverResponds => continue,
+            RelayBehavior::ClosesConnection => return,
         };
         if stream.write_all(answer.as_bytes()).is_err() {
             return;
@@ -102,11 +108,11 @@
     }
 }
 
-type Watches = Arc<Mutex<Vec<String>>>;
+type WatchRequests = Arc<Mutex<Vec<String>>>;
 
 /// Keeps each watch open and writes an empty line now and then; keeps what each asked for.
-fn discovery() -> (SocketAddr, Watches) {
-    discovery_that(|mut stream, _| {
+fn start_discovery() -> (SocketAddr, WatchRequests) {
+    start_discovery_with(|mut stream, _| {
         while stream.write_all(b"1\r\n\n\r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(300));
         }
@@ -114,11 +120,13 @@
 }
 
 /// Answers each watch, by its place, with the head of a stream and then as told.
-fn discovery_that(talks: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> (SocketAddr, Watches) {
+fn start_discovery_with(
+    talks: impl Fn(TcpStream, usize) + Send + Sync + 'static,
+) -> (SocketAddr, WatchRequests) {
     let talks = Arc::new(talks);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let watches = Watches::default();
+    let watches = WatchRequests::default();
     let seen = watches.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -135,14 +143,14 @@
     (address, watches)
 }
 
-fn collector(steward: &Steward) -> TcpStream {
-    let mut stream = TcpStream::connect(steward.listen).expect("listens");
+fn connect_collector(controller: &Controller) -> TcpStream {
+    let mut stream = TcpStream::connect(controller.listen).expect("listens");
     stream.write_all(&framed(r#"{"t":"collector","zone":"a"}"#)).expect("taken");
     stream
 }
 
 /// Whether the steward ends the connection, with a word or without, within a span.
-fn is_sent_away(mut stream: TcpStream, within: Duration) -> bool {
+fn is_closed_within(mut stream: TcpStream, within: Duration) -> bool {
     let began = Instant::now();
     stream.set_read_timeout(Some(within)).expect("a time");
     let mut answer = Vec::new();
@@ -152,31 +160,36 @@
 }
 
 /// Whether a call has a barrier and nothing else.
-fn is_barrier_alone(call: &str) -> bool {
+fn has_only_a_barrier(call: &str) -> bool {
     call.matches("\"op\"").count() == 1 && call.contains(r#"{"op":"mark","ticket":"#)
 }
 
 #[test]
-fn calls_are_made_again_until_their_end_is_known_and_none_is_lost() {
-    let (relay, (discovery, watches)) = (Relay::start(), discovery());
-    relay.set(Mood::Limits);
-    let _steward = Steward::start("calls", relay.address, discovery);
+fn calls_are_repeated_until_their_outcome_is_known() {
+    let (relay, (discovery, watches)) = (Relay::start(), start_discovery());
+    relay.set_behavior(RelayBehavior::RejectsCalls);
+    let _controller = Controller::start("calls", relay.address, discovery);
     // It answered a sign of life while the relay turns calls away.
     eventually("a call is turned away", || relay.calls().len() > 1);
     let wanted = |call: &String| call.split_once("orders").expect("a commit").1.to_owned();
     let first = wanted(&relay.calls()[0]);
     assert!(first.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{first}");
     let mut accepted = 0;
-    for mood in [Mood::SaysNothing, Mood::Garbles, Mood::BreaksOff, Mood::Takes] {
+    for behavior in [
+        RelayBehavior::NeverResponds,
+        RelayBehavior::SendsInvalidJson,
+        RelayBehavior::ClosesConnection,
+        RelayBehavior::AcceptsCalls,
+    ] {
         let before = relay.calls().len();
         accepted = before;
-        relay.set(mood);
+        relay.set_behavior(behavior);
         eventually("the call comes again", || {
-            relay.calls().len() > before + usize::from(mood != Mood::Takes)
+            relay.calls().len() > before + usize::from(behavior != RelayBehavior::AcceptsCalls)
         });
         // Until it is taken nothing else is said; what follows then does not say it again.
         let calls = relay.calls();
-        let until = if mood == Mood::Takes { before + 1 } else { calls.len() };
+        let until = if behavior == RelayBehavior::AcceptsCalls { before + 1 } else { calls.len() };
         for call in &calls[before..until] {
             assert_eq!(wanted(call), first, "in order, unchanged");
         }
@@ -189,75 +202,82 @@
     let after_accepted = &relay.calls()[accepted + 1..];
     // One barrier is due when the outcome of the repeated call is known, one when the last snapshot is complete.
     assert!(after_accepted.len() <= 2, "once taken it is not said again: {after_accepted:?}");
-    assert!(after_accepted.iter().all(|call| is_barrier_alone(call)), "{after_accepted:?}");
+    assert!(after_accepted.iter().all(|call| has_only_a_barrier(call)), "{after_accepted:?}");
 }
 
 #[test]
-fn a_new_file_moves_the_lines_a_bad_one_does_not_and_sigterm_ends_it_well() {
-    let (old, (discovery_a, watches_a)) = (Relay::start(), discovery());
-    let mut steward = Steward::start("moves", old.address, discovery_a);
+fn a_valid_reload_moves_connections_and_an_invalid_one_does_not() {
+    let (old, (discovery_a, watches_a)) = (Relay::start(), start_discovery());
+    let mut controller = Controller::start("moves", old.address, discovery_a);
     eventually("subscribed and watching", || {
-        old.subscribed() == 1 && !watches_a.lock().expect("alive").is_empty()
+        old.subscription_count() == 1 && !watches_a.lock().expect("alive").is_empty()
     });
-    std::fs::write(&steward.file, "{\"name\":").expect("writable");
-    steward.signal(libc::SIGHUP);
+    std::fs::write(&controller.config_file, "{\"name\":").expect("writable");
+    controller.signal(libc::SIGHUP);
     eventually("the bad file is told of", || {
-        steward.says("configuration reload failed, keeping the current one")
+        controller.log_contains("configuration reload failed, keeping the current one")
     });
-    assert!(steward.try_ping() && steward.ended().is_none());
-    let new: Vec<_> = (0..2).map(|_| (Relay::start(), discovery())).collect();
+    assert!(controller.try_ping() && controller.exit_status().is_none());
+    let new: Vec<_> = (0..2).map(|_| (Relay::start(), start_discovery())).collect();
     for (relay, (discovery, watches)) in &new {
-        let text = file_text(steward.listen, relay.address, *discovery);
-        std::fs::write(&steward.file, text).expect("writable");
-        steward.signal(libc::SIGHUP);
-        eventually("moved", || relay.subscribed() == 1 && watches.lock().expect("alive").len() == 1);
+        let text = config_text(controller.listen, relay.address, *discovery);
+        std::fs::write(&controller.config_file, text).expect("writable");
+        controller.signal(libc::SIGHUP);
+        eventually("moved", || relay.subscription_count() == 1 && watches.lock().expect("alive").len() == 1);
     }
-    let mut reports = collector(&steward);
+    let mut reports = connect_collector(&controller);
     assert!(ping(&mut reports), "connections of others stay");
-    assert_eq!((old.subscribed(), new[0].0.subscribed(), new[1].0.subscribed()), (1, 1, 1), "none doubled");
-    steward.signal(libc::SIGTERM);
-    eventually("it ends", || steward.ended().is_some());
-    assert_eq!(steward.ended().and_then(|status| status.code()), Some(0));
+    assert_eq!(
+        (old.subscription_count(), new[0].0.subscription_count(), new[1].0.subscription_count()),
+        (1, 1, 1),
+        "none doubled"
+    );
+    controller.signal(libc::SIGTERM);
+    eventually("it ends", || controller.exit_status().is_some());
+    assert_eq!(controller.exit_status().and_then(|status| status.code()), Some(0));
 }
 
 #[test]
-fn news_that_falls_silent_is_subscribed_to_anew() {
-    let (relay, (discovery, _)) = (Relay::start(), discovery());
-    let steward = Steward::start("silent-news", relay.address, discovery);
-    eventually("subscribed", || relay.subscribed() == 1);
-    relay.set(Mood::Mute);
-    eventually("it dials again", || relay.subscribed() == 2);
-    assert!(steward.says("relay silent for too long"));
+fn resubscribes_when_the_subscription_goes_silent() {
+    let (relay, (discovery, _)) = (Relay::start(), start_discovery());
+    let controller = Controller::start("silent-news", relay.address, discovery);
+    eventually("subscribed", || relay.subscription_count() == 1);
+    relay.set_behavior(RelayBehavior::SilentSubscription);
+    eventually("it dials again", || relay.subscription_count() == 2);
+    assert!(controller.log_contains("relay silent for too long"));
 }
 
 #[test]
-fn a_watch_that_is_torn_or_silent_is_resumed_where_it_was() {
+fn an_interrupted_or_silent_watch_resumes_after_the_last_page() {
     let page = r#"{"generation":50,"reset":false,"instances":[]}"#;
-    let (discovery, watches) = discovery_that(move |mut stream, place| match place {
+    let (discovery, watches) = start_discovery_with(move |mut stream, place| match place {
         0 => {
             let torn = format!("{:x}\r\n{page}\n\r\nff\r\n{{\"generation\":51", page.len() + 1);
             stream.write_all(torn.as_bytes()).expect("read");
         }
         // Open and silent for longer than anyone waits.
-        _ => std::thread::sleep(2 * PATIENCE),
+        _ => std::thread::sleep(2 * EVENT_TIMEOUT),
     });
-    let steward = Steward::start("torn-watch", Relay::start().address, discovery);
+    let controller = Controller::start("torn-watch", Relay::start().address, discovery);
     eventually("the third watch", || watches.lock().expect("alive").len() == 3);
     let asked = watches.lock().expect("alive").clone();
     assert!(
         asked[0].contains("after=41 ") && asked[1..].iter().all(|ask| ask.contains("after=50 ")),
         "{asked:?}"
     );
-    assert!(steward.says("endpoint list updated generation=50") && !steward.says("generation=51"));
+    assert!(
+        controller.log_contains("endpoint list updated generation=50")
+            && !controller.log_contains("generation=51")
+    );
 }
 
 #[test]
-fn strangers_are_sent_away_and_a_spoilt_report_costs_itself_alone() {
-    let (relay, (discovery, _)) = (Relay::start(), discovery());
-    let steward = Steward::start("strangers", relay.address, discovery);
-    let mut good = collector(&steward);
+fn unidentified_peers_are_closed_and_invalid_reports_skipped() {
+    let (relay, (discovery, _)) = (Relay::start(), start_discovery());
+    let controller = Controller::start("strangers", relay.address, discovery);
+    let mut good = connect_collector(&controller);
     let stranger = |bytes: &[u8]| {
-        let mut stream = TcpStream::connect(steward.listen).expect("listens");
+        let mut stream = TcpStream::connect(controller.listen).expect("listens");
         stream.write_all(bytes).expect("taken");
         stream
     };
@@ -280,37 +300,40 @@
     .map(|bytes| stranger(bytes))
     .collect();
     for (place, stream) in sent.into_iter().enumerate() {
-        assert!(is_sent_away(stream, three), "stranger {place}");
+        assert!(is_closed_within(stream, three), "stranger {place}");
     }
     for spoilt in [heard.replace("\"tries\":2", "\"tries\":-2"), heard.replace("\"a\"", "9"), heard.into()] {
         good.write_all(&framed(&spoilt)).expect("taken");
     }
     assert!(ping(&mut good), "its connection stays");
     good.write_all(&framed("{{{{")).expect("taken");
-    assert!(is_sent_away(good, three), "a stream that can't be read is of no further use");
-    eventually("the log", || steward.says("cause=\"range\"") && steward.says("cause=\"fields\""));
+    assert!(is_closed_within(good, three), "a stream that can't be read is of no further use");
+    eventually("the log", || {
+        controller.log_contains("cause=\"range\"") && controller.log_contains("cause=\"fields\"")
+    });
 }
 
 #[test]
-fn a_crowd_that_says_nothing_keeps_no_collector_out() {
-    let (relay, (discovery, _)) = (Relay::start(), discovery());
-    let steward = Steward::start("crowd", relay.address, discovery);
-    let mut early = collector(&steward);
+fn silent_connections_do_not_keep_collectors_out() {
+    let (relay, (discovery, _)) = (Relay::start(), start_discovery());
+    let controller = Controller::start("crowd", relay.address, discovery);
+    let mut early = connect_collector(&controller);
     assert!(ping(&mut early));
     // The file allows 256 descriptors, of which some are kept for other ends.
     let crowd: Vec<TcpStream> =
-        (0..400).filter_map(|_| TcpStream::connect_timeout(&steward.listen, PATIENCE).ok()).collect();
-    let mut late = collector(&steward);
+        (0..400).filter_map(|_| TcpStream::connect_timeout(&controller.listen, EVENT_TIMEOUT).ok()).collect();
+    let mut late = connect_collector(&controller);
     assert!(ping(&mut late) && ping(&mut early));
-    assert!(crowd.into_iter().all(|stream| is_sent_away(stream, Duration::from_secs(3))));
+    assert!(crowd.into_iter().all(|stream| is_closed_within(stream, Duration::from_secs(3))));
     // A stream's end is seen here just before the steward lets its descriptor go.
-    let open = || std::fs::read_dir(format!("/proc/{}/fd", steward.child.id())).expect("a process").count();
+    let open =
+        || std::fs::read_dir(format!("/proc/{}/fd", controller.child.id())).expect("a process").count();
     eventually("descriptors are let go", || open() < 64);
     assert!(ping(&mut late) && ping(&mut early));
 }
 
 #[test]
-fn a_bad_file_at_the_start_is_one_line_and_exit_2() {
+fn an_invalid_file_at_start_gives_one_line_and_exit_code_2() {
     let run = |text: &str| {
         let file = std::env::temp_dir().join(format!("railhub-bad-{}.json", std::process::id()));
         std::fs::write(&file, text).expect("writable");
@@ -320,7 +343,7 @@
         std::fs::remove_file(&file).expect("ours");
         (output.status.code(), String::from_utf8(output.stderr).expect("text"))
     };
-    let (code, said) = run(&FILE.replace("\"worth\": 2.0", "\"worth\": -2.0"));
+    let (code, said) = run(&CONFIG_TEMPLATE.replace("\"worth\": 2.0", "\"worth\": -2.0"));
     assert_eq!(code, Some(2));
     assert!(
         said.trim_end().ends_with("settings.request_classes[1].worth: must be a number from 0 up"),
--- a/crates/railhub-cli/tests/crossings.rs
+++ b/crates/railhub-cli/tests/races.rs
@@ -2,7 +2,7 @@
 //! its answer, cuts or speaks where the test says, so that each crossing comes about every time.
 mod common;
 
-use common::{eventually, file_text, free_port, Steward, PATIENCE};
+use common::{config_text, eventually, free_address, Controller, EVENT_TIMEOUT};
 use std::fs::OpenOptions;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,19 +26,19 @@
         Peer { stream, lines }
     }
 
-    fn say(&mut self, text: &str) {
+    fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("the steward reads");
     }
 
-    fn line(&self, what: &str) -> String {
-        self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("not in time: {what}"))
+    fn next_line(&self, what: &str) -> String {
+        self.lines.recv_timeout(EVENT_TIMEOUT).unwrap_or_else(|_| panic!("not in time: {what}"))
     }
 
     /// Waits for the steward to end the connection, and hands back what it said before.
-    fn ended(&self) -> Vec<String> {
+    fn wait_for_close(&self) -> Vec<String> {
         let mut said = Vec::new();
         loop {
-            match self.lines.recv_timeout(PATIENCE) {
+            match self.lines.recv_timeout(EVENT_TIMEOUT) {
                 Ok(line) => said.push(line),
                 Err(RecvTimeoutError::Disconnected) => return said,
                 Err(RecvTimeoutError::Timeout) => panic!("the connection is not ended"),
@@ -47,23 +47,23 @@
     }
 }
 
-fn id(line: &str) -> &str {
+fn call_id(line: &str) -> &str {
     line.split("\"id\":").nth(1).and_then(|rest| rest.split([',', '}']).next()).expect("an id")
 }
 
-fn joined(proxy: u16) -> String {
-    note("joined", &format!(r#"{{"proxy":{proxy},"zone":"a","weight":2,"fresh":true}}"#))
+fn proxy_joined(proxy: u16) -> String {
+    notification("joined", &format!(r#"{{"proxy":{proxy},"zone":"a","weight":2,"fresh":true}}"#))
 }
 
-fn given(slice: u16) -> String {
-    note("given", &format!(r#"{{"slice":{slice},"on":true}}"#))
+fn slice_assigned(slice: u16) -> String {
+    notification("given", &format!(r#"{{"slice":{slice},"on":true}}"#))
 }
 
-fn held(slice: u16, host: &str, weight: f64) -> String {
-    note("held", &format!(r#"{{"slice":{slice},"server":"{host}","weight":{weight}}}"#))
+fn table_entry(slice: u16, host: &str, weight: f64) -> String {
+    notification("held", &format!(r#"{{"slice":{slice},"server":"{host}","weight":{weight}}}"#))
 }
 
-fn note(method: &str, params: &str) -> String {
+fn notification(method: &str, params: &str) -> String {
     format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}\n")
 }
 
@@ -101,35 +101,40 @@
 
     /// The next that asked for news; nothing is answered yet.
     fn subscriber(&self) -> Peer {
-        self.subscribers.recv_timeout(PATIENCE).expect("a subscription in time")
+        self.subscribers.recv_timeout(EVENT_TIMEOUT).expect("a subscription in time")
     }
 
     /// The next connection for calls, with its first call.
     fn caller(&self) -> (Peer, String) {
-        self.callers.recv_timeout(PATIENCE).expect("a call in time")
+        self.callers.recv_timeout(EVENT_TIMEOUT).expect("a call in time")
     }
 
-    fn no_caller_within(&self, span: Duration) {
+    fn assert_no_call_within(&self, span: Duration) {
         assert!(self.callers.recv_timeout(span).is_err(), "nothing is to be ordered");
     }
 }
 
-fn subscribed() -> String {
+fn subscription_response() -> String {
     "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":true}\n".to_owned()
 }
 
 /// What stands at first: proxy 1, and slice 3 with the owner s-1.
-fn first_standing() -> String {
-    subscribed() + &joined(1) + &given(3) + &held(3, "s-1", 1.0) + PING
+fn initial_snapshot() -> String {
+    subscription_response() + &proxy_joined(1) + &slice_assigned(3) + &table_entry(3, "s-1", 1.0) + PING
 }
 
 /// The same, once the relay has taken the standby that the steward orders.
-fn standing_with_standby() -> String {
-    subscribed() + &joined(1) + &given(3) + &held(3, "s-1", 1.0) + &held(3, "s-2", 0.0) + PING
+fn snapshot_with_standby() -> String {
+    subscription_response()
+        + &proxy_joined(1)
+        + &slice_assigned(3)
+        + &table_entry(3, "s-1", 1.0)
+        + &table_entry(3, "s-2", 0.0)
+        + PING
 }
 
-fn taken(call: &str) -> String {
-    format!("{{\"id\":{},\"result\":{{\"taken\":{}}}}}\n", id(call), call.matches("\"op\"").count())
+fn all_accepted(call: &str) -> String {
+    format!("{{\"id\":{},\"result\":{{\"taken\":{}}}}}\n", call_id(call), call.matches("\"op\"").count())
 }
 
 /// A discovery that answers each watch with empty lines, or says what the test says.
@@ -158,7 +163,7 @@
     }
 
     fn watch(&self) -> (TcpStream, String) {
-        self.watches.recv_timeout(PATIENCE).expect("a watch in time")
+        self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch in time")
     }
 
     /// Keeps every watch alive with empty lines.
@@ -179,162 +184,170 @@
 }
 
 /// A new file and the signal that it is there.
-fn move_to(steward: &Steward, relay: SocketAddr, discovery: SocketAddr) {
-    std::fs::write(&steward.file, file_text(steward.listen, relay, discovery)).expect("writable");
-    steward.signal(libc::SIGHUP);
+fn reload_config(controller: &Controller, relay: SocketAddr, discovery: SocketAddr) {
+    std::fs::write(&controller.config_file, config_text(controller.listen, relay, discovery))
+        .expect("writable");
+    controller.signal(libc::SIGHUP);
 }
 
 /// How it ended, and within what.
-fn ends(steward: &mut Steward) -> (Option<i32>, Duration) {
+fn wait_for_exit(controller: &mut Controller) -> (Option<i32>, Duration) {
     let began = Instant::now();
-    eventually("it ends", || steward.ended().is_some());
-    (steward.ended().and_then(|status| status.code()), began.elapsed())
+    eventually("it ends", || controller.exit_status().is_some());
+    (controller.exit_status().and_then(|status| status.code()), began.elapsed())
 }
 
 /// A steward whose first call, the standby of slice 3, is out.
-fn with_a_call_out(name: &str) -> (Relay, Steward, Peer, Peer, String) {
+fn start_with_pending_call(name: &str) -> (Relay, Controller, Peer, Peer, String) {
     let relay = Relay::open();
-    let steward = Steward::start(name, relay.address, Discovery::idle());
-    let mut news = relay.subscriber();
-    news.say(&first_standing());
-    let (calls, call) = relay.caller();
+    let controller = Controller::start(name, relay.address, Discovery::idle());
+    let mut subscription = relay.subscriber();
+    subscription.send(&initial_snapshot());
+    let (caller, call) = relay.caller();
     assert!(call.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{call}");
-    (relay, steward, news, calls, call)
+    (relay, controller, subscription, caller, call)
 }
 
 #[test]
-fn a_call_that_was_carried_out_without_a_readable_answer_is_not_said_twice() {
+fn an_executed_call_without_a_valid_response_is_not_repeated() {
     let ends: [fn(&mut Peer); 2] = [
-        |calls| calls.say("{\"id\":\u{1}\n"),
-        |calls| calls.stream.shutdown(std::net::Shutdown::Both).expect("open"),
+        |caller| caller.send("{\"id\":\u{1}\n"),
+        |caller| caller.stream.shutdown(std::net::Shutdown::Both).expect("open"),
     ];
     for (n, end) in ends.into_iter().enumerate() {
-        let (relay, _steward, _news, mut calls, _) = with_a_call_out(&format!("carried-{n}"));
-        end(&mut calls);
+        let (relay, _controller, _subscription, mut caller, _) =
+            start_with_pending_call(&format!("carried-{n}"));
+        end(&mut caller);
         // The relay has the line: whatever follows the new telling must not have it again.
-        let mut news = relay.subscriber();
-        news.say(&standing_with_standby());
-        news.say(&(given(5) + &held(5, "s-1", 1.0)));
+        let mut subscription = relay.subscriber();
+        subscription.send(&snapshot_with_standby());
+        subscription.send(&(slice_assigned(5) + &table_entry(5, "s-1", 1.0)));
         let (_, next) = relay.caller();
         assert!(next.contains("\"table\":5") && !next.contains("\"table\":3"), "{next}");
     }
 }
 
 #[test]
-fn a_call_that_was_not_carried_out_is_said_again_after_what_stands_was_told_and_not_before() {
-    let (relay, _steward, _news, calls, call) = with_a_call_out("lost");
-    drop(calls);
-    let mut news = relay.subscriber();
-    relay.no_caller_within(Duration::from_millis(700));
-    news.say(&first_standing());
-    let (mut calls, again) = relay.caller();
+fn a_lost_call_is_repeated_only_after_the_next_snapshot() {
+    let (relay, _controller, _subscription, caller, call) = start_with_pending_call("lost");
+    drop(caller);
+    let mut subscription = relay.subscriber();
+    relay.assert_no_call_within(Duration::from_millis(700));
+    subscription.send(&initial_snapshot());
+    let (mut caller, again) = relay.caller();
     let orders = |call: &str| call.split_once("orders").expect("a commit").1.to_owned();
     assert_eq!(orders(&again), orders(&call));
-    assert_ne!(id(&again), id(&call));
-    calls.say(&taken(&again));
+    assert_ne!(call_id(&again), call_id(&call));
+    caller.send(&all_accepted(&again));
 }
 
 #[test]
-fn an_answer_that_crosses_what_stands_is_not_lost_to_it() {
-    let (relay, steward, mut news, mut calls, call) = with_a_call_out("crossing");
+fn a_call_response_during_a_snapshot_is_not_lost() {
+    let (relay, controller, mut subscription, mut caller, call) = start_with_pending_call("crossing");
     // The new relay tells what stood before the call was carried out, and its answer comes in the midst of it.
     let next = Relay::open();
-    move_to(&steward, next.address, Discovery::idle());
+    reload_config(&controller, next.address, Discovery::idle());
     let mut later = next.subscriber();
-    later.say(&(subscribed() + &joined(1) + &given(3)));
-    news.ended();
+    later.send(&(subscription_response() + &proxy_joined(1) + &slice_assigned(3)));
+    subscription.wait_for_close();
     // All but the mark at its end is taken: the log tells when the steward knows.
     let count = call.matches("\"op\"").count() - 1;
-    calls.say(&format!("{{\"id\":{},\"result\":{{\"taken\":{count}}}}}\n", id(&call)));
-    eventually("the answer is known", || steward.says("refused a command"));
-    later.say(&(held(3, "s-1", 1.0) + PING + &given(5) + &held(5, "s-1", 1.0)));
+    caller.send(&format!("{{\"id\":{},\"result\":{{\"taken\":{count}}}}}\n", call_id(&call)));
+    eventually("the answer is known", || controller.log_contains("refused a command"));
+    later.send(&(table_entry(3, "s-1", 1.0) + PING + &slice_assigned(5) + &table_entry(5, "s-1", 1.0)));
     let (_, said) = next.caller();
     assert!(said.contains("\"table\":5") && !said.contains("\"table\":3"), "{said}");
-    drop((relay, news.stream.flush()));
+    drop((relay, subscription.stream.flush()));
 }
 
 #[test]
-fn half_of_what_stands_is_not_taken_for_the_whole_when_the_line_breaks() {
+fn an_interrupted_snapshot_is_not_taken_as_complete() {
     let relay = Relay::open();
-    let _steward = Steward::start("half", relay.address, Discovery::idle());
-    let mut news = relay.subscriber();
+    let _controller = Controller::start("half", relay.address, Discovery::idle());
+    let mut subscription = relay.subscriber();
     // Slice 3 is told, its line is not: taken for the whole, the table would be empty and get an owner.
-    news.say(&(subscribed() + &joined(1) + &given(3)));
-    news.stream.shutdown(std::net::Shutdown::Both).expect("open");
-    let mut news = relay.subscriber();
-    relay.no_caller_within(Duration::from_millis(700));
-    news.say(&(subscribed() + &joined(1) + &given(3) + &held(3, "s-2", 1.0) + PING));
+    subscription.send(&(subscription_response() + &proxy_joined(1) + &slice_assigned(3)));
+    subscription.stream.shutdown(std::net::Shutdown::Both).expect("open");
+    let mut subscription = relay.subscriber();
+    relay.assert_no_call_within(Duration::from_millis(700));
+    subscription.send(
+        &(subscription_response()
+            + &proxy_joined(1)
+            + &slice_assigned(3)
+            + &table_entry(3, "s-2", 1.0)
+            + PING),
+    );
     let (_, call) = relay.caller();
     assert!(call.contains(r#""table":3,"server":"s-1","weight":0.0001"#), "the store's owner stays: {call}");
 }
 
 #[test]
-fn a_relay_of_an_older_file_that_answers_late_does_not_end_the_newer_line() {
+fn a_late_old_relay_response_keeps_the_new_subscription() {
     let (old, new) = (Relay::open(), Relay::open());
-    let steward = Steward::start("late-answer", old.address, Discovery::idle());
+    let controller = Controller::start("late-answer", old.address, Discovery::idle());
     // The first subscription is on its way when the file changes; the newer one stands before it is answered.
     let mut late = old.subscriber();
-    move_to(&steward, new.address, Discovery::idle());
-    let mut news = new.subscriber();
-    news.say(&first_standing());
-    let (mut calls, call) = new.caller();
-    calls.say(&taken(&call));
-    late.say(&(subscribed() + &joined(1) + PING));
-    late.ended();
+    reload_config(&controller, new.address, Discovery::idle());
+    let mut subscription = new.subscriber();
+    subscription.send(&initial_snapshot());
+    let (mut caller, call) = new.caller();
+    caller.send(&all_accepted(&call));
+    late.send(&(subscription_response() + &proxy_joined(1) + PING));
+    late.wait_for_close();
     // The newer line lives, and its word counts.
-    news.say(&(given(5) + &held(5, "s-1", 1.0)));
-    let said = calls.line("a call about slice 5");
+    subscription.send(&(slice_assigned(5) + &table_entry(5, "s-1", 1.0)));
+    let said = caller.next_line("a call about slice 5");
     assert!(said.contains("\"table\":5") && !said.contains("\"table\":3"), "{said}");
     assert!(new.subscribers.try_recv().is_err() && old.subscribers.try_recv().is_err(), "nobody asked again");
 }
 
 #[test]
-fn two_new_files_at_once_leave_one_line_each_at_the_last() {
+fn two_quick_reloads_leave_one_connection_to_the_last_relay() {
     let relays = [Relay::open(), Relay::open(), Relay::open()];
-    let steward = Steward::start("two-files", relays[0].address, Discovery::idle());
+    let controller = Controller::start("two-files", relays[0].address, Discovery::idle());
     let mut held_back = vec![relays[0].subscriber()];
     // Each file comes before the subscription of the one before it was answered.
     for relay in &relays[1..] {
-        move_to(&steward, relay.address, Discovery::idle());
+        reload_config(&controller, relay.address, Discovery::idle());
         held_back.push(relay.subscriber());
     }
     let mut last = held_back.pop().expect("three");
-    last.say(&first_standing());
-    let (mut calls, call) = relays[2].caller();
-    calls.say(&taken(&call));
+    last.send(&initial_snapshot());
+    let (mut caller, call) = relays[2].caller();
+    caller.send(&all_accepted(&call));
     for mut older in held_back {
-        older.say(&first_standing());
-        older.ended();
+        older.send(&initial_snapshot());
+        older.wait_for_close();
     }
-    last.say(&(given(5) + &held(5, "s-1", 1.0)));
-    assert!(calls.line("a call about slice 5").contains("\"table\":5"));
+    last.send(&(slice_assigned(5) + &table_entry(5, "s-1", 1.0)));
+    assert!(caller.next_line("a call about slice 5").contains("\"table\":5"));
 }
 
 #[test]
-fn a_kept_connection_that_the_relay_closed_is_not_used_for_the_next_call() {
-    let (relay, _steward, mut news, mut calls, call) = with_a_call_out("closed");
-    calls.say(&taken(&call));
-    calls.stream.shutdown(std::net::Shutdown::Both).expect("open");
+fn a_call_connection_closed_by_the_relay_is_not_reused() {
+    let (relay, _controller, mut subscription, mut caller, call) = start_with_pending_call("closed");
+    caller.send(&all_accepted(&call));
+    caller.stream.shutdown(std::net::Shutdown::Both).expect("open");
     // Shut down before the next order can be decided, as it follows on this word alone.
-    news.say(&(given(5) + &held(5, "s-1", 1.0)));
-    let (mut calls, said) = relay.caller();
+    subscription.send(&(slice_assigned(5) + &table_entry(5, "s-1", 1.0)));
+    let (mut caller, said) = relay.caller();
     assert!(said.contains("\"table\":5"), "{said}");
-    calls.say(&taken(&said));
+    caller.send(&all_accepted(&said));
     assert!(relay.subscribers.try_recv().is_err(), "no call was of unknown end");
 }
 
 #[test]
-fn a_line_of_news_that_never_ends_is_no_sign_of_life() {
+fn an_endless_relay_line_counts_as_silence() {
     let relay = Relay::open();
-    let _steward = Steward::start("trickle", relay.address, Discovery::idle());
-    let mut news = relay.subscriber();
-    news.say(&first_standing());
+    let _controller = Controller::start("trickle", relay.address, Discovery::idle());
+    let mut subscription = relay.subscriber();
+    subscription.send(&initial_snapshot());
     // Without an answer it would ask anew for that.
-    let (mut calls, call) = relay.caller();
-    calls.say(&taken(&call));
+    let (mut caller, call) = relay.caller();
+    caller.send(&all_accepted(&call));
     let trickling = std::thread::spawn(move || {
         let began = Instant::now();
-        while began.elapsed() < 2 * PATIENCE && news.stream.write_all(b" ").is_ok() {
+        while began.elapsed() < 2 * EVENT_TIMEOUT && subscription.stream.write_all(b" ").is_ok() {
             std::thread::sleep(Duration::from_millis(200));
         }
     });
@@ -343,13 +356,13 @@
 }
 
 #[test]
-fn a_page_of_the_list_that_never_ends_is_no_sign_of_life() {
+fn an_endless_discovery_page_counts_as_silence() {
     let (relay, discovery) = (Relay::open(), Discovery::open());
-    let _steward = Steward::start("trickling-page", relay.address, discovery.address);
+    let _controller = Controller::start("trickling-page", relay.address, discovery.address);
     let (mut stream, _) = discovery.watch();
     let trickling = std::thread::spawn(move || {
         let began = Instant::now();
-        while began.elapsed() < 2 * PATIENCE && stream.write_all(b"1\r\n \r\n").is_ok() {
+        while began.elapsed() < 2 * EVENT_TIMEOUT && stream.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(200));
         }
     });
@@ -358,9 +371,9 @@
 }
 
 #[test]
-fn a_discovery_that_began_anew_is_asked_until_its_list_counts() {
+fn a_restarted_discovery_is_asked_until_its_list_is_accepted() {
     let (relay, discovery) = (Relay::open(), Discovery::open());
-    let steward = Steward::start("anew", relay.address, discovery.address);
+    let controller = Controller::start("anew", relay.address, discovery.address);
     let page = |generation: u64, whole: bool| {
         let page = format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[]}}\n");
         format!("{:x}\r\n{page}\r\n", page.len())
@@ -375,48 +388,50 @@
         if !ask.contains("after=60 ") {
             break ask;
         }
-        assert!(began.elapsed() < PATIENCE, "{ask}");
+        assert!(began.elapsed() < EVENT_TIMEOUT, "{ask}");
         stream.write_all(page(3, true).as_bytes()).expect("read");
         // It hangs up to ask again, or keeps the line once the list counts; that one is ended here.
         let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
         let _ = stream.read(&mut [0; 64]);
     };
     assert!(after.contains("after=3 ") && began.elapsed() > Duration::from_secs(5), "{after}");
-    assert!(steward.says("discovery sent an older list than the known one"));
+    assert!(controller.log_contains("discovery sent an older list than the known one"));
 }
 
 #[test]
-fn a_fleet_that_comes_and_goes_within_a_second_is_taken_in_and_ordered_within_the_relays_limit() {
+fn calls_stay_within_the_size_limit_in_a_burst_of_joins() {
     let (relay, discovery) = (Relay::open(), Discovery::idle());
     let (proxies, slices) = (2400, 1300);
     let text = |listen| {
-        let text = file_text(listen, relay.address, discovery);
+        let text = config_text(listen, relay.address, discovery);
         text.replace("\"key_ranges\": 40", "\"key_ranges\": 1300").replace("900.5", "1e9")
     };
-    let steward = Steward::start_by("size", text);
-    let mut news = relay.subscriber();
-    let stands: String = (0..proxies).map(joined).collect();
-    let tables: String = (0..slices).map(|slice| given(slice) + &held(slice, "s-1", 1.0)).collect();
-    news.say(&(subscribed() + &stands + &tables + PING));
+    let controller = Controller::start_with_config("size", text);
+    let mut subscription = relay.subscriber();
+    let stands: String = (0..proxies).map(proxy_joined).collect();
+    let tables: String =
+        (0..slices).map(|slice| slice_assigned(slice) + &table_entry(slice, "s-1", 1.0)).collect();
+    subscription.send(&(subscription_response() + &stands + &tables + PING));
     // All leave, come back and confirm while the first orders are under way.
-    let changes = |n: u16| note("left", &format!("{{\"proxy\":{n}}}")) + &joined(n);
-    let confirms = |n: u16| note("applied", &format!("{{\"proxy\":{n},\"mark\":1,\"took_ms\":9.5}}"));
+    let changes = |n: u16| notification("left", &format!("{{\"proxy\":{n}}}")) + &proxy_joined(n);
+    let confirms = |n: u16| notification("applied", &format!("{{\"proxy\":{n},\"mark\":1,\"took_ms\":9.5}}"));
     for _ in 0..3 {
-        news.say(&(0..proxies).map(|n| changes(n) + &confirms(n)).collect::<String>());
+        subscription.send(&(0..proxies).map(|n| changes(n) + &confirms(n)).collect::<String>());
     }
-    let (mut calls, mut call) = relay.caller();
+    let (mut caller, mut call) = relay.caller();
     let mut lines = 0;
     while lines < usize::from(slices) {
         assert!(call.len() < 60_000, "{} bytes", call.len());
         lines += call.matches("\"share\"").count();
-        calls.say(&taken(&call));
+        caller.send(&all_accepted(&call));
         if lines < usize::from(slices) {
-            call = calls.line("the rest");
+            call = caller.next_line("the rest");
         }
     }
     assert_eq!(lines, usize::from(slices), "each standby once");
-    assert!(steward.try_ping() && relay.subscribers.try_recv().is_err(), "nobody was cut off");
-    let status = std::fs::read_to_string(format!("/proc/{}/status", steward.child.id())).expect("a process");
+    assert!(controller.try_ping() && relay.subscribers.try_recv().is_err(), "nobody was cut off");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", controller.child.id())).expect("a process");
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("told").trim();
     let megabytes = memory.split(' ').next().and_then(|kb| kb.parse::<u64>().ok()).expect("a number") >> 10;
     // Half of the file's limit, past which a long day is priced.
@@ -424,10 +439,10 @@
 }
 
 #[test]
-fn sigterm_ends_it_well_at_once_with_a_call_out_and_while_it_starts() {
-    let (_relay, mut steward, _news, _calls, _) = with_a_call_out("term");
-    steward.signal(libc::SIGTERM);
-    let (code, within) = ends(&mut steward);
+fn sigterm_exits_with_0_during_a_call_and_during_start() {
+    let (_relay, mut controller, _subscription, _caller, _) = start_with_pending_call("term");
+    controller.signal(libc::SIGTERM);
+    let (code, within) = wait_for_exit(&mut controller);
     // SIGKILL follows no sooner than 0.7 s after.
     assert!(code == Some(0) && within < Duration::from_millis(700), "{code:?} after {within:?}");
     // A pipe in the file's place holds the start before the signals are watched.
@@ -435,8 +450,8 @@
     let name = std::ffi::CString::new(pipe.to_str().expect("text")).expect("no zero in it");
     // SAFETY: the name ends in a zero and is read alone.
     assert_eq!(unsafe { libc::mkfifo(name.as_ptr(), 0o600) }, 0);
-    let listen = free_port();
-    let mut starting = Steward::of_file(pipe.clone(), listen);
+    let listen = free_address();
+    let mut starting = Controller::spawn(pipe.clone(), listen);
     // It comes to the pipe once it has taken its signals; the writer's end opens only then.
     let mut writer = None;
     eventually("a reader comes", || {
@@ -445,26 +460,26 @@
     });
     let mut writer = writer.expect("it came");
     starting.signal(libc::SIGTERM);
-    let text = file_text(listen, Relay::open().address, Discovery::idle());
+    let text = config_text(listen, Relay::open().address, Discovery::idle());
     writer.write_all(text.as_bytes()).expect("it reads");
     drop(writer);
-    assert_eq!(ends(&mut starting).0, Some(0));
+    assert_eq!(wait_for_exit(&mut starting).0, Some(0));
 }
 
 #[test]
-fn it_starts_and_answers_whatever_discovery_and_relay_do_and_anew_where_it_was_killed() {
+fn controller_starts_and_restarts_without_relay_and_discovery() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let away = free_port();
+    let away = free_address();
     let silent = silent.local_addr().map(|address| (address, silent)).expect("bound");
     for (n, (relay, discovery)) in
         [(away, away), (silent.0, silent.0), (away, silent.0), (silent.0, away)].into_iter().enumerate()
     {
-        let mut steward = Steward::start(&format!("alone-{n}"), relay, discovery);
-        let visitor = TcpStream::connect(steward.listen).expect("listens");
-        steward.signal(libc::SIGKILL);
-        ends(&mut steward);
+        let mut controller = Controller::start(&format!("alone-{n}"), relay, discovery);
+        let visitor = TcpStream::connect(controller.listen).expect("listens");
+        controller.signal(libc::SIGKILL);
+        wait_for_exit(&mut controller);
         // At once under the same address, while a connection of the killed one still stands here.
-        let again = Steward::of_file(steward.file.clone(), steward.listen);
+        let again = Controller::spawn(controller.config_file.clone(), controller.listen);
         eventually("it answers again", || again.try_ping());
         drop(visitor);
     }
--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -4,10 +4,11 @@
 #[path = "common/scripted.rs"]
 mod scripted;
 
-use common::{eventually, file_text};
+use common::{config_text, eventually};
 use scripted::{
-    chunk, file_with_hosts, host_list, joined, own_address, page, slice_with_owner, snapshot, start_steward,
-    RelayDelays, Restartable, ScriptedDiscovery, ScriptedRelay, ServingRelay, SUBSCRIBED,
+    chunk, exclusive_address, file_with_hosts, host_list, page, proxy_joined, slice_with_owner, snapshot,
+    start_controller, RelayDelays, RestartableController, ScriptedDiscovery, ScriptedRelay, ServingRelay,
+    SUBSCRIBED,
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -15,9 +16,9 @@
 use std::time::{Duration, Instant};
 
 /// The operators' rule: nine in ten restarted processes are ready by then.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
 /// How long a flood lasts.
-const FLOOD_SPAN: Duration = Duration::from_secs(2);
+const FLOOD_DURATION: Duration = Duration::from_secs(2);
 /// A whole list of a large site.
 const MANY_HOSTS: usize = 2800;
 
@@ -31,7 +32,7 @@
 /// A steward with a relay of its own.
 struct Node {
     relay: ServingRelay,
-    steward: Restartable,
+    controller: RestartableController,
 }
 
 impl Node {
@@ -39,14 +40,15 @@
         let relay = ServingRelay::start(delays);
         let address = relay.address;
         let list = host_list(hosts);
-        let steward = Restartable::new(name, |listen| file_with_hosts(listen, address, discovery, &list));
-        Node { relay, steward }
+        let controller =
+            RestartableController::new(name, |listen| file_with_hosts(listen, address, discovery, &list));
+        Node { relay, controller }
     }
 
     fn start(&mut self) -> Readiness {
-        self.relay.forget_calls();
+        self.relay.clear_calls();
         let began = Instant::now();
-        let first_pong = self.steward.start();
+        let first_pong = self.controller.start();
         eventually("the first call comes", || self.relay.first_call_at().is_some());
         let first_call = self.relay.first_call_at().expect("it came") - began;
         Readiness { first_pong, first_call }
@@ -54,7 +56,7 @@
 
     fn restart(&mut self) -> Readiness {
         self.start();
-        self.steward.kill();
+        self.controller.kill();
         self.start()
     }
 }
@@ -80,16 +82,17 @@
             times[times.len() - 1],
             times.len()
         );
-        assert!(nine_in_ten < READY_WITHIN, "{what}, {name}: {times:?}");
+        assert!(nine_in_ten < MAX_READY_TIME, "{what}, {name}: {times:?}");
     }
 }
 
 #[test]
-fn a_restarted_steward_is_ready_whatever_discovery_does() {
+fn restarted_controller_is_ready_despite_faulty_discovery() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let late =
         ScriptedDiscovery::serving(Duration::from_secs(3), chunk(&page(50, true, &host_list(MANY_HOSTS))));
-    let cases = [("away", own_address()), ("silent", silent.local_addr().expect("bound")), ("late", late)];
+    let cases =
+        [("away", exclusive_address()), ("silent", silent.local_addr().expect("bound")), ("late", late)];
     for (case, discovery) in cases {
         let mut node = Node::new(&format!("discovery-{case}"), RelayDelays::default(), discovery, 2);
         assert_ready(&format!("discovery {case}"), &[node.restart()]);
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn a_restarted_steward_is_ready_with_a_slow_relay() {
+fn restarted_controller_is_ready_despite_a_slow_relay() {
     // The second answers later than news may be silent: asked anew each time, it would never be heard.
     for (case, subscription, call) in [("slow", 1500, 40), ("very-slow", 4000, 200)] {
         let (subscription, call) = (Duration::from_millis(subscription), Duration::from_millis(call));
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn a_restarted_steward_is_ready_with_a_whole_list_of_many_hosts() {
+fn restarted_controller_is_ready_with_a_large_endpoint_list() {
     let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
     let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
     for (case, known) in [("known-and-told", MANY_HOSTS), ("told", 2)] {
@@ -118,31 +121,31 @@
 }
 
 #[test]
-fn five_stewards_restarted_at_once_are_ready() {
+fn five_controllers_restarted_at_once_are_ready() {
     let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
     let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
     let mut nodes: Vec<Node> = (0..5)
         .map(|n| Node::new(&format!("five-{n}"), RelayDelays::default(), discovery, MANY_HOSTS))
         .collect();
     start_together(&mut nodes);
-    nodes.iter_mut().for_each(|node| node.steward.kill());
+    nodes.iter_mut().for_each(|node| node.controller.kill());
     assert_ready("five restarted at once", &start_together(&mut nodes));
 }
 
 #[test]
-fn five_stewards_restarted_at_once_are_ready_with_a_slow_relay_and_a_silent_discovery() {
+fn five_controllers_restarted_at_once_are_ready_with_slow_peers() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = silent.local_addr().expect("bound");
     let delays = RelayDelays { subscription: Duration::from_millis(1500), call: Duration::from_millis(40) };
     let mut nodes: Vec<Node> =
         (0..5).map(|n| Node::new(&format!("five-slow-{n}"), delays, discovery, MANY_HOSTS)).collect();
     start_together(&mut nodes);
-    nodes.iter_mut().for_each(|node| node.steward.kill());
+    nodes.iter_mut().for_each(|node| node.controller.kill());
     assert_ready("five restarted at once, slow peers", &start_together(&mut nodes));
 }
 
 #[test]
-fn twenty_stewards_started_at_once_are_ready() {
+fn twenty_controllers_started_at_once_are_ready() {
     let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
     let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
     let mut nodes: Vec<Node> = (0..20)
@@ -152,43 +155,45 @@
 }
 
 #[test]
-fn a_relay_that_is_away_is_logged_with_its_cause_and_served_once_it_is_back() {
-    let address = own_address();
-    let steward = start_steward("relay-away", |listen| file_text(listen, address, ScriptedDiscovery::idle()));
+fn a_relay_outage_is_logged_with_its_cause_and_its_end() {
+    let address = exclusive_address();
+    let controller =
+        start_controller("relay-away", |listen| config_text(listen, address, ScriptedDiscovery::idle()));
     eventually("the outage is logged", || {
-        steward.says(
+        controller.log_contains(
             "relay subscription down elapsed_s=5 cause=\"cannot connect to the relay: Connection refused",
         )
     });
-    assert!(steward.try_ping());
+    assert!(controller.try_ping());
     let relay = ServingRelay::start_at(address, RelayDelays::default());
     eventually("it orders", || relay.has_call_with("\"table\":3"));
-    eventually("the end is logged", || steward.says("relay subscription restored"));
+    eventually("the end is logged", || controller.log_contains("relay subscription restored"));
 }
 
 #[test]
-fn a_relay_that_answers_nothing_is_logged_with_its_cause_and_served_once_it_answers() {
+fn a_relay_that_does_not_respond_is_logged_with_its_cause() {
     let relay = ScriptedRelay::open();
-    let steward =
-        start_steward("relay-mute", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
+    let controller = start_controller("relay-mute", |listen| {
+        config_text(listen, relay.address, ScriptedDiscovery::idle())
+    });
     let first = relay.subscriber();
     eventually("the outage is logged", || {
-        steward.says("relay subscription down elapsed_s=")
-            && steward.says(" cause=\"no answer from the relay to the subscription\"")
+        controller.log_contains("relay subscription down elapsed_s=")
+            && controller.log_contains(" cause=\"no answer from the relay to the subscription\"")
     });
     // The latest of those that waited; the others were given up.
-    let mut news = relay.subscriber();
-    while !is_open(&news) {
-        news = relay.subscriber();
+    let mut subscription = relay.subscriber();
+    while !is_connection_open(&subscription) {
+        subscription = relay.subscriber();
     }
-    news.send(&snapshot());
-    news.keep_alive();
+    subscription.send(&snapshot());
+    subscription.keep_alive();
     eventually("it orders", || relay.has_call_with("\"table\":3"));
     drop(first);
 }
 
 /// Whether the steward has not ended the connection yet.
-fn is_open(connection: &scripted::Connection) -> bool {
+fn is_connection_open(connection: &scripted::Connection) -> bool {
     connection.stream.set_nonblocking(true).expect("a socket");
     let ended = matches!(connection.stream.peek(&mut [0]), Ok(0));
     connection.stream.set_nonblocking(false).expect("a socket");
@@ -196,69 +201,73 @@
 }
 
 #[test]
-fn a_subscription_on_which_nobody_has_joined_is_logged_and_served_once_one_has() {
+fn a_subscription_without_proxies_is_logged_until_one_joins() {
     let relay = ScriptedRelay::open();
-    let steward =
-        start_steward("nobody-joined", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
-    let mut news = relay.subscriber();
-    news.send(&(SUBSCRIBED.to_owned() + &slice_with_owner(3, "s-1")));
-    let mut writer = news.writer();
-    news.keep_alive();
-    eventually("the outage is logged", || steward.says("no proxy joined elapsed_s=5"));
-    writer.write_all((joined(1) + &slice_with_owner(5, "s-1")).as_bytes()).expect("the steward reads");
-    eventually("the end is logged", || steward.says("proxies joined or relay subscription ended elapsed_s="));
+    let controller = start_controller("nobody-joined", |listen| {
+        config_text(listen, relay.address, ScriptedDiscovery::idle())
+    });
+    let mut subscription = relay.subscriber();
+    subscription.send(&(SUBSCRIBED.to_owned() + &slice_with_owner(3, "s-1")));
+    let mut writer = subscription.writer();
+    subscription.keep_alive();
+    eventually("the outage is logged", || controller.log_contains("no proxy joined elapsed_s=5"));
+    writer.write_all((proxy_joined(1) + &slice_with_owner(5, "s-1")).as_bytes()).expect("the steward reads");
+    eventually("the end is logged", || {
+        controller.log_contains("proxies joined or relay subscription ended elapsed_s=")
+    });
     eventually("it orders", || relay.has_call_with("\"table\":5"));
 }
 
 #[test]
-fn a_discovery_that_says_nothing_is_logged_with_its_cause_and_heard_once_it_speaks() {
+fn a_discovery_that_does_not_respond_is_logged_until_it_does() {
     let relay = ServingRelay::start(RelayDelays::default());
     let discovery = ScriptedDiscovery::open();
-    let steward =
-        start_steward("discovery-mute", |listen| file_text(listen, relay.address, discovery.address));
+    let controller =
+        start_controller("discovery-mute", |listen| config_text(listen, relay.address, discovery.address));
     let unanswered = discovery.watch();
     eventually("the outage is logged", || {
-        steward.says("discovery watch down elapsed_s=")
-            && steward.says(" cause=\"discovery: no answer in time\"")
+        controller.log_contains("discovery watch down elapsed_s=")
+            && controller.log_contains(" cause=\"discovery: no answer in time\"")
     });
     let mut watch = discovery.watch();
     let hosts = [scripted::instance("s-1", "ready"), scripted::instance("s-3", "ready")];
     watch.send(&(scripted::WATCH_HEAD.to_owned() + &chunk(&page(50, true, &hosts))));
     watch.keep_alive();
     eventually("its list counts", || relay.has_call_with("\"s-3\""));
-    eventually("the end is logged", || steward.says("discovery watch restored"));
+    eventually("the end is logged", || controller.log_contains("discovery watch restored"));
     drop(unanswered);
 }
 
 #[test]
-fn a_list_without_hosts_is_logged() {
+fn an_empty_endpoint_list_is_logged() {
     let relay = ServingRelay::start(RelayDelays::default());
-    let steward = start_steward("no-hosts", |listen| {
+    let controller = start_controller("no-hosts", |listen| {
         file_with_hosts(listen, relay.address, ScriptedDiscovery::idle(), &[])
     });
-    eventually("it is logged", || steward.says("endpoint list empty elapsed_s=5"));
+    eventually("it is logged", || controller.log_contains("endpoint list empty elapsed_s=5"));
 }
 
 #[test]
-fn news_without_end_leaves_the_steward_answering() {
+fn controller_answers_pings_during_a_flood_of_relay_messages() {
     let relay = ScriptedRelay::open();
-    let steward =
-        start_steward("flood-news", |listen| file_text(listen, relay.address, ScriptedDiscovery::idle()));
-    let mut news = relay.subscriber();
-    news.send(&snapshot());
-    let mut writer = news.writer();
+    let controller = start_controller("flood-news", |listen| {
+        config_text(listen, relay.address, ScriptedDiscovery::idle())
+    });
+    let mut subscription = relay.subscriber();
+    subscription.send(&snapshot());
+    let mut writer = subscription.writer();
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let many = joined(1).repeat(1000);
+            let many = proxy_joined(1).repeat(1000);
             while !stop.load(Ordering::Acquire) {
                 writer.write_all(many.as_bytes()).expect("the subscription stands");
             }
         });
         let began = Instant::now();
         let (mut pings, mut answered) = (0, true);
-        while answered && (pings < 20 || began.elapsed() < FLOOD_SPAN) {
-            answered = steward.try_ping();
+        while answered && (pings < 20 || began.elapsed() < FLOOD_DURATION) {
+            answered = controller.try_ping();
             pings += 1;
         }
         stop.store(true, Ordering::Release);
--- a/crates/railhub-cli/tests/days.rs
+++ b/crates/railhub-cli/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
-fn day(name: &str) -> String {
+fn scenario_path(name: &str) -> String {
     format!("{}/../../days/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
@@ -16,55 +16,63 @@
     Command::new(binary).args(arguments).output().expect("the binary runs")
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn temporary_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("railhub-test-{}-{name}", std::process::id()))
 }
 
-fn broken(rules: &Value) -> Vec<u64> {
+fn broken_rules(rules: &Value) -> Vec<u64> {
     let all = rules.as_array().expect("verdicts");
     assert_eq!(all.len(), 5);
     all.iter().filter(|v| v["kept"] == false).filter_map(|v| v["rule"].as_u64()).collect()
 }
 
-fn sabotaged(rule: u64) {
+fn assert_sabotage_found(rule: u64) {
     let how = format!("rule-{rule}");
-    let out =
-        railhub(&["day", &day("short.ini"), "--no-fixed", "--json", "--log", "off", "--sabotage", &how]);
+    let out = railhub(&[
+        "day",
+        &scenario_path("short.ini"),
+        "--no-fixed",
+        "--json",
+        "--log",
+        "off",
+        "--sabotage",
+        &how,
+    ]);
     assert_eq!(out.status.code(), Some(3), "{}", String::from_utf8_lossy(&out.stderr));
     let report: Value = serde_json::from_slice(&out.stdout).expect("one JSON object");
-    assert_eq!(broken(&report["rules"]), [rule], "{}", report["rules"]);
+    assert_eq!(broken_rules(&report["rules"]), [rule], "{}", report["rules"]);
 }
 
 #[test]
-fn lost_lines_are_found() {
-    sabotaged(1);
+fn finds_lost_table_entries() {
+    assert_sabotage_found(1);
 }
 
 #[test]
-fn blind_repeats_are_found() {
-    sabotaged(2);
+fn finds_unconditional_retries() {
+    assert_sabotage_found(2);
 }
 
 #[test]
-fn traffic_to_leaving_hosts_is_found() {
-    sabotaged(3);
+fn finds_traffic_to_draining_hosts() {
+    assert_sabotage_found(3);
 }
 
 #[test]
-fn flooded_cold_hosts_are_found() {
-    sabotaged(4);
+fn finds_overloaded_cold_hosts() {
+    assert_sabotage_found(4);
 }
 
 #[test]
-fn too_many_messages_are_found() {
-    sabotaged(5);
+fn finds_excess_messages() {
+    assert_sabotage_found(5);
 }
 
 #[test]
-fn a_short_bad_day_keeps_all_rules_and_its_record_says_the_same() {
-    let record = scratch("record");
+fn short_scenario_keeps_all_rules_and_check_agrees() {
+    let record = temporary_path("record");
     let path = record.to_str().expect("plain");
-    let out = railhub(&["day", &day("short.ini"), "--json", "--log", "off", "--record", path]);
+    let out = railhub(&["day", &scenario_path("short.ini"), "--json", "--log", "off", "--record", path]);
     assert_eq!(out.status.code(), Some(0), "{}", String::from_utf8_lossy(&out.stdout));
     let report: Value = serde_json::from_slice(&out.stdout).expect("one JSON object");
     assert_eq!(report["rules_kept"], true);
@@ -86,15 +94,15 @@
 }
 
 #[test]
-fn a_day_of_weights_keeps_all_rules() {
-    let out = railhub(&["day", &day("short-weights.ini"), "--json", "--no-fixed", "--log", "off"]);
+fn scenario_with_weights_keeps_all_rules() {
+    let out = railhub(&["day", &scenario_path("short-weights.ini"), "--json", "--no-fixed", "--log", "off"]);
     assert_eq!(out.status.code(), Some(0), "{}", String::from_utf8_lossy(&out.stdout));
 }
 
 #[test]
-fn mistakes_end_with_2_and_one_line_that_names_the_place() {
-    let file = scratch("bad.ini");
-    let text = std::fs::read_to_string(day("short.ini")).expect("there");
+fn invalid_scenario_exits_with_2_and_names_file_and_line() {
+    let file = temporary_path("bad.ini");
+    let text = std::fs::read_to_string(scenario_path("short.ini")).expect("there");
     std::fs::write(&file, text.replace("kind = deploy", "kind = redeploy")).expect("writable");
     let out = railhub(&["day", file.to_str().expect("plain")]);
     assert_eq!(out.status.code(), Some(2));
@@ -103,14 +111,14 @@
     assert!(said.contains("bad.ini:66: [trouble deploy] kind 'redeploy' is not known"), "{said}");
     assert_eq!(railhub(&["conf", "check", file.to_str().expect("plain")]).status.code(), Some(2));
     std::fs::remove_file(&file).expect("there");
-    assert_eq!(railhub(&["conf", "check", &day("first-bad-day.ini")]).status.code(), Some(0));
+    assert_eq!(railhub(&["conf", "check", &scenario_path("first-bad-day.ini")]).status.code(), Some(0));
     assert_eq!(railhub(&["day"]).status.code(), Some(2));
     assert_eq!(railhub(&["check", "/nowhere"]).status.code(), Some(2));
 }
 
 #[test]
-fn a_steward_without_file_handles_serves_those_it_has_and_takes_others_later() {
-    let conf = scratch("handles.ini");
+fn connections_are_accepted_again_after_descriptors_ran_out() {
+    let conf = temporary_path("handles.ini");
     let text = "[steward]\nroster = 127.0.0.1:9\n[limits]\nfirst_within = 60\n[class a]\ncontract_time = 1\n";
     std::fs::write(&conf, text).expect("writable");
     let binary = env!("CARGO_BIN_EXE_railhub");
--- a/crates/railhub-cli/tests/shares.rs
+++ b/crates/railhub-cli/tests/slice_sharing.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_railhub");
-const LONG: Duration = Duration::from_secs(30);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn at_root(name: &str) -> String {
+fn workspace_path(name: &str) -> String {
     format!("{}/../../{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
@@ -19,15 +19,15 @@
     Command::new(BINARY).args(arguments).output().expect("the binary runs")
 }
 
-fn told(out: &Output) -> Value {
+fn json_report(out: &Output) -> Value {
     let report = serde_json::from_slice(&out.stdout);
     report.unwrap_or_else(|fault| panic!("{fault}; {}: {}", out.status, String::from_utf8_lossy(&out.stderr)))
 }
 
 /// Ten verdicts, each on something that was looked at, all kept.
-fn kept(file: &str) -> Value {
-    let out = railhub(&["day", &at_root(file), "--no-fixed", "--json", "--log", "off"]);
-    let report = told(&out);
+fn assert_all_rules_kept(file: &str) -> Value {
+    let out = railhub(&["day", &workspace_path(file), "--no-fixed", "--json", "--log", "off"]);
+    let report = json_report(&out);
     let rules = report["rules"].as_array().expect("verdicts");
     assert_eq!(rules.len(), 10, "{report}");
     assert!(
@@ -40,41 +40,41 @@
 }
 
 #[test]
-fn a_day_of_two_stewards_keeps_every_rule_through_a_pause_and_a_death() {
-    let report = kept("days/two-stewards.ini");
+fn two_controllers_keep_all_rules_through_a_pause_and_a_crash() {
+    let report = assert_all_rules_kept("days/two-stewards.ini");
     assert!(report["service"]["whole"].as_f64() > Some(0.9), "{report}");
 }
 
 #[test]
-fn a_day_of_three_stewards_keeps_every_rule_and_serves() {
-    let report = kept("days/three-stewards.ini");
+fn three_controllers_keep_all_rules_and_serve() {
+    let report = assert_all_rules_kept("days/three-stewards.ini");
     assert!(report["service"]["whole"].as_f64() > Some(0.9), "{report}");
 }
 
 /// Plays a file's faults on processes.
-fn chaos(file: &str, more: &[&str]) -> Value {
-    let file = at_root(file);
+fn run_chaos(file: &str, more: &[&str]) -> Value {
+    let file = workspace_path(file);
     let all = [&["chaos", &file, "--loopback", "--json", "--log", "off"], more].concat();
-    let told = told(&railhub(&all));
+    let told = json_report(&railhub(&all));
     assert_eq!(told["not_played"].as_array().map_or(0, Vec::len), 0, "{told}");
     told
 }
 
 #[test]
-fn takeovers_keep_every_rule() {
-    let told = chaos("chaos/takeovers.ini", &[]);
+fn takeovers_keep_all_rules() {
+    let told = run_chaos("chaos/takeovers.ini", &[]);
     assert_eq!(told["failed"], 0, "{told:#}");
 }
 
 #[test]
-fn a_store_that_is_cut_off_mute_away_and_forgetful_breaks_no_rule() {
-    let told = chaos("chaos/store-troubles.ini", &[]);
+fn store_faults_break_no_rule() {
+    let told = run_chaos("chaos/store-troubles.ini", &[]);
     assert_eq!(told["failed"], 0, "{told:#}");
 }
 
 /// The sabotage is found by one of these rules.
-fn found(file: &str, sabotage: &str, rules: &[u64]) {
-    let told = chaos(file, &["--sabotage", sabotage]);
+fn assert_sabotage_found(file: &str, sabotage: &str, rules: &[u64]) {
+    let told = run_chaos(file, &["--sabotage", sabotage]);
     let broken = told["first"]["rules"].as_array().cloned().unwrap_or_default();
     let broken: Vec<u64> = broken.iter().filter_map(|verdict| verdict["rule"].as_u64()).collect();
     assert!(broken.iter().any(|rule| rules.contains(rule)), "{sabotage}: {told:#}");
@@ -84,33 +84,33 @@
 }
 
 #[test]
-fn proxies_that_obey_old_epochs_are_found() {
-    found("chaos/takeovers.ini", "no-fence", &[7]);
+fn finds_proxies_that_accept_old_epochs() {
+    assert_sabotage_found("chaos/takeovers.ini", "no-fence", &[7]);
 }
 
 #[test]
-fn stewards_that_overrun_their_leases_are_found() {
-    found("chaos/takeovers.ini", "lease-overrun", &[8]);
+fn finds_controllers_that_act_on_expired_leases() {
+    assert_sabotage_found("chaos/takeovers.ini", "lease-overrun", &[8]);
 }
 
 #[test]
-fn epochs_that_are_used_again_are_found() {
-    found("chaos/takeovers.ini", "epoch-reused", &[6, 9]);
+fn finds_reused_epochs() {
+    assert_sabotage_found("chaos/takeovers.ini", "epoch-reused", &[6, 9]);
 }
 
 #[test]
-fn a_store_that_takes_any_table_is_found() {
-    found("chaos/store-troubles.ini", "unchecked-writes", &[9]);
+fn finds_a_store_that_accepts_any_table() {
+    assert_sabotage_found("chaos/store-troubles.ini", "unchecked-writes", &[9]);
 }
 
-fn folder(name: &str) -> PathBuf {
+fn test_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("railhub-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("writable");
     folder
 }
 
 /// A steward that shares forty slices, and its settings.
-fn steward(folder: &Path, id: u16, store: &Store, join: &str) -> (ControllerProcess, String) {
+fn start_controller(folder: &Path, id: u16, store: &Store, join: &str) -> (ControllerProcess, String) {
     let text = format!(
         "[steward]\nlisten = 127.0.0.1:0\nroster = 127.0.0.1:1\nstore = {}\nslices = 40\n\n[class any]\n\
          contract_time = 1\n\n[fleet]\nid = {id}\ninstallation = shares\nshare = yes\nlease = 2\n{join}",
@@ -123,10 +123,10 @@
 }
 
 /// Which processes hold slices, by the store's word, once that is as wanted.
-fn holders(conf: &str, what: &str, wanted: impl Fn(&BTreeSet<u64>, usize) -> bool) -> BTreeSet<u64> {
-    let until = Instant::now() + LONG;
+fn wait_for_holders(conf: &str, what: &str, wanted: impl Fn(&BTreeSet<u64>, usize) -> bool) -> BTreeSet<u64> {
+    let until = Instant::now() + EVENT_TIMEOUT;
     loop {
-        let told = told(&railhub(&["fleet", "slices", "--json", "--log", "off", "--conf", conf]));
+        let told = json_report(&railhub(&["fleet", "slices", "--json", "--log", "off", "--conf", conf]));
         let held = told.as_array().cloned().unwrap_or_default();
         let held: Vec<u64> = held.iter().filter_map(|one| one["process"].as_u64()).collect();
         let by: BTreeSet<u64> = held.iter().copied().collect();
@@ -139,26 +139,26 @@
 }
 
 #[test]
-fn a_steward_that_is_drained_hands_all_over_and_one_that_goes_does_too() {
+fn drained_and_leaving_controllers_hand_over_all_slices() {
     railhub_net::start_runtime();
-    let folder = folder("drain");
+    let folder = test_folder("drain");
     let tables = (0..40).map(|slice| (slice, vec![("127.0.0.1:9".parse().expect("an address"), 1.0)]));
     let store = Store::open(tables.collect()).expect("loopback");
-    let (one, conf) = steward(&folder, 1, &store, "");
-    let (two, _) = steward(&folder, 2, &store, &format!("join = {}\n", one.cluster_address));
+    let (one, conf) = start_controller(&folder, 1, &store, "");
+    let (two, _) = start_controller(&folder, 2, &store, &format!("join = {}\n", one.cluster_address));
     let (first, second) = (one.number.expect("in a fleet"), two.number.expect("in a fleet"));
-    holders(&conf, "both have some of the forty", |by, held| by.len() == 2 && held == 40);
+    wait_for_holders(&conf, "both have some of the forty", |by, held| by.len() == 2 && held == 40);
     let at = one.cluster_address.to_string();
     let out = railhub(&["fleet", "drain", "2", "--conf", &conf, "--at", &at, "--log", "off"]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let by = holders(&conf, "the first has all", |by, held| by.len() == 1 && held == 40);
+    let by = wait_for_holders(&conf, "the first has all", |by, held| by.len() == 1 && held == 40);
     assert_eq!(by, BTreeSet::from([first]));
-    let (three, _) = steward(&folder, 3, &store, &format!("join = {}\n", one.cluster_address));
+    let (three, _) = start_controller(&folder, 3, &store, &format!("join = {}\n", one.cluster_address));
     let third = three.number.expect("in a fleet");
-    holders(&conf, "the third has some", |by, held| by.contains(&third) && held == 40);
+    wait_for_holders(&conf, "the third has some", |by, held| by.contains(&third) && held == 40);
     // It is told to go, and leaves nothing behind that has to run out.
     three.leave();
-    let by = holders(&conf, "the first has all again", |by, held| by.len() == 1 && held == 40);
+    let by = wait_for_holders(&conf, "the first has all again", |by, held| by.len() == 1 && held == 40);
     assert!(by.contains(&first) && !by.contains(&second));
     drop(two);
     let _ = std::fs::remove_dir_all(folder);
