--- a/crates/railhub-cli/tests/commands.rs
+++ b/crates/railhub-cli/tests/commands.rs
@@ -1,53 +1,55 @@
-//! Commands that need no sockets, through the real binary: what they print, and how they end.
+//! Commands that need no sockets, run as processes: their output and their exit codes.
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+/// A path relative to the workspace root.
 fn workspace_path(name: &str) -> String {
     format!("{}/../../{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
 fn railhub(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_railhub")).args(arguments).output().expect("the binary runs")
+    Command::new(env!("CARGO_BIN_EXE_railhub")).args(arguments).output().expect("the railhub binary starts")
 }
 
+/// The JSON output of a command that succeeds.
 fn json_output(arguments: &[&str]) -> Value {
-    let out = railhub(arguments);
-    assert!(out.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&out.stderr));
-    serde_json::from_slice(&out.stdout).expect("one JSON object")
+    let output = railhub(arguments);
+    assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
+    serde_json::from_slice(&output.stdout).expect("standard output is one JSON object")
 }
 
-/// A folder of its own for each test.
+/// A temporary folder for one test.
 fn temporary_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("railhub-commands-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("writable");
+    std::fs::create_dir_all(&folder).expect("the temporary folder is writable");
     folder
 }
 
-fn text(path: &std::path::Path) -> &str {
-    path.to_str().expect("plain")
+fn path_text(path: &std::path::Path) -> &str {
+    path.to_str().expect("the path is UTF-8")
 }
 
 #[test]
 fn traffic_commands_extract_show_cut_scale_and_replay_a_run() {
     let folder = temporary_folder("traffic");
-    let (record, whole, part, more) =
+    let (recording, whole, part, scaled) =
         (folder.join("a.rec"), folder.join("a.traffic"), folder.join("b.traffic"), folder.join("c.traffic"));
-    let first = json_output(&[
+    let original = json_output(&[
         "model",
         &workspace_path("days/short.ini"),
         "--no-fixed",
         "--json",
         "--record",
-        text(&record),
+        path_text(&recording),
     ]);
-    run_without_output(&["traffic", "record", text(&record), "-o", text(&whole)]);
-    let shown = json_output(&["traffic", "show", text(&whole), "--json"]);
-    assert_eq!(shown["operations"], first["service"]["operations"]);
+    run_without_output(&["traffic", "record", path_text(&recording), "-o", path_text(&whole)]);
+    let shown = json_output(&["traffic", "show", path_text(&whole), "--json"]);
+    assert_eq!(shown["operations"], original["service"]["operations"]);
     run_without_output(&[
         "traffic",
         "cut",
-        text(&whole),
+        path_text(&whole),
         "--from",
         "2",
         "--until",
@@ -55,37 +57,42 @@
         "--zone",
         "north",
         "-o",
-        text(&part),
+        path_text(&part),
     ]);
-    run_without_output(&["traffic", "scale", text(&part), "--times", "2", "-o", text(&more)]);
-    let count = |path: &PathBuf| {
-        json_output(&["traffic", "show", text(path), "--json"])["operations"].as_u64().expect("a count")
+    run_without_output(&["traffic", "scale", path_text(&part), "--times", "2", "-o", path_text(&scaled)]);
+    let operations = |path: &PathBuf| {
+        json_output(&["traffic", "show", path_text(path), "--json"])["operations"]
+            .as_u64()
+            .expect("operations is a number")
     };
-    assert_eq!(count(&more), 2 * count(&part));
-    assert!(json_output(&["traffic", "fit", text(&whole), "--json"])["work"][0]["candidates"][0]["fits"]
+    assert_eq!(operations(&scaled), 2 * operations(&part));
+    assert!(json_output(&["traffic", "fit", path_text(&whole), "--json"])["work"][0]["candidates"][0]
+        ["fits"]
         .is_boolean());
-    let day = std::fs::read_to_string(workspace_path("days/short.ini")).expect("ours");
-    let again = folder.join("again.ini");
-    std::fs::write(&again, day.replace("share = 0.35\n", "traffic = a.traffic\n")).expect("writable");
-    let second = json_output(&["model", text(&again), "--no-fixed", "--json"]);
-    assert_eq!(second["service"]["operations"], first["service"]["operations"]);
-    std::fs::remove_dir_all(folder).expect("ours");
+    let scenario =
+        std::fs::read_to_string(workspace_path("days/short.ini")).expect("the scenario file is readable");
+    let replay_file = folder.join("again.ini");
+    std::fs::write(&replay_file, scenario.replace("share = 0.35\n", "traffic = a.traffic\n"))
+        .expect("the temporary folder is writable");
+    let replayed = json_output(&["model", path_text(&replay_file), "--no-fixed", "--json"]);
+    assert_eq!(replayed["service"]["operations"], original["service"]["operations"]);
+    std::fs::remove_dir_all(folder).expect("the temporary folder can be removed");
 }
 
-/// A command that says nothing when all is well.
+/// Runs a command that prints nothing on success.
 fn run_without_output(arguments: &[&str]) {
-    let out = railhub(arguments);
+    let output = railhub(arguments);
     assert!(
-        out.status.success() && out.stdout.is_empty(),
+        output.status.success() && output.stdout.is_empty(),
         "{arguments:?}: {}",
-        String::from_utf8_lossy(&out.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
 }
 
 #[test]
 fn recordings_are_reported_and_watched_even_if_truncated() {
     let folder = temporary_folder("report");
-    let (record, cut) = (folder.join("a.rec"), folder.join("cut.rec"));
+    let (recording, truncated) = (folder.join("a.rec"), folder.join("cut.rec"));
     railhub(&[
         "model",
         &workspace_path("days/one-hot-key.ini"),
@@ -93,54 +100,55 @@
         "fixed",
         "--no-fixed",
         "--record",
-        text(&record),
+        path_text(&recording),
     ]);
-    let report = json_output(&["report", text(&record), "--json"]);
-    let cause = report["changes"][0]["just_before"][1].as_str().expect("a cause");
-    assert_eq!(cause, "one key (hot_key) begins");
-    let shown = railhub(&["watch", text(&record), "--once", "--at", "20"]);
-    assert!(String::from_utf8_lossy(&shown.stdout).contains("on: one key (hot_key)"));
-    let bytes = std::fs::read(&record).expect("there");
-    std::fs::write(&cut, &bytes[..bytes.len() / 2 + 3]).expect("writable");
-    let out = railhub(&["report", text(&cut), "--json"]);
-    assert!(out.status.success() && String::from_utf8_lossy(&out.stderr).contains("cut off"));
-    let checked = railhub(&["check", text(&cut)]);
-    assert_eq!(checked.status.code(), Some(2), "verdicts on half a run are not given");
-    std::fs::remove_dir_all(folder).expect("ours");
+    let report = json_output(&["report", path_text(&recording), "--json"]);
+    let preceding_event =
+        report["changes"][0]["just_before"][1].as_str().expect("the change has a preceding event");
+    assert_eq!(preceding_event, "one key (hot_key) begins");
+    let frame = railhub(&["watch", path_text(&recording), "--once", "--at", "20"]);
+    assert!(String::from_utf8_lossy(&frame.stdout).contains("on: one key (hot_key)"));
+    let bytes = std::fs::read(&recording).expect("the recording is readable");
+    std::fs::write(&truncated, &bytes[..bytes.len() / 2 + 3]).expect("the temporary folder is writable");
+    let reported = railhub(&["report", path_text(&truncated), "--json"]);
+    assert!(reported.status.success() && String::from_utf8_lossy(&reported.stderr).contains("cut off"));
+    let checked = railhub(&["check", path_text(&truncated)]);
+    assert_eq!(checked.status.code(), Some(2), "a truncated recording gets no verdicts");
+    std::fs::remove_dir_all(folder).expect("the temporary folder can be removed");
 }
 
 #[test]
 fn chaos_exits_with_0_without_violations_and_with_3_after_one() {
     let file = workspace_path("chaos/three.ini");
     assert_eq!(json_output(&["chaos", &file, "--runs", "4", "--json"])["failed"], 0);
-    let out = railhub(&["chaos", &file, "--runs", "20", "--sabotage", "epoch-reused", "--json"]);
-    assert_eq!(out.status.code(), Some(3));
-    let told: Value = serde_json::from_slice(&out.stdout).expect("one JSON object");
-    assert_eq!(told["first"]["breaches"][0]["rule"], "one steward a slice and epoch");
+    let output = railhub(&["chaos", &file, "--runs", "20", "--sabotage", "epoch-reused", "--json"]);
+    assert_eq!(output.status.code(), Some(3));
+    let report: Value = serde_json::from_slice(&output.stdout).expect("standard output is one JSON object");
+    assert_eq!(report["first"]["breaches"][0]["rule"], "one steward a slice and epoch");
 }
 
 #[test]
 fn invalid_input_is_reported_in_one_line_with_exit_code_2() {
-    let fault = |arguments: &[&str]| {
-        let out = railhub(arguments);
-        assert_eq!(out.status.code(), Some(2), "{arguments:?}");
-        let words = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(words.lines().count(), 1, "{words}");
-        words
+    let error_line = |arguments: &[&str]| {
+        let output = railhub(arguments);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        stderr
     };
-    let day = workspace_path("days/short.ini");
-    assert!(fault(&["traffic", "show", &day]).contains("not recorded traffic"));
-    assert!(fault(&["watch", &day, "--once"]).contains("not a record of this version"));
-    assert!(fault(&["chaos", &day]).contains("[day] is not known"));
-    assert!(fault(&["compare", &day]).contains("[day] is not known"));
+    let scenario = workspace_path("days/short.ini");
+    assert!(error_line(&["traffic", "show", &scenario]).contains("not recorded traffic"));
+    assert!(error_line(&["watch", &scenario, "--once"]).contains("not a record of this version"));
+    assert!(error_line(&["chaos", &scenario]).contains("[day] is not known"));
+    assert!(error_line(&["compare", &scenario]).contains("[day] is not known"));
 }
 
 #[test]
 fn earlier_command_names_stay_as_aliases() {
-    for (earlier, now) in [("steward", "controller"), ("day", "scenario")] {
-        let (earlier, now) = (railhub(&[earlier, "--help"]), railhub(&[now, "--help"]));
-        assert_eq!(earlier.status.code(), Some(0));
-        assert_eq!(now.status.code(), Some(0));
-        assert_eq!(earlier.stdout, now.stdout);
+    for (alias, name) in [("steward", "controller"), ("day", "scenario")] {
+        let (by_alias, by_name) = (railhub(&[alias, "--help"]), railhub(&[name, "--help"]));
+        assert_eq!(by_alias.status.code(), Some(0));
+        assert_eq!(by_name.status.code(), Some(0));
+        assert_eq!(by_alias.stdout, by_name.stdout);
     }
 }
--- a/crates/railhub-cli/tests/common/scripted.rs
+++ b/crates/railhub-cli/tests/common/scripted.rs
@@ -1,4 +1,4 @@
-//! Peers of the steward that do what a test says: a relay and a discovery on loopback, and their messages.
+//! Peers of the controller that behave as a test scripts: a relay and a discovery on loopback, and their messages.
 #![allow(dead_code)]
 use super::common::{config_text, eventually, ping, Controller, EVENT_TIMEOUT};
 use serde_json::{json, Value};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A connection that came to a listener of ours, and the lines that it brings.
+/// A connection accepted by a scripted peer, and the lines received on it.
 pub struct Connection {
     pub stream: TcpStream,
     lines: Receiver<String>,
@@ -19,23 +19,23 @@
 impl Connection {
     fn new(stream: TcpStream) -> Connection {
         let (sender, lines) = channel();
-        let reader = BufReader::new(stream.try_clone().expect("a descriptor"));
+        let reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
         std::thread::spawn(move || {
             reader.lines().map_while(Result::ok).take_while(|line| sender.send(line.clone()).is_ok()).count();
         });
         Connection { stream, lines }
     }
 
-    /// Another hold of the stream, to write by.
+    /// A second handle to the stream, for writing.
     pub fn writer(&self) -> TcpStream {
-        self.stream.try_clone().expect("a descriptor")
+        self.stream.try_clone().expect("the stream can be cloned")
     }
 
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("the steward reads");
+        self.stream.write_all(text.as_bytes()).expect("the controller keeps the connection open");
     }
 
-    /// Signs of life until the steward ends the connection.
+    /// Sends pings until the controller closes the connection.
     pub fn keep_alive(mut self) {
         std::thread::spawn(move || {
             while self.stream.write_all(PING.as_bytes()).is_ok() {
@@ -45,22 +45,23 @@
     }
 }
 
-/// An address at which nobody listens: the loopback address is this process's own and the port is given out once, so no
-/// listener or connection of another test can take it meanwhile.
+/// An address at which no process listens: the loopback address is derived from this process's number and each port is
+/// returned once, so no listener or connection of another test can take it meanwhile.
 pub fn exclusive_address() -> SocketAddr {
     const FIRST_PORT: u16 = 20_000;
     static RETURNED_PORTS: AtomicU16 = AtomicU16::new(0);
     let [high, middle, low] = [std::process::id() >> 16, std::process::id() >> 8, std::process::id()]
-        .map(|part| u8::try_from(part & 0xff).expect("a byte"));
+        .map(|part| u8::try_from(part & 0xff).expect("the value fits in a byte"));
     let address = Ipv4Addr::new(127, 64 | (high & 0x3f), middle, low);
     SocketAddr::from((address, FIRST_PORT + RETURNED_PORTS.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// A steward at an address of its own, by the file made for it; up.
-pub fn start_controller(name: &str, text: impl Fn(SocketAddr) -> String) -> Controller {
-    let mut starting = RestartableController::new(name, text);
-    starting.start();
-    starting.running.take().expect("it runs")
+/// Starts a controller at an [`exclusive_address`], with the configuration that `config_for` makes for that address,
+/// and waits until it answers.
+pub fn start_controller(name: &str, config_for: impl Fn(SocketAddr) -> String) -> Controller {
+    let mut restartable = RestartableController::new(name, config_for);
+    restartable.start();
+    restartable.running.take().expect("the controller was started")
 }
 
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(300);
@@ -75,34 +76,38 @@
     notification("joined", &format!(r#"{{"proxy":{proxy},"zone":"a","weight":2,"fresh":true}}"#))
 }
 
-/// A slice in the steward's charge, with one line.
+/// Assigns a slice to the controller, with a table of one entry.
 pub fn slice_with_owner(slice: u16, host: &str) -> String {
     notification("given", &format!(r#"{{"slice":{slice},"on":true}}"#))
         + &notification("held", &format!(r#"{{"slice":{slice},"server":"{host}","weight":1.0}}"#))
 }
 
-/// What stands: proxy 1, and slice 3 with the owner s-1; the steward orders a standby for it.
+/// A snapshot with proxy 1, and slice 3 with the owner s-1; the controller then requests a standby for the slice.
 pub fn snapshot() -> String {
     SUBSCRIBED.to_owned() + &proxy_joined(1) + &slice_with_owner(3, "s-1") + PING
 }
 
-/// The answer that all orders of a call are taken.
+/// The response that accepts all commands of a call.
 pub fn all_accepted(call: &str) -> String {
-    let id = call.split("\"id\":").nth(1).and_then(|rest| rest.split([',', '}']).next()).expect("an id");
+    let id = call
+        .split("\"id\":")
+        .nth(1)
+        .and_then(|rest| rest.split([',', '}']).next())
+        .expect("the call has an id");
     format!("{{\"id\":{id},\"result\":{{\"taken\":{}}}}}\n", call.matches("\"op\"").count())
 }
 
-/// How late a relay answers.
+/// How long a relay waits before it responds.
 #[derive(Clone, Copy, Default)]
 pub struct RelayDelays {
     pub subscription: Duration,
     pub call: Duration,
 }
 
-/// Calls that a relay got, and when.
+/// Calls that a relay received, with their times.
 pub type CallLog = Arc<Mutex<Vec<(Instant, String)>>>;
 
-/// A relay that tells [`snapshot`] and takes all orders, late if so told.
+/// A relay that sends [`snapshot`] to each subscriber and accepts all commands, after the given delays.
 pub struct ServingRelay {
     pub address: SocketAddr,
     pub calls: CallLog,
@@ -110,12 +115,12 @@
 
 impl ServingRelay {
     pub fn start(delays: RelayDelays) -> ServingRelay {
-        ServingRelay::start_at("127.0.0.1:0".parse().expect("an address"), delays)
+        ServingRelay::start_at("127.0.0.1:0".parse().expect("the address is valid"), delays)
     }
 
     pub fn start_at(address: SocketAddr, delays: RelayDelays) -> ServingRelay {
         let listener = TcpListener::bind(address).expect("the port is free");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let calls = CallLog::default();
         let log = calls.clone();
         std::thread::spawn(move || {
@@ -127,16 +132,16 @@
         ServingRelay { address, calls }
     }
 
-    pub fn has_call_with(&self, words: &str) -> bool {
-        self.calls.lock().expect("alive").iter().any(|(_, call)| call.contains(words))
+    pub fn has_call_with(&self, text: &str) -> bool {
+        self.calls.lock().expect("the call log is not poisoned").iter().any(|(_, call)| call.contains(text))
     }
 
     pub fn first_call_at(&self) -> Option<Instant> {
-        self.calls.lock().expect("alive").first().map(|(at, _)| *at)
+        self.calls.lock().expect("the call log is not poisoned").first().map(|(at, _)| *at)
     }
 
     pub fn clear_calls(&self) {
-        self.calls.lock().expect("alive").clear();
+        self.calls.lock().expect("the call log is not poisoned").clear();
     }
 }
 
@@ -149,7 +154,7 @@
             }
             return;
         }
-        log.lock().expect("alive").push((Instant::now(), line.clone()));
+        log.lock().expect("the call log is not poisoned").push((Instant::now(), line.clone()));
         std::thread::sleep(delays.call);
         if connection.stream.write_all(all_accepted(&line).as_bytes()).is_err() {
             return;
@@ -157,7 +162,7 @@
     }
 }
 
-/// A relay of which the test gets each connection that subscribes, unanswered. It takes all orders.
+/// A relay that accepts all commands, and hands each connection that subscribes to the test without a response.
 pub struct ScriptedRelay {
     pub address: SocketAddr,
     subscribers: Receiver<Connection>,
@@ -166,8 +171,8 @@
 
 impl ScriptedRelay {
     pub fn open() -> ScriptedRelay {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the listener is bound");
         let (sender, subscribers) = channel();
         let calls = CallLog::default();
         let log = calls.clone();
@@ -181,9 +186,9 @@
                             let _ = sender.send(connection);
                             return;
                         }
-                        let answer = all_accepted(&line);
-                        log.lock().expect("alive").push((Instant::now(), line));
-                        if connection.stream.write_all(answer.as_bytes()).is_err() {
+                        let response = all_accepted(&line);
+                        log.lock().expect("the call log is not poisoned").push((Instant::now(), line));
+                        if connection.stream.write_all(response.as_bytes()).is_err() {
                             return;
                         }
                     }
@@ -193,17 +198,17 @@
         ScriptedRelay { address, subscribers, calls }
     }
 
-    /// The next that subscribes; nothing is answered yet.
+    /// The next connection that subscribes; no response was sent on it.
     pub fn subscriber(&self) -> Connection {
-        self.subscribers.recv_timeout(EVENT_TIMEOUT).expect("a subscription in time")
+        self.subscribers.recv_timeout(EVENT_TIMEOUT).expect("a subscription arrives before the timeout")
     }
 
-    pub fn has_call_with(&self, words: &str) -> bool {
-        self.calls.lock().expect("alive").iter().any(|(_, call)| call.contains(words))
+    pub fn has_call_with(&self, text: &str) -> bool {
+        self.calls.lock().expect("the call log is not poisoned").iter().any(|(_, call)| call.contains(text))
     }
 }
 
-/// A watch that came to discovery, with nothing answered yet.
+/// A watch request received by discovery, without a response yet.
 pub struct Watch {
     pub stream: TcpStream,
     pub request: String,
@@ -213,16 +218,16 @@
 
 impl Watch {
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("the steward reads");
+        self.stream.write_all(text.as_bytes()).expect("the controller keeps the connection open");
     }
 
-    /// Another hold of the same connection.
+    /// A second handle to the same connection.
     pub fn clone_handle(&self) -> Watch {
-        let stream = self.stream.try_clone().expect("a descriptor");
+        let stream = self.stream.try_clone().expect("the stream can be cloned");
         Watch { stream, request: self.request.clone() }
     }
 
-    /// Empty lines until the steward ends the connection.
+    /// Sends empty lines until the controller closes the connection.
     pub fn keep_alive(mut self) {
         std::thread::spawn(move || {
             while self.stream.write_all(chunk("\n").as_bytes()).is_ok() {
@@ -232,7 +237,7 @@
     }
 }
 
-/// A discovery of which the test gets each watch.
+/// A discovery that hands each watch to the test without a response.
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     watches: Receiver<Watch>,
@@ -240,8 +245,8 @@
 
 impl ScriptedDiscovery {
     pub fn open() -> ScriptedDiscovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the listener is bound");
         let (sender, watches) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -257,26 +262,26 @@
     }
 
     pub fn watch(&self) -> Watch {
-        self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch in time")
+        self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch arrives before the timeout")
     }
 
-    /// Answers each watch late with what is told, and keeps it open.
-    pub fn serving(delay: Duration, first: String) -> SocketAddr {
+    /// Starts a discovery that responds to each watch with `body` after `delay`, and keeps the watch open.
+    pub fn serving(delay: Duration, body: String) -> SocketAddr {
         let discovery = ScriptedDiscovery::open();
         let address = discovery.address;
-        discovery.serve(delay, first);
+        discovery.serve(delay, body);
         address
     }
 
-    /// The same from now on.
-    pub fn serve(self, delay: Duration, first: String) {
+    /// Responds to each further watch with `body` after `delay`, and keeps the watch open.
+    pub fn serve(self, delay: Duration, body: String) {
         std::thread::spawn(move || {
             for mut watch in self.watches {
-                let first = first.clone();
+                let body = body.clone();
                 std::thread::spawn(move || {
                     std::thread::sleep(delay);
                     let head = watch.stream.write_all(WATCH_HEAD.as_bytes());
-                    if head.and_then(|()| watch.stream.write_all(first.as_bytes())).is_ok() {
+                    if head.and_then(|()| watch.stream.write_all(body.as_bytes())).is_ok() {
                         watch.keep_alive();
                     }
                 });
@@ -284,7 +289,7 @@
         });
     }
 
-    /// Tells nothing but empty lines.
+    /// Starts a discovery that sends only empty lines.
     pub fn idle() -> SocketAddr {
         ScriptedDiscovery::serving(Duration::ZERO, String::new())
     }
@@ -299,29 +304,30 @@
            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// A line of discovery, `reset` for a whole list.
+/// A page of the endpoint list; `reset` marks a complete list.
 pub fn page(generation: u64, reset: bool, instances: &[Value]) -> String {
     json!({"generation": generation, "reset": reset, "instances": instances}).to_string() + "\n"
 }
 
-/// `s-1`, which owns the slice of [`snapshot`], and so many others.
+/// `count` hosts; the first is `s-1`, which owns the slice of [`snapshot`].
 pub fn host_list(count: usize) -> Vec<Value> {
     (1..=count).map(|number| instance(&format!("s-{number}"), "ready")).collect()
 }
 
-/// The file with another known list.
+/// The configuration of [`config_text`] with these hosts as the known endpoint list.
 pub fn file_with_hosts(
     listen: SocketAddr,
     relay: SocketAddr,
     discovery: SocketAddr,
     hosts: &[Value],
 ) -> String {
-    let mut file: Value = serde_json::from_str(&config_text(listen, relay, discovery)).expect("JSON");
-    file["known"]["instances"] = json!(hosts);
-    file.to_string()
+    let mut config: Value =
+        serde_json::from_str(&config_text(listen, relay, discovery)).expect("the configuration is JSON");
+    config["known"]["instances"] = json!(hosts);
+    config.to_string()
 }
 
-/// A steward that can be started, killed and started again under the same file and address.
+/// A controller that can be started, killed and started again with the same configuration file and address.
 pub struct RestartableController {
     config_file: PathBuf,
     pub listen: SocketAddr,
@@ -329,29 +335,29 @@
 }
 
 impl RestartableController {
-    /// Its file alone; nothing runs yet.
-    pub fn new(name: &str, text: impl Fn(SocketAddr) -> String) -> RestartableController {
+    /// Writes the configuration file; no process runs yet.
+    pub fn new(name: &str, config_for: impl Fn(SocketAddr) -> String) -> RestartableController {
         let listen = exclusive_address();
-        let file = std::env::temp_dir().join(format!("railhub-{name}-{}.json", std::process::id()));
-        std::fs::write(&file, text(listen)).expect("writable");
-        RestartableController { config_file: file, listen, running: None }
+        let config_file = std::env::temp_dir().join(format!("railhub-{name}-{}.json", std::process::id()));
+        std::fs::write(&config_file, config_for(listen)).expect("the temporary folder is writable");
+        RestartableController { config_file, listen, running: None }
     }
 
-    /// Starts the process and waits for its first answer to a ping; how long that took.
+    /// Starts the process and waits until it answers a ping; the time that took.
     pub fn start(&mut self) -> Duration {
-        let began = Instant::now();
+        let started_at = Instant::now();
         self.running = Some(Controller::spawn(self.config_file.clone(), self.listen));
         let listen = self.listen;
-        eventually("it answers a ping", || {
+        eventually("the controller answers a ping", || {
             TcpStream::connect(listen).is_ok_and(|mut stream| ping(&mut stream))
         });
-        began.elapsed()
+        started_at.elapsed()
     }
 
-    /// SIGKILL, and the file is there for the next start.
+    /// Kills the process with SIGKILL, and keeps the configuration file, which dropping a [`Controller`] removes.
     pub fn kill(&mut self) {
-        let text = std::fs::read(&self.config_file).expect("still there");
+        let text = std::fs::read(&self.config_file).expect("the configuration file exists");
         self.running = None;
-        std::fs::write(&self.config_file, text).expect("writable");
+        std::fs::write(&self.config_file, text).expect("the temporary folder is writable");
     }
 }
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several stewards as processes, with faults between them: short cases through the real binary. A failing case prints its
-//! seed, what broke and where the logs are.
+//! Short scenarios with several controller processes and faults between them. A failing case prints its seed, the
+//! violations and the folder of the logs.
 use railhub_chaos::cluster_harness::{play, temporary_folder, ControllerProcess, HarnessPlan};
 use railhub_chaos::view::judge::{judge, GOSSIP_ENDS, NO_LIFE_AFTER_DEATH, NO_SPLIT, SETTLES};
 use railhub_chaos::view::{RunOptions, ViewObservation};
@@ -40,30 +40,30 @@
     Fault { at, duration, kind }
 }
 
-/// Plays faults on real processes; what was seen, and where its logs are.
+/// Applies faults to controller processes; what was observed, and the folder of their logs.
 fn run_faults(
     seed: u64,
     chaos: &ChaosConfig,
     faults: &[Fault],
-    how: RunOptions,
+    options: RunOptions,
 ) -> (Vec<ViewObservation>, std::path::PathBuf) {
     let folder = temporary_folder(seed);
     let (binary, seed_controllers) = (Path::new(BINARY), vec![0, 1]);
     let plan =
-        HarnessPlan { config: chaos, seed, faults, options: how, binary, folder: &folder, seed_controllers };
-    let events = play(&plan).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
+        HarnessPlan { config: chaos, seed, faults, options, binary, folder: &folder, seed_controllers };
+    let events = play(&plan).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     (events, folder)
 }
 
 fn assert_no_violations(seed: u64, chaos: &ChaosConfig, faults: &[Fault]) -> Vec<ViewObservation> {
     let (events, folder) = run_faults(seed, chaos, faults, RunOptions::default());
-    let breaches = judge(&events);
-    assert!(breaches.is_empty(), "seed {seed}: {breaches:#?}\nlogs: {}", folder.display());
+    let violations = judge(&events);
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}\nlogs: {}", folder.display());
     let _ = std::fs::remove_dir_all(folder);
     events
 }
 
-/// Whether a view showed this steward as gone.
+/// Whether any view showed this controller as gone.
 fn is_shown_gone(events: &[ViewObservation], controller: u16) -> bool {
     events.iter().any(|event| match event {
         ViewObservation::View { gone, .. } => gone.iter().any(|(id, _)| *id == controller),
@@ -81,7 +81,7 @@
         fault(4.0, 8.0, FaultKind::Kill { controller: 1 }),
     ];
     let events = assert_no_violations(1, &chaos, &faults);
-    assert!(is_shown_gone(&events, 0), "the split was long enough to bury");
+    assert!(is_shown_gone(&events, 0), "no view showed controller 0 as gone; the partition was too short");
 }
 
 #[test]
@@ -117,9 +117,9 @@
 
 #[test]
 fn views_settle_after_loss_restarts_replays_and_corruption() {
-    let bad = LinkFaults { loss: 0.2, duplication: 0.1, reordering: 0.2, delay: 0.005, jitter: 0.01 };
+    let lossy = LinkFaults { loss: 0.2, duplication: 0.1, reordering: 0.2, delay: 0.005, jitter: 0.01 };
     let faults = [
-        fault(1.0, 9.0, FaultKind::Links { faults: bad }),
+        fault(1.0, 9.0, FaultKind::Links { faults: lossy }),
         fault(2.0, 8.0, FaultKind::Flap { controller: 0 }),
         fault(8.0, 0.0, FaultKind::Flood { controller: 1, count: 20_000 }),
         fault(11.0, 0.0, FaultKind::Replay),
@@ -130,17 +130,18 @@
 #[test]
 fn simultaneous_starts_find_each_other_past_a_dead_seed_address() {
     let mut chaos = chaos(4);
-    // Nobody ever starts under the first name: its address is that of a dead one.
+    // Controller 0 never starts, so no process answers at the first seed address.
     chaos.late_joiners = vec![0];
     assert_no_violations(6, &chaos, &[]);
 }
 
+/// Removes a safeguard from the controllers, and asserts that one of these rules is reported broken.
 fn assert_violation_found(seed: u64, without: Safeguard, faults: &[Fault], rules: &[&str]) {
-    let how = RunOptions { without: Some(without), ..RunOptions::default() };
-    let (events, folder) = run_faults(seed, &chaos(3), faults, how);
-    let breaches = judge(&events);
-    let found = breaches.iter().any(|breach| rules.contains(&breach.rule));
-    assert!(found, "seed {seed}, {without:?}: {breaches:?}, logs: {}", folder.display());
+    let options = RunOptions { without: Some(without), ..RunOptions::default() };
+    let (events, folder) = run_faults(seed, &chaos(3), faults, options);
+    let violations = judge(&events);
+    let is_found = violations.iter().any(|violation| rules.contains(&violation.rule));
+    assert!(is_found, "seed {seed}, {without:?}: {violations:?}, logs: {}", folder.display());
     let _ = std::fs::remove_dir_all(folder);
 }
 
@@ -165,14 +166,14 @@
     assert_violation_found(9, Safeguard::GossipLimit, &[], &[GOSSIP_ENDS]);
 }
 
-/// A folder of its own for each test; gone when the test has passed.
+/// A folder for one test, which removes it when it has passed.
 fn test_folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("railhub-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("writable");
+    std::fs::create_dir_all(&folder).expect("the temporary folder is writable");
     folder
 }
 
-/// A steward that ends with its test, also when that fails; and its file of settings.
+/// A controller, which ends with its test even if that fails, and the path of its settings.
 fn start_controller(folder: &Path, id: u16, join: Option<SocketAddr>) -> (ControllerProcess, String) {
     let join = join.map_or(String::new(), |address| format!("join = {address}\n"));
     let text = format!(
@@ -180,44 +181,45 @@
          [fleet]\nid = {id}\ninstallation = hand\n{join}"
     );
     let conf = folder.join(format!("{id}.ini"));
-    std::fs::write(&conf, text).expect("writable");
+    std::fs::write(&conf, text).expect("the temporary folder is writable");
     let process = ControllerProcess::start(Path::new(BINARY), &conf, &conf.with_extension("log"));
-    (process.unwrap_or_else(|what| panic!("{what}")), conf.to_str().expect("plain").to_owned())
+    let path = conf.to_str().expect("the path is UTF-8").to_owned();
+    (process.unwrap_or_else(|error| panic!("{error}")), path)
 }
 
-/// Sends so many spoilt, foreign, older, cut and too long datagrams.
+/// Sends `count` invalid datagrams: of another installation, of an older version, corrupt, too long and truncated ones.
 fn send_invalid_datagrams(to: SocketAddr, installation: &str, count: usize) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let look = encode(installation, &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port is free");
+    let valid = encode(installation, &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
     let foreign = encode("other", &Packet::ViewRequest { nonce: 1, from: NodeId(0) });
-    let mut older = look.clone();
-    older[3] = 0;
-    let mut spoilt = look.clone();
-    spoilt[10] ^= 4;
-    let long = vec![1; MAX_DATAGRAM_BYTES + 100];
-    let kinds: [&[u8]; 5] = [&foreign, &older, &spoilt, &long, &look[..7]];
+    let mut older_version = valid.clone();
+    older_version[3] = 0;
+    let mut corrupt = valid.clone();
+    corrupt[10] ^= 4;
+    let too_long = vec![1; MAX_DATAGRAM_BYTES + 100];
+    let invalid: [&[u8]; 5] = [&foreign, &older_version, &corrupt, &too_long, &valid[..7]];
     for number in 0..count {
-        let _ = socket.send_to(kinds[number % kinds.len()], to);
+        let _ = socket.send_to(invalid[number % invalid.len()], to);
         if number % 64 == 0 {
             std::thread::sleep(Duration::from_micros(300));
         }
     }
 }
 
-/// Looks until a view is as wanted, or the deadline has passed.
-fn wait_for_view(conf: &str, at: SocketAddr, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
-    let until = Instant::now() + Duration::from_secs(30);
+/// Polls the membership views until they meet a condition; fails the test after 30 s.
+fn wait_for_view(conf: &str, at: SocketAddr, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
+    let deadline = Instant::now() + Duration::from_secs(30);
     loop {
         let at = at.to_string();
-        let out = Command::new(BINARY)
+        let output = Command::new(BINARY)
             .args(["fleet", "view", "--json", "--log", "off", "--conf", conf, "--at", &at])
             .output()
-            .expect("it runs");
-        let told: Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
-        if wanted(&told) {
-            return told;
+            .expect("the railhub binary starts");
+        let report: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
+        if condition(&report) {
+            return report;
         }
-        assert!(Instant::now() < until, "{what}: {told}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}: {report}");
         std::thread::sleep(Duration::from_millis(100));
     }
 }
@@ -225,64 +227,69 @@
 #[test]
 fn observer_sees_join_and_leave_and_is_not_a_member() {
     let folder = test_folder("observer");
-    let (one, conf) = start_controller(&folder, 1, None);
-    let (two, _) = start_controller(&folder, 2, Some(one.cluster_address));
-    let lines = |told: &Value| told["views"][0]["lines"].as_array().map_or(0, Vec::len);
-    let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    let told = wait_for_view(&conf, one.cluster_address, "two that know each other", both);
-    assert_eq!(lines(&told), 2, "{told}");
-    assert_eq!(told["views"][0]["lines"][0]["settings"], told["views"][0]["lines"][1]["settings"]);
-    two.leave();
-    let left = |told: &Value| told["views"][0]["lines"][1]["standing"] == "left";
-    wait_for_view(&conf, one.cluster_address, "one that left", left);
+    let (first, conf) = start_controller(&folder, 1, None);
+    let (second, _) = start_controller(&folder, 2, Some(first.cluster_address));
+    let two_agree =
+        |report: &Value| report["agree"] == true && report["views"].as_array().map_or(0, Vec::len) == 2;
+    let member_count = |report: &Value| report["views"][0]["lines"].as_array().map_or(0, Vec::len);
+    let report = wait_for_view(&conf, first.cluster_address, "two views that agree", two_agree);
+    assert_eq!(member_count(&report), 2, "{report}");
+    assert_eq!(report["views"][0]["lines"][0]["settings"], report["views"][0]["lines"][1]["settings"]);
+    second.leave();
+    let has_left = |report: &Value| report["views"][0]["lines"][1]["standing"] == "left";
+    wait_for_view(&conf, first.cluster_address, "the second controller to have left", has_left);
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Words that come without end must not hold up a steward's own turns.
+/// A continuous stream of datagrams must not delay a controller's own periodic work.
 #[test]
 fn flooded_controller_still_detects_a_death() {
     let folder = test_folder("flooded");
-    let (one, conf) = start_controller(&folder, 1, None);
-    let (two, _) = start_controller(&folder, 2, Some(one.cluster_address));
-    let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    wait_for_view(&conf, one.cluster_address, "two that know each other", both);
-    let (ended, to) = (Arc::new(AtomicBool::new(false)), one.cluster_address);
-    let stop = ended.clone();
+    let (first, conf) = start_controller(&folder, 1, None);
+    let (second, _) = start_controller(&folder, 2, Some(first.cluster_address));
+    let two_agree =
+        |report: &Value| report["agree"] == true && report["views"].as_array().map_or(0, Vec::len) == 2;
+    wait_for_view(&conf, first.cluster_address, "two views that agree", two_agree);
+    let (stop, to) = (Arc::new(AtomicBool::new(false)), first.cluster_address);
+    let is_stopped = stop.clone();
     let flood = std::thread::spawn(move || {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        while !stop.load(Ordering::Acquire) {
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port is free");
+        while !is_stopped.load(Ordering::Acquire) {
             (0..16).for_each(|_| _ = socket.send_to(b"noise", to));
             std::thread::sleep(Duration::from_millis(1));
         }
     });
-    drop(two);
-    let dead = |told: &Value| told["views"][0]["lines"][1]["standing"] == "dead";
-    wait_for_view(&conf, one.cluster_address, "one that died", dead);
-    ended.store(true, Ordering::Release);
-    flood.join().expect("it ends");
+    drop(second);
+    let is_dead = |report: &Value| report["views"][0]["lines"][1]["standing"] == "dead";
+    wait_for_view(&conf, first.cluster_address, "the second controller to be dead", is_dead);
+    stop.store(true, Ordering::Release);
+    flood.join().expect("the flood thread ends");
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// What is spoilt, foreign, older or too long is dropped, and the stewards go on knowing each other.
+/// Corrupt, foreign, older and too long datagrams are dropped, and the membership views stay the same.
 #[test]
 fn invalid_datagrams_are_dropped_and_counted() {
     let folder = test_folder("damaged");
-    let (one, conf) = start_controller(&folder, 1, None);
-    let (_two, _) = start_controller(&folder, 2, Some(one.cluster_address));
-    let both = |told: &Value| told["agree"] == true && told["views"].as_array().map_or(0, Vec::len) == 2;
-    wait_for_view(&conf, one.cluster_address, "two that know each other", both);
-    send_invalid_datagrams(one.cluster_address, "hand", 100_000);
-    let told = wait_for_view(&conf, one.cluster_address, "two that know each other after the noise", both);
-    // What the socket's own queue could not hold never came to the steward.
-    assert!(told["views"][0]["dropped"].as_u64() > Some(10_000), "{told}");
-    let lines = told["views"][0]["lines"].as_array().expect("lines");
-    assert!(lines.iter().all(|line| line["standing"] == "alive"), "{told}");
+    let (first, conf) = start_controller(&folder, 1, None);
+    let (_second, _) = start_controller(&folder, 2, Some(first.cluster_address));
+    let two_agree =
+        |report: &Value| report["agree"] == true && report["views"].as_array().map_or(0, Vec::len) == 2;
+    wait_for_view(&conf, first.cluster_address, "two views that agree", two_agree);
+    send_invalid_datagrams(first.cluster_address, "hand", 100_000);
+    let what = "two views that agree after the invalid datagrams";
+    let report = wait_for_view(&conf, first.cluster_address, what, two_agree);
+    // Fewer than were sent: datagrams that overflow the socket's receive queue never reach the controller.
+    assert!(report["views"][0]["dropped"].as_u64() > Some(10_000), "{report}");
+    let members = report["views"][0]["lines"].as_array().expect("the view lists its members");
+    assert!(members.iter().all(|member| member["standing"] == "alive"), "{report}");
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// A whole short day (hosts, list, store, proxies, clients; a crash, a deploy, the steward killed) with the steward in a
-/// fleet of three, every connection of it through a relay, while 100,000 damaged datagrams come, the list falls silent with
-/// its connection left open, and all proxies' streams are reset. The five rules are judged from what crossed the sockets.
+/// Plays a complete short scenario (hosts, endpoint list, store, proxies, clients; a crash, a deploy, the controller
+/// killed). The controller is one of three members, and all its connections pass through fault links. Meanwhile it gets
+/// 100,000 invalid datagrams, the endpoint list goes silent with its connection left open, and the streams of all
+/// proxies are reset. The five rules are judged from what crossed the sockets.
 #[test]
 fn service_continues_despite_datagrams_silent_list_and_resets() {
     railhub_net::start_runtime();
@@ -290,71 +297,77 @@
     let (peer, conf) = start_controller(&folder, 2, None);
     let (_other, _) = start_controller(&folder, 3, Some(peer.cluster_address));
     let link_controller = Arc::new(LinkController::new(10, None));
-    let bed = Arc::new(Mutex::new(Vec::<Arc<TcpLink>>::new()));
-    let (links, at, home) = (bed.clone(), peer.cluster_address, folder.clone());
-    let count = AtomicUsize::new(0);
+    let open_links = Arc::new(Mutex::new(Vec::<Arc<TcpLink>>::new()));
+    let (links, join_address, config_folder) = (open_links.clone(), peer.cluster_address, folder.clone());
+    let launch_count = AtomicUsize::new(0);
     let launch: Launch = Arc::new(move |settings| {
-        let number = count.fetch_add(1, Ordering::Relaxed);
+        let number = launch_count.fetch_add(1, Ordering::Relaxed);
         let mut text = settings.to_owned();
         for key in ["roster", "store"] {
             let line = text
                 .lines()
                 .find(|line| line.starts_with(key))
-                .ok_or_else(|| "no such key".to_owned())?
+                .ok_or_else(|| format!("the settings have no line for {key}"))?
                 .to_owned();
-            let real = line.split('=').nth(1).and_then(|text| text.trim().parse().ok());
-            let link = TcpLink::open(link_controller.clone(), "1", key, real).map_err(|e| e.to_string())?;
+            let target = line.split('=').nth(1).and_then(|text| text.trim().parse().ok());
+            let link = TcpLink::open(link_controller.clone(), "1", key, target).map_err(|e| e.to_string())?;
             text = text.replace(&line, &format!("{key} = {}", link.address));
-            links.lock().expect("whole").push(Arc::new(link));
+            links.lock().expect("the links are not poisoned").push(Arc::new(link));
         }
-        text += &format!("\n[fleet]\nid = 1\ninstallation = hand\njoin = {at}\n");
-        let conf = home.join(format!("day-{number}.ini"));
+        text += &format!("\n[fleet]\nid = 1\ninstallation = hand\njoin = {join_address}\n");
+        let conf = config_folder.join(format!("day-{number}.ini"));
         std::fs::write(&conf, text).map_err(|e| e.to_string())?;
         let process = ControllerProcess::start(Path::new(BINARY), &conf, &conf.with_extension("log"))
             .map_err(|e| e.to_string())?;
-        let door = TcpLink::open(link_controller.clone(), "proxies", "1", Some(process.proxy_address));
-        let door = Arc::new(door.map_err(|e| e.to_string())?);
-        let (address, fleet) = (door.address, process.cluster_address);
-        links.lock().expect("whole").push(door.clone());
+        let proxy_link = TcpLink::open(link_controller.clone(), "proxies", "1", Some(process.proxy_address));
+        let proxy_link = Arc::new(proxy_link.map_err(|e| e.to_string())?);
+        let (address, cluster_address) = (proxy_link.address, process.cluster_address);
+        links.lock().expect("the links are not poisoned").push(proxy_link.clone());
         let link_controller = link_controller.clone();
-        // The first process alone is troubled; the day itself kills it.
-        let troubles = (number == 0).then(|| {
+        // The faults affect only the first process, which the scenario then kills.
+        let fault_thread = (number == 0).then(|| {
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs(3));
                 link_controller.set_both("1", "roster", Faults { cut: true, ..Faults::default() });
-                let reset = door.reset();
-                send_invalid_datagrams(fleet, "hand", 100_000);
+                let reset_streams = proxy_link.reset();
+                send_invalid_datagrams(cluster_address, "hand", 100_000);
                 std::thread::sleep(Duration::from_millis(1500));
                 link_controller.set_both("1", "roster", Faults::default());
-                let held = link_controller
+                let list_links = link_controller
                     .counts()
                     .into_iter()
                     .filter(|((from, to), _)| from == "roster" || to == "roster");
-                assert!(held.map(|(_, counts)| counts.cut).sum::<u64>() > 0, "the list's words were held");
-                assert!(reset > 0, "there were streams to reset");
+                let held_back = list_links.map(|(_, counts)| counts.cut).sum::<u64>();
+                assert!(
+                    held_back > 0,
+                    "no traffic of the endpoint list was held back while its link was cut"
+                );
+                assert!(reset_streams > 0, "no proxy stream was open to be reset");
             })
         });
         let kill = Box::new(move || {
             process.kill();
-            troubles.into_iter().for_each(|thread| thread.join().expect("the troubles were caused"));
+            fault_thread.into_iter().for_each(|thread| thread.join().expect("all faults were applied"));
         });
         Ok(Launched { address, fleet: None, process: None, pause: None, kill })
     });
-    let day = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
-    let day = railhub_scenario::Scenario::open(Path::new(&day)).expect("a good day");
-    let played = railhub_scenario::play(&day, Some(launch), None, None, &|_| {}).expect("it plays");
-    let rules = railhub_invariants::check(&played.events).expect("a record");
-    let limits = railhub_invariants::limits(&played.events).expect("limits");
-    let served = railhub_scenario::report::service(&played.events, limits);
+    let path = format!("{}/../../days/short.ini", env!("CARGO_MANIFEST_DIR"));
+    let scenario = railhub_scenario::Scenario::open(Path::new(&path)).expect("the scenario is valid");
+    let run =
+        railhub_scenario::play(&scenario, Some(launch), None, None, &|_| {}).expect("the scenario runs");
+    let rules = railhub_invariants::check(&run.events).expect("the recording is complete");
+    let limits = railhub_invariants::limits(&run.events).expect("the recording has limits");
+    let service = railhub_scenario::report::service(&run.events, limits);
     assert!(
         rules.iter().all(|verdict| verdict.kept),
         "seed {}: {rules:#?}, logs: {}",
-        day.seed,
+        scenario.seed,
         folder.display()
     );
-    assert!(served.overall > 0.8, "seed {}: {served:?}, logs: {}", day.seed, folder.display());
-    // The steward of the day was ended outright: the two that are left know.
-    let dead = |told: &Value| told["agree"] == true && told["views"][0]["lines"][0]["standing"] == "dead";
-    wait_for_view(&conf, peer.cluster_address, "the day's steward is gone", dead);
+    assert!(service.overall > 0.8, "seed {}: {service:?}, logs: {}", scenario.seed, folder.display());
+    // The scenario killed its controller; the views of the two others must agree on its death.
+    let is_dead =
+        |report: &Value| report["agree"] == true && report["views"][0]["lines"][0]["standing"] == "dead";
+    wait_for_view(&conf, peer.cluster_address, "the scenario's controller to be dead", is_dead);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/railhub-cli/tests/platform.rs
+++ b/crates/railhub-cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! `railhub steward --platform` as a process, between a stand-in relay and a stand-in discovery on loopback.
+//! `railhub controller --platform` as a process, connected to an emulated relay and an emulated discovery on loopback.
 mod common;
 
 use common::{config_text, eventually, framed, ping, Controller, CONFIG_TEMPLATE, EVENT_TIMEOUT};
@@ -15,23 +15,23 @@
     NeverResponds,
     SendsInvalidJson,
     ClosesConnection,
-    /// The news stays open and says nothing more.
+    /// The subscription stays open without further messages; calls are accepted.
     SilentSubscription,
 }
 
 struct Relay {
     address: SocketAddr,
     behavior: Arc<Mutex<RelayBehavior>>,
-    /// Calls as they came, and how many subscribed.
+    /// Calls in order of arrival.
     calls: Arc<Mutex<Vec<String>>>,
     subscription_count: Arc<Mutex<usize>>,
 }
 
 impl Relay {
     fn start() -> Relay {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         let relay = Relay {
-            address: listener.local_addr().expect("bound"),
+            address: listener.local_addr().expect("the listener is bound"),
             behavior: Arc::new(Mutex::new(RelayBehavior::AcceptsCalls)),
             calls: Arc::default(),
             subscription_count: Arc::default(),
@@ -49,15 +49,15 @@
     }
 
     fn set_behavior(&self, behavior: RelayBehavior) {
-        *self.behavior.lock().expect("alive") = behavior;
+        *self.behavior.lock().expect("the mutex is not poisoned") = behavior;
     }
 
     fn calls(&self) -> Vec<String> {
-        self.calls.lock().expect("alive").clone()
+        self.calls.lock().expect("the mutex is not poisoned").clone()
     }
 
     fn subscription_count(&self) -> usize {
-        *self.subscription_count.lock().expect("alive")
+        *self.subscription_count.lock().expect("the mutex is not poisoned")
     }
 }
 
@@ -67,24 +67,28 @@
     calls: &Mutex<Vec<String>>,
     subscription_count: &Mutex<usize>,
 ) {
-    let reader = BufReader::new(stream.try_clone().expect("a descriptor"));
+    let reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
     for line in reader.lines().map_while(Result::ok) {
-        let id =
-            line.split("\"id\":").nth(1).and_then(|rest| rest.split(',').next()).expect("an id").to_owned();
+        let id = line
+            .split("\"id\":")
+            .nth(1)
+            .and_then(|rest| rest.split(',').next())
+            .expect("the line has an id")
+            .to_owned();
         if line.contains("\"subscribe\"") {
-            *subscription_count.lock().expect("alive") += 1;
-            let news = [
+            *subscription_count.lock().expect("the mutex is not poisoned") += 1;
+            let snapshot = [
                 format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":true}}"),
                 r#"{"jsonrpc":"2.0","method":"joined","params":{"proxy":1,"zone":"a","weight":2,"fresh":true}}"#.into(),
                 r#"{"jsonrpc":"2.0","method":"given","params":{"slice":3,"on":true}}"#.into(),
                 r#"{"jsonrpc":"2.0","method":"held","params":{"slice":3,"server":"s-1","weight":1.0}}"#.into(),
             ];
-            // In pieces of a few bytes.
-            for piece in format!("{}\n", news.join("\n")).as_bytes().chunks(37) {
-                stream.write_all(piece).expect("read");
+            // Messages are split across writes of 37 bytes.
+            for part in format!("{}\n", snapshot.join("\n")).as_bytes().chunks(37) {
+                stream.write_all(part).expect("the controller keeps the connection open");
             }
             let ping = b"{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
-            while *behavior.lock().expect("alive") == RelayBehavior::SilentSubscription
+            while *behavior.lock().expect("the mutex is not poisoned") == RelayBehavior::SilentSubscription
                 || stream.write_all(ping).is_ok()
             {
                 std::thread::sleep(Duration::from_millis(300));
@@ -92,8 +96,8 @@
             return;
         }
         let count = line.matches("\"op\"").count();
-        calls.lock().expect("alive").push(line);
-        let answer = match *behavior.lock().expect("alive") {
+        calls.lock().expect("the mutex is not poisoned").push(line);
+        let response = match *behavior.lock().expect("the mutex is not poisoned") {
             RelayBehavior::AcceptsCalls | RelayBehavior::SilentSubscription => {
                 format!("{{\"id\":{id},\"result\":{{\"taken\":{count}}}}}\n")
             }
@@ -102,15 +106,16 @@
             RelayBehavior::NeverResponds => continue,
             RelayBehavior::ClosesConnection => return,
         };
-        if stream.write_all(answer.as_bytes()).is_err() {
+        if stream.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
 }
 
+/// The request lines of the watches that a discovery received.
 type WatchRequests = Arc<Mutex<Vec<String>>>;
 
-/// Keeps each watch open and writes an empty line now and then; keeps what each asked for.
+/// Starts a discovery that keeps each watch open by empty lines, and records the request lines.
 fn start_discovery() -> (SocketAddr, WatchRequests) {
     start_discovery_with(|mut stream, _| {
         while stream.write_all(b"1\r\n\n\r\n").is_ok() {
@@ -119,47 +124,51 @@
     })
 }
 
-/// Answers each watch, by its place, with the head of a stream and then as told.
+/// Starts a discovery that sends the head of a response on each watch, then calls `respond` with the stream and the
+/// number of the watch, from 0 up.
 fn start_discovery_with(
-    talks: impl Fn(TcpStream, usize) + Send + Sync + 'static,
+    respond: impl Fn(TcpStream, usize) + Send + Sync + 'static,
 ) -> (SocketAddr, WatchRequests) {
-    let talks = Arc::new(talks);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let watches = WatchRequests::default();
-    let seen = watches.clone();
+    let respond = Arc::new(respond);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the listener is bound");
+    let requests = WatchRequests::default();
+    let log = requests.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (seen, talks) = (seen.clone(), talks.clone());
+            let (log, respond) = (log.clone(), respond.clone());
             std::thread::spawn(move || {
-                let mut ask = String::new();
-                let _ = BufReader::new(&stream).read_line(&mut ask);
-                let place = seen.lock().map(|mut seen| (seen.push(ask), seen.len() - 1).1).expect("alive");
+                let mut request = String::new();
+                let _ = BufReader::new(&stream).read_line(&mut request);
+                let number = log
+                    .lock()
+                    .map(|mut log| (log.push(request), log.len() - 1).1)
+                    .expect("the mutex is not poisoned");
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-                talks(stream, place);
+                respond(stream, number);
             });
         }
     });
-    (address, watches)
+    (address, requests)
 }
 
 fn connect_collector(controller: &Controller) -> TcpStream {
-    let mut stream = TcpStream::connect(controller.listen).expect("listens");
-    stream.write_all(&framed(r#"{"t":"collector","zone":"a"}"#)).expect("taken");
+    let mut stream = TcpStream::connect(controller.listen).expect("the controller listens");
+    stream.write_all(&framed(r#"{"t":"collector","zone":"a"}"#)).expect("the connection is open");
     stream
 }
 
-/// Whether the steward ends the connection, with a word or without, within a span.
-fn is_closed_within(mut stream: TcpStream, within: Duration) -> bool {
-    let began = Instant::now();
-    stream.set_read_timeout(Some(within)).expect("a time");
-    let mut answer = Vec::new();
-    let ended = stream.read_to_end(&mut answer);
-    let timed_out = ended.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
-    !timed_out && began.elapsed() <= within
+/// Whether the controller closes the connection in time, with or without a message.
+fn is_closed_within(mut stream: TcpStream, timeout: Duration) -> bool {
+    let started_at = Instant::now();
+    stream.set_read_timeout(Some(timeout)).expect("timeout is set");
+    let mut received = Vec::new();
+    let result = stream.read_to_end(&mut received);
+    let timed_out = result.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+    !timed_out && started_at.elapsed() <= timeout
 }
 
-/// Whether a call has a barrier and nothing else.
+/// Whether a barrier is the only command of a call.
 fn has_only_a_barrier(call: &str) -> bool {
     call.matches("\"op\"").count() == 1 && call.contains(r#"{"op":"mark","ticket":"#)
 }
@@ -169,10 +178,10 @@
     let (relay, (discovery, watches)) = (Relay::start(), start_discovery());
     relay.set_behavior(RelayBehavior::RejectsCalls);
     let _controller = Controller::start("calls", relay.address, discovery);
-    // It answered a sign of life while the relay turns calls away.
-    eventually("a call is turned away", || relay.calls().len() > 1);
-    let wanted = |call: &String| call.split_once("orders").expect("a commit").1.to_owned();
-    let first = wanted(&relay.calls()[0]);
+    // The controller is up: it answered a ping although the relay rejects its calls.
+    eventually("a rejected call is repeated", || relay.calls().len() > 1);
+    let commands = |call: &String| call.split_once("orders").expect("the call has commands").1.to_owned();
+    let first = commands(&relay.calls()[0]);
     assert!(first.contains(r#"{"op":"share","table":3,"server":"s-2","weight":0.0001}"#), "{first}");
     let mut accepted = 0;
     for behavior in [
@@ -184,56 +193,58 @@
         let before = relay.calls().len();
         accepted = before;
         relay.set_behavior(behavior);
-        eventually("the call comes again", || {
+        eventually("the call is repeated", || {
             relay.calls().len() > before + usize::from(behavior != RelayBehavior::AcceptsCalls)
         });
-        // Until it is taken nothing else is said; what follows then does not say it again.
+        // Until the call is accepted no other call is made; later calls do not repeat its commands.
         let calls = relay.calls();
         let until = if behavior == RelayBehavior::AcceptsCalls { before + 1 } else { calls.len() };
         for call in &calls[before..until] {
-            assert_eq!(wanted(call), first, "in order, unchanged");
+            assert_eq!(commands(call), first, "a repeated call differs from the first one");
         }
         assert!(calls[until..].iter().all(|call| !call.contains("share")), "{calls:?}");
     }
-    eventually("the watch", || {
-        watches.lock().expect("alive")[0].contains("/discovery/hosts?watch=1&after=41 ")
+    eventually("discovery gets a watch request", || {
+        watches.lock().expect("the mutex is not poisoned")[0].contains("/discovery/hosts?watch=1&after=41 ")
     });
     std::thread::sleep(Duration::from_millis(1500));
     let after_accepted = &relay.calls()[accepted + 1..];
     // One barrier is due when the outcome of the repeated call is known, one when the last snapshot is complete.
-    assert!(after_accepted.len() <= 2, "once taken it is not said again: {after_accepted:?}");
+    assert!(after_accepted.len() <= 2, "an accepted call was repeated: {after_accepted:?}");
     assert!(after_accepted.iter().all(|call| has_only_a_barrier(call)), "{after_accepted:?}");
 }
 
 #[test]
 fn a_valid_reload_moves_connections_and_an_invalid_one_does_not() {
-    let (old, (discovery_a, watches_a)) = (Relay::start(), start_discovery());
-    let mut controller = Controller::start("moves", old.address, discovery_a);
-    eventually("subscribed and watching", || {
-        old.subscription_count() == 1 && !watches_a.lock().expect("alive").is_empty()
+    let (old, (old_discovery, old_watches)) = (Relay::start(), start_discovery());
+    let mut controller = Controller::start("moves", old.address, old_discovery);
+    eventually("the controller subscribes and watches", || {
+        old.subscription_count() == 1 && !old_watches.lock().expect("the mutex is not poisoned").is_empty()
     });
-    std::fs::write(&controller.config_file, "{\"name\":").expect("writable");
+    std::fs::write(&controller.config_file, "{\"name\":").expect("the temporary folder is writable");
     controller.signal(libc::SIGHUP);
-    eventually("the bad file is told of", || {
+    eventually("the failed reload is logged", || {
         controller.log_contains("configuration reload failed, keeping the current one")
     });
     assert!(controller.try_ping() && controller.exit_status().is_none());
     let new: Vec<_> = (0..2).map(|_| (Relay::start(), start_discovery())).collect();
     for (relay, (discovery, watches)) in &new {
         let text = config_text(controller.listen, relay.address, *discovery);
-        std::fs::write(&controller.config_file, text).expect("writable");
+        std::fs::write(&controller.config_file, text).expect("the temporary folder is writable");
         controller.signal(libc::SIGHUP);
-        eventually("moved", || relay.subscription_count() == 1 && watches.lock().expect("alive").len() == 1);
+        eventually("the controller moves to the new relay and discovery", || {
+            relay.subscription_count() == 1 && watches.lock().expect("the mutex is not poisoned").len() == 1
+        });
     }
-    let mut reports = connect_collector(&controller);
-    assert!(ping(&mut reports), "connections of others stay");
+    let mut collector = connect_collector(&controller);
+    assert!(ping(&mut collector), "a collector is served after the reloads");
     assert_eq!(
         (old.subscription_count(), new[0].0.subscription_count(), new[1].0.subscription_count()),
         (1, 1, 1),
-        "none doubled"
+        "each relay got one subscription"
     );
     controller.signal(libc::SIGTERM);
-    eventually("it ends", || controller.exit_status().is_some());
+    eventually("the controller exits", || controller.exit_status().is_some());
     assert_eq!(controller.exit_status().and_then(|status| status.code()), Some(0));
 }
 
@@ -241,29 +252,32 @@
 fn resubscribes_when_the_subscription_goes_silent() {
     let (relay, (discovery, _)) = (Relay::start(), start_discovery());
     let controller = Controller::start("silent-news", relay.address, discovery);
-    eventually("subscribed", || relay.subscription_count() == 1);
+    eventually("the controller subscribes", || relay.subscription_count() == 1);
     relay.set_behavior(RelayBehavior::SilentSubscription);
-    eventually("it dials again", || relay.subscription_count() == 2);
+    eventually("the controller subscribes again", || relay.subscription_count() == 2);
     assert!(controller.log_contains("relay silent for too long"));
 }
 
 #[test]
 fn an_interrupted_or_silent_watch_resumes_after_the_last_page() {
     let page = r#"{"generation":50,"reset":false,"instances":[]}"#;
-    let (discovery, watches) = start_discovery_with(move |mut stream, place| match place {
+    let (discovery, watches) = start_discovery_with(move |mut stream, number| match number {
         0 => {
-            let torn = format!("{:x}\r\n{page}\n\r\nff\r\n{{\"generation\":51", page.len() + 1);
-            stream.write_all(torn.as_bytes()).expect("read");
+            let truncated = format!("{:x}\r\n{page}\n\r\nff\r\n{{\"generation\":51", page.len() + 1);
+            stream.write_all(truncated.as_bytes()).expect("the controller keeps the connection open");
         }
-        // Open and silent for longer than anyone waits.
+        // Open and silent for longer than the controller waits.
         _ => std::thread::sleep(2 * EVENT_TIMEOUT),
     });
     let controller = Controller::start("torn-watch", Relay::start().address, discovery);
-    eventually("the third watch", || watches.lock().expect("alive").len() == 3);
-    let asked = watches.lock().expect("alive").clone();
+    eventually("discovery gets the third watch request", || {
+        watches.lock().expect("the mutex is not poisoned").len() == 3
+    });
+    let requests = watches.lock().expect("the mutex is not poisoned").clone();
     assert!(
-        asked[0].contains("after=41 ") && asked[1..].iter().all(|ask| ask.contains("after=50 ")),
-        "{asked:?}"
+        requests[0].contains("after=41 ")
+            && requests[1..].iter().all(|request| request.contains("after=50 ")),
+        "{requests:?}"
     );
     assert!(
         controller.log_contains("endpoint list updated generation=50")
@@ -273,17 +287,17 @@
 
 #[test]
 fn unidentified_peers_are_closed_and_invalid_reports_skipped() {
+    const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
     let (relay, (discovery, _)) = (Relay::start(), start_discovery());
     let controller = Controller::start("strangers", relay.address, discovery);
-    let mut good = connect_collector(&controller);
-    let stranger = |bytes: &[u8]| {
-        let mut stream = TcpStream::connect(controller.listen).expect("listens");
-        stream.write_all(bytes).expect("taken");
+    let mut collector = connect_collector(&controller);
+    let send_unidentified = |bytes: &[u8]| {
+        let mut stream = TcpStream::connect(controller.listen).expect("the controller listens");
+        stream.write_all(bytes).expect("the connection is open");
         stream
     };
-    let three = Duration::from_secs(3);
-    let heard = r#"{"t":"heard","zone":"a","server":"s-1","tries":2,"failed":0,"mean_ms":4,"span_ms":1000}"#;
-    let sent: Vec<TcpStream> = [
+    let report = r#"{"t":"heard","zone":"a","server":"s-1","tries":2,"failed":0,"mean_ms":4,"span_ms":1000}"#;
+    let unidentified: Vec<TcpStream> = [
         b"GET / HTTP/1.1\r\nhost: x\r\n\r\n".to_vec(),
         vec![0xff; 4096],
         vec![0; 64],
@@ -291,24 +305,25 @@
         framed(r#"{"t":"joined","proxy":3,"zone":"a"}"#),
         framed(r#"{"t":"collector","zone":"nowhere"}"#),
         framed(r#"{"op":"share","table":4,"server":"s-1","weight":1.5}"#),
-        framed(heard),
+        framed(report),
         framed(r#"{"t":"ping"}"#),
         vec![0, 0],
         Vec::new(),
     ]
     .iter()
-    .map(|bytes| stranger(bytes))
+    .map(|bytes| send_unidentified(bytes))
     .collect();
-    for (place, stream) in sent.into_iter().enumerate() {
-        assert!(is_closed_within(stream, three), "stranger {place}");
+    for (number, stream) in unidentified.into_iter().enumerate() {
+        assert!(is_closed_within(stream, CLOSE_TIMEOUT), "the connection of message {number} stays open");
     }
-    for spoilt in [heard.replace("\"tries\":2", "\"tries\":-2"), heard.replace("\"a\"", "9"), heard.into()] {
-        good.write_all(&framed(&spoilt)).expect("taken");
+    for report in [report.replace("\"tries\":2", "\"tries\":-2"), report.replace("\"a\"", "9"), report.into()]
+    {
+        collector.write_all(&framed(&report)).expect("the connection is open");
     }
-    assert!(ping(&mut good), "its connection stays");
-    good.write_all(&framed("{{{{")).expect("taken");
-    assert!(is_closed_within(good, three), "a stream that can't be read is of no further use");
-    eventually("the log", || {
+    assert!(ping(&mut collector), "an invalid report closed the collector's connection");
+    collector.write_all(&framed("{{{{")).expect("the connection is open");
+    assert!(is_closed_within(collector, CLOSE_TIMEOUT), "the connection stays open after invalid JSON");
+    eventually("the rejected reports are logged with their causes", || {
         controller.log_contains("cause=\"range\"") && controller.log_contains("cause=\"fields\"")
     });
 }
@@ -319,16 +334,17 @@
     let controller = Controller::start("crowd", relay.address, discovery);
     let mut early = connect_collector(&controller);
     assert!(ping(&mut early));
-    // The file allows 256 descriptors, of which some are kept for other ends.
+    // The configuration allows 256 descriptors, of which the controller reserves some for other uses.
     let crowd: Vec<TcpStream> =
         (0..400).filter_map(|_| TcpStream::connect_timeout(&controller.listen, EVENT_TIMEOUT).ok()).collect();
     let mut late = connect_collector(&controller);
     assert!(ping(&mut late) && ping(&mut early));
     assert!(crowd.into_iter().all(|stream| is_closed_within(stream, Duration::from_secs(3))));
-    // A stream's end is seen here just before the steward lets its descriptor go.
-    let open =
-        || std::fs::read_dir(format!("/proc/{}/fd", controller.child.id())).expect("a process").count();
-    eventually("descriptors are let go", || open() < 64);
+    // The client sees the close slightly before the controller releases the descriptor.
+    let open_descriptors = || {
+        std::fs::read_dir(format!("/proc/{}/fd", controller.child.id())).expect("the process runs").count()
+    };
+    eventually("the descriptors are released", || open_descriptors() < 64);
     assert!(ping(&mut late) && ping(&mut early));
 }
 
@@ -336,19 +352,22 @@
 fn an_invalid_file_at_start_gives_one_line_and_exit_code_2() {
     let run = |text: &str| {
         let file = std::env::temp_dir().join(format!("railhub-bad-{}.json", std::process::id()));
-        std::fs::write(&file, text).expect("writable");
+        std::fs::write(&file, text).expect("the temporary folder is writable");
         let mut command = Command::new(env!("CARGO_BIN_EXE_railhub"));
-        let output =
-            command.args(["steward", "--platform"]).env("NODE_CONFIG", &file).output().expect("built");
-        std::fs::remove_file(&file).expect("ours");
-        (output.status.code(), String::from_utf8(output.stderr).expect("text"))
+        let output = command
+            .args(["steward", "--platform"])
+            .env("NODE_CONFIG", &file)
+            .output()
+            .expect("the railhub binary starts");
+        std::fs::remove_file(&file).expect("the file can be removed");
+        (output.status.code(), String::from_utf8(output.stderr).expect("the error is UTF-8"))
     };
-    let (code, said) = run(&CONFIG_TEMPLATE.replace("\"worth\": 2.0", "\"worth\": -2.0"));
+    let (code, stderr) = run(&CONFIG_TEMPLATE.replace("\"worth\": 2.0", "\"worth\": -2.0"));
     assert_eq!(code, Some(2));
     assert!(
-        said.trim_end().ends_with("settings.request_classes[1].worth: must be a number from 0 up"),
-        "{said}"
+        stderr.trim_end().ends_with("settings.request_classes[1].worth: must be a number from 0 up"),
+        "{stderr}"
     );
-    assert_eq!(said.trim_end().lines().count(), 1, "{said}");
+    assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
     assert_eq!(run("").0, Some(2));
 }
--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! How soon a steward's process is ready, from its start to its first useful answer (a pong) and to its first call at the
-//! relay. Measured at the sockets of scripted peers. `--nocapture` shows the figures.
+//! Measures how long a controller process takes from its start to its first pong and to its first call at the relay, at
+//! the sockets of scripted peers, and how outages of its peers are logged. `--nocapture` shows the measured times.
 mod common;
 #[path = "common/scripted.rs"]
 mod scripted;
@@ -15,21 +15,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The operators' rule: nine in ten restarted processes are ready by then.
+/// The operators require that nine in ten restarted processes are ready within this time.
 const MAX_READY_TIME: Duration = Duration::from_secs(10);
-/// How long a flood lasts.
+/// How long the relay sends messages without pause.
 const FLOOD_DURATION: Duration = Duration::from_secs(2);
-/// A whole list of a large site.
+/// The size of the complete endpoint list of a large site.
 const MANY_HOSTS: usize = 2800;
 
-/// How long a process took from its start.
+/// Times that a process took from its start.
 #[derive(Clone, Copy)]
 struct Readiness {
     first_pong: Duration,
     first_call: Duration,
 }
 
-/// A steward with a relay of its own.
+/// A controller with a relay of its own.
 struct Node {
     relay: ServingRelay,
     controller: RestartableController,
@@ -47,10 +47,10 @@
 
     fn start(&mut self) -> Readiness {
         self.relay.clear_calls();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let first_pong = self.controller.start();
-        eventually("the first call comes", || self.relay.first_call_at().is_some());
-        let first_call = self.relay.first_call_at().expect("it came") - began;
+        eventually("the first call arrives", || self.relay.first_call_at().is_some());
+        let first_call = self.relay.first_call_at().expect("the first call arrived") - started_at;
         Readiness { first_pong, first_call }
     }
 
@@ -61,15 +61,15 @@
     }
 }
 
-/// All at once, each from a thread.
+/// Starts all nodes at once, each from its own thread.
 fn start_together(nodes: &mut [Node]) -> Vec<Readiness> {
     std::thread::scope(|scope| {
         let starting: Vec<_> = nodes.iter_mut().map(|node| scope.spawn(|| node.start())).collect();
-        starting.into_iter().map(|start| start.join().expect("it is ready")).collect()
+        starting.into_iter().map(|start| start.join().expect("the node becomes ready")).collect()
     })
 }
 
-/// The rule, for both measures.
+/// Asserts that nine in ten processes were ready in time, by first pong and by first call.
 fn assert_ready(what: &str, measured: &[Readiness]) {
     let pongs: Vec<Duration> = measured.iter().map(|ready| ready.first_pong).collect();
     let calls: Vec<Duration> = measured.iter().map(|ready| ready.first_call).collect();
@@ -88,11 +88,14 @@
 
 #[test]
 fn restarted_controller_is_ready_despite_faulty_discovery() {
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     let late =
         ScriptedDiscovery::serving(Duration::from_secs(3), chunk(&page(50, true, &host_list(MANY_HOSTS))));
-    let cases =
-        [("away", exclusive_address()), ("silent", silent.local_addr().expect("bound")), ("late", late)];
+    let cases = [
+        ("away", exclusive_address()),
+        ("silent", silent.local_addr().expect("the listener is bound")),
+        ("late", late),
+    ];
     for (case, discovery) in cases {
         let mut node = Node::new(&format!("discovery-{case}"), RelayDelays::default(), discovery, 2);
         assert_ready(&format!("discovery {case}"), &[node.restart()]);
@@ -101,7 +104,8 @@
 
 #[test]
 fn restarted_controller_is_ready_despite_a_slow_relay() {
-    // The second answers later than news may be silent: asked anew each time, it would never be heard.
+    // The second relay responds later than the time for which a subscription may be silent. A controller that
+    // subscribed anew after that time would never get a response.
     for (case, subscription, call) in [("slow", 1500, 40), ("very-slow", 4000, 200)] {
         let (subscription, call) = (Duration::from_millis(subscription), Duration::from_millis(call));
         let delays = RelayDelays { subscription, call };
@@ -114,7 +118,7 @@
 fn restarted_controller_is_ready_with_a_large_endpoint_list() {
     let list = chunk(&page(50, true, &host_list(MANY_HOSTS)));
     let discovery = ScriptedDiscovery::serving(Duration::ZERO, list);
-    for (case, known) in [("known-and-told", MANY_HOSTS), ("told", 2)] {
+    for (case, known) in [("known-and-listed", MANY_HOSTS), ("listed", 2)] {
         let mut node = Node::new(&format!("hosts-{case}"), RelayDelays::default(), discovery, known);
         assert_ready(&format!("{MANY_HOSTS} hosts {case}"), &[node.restart()]);
     }
@@ -134,8 +138,8 @@
 
 #[test]
 fn five_controllers_restarted_at_once_are_ready_with_slow_peers() {
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let discovery = silent.local_addr().expect("bound");
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let discovery = silent.local_addr().expect("the listener is bound");
     let delays = RelayDelays { subscription: Duration::from_millis(1500), call: Duration::from_millis(40) };
     let mut nodes: Vec<Node> =
         (0..5).map(|n| Node::new(&format!("five-slow-{n}"), delays, discovery, MANY_HOSTS)).collect();
@@ -166,8 +170,8 @@
     });
     assert!(controller.try_ping());
     let relay = ServingRelay::start_at(address, RelayDelays::default());
-    eventually("it orders", || relay.has_call_with("\"table\":3"));
-    eventually("the end is logged", || controller.log_contains("relay subscription restored"));
+    eventually("the relay gets a command", || relay.has_call_with("\"table\":3"));
+    eventually("the end of the outage is logged", || controller.log_contains("relay subscription restored"));
 }
 
 #[test]
@@ -181,23 +185,23 @@
         controller.log_contains("relay subscription down elapsed_s=")
             && controller.log_contains(" cause=\"no answer from the relay to the subscription\"")
     });
-    // The latest of those that waited; the others were given up.
+    // The controller gave up the earlier subscriptions that got no response; the test uses the one that is still open.
     let mut subscription = relay.subscriber();
     while !is_connection_open(&subscription) {
         subscription = relay.subscriber();
     }
     subscription.send(&snapshot());
     subscription.keep_alive();
-    eventually("it orders", || relay.has_call_with("\"table\":3"));
+    eventually("the relay gets a command", || relay.has_call_with("\"table\":3"));
     drop(first);
 }
 
-/// Whether the steward has not ended the connection yet.
+/// Whether the controller has not closed the connection yet.
 fn is_connection_open(connection: &scripted::Connection) -> bool {
-    connection.stream.set_nonblocking(true).expect("a socket");
-    let ended = matches!(connection.stream.peek(&mut [0]), Ok(0));
-    connection.stream.set_nonblocking(false).expect("a socket");
-    !ended
+    connection.stream.set_nonblocking(true).expect("socket option is set");
+    let is_closed = matches!(connection.stream.peek(&mut [0]), Ok(0));
+    connection.stream.set_nonblocking(false).expect("socket option is set");
+    !is_closed
 }
 
 #[test]
@@ -211,11 +215,13 @@
     let mut writer = subscription.writer();
     subscription.keep_alive();
     eventually("the outage is logged", || controller.log_contains("no proxy joined elapsed_s=5"));
-    writer.write_all((proxy_joined(1) + &slice_with_owner(5, "s-1")).as_bytes()).expect("the steward reads");
-    eventually("the end is logged", || {
+    writer
+        .write_all((proxy_joined(1) + &slice_with_owner(5, "s-1")).as_bytes())
+        .expect("the controller keeps the connection open");
+    eventually("the end of the outage is logged", || {
         controller.log_contains("proxies joined or relay subscription ended elapsed_s=")
     });
-    eventually("it orders", || relay.has_call_with("\"table\":5"));
+    eventually("the relay gets a command", || relay.has_call_with("\"table\":5"));
 }
 
 #[test]
@@ -224,7 +230,7 @@
     let discovery = ScriptedDiscovery::open();
     let controller =
         start_controller("discovery-mute", |listen| config_text(listen, relay.address, discovery.address));
-    let unanswered = discovery.watch();
+    let pending_watch = discovery.watch();
     eventually("the outage is logged", || {
         controller.log_contains("discovery watch down elapsed_s=")
             && controller.log_contains(" cause=\"discovery: no answer in time\"")
@@ -233,9 +239,9 @@
     let hosts = [scripted::instance("s-1", "ready"), scripted::instance("s-3", "ready")];
     watch.send(&(scripted::WATCH_HEAD.to_owned() + &chunk(&page(50, true, &hosts))));
     watch.keep_alive();
-    eventually("its list counts", || relay.has_call_with("\"s-3\""));
-    eventually("the end is logged", || controller.log_contains("discovery watch restored"));
-    drop(unanswered);
+    eventually("the new endpoint list takes effect", || relay.has_call_with("\"s-3\""));
+    eventually("the end of the outage is logged", || controller.log_contains("discovery watch restored"));
+    drop(pending_watch);
 }
 
 #[test]
@@ -244,7 +250,7 @@
     let controller = start_controller("no-hosts", |listen| {
         file_with_hosts(listen, relay.address, ScriptedDiscovery::idle(), &[])
     });
-    eventually("it is logged", || controller.log_contains("endpoint list empty elapsed_s=5"));
+    eventually("the empty list is logged", || controller.log_contains("endpoint list empty elapsed_s=5"));
 }
 
 #[test]
@@ -259,20 +265,20 @@
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let many = proxy_joined(1).repeat(1000);
+            let messages = proxy_joined(1).repeat(1000);
             while !stop.load(Ordering::Acquire) {
-                writer.write_all(many.as_bytes()).expect("the subscription stands");
+                writer.write_all(messages.as_bytes()).expect("the subscription stays open");
             }
         });
-        let began = Instant::now();
+        let started_at = Instant::now();
         let (mut pings, mut answered) = (0, true);
-        while answered && (pings < 20 || began.elapsed() < FLOOD_DURATION) {
+        while answered && (pings < 20 || started_at.elapsed() < FLOOD_DURATION) {
             answered = controller.try_ping();
             pings += 1;
         }
         stop.store(true, Ordering::Release);
-        assert!(answered, "ping {pings}");
+        assert!(answered, "ping {pings} was not answered");
     });
-    writer.write_all(slice_with_owner(5, "s-1").as_bytes()).expect("the subscription stands");
-    eventually("it orders", || relay.has_call_with("\"table\":5"));
+    writer.write_all(slice_with_owner(5, "s-1").as_bytes()).expect("the subscription stays open");
+    eventually("the relay gets a command", || relay.has_call_with("\"table\":5"));
 }
--- a/crates/railhub-cli/tests/signals.rs
+++ b/crates/railhub-cli/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals and closes that cross a request, at each stage of a connection to the steward's address, and requests whose
-//! bytes come in pieces.
+//! Signals and closes that coincide with a request, at each stage of a connection to the controller, and requests whose
+//! bytes arrive in parts.
 mod common;
 
 use common::client_connection::{collector_frame, ping_frame, wait_until_input_read, ClientConnection};
@@ -9,22 +9,22 @@
 use std::os::unix::process::ExitStatusExt;
 use std::time::{Duration, Instant};
 
-/// SIGKILL follows SIGTERM no sooner than this.
+/// The platform sends SIGKILL no sooner than this after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Bytes of a ping that are sent before the event where it comes in the middle of a request.
+/// Bytes of a ping that are sent before an event in the middle of a request.
 const PARTIAL_PING_BYTES: usize = 7;
 const PINGS_PER_PACKET: usize = 5;
 
-/// Where a connection is when the event comes.
+/// The state of a connection when the event under test occurs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// The kernel has taken the connection and a request; the steward, which is stopped, has not.
+    /// The kernel has accepted the connection and a request; the controller, which is stopped, has not.
     NotAccepted,
     Accepted,
     MidRequest,
-    /// Whole requests have come; the steward is stopped.
+    /// Complete requests have arrived; the controller is stopped.
     RequestPending,
-    /// Answers stand in the steward's send buffer, as the peer does not read.
+    /// Responses wait in the controller's send buffer because the peer does not read.
     ResponseBlocked,
     BetweenRequests,
 }
@@ -39,7 +39,7 @@
 ];
 
 impl Stage {
-    /// Whether the steward is stopped while the event comes.
+    /// Whether the controller is stopped when the event occurs.
     fn is_stopped(self) -> bool {
         [Stage::NotAccepted, Stage::RequestPending].contains(&self)
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends what the request at this stage still lacks.
+    /// Sends the rest of the request at this stage, or one more request.
     fn complete(self, connection: &mut ClientConnection) {
         match self {
             Stage::MidRequest => connection.finish_ping(&ping_frame()[PARTIAL_PING_BYTES..]),
@@ -71,12 +71,12 @@
     }
 }
 
-/// A steward with a visitor and a collector at one stage.
+/// A controller with connections at one stage: an unidentified one and, if the stage allows it, a collector.
 struct StagedConnections {
     stage: Stage,
     controller: Controller,
     connections: Vec<ClientConnection>,
-    /// One that has joined and sends nothing while the event comes.
+    /// Has joined and sends nothing during the event.
     idle_collector: ClientConnection,
 }
 
@@ -109,7 +109,7 @@
         StagedConnections { stage, controller, connections: vec![unidentified, collector], idle_collector }
     }
 
-    /// On a busy machine the time to join may run out before the stage is reached.
+    /// Repeats the attempt, since on a busy machine the join timeout may expire before the stage is reached.
     fn unidentified(stage: Stage, controller: &Controller) -> ClientConnection {
         const MAX_ATTEMPTS: usize = 50;
         let reached = (0..MAX_ATTEMPTS).find_map(|_| {
@@ -117,7 +117,7 @@
             stage.reach(controller, &mut unidentified);
             controller_socket(&unidentified.stream).is_some().then_some(unidentified)
         });
-        reached.expect("a visitor at this stage")
+        reached.expect("an unidentified connection reaches the stage before the join timeout")
     }
 
     fn signal(&self, signal: i32) {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns once all threads of the process stand still.
+/// Stops the process and returns once all its threads are stopped.
 fn stop(controller: &Controller) {
     controller.signal(libc::SIGSTOP);
     let tasks = format!("/proc/{}/task", controller.child.id());
@@ -136,15 +136,17 @@
         let status = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
         status.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
     };
-    eventually("stopped", || std::fs::read_dir(&tasks).expect("a process").flatten().all(is_stopped));
+    eventually("all threads are stopped", || {
+        std::fs::read_dir(&tasks).expect("the process runs").flatten().all(is_stopped)
+    });
 }
 
-/// Waits for the process to end; tells its exit code, its signal and the time.
+/// Waits for the process to exit; returns its exit code, the signal that ended it and the time it took.
 fn wait_for_exit(controller: &mut Controller) -> (Option<i32>, Option<i32>, Duration) {
-    let began = Instant::now();
-    eventually("it ends", || controller.exit_status().is_some());
-    let status = controller.exit_status().expect("it ended");
-    (status.code(), status.signal(), began.elapsed())
+    let started_at = Instant::now();
+    eventually("the process exits", || controller.exit_status().is_some());
+    let status = controller.exit_status().expect("the process exited");
+    (status.code(), status.signal(), started_at.elapsed())
 }
 
 fn assert_restarts_at_same_address(controller: &Controller) {
@@ -160,7 +162,7 @@
         let next = SilentPeers::open();
         let (relay, discovery) = next.addresses();
         let text = config_text(staged.controller.listen, relay, discovery);
-        std::fs::write(&staged.controller.config_file, text).expect("writable");
+        std::fs::write(&staged.controller.config_file, text).expect("the temporary folder is writable");
         staged.signal(libc::SIGHUP);
         assert!(next.first_line_to_relay().contains("\"subscribe\""), "{stage:?}");
         for mut connection in staged.connections {
@@ -177,8 +179,8 @@
         let peers = SilentPeers::open();
         let mut staged = StagedConnections::at(stage, "sigterm", &peers);
         staged.signal(libc::SIGTERM);
-        let (code, _, within) = wait_for_exit(&mut staged.controller);
-        assert!(code == Some(0) && within < EXIT_TIMEOUT, "{stage:?}: {code:?} after {within:?}");
+        let (code, _, elapsed) = wait_for_exit(&mut staged.controller);
+        assert!(code == Some(0) && elapsed < EXIT_TIMEOUT, "{stage:?}: exit code {code:?} after {elapsed:?}");
         for mut connection in staged.connections {
             stage.complete(&mut connection);
             connection.wait_for_close();
@@ -207,20 +209,20 @@
 
 #[test]
 fn sockets_are_closed_after_a_peer_closes_at_any_stage() {
-    let ends: [fn(ClientConnection); 2] =
+    let closings: [fn(ClientConnection); 2] =
         [|connection| drop(connection.stream), |connection| sockets::reset(connection.stream)];
     for stage in STAGES {
-        for end in ends {
+        for close in closings {
             let peers = SilentPeers::open();
             let mut staged = StagedConnections::at(stage, "peer-closes", &peers);
             let inodes: Vec<u64> = staged
                 .connections
                 .iter()
                 .filter_map(|connection| controller_socket(&connection.stream))
-                .map(|end| end.inode)
+                .map(|socket| socket.inode)
                 .filter(|inode| *inode != 0)
                 .collect();
-            staged.connections.drain(..).for_each(end);
+            staged.connections.drain(..).for_each(close);
             if stage.is_stopped() {
                 staged.controller.signal(libc::SIGCONT);
             }
@@ -246,14 +248,14 @@
     }
 }
 
-/// Sends the pieces one by one, each after the steward has read the one before.
+/// Sends the parts one by one, each after the controller has read the previous one.
 fn send_in_parts<'a>(
     controller: &Controller,
     connection: &mut ClientConnection,
-    pieces: impl Iterator<Item = &'a [u8]>,
+    parts: impl Iterator<Item = &'a [u8]>,
 ) {
-    for piece in pieces {
-        connection.write(piece);
+    for part in parts {
+        connection.write(part);
         wait_until_input_read(controller);
     }
 }
@@ -266,17 +268,17 @@
     let report = framed(
         r#"{"t":"heard","zone":"a","server":"s-1","tries":2,"failed":0,"mean_ms":4,"span_ms":1000,"load":{"util":0.5}}"#,
     );
-    let last = ping_frame().len() - 1;
+    let end_bytes = ping_frame().len() - 1;
     let messages = [report, ping_frame()].concat();
     for cut in 1..messages.len() {
         let (first, second) = messages.split_at(cut);
         send_in_parts(&controller, &mut connection, [first, second].into_iter());
-        assert!(connection.finish_ping(&[]) && connection.receives_pongs(), "cut at {cut}");
+        assert!(connection.finish_ping(&[]) && connection.receives_pongs(), "split at byte {cut}");
     }
-    let (pieces, end) = messages.split_at(messages.len() - last);
-    send_in_parts(&controller, &mut connection, pieces.chunks(1));
+    let (start, end) = messages.split_at(messages.len() - end_bytes);
+    send_in_parts(&controller, &mut connection, start.chunks(1));
     send_in_parts(&controller, &mut connection, end.chunks(1));
-    assert!(connection.finish_ping(&[]) && connection.receives_pongs(), "single bytes");
+    assert!(connection.finish_ping(&[]) && connection.receives_pongs(), "sent as single bytes");
 }
 
 #[test]
@@ -301,10 +303,10 @@
     let mut connection = ClientConnection::unidentified(&controller);
     let refused = framed(r#"{"t":"joined","proxy":1,"zone":"a"}"#);
     connection.write(&[ping_frame(), ping_frame(), refused].concat());
-    let mut answers = Vec::new();
-    connection.stream.read_to_end(&mut answers).expect("answers and a close");
+    let mut responses = Vec::new();
+    connection.stream.read_to_end(&mut responses).expect("the controller responds and closes the connection");
     let pongs = framed(r#"{"t":"pong"}"#).repeat(2);
-    let rest = answers.strip_prefix(&pongs[..]).expect("both pongs come first");
+    let rest = responses.strip_prefix(&pongs[..]).expect("two pongs precede the refusal");
     assert!(rest[4..].starts_with(br#"{"t":"refused""#), "{}", String::from_utf8_lossy(rest));
 }
 
@@ -314,7 +316,7 @@
     let controller = peers.start_controller("late-join");
     let message = [collector_frame("a"), ping_frame()].concat();
     let (first, last_byte) = message.split_at(message.len() - 1);
-    // Close to the bound each end of the race is allowed; well before it, only one is.
+    // Close to the timeout of 1 s both outcomes of the race are allowed; well before it the join must succeed.
     for wait in [600, 900, 950, 980, 990, 995, 998, 1000, 1002] {
         let opened = Instant::now();
         let mut connection = ClientConnection::unidentified(&controller);
@@ -325,12 +327,12 @@
         let is_in_time = connection.finish_ping(last_byte) && connection.receives_pongs();
         if is_in_time {
             std::thread::sleep(Duration::from_millis(1200).saturating_sub(opened.elapsed()));
+            assert!(connection.ping(), "joined after {wait} ms, but closed when the join timeout expired");
+        } else {
             assert!(
-                connection.ping(),
-                "joined after {wait} ms, and thrown out when the time to join ran out"
+                opened.elapsed() >= Duration::from_secs(1),
+                "closed before the join timeout, at {wait} ms"
             );
-        } else {
-            assert!(opened.elapsed() >= Duration::from_secs(1), "closed in time, at {wait} ms");
         }
     }
 }
@@ -365,7 +367,7 @@
         let mut controller = peers.start_controller("requests-at-the-end");
         let collector = ClientConnection::collector(&controller, "a");
         let unidentified = ClientConnection::unidentified(&controller);
-        // Each thread writes until the connection ends, so some request comes at the very instant of it.
+        // Each thread sends requests until the connection is closed, so one of them coincides with the exit.
         let writing: Vec<_> = [collector, unidentified]
             .into_iter()
             .map(|mut connection| {
@@ -373,16 +375,16 @@
                     while connection.ping() {}
                     let mut rest = Vec::new();
                     let result = connection.stream.read_to_end(&mut rest);
-                    !result.is_err_and(|fault| fault.kind() == std::io::ErrorKind::WouldBlock)
+                    !result.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
                 })
             })
             .collect();
         controller.signal(libc::SIGTERM);
-        let (code, _, within) = wait_for_exit(&mut controller);
-        assert!(code == Some(0) && within < EXIT_TIMEOUT, "{code:?} after {within:?}");
+        let (code, _, elapsed) = wait_for_exit(&mut controller);
+        assert!(code == Some(0) && elapsed < EXIT_TIMEOUT, "exit code {code:?} after {elapsed:?}");
         assert!(
-            writing.into_iter().all(|connection| connection.join().expect("it ends")),
-            "silence is no answer"
+            writing.into_iter().all(|thread| thread.join().expect("the writing thread ends")),
+            "a connection was neither answered nor closed"
         );
     }
 }
