--- a/crates/railhub-cli/tests/discovery_faults.rs
+++ b/crates/railhub-cli/tests/discovery_faults.rs
@@ -219,7 +219,7 @@
     let relay = ServingRelay::start(RelayDelays::default());
     let (old, new) = (ScriptedDiscovery::open(), ScriptedDiscovery::open());
     let mut controller =
-        start_controller("move-and-end", |listen| config_text(listen, relay.address, old.address));
+        start_controller("reload-and-exit", |listen| config_text(listen, relay.address, old.address));
     let mut old_watch = old.watch();
     old_watch.send(&(WATCH_HEAD.to_owned() + &chunk("\n")));
     reload_config(&controller, relay.address, new.address);
--- a/crates/railhub-cli/tests/platform.rs
+++ b/crates/railhub-cli/tests/platform.rs
@@ -217,7 +217,7 @@
 #[test]
 fn a_valid_reload_moves_connections_and_an_invalid_one_does_not() {
     let (old, (old_discovery, old_watches)) = (Relay::start(), start_discovery());
-    let mut controller = Controller::start("moves", old.address, old_discovery);
+    let mut controller = Controller::start("reload", old.address, old_discovery);
     eventually("the controller subscribes and watches", || {
         old.subscription_count() == 1 && !old_watches.lock().expect("the mutex is not poisoned").is_empty()
     });
@@ -251,7 +251,7 @@
 #[test]
 fn resubscribes_when_the_subscription_goes_silent() {
     let (relay, (discovery, _)) = (Relay::start(), start_discovery());
-    let controller = Controller::start("silent-news", relay.address, discovery);
+    let controller = Controller::start("silent-subscription", relay.address, discovery);
     eventually("the controller subscribes", || relay.subscription_count() == 1);
     relay.set_behavior(RelayBehavior::SilentSubscription);
     eventually("the controller subscribes again", || relay.subscription_count() == 2);
@@ -269,7 +269,7 @@
         // Open and silent for longer than the controller waits.
         _ => std::thread::sleep(2 * EVENT_TIMEOUT),
     });
-    let controller = Controller::start("torn-watch", Relay::start().address, discovery);
+    let controller = Controller::start("interrupted-watch", Relay::start().address, discovery);
     eventually("discovery gets the third watch request", || {
         watches.lock().expect("the mutex is not poisoned").len() == 3
     });
@@ -289,7 +289,7 @@
 fn unidentified_peers_are_closed_and_invalid_reports_skipped() {
     const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
     let (relay, (discovery, _)) = (Relay::start(), start_discovery());
-    let controller = Controller::start("strangers", relay.address, discovery);
+    let controller = Controller::start("unidentified", relay.address, discovery);
     let mut collector = connect_collector(&controller);
     let send_unidentified = |bytes: &[u8]| {
         let mut stream = TcpStream::connect(controller.listen).expect("the controller listens");
--- a/crates/railhub-cli/tests/races.rs
+++ b/crates/railhub-cli/tests/races.rs
@@ -222,7 +222,7 @@
     ];
     for (n, apply_outcome) in outcomes.into_iter().enumerate() {
         let (relay, _controller, _subscription, mut caller, _) =
-            start_with_pending_call(&format!("carried-{n}"));
+            start_with_pending_call(&format!("executed-{n}"));
         apply_outcome(&mut caller);
         // The new snapshot has the entry of the standby, so later calls must not request it again.
         let mut subscription = relay.subscriber();
@@ -249,7 +249,7 @@
 
 #[test]
 fn a_call_response_during_a_snapshot_is_not_lost() {
-    let (relay, controller, mut subscription, mut caller, call) = start_with_pending_call("crossing");
+    let (relay, controller, mut subscription, mut caller, call) = start_with_pending_call("call-response");
     // The new relay sends a snapshot from before the call was executed; the response to the call arrives in between.
     let next = Relay::open();
     reload_config(&controller, next.address, Discovery::idle());
@@ -270,7 +270,7 @@
 #[test]
 fn an_interrupted_snapshot_is_not_taken_as_complete() {
     let relay = Relay::open();
-    let _controller = Controller::start("half", relay.address, Discovery::idle());
+    let _controller = Controller::start("interrupted-snapshot", relay.address, Discovery::idle());
     let mut subscription = relay.subscriber();
     // The snapshot is cut after slice 3, before its table entry. If it were taken as complete, the table would seem
     // empty and get a new owner.
@@ -295,7 +295,7 @@
 #[test]
 fn a_late_old_relay_response_keeps_the_new_subscription() {
     let (old, new) = (Relay::open(), Relay::open());
-    let controller = Controller::start("late-answer", old.address, Discovery::idle());
+    let controller = Controller::start("late-response", old.address, Discovery::idle());
     // The first subscription is pending when the configuration changes; the second one is active before the first one
     // gets its response.
     let mut late = old.subscriber();
@@ -319,7 +319,7 @@
 #[test]
 fn two_quick_reloads_leave_one_connection_to_the_last_relay() {
     let relays = [Relay::open(), Relay::open(), Relay::open()];
-    let controller = Controller::start("two-files", relays[0].address, Discovery::idle());
+    let controller = Controller::start("two-reloads", relays[0].address, Discovery::idle());
     let mut pending = vec![relays[0].subscriber()];
     // Each reload occurs before the previous subscription got its response.
     for relay in &relays[1..] {
@@ -358,7 +358,7 @@
 #[test]
 fn an_endless_relay_line_counts_as_silence() {
     let relay = Relay::open();
-    let _controller = Controller::start("trickle", relay.address, Discovery::idle());
+    let _controller = Controller::start("endless-line", relay.address, Discovery::idle());
     let mut subscription = relay.subscriber();
     subscription.send(&initial_snapshot());
     // The call gets its response, as the controller would also subscribe again without one.
@@ -377,7 +377,7 @@
 #[test]
 fn an_endless_discovery_page_counts_as_silence() {
     let (relay, discovery) = (Relay::open(), Discovery::open());
-    let _controller = Controller::start("trickling-page", relay.address, discovery.address);
+    let _controller = Controller::start("endless-page", relay.address, discovery.address);
     let (mut stream, _) = discovery.watch();
     let writer = std::thread::spawn(move || {
         let started_at = Instant::now();
@@ -392,7 +392,7 @@
 #[test]
 fn a_restarted_discovery_is_asked_until_its_list_is_accepted() {
     let (relay, discovery) = (Relay::open(), Discovery::open());
-    let controller = Controller::start("anew", relay.address, discovery.address);
+    let controller = Controller::start("restarted-discovery", relay.address, discovery.address);
     let page = |generation: u64, is_complete: bool| {
         let page = format!("{{\"generation\":{generation},\"reset\":{is_complete},\"instances\":[]}}\n");
         format!("{:x}\r\n{page}\r\n", page.len())
@@ -428,7 +428,7 @@
         let text = config_text(listen, relay.address, discovery);
         text.replace("\"key_ranges\": 40", "\"key_ranges\": 1300").replace("900.5", "1e9")
     };
-    let controller = Controller::start_with_config("size", config_for);
+    let controller = Controller::start_with_config("call-size", config_for);
     let mut subscription = relay.subscriber();
     let joins: String = (0..proxies).map(proxy_joined).collect();
     let tables: String =
@@ -468,13 +468,13 @@
 
 #[test]
 fn sigterm_exits_with_0_during_a_call_and_during_start() {
-    let (_relay, mut controller, _subscription, _caller, _) = start_with_pending_call("term");
+    let (_relay, mut controller, _subscription, _caller, _) = start_with_pending_call("sigterm");
     controller.signal(libc::SIGTERM);
     let (code, elapsed) = wait_for_exit(&mut controller);
     // The platform sends SIGKILL no sooner than 0.7 s after SIGTERM.
     assert!(code == Some(0) && elapsed < Duration::from_millis(700), "exit code {code:?} after {elapsed:?}");
     // A named pipe as the configuration file blocks the start before the controller watches for signals.
-    let pipe = std::env::temp_dir().join(format!("railhub-crossing-pipe-{}", std::process::id()));
+    let pipe = std::env::temp_dir().join(format!("railhub-config-pipe-{}", std::process::id()));
     let name =
         std::ffi::CString::new(pipe.to_str().expect("the path is UTF-8")).expect("the path has no zero byte");
     // SAFETY: the name ends in a zero byte and is only read.
@@ -505,7 +505,7 @@
             .into_iter()
             .enumerate()
     {
-        let mut controller = Controller::start(&format!("alone-{n}"), relay, discovery);
+        let mut controller = Controller::start(&format!("without-peers-{n}"), relay, discovery);
         let client = TcpStream::connect(controller.listen).expect("the controller listens");
         controller.signal(libc::SIGKILL);
         wait_for_exit(&mut controller);
--- a/crates/railhub-cli/tests/readiness.rs
+++ b/crates/railhub-cli/tests/readiness.rs
@@ -177,7 +177,7 @@
 #[test]
 fn a_relay_that_does_not_respond_is_logged_with_its_cause() {
     let relay = ScriptedRelay::open();
-    let controller = start_controller("relay-mute", |listen| {
+    let controller = start_controller("relay-no-response", |listen| {
         config_text(listen, relay.address, ScriptedDiscovery::idle())
     });
     let first = relay.subscriber();
@@ -207,7 +207,7 @@
 #[test]
 fn a_subscription_without_proxies_is_logged_until_one_joins() {
     let relay = ScriptedRelay::open();
-    let controller = start_controller("nobody-joined", |listen| {
+    let controller = start_controller("no-proxies", |listen| {
         config_text(listen, relay.address, ScriptedDiscovery::idle())
     });
     let mut subscription = relay.subscriber();
@@ -228,8 +228,9 @@
 fn a_discovery_that_does_not_respond_is_logged_until_it_does() {
     let relay = ServingRelay::start(RelayDelays::default());
     let discovery = ScriptedDiscovery::open();
-    let controller =
-        start_controller("discovery-mute", |listen| config_text(listen, relay.address, discovery.address));
+    let controller = start_controller("discovery-no-response", |listen| {
+        config_text(listen, relay.address, discovery.address)
+    });
     let pending_watch = discovery.watch();
     eventually("the outage is logged", || {
         controller.log_contains("discovery watch down elapsed_s=")
@@ -256,7 +257,7 @@
 #[test]
 fn controller_answers_pings_during_a_flood_of_relay_messages() {
     let relay = ScriptedRelay::open();
-    let controller = start_controller("flood-news", |listen| {
+    let controller = start_controller("flood-subscription", |listen| {
         config_text(listen, relay.address, ScriptedDiscovery::idle())
     });
     let mut subscription = relay.subscriber();
--- a/crates/railhub-cli/tests/signals.rs
+++ b/crates/railhub-cli/tests/signals.rs
@@ -263,7 +263,7 @@
 #[test]
 fn requests_split_at_any_byte_or_into_single_bytes_are_answered() {
     let peers = SilentPeers::open();
-    let controller = peers.start_controller("pieces");
+    let controller = peers.start_controller("parts");
     let mut connection = ClientConnection::collector(&controller, "a");
     let report = framed(
         r#"{"t":"heard","zone":"a","server":"s-1","tries":2,"failed":0,"mean_ms":4,"span_ms":1000,"load":{"util":0.5}}"#,
@@ -284,7 +284,7 @@
 #[test]
 fn a_collector_can_join_by_a_message_split_at_any_byte() {
     let peers = SilentPeers::open();
-    let controller = peers.start_controller("pieces-to-join");
+    let controller = peers.start_controller("join-in-parts");
     let messages = [collector_frame("a"), ping_frame()].concat();
     for cut in 1..messages.len() {
         let (first, second) = messages.split_at(cut);
@@ -340,7 +340,7 @@
 #[test]
 fn requests_that_arrive_together_with_a_close_are_answered() {
     let peers = SilentPeers::open();
-    let controller = peers.start_controller("same-instant");
+    let controller = peers.start_controller("requests-with-close");
     let mut idle_collector = ClientConnection::collector(&controller, "b");
     for _ in 0..20 {
         let mut connections =
