--- a/crates/railhub-platform/src/wire/discovery.rs
+++ b/crates/railhub-platform/src/wire/discovery.rs
@@ -1,12 +1,12 @@
-//! Discovery's pages: the list of hosts, complete or what changed, one JSON object a line of a watch.
+//! Discovery's pages: the complete endpoint list or changes to it, one JSON object per line of a watch.
 use super::json::decode_message;
 use crate::config::Names;
 use crate::endpoints::{EndpointPage, PageEntry};
-use crate::error::InvalidEntry;
+use crate::error::DecodeError;
 use railhub::{EndpointEntry, HostId, Phase};
 use serde::Deserialize;
 
-/// The path of a watch that begins after this generation.
+/// The request path of a watch that starts after this generation.
 pub fn watch_path(generation: u64) -> String {
     format!("/discovery/hosts?watch=1&after={generation}")
 }
@@ -14,9 +14,8 @@
 /// Decodes one page.
 ///
 /// # Errors
-/// The page cannot be read. An entry that cannot be read is left out and counted in
-/// [`EndpointPage::invalid`].
-pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, InvalidEntry> {
+/// The page is invalid. An invalid entry is not an error: it is left out and recorded in [`EndpointPage::invalid`].
+pub fn decode_page(line: &[u8], names: &Names) -> Result<EndpointPage, DecodeError> {
     let page: PageMessage = decode_message(line)?;
     Ok(page.convert(names))
 }
@@ -28,7 +27,7 @@
     instances: Vec<InstanceOrInvalid>,
 }
 
-/// An entry with a field that is missing or of another type invalidates itself, not the page.
+/// An entry with a field that is missing or has the wrong type is invalid alone; the page remains valid.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum InstanceOrInvalid {
@@ -50,13 +49,14 @@
 }
 
 impl PageMessage {
-    /// A complete list with an invalid entry counts as changes: that host must not be gone for it.
+    /// Converts a page. A complete list with an invalid entry is treated as changes, so that the host of that entry is
+    /// not removed.
     pub(super) fn convert(&self, names: &Names) -> EndpointPage {
         let mut page = EndpointPage { generation: self.generation, ..EndpointPage::default() };
         for entry in &self.instances {
             let converted = match entry {
                 InstanceOrInvalid::Instance(instance) => instance.convert(names),
-                InstanceOrInvalid::Invalid(_) => Err(InvalidEntry::Fields),
+                InstanceOrInvalid::Invalid(_) => Err(DecodeError::InvalidField),
             };
             match converted {
                 Ok(entry) => page.entries.push(entry),
@@ -69,18 +69,18 @@
 }
 
 impl Instance {
-    fn convert(&self, names: &Names) -> Result<PageEntry, InvalidEntry> {
+    fn convert(&self, names: &Names) -> Result<PageEntry, DecodeError> {
         let phase = match self.lifecycle.as_str() {
             "ready" => Phase::Ready,
             "draining" => Phase::Draining,
             "gone" => Phase::Gone,
-            _ => return Err(InvalidEntry::Unknown),
+            _ => return Err(DecodeError::UnknownName),
         };
-        if !is_amount(self.weight) || !is_amount(self.started_at_ms) {
-            return Err(InvalidEntry::Range);
+        if !is_non_negative(self.weight) || !is_non_negative(self.started_at_ms) {
+            return Err(DecodeError::OutOfRange);
         }
-        let host = HostId::new(&self.instance_id).ok_or(InvalidEntry::Fields)?;
-        let address = self.host_port.parse().map_err(|_| InvalidEntry::Fields)?;
+        let host = HostId::new(&self.instance_id).ok_or(DecodeError::InvalidField)?;
+        let address = self.host_port.parse().map_err(|_| DecodeError::InvalidField)?;
         let started_at = (self.started_at_ms > 0.0).then_some(self.started_at_ms / 1e3);
         let kind = names.kind(&self.machine_type);
         Ok(PageEntry {
@@ -90,6 +90,6 @@
     }
 }
 
-fn is_amount(number: f64) -> bool {
+fn is_non_negative(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
