--- a/crates/railhub-cli/tests/commands.rs
+++ b/crates/railhub-cli/tests/commands.rs
@@ -113,7 +113,7 @@
     let reported = railhub(&["report", path_text(&truncated), "--json"]);
     assert!(reported.status.success() && String::from_utf8_lossy(&reported.stderr).contains("cut off"));
     let checked = railhub(&["check", path_text(&truncated)]);
-    assert_eq!(checked.status.code(), Some(2), "a truncated recording gets no verdicts");
+    assert_eq!(checked.status.code(), Some(2), "expected no verdicts for a truncated recording");
     std::fs::remove_dir_all(folder).expect("the temporary folder can be removed");
 }
 
--- a/crates/railhub-cli/tests/common/client_connection.rs
+++ b/crates/railhub-cli/tests/common/client_connection.rs
@@ -185,7 +185,7 @@
     /// A ping is answered, or the join timeout has expired and the connection is closed.
     pub fn assert_continues(mut self) {
         if self.is_collector {
-            assert!(self.receives_pongs() && self.ping(), "the connection of a collector stays open");
+            assert!(self.receives_pongs() && self.ping(), "a collector got no response");
         } else {
             self.shutdown_write();
             self.assert_answered_or_expired();
--- a/crates/railhub-cli/tests/fleet.rs
+++ b/crates/railhub-cli/tests/fleet.rs
@@ -267,7 +267,7 @@
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Corrupt, foreign, older and too long datagrams are dropped, and the membership views stay the same.
+/// Corrupt, foreign, older and too long datagrams are dropped, and the membership views still agree.
 #[test]
 fn invalid_datagrams_are_dropped_and_counted() {
     let folder = test_folder("damaged");
@@ -315,7 +315,7 @@
             links.lock().expect("the links are not poisoned").push(Arc::new(link));
         }
         text += &format!("\n[fleet]\nid = 1\ninstallation = hand\njoin = {join_address}\n");
-        let conf = config_folder.join(format!("day-{number}.ini"));
+        let conf = config_folder.join(format!("scenario-{number}.ini"));
         std::fs::write(&conf, text).map_err(|e| e.to_string())?;
         let process = ControllerProcess::start(Path::new(BINARY), &conf, &conf.with_extension("log"))
             .map_err(|e| e.to_string())?;
--- a/crates/railhub-cli/tests/floods.rs
+++ b/crates/railhub-cli/tests/floods.rs
@@ -120,7 +120,7 @@
     eventually("no descriptor is left", || crowd.iter().any(is_not_accepted));
     assert!(
         collectors.iter_mut().all(ClientConnection::ping),
-        "connections that were open before are served"
+        "a collector that joined before got no response"
     );
     drop((crowd, collectors.split_off(1)));
     eventually("a ping is answered", || controller.try_ping());
--- a/crates/railhub-cli/tests/platform.rs
+++ b/crates/railhub-cli/tests/platform.rs
@@ -237,11 +237,11 @@
         });
     }
     let mut collector = connect_collector(&controller);
-    assert!(ping(&mut collector), "a collector is served after the reloads");
+    assert!(ping(&mut collector), "a collector got no response after the reloads");
     assert_eq!(
         (old.subscription_count(), new[0].0.subscription_count(), new[1].0.subscription_count()),
         (1, 1, 1),
-        "each relay got one subscription"
+        "expected one subscription at each relay"
     );
     controller.signal(libc::SIGTERM);
     eventually("the controller exits", || controller.exit_status().is_some());
--- a/crates/railhub-cli/tests/races.rs
+++ b/crates/railhub-cli/tests/races.rs
@@ -288,7 +288,7 @@
     let (_, call) = relay.caller();
     assert!(
         call.contains(r#""table":3,"server":"s-1","weight":0.0001"#),
-        "s-2 stays the owner and s-1 becomes the standby: {call}"
+        "expected s-1 as the standby of s-2, which stays the owner: {call}"
     );
 }
 
@@ -451,10 +451,10 @@
             call = caller.next_line("a call with further entries");
         }
     }
-    assert_eq!(entries, usize::from(slices), "each standby is requested once");
+    assert_eq!(entries, usize::from(slices), "expected one request for each standby");
     assert!(
         controller.try_ping() && relay.subscribers.try_recv().is_err(),
-        "the controller answers and kept its subscription"
+        "the controller did not answer a ping, or subscribed again"
     );
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", controller.child.id())).expect("the process runs");
--- a/crates/railhub-cli/tests/scenarios.rs
+++ b/crates/railhub-cli/tests/scenarios.rs
@@ -81,7 +81,7 @@
     let report: Value = serde_json::from_slice(&output.stdout).expect("standard output is one JSON object");
     assert_eq!(report["rules_kept"], true);
     let checked = |rule: usize| report["rules"][rule]["checked"].as_u64().unwrap_or_default();
-    assert!((0..5).all(|rule| checked(rule) > 0), "each rule checked something: {report}");
+    assert!((0..5).all(|rule| checked(rule) > 0), "a rule checked nothing: {report}");
     assert!(report["service"]["whole"].as_f64().expect("the service is a number") > 0.8, "{report}");
     let check = railhub(&["check", path, "--json"]);
     assert_eq!(check.status.code(), Some(0));
