--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the rules share: a controller with four hosts, and the commands that it gives.
+//! Fixtures shared by the tests of the rules: a controller with four hosts, and a sink that records its commands.
 use super::load_report::DEMAND_AVERAGING;
 use super::*;
 use crate::decaying::{DecayingRate, DecayingSum};
@@ -21,13 +21,17 @@
 mod single_owner;
 mod slow_start;
 
+/// Records the commands that the tests check.
 #[derive(Default)]
 struct RecordedCommands {
+    /// Calls of `set_weight`.
     lines: Vec<(SliceId, HostId, f64)>,
-    tables: usize,
+    /// Number of calls of `assign_table`.
+    assigned_tables: usize,
     admission: Vec<(ClassId, f64, RetryPolicy)>,
     health_checks: Vec<HostId>,
     barriers: Vec<BarrierId>,
+    /// Excluded (true) and readmitted (false) hosts.
     exclusions: Vec<(HostId, bool)>,
 }
 
@@ -36,7 +40,7 @@
         self.lines.push((slice, host, weight));
     }
     fn assign_table(&mut self, _: SliceId, _: ProxyId) {
-        self.tables += 1;
+        self.assigned_tables += 1;
     }
     fn set_admission_rate(&mut self, class: ClassId, rate: f64, retry_policy: RetryPolicy) {
         self.admission.push((class, rate, retry_policy));
@@ -87,7 +91,7 @@
 }
 
 fn entry(n: u8, phase: Phase, started_at: Option<Seconds>) -> EndpointEntry {
-    EndpointEntry { host: host(n), phase, started_at, weight: 4.0, kind: KindId(0) }
+    EndpointEntry { host: host(n), phase, started_at, weight: 4.0, kind: HostKindId(0) }
 }
 
 fn endpoint_update(now: Seconds, entries: Vec<EndpointEntry>) -> EventBatch {
@@ -118,7 +122,7 @@
     controller
 }
 
-/// Gives each slice so many operations a second, and each host a service time.
+/// Sets the operations per second of each slice and the service time of each host.
 fn set_load(controller: &mut Controller, now: Seconds, rate: f64, service_time: Seconds) {
     for slice in controller.slices.values_mut() {
         slice.demand[0] = DecayingRate::default();
@@ -132,7 +136,8 @@
     }
 }
 
-fn owned(controller: &Controller, n: u8) -> usize {
+/// The number of slices that host `n` owns.
+fn owned_slice_count(controller: &Controller, n: u8) -> usize {
     controller.slices.values().filter(|slice| slice.owner == Some(host(n))).count()
 }
 
@@ -148,7 +153,8 @@
     }
 }
 
-fn failing(now: Seconds, n: u8) -> EventBatch {
+/// A tick with reports of all hosts, in which half the attempts at host `n` failed.
+fn failure_reports(now: Seconds, n: u8) -> EventBatch {
     let host_loads = (1..=4).map(|k| load_report(k, if k == n { 10.0 } else { 0.0 })).collect();
     EventBatch { host_loads, ..tick(now) }
 }
