--- a/crates/railhub-adapter/tests/version.rs
+++ b/crates/railhub-adapter/tests/version.rs
@@ -4,13 +4,13 @@
 use railhub_record::Event;
 use railhub_scenario::report::service;
 use railhub_scenario::Scenario;
-use railhub_simulator::{run, Physics, Policy};
+use railhub_simulator::{run, Policy, TimingModel};
 use std::path::{Path, PathBuf};
 
 fn simulate(name: &str, seed: u64, policy: &Policy) -> Vec<Event> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
     let scenario = Scenario { seed, ..Scenario::open(&path).expect("valid scenario") };
-    run(&scenario, policy, Physics::default()).expect("the run completes")
+    run(&scenario, policy, TimingModel::default()).expect("the run completes")
 }
 
 fn adapter() -> Policy {
@@ -32,7 +32,7 @@
                 );
                 service(&events, limits(&events).expect("limits come first")).overall
             };
-            service_difference += service_of(&adapter()) - service_of(&Policy::Steward);
+            service_difference += service_of(&adapter()) - service_of(&Policy::Controller);
         }
     }
     assert!(service_difference.abs() / 6.0 < 0.01, "{service_difference} over six runs");
@@ -52,6 +52,6 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
     let scenario = Scenario::open(&path).expect("valid scenario");
     let error =
-        run(&scenario, &Policy::Version("/bin/false".into()), Physics::default()).expect_err("an error");
+        run(&scenario, &Policy::Version("/bin/false".into()), TimingModel::default()).expect_err("an error");
     assert!(error.starts_with("the version /bin/false: "), "{error}");
 }
--- a/crates/railhub-cli/src/compare.rs
+++ b/crates/railhub-cli/src/compare.rs
@@ -3,10 +3,10 @@
 use crate::Ending;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use railhub_experiment::report::{runs_csv, words};
+use railhub_experiment::report::{runs_csv, text_report};
 use railhub_experiment::trial::Progress;
 use railhub_experiment::{compare, folder, page, Experiment};
-use railhub_simulator::Physics;
+use railhub_simulator::TimingModel;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
@@ -33,7 +33,7 @@
 
 pub fn run(arguments: &CompareArguments) -> Result<(), Ending> {
     let mut experiment = Experiment::open(&arguments.file)?;
-    let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
+    let physics = arguments.physics.as_deref().map_or(Ok(TimingModel::default()), read_physics)?;
     let is_seen = std::io::stderr().is_terminal();
     let building = |done, of| {
         if is_seen {
@@ -42,7 +42,7 @@
     };
     experiment.build(&building).map_err(Ending::Input)?;
     let bar = match is_seen {
-        true => ProgressBar::new((experiment.blocks_most * experiment.arms.len()) as u64),
+        true => ProgressBar::new((experiment.max_blocks * experiment.arms.len()) as u64),
         false => ProgressBar::hidden(),
     };
     let style = ProgressStyle::with_template("{bar:40} {pos} of at most {len} runs, {eta} left");
@@ -50,7 +50,7 @@
     let show = |progress: Progress| match progress {
         Progress::Runs { done } => bar.set_position(done as u64),
         Progress::Stage(outcome) => {
-            let kept = arguments.keep.as_deref().map(|folder| folder::keep_stage(folder, outcome));
+            let kept = arguments.keep.as_deref().map(|folder| folder::write_stage(folder, outcome));
             if let Some(Err(error)) = kept {
                 tracing::warn!(%error, "the outcome so far is not kept");
             }
@@ -60,7 +60,7 @@
     bar.finish_and_clear();
     let unkept = |e| Ending::Input(format!("the report: {e}"));
     if let Some(folder) = &arguments.keep {
-        folder::keep(folder, &outcome).map_err(unkept)?;
+        folder::write(folder, &outcome).map_err(unkept)?;
     }
     if let Some(path) = &arguments.csv {
         std::fs::write(path, runs_csv(&outcome))?;
@@ -71,7 +71,7 @@
     if arguments.json {
         println!("{}", serde_json::to_string(&outcome)?);
     } else {
-        print!("{}", words(&outcome));
+        print!("{}", text_report(&outcome));
     }
     Ok(())
 }
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -10,7 +10,7 @@
 use railhub_scenario::report::service;
 use railhub_scenario::Scenario;
 use railhub_simulator::fit::samples;
-use railhub_simulator::{run as run_model, Baseline, Physics, Policy};
+use railhub_simulator::{run as run_model, Baseline, Policy, TimingModel};
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
@@ -63,7 +63,7 @@
 impl Steers {
     fn policy(self) -> Policy {
         match self {
-            Steers::Steward => Policy::Steward,
+            Steers::Steward => Policy::Controller,
             Steers::Fixed => Policy::Fixed,
             Steers::Hash => Policy::Baseline(Baseline::Hash),
             Steers::Even => Policy::Baseline(Baseline::Even),
@@ -77,7 +77,7 @@
         return fit(record);
     }
     let file = arguments.file.as_ref().ok_or(Ending::Input("a day file is needed".into()))?;
-    let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
+    let physics = arguments.physics.as_deref().map_or(Ok(TimingModel::default()), read_physics)?;
     let mut day = Scenario::open(file)?;
     day.seed = arguments.seed.unwrap_or(day.seed);
     if let Some(runs) = arguments.runs {
@@ -94,7 +94,13 @@
     finish(&run, &events, fixed, arguments.json)
 }
 
-fn foresee(day: &Scenario, policy: &Policy, physics: Physics, runs: u64, json: bool) -> Result<(), Ending> {
+fn foresee(
+    day: &Scenario,
+    policy: &Policy,
+    physics: TimingModel,
+    runs: u64,
+    json: bool,
+) -> Result<(), Ending> {
     let told = predict(day, policy, physics, runs).map_err(Ending::Input)?;
     if json {
         println!("{}", serde_json::to_string(&told)?);
@@ -118,13 +124,13 @@
     }
 }
 
-pub fn read_physics(path: &Path) -> Result<Physics, Diagnostic> {
+pub fn read_physics(path: &Path) -> Result<TimingModel, Diagnostic> {
     let document = Document::open(path)?;
     document.reject_unknown_sections(|name| name == "physics")?;
     let section = document.section("physics");
-    let physics = Physics {
-        way: section.required_in_range("way", 0.0, 10.0)?,
-        work_late: section.required_in_range("work_late", 0.0, 10.0)?,
+    let physics = TimingModel {
+        message_latency: section.required_in_range("way", 0.0, 10.0)?,
+        completion_delay: section.required_in_range("work_late", 0.0, 10.0)?,
     };
     section.reject_unread_keys()?;
     Ok(physics)
@@ -132,7 +138,7 @@
 
 fn fit(record: &Path) -> Result<(), Ending> {
     let samples = samples(&read(record)?);
-    if samples.way.is_empty() || samples.work_late.is_empty() {
+    if samples.message_latency.is_empty() || samples.completion_delay.is_empty() {
         return Err(Ending::Input(format!("{}: no completed operation to learn from", record.display())));
     }
     let line = |name: &str, known: Estimate| {
@@ -140,7 +146,7 @@
         println!("{name} = {:.6}", known.mean);
     };
     println!("[physics]");
-    line("way", estimate(&samples.way, 1));
-    line("work_late", estimate(&samples.work_late, 1));
+    line("way", estimate(&samples.message_latency, 1));
+    line("work_late", estimate(&samples.completion_delay, 1));
     Ok(())
 }
--- a/crates/railhub-experiment/src/folder.rs
+++ b/crates/railhub-experiment/src/folder.rs
@@ -10,7 +10,7 @@
 pub const OUTCOME: &str = "outcome.json";
 
 /// After each stage: the outcome so far, whole or not at all.
-pub fn keep_stage(folder: &Path, outcome: &Outcome) -> Result<(), Fault> {
+pub fn write_stage(folder: &Path, outcome: &Outcome) -> Result<(), Fault> {
     fs::create_dir_all(folder)?;
     let (fresh, place) = (folder.join("outcome.part"), folder.join(OUTCOME));
     fs::write(&fresh, serde_json::to_vec(outcome)?)?;
@@ -18,8 +18,8 @@
     Ok(())
 }
 
-pub fn keep(folder: &Path, outcome: &Outcome) -> Result<(), Fault> {
-    keep_stage(folder, outcome)?;
+pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), Fault> {
+    write_stage(folder, outcome)?;
     fs::write(folder.join("runs.csv"), runs_csv(outcome))?;
     fs::write(folder.join("arms.csv"), arms_csv(outcome))?;
     fs::write(folder.join("over-time.csv"), over_time_csv(outcome))?;
--- a/crates/railhub-experiment/src/page.rs
+++ b/crates/railhub-experiment/src/page.rs
@@ -1,7 +1,7 @@
 //! One self-contained page of an experiment: the answer first, then why it can be believed.
 use crate::charts::{pictures, Fault};
 use crate::outcome::Outcome;
-use crate::report::{interval, verdict_words, words};
+use crate::report::{interval, text_report, verdict_words};
 use railhub_timeseries::service_changes::format_changes;
 use std::fmt::Write;
 
@@ -20,7 +20,7 @@
         let _ = writeln!(out, "<h2>{}</h2>\n{}", escaped(&picture.title), picture.svg()?);
     }
     out.push_str(&changes(outcome));
-    let _ = writeln!(out, "<h2>All figures</h2>\n<pre>{}</pre>", escaped(&words(outcome)));
+    let _ = writeln!(out, "<h2>All figures</h2>\n<pre>{}</pre>", escaped(&text_report(outcome)));
     Ok(out)
 }
 
--- a/crates/railhub-experiment/src/plan.rs
+++ b/crates/railhub-experiment/src/plan.rs
@@ -35,8 +35,8 @@
     /// Keys that are swept, if any.
     pub sweep: Vec<String>,
     pub first_seed: u64,
-    pub blocks_least: usize,
-    pub blocks_most: usize,
+    pub min_blocks: usize,
+    pub max_blocks: usize,
     /// Half the interval's width at which a difference is known well enough.
     pub close_enough: f64,
     /// A difference smaller than this is not worth having.
@@ -84,8 +84,8 @@
             days: days.map(|name| name.to_string_lossy().into_owned()).collect(),
             sweep: swept,
             first_seed: head.value_or("first_seed", 1)?,
-            blocks_least: head.in_range("blocks_least", 8.0, 3.0, 10_000.0)? as usize,
-            blocks_most: head.in_range("blocks_most", 100.0, 3.0, 100_000.0)? as usize,
+            min_blocks: head.in_range("blocks_least", 8.0, 3.0, 10_000.0)? as usize,
+            max_blocks: head.in_range("blocks_most", 100.0, 3.0, 100_000.0)? as usize,
             close_enough: head.in_range("close_enough", 0.005, 0.0, 1.0)?,
             worth_having: head.in_range("worth_having", 0.005, 0.0, 1.0)?,
         };
@@ -207,7 +207,7 @@
         let days = days.collect::<Result<_, _>>()?;
         Ok(Arm {
             name: name.to_owned(),
-            policy: policy.unwrap_or(Policy::Steward),
+            policy: policy.unwrap_or(Policy::Controller),
             days,
             luck,
             swept,
@@ -218,7 +218,7 @@
 
 fn plain(section: &Section, name: &str) -> Result<Policy, Diagnostic> {
     let all = [
-        ("steward", Policy::Steward),
+        ("steward", Policy::Controller),
         ("fixed", Policy::Fixed),
         ("hash", Policy::Baseline(Baseline::Hash)),
         ("even", Policy::Baseline(Baseline::Even)),
--- a/crates/railhub-experiment/src/predict.rs
+++ b/crates/railhub-experiment/src/predict.rs
@@ -2,7 +2,7 @@
 use railhub_invariants::{check, limits};
 use railhub_scenario::report::service;
 use railhub_scenario::Scenario;
-use railhub_simulator::{run_with_luck, Physics, Policy};
+use railhub_simulator::{run_with_proxy_seed, Policy, TimingModel};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -35,7 +35,12 @@
 }
 
 /// Plays the day with other luck each time, on all cores.
-pub fn predict(day: &Scenario, policy: &Policy, physics: Physics, runs: u64) -> Result<Prediction, String> {
+pub fn predict(
+    day: &Scenario,
+    policy: &Policy,
+    physics: TimingModel,
+    runs: u64,
+) -> Result<Prediction, String> {
     let (next, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     std::thread::scope(|scope| {
@@ -64,8 +69,8 @@
 }
 
 /// Service, its worst 10 s, and whether the rules were kept.
-fn one(day: &Scenario, policy: &Policy, physics: Physics, luck: u64) -> Result<(f64, f64, bool), String> {
-    let events = run_with_luck(day, policy, physics, luck)?;
+fn one(day: &Scenario, policy: &Policy, physics: TimingModel, luck: u64) -> Result<(f64, f64, bool), String> {
+    let events = run_with_proxy_seed(day, policy, physics, luck)?;
     let service = service(&events, limits(&events).ok_or("a run without limits")?);
     let kept = check(&events).map_err(|error| error.to_string())?.iter().all(|verdict| verdict.kept);
     Ok((service.overall, service.worst_10_s, kept))
--- a/crates/railhub-experiment/src/predict/tests.rs
+++ b/crates/railhub-experiment/src/predict/tests.rs
@@ -9,8 +9,9 @@
     let mut held = 0;
     for seed in 1..=60 {
         let day = Scenario { seed, ..day.clone() };
-        let within = predict(&day, &Policy::Steward, Physics::default(), RUNS).expect("it runs").service;
-        let other = one(&day, &Policy::Steward, Physics::default(), 1000).expect("it runs").0;
+        let within =
+            predict(&day, &Policy::Controller, TimingModel::default(), RUNS).expect("it runs").service;
+        let other = one(&day, &Policy::Controller, TimingModel::default(), 1000).expect("it runs").0;
         held += usize::from((within.low..=within.high).contains(&other));
     }
     assert!((48..=60).contains(&held), "{held} of 60");
--- a/crates/railhub-experiment/src/report.rs
+++ b/crates/railhub-experiment/src/report.rs
@@ -24,7 +24,7 @@
     }
 }
 
-pub fn words(outcome: &Outcome) -> String {
+pub fn text_report(outcome: &Outcome) -> String {
     let mut out = String::new();
     let known = if outcome.settled { "known well enough" } else { "budget spent" };
     let days = match outcome.days.len() {
--- a/crates/railhub-experiment/src/trial.rs
+++ b/crates/railhub-experiment/src/trial.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{summed_up, Outcome};
 use crate::plan::Experiment;
 use railhub_scenario::Scenario;
-use railhub_simulator::{run_with_luck, Physics};
+use railhub_simulator::{run_with_proxy_seed, TimingModel};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
@@ -22,11 +22,11 @@
     (block % days, experiment.first_seed + (block / days) as u64)
 }
 
-fn run_one(experiment: &Experiment, arm: usize, block: usize, physics: Physics) -> Ran {
+fn run_one(experiment: &Experiment, arm: usize, block: usize, physics: TimingModel) -> Ran {
     let (place, seed) = block_of(experiment, block);
     let arm = &experiment.arms[arm];
     let day = Scenario { seed, ..arm.days[place].clone() };
-    let events = run_with_luck(&day, &arm.policy, physics, arm.luck)?;
+    let events = run_with_proxy_seed(&day, &arm.policy, physics, arm.luck)?;
     figures(&events, place, seed)
 }
 
@@ -34,16 +34,16 @@
 /// as a version that dies, is out of the rest; the first arm must run.
 pub fn compare(
     experiment: &Experiment,
-    physics: Physics,
+    physics: TimingModel,
     progress: &(dyn Fn(Progress) + Sync),
 ) -> Result<Outcome, String> {
     let mut blocks: Vec<Vec<Ran>> = Vec::new();
     let days = experiment.days.len();
     loop {
-        let more = if blocks.is_empty() { experiment.blocks_least } else { blocks.len().max(4) / 2 };
+        let more = if blocks.is_empty() { experiment.min_blocks } else { blocks.len().max(4) / 2 };
         // Whole rounds of the days: a stage must not hold more of one day than of another.
         let more = more.div_ceil(days) * days;
-        let more = more.min(experiment.blocks_most.saturating_sub(blocks.len()));
+        let more = more.min(experiment.max_blocks.saturating_sub(blocks.len()));
         if more > 0 {
             blocks.extend(play_blocks(experiment, physics, &blocks, more, progress));
         }
@@ -52,7 +52,7 @@
         }
         let outcome = summed_up(experiment, &blocks);
         progress(Progress::Stage(&outcome));
-        if outcome.settled || blocks.len() >= experiment.blocks_most {
+        if outcome.settled || blocks.len() >= experiment.max_blocks {
             return Ok(outcome);
         }
     }
@@ -60,7 +60,7 @@
 
 fn play_blocks(
     experiment: &Experiment,
-    physics: Physics,
+    physics: TimingModel,
     before: &[Vec<Ran>],
     count: usize,
     progress: &(dyn Fn(Progress) + Sync),
--- a/crates/railhub-experiment/tests/arms.rs
+++ b/crates/railhub-experiment/tests/arms.rs
@@ -1,9 +1,9 @@
 //! Experiments from file to verdict.
 use railhub_experiment::page::page;
-use railhub_experiment::report::{runs_csv, words};
+use railhub_experiment::report::{runs_csv, text_report};
 use railhub_experiment::stats::Verdict;
 use railhub_experiment::{compare, folder, Experiment, Outcome};
-use railhub_simulator::Physics;
+use railhub_simulator::TimingModel;
 use std::path::PathBuf;
 
 fn file(name: &str, text: &str) -> PathBuf {
@@ -14,7 +14,7 @@
 }
 
 fn ran(path: &std::path::Path) -> Outcome {
-    compare(&Experiment::open(path).expect("good"), Physics::default(), &|_| {}).expect("it runs")
+    compare(&Experiment::open(path).expect("good"), TimingModel::default(), &|_| {}).expect("it runs")
 }
 
 /// Runs an experiment from its text.
@@ -111,7 +111,7 @@
     let (seed, moment) = arm.first_breach.as_ref().expect("a moment");
     assert!((1..=6).contains(seed) && moment.at > 0.0 && !moment.what.is_empty());
     let told = format!("first on seed {seed}, rule {} at {:.2} s", moment.rule, moment.at);
-    assert!(words(&outcome).contains(&told) && page(&outcome).expect("drawn").contains(&told));
+    assert!(text_report(&outcome).contains(&told) && page(&outcome).expect("drawn").contains(&told));
 }
 
 #[test]
@@ -120,9 +120,9 @@
     let text = "[experiment]\nday = DAY\nblocks_least = 3\nblocks_most = 3\n\
         [arm a]\nrules.backlog = 1\n[arm b]\nrules.backlog = 2\n";
     let outcome = outcome("none", text);
-    assert_eq!(outcome.survived_by_none.len(), 3, "{}", words(&outcome));
+    assert_eq!(outcome.survived_by_none.len(), 3, "{}", text_report(&outcome));
     assert_eq!(outcome.arms[1].verdict, Some(Verdict::BothBreakRules));
-    assert!(words(&outcome).contains("no arm keeps all rules on 3 of 3 blocks"));
+    assert!(text_report(&outcome).contains("no arm keeps all rules on 3 of 3 blocks"));
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let swept: Vec<Vec<f64>> = outcome.arms.iter().map(|arm| arm.swept.clone()).collect();
     assert_eq!(swept, [[0.3, 12.0], [0.7, 12.0], [0.3, 18.0], [0.7, 18.0]]);
     let folder = std::env::temp_dir().join(format!("railhub-kept-{}", std::process::id()));
-    folder::keep(&folder, &outcome).expect("kept");
+    folder::write(&folder, &outcome).expect("kept");
     for name in ["outcome.json", "runs.csv", "arms.csv", "over-time.csv", "loads.csv", "report.html"] {
         assert!(std::fs::metadata(folder.join(name)).expect(name).len() > 100, "{name}");
     }
--- a/crates/railhub-simulator/benches/speed.rs
+++ b/crates/railhub-simulator/benches/speed.rs
@@ -2,7 +2,7 @@
 //! timed test would fail on a busy machine.
 use railhub_ini::Document;
 use railhub_scenario::Scenario;
-use railhub_simulator::{run, Physics, Policy};
+use railhub_simulator::{run, Policy, TimingModel};
 use std::path::Path;
 use std::time::Instant;
 
@@ -20,7 +20,7 @@
     for hosts in SIZES {
         let day = sized(&text, hosts);
         let began = Instant::now();
-        let events = run(&day, &Policy::Steward, Physics::default()).expect("it runs");
+        let events = run(&day, &Policy::Controller, TimingModel::default()).expect("it runs");
         let took = began.elapsed().as_secs_f64();
         let is_end = |event: &&railhub_record::Event| {
             matches!(event.kind, Some(railhub_record::EventKind::OperationEnd(_)))
--- a/crates/railhub-simulator/src/fit.rs
+++ b/crates/railhub-simulator/src/fit.rs
@@ -9,8 +9,8 @@
 /// Samples in seconds, as the record has them.
 #[derive(Debug, Default)]
 pub struct Samples {
-    pub way: Vec<f64>,
-    pub work_late: Vec<f64>,
+    pub message_latency: Vec<f64>,
+    pub completion_delay: Vec<f64>,
 }
 
 /// Reads what can be known: the way out and back of each completed try, and the end of work that did not wait,
@@ -37,10 +37,10 @@
                 };
                 let Some((came, done)) = effects.get(&(end.operation, host)) else { continue };
                 let within = |span: &f64| (0.0..LONGEST_WAY).contains(span);
-                out.way.extend([came - sent, event.at - done].iter().filter(|span| within(span)));
+                out.message_latency.extend([came - sent, event.at - done].iter().filter(|span| within(span)));
                 if let Some(speed) = speeds.get(host) {
                     let late = done - came - work / speed;
-                    out.work_late.extend(Some(late).filter(|late| (0.0..LATEST_WORK).contains(late)));
+                    out.completion_delay.extend(Some(late).filter(|late| (0.0..LATEST_WORK).contains(late)));
                 }
             }
             _ => {}
--- a/crates/railhub-simulator/src/lib.rs
+++ b/crates/railhub-simulator/src/lib.rs
@@ -18,4 +18,4 @@
 mod world;
 
 pub use baseline::Baseline;
-pub use world::{run, run_with_luck, Physics, Policy};
+pub use world::{run, run_with_proxy_seed, Policy, TimingModel};
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -147,7 +147,7 @@
         self.agenda.after(wait, Due::WaitEnds(id, attempt));
         if !is_lost {
             self.sent(id, delay.min(wait));
-            self.agenda.after(delay.min(wait) + self.physics.way, Due::Reaches(id, attempt));
+            self.agenda.after(delay.min(wait) + self.physics.message_latency, Due::Reaches(id, attempt));
         }
     }
 
@@ -176,16 +176,19 @@
         let Some(place) = op.host else {
             return self
                 .agenda
-                .after(self.physics.way, Due::Answered(id, attempt, AttemptResult::Unreachable));
+                .after(self.physics.message_latency, Due::Answered(id, attempt, AttemptResult::Unreachable));
         };
         let job = Job { op: id, attempt, came: now };
         let taken = self.hosts[place].take(now, job);
         match taken {
             Taken::Begins => self.begins(place, self.hosts[place].life, job),
             Taken::Waits => {}
-            Taken::Full => self.agenda.after(self.physics.way, crate::hosts::refused(job)),
+            Taken::Full => self.agenda.after(self.physics.message_latency, crate::hosts::refused(job)),
             Taken::Dead => {
-                self.agenda.after(self.physics.way, Due::Answered(id, attempt, AttemptResult::Unreachable));
+                self.agenda.after(
+                    self.physics.message_latency,
+                    Due::Answered(id, attempt, AttemptResult::Unreachable),
+                );
             }
         }
     }
@@ -203,7 +206,7 @@
         let repeat = self.repeated.is_duplicate(class, self.hosts[place].facts.zone, drawn.operation, now);
         let took = self.hosts[place].work_time(now, drawn.work, drawn.key);
         let none = repeat || self.hosts[place].ailments.fails;
-        let took = if none { 0.0 } else { took + self.physics.work_late };
+        let took = if none { 0.0 } else { took + self.physics.completion_delay };
         self.agenda.after(took, Due::Done(place, life, job, repeat));
     }
 
@@ -236,7 +239,7 @@
         let (lost, busy) = self.hosts[place].answers(now);
         if !lost {
             let end = if fails { AttemptResult::Failed } else { AttemptResult::Completed(busy) };
-            self.agenda.after(self.physics.way, Due::Answered(job.op, job.attempt, end));
+            self.agenda.after(self.physics.message_latency, Due::Answered(job.op, job.attempt, end));
         }
         if let Some(next) = self.hosts[place].next_job(now) {
             self.begins(place, life, next);
@@ -348,14 +351,14 @@
 
     /// The process at a host ended: what the proxies had out there breaks, once they see it.
     pub fn breaks_at(&mut self, place: HostAt) {
-        let way = self.physics.way;
+        let message_latency = self.physics.message_latency;
         let broken: Vec<(usize, u64)> = (self.ops.iter().enumerate())
             .filter_map(|(n, op)| Some((n, op.as_ref()?)))
             .filter(|(_, op)| op.host == Some(place) && op.attempt > 0)
             .map(|(n, op)| (n, op.attempt))
             .collect();
         for (n, attempt) in broken {
-            self.agenda.after(way, Due::Answered(OpId(n), attempt, AttemptResult::Failed));
+            self.agenda.after(message_latency, Due::Answered(OpId(n), attempt, AttemptResult::Failed));
         }
     }
 }
--- a/crates/railhub-simulator/src/steward.rs
+++ b/crates/railhub-simulator/src/steward.rs
@@ -111,7 +111,7 @@
     Plain(Box<Plain>),
 }
 
-pub struct Steward {
+pub struct Controller {
     mind: Mind,
     incarnation: u64,
     gates: Vec<Option<(StreamId, ModelGate)>>,
@@ -156,7 +156,7 @@
             plain.wakes().into_iter().for_each(|after| self.agenda.after(after, Due::StewardWakes));
         }
         let (incarnation, gates) = (self.incarnation, vec![None; self.proxies.len()]);
-        self.steward = Some(Steward {
+        self.steward = Some(Controller {
             mind,
             incarnation,
             gates,
@@ -176,7 +176,7 @@
             self.hear_list(true, &lines);
         }
         for proxy in std::mem::take(&mut self.waits_to_dial) {
-            self.agenda.after(self.physics.way, Due::Dials(proxy));
+            self.agenda.after(self.physics.message_latency, Due::Dials(proxy));
         }
     }
 
@@ -220,8 +220,7 @@
         for (slice, lines) in std::mem::take(&mut self.unstored) {
             self.tables.insert(slice, lines);
         }
-        let waits =
-            |steward: &Steward| matches!(&steward.mind, Mind::ControllerCore(kernel) if !kernel.is_ready());
+        let waits = |steward: &Controller| matches!(&steward.mind, Mind::ControllerCore(kernel) if !kernel.is_ready());
         if self.steward.as_ref().is_some_and(waits) {
             self.give_charges();
             self.steward_acts();
@@ -311,7 +310,7 @@
         }
         for host in asked.probes {
             if let Some(place) = host.address().and_then(|address| self.places.get(&address).copied()) {
-                self.agenda.after(self.physics.way, Due::Probed(place));
+                self.agenda.after(self.physics.message_latency, Due::Probed(place));
             }
         }
         for (slice, entries) in asked.stored {
@@ -345,7 +344,7 @@
                     let lines = publication.change.cost() as f64 + self.day.limits.message_cost;
                     let took = lines * self.channel_slower / self.day.update_lines_per_second;
                     self.channel_free = self.channel_free.max(now) + took;
-                    let arrives = self.channel_free + self.physics.way;
+                    let arrives = self.channel_free + self.physics.message_latency;
                     self.agenda.at(arrives, Due::Delta(proxy, stream, publication));
                 }
             }
@@ -436,7 +435,7 @@
             rejected: refused,
             ..DeltaAcknowledged::default()
         }));
-        self.agenda.after(self.physics.way, Due::Word(proxy, stream, *version, refused));
+        self.agenda.after(self.physics.message_latency, Due::Word(proxy, stream, *version, refused));
     }
 
     pub fn word_arrives(&mut self, proxy: ProxyAt, stream: StreamId, nonce: u64, refused: bool) {
@@ -480,7 +479,7 @@
         let still = (host.ailments.paused_until - now).max(0.0);
         let took = still + self.day.health_check_work * host.ailments.slowdown / host.facts.speed;
         let (end, after) = if !host.alive {
-            (HealthCheckOutcome::Unreachable, self.physics.way)
+            (HealthCheckOutcome::Unreachable, self.physics.message_latency)
         } else if host.ailments.hangs || took > within {
             (HealthCheckOutcome::Failed, within)
         } else if host.ailments.fails {
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -4,7 +4,7 @@
 use crate::hosts::Host;
 use crate::list::{Line, List};
 use crate::operations::Op;
-use crate::steward::Steward;
+use crate::steward::Controller;
 use railhub::Phase;
 use railhub_controller::core::StreamId;
 use railhub_controller::ControllerSettings;
@@ -38,7 +38,7 @@
 /// Who steers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Policy {
-    Steward,
+    Controller,
     /// Tables stay as they were at the start.
     Fixed,
     Baseline(Baseline),
@@ -48,17 +48,17 @@
 
 /// What a machine adds to what a script says; a loopback record tells it. Seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Physics {
+pub struct TimingModel {
     /// A message between two processes, one way.
-    pub way: f64,
+    pub message_latency: f64,
     /// How late work ends: timers are not exact.
-    pub work_late: f64,
+    pub completion_delay: f64,
 }
 
-impl Default for Physics {
+impl Default for TimingModel {
     /// What `railhub model fit` reads out of a loopback run of the first bad day on four cores.
-    fn default() -> Physics {
-        Physics { way: 0.000_073, work_late: 0.000_21 }
+    fn default() -> TimingModel {
+        TimingModel { message_latency: 0.000_073, completion_delay: 0.000_21 }
     }
 }
 
@@ -82,7 +82,7 @@
 pub struct World<'a> {
     pub day: &'a Scenario,
     pub policy: Policy,
-    pub physics: Physics,
+    pub physics: TimingModel,
     pub controller_settings: ControllerSettings,
     pub began: f64,
     pub agenda: Agenda,
@@ -101,7 +101,7 @@
     pub tables: Tables,
     pub store_away: bool,
     pub unstored: Tables,
-    pub steward: Option<Steward>,
+    pub steward: Option<Controller>,
     pub incarnation: u64,
     pub last_stream: u64,
     pub waits_to_dial: Vec<ProxyAt>,
@@ -118,16 +118,16 @@
 }
 
 /// Runs a day to its end; the record of it.
-pub fn run(day: &Scenario, policy: &Policy, physics: Physics) -> Result<Vec<Event>, String> {
-    run_with_luck(day, policy, physics, 0)
+pub fn run(day: &Scenario, policy: &Policy, physics: TimingModel) -> Result<Vec<Event>, String> {
+    run_with_proxy_seed(day, policy, physics, 0)
 }
 
 /// The same day with other luck: the same hosts, operations and troubles, other picks of the proxies and other
 /// moments of their reports. What differs between two lucks is what two loopback runs of a day differ by.
-pub fn run_with_luck(
+pub fn run_with_proxy_seed(
     day: &Scenario,
     policy: &Policy,
-    physics: Physics,
+    physics: TimingModel,
     luck: u64,
 ) -> Result<Vec<Event>, String> {
     if day.controllers > 1 {
@@ -154,7 +154,7 @@
     fn new(
         day: &Scenario,
         policy: Policy,
-        physics: Physics,
+        physics: TimingModel,
         controller_settings: ControllerSettings,
         luck: u64,
     ) -> World<'_> {
--- a/crates/railhub-simulator/tests/days.rs
+++ b/crates/railhub-simulator/tests/days.rs
@@ -4,7 +4,7 @@
 use railhub_record::{Event, EventKind};
 use railhub_scenario::report::service;
 use railhub_scenario::Scenario;
-use railhub_simulator::{run, Baseline, Physics, Policy};
+use railhub_simulator::{run, Baseline, Policy, TimingModel};
 use std::path::Path;
 
 fn day(name: &str) -> Scenario {
@@ -13,7 +13,7 @@
 }
 
 fn play(day: &Scenario, policy: &Policy) -> Vec<Event> {
-    run(day, policy, Physics::default()).expect("it runs")
+    run(day, policy, TimingModel::default()).expect("it runs")
 }
 
 fn served(events: &[Event]) -> f64 {
@@ -25,7 +25,7 @@
     let bytes =
         |events: Vec<Event>| events.iter().flat_map(|event| event.encode_to_vec()).collect::<Vec<u8>>();
     let day = day("short.ini");
-    assert_eq!(bytes(play(&day, &Policy::Steward)), bytes(play(&day, &Policy::Steward)));
+    assert_eq!(bytes(play(&day, &Policy::Controller)), bytes(play(&day, &Policy::Controller)));
 }
 
 #[test]
@@ -33,7 +33,7 @@
     for name in ["short.ini", "short-weights.ini", "first-bad-day.ini"] {
         for seed in 1..=10 {
             let day = Scenario { seed, ..day(name) };
-            let events = play(&day, &Policy::Steward);
+            let events = play(&day, &Policy::Controller);
             let broken: Vec<_> = check(&events).expect("a record").into_iter().filter(|v| !v.kept).collect();
             assert!(broken.is_empty(), "{name}, seed {seed}: {broken:?}");
         }
@@ -43,7 +43,7 @@
 #[test]
 fn every_operation_that_was_drawn_has_an_end() {
     let day = day("first-bad-day.ini");
-    for policy in [Policy::Steward, Policy::Fixed, Policy::Baseline(Baseline::Even)] {
+    for policy in [Policy::Controller, Policy::Fixed, Policy::Baseline(Baseline::Even)] {
         let events = play(&day, &policy);
         let ends =
             events.iter().filter(|event| matches!(event.kind, Some(EventKind::OperationEnd(_)))).count();
@@ -56,7 +56,7 @@
 #[test]
 fn the_steward_serves_a_bad_day_better_than_plain_policies() {
     let day = day("first-bad-day.ini");
-    let steward = served(&play(&day, &Policy::Steward));
+    let steward = served(&play(&day, &Policy::Controller));
     for plain in [Policy::Fixed, Policy::Baseline(Baseline::Hash)] {
         let other = served(&play(&day, &plain));
         assert!(steward > other + 0.02, "{steward} against {other} of {plain:?}");
@@ -79,7 +79,7 @@
 fn hard_days_keep_the_rules_and_serve_better_than_tables_that_stand() {
     for (name, hosts, better) in [("one-hot-key.ini", 12, 0.1), ("grows-to-150.ini", 150, 0.02)] {
         let day = day(name);
-        let events = play(&day, &Policy::Steward);
+        let events = play(&day, &Policy::Controller);
         assert!(check(&events).expect("a record").iter().all(|verdict| verdict.kept), "{name}");
         let up = events.iter().filter(|event| matches!(event.kind, Some(EventKind::HostStarted(_)))).count();
         assert_eq!(up, hosts, "{name}");
--- a/crates/railhub-timeseries/tests/days.rs
+++ b/crates/railhub-timeseries/tests/days.rs
@@ -2,14 +2,14 @@
 use railhub_invariants::limits;
 use railhub_record::{Event, Limits};
 use railhub_scenario::{draw, Scenario};
-use railhub_simulator::{run, Physics, Policy};
+use railhub_simulator::{run, Policy, TimingModel};
 use railhub_timeseries::{host_load, latency, service_changes, time_series};
 use std::path::Path;
 
 fn played(text: &str, policy: &Policy) -> (Scenario, Vec<Event>, Limits) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(text);
     let day = Scenario::open(&path).expect("a good script");
-    let events = run(&day, policy, Physics::default()).expect("it runs");
+    let events = run(&day, policy, TimingModel::default()).expect("it runs");
     let limits = limits(&events).expect("limits come first").clone();
     (day, events, limits)
 }
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_day_adds_up() {
-    let (day, events, limits) = played("first-bad-day.ini", &Policy::Steward);
+    let (day, events, limits) = played("first-bad-day.ini", &Policy::Controller);
     let series = time_series(&events, &limits);
     let drawn = draw::arrivals(&day, draw::capacity(&draw::hosts(&day, day.hosts, "hosts"))).len();
     assert_eq!(series.operations.iter().sum::<u32>() as usize, drawn);
