--- a/crates/railhub-simulator/src/baseline.rs
+++ b/crates/railhub-simulator/src/baseline.rs
@@ -1,5 +1,6 @@
-//! What plain policies publish, for comparing: they go by the list, one of them by sums as well.
-use crate::list::Line;
+//! Simple policies to compare the controller with: they use the endpoint list only, [`Baseline::Latency`] uses load
+//! reports as well.
+use crate::endpoint_list::EndpointState;
 use railhub::{HostId, Phase, SliceAssignment, SliceId, WeightedHost};
 use railhub_controller::change::Change;
 use railhub_controller::tables::Tables;
@@ -8,125 +9,141 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Seconds between looks at the sums.
-const LOOK: f64 = 1.0;
-/// Seconds after which a time that was met counts for 1/e: as long as a few looks, so that one slow report
-/// does not empty a host.
-const MEMORY: f64 = 5.0;
-/// Good tries below which a host counts as unknown, and gets the median.
-const KNOWN_BY: f64 = 1.0;
-/// Weights are kept to one part in so many: a change below it is not worth a message.
-const STEPS: f64 = 10.0;
-
+/// Time between evaluations of the load reports.
+const WAKE_INTERVAL_SECONDS: f64 = 1.0;
+/// Time after which a measured latency counts for 1/e: a few evaluations, so that one slow report does not take all
+/// load off a host.
+const LATENCY_DECAY_SECONDS: f64 = 5.0;
+/// Successful attempts below which a host's latency counts as unknown; the median is used then.
+const MIN_KNOWN_ATTEMPTS: f64 = 1.0;
+/// Weights are rounded to 1/10, since a smaller change is not worth a message.
+const WEIGHT_STEPS_PER_UNIT: f64 = 10.0;
+
+/// A policy that a baseline controller follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Baseline {
-    /// Each slice on the host that a weighted rendezvous hash names.
+    /// Assigns each slice to the host that a weighted rendezvous hash selects.
     Hash,
-    /// All operations on all hosts, by their weights.
+    /// Distributes all operations over all hosts by their weights.
     Even,
-    /// All operations on all hosts, each by the inverse of the time that tries took there of late.
+    /// Distributes all operations over all hosts by the inverse of their recent latency.
     Latency,
 }
 
-/// Decaying sums of good tries at a host and the time they took.
+/// Exponentially decaying sums over a host's successful attempts: their number and their time in seconds.
 #[derive(Clone, Copy, Default)]
-struct Met {
-    tries: f64,
+struct AttemptTimes {
+    attempts: f64,
     time: f64,
     at: f64,
 }
 
-/// A plain policy at work.
-pub struct Plain {
+/// Publishes tables according to a [`Baseline`] policy.
+pub struct BaselineController {
     policy: Baseline,
     slices: u32,
     tables: Tables,
-    met: BTreeMap<SocketAddr, Met>,
+    attempt_times: BTreeMap<SocketAddr, AttemptTimes>,
 }
 
-type Wanted = Vec<Vec<(SocketAddr, f64)>>;
+/// Hosts and weights by slice.
+type DesiredTables = Vec<Vec<(SocketAddr, f64)>>;
 
-impl Plain {
-    pub fn new(policy: Baseline, slices: u32) -> Plain {
-        Plain { policy, slices, tables: Tables::default(), met: BTreeMap::new() }
+impl BaselineController {
+    pub fn new(policy: Baseline, slices: u32) -> BaselineController {
+        BaselineController { policy, slices, tables: Tables::default(), attempt_times: BTreeMap::new() }
     }
 
-    /// Seconds until it looks at its sums, if it goes by them.
-    pub fn wakes(&self) -> Option<f64> {
-        (self.policy == Baseline::Latency).then_some(LOOK)
+    /// Seconds until the next evaluation of load reports, if the policy uses them.
+    pub fn wake_interval(&self) -> Option<f64> {
+        (self.policy == Baseline::Latency).then_some(WAKE_INTERVAL_SECONDS)
     }
 
-    pub fn hear_charges(&mut self, charges: &[SliceAssignment]) {
+    pub fn load_assignments(&mut self, assignments: &[SliceAssignment]) {
         if self.policy == Baseline::Hash {
-            for assignment in charges {
+            for assignment in assignments {
                 let SliceAssignment::Assigned { slice, entries } = assignment else { continue };
                 self.tables.load_table(*slice, entries);
             }
         }
     }
 
-    pub fn hear_sums(&mut self, now: f64, all: impl Iterator<Item = Box<LoadReport>>) {
-        for sum in all.flat_map(|sums| sums.hosts) {
-            let Ok(host) = sum.host.parse() else { continue };
-            let met = self.met.entry(host).or_default();
-            let left = (-(now - met.at) / MEMORY).exp();
-            let good = f64::from(sum.attempts.saturating_sub(sum.failed));
-            (met.tries, met.time, met.at) =
-                (met.tries * left + good, met.time * left + sum.success_time, now);
+    pub fn on_load_reports(&mut self, now: f64, reports: impl Iterator<Item = Box<LoadReport>>) {
+        for host_load in reports.flat_map(|report| report.hosts) {
+            let Ok(host) = host_load.host.parse() else { continue };
+            let times = self.attempt_times.entry(host).or_default();
+            let remaining = (-(now - times.at) / LATENCY_DECAY_SECONDS).exp();
+            let successes = f64::from(host_load.attempts.saturating_sub(host_load.failed));
+            (times.attempts, times.time, times.at) = (
+                times.attempts * remaining + successes,
+                times.time * remaining + host_load.success_time,
+                now,
+            );
         }
     }
 
-    /// What it wants changed, and the version that this makes; none if all is as it wants.
-    pub fn changes(&mut self, told: &BTreeMap<SocketAddr, Line>) -> Option<(Arc<Change>, u64)> {
-        let wanted = match self.policy {
-            Baseline::Latency => vec![self.by_latency(told)],
-            Baseline::Even => vec![ready(told)],
-            Baseline::Hash => by_hash(self.slices, told),
+    /// Applies and returns the change that leads to the desired tables, with the version it makes; `None` if there
+    /// is nothing to change.
+    pub fn next_change(
+        &mut self,
+        endpoints: &BTreeMap<SocketAddr, EndpointState>,
+    ) -> Option<(Arc<Change>, u64)> {
+        let desired = match self.policy {
+            Baseline::Latency => vec![self.by_latency(endpoints)],
+            Baseline::Even => vec![ready(endpoints)],
+            Baseline::Hash => by_hash(self.slices, endpoints),
         };
-        let change = Arc::new(change(&self.tables, &wanted));
+        let change = Arc::new(change(&self.tables, &desired));
         (!change.is_empty()).then(|| (change.clone(), self.tables.apply(change)))
     }
 
-    /// All that a proxy needs which has just come.
-    pub fn whole(&self) -> (Change, u64) {
-        let mut whole = self.tables.snapshot();
+    /// The complete tables and their version, for a proxy that has just connected.
+    pub fn snapshot(&self) -> (Change, u64) {
+        let mut snapshot = self.tables.snapshot();
         if self.policy != Baseline::Hash {
-            whole.assigned_table = Some(SliceId(0));
+            snapshot.assigned_table = Some(SliceId(0));
         }
-        (whole, self.tables.version)
+        (snapshot, self.tables.version)
     }
 
-    fn by_latency(&self, told: &BTreeMap<SocketAddr, Line>) -> Vec<(SocketAddr, f64)> {
-        let ready = told.iter().filter(|(_, line)| line.phase == Phase::Ready).map(|(host, _)| *host);
-        let time = |host: &SocketAddr| {
-            self.met.get(host).filter(|met| met.tries >= KNOWN_BY).map(|met| met.time / met.tries)
+    fn by_latency(&self, endpoints: &BTreeMap<SocketAddr, EndpointState>) -> Vec<(SocketAddr, f64)> {
+        let ready =
+            endpoints.iter().filter(|(_, endpoint)| endpoint.phase == Phase::Ready).map(|(host, _)| *host);
+        let latency = |host: &SocketAddr| {
+            self.attempt_times
+                .get(host)
+                .filter(|times| times.attempts >= MIN_KNOWN_ATTEMPTS)
+                .map(|times| times.time / times.attempts)
         };
         let hosts: Vec<SocketAddr> = ready.collect();
-        let mut known: Vec<f64> = hosts.iter().filter_map(time).collect();
-        known.sort_by(f64::total_cmp);
-        let median = known.get(known.len() / 2).copied().unwrap_or(1.0).max(1e-6);
+        let mut latencies: Vec<f64> = hosts.iter().filter_map(latency).collect();
+        latencies.sort_by(f64::total_cmp);
+        let median = latencies.get(latencies.len() / 2).copied().unwrap_or(1.0).max(1e-6);
         let weight = |host: &SocketAddr| {
-            let part = median / time(host).unwrap_or(median).max(1e-6);
-            ((part * STEPS).round() / STEPS).clamp(1.0 / STEPS, STEPS)
+            let relative_speed = median / latency(host).unwrap_or(median).max(1e-6);
+            ((relative_speed * WEIGHT_STEPS_PER_UNIT).round() / WEIGHT_STEPS_PER_UNIT)
+                .clamp(1.0 / WEIGHT_STEPS_PER_UNIT, WEIGHT_STEPS_PER_UNIT)
         };
         hosts.iter().map(|host| (*host, weight(host))).collect()
     }
 }
 
-fn ready(told: &BTreeMap<SocketAddr, Line>) -> Vec<(SocketAddr, f64)> {
-    let ready = told.iter().filter(|(_, line)| line.phase == Phase::Ready);
-    ready.map(|(host, line)| (*host, line.weight)).collect()
+/// The ready hosts with the weights of the list.
+fn ready(endpoints: &BTreeMap<SocketAddr, EndpointState>) -> Vec<(SocketAddr, f64)> {
+    let ready = endpoints.iter().filter(|(_, endpoint)| endpoint.phase == Phase::Ready);
+    ready.map(|(host, endpoint)| (*host, endpoint.weight)).collect()
 }
 
-fn by_hash(slices: u32, told: &BTreeMap<SocketAddr, Line>) -> Wanted {
-    let ready = ready(told);
-    let one = |slice: u32| {
-        let best = ready.iter().max_by(|a, b| score(slice, a).total_cmp(&score(slice, b)));
+fn by_hash(slices: u32, endpoints: &BTreeMap<SocketAddr, EndpointState>) -> DesiredTables {
+    let hosts = ready(endpoints);
+    let table = |slice: u32| {
+        let best = hosts.iter().max_by(|a, b| score(slice, a).total_cmp(&score(slice, b)));
         best.map(|(host, _)| (*host, 1.0)).into_iter().collect()
     };
-    (0..slices.max(1)).map(one).collect()
+    (0..slices.max(1)).map(table).collect()
 }
 
+/// Weighted rendezvous score of a host for a slice.
 fn score(slice: u32, (host, weight): &(SocketAddr, f64)) -> f64 {
     let mut bits = (u64::from(host.port()) << 32 | u64::from(slice)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -135,19 +152,19 @@
     -weight.max(0.01) / unit.ln()
 }
 
-/// What must change for that.
-fn change(tables: &Tables, wanted: &[Vec<(SocketAddr, f64)>]) -> Change {
+/// The change from the current to the desired tables.
+fn change(tables: &Tables, desired: &[Vec<(SocketAddr, f64)>]) -> Change {
     let mut change = Change::default();
-    for (slice, lines) in wanted.iter().enumerate() {
+    for (slice, entries) in desired.iter().enumerate() {
         let slice = SliceId(slice as u16);
-        let held = tables.table_entries(slice);
-        for (host, weight) in lines {
-            if !held.contains(&WeightedHost { host: HostId::from(*host), weight: *weight }) {
+        let current = tables.table_entries(slice);
+        for (host, weight) in entries {
+            if !current.contains(&WeightedHost { host: HostId::from(*host), weight: *weight }) {
                 change.lines.insert((slice, HostId::from(*host)), *weight);
             }
         }
-        for WeightedHost { host, .. } in held {
-            if !lines.iter().any(|line| HostId::from(line.0) == host) {
+        for WeightedHost { host, .. } in current {
+            if !entries.iter().any(|entry| HostId::from(entry.0) == host) {
                 change.lines.insert((slice, host), 0.0);
             }
         }
--- a/crates/railhub-simulator/src/events.rs
+++ b/crates/railhub-simulator/src/events.rs
@@ -1,5 +1,5 @@
-//! What is due, in the order of its time; of what is due at once, the first said is the first done.
-use crate::operations::OpId;
+//! The event queue: events in order of their time; events of the same time in the order they were scheduled.
+use crate::operations::OperationId;
 use railhub_controller::core::StreamId;
 use railhub_controller::publication::Publication;
 use railhub_emulator::AttemptResult;
@@ -8,49 +8,58 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Places in the model's lists.
-pub type HostAt = usize;
-pub type ProxyAt = usize;
+/// Index into [`World::hosts`](crate::world::World).
+pub type HostIndex = usize;
+/// Index into [`World::proxies`](crate::world::World).
+pub type ProxyIndex = usize;
 
-pub enum Due {
-    Comes(usize),
-    ComesAgain(OpId),
-    Looks(OpId),
-    Reaches(OpId, u64),
-    WaitEnds(OpId, u64),
-    Answered(OpId, u64, AttemptResult),
-    Begins(HostAt, u64, Job),
-    Done(HostAt, u64, Job, bool),
-    Dials(ProxyAt),
-    Reports(ProxyAt),
-    SumsArrive(ProxyAt, Box<LoadReport>),
-    Delta(ProxyAt, StreamId, Arc<Publication>),
-    Word(ProxyAt, StreamId, u64, bool),
-    Mail(ProxyAt),
-    Probed(HostAt),
-    ProbeEnds(HostAt, railhub::HealthCheckOutcome),
-    ListTells,
-    ListLearns(HostAt, &'static str),
-    StewardWakes,
-    StewardStarts,
-    TroubleOn(usize),
-    TroubleOff(usize),
-    Pulse(usize, usize),
-    DrainEnds(HostAt),
+pub enum ScheduledEvent {
+    /// Index into the arrivals of the scenario.
+    OperationArrives(usize),
+    RequestStarts(OperationId),
+    HostSelection(OperationId),
+    /// Operation and attempt number, as in the next two events.
+    AttemptArrives(OperationId, u64),
+    AttemptTimesOut(OperationId, u64),
+    AttemptEnds(OperationId, u64, AttemptResult),
+    /// Host and its generation at the time of scheduling.
+    WorkStarts(HostIndex, u64, Job),
+    /// Host, its generation, and whether the operation is a duplicate.
+    WorkEnds(HostIndex, u64, Job, bool),
+    ProxyConnects(ProxyIndex),
+    LoadReportDue(ProxyIndex),
+    LoadReportArrives(ProxyIndex, Box<LoadReport>),
+    DeltaArrives(ProxyIndex, StreamId, Arc<Publication>),
+    /// Nonce of the delta, and whether the proxy rejected it.
+    ResponseArrives(ProxyIndex, StreamId, u64, bool),
+    ChannelReady(ProxyIndex),
+    HealthCheckArrives(HostIndex),
+    HealthCheckEnds(HostIndex, railhub::HealthCheckOutcome),
+    ListUpdateArrives,
+    /// Host and its new phase: "ready", "draining" or "gone".
+    ListChanges(HostIndex, &'static str),
+    ControllerWakes,
+    ControllerStarts,
+    /// Index into the faults of the scenario, as in the next two events.
+    FaultStarts(usize),
+    FaultEnds(usize),
+    /// Fault and step number.
+    FaultStep(usize, usize),
+    DrainEnds(HostIndex),
 }
 
-/// A try at a host.
+/// An attempt at a host.
 #[derive(Clone, Copy)]
 pub struct Job {
-    pub op: OpId,
+    pub operation: OperationId,
     pub attempt: u64,
-    pub came: f64,
+    pub arrived_at: f64,
 }
 
 struct Entry {
     at: f64,
-    number: u64,
-    due: Due,
+    sequence: u64,
+    event: ScheduledEvent,
 }
 
 impl PartialEq for Entry {
@@ -68,32 +77,35 @@
 }
 
 impl Ord for Entry {
-    /// The earliest is the greatest: a heap gives its greatest first.
+    /// Reversed, since `BinaryHeap` is a max-heap and the earliest event must be popped first.
     fn cmp(&self, other: &Entry) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
+        other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
+/// Pending events and the simulated time in seconds.
 #[derive(Default)]
-pub struct Agenda {
+pub struct EventQueue {
     heap: BinaryHeap<Entry>,
-    last: u64,
+    last_sequence: u64,
     pub now: f64,
 }
 
-impl Agenda {
-    pub fn at(&mut self, at: f64, due: Due) {
-        self.last += 1;
-        self.heap.push(Entry { at: at.max(self.now), number: self.last, due });
+impl EventQueue {
+    /// Schedules an event; a time in the past means now.
+    pub fn at(&mut self, at: f64, event: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.heap.push(Entry { at: at.max(self.now), sequence: self.last_sequence, event });
     }
 
-    pub fn after(&mut self, span: f64, due: Due) {
-        self.at(self.now + span, due);
+    pub fn after(&mut self, delay: f64, event: ScheduledEvent) {
+        self.at(self.now + delay, event);
     }
 
-    pub fn next(&mut self) -> Option<Due> {
+    /// Removes the next event and advances the time to it.
+    pub fn next(&mut self) -> Option<ScheduledEvent> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
-        Some(entry.due)
+        Some(entry.event)
     }
 }
--- a/crates/railhub-simulator/src/hosts.rs
+++ b/crates/railhub-simulator/src/hosts.rs
@@ -1,165 +1,190 @@
-//! Hosts of the model: cores, a queue, a cold start, kept keys, and what ails them.
-use crate::events::{Agenda, Due, HostAt, Job};
+//! Simulated hosts: cores, a queue, cold start, cached keys and faults.
+use crate::events::{EventQueue, HostIndex, Job, ScheduledEvent};
 use railhub_emulator::host::{HostConfig, HostFaults, UtilizationMeter};
 use railhub_emulator::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Seconds between looks while a host stands still, as the stand-ins look.
-const STILL_LOOK: f64 = 0.01;
+/// Time until a paused host is checked again; the same as in the emulator.
+const PAUSE_POLL_INTERVAL_SECONDS: f64 = 0.01;
 
+/// State of a simulated host.
 pub struct Host {
     pub address: SocketAddr,
-    pub facts: HostConfig,
+    pub config: HostConfig,
     pub alive: bool,
-    /// Counts starts and ends: what an earlier process had in hand is lost.
-    pub life: u64,
-    pub started: Option<f64>,
-    pub since: f64,
+    /// Counts starts and stops, so that events for the work of an earlier process are discarded.
+    pub generation: u64,
+    /// Start time shown in the endpoint list; `None` for a host that started warm.
+    pub started_at: Option<f64>,
+    pub warm_up_start: f64,
     pub cold: bool,
     pub weight: f64,
-    pub is_ghost: bool,
-    pub leaves: bool,
-    pub ailments: HostFaults,
+    pub is_phantom: bool,
+    pub is_leaving: bool,
+    pub faults: HostFaults,
+    /// Busy cores.
     running: usize,
     queue: VecDeque<Job>,
+    /// Queued attempts whose proxy no longer waits for them.
     cancelled: BTreeSet<u64>,
-    kept: BTreeMap<u64, f64>,
-    answered: u64,
-    meter: UtilizationMeter,
+    /// Time of last use by key.
+    cached_keys: BTreeMap<u64, f64>,
+    responses_sent: u64,
+    utilization_meter: UtilizationMeter,
 }
 
-/// What became of a try that reached a host.
-pub enum Taken {
-    Begins,
-    Waits,
-    Full,
-    Dead,
+/// What a host did with an attempt on its arrival.
+pub enum HostAdmission {
+    Started,
+    Queued,
+    QueueFull,
+    HostDown,
 }
 
 impl Host {
-    pub fn new(address: SocketAddr, facts: HostConfig) -> Host {
-        let weight = facts.cores as f64;
+    pub fn new(address: SocketAddr, config: HostConfig) -> Host {
+        let weight = config.cores as f64;
         Host {
             address,
-            facts,
+            config,
             alive: false,
-            life: 0,
-            started: None,
-            since: 0.0,
+            generation: 0,
+            started_at: None,
+            warm_up_start: 0.0,
             cold: false,
             weight,
-            is_ghost: false,
-            leaves: false,
-            ailments: HostFaults::default(),
+            is_phantom: false,
+            is_leaving: false,
+            faults: HostFaults::default(),
             running: 0,
             queue: VecDeque::new(),
             cancelled: BTreeSet::new(),
-            kept: BTreeMap::new(),
-            answered: 0,
-            meter: UtilizationMeter::default(),
+            cached_keys: BTreeMap::new(),
+            responses_sent: 0,
+            utilization_meter: UtilizationMeter::default(),
         }
     }
 
     pub fn start(&mut self, now: f64, cold: bool) {
         self.alive = true;
-        self.life += 1;
-        (self.since, self.cold) = (now, cold);
-        self.started = cold.then_some(now);
-        self.ailments = HostFaults::default();
-        self.forget(now);
+        self.generation += 1;
+        (self.warm_up_start, self.cold) = (now, cold);
+        self.started_at = cold.then_some(now);
+        self.faults = HostFaults::default();
+        self.reset(now);
     }
 
-    /// All that it had in hand is lost; the tries that were.
-    pub fn die(&mut self, now: f64) -> bool {
+    /// Stops the process, which loses its queued and running attempts; returns whether it was running.
+    pub fn stop(&mut self, now: f64) -> bool {
         let was_alive = std::mem::replace(&mut self.alive, false);
-        self.life += 1;
-        self.forget(now);
+        self.generation += 1;
+        self.reset(now);
         was_alive
     }
 
-    fn forget(&mut self, now: f64) {
+    fn reset(&mut self, now: f64) {
         self.running = 0;
         self.queue.clear();
         self.cancelled.clear();
-        self.kept.clear();
-        self.meter = UtilizationMeter::new(now);
+        self.cached_keys.clear();
+        self.utilization_meter = UtilizationMeter::new(now);
     }
 
-    pub fn take(&mut self, now: f64, job: Job) -> Taken {
+    /// Starts the job, queues it or refuses it.
+    pub fn admit(&mut self, now: f64, job: Job) -> HostAdmission {
         if !self.alive {
-            Taken::Dead
-        } else if self.running < self.facts.cores {
-            self.meter.count(self.running, now);
+            HostAdmission::HostDown
+        } else if self.running < self.config.cores {
+            self.utilization_meter.count(self.running, now);
             self.running += 1;
-            Taken::Begins
-        } else if self.queue.len() < self.facts.max_queued {
+            HostAdmission::Started
+        } else if self.queue.len() < self.config.max_queued {
             self.queue.push_back(job);
-            Taken::Waits
+            HostAdmission::Queued
         } else {
-            Taken::Full
+            HostAdmission::QueueFull
         }
     }
 
-    /// A try that is no longer waited for is dropped if it has not begun.
+    /// Drops an attempt that is still queued, since its proxy no longer waits for it.
     pub fn cancel(&mut self, attempt: u64) {
         if self.queue.iter().any(|job| job.attempt == attempt) {
             self.cancelled.insert(attempt);
         }
     }
 
-    /// A core is free: the next job, or none.
+    /// Takes the next job for a core that has become free; releases the core if there is none.
     pub fn next_job(&mut self, now: f64) -> Option<Job> {
         while let Some(job) = self.queue.pop_front() {
             if !self.cancelled.remove(&job.attempt) {
                 return Some(job);
             }
         }
-        self.meter.count(self.running, now);
+        self.utilization_meter.count(self.running, now);
         self.running = self.running.saturating_sub(1);
         None
     }
 
-    pub fn stands_still(&self, now: f64) -> bool {
-        self.ailments.hangs || self.ailments.paused_until > now
+    pub fn is_paused(&self, now: f64) -> bool {
+        self.faults.hangs || self.faults.paused_until > now
     }
 
-    /// Seconds that so much work takes, begun now.
-    pub fn work_time(&mut self, now: f64, work: f64, key: u64) -> f64 {
-        let warmth = if self.cold {
-            let grown = (now - self.since) / self.facts.warm_up_time.max(1e-3);
-            (self.facts.cold_capacity_fraction + (1.0 - self.facts.cold_capacity_fraction) * grown)
+    /// Seconds that the given work takes if it starts now.
+    pub fn processing_time(&mut self, now: f64, work: f64, key: u64) -> f64 {
+        let capacity_fraction = if self.cold {
+            let warm_up_progress = (now - self.warm_up_start) / self.config.warm_up_time.max(1e-3);
+            (self.config.cold_capacity_fraction
+                + (1.0 - self.config.cold_capacity_fraction) * warm_up_progress)
                 .clamp(0.01, 1.0)
         } else {
             1.0
         };
-        let saved = if self.facts.cache_saving > 0.0 {
-            let met = self.kept.insert(key, now);
-            met.filter(|met| now - met <= self.facts.cache_lifetime).map_or(0.0, |_| self.facts.cache_saving)
+        let saved_fraction = if self.config.cache_saving > 0.0 {
+            let cached_at = self.cached_keys.insert(key, now);
+            cached_at
+                .filter(|cached_at| now - cached_at <= self.config.cache_lifetime)
+                .map_or(0.0, |_| self.config.cache_saving)
         } else {
             0.0
         };
-        work * (1.0 - saved) * self.ailments.slowdown / (self.facts.speed * warmth)
+        work * (1.0 - saved_fraction) * self.faults.slowdown / (self.config.speed * capacity_fraction)
     }
 
-    /// An answer leaves: whether it is lost on the way, and the busy share it tells.
-    pub fn answers(&mut self, now: f64) -> (bool, Option<f64>) {
-        self.answered += 1;
-        let share = self.ailments.response_loss;
-        let lost = (self.answered as f64 * share).fract() < share;
-        (lost, self.meter.sample(self.running, self.facts.cores, self.facts.utilization_interval, now))
+    /// Sends a response: whether it is lost, and the utilization that it reports.
+    pub fn finish_response(&mut self, now: f64) -> (bool, Option<f64>) {
+        self.responses_sent += 1;
+        let loss_fraction = self.faults.response_loss;
+        let lost = (self.responses_sent as f64 * loss_fraction).fract() < loss_fraction;
+        (
+            lost,
+            self.utilization_meter.sample(
+                self.running,
+                self.config.cores,
+                self.config.utilization_interval,
+                now,
+            ),
+        )
     }
 }
 
-/// Puts off what a host that stands still was to do.
-pub fn later(agenda: &mut Agenda, host: HostAt, life: u64, job: Job, done: Option<bool>) {
-    let due = match done {
-        None => Due::Begins(host, life, job),
-        Some(repeat) => Due::Done(host, life, job, repeat),
+/// Schedules the start or the end of work on a paused host again. `finished_work` is `None` for work that has not
+/// started, otherwise whether it is a duplicate.
+pub fn postpone(
+    event_queue: &mut EventQueue,
+    host: HostIndex,
+    generation: u64,
+    job: Job,
+    finished_work: Option<bool>,
+) {
+    let event = match finished_work {
+        None => ScheduledEvent::WorkStarts(host, generation, job),
+        Some(is_duplicate) => ScheduledEvent::WorkEnds(host, generation, job, is_duplicate),
     };
-    agenda.after(STILL_LOOK, due);
+    event_queue.after(PAUSE_POLL_INTERVAL_SECONDS, event);
 }
 
-pub fn refused(job: Job) -> Due {
-    Due::Answered(job.op, job.attempt, AttemptResult::Rejected)
+/// The end of an attempt that a host refused because its queue is full.
+pub fn rejection_event(job: Job) -> ScheduledEvent {
+    ScheduledEvent::AttemptEnds(job.operation, job.attempt, AttemptResult::Rejected)
 }
--- a/crates/railhub-simulator/src/lib.rs
+++ b/crates/railhub-simulator/src/lib.rs
@@ -1,20 +1,22 @@
-//! A model of the fleet: hosts, proxies, clients, the steward's channel, list, store and sums in simulated time.
+//! Discrete-event simulation of the fleet: hosts, proxies, clients, and the controller's update channel, endpoint
+//! list, store and load reports.
 //!
-//! One description of a day, two ways to run it: the model takes the scripts that `railhub day` plays on loopback,
-//! draws the same hosts and operations from the same seed, runs the steward's own kernel with the decisions in it,
-//! and writes the same record, so that the same checker and the same reports judge both. Same day, same arms: the
-//! same record to the byte, on any machine.
+//! The simulator runs the same scenario files as `railhub scenario` does on loopback. It draws the same hosts and
+//! operations from the same seed, runs the controller's own core with its decisions, and writes the same kind of
+//! recording, so that the same invariant checks and reports apply to both. The same scenario and policy give the
+//! same recording, byte for byte, on any machine.
 //!
-//! The way of one operation is that of the stand-ins, as events: it comes, is let in, picks, reaches a host, waits,
-//! is worked on, and its answer arrives or its wait ends. [`run`] owns everything; nothing is shared between runs.
+//! An operation takes the same steps as in the emulator, each as an event: it arrives, is admitted, its proxy selects
+//! a host, the attempt reaches the host, waits in its queue, is processed, and the response arrives or the attempt
+//! times out. [`run`] owns all state; runs share nothing.
 mod baseline;
+mod controller;
+mod endpoint_list;
 mod events;
+mod faults;
 pub mod fit;
 mod hosts;
-mod list;
 mod operations;
-mod steward;
-mod troubles;
 mod world;
 
 pub use baseline::Baseline;
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -1,6 +1,6 @@
-//! The way of an operation: client and proxy, step by step.
-use crate::events::{Due, HostAt, Job};
-use crate::hosts::Taken;
+//! The steps of an operation at the client, the proxy and the host.
+use crate::events::{HostIndex, Job, ScheduledEvent};
+use crate::hosts::HostAdmission;
 use crate::world::World;
 use railhub_emulator::routing::{Admission, BalancingPolicy};
 use railhub_emulator::AttemptResult;
@@ -10,355 +10,418 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// As the stand-ins: seconds between looks for a table, and share of the contract time left for a further try.
-const TABLE_LOOK: f64 = 0.005;
-const LITTLE_TIME: f64 = 0.1;
+/// Time until a proxy without a usable host looks for one again; the same as in the emulator.
+const TABLE_POLL_INTERVAL_SECONDS: f64 = 0.005;
+/// Fraction of the contract time that must be left for a retry; the same as in the emulator.
+const MIN_RETRY_TIME_FRACTION: f64 = 0.1;
 
+/// Index of an operation in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OpId(pub usize);
+pub struct OperationId(pub usize);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ComingEnd {
+enum RequestOutcome {
     Completed,
     Refused,
     Failed,
 }
 
-/// An operation under way.
-pub struct Op {
-    drawn: PlannedOperation,
+/// An operation that has not ended.
+pub struct OperationState {
+    planned: PlannedOperation,
     proxy: usize,
     began: f64,
-    comings: u32,
-    /// When this coming is given up, and when it stops looking for a host.
-    until: f64,
-    looks_until: f64,
-    again: RetryCondition,
-    tried: Vec<SocketAddr>,
-    end: ComingEnd,
-    /// The try that is out: its number among all, where, since when, how long it is waited for.
+    /// Requests that the client has sent for it, including the current one.
+    requests: u32,
+    /// When the client gives up the current request.
+    deadline: f64,
+    /// When the current request stops waiting for a host.
+    host_wait_deadline: f64,
+    retry_condition: RetryCondition,
+    tried_hosts: Vec<SocketAddr>,
+    outcome: RequestOutcome,
+    /// Number of the current attempt among all attempts of the run; 0 if there is none.
     attempt: u64,
-    host: Option<HostAt>,
-    called_at: f64,
-    wait: f64,
-    delay: f64,
+    host: Option<HostIndex>,
+    attempt_started_at: f64,
+    attempt_timeout: f64,
+    link_delay: f64,
 }
 
 impl World<'_> {
-    pub fn comes(&mut self, arrival: usize) {
+    pub fn on_operation_arrival(&mut self, arrival: usize) {
         let arrival = self.arrivals[arrival];
-        let op = Op {
-            drawn: arrival.drawn,
+        let operation = OperationState {
+            planned: arrival.drawn,
             proxy: arrival.proxy,
-            began: self.agenda.now,
-            comings: 0,
-            until: 0.0,
-            looks_until: 0.0,
-            again: RetryCondition::Never,
-            tried: Vec::new(),
-            end: ComingEnd::Refused,
+            began: self.event_queue.now,
+            requests: 0,
+            deadline: 0.0,
+            host_wait_deadline: 0.0,
+            retry_condition: RetryCondition::Never,
+            tried_hosts: Vec::new(),
+            outcome: RequestOutcome::Refused,
             attempt: 0,
             host: None,
-            called_at: 0.0,
-            wait: 0.0,
-            delay: 0.0,
+            attempt_started_at: 0.0,
+            attempt_timeout: 0.0,
+            link_delay: 0.0,
         };
-        self.ops.push(Some(op));
-        self.comes_again(OpId(self.ops.len() - 1));
+        self.operations.push(Some(operation));
+        self.start_request(OperationId(self.operations.len() - 1));
     }
 
-    fn op(&mut self, id: OpId) -> &mut Op {
-        self.ops[id.0].as_mut().expect("an operation under way")
+    fn operation(&mut self, id: OperationId) -> &mut OperationState {
+        self.operations[id.0].as_mut().expect("the operation has not ended")
     }
 
-    pub fn comes_again(&mut self, id: OpId) {
-        let (now, clients, hold) = (self.agenda.now, self.day.clients, self.day.no_host_timeout);
-        let op = self.ops[id.0].as_mut().expect("an operation under way");
-        let class = &self.classes[op.drawn.class as usize];
-        let more =
-            op.comings <= clients.max_retries || op.drawn.returns && op.comings <= clients.max_retries + 1;
-        let patience = class.hard_stop * clients.request_timeout_fraction.min(op.drawn.patience);
-        let left = (op.began + class.hard_stop - now).min(patience);
-        if !more || left <= 0.0 {
-            return self.ends(id);
+    /// Sends the client's next request, or ends the operation if no request or time is left.
+    pub fn start_request(&mut self, id: OperationId) {
+        let (now, clients, no_host_timeout) =
+            (self.event_queue.now, self.scenario.clients, self.scenario.no_host_timeout);
+        let operation = self.operations[id.0].as_mut().expect("the operation has not ended");
+        let class = &self.classes[operation.planned.class as usize];
+        let may_request = operation.requests <= clients.max_retries
+            || operation.planned.returns && operation.requests <= clients.max_retries + 1;
+        let request_timeout =
+            class.hard_stop * clients.request_timeout_fraction.min(operation.planned.patience);
+        let left = (operation.began + class.hard_stop - now).min(request_timeout);
+        if !may_request || left <= 0.0 {
+            return self.end_operation(id);
         }
-        op.comings += 1;
-        op.until = now + left;
-        op.looks_until = op.until.min(now + hold);
-        op.tried.clear();
-        op.end = ComingEnd::Refused;
-        let (proxy, drawn) = (op.proxy, op.drawn);
+        operation.requests += 1;
+        operation.deadline = now + left;
+        operation.host_wait_deadline = operation.deadline.min(now + no_host_timeout);
+        operation.tried_hosts.clear();
+        operation.outcome = RequestOutcome::Refused;
+        let (proxy, planned) = (operation.proxy, operation.planned);
         let proxy = &mut self.proxies[proxy];
-        proxy.totals.count_operation(drawn.slice, drawn.class);
-        let Admission { rate: share, retry: again } = proxy.held.admission(drawn.class);
-        let refused = share < 1.0 && proxy.chance.random::<f64>() >= share;
-        self.op(id).again = again;
+        proxy.load_totals.count_operation(planned.slice, planned.class);
+        let Admission { rate, retry: retry_condition } = proxy.routing.admission(planned.class);
+        let refused = rate < 1.0 && proxy.rng.random::<f64>() >= rate;
+        self.operation(id).retry_condition = retry_condition;
         if refused {
-            self.coming_ends(id);
+            self.end_request(id);
         } else {
-            self.looks(id);
+            self.select_host(id);
         }
     }
 
-    /// Looks for a host, and calls it.
-    pub fn looks(&mut self, id: OpId) {
-        let now = self.agenda.now;
-        let op = self.ops[id.0].as_mut().expect("an operation under way");
-        let class = &self.classes[op.drawn.class as usize];
-        let proxy = &mut self.proxies[op.proxy];
-        let out = &proxy.out;
-        let work = |host: SocketAddr| out.get(&host).copied().unwrap_or(0);
-        let found =
-            proxy.held.pick(op.drawn.slice, &op.tried, self.day.balancing_policy, &mut proxy.chance, work);
-        let Some(host) = found else {
-            if op.tried.is_empty() && now < op.looks_until {
-                return self.agenda.after(TABLE_LOOK, Due::Looks(id));
+    /// Selects a host and sends an attempt to it.
+    pub fn select_host(&mut self, id: OperationId) {
+        let now = self.event_queue.now;
+        let operation = self.operations[id.0].as_mut().expect("the operation has not ended");
+        let class = &self.classes[operation.planned.class as usize];
+        let proxy = &mut self.proxies[operation.proxy];
+        let outstanding = &proxy.outstanding;
+        let outstanding_at = |host: SocketAddr| outstanding.get(&host).copied().unwrap_or(0);
+        let selected = proxy.routing.pick(
+            operation.planned.slice,
+            &operation.tried_hosts,
+            self.scenario.balancing_policy,
+            &mut proxy.rng,
+            outstanding_at,
+        );
+        let Some(host) = selected else {
+            if operation.tried_hosts.is_empty() && now < operation.host_wait_deadline {
+                return self
+                    .event_queue
+                    .after(TABLE_POLL_INTERVAL_SECONDS, ScheduledEvent::HostSelection(id));
             }
-            return self.coming_ends(id);
+            return self.end_request(id);
         };
-        op.tried.push(host);
-        let left = op.until - now;
-        if left <= 0.0 || op.tried.len() > 1 && left < LITTLE_TIME * class.contract_time {
-            return self.coming_ends(id);
+        operation.tried_hosts.push(host);
+        let left = operation.deadline - now;
+        if left <= 0.0
+            || operation.tried_hosts.len() > 1 && left < MIN_RETRY_TIME_FRACTION * class.contract_time
+        {
+            return self.end_request(id);
         }
-        let mut chance = proxy.chance.clone();
-        let may_follow = op.tried.len() < 2 && op.again == RetryCondition::AfterFailure && {
-            proxy
-                .held
-                .pick(op.drawn.slice, &op.tried, BalancingPolicy::Weighted, &mut chance, |_| 0)
-                .is_some()
-        };
-        op.wait = if may_follow {
-            left.min(self.day.first_attempt_timeout_fraction * class.contract_time)
+        let mut rng = proxy.rng.clone();
+        let retry_possible =
+            operation.tried_hosts.len() < 2 && operation.retry_condition == RetryCondition::AfterFailure && {
+                proxy
+                    .routing
+                    .pick(
+                        operation.planned.slice,
+                        &operation.tried_hosts,
+                        BalancingPolicy::Weighted,
+                        &mut rng,
+                        |_| 0,
+                    )
+                    .is_some()
+            };
+        operation.attempt_timeout = if retry_possible {
+            left.min(self.scenario.first_attempt_timeout_fraction * class.contract_time)
         } else {
             left
         };
-        *proxy.out.entry(host).or_default() += 1;
+        *proxy.outstanding.entry(host).or_default() += 1;
         self.last_attempt += 1;
-        op.attempt = self.last_attempt;
-        op.called_at = now;
-        op.host = self.places.get(&host).copied();
-        let (attempt, wait, at, host) = (op.attempt, op.wait, op.proxy, op.host);
-        let here = proxy.zone;
-        let there = host.map_or(here, |place| self.hosts[place].facts.zone);
-        let (delay, lost) = self.between(here, there);
-        let is_lost = lost > 0.0 && self.proxies[at].random() < lost;
-        self.op(id).delay = delay;
-        self.agenda.after(wait, Due::WaitEnds(id, attempt));
+        operation.attempt = self.last_attempt;
+        operation.attempt_started_at = now;
+        operation.host = self.host_indexes.get(&host).copied();
+        let (attempt, attempt_timeout, proxy_index, host) =
+            (operation.attempt, operation.attempt_timeout, operation.proxy, operation.host);
+        let proxy_zone = proxy.zone;
+        let host_zone = host.map_or(proxy_zone, |host_index| self.hosts[host_index].config.zone);
+        let (link_delay, loss_fraction) = self.link_impairment(proxy_zone, host_zone);
+        let is_lost = loss_fraction > 0.0 && self.proxies[proxy_index].random() < loss_fraction;
+        self.operation(id).link_delay = link_delay;
+        self.event_queue.after(attempt_timeout, ScheduledEvent::AttemptTimesOut(id, attempt));
         if !is_lost {
-            self.sent(id, delay.min(wait));
-            self.agenda.after(delay.min(wait) + self.physics.message_latency, Due::Reaches(id, attempt));
+            self.record_attempt(id, link_delay.min(attempt_timeout));
+            self.event_queue.after(
+                link_delay.min(attempt_timeout) + self.timing_model.message_latency,
+                ScheduledEvent::AttemptArrives(id, attempt),
+            );
         }
     }
 
-    /// A try leaves, if there is a process to connect to; `later`: when it has passed a slow link.
-    fn sent(&mut self, id: OpId, later: f64) {
-        let Some(op) = self.ops[id.0].as_ref() else { return };
-        let Some(host) = op.host.map(|place| &self.hosts[place]).filter(|host| host.alive) else { return };
-        let drawn = op.drawn;
-        let tried = Attempt {
-            operation: drawn.operation,
-            request: op.comings,
-            number: op.tried.len() as u32,
-            proxy: op.proxy as u32,
+    /// Records an attempt if there is a process to connect to, at the time it has passed a slow link.
+    fn record_attempt(&mut self, id: OperationId, delay_on_link: f64) {
+        let Some(operation) = self.operations[id.0].as_ref() else { return };
+        let Some(host) = operation.host.map(|host_index| &self.hosts[host_index]).filter(|host| host.alive)
+        else {
+            return;
+        };
+        let planned = operation.planned;
+        let attempt = Attempt {
+            operation: planned.operation,
+            request: operation.requests,
+            number: operation.tried_hosts.len() as u32,
+            proxy: operation.proxy as u32,
             host: host.address.to_string(),
-            class: drawn.class,
-            slice: drawn.slice,
-            work: drawn.work,
+            class: planned.class,
+            slice: planned.slice,
+            work: planned.work,
         };
-        self.note_at(self.agenda.now + later, EventKind::Attempt(tried));
+        self.record_at(self.event_queue.now + delay_on_link, EventKind::Attempt(attempt));
     }
 
-    /// The try is at its host.
-    pub fn reaches(&mut self, id: OpId, attempt: u64) {
-        let now = self.agenda.now;
-        let Some(op) = self.ops[id.0].as_ref().filter(|op| op.attempt == attempt) else { return };
-        let Some(place) = op.host else {
-            return self
-                .agenda
-                .after(self.physics.message_latency, Due::Answered(id, attempt, AttemptResult::Unreachable));
+    /// Hands an attempt to its host; no such host, or a stopped one, is unreachable.
+    pub fn on_attempt_arrival(&mut self, id: OperationId, attempt: u64) {
+        let now = self.event_queue.now;
+        let Some(operation) = self.operations[id.0].as_ref().filter(|operation| operation.attempt == attempt)
+        else {
+            return;
+        };
+        let Some(host_index) = operation.host else {
+            return self.event_queue.after(
+                self.timing_model.message_latency,
+                ScheduledEvent::AttemptEnds(id, attempt, AttemptResult::Unreachable),
+            );
         };
-        let job = Job { op: id, attempt, came: now };
-        let taken = self.hosts[place].take(now, job);
-        match taken {
-            Taken::Begins => self.begins(place, self.hosts[place].life, job),
-            Taken::Waits => {}
-            Taken::Full => self.agenda.after(self.physics.message_latency, crate::hosts::refused(job)),
-            Taken::Dead => {
-                self.agenda.after(
-                    self.physics.message_latency,
-                    Due::Answered(id, attempt, AttemptResult::Unreachable),
+        let job = Job { operation: id, attempt, arrived_at: now };
+        let admission = self.hosts[host_index].admit(now, job);
+        match admission {
+            HostAdmission::Started => self.start_work(host_index, self.hosts[host_index].generation, job),
+            HostAdmission::Queued => {}
+            HostAdmission::QueueFull => {
+                self.event_queue.after(self.timing_model.message_latency, crate::hosts::rejection_event(job))
+            }
+            HostAdmission::HostDown => {
+                self.event_queue.after(
+                    self.timing_model.message_latency,
+                    ScheduledEvent::AttemptEnds(id, attempt, AttemptResult::Unreachable),
                 );
             }
         }
     }
 
-    pub fn begins(&mut self, place: HostAt, life: u64, job: Job) {
-        let now = self.agenda.now;
-        if self.hosts[place].life != life {
+    pub fn start_work(&mut self, host_index: HostIndex, generation: u64, job: Job) {
+        let now = self.event_queue.now;
+        if self.hosts[host_index].generation != generation {
             return;
         }
-        if self.hosts[place].stands_still(now) {
-            return crate::hosts::later(&mut self.agenda, place, life, job, None);
+        if self.hosts[host_index].is_paused(now) {
+            return crate::hosts::postpone(&mut self.event_queue, host_index, generation, job, None);
         }
-        let drawn = self.drawn(job.op);
-        let class = &self.classes[drawn.class as usize];
-        let repeat = self.repeated.is_duplicate(class, self.hosts[place].facts.zone, drawn.operation, now);
-        let took = self.hosts[place].work_time(now, drawn.work, drawn.key);
-        let none = repeat || self.hosts[place].ailments.fails;
-        let took = if none { 0.0 } else { took + self.physics.completion_delay };
-        self.agenda.after(took, Due::Done(place, life, job, repeat));
+        let planned = self.planned(job.operation);
+        let class = &self.classes[planned.class as usize];
+        let is_duplicate = self.seen_operations.is_duplicate(
+            class,
+            self.hosts[host_index].config.zone,
+            planned.operation,
+            now,
+        );
+        let duration = self.hosts[host_index].processing_time(now, planned.work, planned.key);
+        let skips_work = is_duplicate || self.hosts[host_index].faults.fails;
+        let duration = if skips_work { 0.0 } else { duration + self.timing_model.completion_delay };
+        self.event_queue.after(duration, ScheduledEvent::WorkEnds(host_index, generation, job, is_duplicate));
     }
 
-    /// An operation stays known after its end: hosts may still work on it.
-    fn drawn(&self, id: OpId) -> PlannedOperation {
+    /// The operation as drawn. It stays available after the operation's end, since hosts may still process it.
+    fn planned(&self, id: OperationId) -> PlannedOperation {
         self.arrivals[id.0].drawn
     }
 
-    pub fn done(&mut self, place: HostAt, life: u64, job: Job, repeat: bool) {
-        let now = self.agenda.now;
-        if self.hosts[place].life != life {
+    pub fn end_work(&mut self, host_index: HostIndex, generation: u64, job: Job, is_duplicate: bool) {
+        let now = self.event_queue.now;
+        if self.hosts[host_index].generation != generation {
             return;
         }
-        if self.hosts[place].stands_still(now) {
-            return crate::hosts::later(&mut self.agenda, place, life, job, Some(repeat));
+        if self.hosts[host_index].is_paused(now) {
+            return crate::hosts::postpone(
+                &mut self.event_queue,
+                host_index,
+                generation,
+                job,
+                Some(is_duplicate),
+            );
         }
-        let drawn = self.drawn(job.op);
-        let fails = self.hosts[place].ailments.fails;
+        let planned = self.planned(job.operation);
+        let fails = self.hosts[host_index].faults.fails;
         if !fails {
             let effect = Effect {
-                operation: drawn.operation,
-                host: self.hosts[place].address.to_string(),
-                class: drawn.class,
-                slice: drawn.slice,
-                began: job.came,
-                dropped: repeat,
+                operation: planned.operation,
+                host: self.hosts[host_index].address.to_string(),
+                class: planned.class,
+                slice: planned.slice,
+                began: job.arrived_at,
+                dropped: is_duplicate,
             };
-            self.note(EventKind::Effect(effect));
+            self.record(EventKind::Effect(effect));
         }
-        let (lost, busy) = self.hosts[place].answers(now);
+        let (lost, utilization) = self.hosts[host_index].finish_response(now);
         if !lost {
-            let end = if fails { AttemptResult::Failed } else { AttemptResult::Completed(busy) };
-            self.agenda.after(self.physics.message_latency, Due::Answered(job.op, job.attempt, end));
+            let result = if fails { AttemptResult::Failed } else { AttemptResult::Completed(utilization) };
+            self.event_queue.after(
+                self.timing_model.message_latency,
+                ScheduledEvent::AttemptEnds(job.operation, job.attempt, result),
+            );
         }
-        if let Some(next) = self.hosts[place].next_job(now) {
-            self.begins(place, life, next);
+        if let Some(next) = self.hosts[host_index].next_job(now) {
+            self.start_work(host_index, generation, next);
         }
     }
 
-    pub fn wait_ends(&mut self, id: OpId, attempt: u64) {
-        let Some(op) = self.ops[id.0].as_ref().filter(|op| op.attempt == attempt) else { return };
-        if let Some(place) = op.host {
-            self.hosts[place].cancel(attempt);
+    pub fn on_attempt_timeout(&mut self, id: OperationId, attempt: u64) {
+        let Some(operation) = self.operations[id.0].as_ref().filter(|operation| operation.attempt == attempt)
+        else {
+            return;
+        };
+        if let Some(host_index) = operation.host {
+            self.hosts[host_index].cancel(attempt);
         }
-        self.call_ends(id, AttemptResult::TimedOut);
+        self.end_attempt(id, AttemptResult::TimedOut);
     }
 
-    pub fn answered(&mut self, id: OpId, attempt: u64, end: AttemptResult) {
-        let now = self.agenda.now;
-        let Some(op) = self.ops[id.0].as_mut().filter(|op| op.attempt == attempt) else { return };
-        let delay = std::mem::take(&mut op.delay);
-        if delay > 0.0 && matches!(end, AttemptResult::Completed(_)) {
-            // The way back is as slow; the wait may end first.
-            return self.agenda.at(now + delay, Due::Answered(id, attempt, end));
+    pub fn on_attempt_end(&mut self, id: OperationId, attempt: u64, result: AttemptResult) {
+        let now = self.event_queue.now;
+        let Some(operation) = self.operations[id.0].as_mut().filter(|operation| operation.attempt == attempt)
+        else {
+            return;
+        };
+        let link_delay = std::mem::take(&mut operation.link_delay);
+        if link_delay > 0.0 && matches!(result, AttemptResult::Completed(_)) {
+            // The response takes the same link delay; the attempt may time out first.
+            return self.event_queue.at(now + link_delay, ScheduledEvent::AttemptEnds(id, attempt, result));
         }
-        self.call_ends(id, end);
+        self.end_attempt(id, result);
     }
 
-    fn call_ends(&mut self, id: OpId, end: AttemptResult) {
-        let now = self.agenda.now;
-        let op = self.ops[id.0].as_mut().expect("an operation under way");
-        op.attempt = 0;
-        let host = *op.tried.last().expect("a host was called");
-        let proxy = &mut self.proxies[op.proxy];
-        if let Some(out) = proxy.out.get_mut(&host) {
-            *out = out.saturating_sub(1);
+    /// Counts the end of an attempt, then retries it or ends the request.
+    fn end_attempt(&mut self, id: OperationId, result: AttemptResult) {
+        let now = self.event_queue.now;
+        let operation = self.operations[id.0].as_mut().expect("the operation has not ended");
+        operation.attempt = 0;
+        let host = *operation.tried_hosts.last().expect("an attempt has a host");
+        let proxy = &mut self.proxies[operation.proxy];
+        if let Some(outstanding) = proxy.outstanding.get_mut(&host) {
+            *outstanding = outstanding.saturating_sub(1);
         }
-        let (time, busy) = match end {
-            AttemptResult::Completed(busy) => (Some(now - op.called_at), busy),
+        let (latency, utilization) = match result {
+            AttemptResult::Completed(utilization) => (Some(now - operation.attempt_started_at), utilization),
             _ => (None, None),
         };
-        proxy.totals.count_attempt(host, time, busy);
-        let ended = AttemptEnd {
-            operation: op.drawn.operation,
-            request: op.comings,
-            number: op.tried.len() as u32,
-            completed: time.is_some(),
-            not_executed: end.not_executed(),
+        proxy.load_totals.count_attempt(host, latency, utilization);
+        let attempt_end = AttemptEnd {
+            operation: operation.planned.operation,
+            request: operation.requests,
+            number: operation.tried_hosts.len() as u32,
+            completed: latency.is_some(),
+            not_executed: result.not_executed(),
         };
-        if time.is_some() {
-            op.end = ComingEnd::Completed;
-        } else if !end.not_executed() {
-            op.end = ComingEnd::Failed;
+        if latency.is_some() {
+            operation.outcome = RequestOutcome::Completed;
+        } else if !result.not_executed() {
+            operation.outcome = RequestOutcome::Failed;
         }
-        let goes_on = match op.again {
+        let retry_allowed = match operation.retry_condition {
             RetryCondition::Never => false,
-            RetryCondition::IfNotExecuted => end.not_executed(),
+            RetryCondition::IfNotExecuted => result.not_executed(),
             RetryCondition::AfterFailure => true,
         };
-        let more = time.is_none() && goes_on && op.tried.len() < 2;
-        self.note(EventKind::AttemptEnd(ended));
-        if more {
-            self.looks(id);
+        let retries = latency.is_none() && retry_allowed && operation.tried_hosts.len() < 2;
+        self.record(EventKind::AttemptEnd(attempt_end));
+        if retries {
+            self.select_host(id);
         } else {
-            self.coming_ends(id);
+            self.end_request(id);
         }
     }
 
-    fn coming_ends(&mut self, id: OpId) {
-        let now = self.agenda.now;
-        let pause = self.day.clients.retry_backoff;
-        let op = self.ops[id.0].as_ref().expect("an operation under way");
-        let class = &self.classes[op.drawn.class as usize];
-        let may_repeat = match class.idempotency {
+    /// Ends the operation, or schedules the client's next request.
+    fn end_request(&mut self, id: OperationId) {
+        let now = self.event_queue.now;
+        let backoff = self.scenario.clients.retry_backoff;
+        let operation = self.operations[id.0].as_ref().expect("the operation has not ended");
+        let class = &self.classes[operation.planned.class as usize];
+        let is_idempotent = match class.idempotency {
             OperationIdempotency::Safe => true,
-            OperationIdempotency::IdempotencyKeyGlobal => now - op.began <= class.key_window,
+            OperationIdempotency::IdempotencyKeyGlobal => now - operation.began <= class.key_window,
             OperationIdempotency::IdempotencyKeyLocal | OperationIdempotency::Never => false,
         };
-        if op.end == ComingEnd::Completed || op.end == ComingEnd::Failed && !may_repeat {
-            return self.ends(id);
+        if operation.outcome == RequestOutcome::Completed
+            || operation.outcome == RequestOutcome::Failed && !is_idempotent
+        {
+            return self.end_operation(id);
         }
-        let comings = f64::from(op.comings);
-        self.agenda.after(pause * comings, Due::ComesAgain(id));
+        let requests = f64::from(operation.requests);
+        self.event_queue.after(backoff * requests, ScheduledEvent::RequestStarts(id));
     }
 
-    fn ends(&mut self, id: OpId) {
-        let op = self.ops[id.0].take().expect("an operation under way");
-        let now = self.agenda.now;
-        let class = &self.classes[op.drawn.class as usize];
-        let outcome = match op.end {
-            _ if op.comings == 0 => Outcome::GaveUp,
-            ComingEnd::Completed if now - op.began <= class.contract_time => Outcome::Completed,
-            ComingEnd::Completed => Outcome::Late,
-            ComingEnd::Refused => Outcome::Refused,
-            ComingEnd::Failed => Outcome::Failed,
+    fn end_operation(&mut self, id: OperationId) {
+        let operation = self.operations[id.0].take().expect("the operation has not ended");
+        let now = self.event_queue.now;
+        let class = &self.classes[operation.planned.class as usize];
+        let outcome = match operation.outcome {
+            _ if operation.requests == 0 => Outcome::GaveUp,
+            RequestOutcome::Completed if now - operation.began <= class.contract_time => Outcome::Completed,
+            RequestOutcome::Completed => Outcome::Late,
+            RequestOutcome::Refused => Outcome::Refused,
+            RequestOutcome::Failed => Outcome::Failed,
         };
         let end = OperationEnd {
-            operation: op.drawn.operation,
-            class: op.drawn.class,
-            slice: op.drawn.slice,
-            zone: self.proxies[op.proxy].zone,
-            began: op.began,
+            operation: operation.planned.operation,
+            class: operation.planned.class,
+            slice: operation.planned.slice,
+            zone: self.proxies[operation.proxy].zone,
+            began: operation.began,
             outcome: outcome.into(),
-            requests: op.comings,
-            key: op.drawn.key,
-            work: op.drawn.work,
-            proxy: op.proxy as u32,
+            requests: operation.requests,
+            key: operation.planned.key,
+            work: operation.planned.work,
+            proxy: operation.proxy as u32,
         };
-        self.under_way -= 1;
-        self.note(EventKind::OperationEnd(end));
+        self.unfinished_operations -= 1;
+        self.record(EventKind::OperationEnd(end));
     }
 
-    /// The process at a host ended: what the proxies had out there breaks, once they see it.
-    pub fn breaks_at(&mut self, place: HostAt) {
-        let message_latency = self.physics.message_latency;
-        let broken: Vec<(usize, u64)> = (self.ops.iter().enumerate())
-            .filter_map(|(n, op)| Some((n, op.as_ref()?)))
-            .filter(|(_, op)| op.host == Some(place) && op.attempt > 0)
-            .map(|(n, op)| (n, op.attempt))
+    /// Fails the outstanding attempts at a host whose process has stopped, once their proxies notice.
+    pub fn fail_attempts_at(&mut self, host_index: HostIndex) {
+        let message_latency = self.timing_model.message_latency;
+        let attempts: Vec<(usize, u64)> = (self.operations.iter().enumerate())
+            .filter_map(|(n, operation)| Some((n, operation.as_ref()?)))
+            .filter(|(_, operation)| operation.host == Some(host_index) && operation.attempt > 0)
+            .map(|(n, operation)| (n, operation.attempt))
             .collect();
-        for (n, attempt) in broken {
-            self.agenda.after(message_latency, Due::Answered(OpId(n), attempt, AttemptResult::Failed));
+        for (n, attempt) in attempts {
+            self.event_queue.after(
+                message_latency,
+                ScheduledEvent::AttemptEnds(OperationId(n), attempt, AttemptResult::Failed),
+            );
         }
     }
 }
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/world.rs
@@ -1,10 +1,10 @@
-//! One run of a day in the model: its state, and the loop over what is due.
+//! State of one simulation run, and its event loop.
 use crate::baseline::Baseline;
-use crate::events::{Agenda, Due, HostAt, ProxyAt};
+use crate::controller::Controller;
+use crate::endpoint_list::{EndpointState, SimulatedEndpointList};
+use crate::events::{EventQueue, HostIndex, ProxyIndex, ScheduledEvent};
 use crate::hosts::Host;
-use crate::list::{Line, List};
-use crate::operations::Op;
-use crate::steward::Controller;
+use crate::operations::OperationState;
 use railhub::Phase;
 use railhub_controller::core::StreamId;
 use railhub_controller::ControllerSettings;
@@ -26,123 +26,142 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Seconds between the opening of the fleet and the first operation, as the stand-ins have.
-const JOIN_WITHIN: f64 = 2.0;
-/// Seconds the fleet runs on after the last operation has ended.
-const RUN_ON: f64 = 1.0;
-/// Spreads a small number over all bits, so that no luck is near another.
-const LUCK_MIX: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Ports of the model's hosts begin here: they are names, nothing listens.
-const FIRST_PORT: u16 = 10_000;
+/// Time between the start of the fleet and the first operation; the same as with the emulator.
+const STARTUP_SECONDS: f64 = 2.0;
+/// Time that the fleet keeps running after the last operation and fault have ended.
+const TRAILING_SECONDS: f64 = 1.0;
+/// Spreads a small proxy seed over all bits, so that different proxy seeds give unrelated random numbers.
+const PROXY_SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Port of the first simulated host. Ports only name the hosts; nothing listens on them.
+const FIRST_HOST_PORT: u16 = 10_000;
 
-/// Who steers.
+/// What decides the tables of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Policy {
+    /// The controller core of this build.
     Controller,
-    /// Tables stay as they were at the start.
+    /// No controller: tables stay as they were at the start.
     Fixed,
+    /// A simple policy to compare with.
     Baseline(Baseline),
-    /// Another version of the decisions: a program that speaks the adapter's protocol.
+    /// The controller core with another version of the decisions: a program that speaks the adapter's protocol.
     Version(PathBuf),
 }
 
-/// What a machine adds to what a script says; a loopback record tells it. Seconds.
+/// Delays of the machine, in seconds, that a scenario does not contain; [`crate::fit`] reads them from a loopback
+/// recording.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimingModel {
-    /// A message between two processes, one way.
+    /// One-way time of a message between two processes.
     pub message_latency: f64,
-    /// How late work ends: timers are not exact.
+    /// How much later than planned work ends, since timers are not exact.
     pub completion_delay: f64,
 }
 
 impl Default for TimingModel {
-    /// What `railhub model fit` reads out of a loopback run of the first bad day on four cores.
+    /// The result of `railhub model fit` for a loopback run of `first-bad-day.ini` on four cores.
     fn default() -> TimingModel {
         TimingModel { message_latency: 0.000_073, completion_delay: 0.000_21 }
     }
 }
 
+/// State of a simulated proxy.
 pub struct Proxy {
     pub zone: u32,
-    pub held: RoutingState,
-    pub totals: LoadTotals,
-    pub chance: ChaCha8Rng,
-    /// Tries out at each host.
-    pub out: BTreeMap<SocketAddr, usize>,
+    pub routing: RoutingState,
+    pub load_totals: LoadTotals,
+    pub rng: ChaCha8Rng,
+    /// Outstanding attempts by host.
+    pub outstanding: BTreeMap<SocketAddr, usize>,
     pub stream: Option<StreamId>,
-    pub refuses_next: bool,
+    /// Set by a fault: the proxy rejects the next delta.
+    pub rejects_next_delta: bool,
 }
 
 impl Proxy {
     pub fn random(&mut self) -> f64 {
-        self.chance.random()
+        self.rng.random()
     }
 }
 
+/// All state of a run.
 pub struct World<'a> {
-    pub day: &'a Scenario,
+    pub scenario: &'a Scenario,
     pub policy: Policy,
-    pub physics: TimingModel,
+    pub timing_model: TimingModel,
     pub controller_settings: ControllerSettings,
-    pub began: f64,
-    pub agenda: Agenda,
+    /// Time of the first operation; the times of a scenario are relative to it.
+    pub load_start: f64,
+    pub event_queue: EventQueue,
     pub classes: Vec<OperationClass>,
     pub arrivals: Vec<Arrival>,
-    pub ops: Vec<Option<Op>>,
-    pub under_way: usize,
+    pub operations: Vec<Option<OperationState>>,
+    pub unfinished_operations: usize,
     pub last_attempt: u64,
     pub hosts: Vec<Host>,
-    pub places: BTreeMap<SocketAddr, HostAt>,
-    pub repeated: SeenOperations,
+    /// Hosts by address.
+    pub host_indexes: BTreeMap<SocketAddr, HostIndex>,
+    pub seen_operations: SeenOperations,
     pub proxies: Vec<Proxy>,
-    pub list: List,
-    /// What a plain policy knows of the list.
-    pub known: BTreeMap<SocketAddr, Line>,
+    pub endpoint_list: SimulatedEndpointList,
+    /// The endpoint list as a baseline policy has received it.
+    pub known_endpoints: BTreeMap<SocketAddr, EndpointState>,
+    /// The tables in the store.
     pub tables: Tables,
-    pub store_away: bool,
-    pub unstored: Tables,
-    pub steward: Option<Controller>,
+    pub store_unavailable: bool,
+    /// Tables to write once the store is available again.
+    pub unsaved_tables: Tables,
+    pub controller: Option<Controller>,
     pub incarnation: u64,
     pub last_stream: u64,
-    pub waits_to_dial: Vec<ProxyAt>,
-    pub channel_slower: f64,
-    pub channel_free: f64,
-    pub sums_later: f64,
+    /// Proxies that connect as soon as a controller starts.
+    pub waiting_proxies: Vec<ProxyIndex>,
+    /// Factor by which writing a delta takes longer.
+    pub channel_slowdown: f64,
+    /// When the update channel, which all proxies share, has sent what was written.
+    pub channel_free_at: f64,
+    /// Seconds that faults add to the delay of load reports.
+    pub extra_report_delay: f64,
+    /// Numbers of the active faults that slow a link between zones.
     pub slow_links: BTreeSet<usize>,
-    pub taken: BTreeSet<HostAt>,
-    /// Whom each trouble struck.
-    pub struck: Vec<Vec<HostAt>>,
-    /// What went wrong with a version, if one steers.
-    pub faults: Vec<EngineErrorSlot>,
+    /// Hosts chosen by a fault, which other faults do not choose.
+    pub affected_hosts: BTreeSet<HostIndex>,
+    /// Chosen hosts by fault.
+    pub fault_targets: Vec<Vec<HostIndex>>,
+    /// Errors of external engines, one slot for each start of a [`Policy::Version`].
+    pub engine_errors: Vec<EngineErrorSlot>,
     events: Vec<Event>,
 }
 
-/// Runs a day to its end; the record of it.
-pub fn run(day: &Scenario, policy: &Policy, physics: TimingModel) -> Result<Vec<Event>, String> {
-    run_with_proxy_seed(day, policy, physics, 0)
+/// Runs a scenario to its end and returns its recording.
+pub fn run(scenario: &Scenario, policy: &Policy, timing_model: TimingModel) -> Result<Vec<Event>, String> {
+    run_with_proxy_seed(scenario, policy, timing_model, 0)
 }
 
-/// The same day with other luck: the same hosts, operations and troubles, other picks of the proxies and other
-/// moments of their reports. What differs between two lucks is what two loopback runs of a day differ by.
+/// Like [`run`], with another seed for the proxies: hosts, operations and faults stay the same; the proxies' random
+/// choices and the times of their reports differ, as they do between two loopback runs of a scenario.
 pub fn run_with_proxy_seed(
-    day: &Scenario,
+    scenario: &Scenario,
     policy: &Policy,
-    physics: TimingModel,
-    luck: u64,
+    timing_model: TimingModel,
+    proxy_seed: u64,
 ) -> Result<Vec<Event>, String> {
-    if day.controllers > 1 {
+    if scenario.controllers > 1 {
         return Err("days with several stewards are played on loopback".into());
     }
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let document = Document::parse("the steward's settings", &controller_settings(day, nowhere, nowhere));
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
+    let document = Document::parse(
+        "the steward's settings",
+        &controller_settings(scenario, unused_address, unused_address),
+    );
     let controller_settings =
         document.and_then(|document| ControllerSettings::read(&document)).map_err(|e| e.to_string())?;
-    let mut world = World::new(day, policy.clone(), physics, controller_settings, luck);
-    world.open();
-    world.play();
-    for place in &world.faults {
-        if let Some(fault) = place.lock().expect("no holder panics").take() {
-            return Err(fault.to_string());
+    let mut world = World::new(scenario, policy.clone(), timing_model, controller_settings, proxy_seed);
+    world.schedule_start();
+    world.run_to_end();
+    for slot in &world.engine_errors {
+        if let Some(error) = slot.lock().expect("no holder panics").take() {
+            return Err(error.to_string());
         }
     }
     let mut events = world.events;
@@ -152,170 +171,186 @@
 
 impl World<'_> {
     fn new(
-        day: &Scenario,
+        scenario: &Scenario,
         policy: Policy,
-        physics: TimingModel,
+        timing_model: TimingModel,
         controller_settings: ControllerSettings,
-        luck: u64,
+        proxy_seed: u64,
     ) -> World<'_> {
-        let facts = draw::hosts(day, day.hosts, "hosts");
-        let proxies = (0..day.proxies).map(|n| {
-            let facts = proxy_config(day, n);
+        let host_configs = draw::hosts(scenario, scenario.hosts, "hosts");
+        let proxies = (0..scenario.proxies).map(|n| {
+            let config = proxy_config(scenario, n);
             Proxy {
-                zone: facts.zone,
-                held: RoutingState::default(),
-                totals: LoadTotals::new(0.0),
-                chance: ChaCha8Rng::seed_from_u64(facts.seed ^ luck.wrapping_mul(LUCK_MIX)),
-                out: BTreeMap::new(),
+                zone: config.zone,
+                routing: RoutingState::default(),
+                load_totals: LoadTotals::new(0.0),
+                rng: ChaCha8Rng::seed_from_u64(config.seed ^ proxy_seed.wrapping_mul(PROXY_SEED_MULTIPLIER)),
+                outstanding: BTreeMap::new(),
                 stream: None,
-                refuses_next: false,
+                rejects_next_delta: false,
             }
         });
         let mut world = World {
-            day,
+            scenario,
             policy,
-            physics,
+            timing_model,
             controller_settings,
-            began: JOIN_WITHIN,
-            agenda: Agenda::default(),
-            classes: day.emulated_classes(),
-            arrivals: draw::arrivals(day, draw::capacity(&facts)),
-            ops: Vec::new(),
-            under_way: 0,
+            load_start: STARTUP_SECONDS,
+            event_queue: EventQueue::default(),
+            classes: scenario.emulated_classes(),
+            arrivals: draw::arrivals(scenario, draw::capacity(&host_configs)),
+            operations: Vec::new(),
+            unfinished_operations: 0,
             last_attempt: 0,
             hosts: Vec::new(),
-            places: BTreeMap::new(),
-            repeated: SeenOperations::default(),
+            host_indexes: BTreeMap::new(),
+            seen_operations: SeenOperations::default(),
             proxies: proxies.collect(),
-            list: List::default(),
-            known: BTreeMap::new(),
+            endpoint_list: SimulatedEndpointList::default(),
+            known_endpoints: BTreeMap::new(),
             tables: Tables::new(),
-            store_away: false,
-            unstored: Tables::new(),
-            steward: None,
+            store_unavailable: false,
+            unsaved_tables: Tables::new(),
+            controller: None,
             incarnation: 0,
             last_stream: 0,
-            waits_to_dial: Vec::new(),
-            channel_slower: 1.0,
-            channel_free: 0.0,
-            sums_later: 0.0,
+            waiting_proxies: Vec::new(),
+            channel_slowdown: 1.0,
+            channel_free_at: 0.0,
+            extra_report_delay: 0.0,
             slow_links: BTreeSet::new(),
-            taken: BTreeSet::new(),
-            struck: vec![Vec::new(); day.faults.len()],
-            faults: Vec::new(),
+            affected_hosts: BTreeSet::new(),
+            fault_targets: vec![Vec::new(); scenario.faults.len()],
+            engine_errors: Vec::new(),
             events: Vec::new(),
         };
-        world.under_way = world.arrivals.len();
-        for facts in &facts {
-            world.place_host(facts.clone());
+        world.unfinished_operations = world.arrivals.len();
+        for config in &host_configs {
+            world.register_host(config.clone());
         }
         let addresses: Vec<SocketAddr> = world.hosts.iter().map(|host| host.address).collect();
-        world.tables = initial_tables(day, &facts, &addresses);
-        let held = RoutingState::with_tables(world.tables.clone());
-        world.proxies.iter_mut().for_each(|proxy| proxy.held = held.clone());
+        world.tables = initial_tables(scenario, &host_configs, &addresses);
+        let routing = RoutingState::with_tables(world.tables.clone());
+        world.proxies.iter_mut().for_each(|proxy| proxy.routing = routing.clone());
         world
     }
 
-    pub fn place_host(&mut self, facts: HostConfig) -> HostAt {
-        let place = self.hosts.len();
-        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + place as u16));
-        self.hosts.push(Host::new(address, facts));
-        self.places.insert(address, place);
-        place
+    /// Adds a host that has not started.
+    pub fn register_host(&mut self, config: HostConfig) -> HostIndex {
+        let host_index = self.hosts.len();
+        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_HOST_PORT + host_index as u16));
+        self.hosts.push(Host::new(address, config));
+        self.host_indexes.insert(address, host_index);
+        host_index
     }
 
-    pub fn note(&mut self, what: EventKind) {
-        self.note_at(self.agenda.now, what);
+    /// Adds an event of the current time to the recording.
+    pub fn record(&mut self, kind: EventKind) {
+        self.record_at(self.event_queue.now, kind);
     }
 
-    /// What happens a little later than it is decided; the record is put in order at its end.
-    pub fn note_at(&mut self, at: f64, what: EventKind) {
-        self.events.push(Event { at, kind: Some(what) });
+    /// Adds an event of the given time, which may be later than now: the recording is sorted at the end of the run.
+    pub fn record_at(&mut self, at: f64, kind: EventKind) {
+        self.events.push(Event { at, kind: Some(kind) });
     }
 
-    /// Seconds more each way between two zones, and the share lost.
-    pub fn between(&self, a: u32, b: u32) -> (f64, f64) {
-        let mut all = (0.0, 0.0f64);
+    /// Additional one-way delay in seconds and loss fraction between two zones.
+    pub fn link_impairment(&self, a: u32, b: u32) -> (f64, f64) {
+        let mut impairment = (0.0, 0.0f64);
         for number in &self.slow_links {
-            if let FaultKind::SlowZoneLink { zone, other, delay, loss_fraction: lost } =
-                self.day.faults[*number].kind
+            if let FaultKind::SlowZoneLink { zone, other, delay, loss_fraction } =
+                self.scenario.faults[*number].kind
             {
                 let joins = |end: u32| other.is_none_or(|other| other == end);
                 if a != b && (zone == a && joins(b) || zone == b && joins(a)) {
-                    all = (all.0 + delay, all.1.max(lost));
+                    impairment = (impairment.0 + delay, impairment.1.max(loss_fraction));
                 }
             }
         }
-        all
+        impairment
     }
 
-    fn open(&mut self) {
-        let (from, until) = (self.began, self.began + self.day.length);
-        let limits = Limits { from, until, ..self.day.limits.clone() };
+    /// Starts the hosts and schedules the controller, the proxies, the faults and all operations.
+    fn schedule_start(&mut self) {
+        let (from, until) = (self.load_start, self.load_start + self.scenario.length);
+        let limits = Limits { from, until, ..self.scenario.limits.clone() };
         self.events.push(Event { at: 0.0, kind: Some(EventKind::Limits(limits)) });
-        for place in 0..self.hosts.len() {
-            self.host_starts(place, false);
-            let host = &self.hosts[place];
-            let (weight, kind) = (host.weight, host.facts.kind);
-            self.list.learn(host.address, Line { phase: Phase::Ready, started: None, weight, kind });
+        for host_index in 0..self.hosts.len() {
+            self.start_host(host_index, false);
+            let host = &self.hosts[host_index];
+            let (weight, kind) = (host.weight, host.config.kind);
+            self.endpoint_list
+                .update(host.address, EndpointState { phase: Phase::Ready, started_at: None, weight, kind });
         }
-        self.agenda.at(0.02, Due::StewardStarts);
+        self.event_queue.at(0.02, ScheduledEvent::ControllerStarts);
         for proxy in 0..self.proxies.len() {
-            let dials = 0.05 + self.proxies[proxy].random() * 0.02;
-            self.agenda.at(dials, Due::Dials(proxy));
-            let reports = self.day.report_interval * (1.0 + self.proxies[proxy].random());
-            self.agenda.at(reports, Due::Reports(proxy));
+            let connect_at = 0.05 + self.proxies[proxy].random() * 0.02;
+            self.event_queue.at(connect_at, ScheduledEvent::ProxyConnects(proxy));
+            let report_at = self.scenario.report_interval * (1.0 + self.proxies[proxy].random());
+            self.event_queue.at(report_at, ScheduledEvent::LoadReportDue(proxy));
         }
-        for (number, trouble) in self.day.faults.iter().enumerate() {
-            self.agenda.at(self.began + trouble.at, Due::TroubleOn(number));
+        for (number, fault) in self.scenario.faults.iter().enumerate() {
+            self.event_queue.at(self.load_start + fault.at, ScheduledEvent::FaultStarts(number));
         }
         for number in 0..self.arrivals.len() {
-            self.agenda.at(self.began + self.arrivals[number].at, Due::Comes(number));
+            self.event_queue
+                .at(self.load_start + self.arrivals[number].at, ScheduledEvent::OperationArrives(number));
         }
     }
 
-    fn play(&mut self) {
-        let troubles = self.day.faults.iter().map(|trouble| trouble.end());
-        let last = self.began + troubles.fold(self.day.length, f64::max);
+    /// Handles events until all operations and faults have ended, and [`TRAILING_SECONDS`] longer.
+    fn run_to_end(&mut self) {
+        let fault_ends = self.scenario.faults.iter().map(|fault| fault.end());
+        let scenario_end = self.load_start + fault_ends.fold(self.scenario.length, f64::max);
         let mut ends_at = f64::INFINITY;
-        while let Some(due) = self.agenda.next() {
-            let now = self.agenda.now;
-            if self.under_way == 0 && now >= last && ends_at.is_infinite() {
-                ends_at = now + RUN_ON;
+        while let Some(event) = self.event_queue.next() {
+            let now = self.event_queue.now;
+            if self.unfinished_operations == 0 && now >= scenario_end && ends_at.is_infinite() {
+                ends_at = now + TRAILING_SECONDS;
             }
             if now > ends_at {
                 return;
             }
-            self.handle(due);
+            self.handle_event(event);
         }
     }
 
-    fn handle(&mut self, due: Due) {
-        match due {
-            Due::Comes(number) => self.comes(number),
-            Due::ComesAgain(op) => self.comes_again(op),
-            Due::Looks(op) => self.looks(op),
-            Due::Reaches(op, attempt) => self.reaches(op, attempt),
-            Due::WaitEnds(op, attempt) => self.wait_ends(op, attempt),
-            Due::Answered(op, attempt, end) => self.answered(op, attempt, end),
-            Due::Begins(host, life, job) => self.begins(host, life, job),
-            Due::Done(host, life, job, repeat) => self.done(host, life, job, repeat),
-            Due::Dials(proxy) => self.dials(proxy),
-            Due::Reports(proxy) => self.reports(proxy),
-            Due::SumsArrive(proxy, sums) => self.sums_arrive(proxy, sums),
-            Due::Delta(proxy, stream, publication) => self.delta_arrives(proxy, stream, &publication),
-            Due::Word(proxy, stream, nonce, refused) => self.word_arrives(proxy, stream, nonce, refused),
-            Due::Mail(proxy) => self.mail(proxy),
-            Due::Probed(host) => self.probed(host),
-            Due::ProbeEnds(host, end) => self.probe_ends(host, end),
-            Due::ListTells => self.list_tells(),
-            Due::ListLearns(host, phase) => self.list_learns(host, phase),
-            Due::StewardWakes => self.steward_wakes(),
-            Due::StewardStarts => self.start_steward(),
-            Due::TroubleOn(number) => self.trouble_on(number),
-            Due::TroubleOff(number) => self.trouble_off(number),
-            Due::Pulse(number, step) => self.pulse(number, step),
-            Due::DrainEnds(host) => self.drain_ends(host),
+    fn handle_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::OperationArrives(number) => self.on_operation_arrival(number),
+            ScheduledEvent::RequestStarts(operation) => self.start_request(operation),
+            ScheduledEvent::HostSelection(operation) => self.select_host(operation),
+            ScheduledEvent::AttemptArrives(operation, attempt) => self.on_attempt_arrival(operation, attempt),
+            ScheduledEvent::AttemptTimesOut(operation, attempt) => {
+                self.on_attempt_timeout(operation, attempt)
+            }
+            ScheduledEvent::AttemptEnds(operation, attempt, result) => {
+                self.on_attempt_end(operation, attempt, result)
+            }
+            ScheduledEvent::WorkStarts(host, generation, job) => self.start_work(host, generation, job),
+            ScheduledEvent::WorkEnds(host, generation, job, is_duplicate) => {
+                self.end_work(host, generation, job, is_duplicate)
+            }
+            ScheduledEvent::ProxyConnects(proxy) => self.connect_proxy(proxy),
+            ScheduledEvent::LoadReportDue(proxy) => self.send_load_report(proxy),
+            ScheduledEvent::LoadReportArrives(proxy, load_report) => self.on_load_report(proxy, load_report),
+            ScheduledEvent::DeltaArrives(proxy, stream, publication) => {
+                self.on_delta(proxy, stream, &publication)
+            }
+            ScheduledEvent::ResponseArrives(proxy, stream, nonce, rejected) => {
+                self.on_delta_response(proxy, stream, nonce, rejected)
+            }
+            ScheduledEvent::ChannelReady(proxy) => self.write_to_channel(proxy),
+            ScheduledEvent::HealthCheckArrives(host) => self.on_health_check(host),
+            ScheduledEvent::HealthCheckEnds(host, outcome) => self.on_health_check_end(host, outcome),
+            ScheduledEvent::ListUpdateArrives => self.deliver_list_update(),
+            ScheduledEvent::ListChanges(host, phase) => self.change_list(host, phase),
+            ScheduledEvent::ControllerWakes => self.wake_controller(),
+            ScheduledEvent::ControllerStarts => self.start_controller(),
+            ScheduledEvent::FaultStarts(number) => self.start_fault(number),
+            ScheduledEvent::FaultEnds(number) => self.end_fault(number),
+            ScheduledEvent::FaultStep(number, step) => self.advance_fault(number, step),
+            ScheduledEvent::DrainEnds(host) => self.end_drain(host),
         }
     }
 }
