--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -1,4 +1,4 @@
-//! What is kept of a run: its record is thrown away.
+//! The figures kept of a run, whose recording is discarded.
 use railhub_invariants::{check, limits};
 use railhub_record::Event;
 use railhub_scenario::report::service;
@@ -7,50 +7,55 @@
 use railhub_timeseries::{host_load, latency, time_series};
 use serde::Serialize;
 
-/// The first time that a run broke a rule.
+/// The first violation of an invariant in a run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Moment {
+pub struct FirstViolation {
     pub rule: u8,
-    /// Seconds of the day.
+    /// Seconds since the first operation.
     pub at: f64,
+    /// Description of the violation.
     pub what: String,
 }
 
-/// What one arm's run on one seed came to.
+/// Figures of one arm's run on one seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunFigures {
+    /// Index of the scenario.
     pub day: usize,
     pub seed: u64,
     pub service: f64,
     pub worst_10_s: f64,
     pub rules_broken: Vec<u8>,
-    pub first_breach: Option<Moment>,
-    /// Deltas that reached proxies, and slices that changed hosts.
+    pub first_breach: Option<FirstViolation>,
+    /// Deltas that reached proxies.
     pub messages: u64,
+    /// Slices that changed hosts.
     pub moves: u64,
     pub operations: u64,
-    /// Service second by second.
+    /// Service of each second.
     #[serde(skip)]
-    pub line: Vec<f64>,
+    pub service_by_second: Vec<f64>,
     #[serde(skip)]
-    pub moves_line: Vec<u32>,
-    /// Hosts' loads, the highest first.
+    pub moves_by_second: Vec<u32>,
+    /// Load of each host, the highest first.
     #[serde(skip)]
     pub loads: Vec<f64>,
+    /// By operation class.
     #[serde(skip)]
-    pub tails: Vec<LatencyHistogram>,
-    /// What happened, seconds of the day.
+    pub latency_histograms: Vec<LatencyHistogram>,
+    /// Faults and other events that an operator would see.
     #[serde(skip)]
-    pub happened: Vec<OperatorEvent>,
+    pub operator_events: Vec<OperatorEvent>,
 }
 
+/// Reduces a recording to its figures; `day` is the index of the scenario.
 pub fn figures(events: &[Event], day: usize, seed: u64) -> Result<RunFigures, String> {
     let limits = limits(events).ok_or("a run without limits")?;
     let service = service(events, limits);
     let verdicts = check(events).map_err(|error| error.to_string())?;
-    let broken = verdicts.iter().filter(|verdict| !verdict.kept);
-    let breaches = broken.clone().flat_map(|verdict| {
-        verdict.violations.iter().map(|violation| Moment {
+    let broken_rules = verdicts.iter().filter(|verdict| !verdict.kept);
+    let violations = broken_rules.clone().flat_map(|verdict| {
+        verdict.violations.iter().map(|violation| FirstViolation {
             rule: verdict.rule,
             at: violation.at - limits.from,
             what: violation.description.clone(),
@@ -62,15 +67,15 @@
         seed,
         service: service.overall,
         worst_10_s: service.worst_10_s,
-        first_breach: breaches.min_by(|a, b| a.at.total_cmp(&b.at)),
-        rules_broken: broken.map(|verdict| verdict.rule).collect(),
+        first_breach: violations.min_by(|a, b| a.at.total_cmp(&b.at)),
+        rules_broken: broken_rules.map(|verdict| verdict.rule).collect(),
         messages: series.messages.iter().map(|messages| u64::from(*messages)).sum(),
         moves: series.total_moves(),
         operations: service.operations,
-        line: series.service,
-        moves_line: series.moves,
+        service_by_second: series.service,
+        moves_by_second: series.moves,
         loads: host_load::by_host(events, limits).into_iter().map(|host| host.load).collect(),
-        tails: latency::by_class(events, limits),
-        happened: operator_events(events, limits),
+        latency_histograms: latency::by_class(events, limits),
+        operator_events: operator_events(events, limits),
     })
 }
--- a/crates/railhub-experiment/src/lib.rs
+++ b/crates/railhub-experiment/src/lib.rs
@@ -1,10 +1,10 @@
-//! Runs arms of a day side by side on the same seeds, and says what is known of the difference.
+//! Simulates several arms of a scenario on the same seeds and estimates the differences between them.
 //!
-//! The way of one experiment: [`plan`] reads the file; runs of all arms on one seed of one day make a block;
-//! [`trial`] plays blocks on all cores until the differences are known well enough or the budget is spent, each
-//! run boiled down by [`figures`]; [`outcome`] sums up with the intervals of [`stats`]. An arm's operations are
-//! drawn from the block's seed, so arms differ in nothing else. [`report`], [`charts`], [`page`] and [`folder`]
-//! show it.
+//! [`plan`] reads the experiment's file. The runs of all arms on one seed of one scenario make a block. [`trial`]
+//! runs blocks on all cores until the differences are known precisely enough or the most blocks have run; [`figures`]
+//! reduces each run to its figures, and [`outcome`] summarizes them with the intervals of [`stats`]. All arms of a
+//! block draw their operations from its seed, so that they differ only in what the arm changes. [`report`],
+//! [`charts`], [`page`] and [`folder`] present the outcome.
 pub mod charts;
 pub mod figures;
 pub mod folder;
--- a/crates/railhub-experiment/src/predict/tests.rs
+++ b/crates/railhub-experiment/src/predict/tests.rs
@@ -1,18 +1,21 @@
 use super::*;
 use std::path::Path;
 
-/// Predictions from some lucks hold others as often as they say.
+/// Predictions enclose a run with another proxy seed as often as they claim.
 #[test]
-fn one_more_run_lies_within_as_often_as_said() {
+fn prediction_holds_one_more_run_as_often_as_claimed() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short.ini");
-    let day = Scenario::open(&path).expect("a good script");
-    let mut held = 0;
+    let scenario = Scenario::open(&path).expect("a valid scenario");
+    let mut hits = 0;
     for seed in 1..=60 {
-        let day = Scenario { seed, ..day.clone() };
-        let within =
-            predict(&day, &Policy::Controller, TimingModel::default(), RUNS).expect("it runs").service;
-        let other = one(&day, &Policy::Controller, TimingModel::default(), 1000).expect("it runs").0;
-        held += usize::from((within.low..=within.high).contains(&other));
+        let scenario = Scenario { seed, ..scenario.clone() };
+        let interval = predict(&scenario, &Policy::Controller, TimingModel::default(), RUNS)
+            .expect("the run completes")
+            .service;
+        let further_run = simulate(&scenario, &Policy::Controller, TimingModel::default(), 1000)
+            .expect("the run completes")
+            .0;
+        hits += usize::from((interval.low..=interval.high).contains(&further_run));
     }
-    assert!((48..=60).contains(&held), "{held} of 60");
+    assert!((48..=60).contains(&hits), "{hits} of 60");
 }
--- a/crates/railhub-experiment/src/report.rs
+++ b/crates/railhub-experiment/src/report.rs
@@ -1,17 +1,17 @@
-//! What an experiment came to, in words and as tables.
+//! The outcome of an experiment as text and as CSV tables.
 use crate::outcome::{ArmOutcome, Outcome};
 use crate::stats::{Estimate, Verdict};
 use railhub_timeseries::latency::LatencyPercentiles;
 use std::fmt::Write;
 
-/// Widest name of an arm in the words.
-const NAME: usize = 28;
+/// Width of the column with the names of the arms.
+const NAME_COLUMN_WIDTH: usize = 28;
 
 pub fn interval(estimate: &Estimate) -> String {
     format!("{:.4} [{:.4}, {:.4}]", estimate.mean, estimate.low, estimate.high)
 }
 
-pub fn verdict_words(verdict: Verdict) -> &'static str {
+pub fn verdict_text(verdict: Verdict) -> &'static str {
     match verdict {
         Verdict::Better => "better",
         Verdict::Worse => "worse",
@@ -24,17 +24,18 @@
     }
 }
 
+/// The report for the terminal and the page.
 pub fn text_report(outcome: &Outcome) -> String {
     let mut out = String::new();
-    let known = if outcome.settled { "known well enough" } else { "budget spent" };
+    let state = if outcome.settled { "known well enough" } else { "budget spent" };
     let days = match outcome.days.len() {
         1 => String::new(),
         days => format!(" over {days} days"),
     };
     let _ =
-        writeln!(out, "{}, {}, {} blocks{days}, {known}", outcome.experiment, outcome.how, outcome.blocks);
+        writeln!(out, "{}, {}, {} blocks{days}, {state}", outcome.experiment, outcome.how, outcome.blocks);
     for arm in &outcome.arms {
-        arm_words(&mut out, arm, outcome);
+        write_arm(&mut out, arm, outcome);
     }
     if let Some((day, seed)) = outcome.survived_by_none.first() {
         let count = outcome.survived_by_none.len();
@@ -47,15 +48,15 @@
     out
 }
 
-fn arm_words(out: &mut String, arm: &ArmOutcome, outcome: &Outcome) {
-    let _ = writeln!(out, "{:<NAME$} service {}", arm.name, interval(&arm.service));
-    let mut line = |text: String| _ = writeln!(out, "{:<NAME$} {text}", "");
+fn write_arm(out: &mut String, arm: &ArmOutcome, outcome: &Outcome) {
+    let _ = writeln!(out, "{:<NAME_COLUMN_WIDTH$} service {}", arm.name, interval(&arm.service));
+    let mut line = |text: String| _ = writeln!(out, "{:<NAME_COLUMN_WIDTH$} {text}", "");
     line(format!("worst 10 s {}", interval(&arm.worst_10_s)));
     if let (Some(difference), Some(verdict)) = (&arm.difference, arm.verdict) {
-        line(format!("less the first: {} - {}", interval(difference), verdict_words(verdict)));
+        line(format!("less the first: {} - {}", interval(difference), verdict_text(verdict)));
     }
     if let (Some(difference), Some(verdict)) = (&arm.worst_10_s_difference, arm.worst_10_s_verdict) {
-        line(format!("worst 10 s less the first's: {} - {}", interval(difference), verdict_words(verdict)));
+        line(format!("worst 10 s less the first's: {} - {}", interval(difference), verdict_text(verdict)));
     }
     if arm.difference_by_day.len() > 1 {
         for (day, difference) in outcome.days.iter().zip(&arm.difference_by_day) {
@@ -63,27 +64,30 @@
         }
     }
     line(format!("{:.0} moves, {:.0} messages a run", arm.moves.mean, arm.messages.mean));
-    for tail in &arm.tails {
-        line(tail_words(tail));
+    for percentiles in &arm.tails {
+        line(latency_text(percentiles));
     }
-    if let Some(fault) = &arm.failed {
-        line(format!("cannot be run: {fault}"));
+    if let Some(error) = &arm.failed {
+        line(format!("cannot be run: {error}"));
     }
-    if let Some((seed, moment)) = &arm.first_breach {
+    if let Some((seed, violation)) = &arm.first_breach {
         let (count, runs) = (arm.runs_with_broken_rules, arm.runs.len());
         line(format!("rules BROKEN in {count} of {runs} runs"));
-        line(format!("  first on seed {seed}, rule {} at {:.2} s: {}", moment.rule, moment.at, moment.what));
+        line(format!(
+            "  first on seed {seed}, rule {} at {:.2} s: {}",
+            violation.rule, violation.at, violation.what
+        ));
     }
 }
 
-fn tail_words(tail: &LatencyPercentiles) -> String {
+fn latency_text(percentiles: &LatencyPercentiles) -> String {
     let time = |time: Option<f64>| time.map_or("never".to_owned(), |time| format!("{time:.3} s"));
-    let (half, of_99, of_999) = (time(tail.p50), time(tail.p99), time(tail.p999));
-    format!("{}: half answered within {half}, 99 % {of_99}, 99.9 % {of_999}", tail.class)
+    let (p50, p99, p999) = (time(percentiles.p50), time(percentiles.p99), time(percentiles.p999));
+    format!("{}: half answered within {p50}, 99 % {p99}, 99.9 % {p999}", percentiles.class)
 }
 
-/// A cell that may hold anything.
-fn cell(text: &str) -> String {
+/// Quotes a field that contains a separator.
+fn csv_field(text: &str) -> String {
     if text.contains([',', '"', '\n']) {
         format!("\"{}\"", text.replace('"', "\"\""))
     } else {
@@ -91,13 +95,13 @@
     }
 }
 
-/// One line a run.
+/// One line per run.
 pub fn runs_csv(outcome: &Outcome) -> String {
     let mut out = "arm,day,seed,service,worst_10_s,moves,messages,operations,rules_broken\n".to_owned();
     for arm in &outcome.arms {
         for run in &arm.runs {
             let broken = run.rules_broken.iter().map(u8::to_string).collect::<Vec<_>>().join(" ");
-            let (name, day) = (cell(&arm.name), cell(&outcome.days[run.day]));
+            let (name, day) = (csv_field(&arm.name), csv_field(&outcome.days[run.day]));
             let _ = writeln!(
                 out,
                 "{name},{day},{},{:.6},{:.6},{},{},{},{broken}",
@@ -108,22 +112,22 @@
     out
 }
 
-/// One line an arm.
+/// One line per arm.
 pub fn arms_csv(outcome: &Outcome) -> String {
     let mut out =
         "arm,runs,service,low,high,less_first,less_first_low,less_first_high,verdict,worst_10_s,moves,\
                    messages,runs_with_broken_rules\n"
             .to_owned();
     for arm in &outcome.arms {
-        let less =
+        let difference =
             arm.difference.map_or(",,".to_owned(), |d| format!("{:.6},{:.6},{:.6}", d.mean, d.low, d.high));
-        let verdict = arm.verdict.map_or("", verdict_words);
+        let verdict = arm.verdict.map_or("", verdict_text);
         let Estimate { mean, low, high, count } = arm.service;
         let _ = writeln!(
             out,
-            "{},{count},{mean:.6},{low:.6},{high:.6},{less},{},{:.6},{:.2},{:.2},{}",
-            cell(&arm.name),
-            cell(verdict),
+            "{},{count},{mean:.6},{low:.6},{high:.6},{difference},{},{:.6},{:.2},{:.2},{}",
+            csv_field(&arm.name),
+            csv_field(verdict),
             arm.worst_10_s.mean,
             arm.moves.mean,
             arm.messages.mean,
@@ -133,27 +137,27 @@
     out
 }
 
-/// One line an arm, day and second.
+/// One line per arm, scenario and second.
 pub fn over_time_csv(outcome: &Outcome) -> String {
     let mut out = "arm,day,second,service,low,high,moves\n".to_owned();
     for arm in &outcome.arms {
         for (day, band) in outcome.days.iter().zip(&arm.bands) {
-            for step in 0..band.mean.len() {
-                let (mean, low, high) = (band.mean[step], band.low[step], band.high[step]);
-                let (name, day, moves) = (cell(&arm.name), cell(day), band.moves[step]);
-                let _ = writeln!(out, "{name},{day},{step},{mean:.5},{low:.5},{high:.5},{moves:.3}");
+            for second in 0..band.mean.len() {
+                let (mean, low, high) = (band.mean[second], band.low[second], band.high[second]);
+                let (name, day, moves) = (csv_field(&arm.name), csv_field(day), band.moves[second]);
+                let _ = writeln!(out, "{name},{day},{second},{mean:.5},{low:.5},{high:.5},{moves:.3}");
             }
         }
     }
     out
 }
 
-/// One line an arm and host, the most loaded first.
+/// One line per arm and host, the most loaded first.
 pub fn loads_csv(outcome: &Outcome) -> String {
     let mut out = "arm,rank,load\n".to_owned();
     for arm in &outcome.arms {
         for (rank, load) in arm.loads.iter().enumerate() {
-            let _ = writeln!(out, "{},{},{load:.5}", cell(&arm.name), rank + 1);
+            let _ = writeln!(out, "{},{},{load:.5}", csv_field(&arm.name), rank + 1);
         }
     }
     out
--- a/crates/railhub-experiment/src/trial.rs
+++ b/crates/railhub-experiment/src/trial.rs
@@ -1,56 +1,57 @@
-//! Plays blocks of an experiment on all cores and stops once enough is known.
+//! Runs blocks of an experiment on all cores and stops once the differences are known precisely enough.
 use crate::figures::{figures, RunFigures};
-use crate::outcome::{summed_up, Outcome};
+use crate::outcome::{summarize, Outcome};
 use crate::plan::Experiment;
 use railhub_scenario::Scenario;
 use railhub_simulator::{run_with_proxy_seed, TimingModel};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// One arm's run, or why there is none.
-pub type Ran = Result<RunFigures, String>;
+/// The figures of one arm's run, or why it failed.
+pub type RunResult = Result<RunFigures, String>;
 
-/// Where an experiment stands, told after each run and after each stage.
+/// Progress of an experiment, reported after each run and each stage.
 pub enum Progress<'a> {
     Runs { done: usize },
     Stage(&'a Outcome),
 }
 
-/// The day and the seed of a block: days take turns.
-fn block_of(experiment: &Experiment, block: usize) -> (usize, u64) {
-    let days = experiment.days.len();
-    (block % days, experiment.first_seed + (block / days) as u64)
+/// The scenario's index and the seed of a block; blocks alternate between the scenarios.
+fn scenario_of_block(experiment: &Experiment, block: usize) -> (usize, u64) {
+    let scenario_count = experiment.scenario_names.len();
+    (block % scenario_count, experiment.first_seed + (block / scenario_count) as u64)
 }
 
-fn run_one(experiment: &Experiment, arm: usize, block: usize, physics: TimingModel) -> Ran {
-    let (place, seed) = block_of(experiment, block);
+/// Simulates one arm in one block.
+fn run_arm(experiment: &Experiment, arm: usize, block: usize, timing_model: TimingModel) -> RunResult {
+    let (scenario_index, seed) = scenario_of_block(experiment, block);
     let arm = &experiment.arms[arm];
-    let day = Scenario { seed, ..arm.days[place].clone() };
-    let events = run_with_proxy_seed(&day, &arm.policy, physics, arm.luck)?;
-    figures(&events, place, seed)
+    let scenario = Scenario { seed, ..arm.scenarios[scenario_index].clone() };
+    let events = run_with_proxy_seed(&scenario, &arm.policy, timing_model, arm.proxy_seed)?;
+    figures(&events, scenario_index, seed)
 }
 
-/// Stops when every difference is known closely enough, or when the budget is spent. An arm that cannot be run,
-/// as a version that dies, is out of the rest; the first arm must run.
+/// Runs an experiment until every difference is known precisely enough or the most blocks have run. An arm that
+/// cannot run, such as a version whose program dies, is left out of later stages; the first arm must run.
 pub fn compare(
     experiment: &Experiment,
-    physics: TimingModel,
+    timing_model: TimingModel,
     progress: &(dyn Fn(Progress) + Sync),
 ) -> Result<Outcome, String> {
-    let mut blocks: Vec<Vec<Ran>> = Vec::new();
-    let days = experiment.days.len();
+    let mut blocks: Vec<Vec<RunResult>> = Vec::new();
+    let scenario_count = experiment.scenario_names.len();
     loop {
-        let more = if blocks.is_empty() { experiment.min_blocks } else { blocks.len().max(4) / 2 };
-        // Whole rounds of the days: a stage must not hold more of one day than of another.
-        let more = more.div_ceil(days) * days;
-        let more = more.min(experiment.max_blocks.saturating_sub(blocks.len()));
-        if more > 0 {
-            blocks.extend(play_blocks(experiment, physics, &blocks, more, progress));
+        let count = if blocks.is_empty() { experiment.min_blocks } else { blocks.len().max(4) / 2 };
+        // A multiple of the number of scenarios, so that a stage has the same number of blocks of each.
+        let count = count.div_ceil(scenario_count) * scenario_count;
+        let count = count.min(experiment.max_blocks.saturating_sub(blocks.len()));
+        if count > 0 {
+            blocks.extend(run_blocks(experiment, timing_model, &blocks, count, progress));
         }
-        if let Some(Err(fault)) = blocks.iter().map(|block| &block[0]).find(|ran| ran.is_err()) {
-            return Err(format!("the first arm, {}: {fault}", experiment.arms[0].name));
+        if let Some(Err(error)) = blocks.iter().map(|block| &block[0]).find(|result| result.is_err()) {
+            return Err(format!("the first arm, {}: {error}", experiment.arms[0].name));
         }
-        let outcome = summed_up(experiment, &blocks);
+        let outcome = summarize(experiment, &blocks);
         progress(Progress::Stage(&outcome));
         if outcome.settled || blocks.len() >= experiment.max_blocks {
             return Ok(outcome);
@@ -58,39 +59,42 @@
     }
 }
 
-fn play_blocks(
+/// Runs `count` blocks of all arms; an arm that failed in an earlier block keeps its error and does not run.
+fn run_blocks(
     experiment: &Experiment,
-    physics: TimingModel,
-    before: &[Vec<Ran>],
+    timing_model: TimingModel,
+    earlier_blocks: &[Vec<RunResult>],
     count: usize,
     progress: &(dyn Fn(Progress) + Sync),
-) -> Vec<Vec<Ran>> {
-    let (arms, from) = (experiment.arms.len(), before.len());
-    let is_out =
-        |arm: usize| before.iter().map(|block| &block[arm]).find_map(|ran| ran.as_ref().err().cloned());
-    let out: Vec<Option<String>> = (0..arms).map(is_out).collect();
-    let (next, done) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let results: Mutex<Vec<Option<Ran>>> = Mutex::new(vec![None; arms * count]);
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get()).min(arms * count);
+) -> Vec<Vec<RunResult>> {
+    let (arm_count, first_block) = (experiment.arms.len(), earlier_blocks.len());
+    let failure_of = |arm: usize| {
+        earlier_blocks.iter().map(|block| &block[arm]).find_map(|result| result.as_ref().err().cloned())
+    };
+    let failures: Vec<Option<String>> = (0..arm_count).map(failure_of).collect();
+    let (next, finished_runs) = (AtomicUsize::new(0), AtomicUsize::new(0));
+    let results: Mutex<Vec<Option<RunResult>>> = Mutex::new(vec![None; arm_count * count]);
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get()).min(arm_count * count);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
-                let number = next.fetch_add(1, Ordering::Relaxed);
-                if number >= arms * count {
+                let run = next.fetch_add(1, Ordering::Relaxed);
+                if run >= arm_count * count {
                     return;
                 }
-                let (block, arm) = (number / arms, number % arms);
-                let ran = match &out[arm] {
-                    Some(fault) => Err(fault.clone()),
-                    None => run_one(experiment, arm, from + block, physics),
+                let (block, arm) = (run / arm_count, run % arm_count);
+                let result = match &failures[arm] {
+                    Some(error) => Err(error.clone()),
+                    None => run_arm(experiment, arm, first_block + block, timing_model),
                 };
-                results.lock().expect("no holder panics")[number] = Some(ran);
-                let done = arms * from + done.fetch_add(1, Ordering::Relaxed) + 1;
+                results.lock().expect("no holder panics")[run] = Some(result);
+                let done = arm_count * first_block + finished_runs.fetch_add(1, Ordering::Relaxed) + 1;
                 progress(Progress::Runs { done });
             });
         }
     });
     let results = results.into_inner().expect("no holder panics");
-    let ran: Vec<Ran> = results.into_iter().map(|ran| ran.expect("every run was played")).collect();
-    ran.chunks(arms).map(<[Ran]>::to_vec).collect()
+    let results: Vec<RunResult> =
+        results.into_iter().map(|result| result.expect("every run has a result")).collect();
+    results.chunks(arm_count).map(<[RunResult]>::to_vec).collect()
 }
