--- a/crates/railhub-experiment/src/charts.rs
+++ b/crates/railhub-experiment/src/charts.rs
@@ -37,7 +37,7 @@
     Moves(Vec<(&'a str, &'a Band)>),
     Loads(&'a [ArmOutcome]),
     BySeed(&'a ArmOutcome, &'a ArmOutcome),
-    ByDay(&'a ArmOutcome, &'a [String]),
+    ByScenario(&'a ArmOutcome, &'a [String]),
     Sweep(&'a [ArmOutcome], &'a str),
 }
 
@@ -56,16 +56,16 @@
         };
         charts.push(Chart { name: "sweep".into(), title, kind: ChartKind::Sweep(&outcome.arms, key) });
     }
-    for (n, day) in outcome.days.iter().enumerate() {
+    for (n, scenario) in outcome.scenario_names.iter().enumerate() {
         let bands = || arms.iter().map(|arm| (arm.name.as_str(), &arm.bands[n])).collect();
         charts.push(Chart {
             name: format!("over-time-{}", n + 1),
-            title: format!("{day}: service by second, mean and the middle 80 of 100 runs"),
+            title: format!("{scenario}: service by second, mean and the middle 80 of 100 runs"),
             kind: ChartKind::OverTime(bands()),
         });
         charts.push(Chart {
             name: format!("moves-{}", n + 1),
-            title: format!("{day}: moves of slices by second, mean"),
+            title: format!("{scenario}: moves of slices by second, mean"),
             kind: ChartKind::Moves(bands()),
         });
     }
@@ -81,11 +81,11 @@
             title: format!("{} less {}, by seed", arm.name, first.name),
             kind: ChartKind::BySeed(first, arm),
         });
-        if outcome.days.len() > 1 {
+        if outcome.scenario_names.len() > 1 {
             charts.push(Chart {
                 name: format!("difference-by-day-{n}"),
                 title: format!("{} less {}, by day, with 95 % intervals", arm.name, first.name),
-                kind: ChartKind::ByDay(arm, &outcome.days),
+                kind: ChartKind::ByScenario(arm, &outcome.scenario_names),
             });
         }
     }
@@ -129,8 +129,9 @@
                 let points = arms.iter().map(|arm| (arm.name.as_str(), arm.service));
                 draw_intervals(area, &points.collect::<Vec<_>>(), "service")
             }
-            ChartKind::ByDay(arm, days) => {
-                let points = days.iter().map(String::as_str).zip(arm.difference_by_day.iter().copied());
+            ChartKind::ByScenario(arm, scenario_names) => {
+                let points =
+                    scenario_names.iter().map(String::as_str).zip(arm.difference_by_scenario.iter().copied());
                 draw_intervals(area, &points.collect::<Vec<_>>(), "difference of service")
             }
             ChartKind::OverTime(bands) => draw_bands(area, bands),
@@ -277,9 +278,13 @@
 where
     DB::ErrorType: 'static,
 {
-    let first_run = |day: usize, seed: u64| first.runs.iter().find(|run| (run.day, run.seed) == (day, seed));
+    let first_run = |scenario_index: usize, seed: u64| {
+        first.runs.iter().find(|run| (run.scenario_index, run.seed) == (scenario_index, seed))
+    };
     let points: Vec<(f64, f64)> = (arm.runs.iter())
-        .filter_map(|run| Some((run.seed as f64, run.service - first_run(run.day, run.seed)?.service)))
+        .filter_map(|run| {
+            Some((run.seed as f64, run.service - first_run(run.scenario_index, run.seed)?.service))
+        })
         .collect();
     let seeds = axis_range(points.iter().map(|point| point.0));
     let values = axis_range(points.iter().map(|point| point.1).chain([0.0]));
--- a/crates/railhub-experiment/src/figures.rs
+++ b/crates/railhub-experiment/src/figures.rs
@@ -21,12 +21,14 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RunFigures {
     /// Index of the scenario.
-    pub day: usize,
+    #[serde(rename = "day")]
+    pub scenario_index: usize,
     pub seed: u64,
     pub service: f64,
     pub worst_10_s: f64,
     pub rules_broken: Vec<u8>,
-    pub first_breach: Option<FirstViolation>,
+    #[serde(rename = "first_breach")]
+    pub first_violation: Option<FirstViolation>,
     /// Deltas that reached proxies.
     pub messages: u64,
     /// Slices that changed hosts.
@@ -48,8 +50,8 @@
     pub operator_events: Vec<OperatorEvent>,
 }
 
-/// Reduces a recording to its figures; `day` is the index of the scenario.
-pub fn figures(events: &[Event], day: usize, seed: u64) -> Result<RunFigures, String> {
+/// Reduces a recording to its figures.
+pub fn figures(events: &[Event], scenario_index: usize, seed: u64) -> Result<RunFigures, String> {
     let limits = limits(events).ok_or("a run without limits")?;
     let service = service(events, limits);
     let verdicts = check(events).map_err(|error| error.to_string())?;
@@ -63,11 +65,11 @@
     });
     let series = time_series(events, limits);
     Ok(RunFigures {
-        day,
+        scenario_index,
         seed,
         service: service.overall,
         worst_10_s: service.worst_10_s,
-        first_breach: violations.min_by(|a, b| a.at.total_cmp(&b.at)),
+        first_violation: violations.min_by(|a, b| a.at.total_cmp(&b.at)),
         rules_broken: broken_rules.map(|verdict| verdict.rule).collect(),
         messages: series.messages.iter().map(|messages| u64::from(*messages)).sum(),
         moves: series.total_moves(),
--- a/crates/railhub-experiment/src/outcome.rs
+++ b/crates/railhub-experiment/src/outcome.rs
@@ -36,14 +36,19 @@
     pub messages: Estimate,
     pub moves: Estimate,
     pub runs_with_broken_rules: usize,
-    pub first_breach: Option<(u64, FirstViolation)>,
+    /// Seed and violation of the first run that broke a rule.
+    #[serde(rename = "first_breach")]
+    pub first_violation: Option<(u64, FirstViolation)>,
     /// Difference of service to the first arm, paired by seed; `None` for the first arm itself.
     pub difference: Option<Estimate>,
     pub worst_10_s_difference: Option<Estimate>,
-    pub difference_by_day: Vec<Estimate>,
+    #[serde(rename = "difference_by_day")]
+    pub difference_by_scenario: Vec<Estimate>,
     pub verdict: Option<Verdict>,
     pub worst_10_s_verdict: Option<Verdict>,
-    pub tails: Vec<LatencyPercentiles>,
+    /// By operation class.
+    #[serde(rename = "tails")]
+    pub latency_percentiles: Vec<LatencyPercentiles>,
     /// By scenario.
     pub bands: Vec<Band>,
     /// Mean load over the runs of the most loaded host, the second, and so on.
@@ -56,13 +61,15 @@
 pub struct Outcome {
     pub experiment: String,
     pub how: &'static str,
-    pub days: Vec<String>,
+    #[serde(rename = "days")]
+    pub scenario_names: Vec<String>,
     pub sweep: Vec<String>,
     pub blocks: usize,
     /// Whether the differences are known precisely enough.
     pub settled: bool,
     /// Scenarios and seeds on which every arm broke a rule.
-    pub survived_by_none: Vec<(String, u64)>,
+    #[serde(rename = "survived_by_none")]
+    pub failed_by_all: Vec<(String, u64)>,
     pub arms: Vec<ArmOutcome>,
 }
 
@@ -80,12 +87,12 @@
     Outcome {
         experiment: experiment.name.clone(),
         how: "simulated",
-        days: experiment.scenario_names.clone(),
+        scenario_names: experiment.scenario_names.clone(),
         sweep: experiment.sweep.clone(),
         blocks: blocks.len(),
         settled: arms.iter().all(is_settled),
-        survived_by_none: blocks_without_survivor
-            .map(|run| (experiment.scenario_names[run.day].clone(), run.seed))
+        failed_by_all: blocks_without_survivor
+            .map(|run| (experiment.scenario_names[run.scenario_index].clone(), run.seed))
             .collect(),
         arms,
     }
@@ -108,7 +115,9 @@
     let has_pairs = arm_index > 0 && !pairs.is_empty();
     let difference = has_pairs.then(|| difference_to_first(&|_| true, |run| run.service));
     let worst_10_s_difference = has_pairs.then(|| difference_to_first(&|_| true, |run| run.worst_10_s));
-    let difference_in = |day: usize| difference_to_first(&|run| run.day == day, |run| run.service);
+    let difference_in = |scenario_index: usize| {
+        difference_to_first(&|run| run.scenario_index == scenario_index, |run| run.service)
+    };
     let count_with_violations =
         |runs: &mut dyn Iterator<Item = &RunFigures>| runs.filter(|run| !run.rules_broken.is_empty()).count();
     let runs_with_violations = count_with_violations(&mut runs.iter());
@@ -122,7 +131,7 @@
             (_, 0, 1..) => Verdict::FirstBreaksRules,
             _ => verdict(difference, experiment.min_relevant_difference),
         };
-    let first_violations = runs.iter().filter_map(|run| Some((run.seed, run.first_breach.clone()?)));
+    let first_violations = runs.iter().filter_map(|run| Some((run.seed, run.first_violation.clone()?)));
     ArmOutcome {
         name: arm.name.clone(),
         swept: arm.swept.clone(),
@@ -131,7 +140,7 @@
         messages: estimate_of(|run| run.messages as f64),
         moves: estimate_of(|run| run.moves as f64),
         runs_with_broken_rules: runs_with_violations,
-        first_breach: first_violations.min_by_key(|first| first.0),
+        first_violation: first_violations.min_by_key(|first| first.0),
         verdict: match (arm_index, &difference) {
             (0, _) => None,
             (_, Some(difference)) => Some(judge(difference)),
@@ -140,12 +149,14 @@
         worst_10_s_verdict: worst_10_s_difference.as_ref().map(judge),
         difference,
         worst_10_s_difference,
-        difference_by_day: match has_pairs {
+        difference_by_scenario: match has_pairs {
             true => (0..experiment.scenario_names.len()).map(difference_in).collect(),
             false => Vec::new(),
         },
-        tails: latency_percentiles(&runs),
-        bands: (0..experiment.scenario_names.len()).map(|day| band(&runs, day)).collect(),
+        latency_percentiles: latency_percentiles(&runs),
+        bands: (0..experiment.scenario_names.len())
+            .map(|scenario_index| band(&runs, scenario_index))
+            .collect(),
         loads: mean_by_rank(runs.iter().map(|run| run.loads.clone())),
         failed,
         runs,
@@ -177,8 +188,8 @@
 }
 
 /// Service and moves of each second over the runs of one scenario.
-fn band(runs: &[RunFigures], day: usize) -> Band {
-    let runs: Vec<&RunFigures> = runs.iter().filter(|run| run.day == day).collect();
+fn band(runs: &[RunFigures], scenario_index: usize) -> Band {
+    let runs: Vec<&RunFigures> = runs.iter().filter(|run| run.scenario_index == scenario_index).collect();
     let seconds = runs.iter().map(|run| run.service_by_second.len()).min().unwrap_or(0);
     let mut band = Band::default();
     for second in 0..seconds {
--- a/crates/railhub-experiment/src/page.rs
+++ b/crates/railhub-experiment/src/page.rs
@@ -34,7 +34,7 @@
         true => "The differences are known as closely as was asked for.",
         false => "The budget was spent before all differences were known as closely as was asked for.",
     };
-    let days = outcome.days.len();
+    let days = outcome.scenario_names.len();
     let plural = if days == 1 { "day" } else { "days" };
     format!(
         "{} runs, {} blocks of {days} {plural}: in each block all arms met the same hosts and the same \
@@ -65,7 +65,7 @@
 fn violations(outcome: &Outcome) -> String {
     let mut out = String::new();
     for arm in &outcome.arms {
-        if let Some((seed, violation)) = &arm.first_breach {
+        if let Some((seed, violation)) = &arm.first_violation {
             let _ = writeln!(
                 out,
                 "<p class=\"bad\">{} broke rules in {} of {} runs; first on seed {seed}, rule {} at {:.2} s: {}</p>",
@@ -86,8 +86,8 @@
             );
         }
     }
-    if !outcome.survived_by_none.is_empty() {
-        let blocks = outcome.survived_by_none.iter().map(|(day, seed)| format!("{day} {seed}"));
+    if !outcome.failed_by_all.is_empty() {
+        let blocks = outcome.failed_by_all.iter().map(|(scenario, seed)| format!("{scenario} {seed}"));
         let blocks = blocks.collect::<Vec<_>>().join(", ");
         let _ = writeln!(out, "<p class=\"bad\">No arm keeps all rules on: {}</p>", escape_html(&blocks));
     }
@@ -98,7 +98,7 @@
 fn service_changes(outcome: &Outcome) -> String {
     let mut out = "<h2>When service changed</h2>\n".to_owned();
     for arm in &outcome.arms {
-        for (day, band) in outcome.days.iter().zip(&arm.bands) {
+        for (scenario, band) in outcome.scenario_names.iter().zip(&arm.bands) {
             let text = match band.changes.is_empty() {
                 true => "one level all day\n".to_owned(),
                 false => format_changes(&band.changes),
@@ -107,7 +107,7 @@
                 out,
                 "<p>{}, {}</p><pre>{}</pre>",
                 escape_html(&arm.name),
-                escape_html(day),
+                escape_html(scenario),
                 escape_html(&text)
             );
         }
--- a/crates/railhub-experiment/src/report.rs
+++ b/crates/railhub-experiment/src/report.rs
@@ -28,7 +28,7 @@
 pub fn text_report(outcome: &Outcome) -> String {
     let mut out = String::new();
     let state = if outcome.settled { "known well enough" } else { "budget spent" };
-    let days = match outcome.days.len() {
+    let days = match outcome.scenario_names.len() {
         1 => String::new(),
         days => format!(" over {days} days"),
     };
@@ -37,11 +37,11 @@
     for arm in &outcome.arms {
         write_arm(&mut out, arm, outcome);
     }
-    if let Some((day, seed)) = outcome.survived_by_none.first() {
-        let count = outcome.survived_by_none.len();
+    if let Some((scenario, seed)) = outcome.failed_by_all.first() {
+        let count = outcome.failed_by_all.len();
         let _ = writeln!(
             out,
-            "no arm keeps all rules on {count} of {} blocks, first {day}, seed {seed}",
+            "no arm keeps all rules on {count} of {} blocks, first {scenario}, seed {seed}",
             outcome.blocks
         );
     }
@@ -58,19 +58,19 @@
     if let (Some(difference), Some(verdict)) = (&arm.worst_10_s_difference, arm.worst_10_s_verdict) {
         line(format!("worst 10 s less the first's: {} - {}", interval(difference), verdict_text(verdict)));
     }
-    if arm.difference_by_day.len() > 1 {
-        for (day, difference) in outcome.days.iter().zip(&arm.difference_by_day) {
-            line(format!("  {day:<24} {}", interval(difference)));
+    if arm.difference_by_scenario.len() > 1 {
+        for (scenario, difference) in outcome.scenario_names.iter().zip(&arm.difference_by_scenario) {
+            line(format!("  {scenario:<24} {}", interval(difference)));
         }
     }
     line(format!("{:.0} moves, {:.0} messages a run", arm.moves.mean, arm.messages.mean));
-    for percentiles in &arm.tails {
+    for percentiles in &arm.latency_percentiles {
         line(latency_text(percentiles));
     }
     if let Some(error) = &arm.failed {
         line(format!("cannot be run: {error}"));
     }
-    if let Some((seed, violation)) = &arm.first_breach {
+    if let Some((seed, violation)) = &arm.first_violation {
         let (count, runs) = (arm.runs_with_broken_rules, arm.runs.len());
         line(format!("rules BROKEN in {count} of {runs} runs"));
         line(format!(
@@ -101,10 +101,11 @@
     for arm in &outcome.arms {
         for run in &arm.runs {
             let broken = run.rules_broken.iter().map(u8::to_string).collect::<Vec<_>>().join(" ");
-            let (name, day) = (csv_field(&arm.name), csv_field(&outcome.days[run.day]));
+            let (name, scenario) =
+                (csv_field(&arm.name), csv_field(&outcome.scenario_names[run.scenario_index]));
             let _ = writeln!(
                 out,
-                "{name},{day},{},{:.6},{:.6},{},{},{},{broken}",
+                "{name},{scenario},{},{:.6},{:.6},{},{},{},{broken}",
                 run.seed, run.service, run.worst_10_s, run.moves, run.messages, run.operations
             );
         }
@@ -141,11 +142,11 @@
 pub fn over_time_csv(outcome: &Outcome) -> String {
     let mut out = "arm,day,second,service,low,high,moves\n".to_owned();
     for arm in &outcome.arms {
-        for (day, band) in outcome.days.iter().zip(&arm.bands) {
+        for (scenario, band) in outcome.scenario_names.iter().zip(&arm.bands) {
             for second in 0..band.mean.len() {
                 let (mean, low, high) = (band.mean[second], band.low[second], band.high[second]);
-                let (name, day, moves) = (csv_field(&arm.name), csv_field(day), band.moves[second]);
-                let _ = writeln!(out, "{name},{day},{second},{mean:.5},{low:.5},{high:.5},{moves:.3}");
+                let (name, scenario, moves) = (csv_field(&arm.name), csv_field(scenario), band.moves[second]);
+                let _ = writeln!(out, "{name},{scenario},{second},{mean:.5},{low:.5},{high:.5},{moves:.3}");
             }
         }
     }
--- a/crates/railhub-experiment/tests/arms.rs
+++ b/crates/railhub-experiment/tests/arms.rs
@@ -114,7 +114,7 @@
     let arm = &outcome.arms[1];
     assert!(arm.runs_with_broken_rules > 0);
     assert_eq!(arm.verdict, Some(Verdict::BreaksRules));
-    let (seed, violation) = arm.first_breach.as_ref().expect("a violation");
+    let (seed, violation) = arm.first_violation.as_ref().expect("a violation");
     assert!((1..=6).contains(seed) && violation.at > 0.0 && !violation.what.is_empty());
     let expected = format!("first on seed {seed}, rule {} at {:.2} s", violation.rule, violation.at);
     assert!(
@@ -129,7 +129,7 @@
     let text = "[experiment]\nday = DAY\nblocks_least = 3\nblocks_most = 3\n\
         [arm a]\nrules.backlog = 1\n[arm b]\nrules.backlog = 2\n";
     let outcome = run_text("none", text);
-    assert_eq!(outcome.survived_by_none.len(), 3, "{}", text_report(&outcome));
+    assert_eq!(outcome.failed_by_all.len(), 3, "{}", text_report(&outcome));
     assert_eq!(outcome.arms[1].verdict, Some(Verdict::BothBreakRules));
     assert!(text_report(&outcome).contains("no arm keeps all rules on 3 of 3 blocks"));
 }
@@ -171,8 +171,9 @@
         "[experiment]\ndays = DAY, {short}\nblocks_least = 4\nblocks_most = 4\n[arm a]\n[arm b]\nluck = 1\n"
     );
     let outcome = run_text("days", &text);
-    let blocks: Vec<(usize, u64)> = outcome.arms[1].runs.iter().map(|run| (run.day, run.seed)).collect();
+    let blocks: Vec<(usize, u64)> =
+        outcome.arms[1].runs.iter().map(|run| (run.scenario_index, run.seed)).collect();
     assert_eq!(blocks, [(0, 1), (1, 1), (0, 2), (1, 2)]);
-    assert_eq!(outcome.arms[1].difference_by_day.len(), 2);
+    assert_eq!(outcome.arms[1].difference_by_scenario.len(), 2);
     assert_eq!((outcome.arms[0].bands[0].mean.len(), outcome.arms[0].bands[1].mean.len()), (48, 10));
 }
--- a/crates/railhub-simulator/tests/days.rs
+++ b/crates/railhub-simulator/tests/days.rs
@@ -37,7 +37,11 @@
         for seed in 1..=10 {
             let scenario = Scenario { seed, ..scenario(name) };
             let events = simulate(&scenario, &Policy::Controller);
-            let broken: Vec<_> = check(&events).expect("a record").into_iter().filter(|v| !v.kept).collect();
+            let broken: Vec<_> = check(&events)
+                .expect("a valid recording")
+                .into_iter()
+                .filter(|verdict| !verdict.kept)
+                .collect();
             assert!(broken.is_empty(), "{name}, seed {seed}: {broken:?}");
         }
     }
@@ -74,7 +78,7 @@
     let scenario = scenario("one-hot-key.ini");
     for policy in [Baseline::Even, Baseline::Latency] {
         let events = simulate(&scenario, &Policy::Baseline(policy));
-        let verdict = check(&events).expect("a record").swap_remove(0);
+        let verdict = check(&events).expect("a valid recording").swap_remove(0);
         assert!(verdict.rule == 1 && verdict.kept && verdict.check_count > 0, "{policy:?}: {verdict:?}");
     }
 }
@@ -85,7 +89,7 @@
     for (name, hosts, min_gain) in [("one-hot-key.ini", 12, 0.1), ("grows-to-150.ini", 150, 0.02)] {
         let scenario = scenario(name);
         let events = simulate(&scenario, &Policy::Controller);
-        assert!(check(&events).expect("a record").iter().all(|verdict| verdict.kept), "{name}");
+        assert!(check(&events).expect("a valid recording").iter().all(|verdict| verdict.kept), "{name}");
         let started_hosts =
             events.iter().filter(|event| matches!(event.kind, Some(EventKind::HostStarted(_)))).count();
         assert_eq!(started_hosts, hosts, "{name}");
