--- a/crates/railhub-simulator/src/controller.rs
+++ b/crates/railhub-simulator/src/controller.rs
@@ -2,7 +2,7 @@
 use crate::baseline::BaselineController;
 use crate::endpoint_list::{endpoint_list_message, endpoints_received};
 use crate::events::{HostIndex, ProxyIndex, ScheduledEvent};
-use crate::world::{Policy, World};
+use crate::simulation::{Policy, Simulation};
 use railhub::{
     HealthCheckOutcome, HealthCheckResult, HostId, ProxyId, Seconds, SliceAssignment, SliceId, WeightedHost,
     ZoneId,
@@ -133,7 +133,7 @@
     health_batch_pending: bool,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Starts the controller of the policy, unless the tables are fixed.
     pub fn start_controller(&mut self) {
         if self.policy == Policy::Fixed {
@@ -244,7 +244,10 @@
         for (slice, lines) in std::mem::take(&mut self.unsaved_tables) {
             self.tables.insert(slice, lines);
         }
-        let awaits_assignments = |controller: &Controller| matches!(&controller.decision_maker, DecisionMaker::ControllerCore(core) if !core.is_ready());
+        let awaits_assignments = |controller: &Controller| {
+            let maker = &controller.decision_maker;
+            matches!(maker, DecisionMaker::ControllerCore(core) if !core.is_ready())
+        };
         if self.controller.as_ref().is_some_and(awaits_assignments) {
             self.load_assignments();
             self.run_controller();
--- a/crates/railhub-simulator/src/events.rs
+++ b/crates/railhub-simulator/src/events.rs
@@ -8,9 +8,9 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Index into [`World::hosts`](crate::world::World).
+/// Index into [`Simulation::hosts`](crate::simulation::Simulation).
 pub type HostIndex = usize;
-/// Index into [`World::proxies`](crate::world::World).
+/// Index into [`Simulation::proxies`](crate::simulation::Simulation).
 pub type ProxyIndex = usize;
 
 pub enum ScheduledEvent {
--- a/crates/railhub-simulator/src/faults.rs
+++ b/crates/railhub-simulator/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of a scenario, injected as the emulator does.
 use crate::endpoint_list::EndpointState;
 use crate::events::{HostIndex, ScheduledEvent};
-use crate::world::World;
+use crate::simulation::Simulation;
 use railhub::Phase;
 use railhub_emulator::host::HostFaults;
 use railhub_record::{EventKind, HostStarted, HostStopped};
@@ -12,7 +12,7 @@
 /// Least time between the list's notice of a host's end and of its next start, so that they stay in order.
 const LIST_ORDER_MARGIN_SECONDS: f64 = 0.05;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Chooses the hosts of a fault among those that no other fault has chosen.
     fn choose_targets(&mut self, count: usize, fault: usize) -> Vec<HostIndex> {
         let is_eligible = |n: &usize| {
@@ -109,7 +109,7 @@
         self.schedule_list_change(self.scenario.list_add_delay, host_index, "ready");
     }
 
-    /// Adds a host that belongs to no fleet but is shown in the list.
+    /// Adds a host that the list shows although it is not part of the fleet.
     fn add_phantom(&mut self, behavior: &PhantomBehavior) -> HostIndex {
         let config = draw::hosts(self.scenario, 1, "ghost").swap_remove(0);
         let host_index = self.register_host(config);
@@ -299,8 +299,8 @@
         let now = self.event_queue.now;
         let fault = self.scenario.faults[number].clone();
         let until = self.load_start + fault.at + fault.duration;
-        let schedule_next = |world: &mut World, delay: f64| {
-            world.event_queue.after(delay, ScheduledEvent::FaultStep(number, step + 1))
+        let schedule_next = |simulation: &mut Simulation, delay: f64| {
+            simulation.event_queue.after(delay, ScheduledEvent::FaultStep(number, step + 1))
         };
         match &fault.kind {
             FaultKind::Pauses { pause, interval, .. } if now < until => {
--- a/crates/railhub-simulator/src/lib.rs
+++ b/crates/railhub-simulator/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod fit;
 mod hosts;
 mod operations;
-mod world;
+mod simulation;
 
 pub use baseline::Baseline;
-pub use world::{run, run_with_proxy_seed, Policy, TimingModel};
+pub use simulation::{run, run_with_proxy_seed, Policy, TimingModel};
--- a/crates/railhub-simulator/src/operations.rs
+++ b/crates/railhub-simulator/src/operations.rs
@@ -1,7 +1,7 @@
 //! The steps of an operation at the client, the proxy and the host.
 use crate::events::{HostIndex, Job, ScheduledEvent};
 use crate::hosts::HostAdmission;
-use crate::world::World;
+use crate::simulation::Simulation;
 use railhub_emulator::routing::{Admission, BalancingPolicy};
 use railhub_emulator::AttemptResult;
 use railhub_emulator::PlannedOperation;
@@ -48,7 +48,7 @@
     link_delay: f64,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     pub fn on_operation_arrival(&mut self, arrival: usize) {
         let arrival = self.arrivals[arrival];
         let operation = OperationState {
--- a/crates/railhub-simulator/src/world.rs
+++ b/crates/railhub-simulator/src/simulation.rs
@@ -28,6 +28,11 @@
 
 /// Time between the start of the fleet and the first operation; the same as with the emulator.
 const STARTUP_SECONDS: f64 = 2.0;
+/// Time of the controller's first start.
+const CONTROLLER_START_AT_SECONDS: f64 = 0.02;
+/// Time from which on proxies connect for the first time, each at a random moment within the spread.
+const FIRST_CONNECT_AT_SECONDS: f64 = 0.05;
+const FIRST_CONNECT_SPREAD_SECONDS: f64 = 0.02;
 /// Time that the fleet keeps running after the last operation and fault have ended.
 const TRAILING_SECONDS: f64 = 1.0;
 /// Spreads a small proxy seed over all bits, so that different proxy seeds give unrelated random numbers.
@@ -85,7 +90,7 @@
 }
 
 /// All state of a run.
-pub struct World<'a> {
+pub struct Simulation<'a> {
     pub scenario: &'a Scenario,
     pub policy: Policy,
     pub timing_model: TimingModel,
@@ -156,27 +161,28 @@
     );
     let controller_settings =
         document.and_then(|document| ControllerSettings::read(&document)).map_err(|e| e.to_string())?;
-    let mut world = World::new(scenario, policy.clone(), timing_model, controller_settings, proxy_seed);
-    world.schedule_start();
-    world.run_to_end();
-    for slot in &world.engine_errors {
+    let mut simulation =
+        Simulation::new(scenario, policy.clone(), timing_model, controller_settings, proxy_seed);
+    simulation.schedule_start();
+    simulation.run_to_end();
+    for slot in &simulation.engine_errors {
         if let Some(error) = slot.lock().expect("no holder panics").take() {
             return Err(error.to_string());
         }
     }
-    let mut events = world.events;
+    let mut events = simulation.events;
     events.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(events)
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn new(
         scenario: &Scenario,
         policy: Policy,
         timing_model: TimingModel,
         controller_settings: ControllerSettings,
         proxy_seed: u64,
-    ) -> World<'_> {
+    ) -> Simulation<'_> {
         let host_configs = draw::hosts(scenario, scenario.hosts, "hosts");
         let proxies = (0..scenario.proxies).map(|n| {
             let config = proxy_config(scenario, n);
@@ -190,7 +196,7 @@
                 rejects_next_delta: false,
             }
         });
-        let mut world = World {
+        let mut simulation = Simulation {
             scenario,
             policy,
             timing_model,
@@ -224,15 +230,15 @@
             engine_errors: Vec::new(),
             events: Vec::new(),
         };
-        world.unfinished_operations = world.arrivals.len();
+        simulation.unfinished_operations = simulation.arrivals.len();
         for config in &host_configs {
-            world.register_host(config.clone());
+            simulation.register_host(config.clone());
         }
-        let addresses: Vec<SocketAddr> = world.hosts.iter().map(|host| host.address).collect();
-        world.tables = initial_tables(scenario, &host_configs, &addresses);
-        let routing = RoutingState::with_tables(world.tables.clone());
-        world.proxies.iter_mut().for_each(|proxy| proxy.routing = routing.clone());
-        world
+        let addresses: Vec<SocketAddr> = simulation.hosts.iter().map(|host| host.address).collect();
+        simulation.tables = initial_tables(scenario, &host_configs, &addresses);
+        let routing = RoutingState::with_tables(simulation.tables.clone());
+        simulation.proxies.iter_mut().for_each(|proxy| proxy.routing = routing.clone());
+        simulation
     }
 
     /// Adds a host that has not started.
@@ -261,8 +267,8 @@
             if let FaultKind::SlowZoneLink { zone, other, delay, loss_fraction } =
                 self.scenario.faults[*number].kind
             {
-                let joins = |end: u32| other.is_none_or(|other| other == end);
-                if a != b && (zone == a && joins(b) || zone == b && joins(a)) {
+                let connects_to = |end: u32| other.is_none_or(|other| other == end);
+                if a != b && (zone == a && connects_to(b) || zone == b && connects_to(a)) {
                     impairment = (impairment.0 + delay, impairment.1.max(loss_fraction));
                 }
             }
@@ -282,9 +288,10 @@
             self.endpoint_list
                 .update(host.address, EndpointState { phase: Phase::Ready, started_at: None, weight, kind });
         }
-        self.event_queue.at(0.02, ScheduledEvent::ControllerStarts);
+        self.event_queue.at(CONTROLLER_START_AT_SECONDS, ScheduledEvent::ControllerStarts);
         for proxy in 0..self.proxies.len() {
-            let connect_at = 0.05 + self.proxies[proxy].random() * 0.02;
+            let connect_at =
+                FIRST_CONNECT_AT_SECONDS + self.proxies[proxy].random() * FIRST_CONNECT_SPREAD_SECONDS;
             self.event_queue.at(connect_at, ScheduledEvent::ProxyConnects(proxy));
             let report_at = self.scenario.report_interval * (1.0 + self.proxies[proxy].random());
             self.event_queue.at(report_at, ScheduledEvent::LoadReportDue(proxy));
