--- a/crates/railhub-cli/src/compare.rs
+++ b/crates/railhub-cli/src/compare.rs
@@ -4,10 +4,10 @@
 use crate::CommandError;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use railhub_experiment::report::{runs_csv, words};
+use railhub_experiment::report::{runs_csv, text_report};
 use railhub_experiment::trial::Progress;
 use railhub_experiment::{compare, folder, page, Experiment};
-use railhub_simulator::Physics;
+use railhub_simulator::TimingModel;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 
@@ -36,7 +36,7 @@
 
 pub fn run(arguments: &CompareArguments) -> Result<(), CommandError> {
     let mut experiment = Experiment::open(&arguments.file)?;
-    let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
+    let physics = arguments.physics.as_deref().map_or(Ok(TimingModel::default()), read_physics)?;
     let is_terminal = std::io::stderr().is_terminal();
     let show_build = |done, total| {
         if is_terminal {
@@ -45,7 +45,7 @@
     };
     experiment.build(&show_build).map_err(CommandError::Input)?;
     let progress_bar = match is_terminal {
-        true => ProgressBar::new((experiment.blocks_most * experiment.arms.len()) as u64),
+        true => ProgressBar::new((experiment.max_blocks * experiment.arms.len()) as u64),
         false => ProgressBar::hidden(),
     };
     let style = ProgressStyle::with_template("{bar:40} {pos} of at most {len} runs, {eta} left");
@@ -53,7 +53,7 @@
     let show_progress = |progress: Progress| match progress {
         Progress::Runs { done } => progress_bar.set_position(done as u64),
         Progress::Stage(outcome) => {
-            let written = arguments.keep.as_deref().map(|folder| folder::keep_stage(folder, outcome));
+            let written = arguments.keep.as_deref().map(|folder| folder::write_stage(folder, outcome));
             if let Some(Err(error)) = written {
                 tracing::warn!(%error, "cannot write the interim outcome to the --keep folder");
             }
@@ -63,7 +63,7 @@
     progress_bar.finish_and_clear();
     let report_error = |error| CommandError::Input(format!("cannot write the report: {error}"));
     if let Some(folder) = &arguments.keep {
-        folder::keep(folder, &outcome).map_err(report_error)?;
+        folder::write(folder, &outcome).map_err(report_error)?;
     }
     if let Some(path) = &arguments.csv {
         write_file(path, runs_csv(&outcome))?;
@@ -74,7 +74,7 @@
     if arguments.json {
         println!("{}", serde_json::to_string(&outcome)?);
     } else {
-        print!("{}", words(&outcome));
+        print!("{}", text_report(&outcome));
     }
     Ok(())
 }
--- a/crates/railhub-cli/src/model.rs
+++ b/crates/railhub-cli/src/model.rs
@@ -10,7 +10,7 @@
 use railhub_scenario::report::service;
 use railhub_scenario::Scenario;
 use railhub_simulator::fit::samples;
-use railhub_simulator::{run as run_model, Baseline, Physics, Policy};
+use railhub_simulator::{run as run_model, Baseline, Policy, TimingModel};
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
@@ -73,7 +73,7 @@
 impl PolicyArgument {
     fn policy(self) -> Policy {
         match self {
-            PolicyArgument::Steward => Policy::Steward,
+            PolicyArgument::Steward => Policy::Controller,
             PolicyArgument::Fixed => Policy::Fixed,
             PolicyArgument::Hash => Policy::Baseline(Baseline::Hash),
             PolicyArgument::Even => Policy::Baseline(Baseline::Even),
@@ -87,7 +87,7 @@
         return fit(record);
     }
     let file = arguments.file.as_ref().ok_or(CommandError::Input("a scenario file is required".into()))?;
-    let physics = arguments.physics.as_deref().map_or(Ok(Physics::default()), read_physics)?;
+    let physics = arguments.physics.as_deref().map_or(Ok(TimingModel::default()), read_physics)?;
     let mut scenario = Scenario::open(file)?;
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     if let Some(runs) = arguments.runs {
@@ -107,7 +107,7 @@
 fn print_prediction(
     scenario: &Scenario,
     policy: &Policy,
-    physics: Physics,
+    physics: TimingModel,
     runs: u64,
     json: bool,
 ) -> Result<(), CommandError> {
@@ -135,13 +135,13 @@
 }
 
 /// Reads the latencies of a machine from an INI file with a `[physics]` section.
-pub fn read_physics(path: &Path) -> Result<Physics, Diagnostic> {
+pub fn read_physics(path: &Path) -> Result<TimingModel, Diagnostic> {
     let document = Document::open(path)?;
     document.reject_unknown_sections(|name| name == "physics")?;
     let section = document.section("physics");
-    let physics = Physics {
-        way: section.required_in_range("way", 0.0, 10.0)?,
-        work_late: section.required_in_range("work_late", 0.0, 10.0)?,
+    let physics = TimingModel {
+        message_latency: section.required_in_range("way", 0.0, 10.0)?,
+        completion_delay: section.required_in_range("work_late", 0.0, 10.0)?,
     };
     section.reject_unread_keys()?;
     Ok(physics)
@@ -149,7 +149,7 @@
 
 fn fit(record: &Path) -> Result<(), CommandError> {
     let samples = samples(&read(record)?);
-    if samples.way.is_empty() || samples.work_late.is_empty() {
+    if samples.message_latency.is_empty() || samples.completion_delay.is_empty() {
         return Err(CommandError::Input(format!(
             "{}: no completed operation to estimate from",
             record.display()
@@ -160,7 +160,7 @@
         println!("{name} = {:.6}", estimate.mean);
     };
     println!("[physics]");
-    print_parameter("way", estimate(&samples.way, 1));
-    print_parameter("work_late", estimate(&samples.work_late, 1));
+    print_parameter("way", estimate(&samples.message_latency, 1));
+    print_parameter("work_late", estimate(&samples.completion_delay, 1));
     Ok(())
 }
