--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -4,9 +4,9 @@
 use railhub_invariants::limits;
 use railhub_record::{read_partial, PartialRecording};
 use railhub_scenario::replay::trace_from_recording;
-use railhub_trace::cut::{cut, Part};
+use railhub_trace::cut::{cut, Selection};
 use railhub_trace::file::{open, save};
-use railhub_trace::fit::{fit, Candidate, Fitted};
+use railhub_trace::fit::{fit, Candidate, TraceFit};
 use railhub_trace::scale::{scale, CopyKeys};
 use railhub_trace::show::{summarize, Summary};
 use railhub_trace::{Trace, MAX_OPERATIONS};
@@ -97,7 +97,7 @@
             if is_truncated {
                 // What came last has not ended: of the last seconds only a part is known.
                 let until = events.last().map_or(0.0, |event| event.at) - limits.from - longest_stop(limits);
-                traffic = cut(&traffic, &Part { until: Some(until.max(0.0)), ..Part::default() });
+                traffic = cut(&traffic, &Selection { until: Some(until.max(0.0)), ..Selection::default() });
             }
             save(output, &traffic)?;
         }
@@ -117,7 +117,7 @@
             if from.is_nan() || *from < 0.0 || !in_order {
                 return Err(Ending::Input("--from and --until must be in order, from 0".into()));
             }
-            save(output, &cut(&traffic, &Part { from: *from, until: *until, classes, zones }))?;
+            save(output, &cut(&traffic, &Selection { from: *from, until: *until, classes, zones }))?;
         }
         What::Scale { file, output, times, stretch, copies, seed } => {
             let sane = |value: f64| (0.0001..=10_000.0).contains(&value);
@@ -173,8 +173,8 @@
     let mut out =
         format!("{} operations in {:.1} s: {:.1} a second", summary.operations, summary.length, summary.rate);
     out += &format!(", {:.0} in the busiest second\n", summary.peak_rate);
-    if summary.from_sums > 0 {
-        out += &format!("{} of them from sums, without keys, work and moments\n", summary.from_sums);
+    if summary.aggregated > 0 {
+        out += &format!("{} of them from sums, without keys, work and moments\n", summary.aggregated);
     }
     if let Some(work) = summary.work_rate {
         out += &format!("{work:.2} cores busy at speed 1\n");
@@ -203,7 +203,7 @@
     format!("  {:<12} {parameters:<36} distance {distance:.4} of {allowed:.4}: {fits}\n", candidate.name)
 }
 
-fn fit_text(fitted: &Fitted) -> String {
+fn fit_text(fitted: &TraceFit) -> String {
     let mut out = String::new();
     match &fitted.arrivals {
         Some(arrivals) => {
@@ -225,7 +225,7 @@
                 "{} keys, share by rank to the power of -{:.3}: distance {:.4} of {:.4}: {fits}\n",
                 keys.keys, keys.exponent, keys.distance, keys.allowed
             );
-            for (key, share) in &keys.off_the_curve {
+            for (key, share) in &keys.outliers {
                 out += &format!("  hot beyond the curve: key {key}, {:.2} % of all\n", share * 100.0);
             }
         }
--- a/crates/railhub-trace/src/cut.rs
+++ b/crates/railhub-trace/src/cut.rs
@@ -3,7 +3,7 @@
 
 /// Which rows are kept. Times are seconds of the recording.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
+pub struct Selection {
     /// Start of the part, inclusive.
     pub from: f64,
     /// End of the part, exclusive; `None`: the end of the recording.
@@ -14,7 +14,7 @@
     pub zones: Vec<u32>,
 }
 
-impl Part {
+impl Selection {
     fn selects(&self, row: &TraceRow) -> bool {
         contains_or_empty(&self.classes, row.class) && contains_or_empty(&self.zones, row.zone)
     }
@@ -26,7 +26,7 @@
 
 /// Returns the part, with times from its start. Of an aggregate whose span crosses an edge, the operations inside are
 /// kept in proportion.
-pub fn cut(trace: &Trace, part: &Part) -> Trace {
+pub fn cut(trace: &Trace, part: &Selection) -> Trace {
     let until = part.until.unwrap_or(trace.header.length).min(trace.header.length);
     let mut header = trace.header.clone();
     header.length = (until - part.from).max(0.0);
--- a/crates/railhub-trace/src/fit.rs
+++ b/crates/railhub-trace/src/fit.rs
@@ -8,28 +8,28 @@
 mod popularity;
 mod work;
 
-pub use arrivals::Arrivals;
+pub use arrivals::ArrivalFit;
 pub use distribution::Candidate;
-pub use popularity::Keys;
-pub use work::Work;
+pub use popularity::KeyPopularity;
+pub use work::WorkFit;
 
 use crate::Trace;
 use serde::Serialize;
 
 /// The fits of a trace. The names of its fields are those of the JSON output.
 #[derive(Clone, Debug, Serialize)]
-pub struct Fitted {
+pub struct TraceFit {
     /// `None` if there are too few single operations; the moments of aggregated ones are unknown.
-    pub arrivals: Option<Arrivals>,
+    pub arrivals: Option<ArrivalFit>,
     /// `None` if too few keys are known.
-    pub keys: Option<Keys>,
+    pub keys: Option<KeyPopularity>,
     /// The classes with enough values, in order of their index.
-    pub work: Vec<Work>,
+    pub work: Vec<WorkFit>,
 }
 
 /// Fits distributions to a trace.
-pub fn fit(trace: &Trace) -> Fitted {
-    Fitted { arrivals: arrivals::fit(trace), keys: popularity::fit(trace), work: work::fit(trace) }
+pub fn fit(trace: &Trace) -> TraceFit {
+    TraceFit { arrivals: arrivals::fit(trace), keys: popularity::fit(trace), work: work::fit(trace) }
 }
 
 #[cfg(test)]
--- a/crates/railhub-trace/src/fit/arrivals.rs
+++ b/crates/railhub-trace/src/fit/arrivals.rs
@@ -12,7 +12,7 @@
 
 /// How single operations arrive.
 #[derive(Clone, Debug, Serialize)]
-pub struct Arrivals {
+pub struct ArrivalFit {
     /// Operations a second, by windows of 5 s; the last window takes the remainder.
     pub rates: Vec<f64>,
     /// Variance of counts in 0.1 s over their mean; 1 for a Poisson process.
@@ -21,7 +21,7 @@
     pub gaps: Vec<Candidate>,
 }
 
-pub(super) fn fit(trace: &Trace) -> Option<Arrivals> {
+pub(super) fn fit(trace: &Trace) -> Option<ArrivalFit> {
     let single = trace.rows.iter().filter(|row| row.span == 0.0);
     let times: Vec<f64> = single.map(|row| row.at).collect();
     if times.len() < MIN_SAMPLES {
@@ -30,7 +30,7 @@
     let length = trace.header.length.max(*times.last()?);
     let rates = rates(&times, length);
     let gaps = candidates(normalized_gaps(&times, &rates));
-    Some(Arrivals { dispersion: dispersion(&times, length), rates, gaps })
+    Some(ArrivalFit { dispersion: dispersion(&times, length), rates, gaps })
 }
 
 fn rate_window(at: f64) -> usize {
--- a/crates/railhub-trace/src/fit/popularity.rs
+++ b/crates/railhub-trace/src/fit/popularity.rs
@@ -18,7 +18,7 @@
 
 /// The popularity of keys.
 #[derive(Clone, Debug, Serialize)]
-pub struct Keys {
+pub struct KeyPopularity {
     /// Number of distinct keys.
     pub keys: usize,
     /// The fraction of a key is proportional to its rank to the power of minus this.
@@ -30,7 +30,8 @@
     /// Whether the distance is allowed.
     pub fits: bool,
     /// Keys far above the curve, and their fractions of all operations.
-    pub off_the_curve: Vec<(u64, f64)>,
+    #[serde(rename = "off_the_curve")]
+    pub outliers: Vec<(u64, f64)>,
 }
 
 struct RankedKey {
@@ -38,7 +39,7 @@
     count: u64,
 }
 
-pub(super) fn fit(trace: &Trace) -> Option<Keys> {
+pub(super) fn fit(trace: &Trace) -> Option<KeyPopularity> {
     let ranked = rank_keys(trace);
     let operations: u64 = ranked.iter().map(|ranked| ranked.count).sum();
     if ranked.len() < 2 || (operations as usize) < MIN_SAMPLES {
@@ -50,13 +51,13 @@
     let distance = curve_distance(&counts, exponent);
     let allowed = DEFAULT_CRITICAL_VALUE / (counts.iter().sum::<u64>() as f64).sqrt();
     let fraction = |hot: &RankedKey| (hot.key, hot.count as f64 / operations as f64);
-    Some(Keys {
+    Some(KeyPopularity {
         keys: ranked.len(),
         exponent,
         distance,
         allowed,
         fits: distance <= allowed,
-        off_the_curve: off.iter().map(fraction).collect(),
+        outliers: off.iter().map(fraction).collect(),
     })
 }
 
--- a/crates/railhub-trace/src/fit/tests.rs
+++ b/crates/railhub-trace/src/fit/tests.rs
@@ -38,7 +38,7 @@
     assert!(exponential.fits, "{exponential:?}");
     let keys = fitted.keys.expect("known");
     assert!((keys.exponent - 0.8).abs() < 0.03, "{}", keys.exponent);
-    assert!(keys.off_the_curve.is_empty(), "{:?}", keys.off_the_curve);
+    assert!(keys.outliers.is_empty(), "{:?}", keys.outliers);
     let work = &fitted.work[0];
     assert_eq!(work.candidates[0].name, "log-normal");
     assert!(work.candidates[0].fits && !work.candidates[2].fits, "{:?}", work.candidates);
@@ -79,9 +79,9 @@
         }
     };
     let keys = fit(&traffic(drawn(20_000, |_| 0.005, key))).keys.expect("known");
-    assert_eq!(keys.off_the_curve.len(), 1);
-    assert_eq!(keys.off_the_curve[0].0, 7777);
-    assert!((keys.off_the_curve[0].1 - 0.25).abs() < 0.02);
+    assert_eq!(keys.outliers.len(), 1);
+    assert_eq!(keys.outliers[0].0, 7777);
+    assert!((keys.outliers[0].1 - 0.25).abs() < 0.02);
     assert!((keys.exponent - 0.7).abs() < 0.04, "{}", keys.exponent);
 }
 
--- a/crates/railhub-trace/src/fit/work.rs
+++ b/crates/railhub-trace/src/fit/work.rs
@@ -5,7 +5,7 @@
 
 /// The work of a class's operations.
 #[derive(Clone, Debug, Serialize)]
-pub struct Work {
+pub struct WorkFit {
     /// Name of the class.
     pub class: String,
     /// Number of operations whose work is known and positive.
@@ -18,7 +18,7 @@
     pub candidates: Vec<Candidate>,
 }
 
-pub(super) fn fit(trace: &Trace) -> Vec<Work> {
+pub(super) fn fit(trace: &Trace) -> Vec<WorkFit> {
     let mut fits = Vec::new();
     for (class, name) in trace.header.classes.iter().enumerate() {
         let rows = trace.rows.iter().filter(|row| row.class as usize == class);
@@ -28,12 +28,12 @@
     fits
 }
 
-fn fit_class(class: &str, values: Vec<f64>) -> Option<Work> {
+fn fit_class(class: &str, values: Vec<f64>) -> Option<WorkFit> {
     if values.len() < MIN_SAMPLES {
         return None;
     }
     let mean = mean(&values);
-    Some(Work {
+    Some(WorkFit {
         class: class.to_owned(),
         values: values.len(),
         mean,
--- a/crates/railhub-trace/src/show.rs
+++ b/crates/railhub-trace/src/show.rs
@@ -17,7 +17,8 @@
     /// Number of operations.
     pub operations: u64,
     /// Operations in aggregates, of which neither key nor work is known.
-    pub from_sums: u64,
+    #[serde(rename = "from_sums")]
+    pub aggregated: u64,
     /// Operations by class name.
     pub by_class: Vec<(String, u64)>,
     /// Operations by zone name.
@@ -48,7 +49,7 @@
     Summary {
         length: trace.header.length,
         operations,
-        from_sums: counts.aggregated,
+        aggregated: counts.aggregated,
         by_class: trace.header.classes.iter().cloned().zip(counts.classes).collect(),
         by_zone: trace.header.zones.iter().cloned().zip(counts.zones).collect(),
         keys: counts.keys.len(),
--- a/crates/railhub-trace/src/show/tests.rs
+++ b/crates/railhub-trace/src/show/tests.rs
@@ -9,7 +9,7 @@
     let sums = TraceRow { at: 3.0, span: 2.0, count: 10, key: None, work: None, ..row(0.0, 0, 0) };
     rows.push(sums);
     let summary = summarize(&traffic(rows));
-    assert_eq!((summary.operations, summary.from_sums, summary.keys), (100, 10, 9));
+    assert_eq!((summary.operations, summary.aggregated, summary.keys), (100, 10, 9));
     assert_eq!(summary.by_class, [("view".to_owned(), 55), ("pay".to_owned(), 45)]);
     assert_eq!((summary.length, summary.rate, summary.peak_rate), (4.0, 25.0, 35.0));
     assert_eq!(summary.hot_keys[0], (0, 0.1));
