--- a/crates/railhub-trace/src/cut.rs
+++ b/crates/railhub-trace/src/cut.rs
@@ -1,21 +1,22 @@
-//! Owns selecting a part of a trace.
+//! Selection of a part of a trace by time, class and zone.
 use crate::{Trace, TraceRow};
 
-/// Which rows are kept. Times are seconds of the recording.
+/// Criteria for the rows to keep. Times are seconds since the start of the recording.
 #[derive(Clone, Debug, Default)]
 pub struct Selection {
-    /// Start of the part, inclusive.
+    /// Start of the selected interval, inclusive.
     pub from: f64,
-    /// End of the part, exclusive; `None`: the end of the recording.
+    /// End of the selected interval, exclusive; `None` selects up to the end of the recording.
     pub until: Option<f64>,
-    /// Indexes of the classes that are kept; empty: all.
+    /// Indexes of the classes to keep; an empty list keeps all.
     pub classes: Vec<u32>,
-    /// Indexes of the zones that are kept; empty: all.
+    /// Indexes of the zones to keep; an empty list keeps all.
     pub zones: Vec<u32>,
 }
 
 impl Selection {
-    fn selects(&self, row: &TraceRow) -> bool {
+    /// Whether the row's class and zone are selected; its time is not considered.
+    fn selects_class_and_zone(&self, row: &TraceRow) -> bool {
         contains_or_empty(&self.classes, row.class) && contains_or_empty(&self.zones, row.zone)
     }
 }
@@ -24,18 +25,18 @@
     indexes.is_empty() || indexes.contains(&index)
 }
 
-/// Returns the part, with times from its start. Of an aggregate whose span crosses an edge, the operations inside are
-/// kept in proportion.
-pub fn cut(trace: &Trace, part: &Selection) -> Trace {
-    let until = part.until.unwrap_or(trace.header.length).min(trace.header.length);
+/// Returns the selected rows, with times relative to the start of the interval. An aggregate whose span crosses a bound
+/// of the interval is shortened to the part inside, and its count is reduced in proportion.
+pub fn cut(trace: &Trace, selection: &Selection) -> Trace {
+    let until = selection.until.unwrap_or(trace.header.length).min(trace.header.length);
     let mut header = trace.header.clone();
-    header.length = (until - part.from).max(0.0);
-    let selected = trace.rows.iter().filter(|row| part.selects(row));
-    let rows = selected.filter_map(|row| clip(row, part.from, until)).collect();
+    header.length = (until - selection.from).max(0.0);
+    let selected = trace.rows.iter().filter(|row| selection.selects_class_and_zone(row));
+    let rows = selected.filter_map(|row| clip(row, selection.from, until)).collect();
     Trace { header, rows }
 }
 
-/// The part of a row inside the interval, if any.
+/// The part of a row inside the interval, with times relative to `from`; `None` if no operation is inside.
 fn clip(row: &TraceRow, from: f64, until: f64) -> Option<TraceRow> {
     if row.span == 0.0 {
         return (from..until).contains(&row.at).then_some(TraceRow { at: row.at - from, ..*row });
--- a/crates/railhub-trace/src/file.rs
+++ b/crates/railhub-trace/src/file.rs
@@ -1,7 +1,7 @@
-//! Owns the trace file: a magic line with its version, then blocks of length, checksum and body.
+//! The trace file: a magic line with the format version, then blocks, each of length, checksum and body.
 //!
-//! The first block is the header, each further one holds rows as columns, the last one the number of rows. A file
-//! without its last block is truncated; the complete blocks before the end are read.
+//! The first block is the header, the following ones hold rows as columns, the last one holds the number of rows. A file
+//! without its last block is truncated; its complete blocks can still be read.
 mod blocks;
 mod error;
 mod reader;
@@ -19,16 +19,16 @@
 /// Reads a trace file.
 ///
 /// # Errors
-/// The file cannot be read, is not a trace of this version, or is corrupt.
+/// If the file cannot be read, is not a trace of this version, or is corrupt.
 pub fn open(path: &Path) -> Result<LoadedTrace, TraceError> {
     let bytes = std::fs::read(path).map_err(|error| io_error(path, error))?;
     read(&path.display().to_string(), &bytes)
 }
 
-/// Writes a trace file, replacing an earlier one.
+/// Writes a trace file, replacing an existing file.
 ///
 /// # Errors
-/// The file cannot be written.
+/// If the file cannot be written.
 pub fn save(path: &Path, trace: &Trace) -> Result<(), TraceError> {
     let file = File::create(path).map_err(|error| io_error(path, error))?;
     write(BufWriter::new(file), trace).map_err(|error| io_error(path, error))?;
--- a/crates/railhub-trace/src/file/blocks.rs
+++ b/crates/railhub-trace/src/file/blocks.rs
@@ -1,16 +1,17 @@
-//! Owns the file format: the magic line, the protobuf messages of blocks, and their framing.
+//! The file format: the magic line, the protobuf messages in the blocks, and the framing of blocks.
 use prost::{Message, Oneof};
 use std::io::{self, Write};
 
-/// First line of a file; it ends with the version.
+/// First line of a file; ends with the format version.
 pub(super) const MAGIC: &[u8; 18] = b"railhub traffic 1\n";
-/// First line of a file of any version, up to the version.
+/// Start of the first line, up to the format version: common to files of all versions.
 pub(super) const MAGIC_PREFIX: &[u8] = b"railhub traffic ";
-/// Maximum rows in a block; a truncated file loses no more than these.
+/// Maximum number of rows in a block; bounds how many rows a truncated file loses.
 pub(super) const MAX_BLOCK_ROWS: usize = 2048;
-/// Maximum bytes of a block: `MAX_BLOCK_ROWS` rows of the longest encoding, and a header with long names.
+/// Maximum size of a block; has room for `MAX_BLOCK_ROWS` rows in their longest encoding, and for a header with long
+/// names.
 const MAX_BLOCK_BYTES: usize = 4 << 20;
-/// Resolution of times, spans and works in the file: microseconds.
+/// Resolution of times, spans and work in the file: one tick is a microsecond.
 pub(super) const TICKS_PER_SECOND: f64 = 1e6;
 
 #[derive(Clone, PartialEq, Message)]
@@ -41,10 +42,10 @@
     pub proxies: u32,
 }
 
-/// Columns of equal length; `key`, `work`, `span` and `count` are empty if all rows have the default.
+/// Rows as columns of equal length; `key`, `work`, `span` and `count` are empty if all rows have the default value.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct RowsBlock {
-    /// Ticks since the row before.
+    /// Ticks since the previous row.
     #[prost(sint64, repeated, tag = "1")]
     pub at: Vec<i64>,
     #[prost(uint32, repeated, tag = "2")]
@@ -55,15 +56,15 @@
     pub zone: Vec<u32>,
     #[prost(uint32, repeated, tag = "5")]
     pub proxy: Vec<u32>,
-    /// 0 if unknown, else the key plus 1.
+    /// The key plus 1; 0 if unknown.
     #[prost(uint64, repeated, tag = "6")]
     pub key: Vec<u64>,
-    /// 0 if unknown, else the ticks plus 1.
+    /// The work in ticks plus 1; 0 if unknown.
     #[prost(uint64, repeated, tag = "7")]
     pub work: Vec<u64>,
     #[prost(uint32, repeated, tag = "8")]
     pub count: Vec<u32>,
-    /// Ticks.
+    /// Span in ticks.
     #[prost(uint64, repeated, tag = "9")]
     pub span: Vec<u64>,
 }
@@ -72,7 +73,7 @@
 pub(super) struct EndBlock {
     #[prost(uint64, tag = "1")]
     pub rows: u64,
-    /// Seconds.
+    /// Length of the recording in seconds.
     #[prost(double, tag = "2")]
     pub length: f64,
 }
@@ -85,26 +86,26 @@
     output.write_all(&body)
 }
 
-/// The body of a block, and the bytes after the block.
+/// The body of the first block in a byte sequence, and the bytes after that block.
 pub(super) struct Frame<'a> {
     pub body: &'a [u8],
     pub rest: &'a [u8],
 }
 
-/// Splits the first block off; `None` if the bytes end before it does.
+/// Splits off the first block; `None` if the block is incomplete.
 pub(super) fn next_frame(bytes: &[u8]) -> Result<Option<Frame<'_>>, &'static str> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let Some((checksum, rest)) = rest.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
     if length > MAX_BLOCK_BYTES {
-        return Err("longer than any block");
+        return Err("its length exceeds the maximum of 4 MiB");
     }
     if length > rest.len() {
         return Ok(None);
     }
     let (body, rest) = rest.split_at(length);
     if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
-        return Err("its checksum differs");
+        return Err("its checksum does not match its contents");
     }
     Ok(Some(Frame { body, rest }))
 }
--- a/crates/railhub-trace/src/file/error.rs
+++ b/crates/railhub-trace/src/file/error.rs
@@ -1,8 +1,8 @@
-//! Owns the errors of reading and writing a trace file.
+//! Errors of reading and writing a trace file.
 use std::io;
 use thiserror::Error;
 
-/// Why a trace file cannot be used.
+/// Reason why a trace file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum TraceError {
     /// The file cannot be read or written.
@@ -10,28 +10,28 @@
     Io {
         /// Path of the file.
         file: String,
-        /// What the operating system reported.
+        /// Error reported by the operating system.
         error: io::Error,
     },
-    /// The file does not begin as a trace does.
-    #[error("{0}: not recorded traffic")]
+    /// The file does not begin with the magic line of a trace.
+    #[error("{0}: not recorded traffic: the first line is not 'railhub traffic VERSION'")]
     NotATrace(String),
-    /// The file is a trace of another version.
-    #[error("{file}: traffic of version {version}, this program reads version 1")]
+    /// The file is a trace in another version of the format.
+    #[error("{file}: recorded traffic has format version '{version}', expected version 1")]
     UnsupportedVersion {
         /// Path of the file.
         file: String,
-        /// Version in its magic line.
+        /// Format version in the magic line.
         version: String,
     },
     /// A block is corrupt.
-    #[error("{file}: block {block} is damaged: {reason}")]
+    #[error("{file}: block {block} is corrupt: {reason}")]
     Corrupt {
         /// Path of the file.
         file: String,
-        /// Number of the block, from 1.
+        /// Number of the block, starting at 1.
         block: usize,
-        /// What is wrong with it.
+        /// Description of the fault in the block.
         reason: String,
     },
 }
--- a/crates/railhub-trace/src/file/reader.rs
+++ b/crates/railhub-trace/src/file/reader.rs
@@ -1,7 +1,7 @@
-//! Owns reading a trace: the order of blocks, and the validity of every row.
+//! Decoding of a trace file; checks the order of the blocks and the validity of every row.
 //!
-//! States: before the header (block 1), then among the rows, until the last block. Bytes that end among the rows are
-//! a truncated trace.
+//! Block 1 must be the header, followed by row blocks and one end block. If the bytes end after the header but before
+//! the end block, the trace is truncated.
 use super::blocks::{
     next_frame, Block, EndBlock, HeaderBlock, Part, RowsBlock, MAGIC, MAGIC_PREFIX, MAX_BLOCK_ROWS,
     TICKS_PER_SECOND,
@@ -10,30 +10,30 @@
 use crate::{Trace, TraceHeader, TraceRow};
 use prost::Message;
 
-/// Upper bound of slice and proxy indexes; readers allocate lists of such a length.
+/// Upper bound of slice and proxy indexes, exclusive: users of a trace allocate lists of that length.
 const MAX_INDEX: u32 = 1 << 20;
-/// Upper bound of a trace's length: a year in seconds. Bounds what is counted by second.
+/// Upper bound of a trace's length: a year. Bounds the memory for counts per second.
 const MAX_TRACE_SECONDS: f64 = 366.0 * 86_400.0;
-/// Maximum seconds of an aggregate's span.
+/// Maximum span of an aggregate, in seconds.
 const MAX_SPAN_SECONDS: f64 = 3600.0;
-/// Seconds by which a span may begin before the recording: rounding.
+/// Seconds by which a span may begin before the recording, to allow for rounding.
 const SPAN_TOLERANCE_SECONDS: f64 = 1e-9;
-/// Bytes of a foreign version that an error shows.
+/// Maximum number of bytes of an unsupported version that the error message shows.
 const MAX_VERSION_BYTES: usize = 16;
 
 /// A trace that was read from a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadedTrace {
-    /// The trace; of a truncated file, the rows before the end.
+    /// The trace; for a truncated file, the rows of its complete blocks.
     pub trace: Trace,
-    /// Whether the file lacks its last block.
+    /// Whether the file has no end block.
     pub truncated: bool,
 }
 
-/// Decodes a trace; `file` names it in errors.
+/// Decodes a trace; `file` is the file name for error messages.
 ///
 /// # Errors
-/// The bytes are not a trace of this version, or a block is corrupt.
+/// If the bytes are not a trace of this version, or a block is corrupt.
 pub fn read(file: &str, bytes: &[u8]) -> Result<LoadedTrace, TraceError> {
     let Some(mut rest) = bytes.strip_prefix(MAGIC) else {
         return Err(unknown_magic(file, bytes));
@@ -57,7 +57,7 @@
                 Ok(())
             }
             Some(Part::Rows(rows)) if decoder.has_header => decoder.add_rows(&rows),
-            _ => Err("of a kind that does not belong here"),
+            _ => Err("its kind is not allowed here, expected one header, then rows, then the end"),
         };
         result.map_err(|reason| corrupt(reason.to_owned()))?;
     }
@@ -73,7 +73,7 @@
     TraceError::UnsupportedVersion { file, version }
 }
 
-/// The trace as decoded so far.
+/// The part of the trace that has been decoded so far.
 #[derive(Default)]
 struct Decoder {
     trace: Trace,
@@ -90,11 +90,11 @@
 
     fn add_rows(&mut self, block: &RowsBlock) -> Result<(), &'static str> {
         if !columns_match(block) {
-            return Err("its columns do not fit");
+            return Err("its columns differ in length or have more than 2048 rows");
         }
         for index in 0..block.at.len() {
             let ticks = self.last_ticks.checked_add(block.at[index]);
-            self.last_ticks = ticks.ok_or("a time that cannot be")?;
+            self.last_ticks = ticks.ok_or("the time of a row is out of range")?;
             let row = decode_row(block, index, self.last_ticks);
             check_row(&row, &self.trace.header)?;
             self.trace.rows.push(row);
@@ -104,10 +104,10 @@
 
     fn finish(mut self, end: &EndBlock, rest: &[u8]) -> Result<LoadedTrace, &'static str> {
         if end.rows != self.trace.rows.len() as u64 || !rest.is_empty() {
-            return Err("its end does not fit the rows before");
+            return Err("the number of rows in the end block does not match, or bytes follow it");
         }
         if !(0.0..MAX_TRACE_SECONDS).contains(&end.length) {
-            return Err("a length that cannot be");
+            return Err("the length of the trace is not between 0 and 366 days");
         }
         self.trace.header.length = end.length;
         self.trace.sort();
@@ -116,7 +116,7 @@
 
     fn finish_truncated(mut self) -> Result<LoadedTrace, &'static str> {
         if !self.has_header {
-            return Err("cut off before the first row");
+            return Err("the file ends before the end of the header");
         }
         self.trace.sort();
         self.trace.header.length = self.trace.rows.last().map_or(0.0, |row| row.at);
@@ -156,11 +156,11 @@
         && row.slice < header.slices.clamp(1, MAX_INDEX)
         && row.proxy < MAX_INDEX;
     if !indexes_known {
-        return Err("a class, zone or slice that the facts do not know");
+        return Err("the class, zone, slice or proxy index of a row is out of range");
     }
     let max_span = MAX_SPAN_SECONDS.min(row.at.max(0.0) + SPAN_TOLERANCE_SECONDS);
     if !(0.0..MAX_TRACE_SECONDS).contains(&row.at) || row.span > max_span {
-        return Err("a time that cannot be");
+        return Err("the time or span of a row is out of range");
     }
     Ok(())
 }
--- a/crates/railhub-trace/src/file/writer.rs
+++ b/crates/railhub-trace/src/file/writer.rs
@@ -1,4 +1,4 @@
-//! Owns writing a trace: rows are collected into blocks and written when a block is full or flushed.
+//! Writing of a trace: rows are collected in a block, which is written when it is full or flushed.
 use super::blocks::{
     write_block, EndBlock, HeaderBlock, Part, RowsBlock, MAGIC, MAX_BLOCK_ROWS, TICKS_PER_SECOND,
 };
@@ -11,7 +11,7 @@
     block: RowsBlock,
     last_ticks: i64,
     rows: u64,
-    /// Seconds.
+    /// Latest time of a row so far, in seconds.
     last_row_at: f64,
 }
 
@@ -19,7 +19,7 @@
     /// Writes the magic line and the header.
     ///
     /// # Errors
-    /// The output cannot be written.
+    /// If the output cannot be written.
     pub fn start(mut output: W, header: &TraceHeader) -> io::Result<TraceWriter<W>> {
         output.write_all(MAGIC)?;
         let TraceHeader { classes, zones, slices, proxies, .. } = header.clone();
@@ -27,10 +27,10 @@
         Ok(TraceWriter { output, block: RowsBlock::default(), last_ticks: 0, rows: 0, last_row_at: 0.0 })
     }
 
-    /// Adds a row; writes the block if that makes it full.
+    /// Adds a row, and writes the block if it is full.
     ///
     /// # Errors
-    /// The output cannot be written.
+    /// If the output cannot be written.
     pub fn write_row(&mut self, row: &TraceRow) -> io::Result<()> {
         let ticks = (row.at * TICKS_PER_SECOND).round() as i64;
         let block = &mut self.block;
@@ -52,10 +52,10 @@
         Ok(())
     }
 
-    /// Writes the rows added so far; a file that is truncated after this still has them.
+    /// Writes the rows added so far; they stay readable if the file is truncated after them.
     ///
     /// # Errors
-    /// The output cannot be written.
+    /// If the output cannot be written.
     pub fn flush(&mut self) -> io::Result<()> {
         let mut block = std::mem::take(&mut self.block);
         if !block.at.is_empty() {
@@ -65,10 +65,11 @@
         self.output.flush()
     }
 
-    /// Writes the last block. `length` is that of the recording in seconds; it is never less than the last row's time.
+    /// Writes the end block. `length` is the length of the recording in seconds; if it is less than the latest time of a
+    /// row, that time is written instead.
     ///
     /// # Errors
-    /// The output cannot be written.
+    /// If the output cannot be written.
     pub fn finish(mut self, length: f64) -> io::Result<W> {
         self.flush()?;
         let end = EndBlock { rows: self.rows, length: length.max(self.last_row_at) };
@@ -78,7 +79,7 @@
     }
 }
 
-/// Empties the optional columns in which all rows have the default.
+/// Empties the optional columns in which all rows have the default value.
 fn clear_default_columns(block: &mut RowsBlock) {
     for column in [&mut block.key, &mut block.work, &mut block.span] {
         if column.iter().all(|value| *value == 0) {
@@ -93,7 +94,7 @@
 /// Writes a complete trace.
 ///
 /// # Errors
-/// The output cannot be written.
+/// If the output cannot be written.
 pub fn write<W: Write>(output: W, trace: &Trace) -> io::Result<W> {
     let mut writer = TraceWriter::start(output, &trace.header)?;
     for row in &trace.rows {
--- a/crates/railhub-trace/src/fit.rs
+++ b/crates/railhub-trace/src/fit.rs
@@ -1,8 +1,8 @@
-//! Owns the fit of distributions to a trace: arrivals, popularity of keys, and work by class.
+//! Fitting of distributions to a trace: arrivals, popularity of keys, and work per class.
 //!
-//! The distance of a fit is that of Kolmogorov and Smirnov: the largest gap between the recorded and the fitted
-//! distribution function. Parameters are estimated from the same values, so critical values are those of Lilliefors
-//! (1967, 1969) and not of Kolmogorov.
+//! The distance of a fit is the Kolmogorov-Smirnov statistic: the largest difference between the recorded and the fitted
+//! distribution function. The parameters are estimated from the same values, therefore the critical values are those of
+//! Lilliefors (1967, 1969) instead of Kolmogorov's.
 mod arrivals;
 mod distribution;
 mod popularity;
@@ -16,14 +16,14 @@
 use crate::Trace;
 use serde::Serialize;
 
-/// The fits of a trace. The names of its fields are those of the JSON output.
+/// The distributions fitted to a trace. The field names, or their `serde` names, are those of the JSON output.
 #[derive(Clone, Debug, Serialize)]
 pub struct TraceFit {
-    /// `None` if there are too few single operations; the moments of aggregated ones are unknown.
+    /// `None` if there are too few single operations; the arrival times of aggregated operations are unknown.
     pub arrivals: Option<ArrivalFit>,
-    /// `None` if too few keys are known.
+    /// `None` if there are too few operations with a known key.
     pub keys: Option<KeyPopularity>,
-    /// The classes with enough values, in order of their index.
+    /// One fit for each class with enough known values, ordered by class index.
     pub work: Vec<WorkFit>,
 }
 
--- a/crates/railhub-trace/src/fit/distribution.rs
+++ b/crates/railhub-trace/src/fit/distribution.rs
@@ -1,14 +1,15 @@
-//! Owns fitting distributions of positive values, and their moments.
+//! Fitting of distributions to positive values; mean and variance.
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, Exp, Gamma, LogNormal};
 
 /// Minimum number of values that a distribution is fitted to.
 pub(super) const MIN_SAMPLES: usize = 30;
-/// Distance, times the root of the number of values, that chance exceeds in 5 of 100 cases: exponential.
+/// Critical value at the 5 % level for the exponential distribution: the distance times the square root of the number of
+/// values.
 const EXPONENTIAL_CRITICAL_VALUE: f64 = 1.06;
-/// The same of the other distributions.
+/// Critical value at the 5 % level for the other distributions.
 pub(super) const DEFAULT_CRITICAL_VALUE: f64 = 0.886;
-/// Lower bound of a spread, and of a difference of logarithms, that is divided by.
+/// Lower bound of a standard deviation, and of a difference of logarithms, that is used as a divisor.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// A fitted distribution and its distance from the recorded values.
@@ -16,13 +17,13 @@
 pub struct Candidate {
     /// Name of the distribution.
     pub name: &'static str,
-    /// Names and values of its parameters.
+    /// Names and values of the fitted parameters.
     pub parameters: Vec<(&'static str, f64)>,
-    /// Largest gap between the distribution functions.
+    /// Largest difference between the recorded and the fitted distribution function.
     pub distance: f64,
-    /// Distance that chance stays under in 95 of 100 cases.
+    /// Largest distance that is accepted: the critical value at the 5 % level.
     pub allowed: f64,
-    /// Whether the distance is allowed.
+    /// Whether `distance` is at most `allowed`.
     pub fits: bool,
 }
 
@@ -36,7 +37,7 @@
     mean(&squares)
 }
 
-/// Fits each distribution to the positive values; the nearest first, none if there are too few values.
+/// Fits each distribution to the positive values, by increasing distance; empty if there are too few values.
 pub(super) fn candidates(mut values: Vec<f64>) -> Vec<Candidate> {
     values.retain(|value| *value > 0.0);
     if values.len() < MIN_SAMPLES {
@@ -89,15 +90,15 @@
     Candidate { name, parameters, distance, allowed, fits: distance <= allowed }
 }
 
-/// The maximum-likelihood shape, from the logarithm of the mean less the mean of the logarithms (Minka 2002, first
-/// approximation, within 1.5 %).
+/// Maximum-likelihood estimate of the gamma shape. `log_difference` is the logarithm of the mean minus the mean of the
+/// logarithms (Minka 2002, first approximation, within 1.5 %).
 fn gamma_shape(log_difference: f64) -> f64 {
     let difference = log_difference.max(MIN_DIVISOR);
     let root = ((difference - 3.0).powi(2) + 24.0 * difference).sqrt();
     ((3.0 - difference) + root) / (12.0 * difference)
 }
 
-/// The Kolmogorov-Smirnov distance of sorted values from a distribution.
+/// Kolmogorov-Smirnov distance of sorted values from a distribution.
 fn distance(sorted: &[f64], distribution: &impl ContinuousCDF<f64, f64>) -> f64 {
     let count = sorted.len() as f64;
     let mut largest: f64 = 0.0;
--- a/crates/railhub-trace/src/fit/popularity.rs
+++ b/crates/railhub-trace/src/fit/popularity.rs
@@ -1,35 +1,35 @@
-//! Owns the fit of the popularity of keys: a power law by rank, but for a few hot keys.
+//! Fit of the popularity of keys: a power law of the rank, except for a few hot keys.
 use super::distribution::{DEFAULT_CRITICAL_VALUE, MIN_SAMPLES};
 use crate::Trace;
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Upper bound of the exponent.
+/// Upper bound of the fitted exponent.
 const MAX_EXPONENT: f64 = 3.0;
-/// Precision of the exponent.
+/// Precision of the fitted exponent.
 const EXPONENT_TOLERANCE: f64 = 1e-4;
-/// Multiple of the curve's value above which a key may be off the curve.
+/// Multiple of the curve's value above which a key may be an outlier.
 const OUTLIER_MULTIPLE: f64 = 2.0;
-/// Minimum fraction of all operations of a key off the curve.
+/// Minimum fraction of all operations that are for an outlier.
 const MIN_OUTLIER_FRACTION: f64 = 0.01;
-/// Number of the first ranks in which keys off the curve are looked for, plus 1.
+/// Number of top ranks, plus 1, among which outliers are searched for.
 const MAX_OUTLIER_RANKS: usize = 64;
 
-/// The popularity of keys.
+/// The popularity of keys: a power law, and the outliers above it.
 #[derive(Clone, Debug, Serialize)]
 pub struct KeyPopularity {
     /// Number of distinct keys.
     pub keys: usize,
-    /// The fraction of a key is proportional to its rank to the power of minus this.
+    /// A key's fraction of the operations is proportional to `rank^-exponent`.
     pub exponent: f64,
-    /// Largest gap between the distribution functions by rank.
+    /// Largest difference between the recorded and the fitted distribution function of the rank.
     pub distance: f64,
-    /// Distance that chance stays under in 95 of 100 cases.
+    /// Largest distance that is accepted: the critical value at the 5 % level.
     pub allowed: f64,
-    /// Whether the distance is allowed.
+    /// Whether `distance` is at most `allowed`.
     pub fits: bool,
-    /// Keys far above the curve, and their fractions of all operations.
+    /// Keys far above the curve, with their fractions of all operations.
     #[serde(rename = "off_the_curve")]
     pub outliers: Vec<(u64, f64)>,
 }
@@ -45,8 +45,8 @@
     if ranked.len() < 2 || (operations as usize) < MIN_SAMPLES {
         return None;
     }
-    let (off, on) = ranked.split_at(keys_off_curve(&ranked, operations));
-    let counts = counts(on);
+    let (outliers, on_curve) = ranked.split_at(count_outliers(&ranked, operations));
+    let counts = counts(on_curve);
     let exponent = exponent(&counts);
     let distance = curve_distance(&counts, exponent);
     let allowed = DEFAULT_CRITICAL_VALUE / (counts.iter().sum::<u64>() as f64).sqrt();
@@ -57,11 +57,11 @@
         distance,
         allowed,
         fits: distance <= allowed,
-        outliers: off.iter().map(fraction).collect(),
+        outliers: outliers.iter().map(fraction).collect(),
     })
 }
 
-/// Keys by falling count; of equal counts, the smaller key first.
+/// Keys by decreasing count; of equal counts, the smaller key first.
 fn rank_keys(trace: &Trace) -> Vec<RankedKey> {
     let mut counts: BTreeMap<u64, u64> = BTreeMap::new();
     for row in &trace.rows {
@@ -79,21 +79,22 @@
     ranked.iter().map(|ranked| ranked.count).collect()
 }
 
-/// How many of the first ranks are far above the curve of the ranks after them.
-fn keys_off_curve(ranked: &[RankedKey], operations: u64) -> usize {
+/// Number of top ranks that are far above the curve fitted to the ranks after them.
+fn count_outliers(ranked: &[RankedKey], operations: u64) -> usize {
     let end = ranked.len().min(MAX_OUTLIER_RANKS) - 1;
-    let last = (0..end).rev().find(|rank| is_off_curve(ranked, *rank, operations));
+    let last = (0..end).rev().find(|rank| is_outlier(ranked, *rank, operations));
     last.map_or(0, |rank| rank + 1)
 }
 
-fn is_off_curve(ranked: &[RankedKey], rank: usize, operations: u64) -> bool {
+fn is_outlier(ranked: &[RankedKey], rank: usize, operations: u64) -> bool {
     let rest = counts(&ranked[rank + 1..]);
     let curve = rest[0] as f64 * 2f64.powf(exponent(&rest));
     let count = ranked[rank].count as f64;
     count > OUTLIER_MULTIPLE * curve && count > MIN_OUTLIER_FRACTION * operations as f64
 }
 
-/// The maximum-likelihood exponent of counts by rank, by ternary search: the likelihood has one maximum.
+/// Maximum-likelihood estimate of the exponent from counts by rank. Ternary search is enough: the likelihood has one
+/// maximum.
 fn exponent(counts: &[u64]) -> f64 {
     let total: f64 = counts.iter().map(|count| *count as f64).sum();
     let logs: Vec<f64> = (1..=counts.len()).map(|rank| (rank as f64).ln()).collect();
@@ -115,7 +116,7 @@
     (low + high) / 2.0
 }
 
-/// Largest gap between the recorded and the fitted distribution function by rank.
+/// Largest difference between the recorded and the fitted distribution function of the rank.
 fn curve_distance(counts: &[u64], exponent: f64) -> f64 {
     let weights: Vec<f64> = (1..=counts.len()).map(|rank| (rank as f64).powf(-exponent)).collect();
     let total = counts.iter().sum::<u64>() as f64;
--- a/crates/railhub-trace/src/fit/work.rs
+++ b/crates/railhub-trace/src/fit/work.rs
@@ -1,20 +1,20 @@
-//! Owns the fit of work by class.
+//! Fit of the work of operations, by class.
 use super::distribution::{candidates, mean, variance, Candidate, MIN_SAMPLES};
 use crate::Trace;
 use serde::Serialize;
 
-/// The work of a class's operations.
+/// The work of the operations of one class.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkFit {
     /// Name of the class.
     pub class: String,
     /// Number of operations whose work is known and positive.
     pub values: usize,
-    /// Core seconds.
+    /// Mean work in core seconds.
     pub mean: f64,
-    /// Standard deviation over the mean.
+    /// Coefficient of variation: standard deviation over mean.
     pub spread: f64,
-    /// Fitted distributions, the nearest first.
+    /// Fitted distributions, by increasing distance.
     pub candidates: Vec<Candidate>,
 }
 
--- a/crates/railhub-trace/src/lib.rs
+++ b/crates/railhub-trace/src/lib.rs
@@ -1,10 +1,11 @@
-//! Owns workload traces: which operations arrived, when, for which key, and how much work each was, where known.
+//! Workload traces: the operations that arrived, with their arrival time and, where known, key and work.
 //!
 //! A trace has one of two sources. Clients record each operation. A controller records aggregates from load reports:
-//! a number of operations of a class for a slice, at a proxy, within a span. Such a row has neither key nor work.
+//! the number of operations of one class on one slice that one proxy forwarded within a span of time. A row of an
+//! aggregate has neither key nor work.
 //!
-//! [`file`] stores rows, [`cut`] selects some, [`scale`] changes their rate, [`fit`] fits distributions and [`show`]
-//! summarizes. Only [`file`] does I/O.
+//! [`file`] reads and writes trace files, [`cut`] selects rows, [`scale`] changes the rate and the duration of a trace,
+//! [`fit`] fits distributions and [`show`] computes a summary. Only [`file`] does I/O.
 #![warn(missing_docs)]
 
 pub mod cut;
@@ -13,26 +14,26 @@
 pub mod scale;
 pub mod show;
 
-/// Maximum operations of a trace that is scaled or replayed; bounds memory.
+/// Maximum number of operations in a trace that is scaled or replayed; bounds memory.
 pub const MAX_OPERATIONS: u64 = 50_000_000;
 
-/// Rows of one recording, in order of time. Times are seconds from its start.
+/// Rows of one recording, ordered by time. Times are seconds since the start of the recording.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Trace {
-    /// Names and dimensions that the rows refer to.
+    /// Class and zone names and dimensions that the rows refer to.
     pub header: TraceHeader,
-    /// Operations and aggregates of operations.
+    /// Single operations and aggregates of operations.
     pub rows: Vec<TraceRow>,
 }
 
-/// What holds for all rows.
+/// Metadata of a trace, common to all rows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TraceHeader {
-    /// Class names; a row holds an index into them.
+    /// Class names, indexed by [`TraceRow::class`].
     pub classes: Vec<String>,
-    /// Zone names; a row holds an index into them.
+    /// Zone names, indexed by [`TraceRow::zone`].
     pub zones: Vec<String>,
-    /// Number of slices of the key space; 0 if it was not partitioned.
+    /// Number of slices of the key space; 0 if the key space was not partitioned.
     pub slices: u32,
     /// Number of proxies; 0 if unknown.
     pub proxies: u32,
@@ -43,7 +44,7 @@
 /// One operation, or an aggregate of operations that differ only in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TraceRow {
-    /// Seconds from the start of the recording; of an aggregate, when its span ended.
+    /// Arrival time in seconds since the start of the recording; for an aggregate, the end of its span.
     pub at: f64,
     /// Index of the class.
     pub class: u32,
@@ -55,21 +56,21 @@
     pub proxy: u32,
     /// The key, if known.
     pub key: Option<u64>,
-    /// Core seconds at speed 1, if known.
+    /// Work in core seconds on a host of speed 1, if known.
     pub work: Option<f64>,
-    /// Number of operations in the row.
+    /// Number of operations that the row stands for.
     pub count: u32,
-    /// Seconds before `at` over which an aggregate's operations arrived; 0 for a single operation.
+    /// Length in seconds of the period up to `at` in which an aggregate's operations arrived; 0 for a single operation.
     pub span: f64,
 }
 
 impl Trace {
-    /// Number of operations over all rows.
+    /// Total number of operations of all rows.
     pub fn operations(&self) -> u64 {
         self.rows.iter().map(|row| u64::from(row.count)).sum()
     }
 
-    /// Sorts the rows by time; rows of the same time keep their order.
+    /// Sorts the rows by time; rows with equal times keep their order.
     pub fn sort(&mut self) {
         self.rows.sort_by(|left, right| left.at.total_cmp(&right.at));
     }
--- a/crates/railhub-trace/src/scale.rs
+++ b/crates/railhub-trace/src/scale.rs
@@ -1,30 +1,30 @@
-//! Owns scaling a trace to more or fewer operations with its bursts and hot keys preserved.
+//! Scaling of a trace to more or fewer operations; bursts and hot keys are preserved.
 //!
-//! Fewer: each operation is sampled independently, which keeps the shape in time and the popularity of keys. More:
-//! each operation is followed by copies close in time, so that a burst grows in place. [`CopyKeys`] selects whether
-//! the copies model more requests of the same users, or more users.
+//! To reduce the number, operations are sampled independently, which preserves the shape over time and the popularity of
+//! keys. To increase it, copies of each operation are added close to it in time, so that a burst grows in place.
+//! [`CopyKeys`] selects whether the copies represent more requests of the same users, or more users.
 use crate::{Trace, TraceRow};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Maximum seconds between an operation and its copies; below the shortest burst that matters to a host.
+/// Maximum time between an operation and its copies; shorter than the shortest burst that affects a host.
 const MAX_COPY_OFFSET_SECONDS: f64 = 0.05;
-/// Seconds by which a copy stays before the end of the trace: one tick of the file.
+/// Minimum time between a copy and the end of the trace: one tick of the file format.
 const END_MARGIN_SECONDS: f64 = 1e-6;
-/// Mixes the number of a copy into all bits of its key.
+/// Odd multiplier that spreads the number of a copy over all bits of its key.
 const KEY_MIX_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Which keys the copies of an operation have.
+/// Choice of keys for the copies of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyKeys {
-    /// The operation's key: hot keys get hotter.
+    /// Copies have the operation's key: hot keys get hotter.
     SameKeys,
-    /// Keys of their own, each as hot as the original, in the slices of these keys.
+    /// Copies have new keys, each as hot as the original, and the slices of these keys.
     OtherKeys,
 }
 
-/// Returns a trace with `times` as many operations in the mean, `stretch` times as long. The result is a function of
-/// the arguments, `seed` included.
+/// Returns a trace that is `stretch` times as long and has, on average, `times` as many operations. The result depends on
+/// the arguments only: the same `seed` gives the same trace.
 pub fn scale(trace: &Trace, times: f64, stretch: f64, copies: CopyKeys, seed: u64) -> Trace {
     let mut header = trace.header.clone();
     header.length *= stretch;
@@ -44,7 +44,7 @@
     random: ChaCha8Rng,
     copies: CopyKeys,
     slices: u32,
-    /// Seconds of the scaled trace.
+    /// Length of the scaled trace in seconds.
     length: f64,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Rounds up or down at random so that the mean is the number.
+/// Rounds up or down at random so that the expected value is `number`.
 fn round_randomly(number: f64, random: &mut impl Rng) -> u32 {
     let floor = number.floor();
     floor as u32 + u32::from(random.random::<f64>() < number - floor)
--- a/crates/railhub-trace/src/show.rs
+++ b/crates/railhub-trace/src/show.rs
@@ -1,40 +1,40 @@
-//! Owns the summary of a trace: counts, rates, and the hottest keys and slices.
+//! Summary of a trace: counts, rates, and the hottest keys and slices.
 use crate::{Trace, TraceRow};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Maximum keys, and slices, that a summary lists.
+/// Maximum number of keys, and of slices, in a summary.
 const MAX_HOTTEST_LISTED: usize = 5;
-/// Shortest time, in seconds, that counts are divided by.
+/// Lower bound of a length or span that counts are divided by.
 const MIN_SECONDS: f64 = 1e-9;
 
-/// Summary of a trace. The names of its fields are those of the JSON output.
+/// Summary of a trace. The field names, or their `serde` names, are those of the JSON output.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Summary {
     /// Length in seconds.
     pub length: f64,
     /// Number of operations.
     pub operations: u64,
-    /// Operations in aggregates, of which neither key nor work is known.
+    /// Number of operations in aggregates, whose keys and work are unknown.
     #[serde(rename = "from_sums")]
     pub aggregated: u64,
-    /// Operations by class name.
+    /// Class names with the number of operations of each.
     pub by_class: Vec<(String, u64)>,
-    /// Operations by zone name.
+    /// Zone names with the number of operations of each.
     pub by_zone: Vec<(String, u64)>,
     /// Number of distinct keys.
     pub keys: usize,
-    /// The hottest keys with their fractions of all operations.
+    /// The hottest keys with their fractions of all operations, in decreasing order.
     pub hot_keys: Vec<(u64, f64)>,
-    /// The hottest slices with their fractions of all operations.
+    /// The hottest slices with their fractions of all operations, in decreasing order.
     pub hot_slices: Vec<(u32, f64)>,
-    /// Mean operations a second.
+    /// Mean number of operations per second.
     pub rate: f64,
-    /// Operations in the busiest second.
+    /// Number of operations in the busiest second.
     #[serde(rename = "rate_most")]
     pub peak_rate: f64,
-    /// Core seconds a second, where work is known.
+    /// Known work in core seconds per second; `None` if no work is known.
     pub work_rate: Option<f64>,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Counts of operations as rows are added.
+/// Running counts of operations.
 struct Counts {
     keys: BTreeMap<u64, u64>,
     slices: BTreeMap<u32, u64>,
@@ -69,7 +69,7 @@
     classes: Vec<u64>,
     zones: Vec<u64>,
     aggregated: u64,
-    /// Core seconds.
+    /// Sum of the known work in core seconds.
     work: Option<f64>,
 }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Spreads a row's operations evenly over the seconds of its span.
+    /// Distributes a row's operations evenly over the seconds of its span.
     fn add_to_seconds(&mut self, row: &TraceRow) {
         let begin = row.at - row.span;
         let span = row.span.max(MIN_SECONDS);
@@ -116,13 +116,13 @@
     }
 }
 
-/// The largest counts as fractions of all operations; of equal counts, the smaller index first.
+/// The keys of the largest counts with their fractions of all operations; of equal counts, the smaller key first.
 fn hottest<K: Copy>(counts: BTreeMap<K, u64>, operations: u64) -> Vec<(K, f64)> {
     let mut ranked: Vec<(K, u64)> = counts.into_iter().collect();
     ranked.sort_by_key(|(_, count)| Reverse(*count));
     ranked.truncate(MAX_HOTTEST_LISTED);
     let fraction = |count: u64| count as f64 / operations.max(1) as f64;
-    ranked.into_iter().map(|(index, count)| (index, fraction(count))).collect()
+    ranked.into_iter().map(|(key, count)| (key, fraction(count))).collect()
 }
 
 #[cfg(test)]
