--- a/crates/railhub-trace/src/samples.rs
+++ b/crates/railhub-trace/src/samples.rs
@@ -1,4 +1,4 @@
-//! Rows and traces that the tests of this package share.
+//! Sample rows and traces for the unit tests of this crate.
 use super::*;
 
 pub fn row(at: f64, class: u32, key: u64) -> TraceRow {
@@ -6,7 +6,7 @@
     TraceRow { at, class, slice, zone, proxy: 3, key: Some(key), work: Some(0.1), count: 1, span: 0.0 }
 }
 
-pub fn traffic(rows: Vec<TraceRow>) -> Trace {
+pub fn trace(rows: Vec<TraceRow>) -> Trace {
     let header = TraceHeader {
         classes: vec!["view".into(), "pay".into()],
         zones: vec!["north".into(), "south".into()],
