--- a/crates/railhub-ini/src/diagnostic.rs
+++ b/crates/railhub-ini/src/diagnostic.rs
@@ -1,14 +1,14 @@
-//! What is wrong in a file, and where.
+//! Errors in an INI file, with file name and line number.
 use thiserror::Error;
 
-/// One error in a file.
+/// An error in an INI file.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{file}:{line}: {message}")]
 pub struct Diagnostic {
-    /// The file, as it was named.
+    /// Name of the file, as given by the caller.
     pub file: String,
-    /// The line, from 1; 0 where the file cannot be read.
+    /// Line number, starting at 1; 0 if the file cannot be read.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
--- a/crates/railhub-ini/src/document.rs
+++ b/crates/railhub-ini/src/document.rs
@@ -1,11 +1,11 @@
-//! One file.
+//! A parsed INI file.
 use crate::diagnostic::Diagnostic;
 use crate::lines;
 use std::collections::BTreeSet;
 use std::fmt::Display;
 use std::path::Path;
 
-/// A parsed file with its text, for the line numbers of diagnostics.
+/// A parsed INI file. The text is kept to find the line numbers of diagnostics.
 pub struct Document {
     file: String,
     text: String,
@@ -16,7 +16,7 @@
     /// Reads and parses a file.
     ///
     /// # Errors
-    /// The file cannot be read, is no INI file, or gives a section or a key twice.
+    /// If the file cannot be read, is not an INI file, or has a duplicate section or key.
     pub fn open(path: &Path) -> Result<Document, Diagnostic> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -25,10 +25,10 @@
         }
     }
 
-    /// Parses a text; `file` is its name in diagnostics.
+    /// Parses the text of an INI file; `file` is the file name for diagnostics.
     ///
     /// # Errors
-    /// The text is no INI file, or gives a section or a key twice.
+    /// If the text is not in INI format, or has a duplicate section or key.
     pub fn parse(file: &str, text: &str) -> Result<Document, Diagnostic> {
         let ini = ini::Ini::load_from_str_noescape(text).map_err(|error| Diagnostic {
             file: file.to_owned(),
@@ -40,7 +40,7 @@
         Ok(document)
     }
 
-    /// Of a key or section that is given twice one would be ignored silently.
+    /// Rejects duplicate sections and keys: one of the two would be ignored silently.
     fn reject_duplicates(&self) -> Result<(), Diagnostic> {
         let mut seen = BTreeSet::new();
         let mut section = String::new();
@@ -66,8 +66,8 @@
         self.ini.sections().flatten().map(str::to_owned).collect()
     }
 
-    /// A digest of all sections and keys, except those that `excludes` names (section, key). Order, blanks and comments
-    /// do not count.
+    /// Hash of all sections, keys and values, except those for which `excludes(section, key)` is true. Order, whitespace
+    /// and comments do not affect it.
     pub fn digest(&self, excludes: impl Fn(&str, &str) -> bool) -> u64 {
         let mut settings = BTreeSet::new();
         for (section, properties) in self.ini.iter() {
@@ -85,13 +85,13 @@
         xxhash_rust::xxh3::xxh3_64(text.as_bytes())
     }
 
-    /// Checks that each section is known.
+    /// Checks that each section is known and that no key precedes the first section.
     ///
     /// # Errors
-    /// The first section whose name `is_known` refuses, or a key before the first section.
+    /// If a key precedes the first section; else for the first section whose name `is_known` rejects.
     pub fn reject_unknown_sections(&self, is_known: impl Fn(&str) -> bool) -> Result<(), Diagnostic> {
         if self.ini.general_section().iter().next().is_some() {
-            return Err(self.diagnostic_at(1, "a key stands before the first [section]"));
+            return Err(self.diagnostic_at(1, "a key precedes the first [section]"));
         }
         match self.section_names().into_iter().find(|name| !is_known(name)) {
             Some(name) => Err(self.diagnostic(&name, None, format!("[{name}] is not known"))),
@@ -107,19 +107,19 @@
         self.diagnostic_at(self.line_of(section, key), message)
     }
 
-    /// The line of a key; that of the section's header where the key is missing; 1 where the section is missing too.
+    /// Line number of a key; of the section header if the key is missing; 1 if the section is missing too.
     fn line_of(&self, section: &str, key: Option<&str>) -> usize {
-        let mut is_inside = false;
+        let mut in_section = false;
         let mut header_line = 1;
         for (index, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if let Some(name) = lines::section_header(line) {
-                is_inside = name == section;
-                if is_inside {
+                in_section = name == section;
+                if in_section {
                     header_line = index + 1;
                 }
             }
-            if is_inside && key.is_some() && lines::key(line) == key {
+            if in_section && key.is_some() && lines::key(line) == key {
                 return index + 1;
             }
         }
--- a/crates/railhub-ini/src/lib.rs
+++ b/crates/railhub-ini/src/lib.rs
@@ -1,9 +1,12 @@
-//! INI files, read so that each error names the file, the line and what is wrong there. Keys that nobody has read,
-//! sections that nobody knows and what is given twice are errors. Owns the text of one file; decides nothing.
+//! Strict reading of INI files: unknown keys, unknown sections and duplicates are errors, and each error has the file
+//! name and the line number.
 //!
-//! The numbered way of one setting: [`Document::open`] reads and parses the file and rejects duplicates;
-//! [`Document::section`] gives a [`Section`], whose methods read and check one key each and note that it was read;
-//! [`Section::reject_unread_keys`] then finds misspelt keys, [`Document::reject_unknown_sections`] misspelt sections.
+//! Steps to read settings:
+//!
+//! 1. [`Document::open`] reads and parses the file and rejects duplicates.
+//! 2. [`Document::section`] returns a [`Section`], whose methods each read and check one key, and record that it was read.
+//! 3. [`Section::reject_unread_keys`] then rejects misspelt keys, and [`Document::reject_unknown_sections`] misspelt
+//!    sections.
 #![warn(missing_docs)]
 
 mod diagnostic;
--- a/crates/railhub-ini/src/lines.rs
+++ b/crates/railhub-ini/src/lines.rs
@@ -1,11 +1,11 @@
-//! The two kinds of lines that matter: section headers and keys.
+//! Recognition of section headers and keys in the lines of an INI file.
 
-/// The section that a trimmed line begins, if it is a header.
+/// Name of the section if the trimmed line is a section header.
 pub(crate) fn section_header(line: &str) -> Option<&str> {
     Some(line.strip_prefix('[')?.split(']').next()?.trim())
 }
 
-/// The key that a trimmed line sets, if it sets one.
+/// Name of the key if the trimmed line sets one.
 pub(crate) fn key(line: &str) -> Option<&str> {
     let is_comment = line.starts_with(';') || line.starts_with('#');
     let (key, _) = line.split_once('=').filter(|_| !is_comment)?;
--- a/crates/railhub-ini/src/section.rs
+++ b/crates/railhub-ini/src/section.rs
@@ -1,4 +1,4 @@
-//! One section of a file, and the reading of its keys.
+//! A section of an INI file, with typed access to its keys.
 use crate::diagnostic::Diagnostic;
 use crate::document::Document;
 use std::cell::RefCell;
@@ -6,17 +6,17 @@
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// One section. It notes the keys that are read, so that those that nobody reads can be rejected.
+/// A section of an INI file. It records which keys are read, so that unknown keys can be rejected.
 pub struct Section<'a> {
     document: &'a Document,
-    /// Its name, without brackets.
+    /// Name of the section, without brackets.
     pub name: String,
     properties: Option<&'a ini::Properties>,
     read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl Document {
-    /// The section of this name; it is empty if the file has none.
+    /// The section with this name; empty if the file does not have it.
     pub fn section(&self, name: &str) -> Section<'_> {
         Section {
             document: self,
@@ -28,18 +28,18 @@
 }
 
 impl Section<'_> {
-    /// Whether the file has the section.
+    /// Whether the file has this section.
     pub fn exists(&self) -> bool {
         self.properties.is_some()
     }
 
-    /// A key's value as text.
+    /// Value of a key as text; `None` if the key is missing. Records the key as read.
     pub fn text(&self, key: &str) -> Option<&str> {
         self.read_keys.borrow_mut().insert(key.to_owned());
         self.properties?.get(key)
     }
 
-    /// A diagnostic at a key.
+    /// Creates a diagnostic with the line number of a key.
     pub fn diagnostic(&self, key: &str, message: impl Display) -> Diagnostic {
         self.document.diagnostic(&self.name, Some(key), format!("[{}] {key} {message}", self.name))
     }
@@ -48,10 +48,10 @@
         text.parse().map_err(|_| self.diagnostic(key, format!("cannot be '{text}'")))
     }
 
-    /// A key's value, or `default` where the key is missing.
+    /// Value of a key, or `default` if the key is missing.
     ///
     /// # Errors
-    /// The value cannot be parsed.
+    /// If the value cannot be parsed.
     pub fn value_or<T: FromStr>(&self, key: &str, default: T) -> Result<T, Diagnostic> {
         match self.text(key) {
             None => Ok(default),
@@ -59,10 +59,10 @@
         }
     }
 
-    /// The value of a key that must be given.
+    /// Value of a required key.
     ///
     /// # Errors
-    /// The key is missing, or its value cannot be parsed.
+    /// If the key is missing or its value cannot be parsed.
     pub fn required<T: FromStr>(&self, key: &str) -> Result<T, Diagnostic> {
         match self.text(key) {
             None => Err(self.diagnostic(key, "is missing")),
@@ -70,18 +70,18 @@
         }
     }
 
-    /// The choice that a key's value names; that of `default` where the key is missing.
+    /// The one of `choices` that a key's value names, or that `default` names if the key is missing.
     ///
     /// # Errors
-    /// The value names no choice.
+    /// If no choice has that name.
     pub fn choice<T: Clone>(&self, key: &str, default: &str, choices: &[(&str, T)]) -> Result<T, Diagnostic> {
         self.parse_choice(key, self.text(key).unwrap_or(default), choices)
     }
 
-    /// The choice that a part of a key's value names.
+    /// The one of `choices` that `text` names, which is the value of `key` or a part of it.
     ///
     /// # Errors
-    /// The text names no choice.
+    /// If no choice has that name.
     pub fn parse_choice<T: Clone>(
         &self,
         key: &str,
@@ -96,45 +96,45 @@
             Some((last, rest)) if !rest.is_empty() => format!("{} or {last}", rest.join(", ")),
             _ => names.join(""),
         };
-        Err(self.diagnostic(key, format!("cannot be '{text}': {allowed}")))
+        Err(self.diagnostic(key, format!("cannot be '{text}', expected {allowed}")))
     }
 
-    /// A number from `min` to `max`, or `default` where the key is missing.
+    /// A number from `min` to `max`, both inclusive, or `default` if the key is missing.
     ///
     /// # Errors
-    /// The value is no number, or out of range.
+    /// If the value is not a number or is out of range.
     pub fn in_range(&self, key: &str, default: f64, min: f64, max: f64) -> Result<f64, Diagnostic> {
         let value: f64 = self.value_or(key, default)?;
         if (min..=max).contains(&value) {
             Ok(value)
         } else {
-            Err(self.diagnostic(key, format!("is {value}, it may be {min} to {max}")))
+            Err(self.diagnostic(key, format!("is {value}, expected {min} to {max}")))
         }
     }
 
-    /// A number from `min` to `max` that must be given.
+    /// A required number from `min` to `max`, both inclusive.
     ///
     /// # Errors
-    /// The key is missing, or its value is no number or out of range.
+    /// If the key is missing, or its value is not a number or is out of range.
     pub fn required_in_range(&self, key: &str, min: f64, max: f64) -> Result<f64, Diagnostic> {
         let value: f64 = self.required(key)?;
         self.in_range(key, value, min, max)
     }
 
-    /// `yes` or `no`, or `default` where the key is missing.
+    /// True for the value `yes`, false for `no`, or `default` if the key is missing.
     ///
     /// # Errors
-    /// The value is neither.
+    /// If the value is neither `yes` nor `no`.
     pub fn flag(&self, key: &str, default: bool) -> Result<bool, Diagnostic> {
         match self.text(key) {
             None => Ok(default),
             Some("yes") => Ok(true),
             Some("no") => Ok(false),
-            Some(text) => Err(self.diagnostic(key, format!("cannot be '{text}': yes or no"))),
+            Some(text) => Err(self.diagnostic(key, format!("cannot be '{text}', expected yes or no"))),
         }
     }
 
-    /// The parts of a value that are parted by commas, without empty ones.
+    /// The comma-separated parts of a key's value, trimmed and without empty ones; empty if the key is missing.
     pub fn list(&self, key: &str) -> Vec<String> {
         let parts = self.text(key).unwrap_or_default().split(',').map(str::trim);
         parts.filter(|part| !part.is_empty()).map(str::to_owned).collect()
@@ -144,7 +144,7 @@
         self.properties.into_iter().flat_map(|properties| properties.iter().map(|(key, _)| key))
     }
 
-    /// All keys, in the order of the file.
+    /// Names of all keys, in the order of the file.
     pub fn keys(&self) -> Vec<String> {
         self.present_keys().map(str::to_owned).collect()
     }
@@ -152,7 +152,7 @@
     /// Checks that each key was read.
     ///
     /// # Errors
-    /// The first key that nobody has read: it is not known.
+    /// For the first key that was not read, which is therefore unknown.
     pub fn reject_unread_keys(&self) -> Result<(), Diagnostic> {
         let read_keys = self.read_keys.borrow();
         match self.present_keys().find(|key| !read_keys.contains(*key)) {
--- a/crates/railhub-ini/src/tests.rs
+++ b/crates/railhub-ini/src/tests.rs
@@ -3,8 +3,8 @@
 const TEXT: &str = "; a day\n[day]\nseed = 7\nlength = x\n\n[other]\nlenght = 5\n";
 
 #[test]
-fn complaints_name_the_line() {
-    let document = Document::parse("a.ini", TEXT).expect("readable");
+fn diagnostics_have_line_numbers() {
+    let document = Document::parse("a.ini", TEXT).expect("valid INI");
     let day = document.section("day");
     assert_eq!(day.required::<u64>("seed"), Ok(7));
     let diagnostic = day.required::<f64>("length").expect_err("not a number");
@@ -15,23 +15,23 @@
 }
 
 #[test]
-fn a_key_given_twice_is_not_lost_in_silence() {
-    let diagnostic = Document::parse("a.ini", "[day]\nseed=1\nseed=2\n").err().expect("twice");
+fn rejects_duplicate_keys() {
+    let diagnostic = Document::parse("a.ini", "[day]\nseed=1\nseed=2\n").err().expect("duplicate");
     assert_eq!(diagnostic.to_string(), "a.ini:3: [day] seed is given twice");
 }
 
 #[test]
-fn a_choice_names_what_it_may_be() {
-    let document = Document::parse("a.ini", "[day]\npick = best\n").expect("readable");
+fn unknown_choice_lists_the_allowed_names() {
+    let document = Document::parse("a.ini", "[day]\npick = best\n").expect("valid INI");
     let day = document.section("day");
-    let all = [("two", 2), ("weighted", 1), ("first", 0)];
-    let diagnostic = day.choice("pick", "two", &all).expect_err("unknown").to_string();
-    assert_eq!(diagnostic, "a.ini:2: [day] pick cannot be 'best': two, weighted or first");
-    assert_eq!(day.choice("none", "weighted", &all), Ok(1));
+    let choices = [("two", 2), ("weighted", 1), ("first", 0)];
+    let diagnostic = day.choice("pick", "two", &choices).expect_err("unknown").to_string();
+    assert_eq!(diagnostic, "a.ini:2: [day] pick cannot be 'best', expected two, weighted or first");
+    assert_eq!(day.choice("none", "weighted", &choices), Ok(1));
 }
 
 #[test]
-fn a_number_out_of_bounds_is_refused() {
-    let document = Document::parse("a.ini", "[day]\nshare = NaN\n").expect("readable");
+fn rejects_numbers_out_of_range() {
+    let document = Document::parse("a.ini", "[day]\nshare = NaN\n").expect("valid INI");
     assert!(document.section("day").in_range("share", 0.5, 0.0, 1.0).is_err());
 }
