--- a/crates/railhub-trace/src/file.rs
+++ b/crates/railhub-trace/src/file.rs
@@ -1,7 +1,7 @@
 //! The trace file: a magic line with the format version, then blocks, each of length, checksum and body.
 //!
-//! The first block is the header, the following ones hold rows as columns, the last one holds the number of rows. A file
-//! without its last block is truncated; its complete blocks can still be read.
+//! The first block is the header, the following ones hold rows as columns, the last one holds the number of rows. A
+//! file without its last block is truncated; its complete blocks can still be read.
 mod blocks;
 mod error;
 mod reader;
--- a/crates/railhub-trace/src/file/writer.rs
+++ b/crates/railhub-trace/src/file/writer.rs
@@ -65,8 +65,8 @@
         self.output.flush()
     }
 
-    /// Writes the end block. `length` is the length of the recording in seconds; if it is less than the latest time of a
-    /// row, that time is written instead.
+    /// Writes the end block. `length` is the length of the recording in seconds; the latest time of a row is written
+    /// instead if it is greater.
     ///
     /// # Errors
     /// If the output cannot be written.
--- a/crates/railhub-trace/src/fit.rs
+++ b/crates/railhub-trace/src/fit.rs
@@ -1,8 +1,8 @@
 //! Fitting of distributions to a trace: arrivals, popularity of keys, and work per class.
 //!
-//! The distance of a fit is the Kolmogorov-Smirnov statistic: the largest difference between the recorded and the fitted
-//! distribution function. The parameters are estimated from the same values, therefore the critical values are those of
-//! Lilliefors (1967, 1969) instead of Kolmogorov's.
+//! The distance of a fit is the Kolmogorov-Smirnov statistic: the largest difference between the recorded and the
+//! fitted distribution function. The parameters are estimated from the same values, therefore the critical values are
+//! those of Lilliefors (1967, 1969) instead of Kolmogorov's.
 mod arrivals;
 mod distribution;
 mod popularity;
--- a/crates/railhub-trace/src/fit/distribution.rs
+++ b/crates/railhub-trace/src/fit/distribution.rs
@@ -4,10 +4,10 @@
 
 /// Minimum number of values that a distribution is fitted to.
 pub(super) const MIN_SAMPLES: usize = 30;
-/// Critical value at the 5 % level for the exponential distribution: the distance times the square root of the number of
-/// values.
+/// Critical value, at the 5 % level, of the distance times the square root of the number of values: exponential
+/// distribution.
 const EXPONENTIAL_CRITICAL_VALUE: f64 = 1.06;
-/// Critical value at the 5 % level for the other distributions.
+/// The same critical value for the other distributions.
 pub(super) const DEFAULT_CRITICAL_VALUE: f64 = 0.886;
 /// Lower bound of a standard deviation, and of a difference of logarithms, that is used as a divisor.
 const MIN_DIVISOR: f64 = 1e-9;
--- a/crates/railhub-trace/src/scale.rs
+++ b/crates/railhub-trace/src/scale.rs
@@ -1,7 +1,7 @@
 //! Scaling of a trace to more or fewer operations; bursts and hot keys are preserved.
 //!
-//! To reduce the number, operations are sampled independently, which preserves the shape over time and the popularity of
-//! keys. To increase it, copies of each operation are added close to it in time, so that a burst grows in place.
+//! To reduce the number, operations are sampled independently, which preserves the shape over time and the popularity
+//! of keys. To increase it, copies of each operation are added close to it in time, so that a burst grows in place.
 //! [`CopyKeys`] selects whether the copies represent more requests of the same users, or more users.
 use crate::{Trace, TraceRow};
 use rand::{Rng, RngExt, SeedableRng};
@@ -23,8 +23,8 @@
     OtherKeys,
 }
 
-/// Returns a trace that is `stretch` times as long and has, on average, `times` as many operations. The result depends on
-/// the arguments only: the same `seed` gives the same trace.
+/// Returns a trace that is `stretch` times as long and has, on average, `times` as many operations. The result depends
+/// on the arguments only: the same `seed` gives the same trace.
 pub fn scale(trace: &Trace, times: f64, stretch: f64, copies: CopyKeys, seed: u64) -> Trace {
     let mut header = trace.header.clone();
     header.length *= stretch;
