--- a/crates/railhub-timeseries/src/host_load.rs
+++ b/crates/railhub-timeseries/src/host_load.rs
@@ -1,34 +1,34 @@
-//! Owns the load of each host over a recording.
+//! Load of each host over a recording.
 use railhub_record::{Event, EventKind, HostStarted, Limits};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What one host was sent.
+/// Attempts and load of one host.
 #[derive(Clone, Debug, Serialize)]
 pub struct HostLoad {
     /// Address of the host.
     pub host: String,
     /// Zone of the host.
     pub zone: u32,
-    /// Attempts sent to the host.
+    /// Number of attempts sent to the host.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Core seconds of work at speed 1 over the core seconds available while the host ran. Cached keys shorten work:
-    /// a load above 1 does not prove overload.
+    /// Work sent to the host over its capacity while it ran, both in core seconds at speed 1. A load above 1 does not
+    /// prove overload, because cached keys need less work.
     pub load: f64,
 }
 
 #[derive(Default)]
 struct HostTotals {
     zone: u32,
-    /// Core seconds a second, at speed 1.
+    /// Core seconds per second, at speed 1.
     capacity: f64,
-    /// Second of the recording's clock; `None` while the process is down.
+    /// Start of the current run on the recording's clock, in seconds; `None` while the process is down.
     up_since: Option<f64>,
-    /// Seconds of the runs that have ended.
+    /// Total duration in seconds of the runs that have ended.
     seconds_up: f64,
     attempts: u64,
-    /// Core seconds at speed 1.
+    /// Sum of the work of all attempts, in core seconds at speed 1.
     work: f64,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// All hosts of a recording, idle ones included, by descending load.
+/// Loads of all hosts of a recording, including idle ones, by decreasing load.
 pub fn by_host(events: &[Event], limits: &Limits) -> Vec<HostLoad> {
     let mut totals: BTreeMap<&str, HostTotals> = BTreeMap::new();
     for event in events {
--- a/crates/railhub-timeseries/src/latency.rs
+++ b/crates/railhub-timeseries/src/latency.rs
@@ -1,38 +1,38 @@
-//! Owns the latency of operations, by class.
+//! Latency of operations, by class.
 use hdrhistogram::Histogram;
 use railhub_record::{ClassLimits, Event, EventKind, Limits, Outcome};
 use serde::Serialize;
 
-/// Microseconds a second: histograms count in microseconds.
+/// Microseconds per second; the unit of the histograms is microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Significant digits that histograms keep.
+/// Number of significant decimal digits of histogram values.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Latencies of the operations of one class; histograms of several runs add up.
+/// Latencies of the operations of one class; histograms of several runs can be added.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram {
     /// Name of the class.
     pub class: String,
-    /// Microseconds of the operations that got an answer, in time or late.
+    /// Latencies in microseconds of the operations that got a response, in time or late.
     pub answered: Histogram<u64>,
-    /// Operations without an answer.
+    /// Number of operations without a response.
     pub unanswered: u64,
 }
 
-/// Percentiles of latency, in seconds; `None` if the operation at the percentile has no answer.
+/// Percentiles of latency; `None` if the operation at the percentile got no response.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct LatencyPercentiles {
     /// Name of the class.
     pub class: String,
-    /// Operations, answered or not.
+    /// Number of operations, with or without a response.
     pub operations: u64,
-    /// Seconds, the median.
+    /// Median in seconds.
     #[serde(rename = "half")]
     pub p50: Option<f64>,
-    /// Seconds, the 99th percentile.
+    /// 99th percentile in seconds.
     #[serde(rename = "of_99")]
     pub p99: Option<f64>,
-    /// Seconds, the 99.9th percentile.
+    /// 99.9th percentile in seconds.
     #[serde(rename = "of_999")]
     pub p999: Option<f64>,
 }
@@ -41,19 +41,19 @@
     fn new(class: &ClassLimits) -> LatencyHistogram {
         LatencyHistogram {
             class: class.name.clone(),
-            answered: Histogram::new(SIGNIFICANT_DIGITS).expect("three digits are allowed"),
+            answered: Histogram::new(SIGNIFICANT_DIGITS).expect("0 to 5 significant digits are valid"),
             unanswered: 0,
         }
     }
 
-    /// Adds the operations of another run.
+    /// Adds the operations of another run to this histogram.
     pub fn add(&mut self, other: &LatencyHistogram) {
         let _ = self.answered.add(&other.answered);
         self.unanswered += other.unanswered;
     }
 
-    /// Percentiles over all operations. Those without an answer rank as the slowest, so that dropping slow operations
-    /// does not improve a percentile.
+    /// Percentiles over all operations. Operations without a response rank as the slowest, so that dropping slow
+    /// operations does not improve a percentile.
     pub fn percentiles(&self) -> LatencyPercentiles {
         LatencyPercentiles {
             class: self.class.clone(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Latencies of a recording, one histogram for each class in the order of `limits`.
+/// Latencies of the operations in a recording: one histogram per class, in the order of `limits`.
 pub fn by_class(events: &[Event], limits: &Limits) -> Vec<LatencyHistogram> {
     let mut histograms: Vec<LatencyHistogram> = limits.classes.iter().map(LatencyHistogram::new).collect();
     for event in events {
--- a/crates/railhub-timeseries/src/per_second.rs
+++ b/crates/railhub-timeseries/src/per_second.rs
@@ -1,35 +1,35 @@
-//! Owns the aggregation of a recording's events by second of the scenario.
+//! Aggregation of a recording's events by second of the scenario.
 use crate::tables::Tables;
 use crate::unacknowledged::UnacknowledgedDeltas;
 use railhub_record::{DeltaReceived, Event, EventKind, Limits, OperationEnd, Outcome, ProxyStream};
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// Seconds of a step.
+/// Length of a step of a time series, in seconds.
 pub const STEP_SECONDS: f64 = 1.0;
 
-/// One value a step, from the first operation on.
+/// Time series with one value per step; the first step begins with the first operation.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TimeSeries {
-    /// Priority weight completed within the contract time over priority weight offered, by the step in which
-    /// operations began; 1 if none began.
+    /// Service: priority weight of the operations completed within the contract time over that of all operations, by
+    /// the step in which operations began; 1 if none began.
     pub service: Vec<f64>,
-    /// Operations that began.
+    /// Number of operations that began.
     pub operations: Vec<u32>,
-    /// Slices whose heaviest line moved to another host, at the first proxy that received the version.
+    /// Number of slices whose heaviest line moved to another host, counted when the first proxy received the version.
     pub moves: Vec<u32>,
-    /// Lines whose weight was set to 0.
+    /// Number of table lines whose weight was set to 0.
     #[serde(rename = "withdrawals")]
     pub cleared_lines: Vec<u32>,
-    /// Deltas that reached proxies.
+    /// Number of deltas that reached proxies.
     pub messages: Vec<u32>,
-    /// Deltas without an acknowledgement, at the end of the step.
+    /// Number of unacknowledged deltas at the end of the step.
     #[serde(rename = "owing")]
     pub unacknowledged: Vec<u32>,
-    /// Proxies with a stream, at the end of the step.
+    /// Number of proxies with an open stream at the end of the step.
     #[serde(rename = "joined")]
     pub connected_proxies: Vec<u32>,
-    /// Hosts whose process runs, at the end of the step.
+    /// Number of hosts whose process runs at the end of the step.
     pub hosts: Vec<u32>,
 }
 
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Moves of all steps.
+    /// Sum of the moves of all steps.
     pub fn total_moves(&self) -> u64 {
         self.moves.iter().map(|moves| u64::from(*moves)).sum()
     }
 }
 
-/// Aggregates a recording. Events before the first operation change the state, and count in no step.
+/// Aggregates a recording. Events before the first operation change the state but are not counted in a step.
 pub fn time_series(events: &[Event], limits: &Limits) -> TimeSeries {
     let mut aggregation = Aggregation::new(limits);
     for event in events {
@@ -63,20 +63,20 @@
     aggregation.finish()
 }
 
-/// A recording being aggregated, event by event.
+/// Aggregation of a recording event by event.
 struct Aggregation<'a> {
     limits: &'a Limits,
     steps: usize,
     series: TimeSeries,
     /// Priority weight of the operations that began in each step.
     offered: Vec<f64>,
-    /// Of these, priority weight completed within the contract time.
+    /// The part of `offered` that was completed within the contract time.
     completed: Vec<f64>,
     tables: Tables,
     unacknowledged: UnacknowledgedDeltas,
     connected_proxies: BTreeSet<u32>,
     hosts: BTreeSet<String>,
-    /// The first step whose state at its end is not yet written.
+    /// The first step for which the state at its end is not yet written.
     first_open_step: usize,
 }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The step of a time on the recording's clock; `None` outside the scenario.
+    /// The step that contains a time of the recording's clock; `None` if it is outside the scenario.
     fn step_at(&self, at: f64) -> Option<usize> {
         let position = (at - self.limits.from) / STEP_SECONDS;
         (position >= 0.0 && (position as usize) < self.steps).then_some(position as usize)
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Writes the present state as that at the end of each open step before `end`.
+    /// Writes the current state as the state at the end of each open step before step `end`.
     fn close_steps(&mut self, end: usize) {
         for step in self.first_open_step..end {
             self.series.unacknowledged[step] = self.unacknowledged.delta_count() as u32;
--- a/crates/railhub-timeseries/src/service_changes.rs
+++ b/crates/railhub-timeseries/src/service_changes.rs
@@ -1,22 +1,22 @@
-//! Owns the list of changes of service, each with the event that precedes it. Precedence is all that is stated: it is
-//! no proof of a cause.
+//! The changes of the service level in a recording, each with the event that precedes it. The order in time does not
+//! prove that the event caused the change.
 use crate::change_points::{segments, Segment};
 use crate::per_second::{TimeSeries, STEP_SECONDS};
 use railhub_record::{EndpointPhase, EndpointsReceived, Event, EventKind, Limits};
 use serde::Serialize;
 
-/// Seconds before a change that are searched for a preceding event.
+/// Time before a change in which a preceding event is searched for.
 const LOOKBACK_SECONDS: f64 = 10.0;
-/// Seconds after the start of a change that are searched too: it may begin anywhere within its step.
+/// Time after the start of a change that is searched too, because the change may begin anywhere within its step.
 const LOOKAHEAD_SECONDS: f64 = STEP_SECONDS;
 
-/// An event as operators name it. Written as the pair of time and description.
+/// An event with a description for operators. Serialized as a pair of time and description.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 #[serde(into = "(f64, String)")]
 pub struct OperatorEvent {
-    /// Second of the scenario.
+    /// Time in seconds since the start of the scenario.
     pub at: f64,
-    /// What happened.
+    /// Description of the event.
     pub description: String,
 }
 
@@ -26,54 +26,56 @@
     }
 }
 
-/// A step from one level of service to another.
+/// A change from one service level to another.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct ServiceChange {
-    /// Second of the scenario at which the new level begins, to the step.
+    /// Start of the new level, in seconds since the start of the scenario, to the precision of a step.
     pub at: f64,
-    /// Second of the scenario at which the new level ends.
+    /// End of the new level, in seconds since the start of the scenario.
     pub until: f64,
-    /// Mean service of the earlier level.
+    /// Mean service at the earlier level.
     pub service_before: f64,
-    /// Mean service of the new level.
+    /// Mean service at the new level.
     pub service: f64,
-    /// The latest event within 10 s before the change.
+    /// The latest event from 10 s before the change to one step after its start; `None` if there is none.
     #[serde(rename = "just_before")]
     pub preceding_event: Option<OperatorEvent>,
 }
 
-/// The changes of service in a recording.
+/// The changes of the service level in a recording.
 pub fn service_changes(events: &[Event], limits: &Limits, series: &TimeSeries) -> Vec<ServiceChange> {
     detect_changes(&series.service, &operator_events(events, limits))
 }
 
-/// The changes in a series of service by step, each with the latest of `events`, ordered by time, that precedes it.
+/// The changes of level in a series of service per step, each with the event that precedes it; `events` are ordered by
+/// time.
 pub fn detect_changes(service: &[f64], events: &[OperatorEvent]) -> Vec<ServiceChange> {
     let segments = segments(service);
     segments.windows(2).map(|pair| service_change(&pair[0], &pair[1], events)).collect()
 }
 
-fn service_change(earlier: &Segment, present: &Segment, events: &[OperatorEvent]) -> ServiceChange {
-    let at = present.start as f64 * STEP_SECONDS;
+fn service_change(earlier: &Segment, current: &Segment, events: &[OperatorEvent]) -> ServiceChange {
+    let at = current.start as f64 * STEP_SECONDS;
     let searched = at - LOOKBACK_SECONDS..=at + LOOKAHEAD_SECONDS;
     ServiceChange {
         at,
-        until: present.end as f64 * STEP_SECONDS,
+        until: current.end as f64 * STEP_SECONDS,
         service_before: earlier.mean,
-        service: present.mean,
+        service: current.mean,
         preceding_event: events.iter().rev().find(|event| searched.contains(&event.at)).cloned(),
     }
 }
 
-/// The events of a recording that operators have a name for, in its order, in seconds of the scenario.
+/// The events of a recording that concern operators (faults, controller starts and stops, endpoint list updates), in
+/// recorded order, with times since the start of the scenario.
 pub fn operator_events(events: &[Event], limits: &Limits) -> Vec<OperatorEvent> {
-    let mut named = Vec::new();
+    let mut described = Vec::new();
     for event in events {
         if let Some(description) = describe(event) {
-            named.push(OperatorEvent { at: event.at - limits.from, description });
+            described.push(OperatorEvent { at: event.at - limits.from, description });
         }
     }
-    named
+    described
 }
 
 fn describe(event: &Event) -> Option<String> {
@@ -89,7 +91,7 @@
     }
 }
 
-/// What an incremental update of the endpoint list changes; `None` for a complete list.
+/// Describes the changes of an incremental endpoint list update; `None` for a complete list or without such a change.
 fn describe_endpoints(update: &EndpointsReceived) -> Option<String> {
     let in_phase = |phase| update.entries.iter().filter(|entry| entry.phase() == phase).count();
     let gone = in_phase(EndpointPhase::Gone);
@@ -104,7 +106,7 @@
     }
 }
 
-/// The changes as text, one a line.
+/// Formats the changes as text, one per line.
 pub fn format_changes(changes: &[ServiceChange]) -> String {
     changes.iter().map(format_change).collect()
 }
--- a/crates/railhub-timeseries/src/tables.rs
+++ b/crates/railhub-timeseries/src/tables.rs
@@ -1,23 +1,23 @@
-//! Owns the routing table as proxies have received it. Each version counts once, when the first proxy receives it.
+//! The routing table as proxies have received it. Each version counts once, when the first proxy receives it.
 use railhub_proto::{Delta, TableLine};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The newest table that any proxy has received.
+/// The newest routing table that any proxy has received.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
-    /// Positive weights by slice and host.
+    /// Positive weights, by slice and host.
     weights: BTreeMap<u32, BTreeMap<String, f64>>,
     newest: TableVersion,
 }
 
-/// Orders versions across restarts of the controller.
+/// Version of a table; the order holds across restarts of the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct TableVersion {
     incarnation: u64,
     version: u64,
 }
 
-/// What one version changed.
+/// Number of changes that one version made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableChanges {
     /// Slices whose heaviest line moved to another host.
@@ -27,7 +27,8 @@
 }
 
 impl Tables {
-    /// Applies a delta; `None` if its version is known. A snapshot counts no changes: it repeats the present table.
+    /// Applies a delta and returns its changes; `None` if its version was applied before. A snapshot has no changes,
+    /// because it repeats the current table.
     pub fn apply(&mut self, delta: &Delta) -> Option<TableChanges> {
         let version = TableVersion { incarnation: delta.incarnation, version: delta.version };
         if version <= self.newest {
@@ -46,7 +47,7 @@
         Some(if delta.reset { TableChanges::default() } else { changes })
     }
 
-    /// Applies a line; whether it cleared one that had a weight.
+    /// Applies a line; returns whether it cleared a line that had a weight.
     fn apply_line(&mut self, line: &TableLine) -> bool {
         let weights = self.weights.entry(line.slice).or_default();
         if line.weight > 0.0 {
@@ -56,7 +57,7 @@
         weights.remove(&line.host).is_some()
     }
 
-    /// The newest version that a proxy has received.
+    /// The newest version that any proxy has received.
     pub fn version(&self) -> u64 {
         self.newest.version
     }
@@ -67,7 +68,7 @@
         Some(heaviest.0.clone())
     }
 
-    /// Slices of each host, by the heaviest line of the slice.
+    /// Number of slices of each host; a slice belongs to the host of its heaviest line.
     pub fn slices_by_host(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for host in self.weights.keys().filter_map(|slice| self.heaviest_host(*slice)) {
@@ -77,10 +78,10 @@
     }
 }
 
-/// Whether the heaviest line went from one host to another; a slice without a host before or after has not moved.
-fn has_moved(earlier: Option<String>, present: Option<String>) -> bool {
-    match (earlier, present) {
-        (Some(earlier), Some(present)) => earlier != present,
+/// Whether the heaviest line of a slice moved from one host to another; a slice that had or has no host has not moved.
+fn has_moved(earlier: Option<String>, current: Option<String>) -> bool {
+    match (earlier, current) {
+        (Some(earlier), Some(current)) => earlier != current,
         _ => false,
     }
 }
--- a/crates/railhub-timeseries/src/unacknowledged.rs
+++ b/crates/railhub-timeseries/src/unacknowledged.rs
@@ -1,15 +1,15 @@
-//! Owns the deltas that proxies have received and not yet acknowledged.
+//! Tracking of the deltas that proxies have received and not yet acknowledged.
 use std::collections::BTreeMap;
 
-/// Deltas without an acknowledgement, by proxy and version.
+/// The unacknowledged deltas of all proxies.
 #[derive(Clone, Debug, Default)]
 pub struct UnacknowledgedDeltas {
-    /// Lines of each delta, by proxy and version.
+    /// Number of lines of each unacknowledged delta, by proxy and version.
     line_counts: BTreeMap<(u32, u64), usize>,
 }
 
 impl UnacknowledgedDeltas {
-    /// Adds a delta of `lines` lines that `proxy` has received.
+    /// Adds a delta with `lines` lines that `proxy` has received.
     pub fn on_received(&mut self, proxy: u32, version: u64, lines: usize) {
         self.line_counts.insert((proxy, version), lines);
     }
@@ -19,7 +19,7 @@
         self.remove_through(proxy, version);
     }
 
-    /// Removes all deltas of a proxy whose stream has closed: none is acknowledged any more.
+    /// Removes all deltas of a proxy whose stream has closed, because they will never be acknowledged.
     pub fn on_stream_closed(&mut self, proxy: u32) {
         self.remove_through(proxy, u64::MAX);
     }
@@ -35,12 +35,12 @@
         versions.next().map(|(key, _)| *key)
     }
 
-    /// Unacknowledged deltas of all proxies.
+    /// Number of unacknowledged deltas of all proxies.
     pub fn delta_count(&self) -> usize {
         self.line_counts.len()
     }
 
-    /// Lines of the unacknowledged deltas of all proxies.
+    /// Number of lines in the unacknowledged deltas of all proxies.
     pub fn line_count(&self) -> usize {
         self.line_counts.values().sum()
     }
--- a/crates/railhub-timeseries/src/unacknowledged/tests.rs
+++ b/crates/railhub-timeseries/src/unacknowledged/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_acknowledgement_covers_earlier_deltas_of_that_proxy_alone() {
+fn acknowledgement_covers_earlier_deltas_of_the_same_proxy() {
     let mut unacknowledged = UnacknowledgedDeltas::default();
     for (proxy, version) in [(1, 1), (1, 2), (1, 3), (2, 1), (2, 2)] {
         unacknowledged.on_received(proxy, version, 10);
