--- a/crates/railhub-ini/src/document.rs
+++ b/crates/railhub-ini/src/document.rs
@@ -66,8 +66,8 @@
         self.ini.sections().flatten().map(str::to_owned).collect()
     }
 
-    /// Hash of all sections, keys and values, except those for which `excludes(section, key)` is true. Order, whitespace
-    /// and comments do not affect it.
+    /// Hash of all sections, keys and values, except those for which `excludes(section, key)` is true. Order,
+    /// whitespace and comments do not affect it.
     pub fn digest(&self, excludes: impl Fn(&str, &str) -> bool) -> u64 {
         let mut settings = BTreeSet::new();
         for (section, properties) in self.ini.iter() {
--- a/crates/railhub-ini/src/lib.rs
+++ b/crates/railhub-ini/src/lib.rs
@@ -4,7 +4,8 @@
 //! Steps to read settings:
 //!
 //! 1. [`Document::open`] reads and parses the file and rejects duplicates.
-//! 2. [`Document::section`] returns a [`Section`], whose methods each read and check one key, and record that it was read.
+//! 2. [`Document::section`] returns a [`Section`], whose methods each read and check one key, and record that it was
+//!    read.
 //! 3. [`Section::reject_unread_keys`] then rejects misspelt keys, and [`Document::reject_unknown_sections`] misspelt
 //!    sections.
 #![warn(missing_docs)]
