--- a/crates/railhub-dashboard/src/error.rs
+++ b/crates/railhub-dashboard/src/error.rs
@@ -1,28 +1,28 @@
-//! Owns the errors of the dashboard.
+//! Errors of the dashboard.
 use railhub_record::RecordError;
 use std::io;
 use thiserror::Error;
 
-/// Why the dashboard cannot show something.
+/// Reason why the dashboard cannot show a recording or an experiment.
 #[derive(Debug, Error)]
 pub enum DashboardError {
     /// The recording cannot be read.
     #[error(transparent)]
     Recording(#[from] RecordError),
-    /// The experiment's outcome cannot be read.
-    #[error("{file}: {source}")]
+    /// The outcome file of the experiment cannot be read.
+    #[error("{file}: cannot read the experiment's outcome: {source}")]
     ReadOutcome {
-        /// The file's name.
+        /// Path of the file.
         file: String,
-        /// The cause.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// The experiment's outcome is no JSON.
-    #[error("{file}: {source}")]
+    /// The outcome file of the experiment is not valid JSON.
+    #[error("{file}: the experiment's outcome is not valid JSON: {source}")]
     ParseOutcome {
-        /// The file's name.
+        /// Path of the file.
         file: String,
-        /// The cause.
+        /// Error reported by the JSON parser.
         source: serde_json::Error,
     },
     /// The terminal cannot be set up, drawn to or read from.
--- a/crates/railhub-dashboard/src/experiment_view.rs
+++ b/crates/railhub-dashboard/src/experiment_view.rs
@@ -1,4 +1,4 @@
-//! Owns the drawing of an experiment: its arms with their confidence intervals so far.
+//! Drawing of an experiment: its arms with the confidence intervals known so far.
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Modifier, Style};
 use ratatui::text::Line;
@@ -6,15 +6,16 @@
 use ratatui::Frame;
 use serde_json::Value;
 
-/// Cells of the strip that an interval is drawn in.
+/// Width of the strip that shows a confidence interval, in terminal cells.
 const STRIP_CELLS: usize = 31;
-/// Smallest difference at the edge of a strip.
+/// Lower bound of the difference that the edge of a strip stands for.
 const MIN_STRIP_BOUND: f64 = 1e-4;
 
-/// Draws `outcome`, the JSON that `railhub compare --keep` writes after each stage; null before the first one.
+/// Draws `outcome`, the JSON that `railhub compare --keep` writes after each stage; null before the first stage has
+/// finished.
 pub fn draw(frame: &mut Frame, outcome: &Value) {
     if outcome.is_null() {
-        let message = "no stage of an experiment is done here yet";
+        let message = "no experiment stage has finished in this folder yet";
         frame.render_widget(Paragraph::new(message).block(Block::bordered()), frame.area());
         return;
     }
@@ -25,10 +26,10 @@
 
 fn summary<'a>(outcome: &Value) -> Paragraph<'a> {
     let method = text(outcome, "how");
-    let settled = if outcome["settled"] == true { "known well enough" } else { "not settled" };
+    let settled = if outcome["settled"] == true { "settled" } else { "not settled" };
     let lines = vec![
         Line::from(format!("{method}   {} blocks   {settled}", outcome["blocks"])),
-        Line::from("difference from the first arm: strip from the lowest to the highest end, | is 0"),
+        Line::from("difference from the first arm: strips show the intervals on a common scale, | marks 0"),
     ];
     Paragraph::new(lines).block(Block::bordered().title(text(outcome, "experiment")))
 }
@@ -48,23 +49,23 @@
         Constraint::Length(STRIP_CELLS as u16),
         Constraint::Min(14),
     ];
-    let header = Row::new(["arm", "service", "less the first", "", "verdict"])
+    let header = Row::new(["arm", "service", "minus first arm", "", "verdict"])
         .style(Style::new().add_modifier(Modifier::BOLD));
     Table::new(rows, widths).header(header).block(Block::bordered().title("arms"))
 }
 
-/// The largest absolute end of all intervals: the difference at the edge of a strip.
+/// The largest absolute bound of all intervals, which is the difference at the edge of the strips.
 fn strip_bound(arms: &[Value]) -> f64 {
-    let ends = arms.iter().flat_map(|arm| ["low", "high"].map(|end| arm["difference"][end].as_f64()));
-    ends.flatten().map(f64::abs).fold(MIN_STRIP_BOUND, f64::max)
+    let bounds = arms.iter().flat_map(|arm| ["low", "high"].map(|name| arm["difference"][name].as_f64()));
+    bounds.flatten().map(f64::abs).fold(MIN_STRIP_BOUND, f64::max)
 }
 
-fn arm_row<'a>(arm: &Value, bound: f64) -> Row<'a> {
+fn arm_row<'a>(arm: &Value, strip_bound: f64) -> Row<'a> {
     let difference = &arm["difference"];
     let (interval, strip) = match (difference["low"].as_f64(), difference["high"].as_f64()) {
         (Some(low), Some(high)) => (
             format!("{} [{low:.4}, {high:.4}]", three_digits(&difference["mean"])),
-            strip(low / bound, high / bound),
+            strip(low / strip_bound, high / strip_bound),
         ),
         _ => (String::new(), String::new()),
     };
@@ -86,7 +87,7 @@
     }
 }
 
-/// An interval within [-1, 1] as text; `|` marks 0.
+/// Draws an interval on a scale from -1 to 1; `|` marks 0.
 fn strip(low: f64, high: f64) -> String {
     let covered = strip_cell(low)..=strip_cell(high);
     let mut strip = String::with_capacity(STRIP_CELLS);
@@ -100,7 +101,7 @@
     strip
 }
 
-/// The cell of a value, clamped to [-1, 1].
+/// Index of the cell for a value, which is clamped to [-1, 1].
 fn strip_cell(value: f64) -> usize {
     ((value.clamp(-1.0, 1.0) + 1.0) / 2.0 * (STRIP_CELLS - 1) as f64).round() as usize
 }
--- a/crates/railhub-dashboard/src/host.rs
+++ b/crates/railhub-dashboard/src/host.rs
@@ -1,29 +1,29 @@
-//! Owns the status of one host: its state, its recent load and its slices.
+//! Status of one host: its state, its recent load and its slices.
 //!
-//! States: `Ready`; `Warming` after a cold start; `Draining` and `Removed` as the endpoint list has it; `Down` while the
-//! process is not running and the list has not removed the host.
+//! A host is `Warming` after a cold start and then `Ready`; `Draining` or `Removed` according to the endpoint list; and
+//! `Down` while its process is not running and the list has not removed it.
 use railhub_record::{Attempt, EndpointPhase, HostStarted};
 
-/// Seconds after which an attempt counts for 1/e in the rate of work.
+/// Time after which the contribution of an attempt to the rate of work has decayed to 1/e.
 const LOAD_TIME_CONSTANT_SECONDS: f64 = 3.0;
 
-/// State of a host at a moment.
+/// State of a host at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It runs, is listed and warm.
+    /// The process is running and the host is warm.
     Ready,
-    /// It started cold and is still warming up.
+    /// The process started with a cold cache and is still warming up.
     Warming,
-    /// The endpoint list drains it.
+    /// The endpoint list marks the host as draining.
     Draining,
-    /// The endpoint list has removed it.
+    /// The endpoint list has removed the host.
     Removed,
-    /// Its process has ended; the endpoint list has not removed it.
+    /// The process is not running, but the endpoint list has not removed the host.
     Down,
 }
 
 impl HostState {
-    /// The state as the dashboard shows it.
+    /// Text for the state in the dashboard.
     pub fn label(self) -> &'static str {
         match self {
             HostState::Ready => "ready",
@@ -35,28 +35,29 @@
     }
 }
 
-/// What is known of one host.
+/// Status of one host, updated by events.
 #[derive(Clone, Debug, Default)]
 pub struct HostStatus {
     /// Zone of the host.
     pub zone: u32,
-    /// Slices whose heaviest line is this host.
+    /// Number of slices whose heaviest line is for this host.
     pub slices: usize,
-    /// Whether it is excluded from every table.
+    /// Whether the host is excluded from all tables.
     pub excluded: bool,
-    /// Core seconds a second, at speed 1.
+    /// Core seconds per second, at speed 1.
     capacity: f64,
-    /// Core seconds a second at speed 1, as of `work_rate_at`.
+    /// Decaying average of work in core seconds per second at speed 1, as of `work_rate_at`.
     work_rate: f64,
+    /// Time of the latest attempt, in seconds of the scenario.
     work_rate_at: f64,
-    /// Second of the scenario at which the warm-up ends.
+    /// End of the warm-up, in seconds of the scenario.
     warm_at: f64,
     running: bool,
     listed_phase: Option<EndpointPhase>,
 }
 
 impl HostStatus {
-    /// The process starts at second `at` of the scenario.
+    /// Handles a start of the process at second `at` of the scenario.
     pub fn on_started(&mut self, started: &HostStarted, at: f64) {
         self.zone = started.zone;
         self.capacity = started.cores * started.speed;
@@ -64,36 +65,37 @@
         self.warm_at = if started.cold { at + started.warm_up_time } else { f64::NEG_INFINITY };
     }
 
-    /// The process ends.
+    /// Handles the end of the process.
     pub fn on_stopped(&mut self) {
         self.running = false;
     }
 
-    /// The endpoint list has an entry for the host.
+    /// Handles an entry of the endpoint list for the host.
     pub fn on_listed(&mut self, phase: EndpointPhase) {
         self.listed_phase = Some(phase);
     }
 
-    /// An attempt reaches the host at second `at` of the scenario.
+    /// Handles an attempt that reaches the host at second `at` of the scenario.
     pub fn on_attempt(&mut self, attempt: &Attempt, at: f64) {
-        self.work_rate = self.work_rate_by(at) + attempt.work / LOAD_TIME_CONSTANT_SECONDS;
+        self.work_rate = self.work_rate_at(at) + attempt.work / LOAD_TIME_CONSTANT_SECONDS;
         self.work_rate_at = at;
     }
 
-    fn work_rate_by(&self, now: f64) -> f64 {
+    /// Rate of work, decayed to second `now` of the scenario.
+    fn work_rate_at(&self, now: f64) -> f64 {
         self.work_rate * (-(now - self.work_rate_at).max(0.0) / LOAD_TIME_CONSTANT_SECONDS).exp()
     }
 
-    /// Recent rate of work over capacity; 0 without a known capacity.
+    /// Recent rate of work over capacity; 0 if the capacity is unknown.
     pub fn load(&self, now: f64) -> f64 {
         if self.capacity > 0.0 {
-            self.work_rate_by(now) / self.capacity
+            self.work_rate_at(now) / self.capacity
         } else {
             0.0
         }
     }
 
-    /// State at second `now` of the scenario.
+    /// State of the host at second `now` of the scenario.
     pub fn state(&self, now: f64) -> HostState {
         match self.listed_phase {
             Some(EndpointPhase::Gone) => HostState::Removed,
--- a/crates/railhub-dashboard/src/lib.rs
+++ b/crates/railhub-dashboard/src/lib.rs
@@ -1,8 +1,9 @@
-//! Owns the terminal dashboard of a running scenario, a finished recording or an experiment.
+//! Terminal dashboard of a running scenario, a finished recording or an experiment.
 //!
-//! [`run_state`] folds events into the state at a moment, [`host`] and [`service_window`] are its parts;
-//! [`run_view`] draws it. [`recording_reader`] follows a recording that may still grow, [`player`] moves through it.
-//! [`experiment_view`] draws an experiment's folder; [`terminal`] is the loop over keys and time.
+//! [`run_state`] builds the state of a run at a point in time from its events; [`host`] and [`service_window`] are
+//! parts of that state, and [`run_view`] draws it. [`recording_reader`] reads a recording that may still grow, and
+//! [`player`] moves through it. [`experiment_view`] draws the results in an experiment's folder. [`terminal`] runs the
+//! event loop.
 #![warn(missing_docs)]
 pub mod error;
 pub mod experiment_view;
--- a/crates/railhub-dashboard/src/player.rs
+++ b/crates/railhub-dashboard/src/player.rs
@@ -1,30 +1,30 @@
-//! Owns the moment of a recording that is shown, and its movement with time and keys.
+//! Playback of a recording: the position that is shown, and its movement with time and on key presses.
 use crate::error::DashboardError;
 use crate::recording_reader::RecordingReader;
 use crate::run_state::RunState;
 use ratatui::crossterm::event::KeyCode;
 use std::path::Path;
 
-/// Seconds that an arrow key moves.
+/// Time by which an arrow key moves the position.
 const SEEK_SECONDS: f64 = 5.0;
 
-/// A recording at a moment.
+/// A recording with a playback position.
 pub struct Player {
     reader: RecordingReader,
     title: String,
     state: RunState,
-    /// Events that the state includes.
+    /// Number of events that are applied to the state.
     applied: usize,
-    /// Second of the recording's clock.
+    /// Position on the recording's clock, in seconds.
     position: f64,
-    /// Whether time stands still; without effect while following.
+    /// Whether playback is paused; has no effect while following.
     paused: bool,
     /// Whether the position stays at the end of a growing recording.
     following: bool,
 }
 
 impl Player {
-    /// Opens a recording at second `at` of the scenario, or at its end, to follow it.
+    /// Opens a recording at second `at` of the scenario. Without `at`, the player follows the end of the recording.
     ///
     /// # Errors
     /// If the recording cannot be read.
@@ -53,12 +53,12 @@
         &self.title
     }
 
-    /// State of the run at the present position.
+    /// State of the run at the current position.
     pub fn state(&self) -> &RunState {
         &self.state
     }
 
-    /// Moves to a second of the recording's clock. A move backwards replays from the start.
+    /// Moves to a position on the recording's clock. A move backwards replays the recording from its start.
     fn move_to(&mut self, position: f64) {
         if position < self.position {
             self.state = RunState::default();
@@ -73,7 +73,7 @@
         self.state.now = self.position - self.state.limits.as_ref().map_or(0.0, |limits| limits.from);
     }
 
-    /// Reads what has been appended, and moves on by the elapsed seconds unless paused.
+    /// Reads newly appended events, and moves to the end if following, or by the elapsed seconds unless paused.
     ///
     /// # Errors
     /// If the recording cannot be read.
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Handles a key that was pressed.
+    /// Handles a key press.
     pub fn on_key(&mut self, key: KeyCode) {
         match key {
             KeyCode::Char(' ') => {
--- a/crates/railhub-dashboard/src/recording_reader.rs
+++ b/crates/railhub-dashboard/src/recording_reader.rs
@@ -1,31 +1,32 @@
-//! Owns the reading of a recording that may still grow.
+//! Incremental reading of a recording that may still grow.
 use railhub_record::{complete_bytes, read_bytes, Event, RecordError};
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// Bytes read at once: the rest waits for the next poll, so that a long recording does not delay the keys.
+/// Maximum number of bytes read in one poll, so that reading a long recording does not delay key presses.
 const MAX_READ_BYTES: u64 = 32 << 20;
-/// Bytes of the header. A later part of a recording is parsed with the header before it.
+/// Length of a recording's header, which is put before each later part of the recording for parsing.
 const HEADER_BYTES: usize = 16;
 
 /// A recording and the events read from it so far.
 pub struct RecordingReader {
     path: PathBuf,
-    /// Shorter than `HEADER_BYTES` while the recording has just begun.
+    /// Header of the recording; shorter than `HEADER_BYTES` until it is completely written.
     header: Vec<u8>,
-    /// Bytes of the file that have been parsed, with the header.
+    /// Number of bytes of the file that have been parsed, including the header.
     offset: u64,
+    /// Latest time of an event so far, in seconds of the recording's clock.
     end: f64,
-    /// All events so far, in the order of the file.
+    /// All events read so far, in the order of the file.
     pub events: Vec<Event>,
 }
 
 impl RecordingReader {
-    /// Opens a recording, which may be empty, and reads what it has.
+    /// Opens a recording, which may still be empty, and reads its first events.
     ///
     /// # Errors
-    /// If the file cannot be read, is no recording or has a damaged event.
+    /// If the file cannot be read, is not a recording or has a corrupt event.
     pub fn open(path: &Path) -> Result<RecordingReader, RecordError> {
         let name = path.display().to_string();
         let mut file = File::open(path).map_err(io_error(&name))?;
@@ -44,10 +45,10 @@
         Ok(reader)
     }
 
-    /// Reads what has been appended, as far as it is complete; returns the number of new events.
+    /// Reads the complete blocks appended since the last poll; returns the number of new events.
     ///
     /// # Errors
-    /// If the file cannot be read or has a damaged event.
+    /// If the file cannot be read or has a corrupt event.
     pub fn poll(&mut self) -> Result<usize, RecordError> {
         let name = self.path.display().to_string();
         let mut file = File::open(&self.path).map_err(io_error(&name))?;
@@ -69,7 +70,7 @@
         Ok(count)
     }
 
-    /// Second of the recording's clock at which the events so far end.
+    /// Latest time of an event so far, in seconds of the recording's clock.
     pub fn end(&self) -> f64 {
         self.end
     }
--- a/crates/railhub-dashboard/src/run_state.rs
+++ b/crates/railhub-dashboard/src/run_state.rs
@@ -1,4 +1,4 @@
-//! Owns the state of a run at a moment, folded from the events up to it.
+//! State of a run at a point in time, built from the events up to then.
 use crate::host::HostStatus;
 use crate::service_window::{ServiceHistory, ServiceWindow};
 use railhub_proto::{Delta, RetryCondition};
@@ -9,59 +9,59 @@
 use railhub_timeseries::unacknowledged::UnacknowledgedDeltas;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Log entries that are kept.
+/// Maximum number of log entries that are kept.
 const MAX_LOG_ENTRIES: usize = 12;
-/// Upper bound, in seconds, of the time before the first operation.
+/// Upper bound of the time before the first operation.
 const MAX_LEAD_SECONDS: f64 = 1e9;
 
-/// Admission of one class, as the proxies have it.
+/// Admission rate and retry condition of one class, as last received by a proxy.
 #[derive(Clone, Debug)]
 pub struct AdmissionStatus {
     /// Name of the class.
     pub class: String,
-    /// Fraction of the operations that is admitted.
+    /// Fraction of the operations that are admitted.
     pub rate: f64,
-    /// When a failed attempt may be retried.
+    /// Condition under which a failed attempt may be retried.
     pub retry: RetryCondition,
 }
 
-/// An event as the dashboard lists it.
+/// An entry of the dashboard's log.
 #[derive(Clone, Debug)]
 pub struct LogEntry {
-    /// Second of the scenario.
+    /// Time in seconds of the scenario.
     pub at: f64,
-    /// What happened.
+    /// Description of the event.
     pub description: String,
 }
 
-/// State of a run at a moment.
+/// State of a run at a point in time.
 #[derive(Clone, Debug, Default)]
 pub struct RunState {
-    /// Limits of the scenario; `None` until the recording's first event.
+    /// Limits of the scenario; `None` until their event, the first of a recording, is applied.
     pub limits: Option<Limits>,
-    /// Second of the scenario; negative before the first operation.
+    /// Current time in seconds of the scenario; negative before the first operation.
     pub now: f64,
-    /// Hosts by address.
+    /// Status of the hosts, by address.
     pub hosts: BTreeMap<String, HostStatus>,
-    /// Admission by number of the class.
+    /// Admission status, by class index.
     pub admission: BTreeMap<u32, AdmissionStatus>,
-    /// Proxies with a stream.
+    /// Numbers of the proxies with an open stream.
     pub connected_proxies: BTreeSet<u32>,
-    /// Whether the controller runs.
+    /// Whether the controller is running.
     pub controller_running: bool,
-    /// Newest table version that a proxy has received.
+    /// Newest table version that any proxy has received.
     pub version: u64,
-    /// Lines whose weight was set to 0.
+    /// Number of table lines whose weight was set to 0.
     pub cleared_lines: u64,
-    /// Slices whose heaviest line moved to another host.
+    /// Number of times the heaviest line of a slice moved to another host.
     pub moves: u64,
-    /// Deltas that reached proxies.
+    /// Number of deltas that reached proxies.
     pub messages: u64,
     /// Names of the injected faults that are active.
     pub active_faults: BTreeSet<String>,
-    /// The latest events, in order of time.
+    /// The latest log entries, oldest first.
     pub log: VecDeque<LogEntry>,
-    /// Operations by outcome.
+    /// Number of operations, by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
     unacknowledged: UnacknowledgedDeltas,
     tables: Tables,
@@ -139,7 +139,7 @@
 
     fn on_controller(&mut self, running: bool, at: f64) {
         self.controller_running = running;
-        self.append_log(at, format!("the steward {}", if running { "starts" } else { "is killed" }));
+        self.append_log(at, format!("the controller {}", if running { "starts" } else { "is killed" }));
     }
 
     fn append_log(&mut self, at: f64, description: String) {
@@ -174,10 +174,10 @@
         }
     }
 
-    /// Name of a class; its number if the limits do not have it.
-    fn class_name(&self, number: u32) -> String {
-        let class = self.limits.as_ref().and_then(|limits| limits.classes.get(number as usize));
-        class.map_or_else(|| number.to_string(), |class| class.name.clone())
+    /// Name of a class; its index if the limits do not have it.
+    fn class_name(&self, index: u32) -> String {
+        let class = self.limits.as_ref().and_then(|limits| limits.classes.get(index as usize));
+        class.map_or_else(|| index.to_string(), |class| class.name.clone())
     }
 
     /// Deltas that proxies have not acknowledged.
@@ -185,12 +185,12 @@
         &self.unacknowledged
     }
 
-    /// Service of the latest seconds, without those whose operations may still be running.
+    /// Service of the latest seconds, except those whose operations may still be running.
     pub fn service(&self) -> ServiceHistory {
         self.service.history(self.now, self.longest_contract_time())
     }
 
-    /// Seconds, over all classes.
+    /// Longest contract time of all classes, in seconds.
     fn longest_contract_time(&self) -> f64 {
         let Some(limits) = &self.limits else { return 0.0 };
         limits.classes.iter().map(|class| class.contract_time).fold(0.0, f64::max)
--- a/crates/railhub-dashboard/src/run_view.rs
+++ b/crates/railhub-dashboard/src/run_view.rs
@@ -1,4 +1,4 @@
-//! Owns the drawing of a run: summary, hosts, chart of service, log.
+//! Drawing of a run: summary, host table, chart of service, and log.
 use crate::host::{HostState, HostStatus};
 use crate::run_state::{AdmissionStatus, RunState};
 use railhub_proto::RetryCondition;
@@ -11,11 +11,11 @@
 
 /// Load above which a host is shown in red.
 const HIGH_LOAD: f64 = 0.9;
-/// Cells of the bar of a load of 1.
+/// Width of the bar for a load of 1, in terminal cells.
 const LOAD_BAR_CELLS: usize = 12;
-/// Lines of the host table that borders and header take.
+/// Number of lines of the host table taken by its borders and header.
 const HOST_TABLE_FRAME_LINES: u16 = 3;
-/// Service between the lowest value and the lower end of the chart, before it is rounded down to tenths.
+/// Minimum distance between the lowest value and the lower end of the service axis, which is rounded down to tenths.
 const CHART_MARGIN: f64 = 0.02;
 
 /// Draws the state of a run under a title.
@@ -31,7 +31,10 @@
     frame.render_widget(host_table(state, left), left);
     draw_service(frame, state, chart);
     frame.render_widget(log_panel(state), log);
-    frame.render_widget(Line::from("q ends   space halts   left and right go 5 s   home, end"), foot);
+    frame.render_widget(
+        Line::from("q: quit   space: pause   left, right: 5 s back, forward   home: start   end: follow"),
+        foot,
+    );
 }
 
 fn summary<'a>(state: &RunState, title: &str) -> Paragraph<'a> {
@@ -44,7 +47,7 @@
     let service = history.points.last().map_or("-".to_owned(), |(_, service)| format!("{service:.2}"));
     let controller = if state.controller_running { "up" } else { "AWAY" };
     format!(
-        "{:.1} s   service {service}   {} operations/s   steward {controller}   {} proxies joined",
+        "{:.1} s   service {service}   {} operations/s   controller {controller}   {} proxies connected",
         state.now,
         history.operations_per_second,
         state.connected_proxies.len()
@@ -56,7 +59,7 @@
     let lines = state.unacknowledged().line_count();
     let max_backlog = state.limits.as_ref().map_or(0.0, |limits| limits.max_backlog);
     format!(
-        "version {}   {deltas} deltas owed, {lines} lines of {max_backlog:.0}   {} moves   {} withdrawals   {} messages",
+        "version {}   unacknowledged: {deltas} deltas, {lines} of max {max_backlog:.0} lines   {} moves   {} lines cleared   {} messages",
         state.version, state.moves, state.cleared_lines, state.messages
     )
 }
@@ -70,7 +73,7 @@
     let rows: Vec<Row> = hosts.iter().take(visible).map(|(name, host)| host_row(name, host, now)).collect();
     let title = match hosts.len().saturating_sub(visible) {
         0 => format!("{} hosts, by load", hosts.len()),
-        hidden => format!("{} hosts, by load; {hidden} more below", hosts.len()),
+        hidden => format!("{} hosts, by load; {hidden} not shown", hosts.len()),
     };
     let widths = [
         Constraint::Length(6),
@@ -88,7 +91,7 @@
     let load = host.load(now);
     let state = host.state(now);
     let port = name.rsplit(':').next().unwrap_or(name).to_owned();
-    let exclusion = if host.excluded { ", shut out" } else { "" };
+    let exclusion = if host.excluded { ", excluded" } else { "" };
     let state_text = format!("{}{exclusion}", state.label());
     let load_text = format!("{} {load:.2}", load_bar(load));
     let cells = [port, host.zone.to_string(), state_text, host.slices.to_string(), load_text];
@@ -139,15 +142,15 @@
     for entry in state.log.iter().rev() {
         lines.push(Line::from(format!("{:>6.1} s {}", entry.at, entry.description)));
     }
-    Paragraph::new(lines).block(Block::bordered().title("levels, troubles, what happened"))
+    Paragraph::new(lines).block(Block::bordered().title("admission, active faults, events"))
 }
 
 fn admission_text(admission: &AdmissionStatus) -> String {
     let percent = admission.rate.min(1.0) * 100.0;
     let retry = match admission.retry {
-        RetryCondition::Never => "no second try",
-        RetryCondition::IfNotExecuted => "if it never ran",
-        RetryCondition::AfterFailure => "after a failure",
+        RetryCondition::Never => "no retry",
+        RetryCondition::IfNotExecuted => "retry if not executed",
+        RetryCondition::AfterFailure => "retry after failure",
     };
-    format!("{}: {percent:.0} % let in, {retry}", admission.class)
+    format!("{}: {percent:.0} % admitted, {retry}", admission.class)
 }
--- a/crates/railhub-dashboard/src/service_window.rs
+++ b/crates/railhub-dashboard/src/service_window.rs
@@ -1,10 +1,10 @@
-//! Owns service by second, for the latest seconds of a scenario.
+//! Service per second, for the latest seconds of a scenario.
 use std::collections::BTreeMap;
 
-/// Seconds of service that are kept.
+/// Maximum number of seconds that are kept.
 const MAX_SECONDS: usize = 120;
 
-/// Operations by the second of the scenario in which they began.
+/// Counts of operations, by the second of the scenario in which they began.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceWindow {
     seconds: BTreeMap<i64, ServiceSecond>,
@@ -12,19 +12,20 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceSecond {
-    /// Priority weight of the operations.
+    /// Priority weight of the operations that began.
     offered: f64,
-    /// Of it, what was completed within the contract time.
+    /// The part of `offered` that was completed within the contract time.
     completed: f64,
     operations: u32,
 }
 
-/// Service of the seconds whose operations have ended.
+/// Service of the seconds whose operations have all ended.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceHistory {
-    /// Second of the scenario and service in it, in order of time; seconds without priority weight are left out.
+    /// Pairs of second of the scenario and service in that second, ordered by time; seconds without priority weight are
+    /// left out.
     pub points: Vec<(f64, f64)>,
-    /// Operations that began in the newest of the seconds.
+    /// Number of operations that began in the newest of these seconds.
     pub operations_per_second: u32,
 }
 
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Service of the seconds that ended at least `settling_time` seconds before `now`: operations of later ones may
+    /// Service of the seconds that ended at least `settling_time` seconds before `now`; operations of later seconds may
     /// still be running.
     pub fn history(&self, now: f64, settling_time: f64) -> ServiceHistory {
         let mut history = ServiceHistory::default();
--- a/crates/railhub-dashboard/src/terminal.rs
+++ b/crates/railhub-dashboard/src/terminal.rs
@@ -1,4 +1,4 @@
-//! Owns the terminal: the loop over keys and time, and a single frame as text.
+//! Terminal output: the interactive event loop, and rendering of a single frame as text.
 use crate::error::DashboardError;
 use crate::player::Player;
 use crate::{experiment_view, run_view};
@@ -11,16 +11,16 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Time between two frames.
+/// Time between two frames of the interactive dashboard.
 const FRAME_INTERVAL: Duration = Duration::from_millis(200);
 /// Columns of a frame that is rendered as text.
 const TEXT_COLUMNS: u16 = 120;
 /// Rows of a frame that is rendered as text.
 const TEXT_ROWS: u16 = 36;
-/// The file of an experiment's folder that is shown.
+/// Name of the file in an experiment's folder that has the results.
 const OUTCOME_FILE: &str = "outcome.json";
 
-/// What the dashboard shows.
+/// The recording or experiment that the dashboard shows.
 enum Subject {
     Recording(Box<Player>),
     Experiment { folder: PathBuf, outcome: Value },
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads the outcome of an experiment; null until its first stage has ended.
+/// Reads the outcome of an experiment; null until its first stage has finished.
 fn read_outcome(folder: &Path) -> Result<Value, DashboardError> {
     let path = folder.join(OUTCOME_FILE);
     let file = path.display().to_string();
@@ -71,11 +71,11 @@
     serde_json::from_slice(&json).map_err(|source| DashboardError::ParseOutcome { file, source })
 }
 
-/// Shows a recording or an experiment's folder until a key ends it; a recording from second `at` of the scenario, or
-/// at its end.
+/// Shows a recording or an experiment's folder until the user quits. A recording is shown from second `at` of the
+/// scenario, or without `at` from its end.
 ///
 /// # Errors
-/// If the file cannot be read or the terminal fails.
+/// If the file cannot be read, or the terminal cannot be set up, drawn to or read from.
 pub fn run_interactive(path: &Path, at: Option<f64>) -> Result<(), DashboardError> {
     let mut subject = Subject::open(path, at)?;
     let mut terminal = ratatui::try_init()?;
@@ -99,7 +99,7 @@
     }
 }
 
-/// The key pressed before the next frame is due, if any.
+/// Waits for a key press until the next frame is due; `None` if there was none.
 fn next_key() -> Result<Option<KeyCode>, DashboardError> {
     if !event::poll(FRAME_INTERVAL)? {
         return Ok(None);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Renders one frame as text, for a pipe or a file.
+/// Renders one frame as text, for output to a pipe or a file.
 ///
 /// # Errors
 /// If the file cannot be read.
