--- a/crates/railhub-dashboard/src/host.rs
+++ b/crates/railhub-dashboard/src/host.rs
@@ -10,7 +10,7 @@
 /// State of a host at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// The process is running and the host is warm.
+    /// The process is running, the host is warm, and the endpoint list does not mark it as draining or removed.
     Ready,
     /// The process started with a cold cache and is still warming up.
     Warming,
@@ -77,19 +77,19 @@
 
     /// Handles an attempt that reaches the host at second `at` of the scenario.
     pub fn on_attempt(&mut self, attempt: &Attempt, at: f64) {
-        self.work_rate = self.work_rate_at(at) + attempt.work / LOAD_TIME_CONSTANT_SECONDS;
+        self.work_rate = self.decayed_work_rate(at) + attempt.work / LOAD_TIME_CONSTANT_SECONDS;
         self.work_rate_at = at;
     }
 
     /// Rate of work, decayed to second `now` of the scenario.
-    fn work_rate_at(&self, now: f64) -> f64 {
+    fn decayed_work_rate(&self, now: f64) -> f64 {
         self.work_rate * (-(now - self.work_rate_at).max(0.0) / LOAD_TIME_CONSTANT_SECONDS).exp()
     }
 
     /// Recent rate of work over capacity; 0 if the capacity is unknown.
     pub fn load(&self, now: f64) -> f64 {
         if self.capacity > 0.0 {
-            self.work_rate_at(now) / self.capacity
+            self.decayed_work_rate(now) / self.capacity
         } else {
             0.0
         }
