--- a/crates/railhub-trace/src/fit/work.rs
+++ b/crates/railhub-trace/src/fit/work.rs
@@ -1,24 +1,24 @@
-//! Owns the fit of work by class.
+//! Fit of the work of operations, by class.
 use super::distribution::{candidates, mean, variance, Candidate, MIN_SAMPLES};
 use crate::Trace;
 use serde::Serialize;
 
-/// The work of a class's operations.
+/// The work of the operations of one class.
 #[derive(Clone, Debug, Serialize)]
-pub struct Work {
+pub struct WorkFit {
     /// Name of the class.
     pub class: String,
     /// Number of operations whose work is known and positive.
     pub values: usize,
-    /// Core seconds.
+    /// Mean work in core seconds.
     pub mean: f64,
-    /// Standard deviation over the mean.
+    /// Coefficient of variation: standard deviation over mean.
     pub spread: f64,
-    /// Fitted distributions, the nearest first.
+    /// Fitted distributions, by increasing distance.
     pub candidates: Vec<Candidate>,
 }
 
-pub(super) fn fit(trace: &Trace) -> Vec<Work> {
+pub(super) fn fit(trace: &Trace) -> Vec<WorkFit> {
     let mut fits = Vec::new();
     for (class, name) in trace.header.classes.iter().enumerate() {
         let rows = trace.rows.iter().filter(|row| row.class as usize == class);
@@ -28,12 +28,12 @@
     fits
 }
 
-fn fit_class(class: &str, values: Vec<f64>) -> Option<Work> {
+fn fit_class(class: &str, values: Vec<f64>) -> Option<WorkFit> {
     if values.len() < MIN_SAMPLES {
         return None;
     }
     let mean = mean(&values);
-    Some(Work {
+    Some(WorkFit {
         class: class.to_owned(),
         values: values.len(),
         mean,
