--- a/crates/railhub-dashboard/tests/record.rs
+++ b/crates/railhub-dashboard/tests/record.rs
@@ -3,14 +3,14 @@
 use railhub_dashboard::render_once;
 use railhub_record::{save, Event};
 use railhub_scenario::Scenario;
-use railhub_simulator::{run, Physics, Policy};
+use railhub_simulator::{run, Policy, TimingModel};
 use std::fs;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
 fn simulated_events() -> Vec<Event> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/first-bad-day.ini");
-    run(&Scenario::open(&path).expect("valid scenario"), &Policy::Controller, Physics::default())
+    run(&Scenario::open(&path).expect("valid scenario"), &Policy::Controller, TimingModel::default())
         .expect("simulation succeeds")
 }
 
--- a/crates/railhub-timeseries/tests/days.rs
+++ b/crates/railhub-timeseries/tests/days.rs
@@ -2,14 +2,14 @@
 use railhub_invariants::limits;
 use railhub_record::{Event, Limits};
 use railhub_scenario::{draw, Scenario};
-use railhub_simulator::{run, Physics, Policy};
+use railhub_simulator::{run, Policy, TimingModel};
 use railhub_timeseries::{host_load, latency, service_changes, time_series};
 use std::path::Path;
 
 fn simulate(file: &str, policy: &Policy) -> (Scenario, Vec<Event>, Limits) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(file);
     let scenario = Scenario::open(&path).expect("valid scenario");
-    let events = run(&scenario, policy, Physics::default()).expect("simulation succeeds");
+    let events = run(&scenario, policy, TimingModel::default()).expect("simulation succeeds");
     let limits = limits(&events).expect("the recording has limits").clone();
     (scenario, events, limits)
 }
