--- a/crates/railhub-platform/tests/controller/calls.rs
+++ b/crates/railhub-platform/tests/controller/calls.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn resubscribes_when_a_slice_of_the_call_in_flight_is_reassigned() {
+fn resubscribes_when_slice_of_call_in_flight_is_reassigned() {
     let (mut controller, call) = with_call_in_flight();
     controller.on_relay_event(START + 0.1, RelayEvent::SliceAssigned { slice: SliceId(3), assigned: false });
     assert!(
