--- a/crates/railhub-chaos/src/lease/simulation/commands.rs
+++ b/crates/railhub-chaos/src/lease/simulation/commands.rs
@@ -5,7 +5,9 @@
 use crate::lease::observation::{LeaseObservation, Sabotage};
 use rand::RngExt;
 
-/// Seconds between two commands for a slice, short enough that there is always a command in flight.
+/// Seconds between two commands for a slice. Shorter than the maximum delay of most `SlowCommands` faults, so that
+/// commands are usually in flight while such a fault lasts. Without one, a command arrives within `MAX_MESSAGE_DELAY`
+/// unless its controller is paused.
 const COMMAND_INTERVAL: f64 = 0.5;
 /// Seconds after which a command that has not been acknowledged is repeated.
 const ACKNOWLEDGEMENT_TIMEOUT: f64 = 0.8;
--- a/crates/railhub-cli/tests/races.rs
+++ b/crates/railhub-cli/tests/races.rs
@@ -462,7 +462,7 @@
         status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("the status has VmRSS").trim();
     let megabytes =
         memory.split(' ').next().and_then(|kb| kb.parse::<u64>().ok()).expect("VmRSS is a number") >> 10;
-    // Half of the configured memory limit; in a long run, memory above that has a cost.
+    // Half of the memory limit in the configuration; on long runs the platform charges for memory use above that.
     assert!(megabytes <= 16, "{memory}");
 }
 
