--- a/crates/railhub-controller/src/settings/tests.rs
+++ b/crates/railhub-controller/src/settings/tests.rs
@@ -27,7 +27,7 @@
     assert_eq!(error("backlog", "backlogs"), "s.ini:6: [limits] backlogs is not known");
     assert_eq!(
         error("repeats = safe", "repeats = often"),
-        "s.ini:9: [class view] repeats cannot be 'often': safe, keyed, keyed nearby or never"
+        "s.ini:9: [class view] repeats cannot be 'often', expected safe, keyed, keyed nearby or never"
     );
     let fleet_error = |keys: &str| read(&format!("{TEXT}[fleet]\n{keys}")).expect_err("invalid settings");
     assert_eq!(fleet_error("id = 1\n"), "s.ini:13: [fleet] installation is missing");
