--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Forgets hosts that have been gone for long, once no table, ejection or exclusion refers to them. A host is
-/// readmitted before it is forgotten, because a new host may be listed under the same id.
+/// Forgets hosts that have been gone for long, once no table, ejection or exclusion refers to them. A host that proxies
+/// may still exclude is kept until it is readmitted: a new host may be listed under its id and would be excluded too.
 pub fn forget_gone_hosts(
     now: Seconds,
     ejected: Option<HostId>,
--- a/src/decision/slice.rs
+++ b/src/decision/slice.rs
@@ -10,17 +10,17 @@
 pub struct Slice {
     /// The host that serves it; `None` while no host has the capacity for it.
     pub owner: Option<HostId>,
-    /// The host that it was moved from by failover and fails back to.
+    /// The host from which failover moved it, and to which fail-back returns it; `None` otherwise.
     pub preferred_host: Option<HostId>,
     /// The host that receives retries.
     pub standby: Option<HostId>,
-    /// Its table, as last published or as stored.
+    /// Its table, as this controller last published it; until then, as it was stored.
     pub published: Vec<WeightedHost>,
     /// Rate of the operations that arrive for it, by class.
     pub demand: Vec<DecayingRate>,
     /// When it was assigned to this controller.
     pub assigned_at: Seconds,
-    /// For a single owner: when the last write to a former owner has ended; `None` if that is not known yet.
+    /// For a single owner: from when on no write to a former owner can be in progress; `None` if not known yet.
     pub writes_end_at: Option<Seconds>,
     /// Operations per second that are assumed until a load report covers the slice.
     pub estimated_rate: f64,
