--- a/crates/railhub-platform-net/src/lib.rs
+++ b/crates/railhub-platform-net/src/lib.rs
@@ -1,9 +1,10 @@
-//! The controller on the operators' platform: sockets, signals and process start.
+//! Runs the controller against the platform's relay, discovery and collectors: sockets, signals and process start.
 //!
 //! One thread ([`controller_thread`]) owns the [`railhub_platform::PlatformController`] and is fed by a bounded inbox
 //! ([`events`]). Every connection is served by one coroutine, all on one worker thread: inbound connections
 //! ([`listener`]), the subscription and the calls to the relay ([`relay`]), the discovery watch ([`discovery_watch`])
 //! and health checks ([`health_checks`]). [`signals`] reloads the configuration. All of them use [`shared_state`].
+//! [`descriptors`] counts open file descriptors, and [`fairness`] keeps a busy connection from blocking the others.
 //!
 //! Flow of a load report:
 //! 1. the session of a collector ([`listener`]) reads, validates and queues the report;
@@ -11,10 +12,9 @@
 //! 3. the next batch of decisions takes it into account; the resulting commands are queued at the controller.
 //!
 //! Flow of a page of the endpoint list:
-//! 1. the [`discovery_watch`] reads a line, takes one of the page permits and queues the page, which wakes the
-//!    controller thread;
-//! 2. the controller applies the page, or ignores it if it is older than the list in use, and then the watch is
-//!    restarted;
+//! 1. the [`discovery_watch`] reads a line, takes one of the few permits for queued pages and queues the page, which
+//!    wakes the controller thread;
+//! 2. the controller applies the page; if it is older than the list in use, it is ignored and the watch is restarted;
 //! 3. the thread returns the permit and publishes the generation of the list, from which the next watch resumes.
 //!
 //! Flow of a call to the relay:
--- a/crates/railhub-platform/src/lib.rs
+++ b/crates/railhub-platform/src/lib.rs
@@ -1,4 +1,5 @@
-//! The protocol of the operators' platform and the controller that implements it, without I/O or clocks.
+//! The protocol between the controller and the platform's relay, discovery and collectors, and the controller that
+//! implements it, without I/O or clocks.
 //!
 //! [`wire`] converts between bytes and typed messages. [`PlatformController`] collects events into batches for the
 //! decision logic (the package `railhub`) and queues the resulting commands until the relay has accepted them. The
@@ -11,7 +12,8 @@
 //! 3. The decision logic handles the batch. Its commands are queued ([`PendingCommands`]): their number is bounded, and
 //!    a newer command replaces a queued one for the same target.
 //! 4. The commands are sent in a [`Call`], one call at a time.
-//! 5. The [`CallResponse`] completes the call. Without one, the snapshot of a new subscription shows the outcome.
+//! 5. The [`CallResponse`] completes the call. If there is none, the snapshot of a new subscription shows which
+//!    commands were carried out.
 //!
 //! [`NodeConfig`] is the validated configuration.
 #![warn(missing_docs)]
--- a/crates/railhub-platform/tests/controller/pending_commands.rs
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -20,6 +20,7 @@
     pending.push(Command::SetAdmissionRate { class: ClassId(0), rate: 0.7, retry: RetryPolicy::Never });
     let call = pending.next_call(&["view".to_owned()]).expect("a call");
     assert_eq!(pending.unnamed_classes, 1);
+    // The class `*` would set the rate of every class.
     assert!(
         call.commands == 1 && text(&call).contains("view") && !text(&call).contains('*'),
         "{}",
@@ -56,6 +57,7 @@
     push_entries(&mut pending, 5);
     assert_eq!(pending.next_call(&[]).expect("a call").commands, 5);
     push_entries(&mut pending, 6);
+    // The relay accepts two commands and refuses the third.
     assert_eq!(
         pending.on_accepted(2).refused,
         Some(Command::SetWeight { slice: SliceId(2), entry: WeightedHost { host: host(1), weight: 1.0 } })
@@ -85,7 +87,9 @@
         text.find("\"s-2\",\"weight\":1.0").expect("kept")
             < text.find("\"s-1\",\"weight\":1.0").expect("last")
     );
+    // On the wire, `restore` readmits a host and `withdraw` excludes it.
     assert!(text.contains("restore") && !text.contains("withdraw"));
+    // The stored table has host 3; the pending commands add hosts 1 and 2.
     assert_eq!(pending.table_when_accepted(SliceId(1), &[(host(3), 0.5).into()]).len(), 3);
     pending.on_accepted(3);
     for slice in 0..u16::MAX {
