--- a/crates/railhub-membership/src/lease_record.rs
+++ b/crates/railhub-membership/src/lease_record.rs
@@ -1,8 +1,8 @@
 //! The store's lease record of one slice.
 use crate::{Epoch, Seconds};
 
-/// Which process holds a slice, under which epoch, and until when on the store's clock. Linearizable as long as only
-/// one store changes it at a time.
+/// Which process holds a slice, under which epoch, and until when on the store's clock. The changes of a record are
+/// linearizable as long as a single store makes them, one after the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LeaseRecord {
     /// The epoch of the last grant.
--- a/crates/railhub-net/src/http/line_stream.rs
+++ b/crates/railhub-net/src/http/line_stream.rs
@@ -1,7 +1,6 @@
 //! A chunked response that the server keeps open and sends lines on.
 //!
-//! States: opened (the head has been read), active (a line has arrived), ended (by the last chunk, a time-out or an
-//! error).
+//! It is open from when its head has been read until it ends: by the last chunk, a time-out or an error.
 use crate::dial::dial;
 use crate::http::chunked::ChunkedDecoder;
 use crate::http::error::HttpError;
@@ -18,7 +17,8 @@
 
 /// The lines of one response.
 pub struct LineStream {
-    /// Declared before the socket, so that it is dropped first.
+    /// Declared before the socket, so that it is dropped first and never shuts down a descriptor that was closed and
+    /// reused.
     idle_timeout: IdleTimeout,
     stream: TcpStream,
     decoder: ChunkedDecoder,
@@ -26,8 +26,8 @@
 }
 
 impl LineStream {
-    /// Makes a GET request for the path. `connect_timeout` limits the connection attempt, `idle_timeout` the time from
-    /// then to the first line, and between two lines; both in seconds.
+    /// Makes a GET request for the path. `connect_timeout` limits the connection attempt. `idle_timeout` limits the
+    /// time from the connection to the first line, and the time between two lines. Both are in seconds.
     ///
     /// # Errors
     /// Why there is no response with status 200.
@@ -38,6 +38,7 @@
         idle_timeout: f64,
     ) -> Result<LineStream, HttpError> {
         let mut stream = dial(address, connect_timeout).map_err(HttpError::Connect)?;
+        // Shuts down writing as well, so that a peer that does not read cannot block the request.
         let idle_timeout = IdleTimeout::both_halves(&stream, idle_timeout);
         let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         stream.write_all(request.as_bytes()).map_err(HttpError::Io)?;
@@ -75,6 +76,7 @@
                 let lines = &mut self.lines;
                 self.decoder.push(&bytes[..count], |data| lines.push(data))
             }
+            // The expired time-out has shut the socket down, which ends the read with no bytes or an error.
             _ if self.idle_timeout.has_expired() => Err(HttpError::Timeout),
             Ok(_) => Err(HttpError::Closed),
             Err(error) => Err(HttpError::Io(error)),
