--- a/crates/railhub-scenario/src/controller_settings.rs
+++ b/crates/railhub-scenario/src/controller_settings.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The addresses by which one of several controllers and the others reach each other.
+/// The cluster addresses in the settings of one of several controllers.
 pub(crate) struct FleetAddresses {
     /// Index of the controller.
     pub controller: usize,
--- a/crates/railhub-scenario/src/reader.rs
+++ b/crates/railhub-scenario/src/reader.rs
@@ -94,19 +94,25 @@
     sections.iter().map(|section| faults::scheduled_fault(section, scenario)).collect()
 }
 
-/// The sections that occur at most once. Those without a comment have the name of the field.
+/// The sections that occur at most once.
 struct Sections<'a> {
-    /// `[day]`
+    /// `[day]`: name, seed and length of the run.
     general: Section<'a>,
+    /// `[fleet]`: zones, slices, hosts and proxies.
     fleet: Section<'a>,
-    /// `[stewards]`
+    /// `[stewards]`: number of controllers, and their leases.
     controllers: Section<'a>,
+    /// `[load]`: operations and keys.
     load: Section<'a>,
+    /// `[clients]`: timeouts and retries of clients.
     clients: Section<'a>,
-    /// `[roster]`
+    /// `[roster]`: delays of the endpoint list.
     endpoint_list: Section<'a>,
+    /// `[reports]`: interval, delay and maximum rate of load reports.
     reports: Section<'a>,
+    /// `[channel]`: rate of the updates to proxies, and the delay before proxies reconnect.
     channel: Section<'a>,
+    /// `[rules]`: limits that the invariants check, and timeouts of operations.
     rules: Section<'a>,
 }
 
@@ -189,6 +195,7 @@
             faults: Vec::new(),
             controllers: controllers.in_range("count", 1.0, 1.0, MAX_CONTROLLERS)? as usize,
             lease_duration: controllers.in_range("lease", 3.0, 0.5, 60.0)?,
+            // No key of a scenario file sets the next three; the lease scenarios of `railhub-chaos` do.
             clocks: Vec::new(),
             store_faults: StoreFaults::default(),
             disabled_safeguard: None,
