--- a/crates/railhub-chaos/src/cluster_harness/process.rs
+++ b/crates/railhub-chaos/src/cluster_harness/process.rs
@@ -1,6 +1,6 @@
-//! A controller as a real process. The process always ends with the run: it is killed by its id when
-//! [`ControllerProcess`] is dropped, and by the kernel if the run itself is killed. (The end of standard input is not
-//! enough, because a stopped process does not notice it.)
+//! A controller as a real process. The process never outlives the run: it is killed by its id when
+//! [`ControllerProcess`] is dropped, and by the kernel if the run itself is killed. The controller also exits at the
+//! end of its standard input, but not while it is paused by a signal.
 use super::error::ProcessError;
 use serde::Deserialize;
 use std::fs::File;
@@ -63,7 +63,7 @@
             .map_err(|error| ProcessError::Logged { error: Box::new(error), log: log.to_owned() })
     }
 
-    /// Starts a controller with a settings file and a log in a given form.
+    /// Starts a controller with a settings file; the log has the given destination, format and level.
     ///
     /// # Errors
     /// Why the process does not start.
@@ -96,7 +96,7 @@
 
     fn signal(&self, signal: i32) {
         if let Some(child) = self.child.lock().expect("no holder panics").as_ref() {
-            // SAFETY: the child has not been waited for, so its id is its own.
+            // SAFETY: the child has not been waited for, so its id cannot have been reused.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
@@ -180,7 +180,8 @@
     reply: Sender<io::Result<Child>>,
 }
 
-/// Starts a process from a thread that never ends, because the kernel kills a child when the *thread* that started it ends.
+/// Starts a process from a thread that never ends, because the kernel kills a child when the *thread* that started it
+/// ends.
 fn spawn(command: Command) -> io::Result<Child> {
     static SPAWNER: OnceLock<Mutex<Sender<SpawnRequest>>> = OnceLock::new();
     let spawner = SPAWNER.get_or_init(|| {
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -22,7 +22,7 @@
     })
 }
 
-/// Returns a launcher as [`process_launcher`] does that keeps settings and logs in a folder.
+/// Returns a launcher like [`process_launcher`] that writes settings and logs to a folder and keeps them.
 pub fn folder_launcher(folder: &Path) -> ControllerLauncher {
     launcher(Some(folder.to_owned()), |conf| {
         let log = conf.with_extension("log");
@@ -32,6 +32,7 @@
     })
 }
 
+/// Returns a launcher that writes the settings to `folder`, or to a temporary file that is deleted after the start.
 fn launcher(
     folder: Option<PathBuf>,
     log: impl Fn(&Path) -> Result<ProcessLog, String> + Send + Sync + 'static,
--- a/crates/railhub-cli/src/traffic.rs
+++ b/crates/railhub-cli/src/traffic.rs
@@ -111,7 +111,8 @@
             })?;
             let mut traffic = trace_from_recording(&events, limits);
             if is_truncated {
-                // Operations are recorded when they end, so of the last seconds before the cut only a part is known.
+                // An operation is recorded when it ends, so some that started shortly before the cut are missing. The
+                // trace ends so long before the cut that all of its operations had ended.
                 let until = events.last().map_or(0.0, |event| event.at) - limits.from - max_hard_stop(limits);
                 traffic = cut(&traffic, &Part { until: Some(until.max(0.0)), ..Part::default() });
             }
--- a/crates/railhub-cli/tests/common/client_connection.rs
+++ b/crates/railhub-cli/tests/common/client_connection.rs
@@ -19,9 +19,10 @@
     framed(&format!(r#"{{"t":"collector","zone":"{zone}"}}"#))
 }
 
-/// Returns once the controller has accepted all connections and read all bytes that arrived before this call: its only
-/// worker thread handles events in order of arrival, so it answers this ping after them. On a busy machine the ping may
-/// arrive after the join timeout of its connection, which is closed then; another ping is sent.
+/// Waits until the controller has accepted all connections and read all bytes that arrived before this call. Its only
+/// worker thread handles events in order of arrival, so a ping that is sent now is answered after them. On a busy
+/// machine the connection of the ping may reach its join timeout before the ping arrives, and is closed. Another ping
+/// is sent then.
 pub fn wait_until_input_read(controller: &Controller) {
     let is_answered = (0..MAX_JOIN_ATTEMPTS).any(|_| controller.try_ping());
     assert!(is_answered, "none of {MAX_JOIN_ATTEMPTS} pings was answered");
@@ -86,7 +87,8 @@
         panic!("no collector joined within {JOIN_TIMEOUT:?} in {MAX_JOIN_ATTEMPTS} attempts");
     }
 
-    /// Writes a part of a message. If the connection was closed meanwhile, the next read shows it.
+    /// Writes a message or a part of it. Returns whether all bytes were written; if not, the connection has been
+    /// closed, and the next read shows how.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         let error = self.stream.write_all(bytes).err().map(|error| error.kind());
         self.is_reset |= error == Some(ErrorKind::ConnectionReset);
@@ -107,6 +109,7 @@
     /// Writes pings without reading until responses wait in the controller's send buffer, or the connection is closed.
     pub fn fill_send_buffer(&mut self) {
         const PINGS_PER_WRITE: usize = 1024;
+        /// The responses are blocked if at least this many bytes of them stay at the controller.
         const MIN_BLOCKED_BYTES: usize = 8192;
         const MAX_POLLS: usize = 30;
         let response_bytes = |pings: usize| framed(PONG).len() * pings;
@@ -120,7 +123,8 @@
             let mut is_blocked = false;
             eventually("responses arrive or are blocked", || {
                 let are_arriving = responses_arrive();
-                // Read last: the kernel's table of connections is long on a busy machine.
+                // Checked last, because reading the kernel's table of connections is slow on a busy machine. A
+                // connection that the controller has closed counts as blocked.
                 is_blocked = !are_arriving
                     && controller_socket(&self.stream)
                         .is_none_or(|socket| socket.unsent >= MIN_BLOCKED_BYTES && socket.unread == 0);
@@ -182,7 +186,7 @@
         );
     }
 
-    /// A ping is answered, or the join timeout has expired and the connection is closed.
+    /// Asserts that the controller answers all pings, or has closed a connection that did not join in time.
     pub fn assert_continues(mut self) {
         if self.is_collector {
             assert!(self.receives_pongs() && self.ping(), "a collector got no response");
