--- a/crates/railhub-cli/tests/common/client_connection.rs
+++ b/crates/railhub-cli/tests/common/client_connection.rs
@@ -187,7 +187,7 @@
     }
 
     /// Asserts that the controller answers all pings, or has closed a connection that did not join in time.
-    pub fn assert_continues(mut self) {
+    pub fn assert_served_or_expired(mut self) {
         if self.is_collector {
             assert!(self.receives_pongs() && self.ping(), "a collector got no response");
         } else {
--- a/crates/railhub-cli/tests/signals.rs
+++ b/crates/railhub-cli/tests/signals.rs
@@ -167,7 +167,7 @@
         assert!(next.first_line_to_relay().contains("\"subscribe\""), "{stage:?}");
         for mut connection in staged.connections {
             stage.complete(&mut connection);
-            connection.assert_continues();
+            connection.assert_served_or_expired();
         }
         assert!(staged.idle_collector.ping() && staged.controller.try_ping(), "{stage:?}");
     }
