--- a/crates/railhub-chaos/src/cluster_harness/process.rs
+++ b/crates/railhub-chaos/src/cluster_harness/process.rs
@@ -44,7 +44,7 @@
 /// The log of a process.
 pub struct ProcessLog {
     /// Standard error of the process, to which it logs.
-    pub to: Stdio,
+    pub stderr: Stdio,
     /// The log format, a value of the command line's `--log`.
     pub format: &'static str,
     /// The lowest level that is logged.
@@ -58,7 +58,7 @@
     /// Why the process does not start, with the path of the log file.
     pub fn start(binary: &Path, settings: &Path, log: &Path) -> Result<ControllerProcess, ProcessError> {
         let file = File::create(log).map_err(|source| ProcessError::Log { path: log.to_owned(), source })?;
-        let process_log = ProcessLog { to: file.into(), format: "text", level: "info".into() };
+        let process_log = ProcessLog { stderr: file.into(), format: "text", level: "info".into() };
         ControllerProcess::start_with_log(binary, settings, process_log)
             .map_err(|error| ProcessError::Logged { error: Box::new(error), log: log.to_owned() })
     }
@@ -74,7 +74,7 @@
     ) -> Result<ControllerProcess, ProcessError> {
         let mut command = Command::new(binary);
         command.args(["controller", "--until-stdin-ends", "--log", log.format, "--conf"]).arg(settings);
-        command.env("RAILHUB_LOG", log.level).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log.to);
+        command.env("RAILHUB_LOG", log.level).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log.stderr);
         end_with_parent(&mut command);
         let mut child =
             spawn(command).map_err(|source| ProcessError::Spawn { binary: binary.to_owned(), source })?;
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -18,7 +18,7 @@
     };
     launcher(None, move |_| {
         let level = std::env::var(FILTER_VARIABLE).unwrap_or_else(|_| "warn".into());
-        Ok(ProcessLog { to: Stdio::inherit(), format, level })
+        Ok(ProcessLog { stderr: Stdio::inherit(), format, level })
     })
 }
 
@@ -28,7 +28,7 @@
         let log = conf.with_extension("log");
         let file =
             std::fs::File::create(&log).map_err(|e| format!("{}: cannot be created: {e}", log.display()))?;
-        Ok(ProcessLog { to: file.into(), format: "text", level: "info".into() })
+        Ok(ProcessLog { stderr: file.into(), format: "text", level: "info".into() })
     })
 }
 
--- a/crates/railhub-membership/tests/wire_compatibility.rs
+++ b/crates/railhub-membership/tests/wire_compatibility.rs
@@ -8,7 +8,7 @@
 
 const INSTALLATION: &str = "here";
 
-fn entry(id: u16, status: Status, reported_by: Option<u16>) -> Member {
+fn member(id: u16, status: Status, reported_by: Option<u16>) -> Member {
     let metadata = NodeMetadata {
         address: Some("[2001:db8::1]:7946".parse().expect("a valid address")),
         program_version: "0.2.0".to_owned(),
@@ -26,8 +26,8 @@
 }
 
 fn message(payload: Payload) -> Packet {
-    let gossip = vec![entry(7, Status::Suspect, Some(2)), entry(8, Status::Forgotten, None)];
-    let sender = entry(3, Status::Alive, None);
+    let gossip = vec![member(7, Status::Suspect, Some(2)), member(8, Status::Forgotten, None)];
+    let sender = member(3, Status::Alive, None);
     Packet::Message(Box::new(Message {
         sender,
         sequence: 41,
@@ -46,7 +46,7 @@
 
 fn view() -> Packet {
     let view_entry = |id: u16, status: Status, last_seen_ago: f64| ViewEntry {
-        member: entry(id, status, Some(1)),
+        member: member(id, status, Some(1)),
         load: load(),
         status_age: 12.5,
         last_seen_ago,
--- a/crates/railhub-platform/tests/controller/pending_commands.rs
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn repeated_call_omits_tables_of_revoked_slices() {
+fn repeats_only_outstanding_commands_of_assigned_slices() {
     let mut pending = PendingCommands::default();
     push_entries(&mut pending, 3);
     pending.next_call(&[]).expect("a call");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn drops_a_refused_command_alone() {
+fn drops_only_the_refused_command() {
     let mut pending = PendingCommands::default();
     push_entries(&mut pending, 5);
     assert_eq!(pending.next_call(&[]).expect("a call").commands, 5);
--- a/crates/railhub-scenario/src/controller_settings.rs
+++ b/crates/railhub-scenario/src/controller_settings.rs
@@ -26,8 +26,8 @@
     if scenario.slices > 0 {
         let _ = writeln!(text, "store = {store}");
     }
-    let binds = if scenario.limits.removed_hosts_exempt { "no" } else { "yes" };
-    let _ = write!(text, "removal_binds = {binds}\n\n");
+    let removal_binds = if scenario.limits.removed_hosts_exempt { "no" } else { "yes" };
+    let _ = write!(text, "removal_binds = {removal_binds}\n\n");
     text.push_str(&limits_section(scenario));
     for class in &scenario.limits.classes {
         text.push_str(&class_section(class));
@@ -69,12 +69,12 @@
 /// The `[fleet]` section in the settings of one of several controllers.
 pub(crate) fn fleet_section(scenario: &Scenario, addresses: &FleetAddresses) -> String {
     let join: Vec<String> = addresses.join.iter().map(SocketAddr::to_string).collect();
-    let without =
+    let disabled_safeguard =
         scenario.disabled_safeguard.map_or(String::new(), |safeguard| format!("without = {safeguard}\n"));
     let clock = scenario.clocks.get(addresses.controller).map_or(String::new(), clock_keys);
     format!(
         "\n[fleet]\nid = {}\ninstallation = {}\nadvertise = {}\njoin = {}\nshare = yes\n\
-         lease = {}\n{without}{clock}",
+         lease = {}\n{disabled_safeguard}{clock}",
         addresses.controller,
         installation(scenario),
         addresses.advertise,
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -68,7 +68,7 @@
     let expired: Vec<HostId> =
         hosts.iter().filter(|(_, host)| host.is_expired(now)).map(|(id, _)| *id).collect();
     for id in expired {
-        let is_in_use = slices.values().any(|slice| slice.owner == Some(id) || slice.publishes(id));
+        let is_in_use = slices.values().any(|slice| slice.owner == Some(id) || slice.table_contains(id));
         if is_in_use || ejected == Some(id) || !exclusions.forget(id) {
             continue;
         }
--- a/src/decision/slice.rs
+++ b/src/decision/slice.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether its published table names this host.
-    pub fn publishes(&self, host: HostId) -> bool {
+    pub fn table_contains(&self, host: HostId) -> bool {
         self.published.iter().any(|entry| entry.host == host)
     }
 
