--- a/crates/railhub-platform/tests/controller/pending_commands.rs
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -1,6 +1,10 @@
 //! Pending commands: coalesced, bounded, and encoded in calls.
 use super::*;
 
+/// The relay accepts calls that are shorter than this.
+const CALL_SIZE_LIMIT: usize = 60_000;
+const MAX_PENDING_COMMANDS: usize = 20_000;
+
 #[test]
 fn repeats_only_outstanding_commands_of_assigned_slices() {
     let mut pending = PendingCommands::default();
@@ -43,7 +47,7 @@
     push_entries(&mut pending, 5000);
     let (mut calls, mut commands) = (0, 0);
     while let Some(call) = pending.next_call(&[]) {
-        assert!(call.bytes.len() < 60_000 && call.bytes.ends_with(b"]}}\n"));
+        assert!(call.bytes.len() < CALL_SIZE_LIMIT && call.bytes.ends_with(b"]}}\n"));
         assert_eq!(text(&call).matches("\"op\"").count(), call.commands);
         (calls, commands) = (calls + 1, commands + call.commands);
         assert!(pending.on_accepted(call.commands).refused.is_none());
@@ -97,7 +101,7 @@
             slice: SliceId(slice),
             entry: WeightedHost { host: host(1), weight: 1.0 },
         });
-        assert!(pending.len() <= 20_000);
+        assert!(pending.len() <= MAX_PENDING_COMMANDS);
     }
     assert!(pending.overflowed, "a new snapshot is needed");
 }
