--- a/crates/railhub-chaos/src/cluster_harness/process.rs
+++ b/crates/railhub-chaos/src/cluster_harness/process.rs
@@ -1,6 +1,6 @@
-//! A controller as a real process. The process always ends with the run: it is killed by its id when
-//! [`ControllerProcess`] is dropped, and by the kernel if the run itself is killed. (The end of standard input is not
-//! enough, because a stopped process does not notice it.)
+//! A controller as a real process. The process never outlives the run: it is killed by its id when
+//! [`ControllerProcess`] is dropped, and by the kernel if the run itself is killed. The controller also exits at the
+//! end of its standard input, but not while it is paused by a signal.
 use super::error::ProcessError;
 use serde::Deserialize;
 use std::fs::File;
@@ -44,7 +44,7 @@
 /// The log of a process.
 pub struct ProcessLog {
     /// Standard error of the process, to which it logs.
-    pub to: Stdio,
+    pub stderr: Stdio,
     /// The log format, a value of the command line's `--log`.
     pub format: &'static str,
     /// The lowest level that is logged.
@@ -58,12 +58,12 @@
     /// Why the process does not start, with the path of the log file.
     pub fn start(binary: &Path, settings: &Path, log: &Path) -> Result<ControllerProcess, ProcessError> {
         let file = File::create(log).map_err(|source| ProcessError::Log { path: log.to_owned(), source })?;
-        let process_log = ProcessLog { to: file.into(), format: "text", level: "info".into() };
+        let process_log = ProcessLog { stderr: file.into(), format: "text", level: "info".into() };
         ControllerProcess::start_with_log(binary, settings, process_log)
             .map_err(|error| ProcessError::Logged { error: Box::new(error), log: log.to_owned() })
     }
 
-    /// Starts a controller with a settings file and a log in a given form.
+    /// Starts a controller with a settings file; the log has the given destination, format and level.
     ///
     /// # Errors
     /// Why the process does not start.
@@ -74,7 +74,7 @@
     ) -> Result<ControllerProcess, ProcessError> {
         let mut command = Command::new(binary);
         command.args(["controller", "--until-stdin-ends", "--log", log.format, "--conf"]).arg(settings);
-        command.env("RAILHUB_LOG", log.level).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log.to);
+        command.env("RAILHUB_LOG", log.level).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log.stderr);
         end_with_parent(&mut command);
         let mut child =
             spawn(command).map_err(|source| ProcessError::Spawn { binary: binary.to_owned(), source })?;
@@ -96,7 +96,7 @@
 
     fn signal(&self, signal: i32) {
         if let Some(child) = self.child.lock().expect("no holder panics").as_ref() {
-            // SAFETY: the child has not been waited for, so its id is its own.
+            // SAFETY: the child has not been waited for, so its id cannot have been reused.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
@@ -180,7 +180,8 @@
     reply: Sender<io::Result<Child>>,
 }
 
-/// Starts a process from a thread that never ends, because the kernel kills a child when the *thread* that started it ends.
+/// Starts a process from a thread that never ends, because the kernel kills a child when the *thread* that started it
+/// ends.
 fn spawn(command: Command) -> io::Result<Child> {
     static SPAWNER: OnceLock<Mutex<Sender<SpawnRequest>>> = OnceLock::new();
     let spawner = SPAWNER.get_or_init(|| {
--- a/crates/railhub-cli/src/launch.rs
+++ b/crates/railhub-cli/src/launch.rs
@@ -18,20 +18,21 @@
     };
     launcher(None, move |_| {
         let level = std::env::var(FILTER_VARIABLE).unwrap_or_else(|_| "warn".into());
-        Ok(ProcessLog { to: Stdio::inherit(), format, level })
+        Ok(ProcessLog { stderr: Stdio::inherit(), format, level })
     })
 }
 
-/// Returns a launcher as [`process_launcher`] does that keeps settings and logs in a folder.
+/// Returns a launcher like [`process_launcher`] that writes settings and logs to a folder and keeps them.
 pub fn folder_launcher(folder: &Path) -> ControllerLauncher {
     launcher(Some(folder.to_owned()), |conf| {
         let log = conf.with_extension("log");
         let file =
             std::fs::File::create(&log).map_err(|e| format!("{}: cannot be created: {e}", log.display()))?;
-        Ok(ProcessLog { to: file.into(), format: "text", level: "info".into() })
+        Ok(ProcessLog { stderr: file.into(), format: "text", level: "info".into() })
     })
 }
 
+/// Returns a launcher that writes the settings to `folder`, or to a temporary file that is deleted after the start.
 fn launcher(
     folder: Option<PathBuf>,
     log: impl Fn(&Path) -> Result<ProcessLog, String> + Send + Sync + 'static,
--- a/crates/railhub-platform/tests/controller/pending_commands.rs
+++ b/crates/railhub-platform/tests/controller/pending_commands.rs
@@ -1,8 +1,12 @@
 //! Pending commands: coalesced, bounded, and encoded in calls.
 use super::*;
 
+/// The relay accepts calls that are shorter than this.
+const CALL_SIZE_LIMIT: usize = 60_000;
+const MAX_PENDING_COMMANDS: usize = 20_000;
+
 #[test]
-fn repeated_call_omits_tables_of_revoked_slices() {
+fn repeats_only_outstanding_commands_of_assigned_slices() {
     let mut pending = PendingCommands::default();
     push_entries(&mut pending, 3);
     pending.next_call(&[]).expect("a call");
@@ -20,6 +24,7 @@
     pending.push(Command::SetAdmissionRate { class: ClassId(0), rate: 0.7, retry: RetryPolicy::Never });
     let call = pending.next_call(&["view".to_owned()]).expect("a call");
     assert_eq!(pending.unnamed_classes, 1);
+    // The class `*` would set the rate of every class.
     assert!(
         call.commands == 1 && text(&call).contains("view") && !text(&call).contains('*'),
         "{}",
@@ -42,7 +47,7 @@
     push_entries(&mut pending, 5000);
     let (mut calls, mut commands) = (0, 0);
     while let Some(call) = pending.next_call(&[]) {
-        assert!(call.bytes.len() < 60_000 && call.bytes.ends_with(b"]}}\n"));
+        assert!(call.bytes.len() < CALL_SIZE_LIMIT && call.bytes.ends_with(b"]}}\n"));
         assert_eq!(text(&call).matches("\"op\"").count(), call.commands);
         (calls, commands) = (calls + 1, commands + call.commands);
         assert!(pending.on_accepted(call.commands).refused.is_none());
@@ -51,11 +56,12 @@
 }
 
 #[test]
-fn drops_a_refused_command_alone() {
+fn drops_only_the_refused_command() {
     let mut pending = PendingCommands::default();
     push_entries(&mut pending, 5);
     assert_eq!(pending.next_call(&[]).expect("a call").commands, 5);
     push_entries(&mut pending, 6);
+    // The relay accepts two commands and refuses the third.
     assert_eq!(
         pending.on_accepted(2).refused,
         Some(Command::SetWeight { slice: SliceId(2), entry: WeightedHost { host: host(1), weight: 1.0 } })
@@ -85,7 +91,9 @@
         text.find("\"s-2\",\"weight\":1.0").expect("kept")
             < text.find("\"s-1\",\"weight\":1.0").expect("last")
     );
+    // On the wire, `restore` readmits a host and `withdraw` excludes it.
     assert!(text.contains("restore") && !text.contains("withdraw"));
+    // The stored table has host 3; the pending commands add hosts 1 and 2.
     assert_eq!(pending.table_when_accepted(SliceId(1), &[(host(3), 0.5).into()]).len(), 3);
     pending.on_accepted(3);
     for slice in 0..u16::MAX {
@@ -93,7 +101,7 @@
             slice: SliceId(slice),
             entry: WeightedHost { host: host(1), weight: 1.0 },
         });
-        assert!(pending.len() <= 20_000);
+        assert!(pending.len() <= MAX_PENDING_COMMANDS);
     }
     assert!(pending.overflowed, "a new snapshot is needed");
 }
